--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -237,7 +237,7 @@
 	}
 	t.sched = scheduler.New(scheduler.Config{
 		Term: m.Term, Teams: f.Teams, Objectives: f.Objectives, Workers: f.Workers, State: f.State,
-		ListLag: limits.Seconds(f.Cloud.ListLagS), CloudRPS: f.Cloud.RPS * limits.CloudShare, Options: options,
+		ListLag: limits.Seconds(f.Cloud.ListLagS), CloudRPS: f.Cloud.RPS * limits.CloudShare, CoreShare: f.Machine.CoreShare, Options: options,
 	}, 0)
 	d.term.Store(t)
 	defer d.term.Store(nil)
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -301,6 +301,7 @@
 	}
 	s.writeMarks()
 	s.dropBroken()
+	s.probes.refill(s.now)
 	s.probe()
 	if s.now >= s.planAt && (s.settled || s.now > s.took+s.stale()) && len(s.types) > 0 {
 		s.planAt = s.now + limits.PlanEvery
@@ -449,15 +450,6 @@
 	return j.cancelAt + limits.CancelLast(limits.Seconds(s.cfg.Workers.CancelS), s.lease)
 }
 
-// probe asks machines that may hold tasks of earlier terms, rather than wait for their reports, and those that may not hear our answers.
-func (s *Scheduler) probe() {
-	for _, m := range s.fleet {
-		if (!s.settled && !m.fenced && m.mark != unmarked) || (m.seen && !m.proven) {
-			s.ask(m)
-		}
-	}
-}
-
 // hurry asks for the results that a machine lists to be written down next: it is to go.
 func (s *Scheduler) hurry(m *machine) {
 	for _, x := range m.exits {
--- a/internal/coordination/scheduler/model.go
+++ b/internal/coordination/scheduler/model.go
@@ -331,6 +331,7 @@
 	State      config.State
 	ListLag    time.Duration
 	CloudRPS   float64
+	CoreShare  float64 // of a core that this controller has; 0: not known
 	Options    config.Options
 }
 
@@ -370,6 +371,7 @@
 	sendSeq  uint64  // of direct commands
 	dirty    bool    // something changed that placement looks at
 	loaded   bool    // all that earlier terms wrote down is known
+	probes   probeBudget
 	doubtful bool    // so many machines are doubted that there must be a common cause
 	settled  bool    // and all that may run; see settle
 	planAt   time.Duration
@@ -415,6 +417,7 @@
 		pass:     pass{refused: map[request]bool{}}, pressAgain: map[request]time.Duration{},
 		inZone:   map[string]int{},
 		marksAt:  now - limits.MarkEvery,
+		probes:   newProbeBudget(cfg.CoreShare),
 		services: map[group]service{}, closedServices: map[group]service{},
 	}
 	for _, t := range cfg.Teams {
--- /dev/null
+++ b/internal/coordination/scheduler/probes.go
@@ -0,0 +1,65 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"quillshunt/internal/limits"
+)
+
+// probeBudget bounds how many probes a second go out. A take-over may have to learn of thousands of machines at once; most of them report by
+// themselves within seconds, and a controller that probes them all meanwhile has no processor left for these reports, for its lease and for its
+// votes.
+type probeBudget struct {
+	rate   float64 // probes a second
+	tokens float64
+	at     time.Duration // of the last refill
+}
+
+func newProbeBudget(coreShare float64) probeBudget {
+	rate := limits.ProbeRate(coreShare)
+	return probeBudget{rate: rate, tokens: rate * limits.TickEvery.Seconds()}
+}
+
+// refill adds what the time since the last refill allows; what is not used in a second is lost.
+func (b *probeBudget) refill(now time.Duration) {
+	b.tokens = min(b.tokens+b.rate*(now-b.at).Seconds(), b.rate)
+	b.at = now
+}
+
+func (b *probeBudget) take() bool {
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
+
+// probe asks machines that may hold tasks of earlier terms, rather than wait for their reports, and those that may not hear our answers. Those
+// come first that were not asked for longest.
+func (s *Scheduler) probe() {
+	var due []*machine
+	for _, m := range s.fleet {
+		if (!s.settled && !m.fenced && m.mark != unmarked) || (m.seen && !m.proven) {
+			due = append(due, m)
+		}
+	}
+	slices.SortStableFunc(due, func(a, b *machine) int { return int(a.probeAt - b.probeAt) })
+	for _, m := range due {
+		s.askDoubted(m)
+	}
+}
+
+// askDoubted seeks the proof that answers reach a machine by a direct command without orders. Where many machines are doubted at once, as after they
+// all had to find their leader again, the next reports on their new connections prove most of them for nothing: there a machine is asked only once
+// its next report is overdue as a proof.
+func (s *Scheduler) askDoubted(m *machine) {
+	if m.seen && m.fenced && s.doubtful && s.now < m.doubt+time.Duration(limits.DoubtReports*float64(s.report)) {
+		return
+	}
+	if m.addr == "" || m.deleting || s.now < m.probeAt || !s.probes.take() {
+		return
+	}
+	m.probeAt = s.now + limits.ProbeEvery
+	s.emit(ProbeOut{Rig: m.name, Address: m.addr})
+}
--- a/internal/coordination/scheduler/report.go
+++ b/internal/coordination/scheduler/report.go
@@ -63,7 +63,7 @@
 	}
 	if !m.proven {
 		s.withdraw(m)
-		s.ask(m)
+		s.askDoubted(m)
 	}
 	s.place()
 	orders = s.orders(m, r.Tally, orders)
@@ -119,19 +119,6 @@
 	m.proven = ok
 }
 
-// ask seeks the proof by a direct command without orders. Where many machines are doubted at once, as after they all had to find their leader again, the next
-// reports on their new connections prove most of them for nothing, while probes of all would keep a small controller from answering reports, and so go on for
-// ever: there a machine is asked only once its next report is overdue as a proof.
-func (s *Scheduler) ask(m *machine) {
-	if m.seen && m.fenced && s.doubtful && s.now < m.doubt+time.Duration(limits.DoubtReports*float64(s.report)) {
-		return
-	}
-	if m.addr != "" && !m.deleting && s.now >= m.probeAt {
-		m.probeAt = s.now + limits.ProbeEvery
-		s.emit(ProbeOut{Rig: m.name, Address: m.addr})
-	}
-}
-
 // relay tells whether a report is answered the way it came. A worker that comes through another controller is first told to come itself; one
 // that was here before and now comes that way, or that we did not reach either, cannot reach us. From time to time it is told to try again.
 func (s *Scheduler) relay(m *machine, relayed bool) bool {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -357,6 +357,11 @@
 	// and the lease go first.
 	BusyWait = 250 * time.Millisecond
 	BusyFor  = time.Second
+	// ProbeCost is about what a probe takes of a core: a connection, two calls and their system calls. Probes get ProbeProcessor of a controller's
+	// processor at most, and at least ProbeRateLeast a second; the rest is for reports, the lease and votes.
+	ProbeCost      = 400 * time.Microsecond
+	ProbeProcessor = 0.25
+	ProbeRateLeast = 10.0
 	// ProbeTimeout bounds the two calls of a probe.
 	ProbeTimeout = 1500 * time.Millisecond
 	// DirectTimeout bounds a direct command; a worker answers in milliseconds or not at all.
@@ -436,6 +441,14 @@
 // Mailbox is the size of the mailbox of the leader's scheduler: one report of each worker that can be connected, as each has one in flight.
 func Mailbox(s Shares) int { return max(MailboxLeast, s.Fleet) }
 
+// ProbeRate is how many probes a second a controller with such a share of a core sends at most; one whose share is not known is held to have a core.
+func ProbeRate(coreShare float64) float64 {
+	if coreShare <= 0 {
+		coreShare = 1
+	}
+	return max(coreShare*ProbeProcessor/ProbeCost.Seconds(), ProbeRateLeast)
+}
+
 // WaitOut is how long to wait, by our clock, until a lease of d on another clock is surely over.
 func WaitOut(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*2*DriftShare) + LeaseMargin
