--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -379,7 +379,7 @@
 	}
 	s.doubtful = doubted > limits.CrowdLeast && float64(doubted) > limits.DoubtCrowd*float64(up)
 	lost := crowded(unheard, unheard+up)
-	few := float64(unheard) <= max(limits.CrowdLeast, limits.FewUnheard*float64(unheard+up))
+	s.fewUnheard = !s.settled && float64(unheard) <= max(limits.CrowdLeast, limits.FewUnheard*float64(unheard+up))
 	// Many machines falling silent together is a cut, not a series of deaths: they may come back, sooner than others would boot. Counted are
 	// those that have only just begun to be silent, as otherwise the first of a crowd would go one by one.
 	crowd := crowded(silent, up)
@@ -398,7 +398,7 @@
 				patience = max(patience, limit) // so many at once may be a cut that ends soon
 			}
 			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer either costs less than the wait.
-			if s.now > s.took+patience || (few && m.misses >= limits.FewMisses && !s.settled) {
+			if s.now > s.took+patience || (s.fewUnheard && m.misses >= limits.FewMisses) {
 				s.remove(m, "not heard of since the take-over")
 			}
 		case !m.seen:
--- a/internal/coordination/scheduler/model.go
+++ b/internal/coordination/scheduler/model.go
@@ -364,23 +364,24 @@
 	marksDirty bool // some sheet has machines that are not written yet
 	marksAt    time.Duration
 
-	seq      uint64 // of attempts
-	hireSeq  uint64
-	writeSeq uint64
-	flushes  float64 // chunk writes that may go out now
-	sendSeq  uint64  // of direct commands
-	dirty    bool    // something changed that placement looks at
-	loaded   bool    // all that earlier terms wrote down is known
-	probes   probeBudget
-	doubtful bool    // so many machines are doubted that there must be a common cause
-	settled  bool    // and all that may run; see settle
-	planAt   time.Duration
-	listAt   time.Duration
-	sumAt    time.Duration
-	boundAt  time.Duration // when to say again that the fleet is at its bound
-	listing  bool
-	typesAt  time.Duration
-	out      []Effect
+	seq        uint64 // of attempts
+	hireSeq    uint64
+	writeSeq   uint64
+	flushes    float64 // chunk writes that may go out now
+	sendSeq    uint64  // of direct commands
+	dirty      bool    // something changed that placement looks at
+	loaded     bool    // all that earlier terms wrote down is known
+	probes     probeBudget
+	fewUnheard bool // of the machines that may hold tasks of earlier terms only a few have not been heard of
+	doubtful   bool // so many machines are doubted that there must be a common cause
+	settled    bool // and all that may run; see settle
+	planAt     time.Duration
+	listAt     time.Duration
+	sumAt      time.Duration
+	boundAt    time.Duration // when to say again that the fleet is at its bound
+	listing    bool
+	typesAt    time.Duration
+	out        []Effect
 
 	pass pass
 	// pressAgain is when requests that found no tasks to stop may look for them again: the look goes through all tasks of all machines, and in an overload many jobs are
--- a/internal/coordination/scheduler/probes_test.go
+++ b/internal/coordination/scheduler/probes_test.go
@@ -47,3 +47,24 @@
 		}
 	}
 }
+
+// TestLastUnheardAskedAgain: all placement waits for the last machine that a new leader has not heard of, so a probe that it did not answer is followed
+// by the next at once. Where many are unheard, as behind a cut, their probes keep to their pace.
+func TestLastUnheardAskedAgain(t *testing.T) {
+	for _, c := range []struct{ silent, again int }{{1, 1}, {20, 0}} {
+		b := newBed(t, 40)
+		for i := c.silent; i < 40; i++ {
+			b.report(i)
+		}
+		b.step(Tick{Entitled: true})
+		again := 0
+		for _, e := range b.step(ProbeDone{Rig: b.rig(0)}) {
+			if p, ok := e.(ProbeOut); ok && p.Rig == b.rig(0) {
+				again++
+			}
+		}
+		if again != c.again {
+			t.Errorf("%d silent: asked %d times right after a probe without an answer, want %d", c.silent, again, c.again)
+		}
+	}
+}
--- a/internal/coordination/scheduler/report.go
+++ b/internal/coordination/scheduler/report.go
@@ -174,6 +174,10 @@
 	r := e.Report
 	if m != nil && r == nil && !e.Unasked {
 		m.misses++
+		if s.fewUnheard && !m.seen && m.misses < limits.FewMisses {
+			m.probeAt = s.now // all placement waits for it
+			s.askDoubted(m)
+		}
 	}
 	if m == nil || r == nil || r.Rig != e.Rig || !r.Valid() || r.Baton != s.cfg.Term || m.knows(r, m.tally) {
 		return
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -345,7 +345,7 @@
 	RebuildPatience = 6 * time.Second
 	RebuildReports  = 2.5
 	// FewUnheard is the share of all machines up to which those that nothing is heard of since a take-over are given up after FewMisses probes without an
-	// answer, one at once and one ProbeEvery later.
+	// answer, the next one right after the one before.
 	FewUnheard = 0.03
 	FewMisses  = 2
 	// ProbeEvery is how often such a machine is asked directly.
