--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -237,12 +237,7 @@
 		}
 		return
 	}
-	var r protocol.Report
-	if err := protocol.Decode(req.Body, &r); err != nil || !r.Valid() {
-		rsp.Respond(400, nil, 0)
-		return
-	}
-	g.Desk.Report(&r, rsp.Before() == 200, func(status int, body []byte) { rsp.Respond(status, body, 0) })
+	g.Desk.Report(req.Body, rsp.Before() == 200, func(status int, body []byte) { rsp.Respond(status, body, 0) })
 }
 
 // relay asks the leader about a worker that came here. Mostly the leader wants it to come itself; if it cannot, as when the
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -72,7 +72,7 @@
 }
 
 type reportMsg struct {
-	r       *protocol.Report
+	body    []byte // as it came; it is decoded here and not by the many goroutines of connections, which would each need a larger stack for it
 	reply   Reply
 	arrived time.Time
 	relayed bool
@@ -108,22 +108,18 @@
 
 // Report hands a report to the term; stayed tells that the worker got a 200 before on its connection. It is answered 503 at once if nobody leads here
 // or the mailbox is full.
-func (d *Desk) Report(r *protocol.Report, stayed bool, reply Reply) {
-	d.take(reportMsg{r: r, reply: reply, stayed: stayed})
+func (d *Desk) Report(body []byte, stayed bool, reply Reply) {
+	d.take(reportMsg{body: body, reply: reply, stayed: stayed})
 }
 
 // Relayed takes a report that came through another controller.
 func (d *Desk) Relayed(ctx context.Context, body []byte, stayed bool) (int, []byte) {
-	var r protocol.Report
-	if err := protocol.Decode(body, &r); err != nil || !r.Valid() {
-		return 400, nil
-	}
 	type answer struct {
 		status int
 		body   []byte
 	}
 	got := make(chan answer, 1)
-	d.take(reportMsg{r: &r, reply: func(status int, body []byte) { got <- answer{status, body} }, relayed: true, stayed: stayed})
+	d.take(reportMsg{body: body, reply: func(status int, body []byte) { got <- answer{status, body} }, relayed: true, stayed: stayed})
 	select {
 	case a := <-got:
 		return a.status, a.body
@@ -435,16 +431,7 @@
 		case msg := <-t.mail:
 			switch msg := msg.(type) {
 			case reportMsg:
-				if msg.r.Baton > t.m.Term {
-					t.d.lost(t.m.Term) // the worker has seen a later leader
-				}
-				wait := time.Since(msg.arrived)
-				t.longest = max(t.longest, wait)
-				if wait > limits.BusyWait {
-					t.late.Store(int64(t.now()))
-				}
-				fresh := wait < limits.StaleReport
-				t.step(ctx, scheduler.ReportIn{Report: msg.r, Ref: msg.reply, Entitled: fresh && t.m.Entitled(), Relayed: msg.relayed, Stayed: msg.stayed})
+				t.report(ctx, msg)
 			case countsMsg:
 				t.step(ctx, scheduler.CountsIn{ID: msg.job, Ref: msg.reply})
 			case confirmMsg:
@@ -461,6 +448,25 @@
 	}
 }
 
+// report takes a worker's report.
+func (t *term) report(ctx context.Context, msg reportMsg) {
+	wait := time.Since(msg.arrived)
+	t.longest = max(t.longest, wait)
+	if wait > limits.BusyWait {
+		t.late.Store(int64(t.now()))
+	}
+	var r protocol.Report
+	if err := protocol.Decode(msg.body, &r); err != nil || !r.Valid() {
+		msg.reply(400, nil)
+		return
+	}
+	if r.Baton > t.m.Term {
+		t.d.lost(t.m.Term) // the worker has seen a later leader
+	}
+	entitled := wait < limits.StaleReport && t.m.Entitled()
+	t.step(ctx, scheduler.ReportIn{Report: &r, Ref: msg.reply, Entitled: entitled, Relayed: msg.relayed, Stayed: msg.stayed})
+}
+
 // step takes an event through the scheduler and carries out the effects.
 func (t *term) step(ctx context.Context, e scheduler.Event) {
 	for _, eff := range t.sched.Step(e, t.now()) {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -101,6 +101,10 @@
 	IdleConn = 60 * time.Second
 	// SlowRequest closes a connection whose request does not become whole in this time.
 	SlowRequest = 10 * time.Second
+	// LoopFailures is how many times in a row a server's loop may end right after its start before the server gives up.
+	LoopFailures = 20
+	// ReadBytes is the size of a buffer that one read fills, in bytes: most messages fit.
+	ReadBytes = 4096
 	// SweepEvery is how often connections are checked for the two limits above.
 	SweepEvery = 2 * time.Second
 	// CloudConns is how many calls of the cloud are under way at once: rentals, deletions, a list and types. More wait for its rate anyway.
@@ -408,8 +412,8 @@
 	// GCPercent is the garbage collector's target: the live heap is a tenth of the soft limit or less, so there is room to collect less often, which saves
 	// processor time; near the limit it collects as often as it must.
 	GCPercent = 400
-	// Procs is GOMAXPROCS. One thread runs at a time; the second is for the one that waits inside evio.
-	Procs = 2
+	// Procs is GOMAXPROCS. A controller has a part of one core, so a second thread that looks for work would only take from the first.
+	Procs = 1
 )
 
 // Shares is how a controller's sockets are used. The state service, the cloud and the other controllers have theirs set aside; the rest is shared by need
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -120,12 +120,10 @@
 		c.sockets.hungUp()
 		return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
 	}
-	o := &outbound{conn: conn, dec: NewResponseDecoder(c.maxBody), buf: make([]byte, 4096), sockets: c.sockets}
-	if sc, ok := conn.(syscall.Conn); ok {
-		if o.raw, err = sc.SyscallConn(); err != nil {
-			o.close()
-			return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
-		}
+	o := &outbound{conn: conn, dec: NewResponseDecoder(c.maxBody), buf: make([]byte, limits.ReadBytes), sockets: c.sockets}
+	if o.raw, err = rawConn(conn); err != nil {
+		o.close()
+		return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
 	}
 	return o, nil
 }
@@ -210,10 +208,8 @@
 	if n == len(req) {
 		return nil
 	}
-	if _, err := o.conn.Write(req[n:]); err != nil { // a full socket: wait until it takes the rest
-		return fmt.Errorf("write: %w", err)
-	}
-	return nil
+	_, err := writeAll(o.raw, req[n:]) // a full socket: wait until it takes the rest
+	return err
 }
 
 // receiveOnSocket takes what has arrived. It returns neither a message nor an error if more has to come.
--- /dev/null
+++ b/internal/transport/connection.go
@@ -0,0 +1,81 @@
+package transport
+
+import (
+	"sync"
+	"time"
+)
+
+// Responder answers one request, once.
+type Responder struct {
+	c    *inbound
+	wake func() // has the loop look for the answer
+	s    *Server
+	// sync is true while the handler runs on the loop: then no wake is needed.
+	sync bool
+	used bool // guarded by c.mu
+}
+
+// inbound is what we keep for a connection. It is guarded by the server's turn, but for what its own mutex guards because
+// answers come from other goroutines.
+type inbound struct {
+	dec     *Decoder
+	status  int  // of the last answer on this connection, guarded by mu
+	busy    bool // a request is being worked on
+	last    time.Time
+	closing bool
+	refused bool // answered, but its sender is not done sending
+	fleet   bool // of a machine of the fleet
+
+	mu   sync.Mutex
+	out  []byte
+	done bool
+	end  bool // close after out
+}
+
+// Before is the status of the answer before on the same connection, or 0. As nobody pipelines, the sender has got that answer.
+func (r *Responder) Before() int {
+	r.c.mu.Lock()
+	defer r.c.mu.Unlock()
+	return r.c.status
+}
+
+// FromFleet notes, while the handler runs, that the connection is of a machine of the fleet. It returns false, and the connection ends with
+// the answer, if there are as many of these as may be: users need the rest.
+func (r *Responder) FromFleet() bool {
+	if r.c.fleet {
+		return true
+	}
+	if r.s.MaxFleet > 0 && r.s.fleet >= r.s.MaxFleet {
+		r.HangUp()
+		return false
+	}
+	r.c.fleet = true
+	r.s.fleet++
+	return true
+}
+
+// HangUp ends the connection with the answer.
+func (r *Responder) HangUp() {
+	r.c.mu.Lock()
+	r.c.end = true
+	r.c.mu.Unlock()
+}
+
+// Respond answers the request.
+func (r *Responder) Respond(status int, body []byte, retryAfter int) {
+	c := r.c
+	c.mu.Lock()
+	if r.used {
+		c.mu.Unlock()
+		return
+	}
+	r.used = true
+	c.status = status
+	c.out = AppendResponse(nil, status, body, retryAfter, c.end)
+	c.done = true
+	sync := r.sync
+	c.mu.Unlock()
+	if !sync {
+		r.wake()
+	}
+}
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -1,4 +1,4 @@
-// Package transport moves bytes: the project's own HTTP/1.1 codec, the evio
+// Package transport moves bytes: the project's own HTTP/1.1 codec, the gnet
 // server for what comes in and a pooled client for what goes out. It knows
 // nothing of what the messages mean.
 package transport
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/tidwall/evio"
+	"github.com/panjf2000/gnet/v2"
 
 	"quillshunt/internal/limits"
 )
@@ -18,85 +18,10 @@
 // come later from any goroutine.
 type Handler func(req *Message, rsp *Responder)
 
-// Responder answers one request, once.
-type Responder struct {
-	c    *inbound
-	wake func()
-	s    *Server
-	// sync is true while the handler runs on the loop: then no wake is needed.
-	sync bool
-	used bool // guarded by c.mu
-}
-
-// inbound is what we keep for a connection. The loop owns it but for out and
-// done, which the mutex guards because answers come from other goroutines.
-type inbound struct {
-	dec     *Decoder
-	status  int  // of the last answer on this connection, guarded by mu
-	busy    bool // a request is being worked on
-	last    time.Time
-	closing bool
-	refused bool // answered, but its sender is not done sending
-	fleet   bool // of a machine of the fleet
-
-	mu   sync.Mutex
-	out  []byte
-	done bool
-	end  bool // close after out
-}
-
-// Before is the status of the answer before on the same connection, or 0. As nobody pipelines, the sender has got that answer.
-func (r *Responder) Before() int {
-	r.c.mu.Lock()
-	defer r.c.mu.Unlock()
-	return r.c.status
-}
-
-// FromFleet notes, while the handler runs on the loop, that the connection is of a machine of the fleet. It returns false, and the connection ends with
-// the answer, if there are as many of these as may be: users need the rest.
-func (r *Responder) FromFleet() bool {
-	if r.c.fleet {
-		return true
-	}
-	if r.s.MaxFleet > 0 && r.s.fleet >= r.s.MaxFleet {
-		r.HangUp()
-		return false
-	}
-	r.c.fleet = true
-	r.s.fleet++
-	return true
-}
-
-// HangUp ends the connection with the answer.
-func (r *Responder) HangUp() {
-	r.c.mu.Lock()
-	r.c.end = true
-	r.c.mu.Unlock()
-}
-
-// Respond answers the request.
-func (r *Responder) Respond(status int, body []byte, retryAfter int) {
-	c := r.c
-	c.mu.Lock()
-	if r.used {
-		c.mu.Unlock()
-		return
-	}
-	r.used = true
-	c.status = status
-	c.out = AppendResponse(nil, status, body, retryAfter, c.end)
-	c.done = true
-	sync := r.sync
-	c.mu.Unlock()
-	if !sync {
-		r.wake()
-	}
-}
-
-// Server is the evio server of one address.
+// Server serves HTTP on one address by an event loop of gnet.
 //
-// evio ends its loop when accept fails, so Run starts it again, and the number of connections is kept
-// below the socket limit, so that accept does not fail for want of sockets. It reads from a connection
+// gnet ends its loop when accept fails, so Run starts it again, and the number of connections is kept
+// below the socket limit, so that accept does not fail for want of sockets. It handles a request on a connection
 // only after the answer before is written, which bounds what a slow reader can hold to one answer.
 type Server struct {
 	Addr      string
@@ -107,13 +32,12 @@
 	Handle    Handler
 	Log       *slog.Logger
 
-	conns map[evio.Conn]*inbound // owned by the loop, as is
-	fleet int                    // how many of them are of machines
-
-	turn sync.Mutex // instead of the loop, where ServeConn is used
+	turn  sync.Mutex             // held by whoever serves a connection; guards what follows
+	conns map[gnet.Conn]*inbound // of the loop
+	fleet int                    // how many connections are of machines
 }
 
-// ServeConn serves one connection until it ends, without evio: for networks in memory. The handler is called by one goroutine at a time, as on the loop.
+// ServeConn serves one connection until it ends, without the event loop: for networks in memory. The handler is called by one goroutine at a time, as on the loop.
 func (s *Server) ServeConn(conn net.Conn) {
 	defer conn.Close()
 	c := &inbound{dec: NewRequestDecoder(limits.MaxBodyBytes)}
@@ -124,7 +48,7 @@
 			s.fleet--
 		}
 	}()
-	buf := make([]byte, 4096)
+	buf := make([]byte, limits.ReadBytes)
 	for {
 		req, err := c.dec.Next()
 		if err != nil {
@@ -170,7 +94,7 @@
 		} else {
 			failures = 0
 		}
-		if failures > 20 {
+		if failures > limits.LoopFailures {
 			return fmt.Errorf("listen on %s: %w", s.Addr, err)
 		}
 		s.Log.Warn("server loop ended, starting again", "addr", s.Addr, "err", err)
@@ -183,49 +107,36 @@
 }
 
 func (s *Server) serve(ctx context.Context) error {
-	for range s.conns { // of a loop that ended
-		s.Sockets.left()
-	}
-	s.conns, s.fleet = make(map[evio.Conn]*inbound), 0
-	var ev evio.Events
-	ev.NumLoops = 1
-	ev.Opened = func(ec evio.Conn) ([]byte, evio.Options, evio.Action) {
-		if len(s.conns) >= s.MaxConns || !s.Sockets.admit() {
-			return nil, evio.Options{}, evio.Close
-		}
-		c := &inbound{dec: NewRequestDecoder(limits.MaxBodyBytes), last: time.Now()}
-		ec.SetContext(c)
-		s.conns[ec] = c
-		return nil, evio.Options{ReuseInputBuffer: true}, evio.None
-	}
-	ev.Closed = func(ec evio.Conn, _ error) evio.Action {
-		if c := s.conns[ec]; c != nil {
-			delete(s.conns, ec)
-			s.Sockets.left()
-			if c.fleet {
-				s.fleet--
-			}
-		}
-		return evio.None
+	if err := s.claim(ctx); err != nil {
+		return err
 	}
-	ev.Data = func(ec evio.Conn, in []byte) ([]byte, evio.Action) {
-		c, ok := ec.Context().(*inbound)
-		if !ok || c.closing {
-			return nil, evio.Close
-		}
-		return s.data(ec, c, in)
+	s.forgetAll()
+	// With a listener of its own the loop accepts connections itself; else that is a second loop, which wakes the first for each.
+	return gnet.Run(&events{s: s, ctx: ctx}, "tcp://"+s.Addr, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
+		gnet.WithTicker(true), gnet.WithReadBufferCap(limits.ReadBytes), gnet.WithLogger(logger{s.Log}))
+}
+
+// forgetAll forgets the connections of a loop that ended.
+func (s *Server) forgetAll() {
+	s.turn.Lock()
+	defer s.turn.Unlock()
+	for range s.conns {
+		s.Sockets.left()
 	}
-	ev.Tick = func() (time.Duration, evio.Action) {
-		if ctx.Err() != nil {
-			return 0, evio.Shutdown
-		}
-		s.sweep()
-		return limits.SweepEvery, evio.None
+	s.conns, s.fleet = make(map[gnet.Conn]*inbound), 0
+}
+
+// claim fails if another process listens on the address: a listener of the loop's kind would share it.
+func (s *Server) claim(ctx context.Context) error {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp", s.Addr)
+	if err != nil {
+		return err
 	}
-	return evio.Serve(ev, "tcp://"+s.Addr)
+	return listener.Close()
 }
 
-// sweep closes connections that are idle or whose request does not end.
+// sweep closes connections that are idle or whose request does not end. The caller has the turn.
 func (s *Server) sweep() {
 	now := time.Now()
 	for ec, c := range s.conns {
@@ -238,15 +149,15 @@
 		}
 		if now.Sub(c.last) > limit {
 			c.closing = true
-			ec.Wake()
+			_ = ec.Wake(nil)
 		}
 	}
 }
 
-// data handles new bytes (in is nil on a wake): first an answer that is ready, then the next request.
-func (s *Server) data(ec evio.Conn, c *inbound, in []byte) ([]byte, evio.Action) {
+// data handles, on the loop and with the turn, new bytes (in is nil on a wake): first an answer that is ready, then the next request.
+func (s *Server) data(ec gnet.Conn, c *inbound, in []byte) ([]byte, gnet.Action) {
 	if c.refused {
-		return nil, evio.None
+		return nil, gnet.None
 	}
 	if len(in) > 0 {
 		if !c.dec.Started() {
@@ -254,7 +165,7 @@
 		}
 		c.dec.Feed(in)
 		if c.busy && c.dec.Buffered() > limits.MaxHeadBytes+limits.MaxBodyBytes {
-			return nil, evio.Close
+			return nil, gnet.Close
 		}
 	}
 	for {
@@ -262,7 +173,7 @@
 			c.mu.Lock()
 			if !c.done {
 				c.mu.Unlock()
-				return nil, evio.None
+				return nil, gnet.None
 			}
 			out := c.out
 			end := c.end
@@ -271,12 +182,11 @@
 			c.busy = false
 			c.last = time.Now()
 			if end || c.dec.Buffered() > 0 {
-				// Nobody pipelines. evio would overwrite an answer that is not out
-				// yet with the next one, so a pipelining connection gets one answer.
+				// Nobody pipelines, so a connection that does gets one answer.
 				c.closing = true
-				return out, evio.Close
+				return out, gnet.Close
 			}
-			return out, evio.None
+			return out, gnet.None
 		}
 		req, err := c.dec.Next()
 		if err != nil {
@@ -286,16 +196,16 @@
 				// Closing now, with bytes still coming in, would reset the connection before the answer is read. The
 				// rest is thrown away until the sender closes, or for a while.
 				c.refused = true
-				return out, evio.None
+				return out, gnet.None
 			}
 			c.closing = true
-			return out, evio.Close
+			return out, gnet.Close
 		}
 		if req == nil {
-			return nil, evio.None
+			return nil, gnet.None
 		}
 		c.busy = true
-		r := &Responder{c: c, wake: func() { ec.Wake() }, s: s, sync: true}
+		r := &Responder{c: c, wake: func() { _ = ec.Wake(nil) }, s: s, sync: true}
 		c.mu.Lock()
 		c.end = req.Close
 		c.mu.Unlock()
@@ -305,7 +215,7 @@
 		done := c.done
 		c.mu.Unlock()
 		if !done {
-			return nil, evio.None
+			return nil, gnet.None
 		}
 	}
 }
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -11,7 +11,15 @@
 	"quillshunt/internal/limits"
 )
 
+// listening runs a server on a free address for as long as the test lasts.
 func listening(t *testing.T, s *Server) *Server {
+	t.Helper()
+	listenUntil(t, s)
+	return s
+}
+
+// listenUntil does the same until stop is called, which returns what Run returned.
+func listenUntil(t *testing.T, s *Server) (stop func() error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,11 +29,15 @@
 	ln.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go s.Run(ctx)
+	ended := make(chan error, 1)
+	go func() { ended <- s.Run(ctx) }()
 	for {
 		if c, err := net.Dial("tcp", s.Addr); err == nil {
 			c.Close()
-			return s
+			return func() error {
+				cancel()
+				return <-ended
+			}
 		}
 		time.Sleep(time.Millisecond)
 	}
