--- a/internal/coordination/scheduler/model.go
+++ b/internal/coordination/scheduler/model.go
@@ -371,6 +371,7 @@
 	sendSeq    uint64  // of direct commands
 	dirty      bool    // something changed that placement looks at
 	loaded     bool    // all that earlier terms wrote down is known
+	directs    int     // direct commands that are not answered yet
 	probes     probeBudget
 	fewUnheard bool // of the machines that may hold tasks of earlier terms only a few have not been heard of
 	doubtful   bool // so many machines are doubted that there must be a common cause
@@ -396,6 +397,7 @@
 	claimed        []claim
 	inZone         map[string]int // machines in each zone at the last plan
 	todo           []*machine     // with orders that did not go out yet; see dispatch
+	held           int            // of todo, how many were held back by earlier calls
 }
 
 // New returns the scheduler of a term that begins now.
--- a/internal/coordination/scheduler/report.go
+++ b/internal/coordination/scheduler/report.go
@@ -196,6 +196,7 @@
 
 // directDone takes the answer to a direct command.
 func (s *Scheduler) directDone(e DirectDone) {
+	s.directs--
 	m := s.machines[e.Rig]
 	if m == nil || m.directID != e.ID {
 		return
@@ -250,6 +251,7 @@
 func (s *Scheduler) send(m *machine, orders []protocol.Order) {
 	s.sendSeq++
 	m.directID = s.sendSeq
+	s.directs++
 	s.emit(DirectOut{ID: m.directID, Rig: m.name, Address: m.addr, Shift: m.shift, Orders: orders})
 }
 
@@ -261,12 +263,21 @@
 	}
 }
 
-// dispatch sends starts and stops directly to machines that have just been decided on.
+// dispatch sends starts and stops directly to machines that have just been decided on. Only so many commands are on their way at once: a worker answers
+// in milliseconds, so more than that means that this controller is behind, and then what is left over goes out in the answers to the next reports.
 func (s *Scheduler) dispatch() {
+	if len(s.todo) == 0 || s.directs >= limits.DirectsMost {
+		return
+	}
 	todo := s.todo
-	s.todo = nil
-	slices.SortFunc(todo, byName)
-	for _, m := range todo {
+	slices.SortFunc(todo[s.held:], byName)
+	s.todo, s.held = nil, 0
+	for i, m := range todo {
+		if s.directs >= limits.DirectsMost {
+			s.todo = todo[i:]
+			s.held = len(s.todo)
+			return
+		}
 		if !m.todo {
 			continue
 		}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -135,8 +135,10 @@
 	ConnBytes = 8 << 10
 	// MailboxLeast is the least size of the mailbox of the leader's scheduler, in messages; see Mailbox.
 	MailboxLeast = 512
-	// StateConns is how many connections to the state service are kept.
+	// StateConns is how many connections to the state service the controller's own work needs at once, and StateIdle how many are kept for this and for users'
+	// requests: as many as may be in use, since a controller that is behind can't make one in time.
 	StateConns = 8
+	StateIdle  = StateConns + UserStage
 	// PeerStreams is how many calls of one other controller are served at once.
 	PeerStreams = 64
 	// PeerIdle is how long a connection to another controller is kept unused.
@@ -160,6 +162,13 @@
 	// TouchEvery is how often the hold is renewed: often enough that an outage
 	// starts with nearly the whole hold left.
 	TouchEvery = 2 * time.Second
+	// TouchTimeout bounds a renewal, and the wait for a connection to the state service. It is longer than StateTimeout, as an answer is worth
+	// waiting for: a leader that is behind gets it late. It is short enough that a hand-over still comes after two renewals have failed.
+	TouchTimeout = 3500 * time.Millisecond
+	// LagSample is the length of the sleep by which a process learns how far it is behind, and LagMost how much too late it may wake from it and still trust
+	// that a call without an answer tells of the other side.
+	LagSample = 50 * time.Millisecond
+	LagMost   = 200 * time.Millisecond
 	// AloneAfter is how long the hold could not be renewed before the leader asks the others whether it is alone with that.
 	AloneAfter = 4 * time.Second
 	// AbleTimeout bounds what controllers ask each other about that.
@@ -370,6 +379,8 @@
 	ProbeTimeout = 1500 * time.Millisecond
 	// DirectTimeout bounds a direct command; a worker answers in milliseconds or not at all.
 	DirectTimeout = 2 * time.Second
+	// DirectsMost is how many direct commands are on their way at once; see dispatch. Those to machines that are out of reach take DirectTimeout.
+	DirectsMost = 64
 	// MuteAfter is how long a worker that did not answer a direct command gets its orders by reports only.
 	MuteAfter = 10 * time.Second
 	// SummaryEvery is how often the leader logs how it stands.
