--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -91,6 +91,7 @@
 	Lead  func(ctx context.Context, m *Leadership)
 	Peers Others // or nil
 	Log   *slog.Logger
+	Lag   func(ctx context.Context) time.Duration // how far this process is behind; see lag
 
 	pledges pledges
 	doubt   doubt // about the leader that is followed
@@ -101,7 +102,7 @@
 
 // New returns an Elector with holds and pledges of these lives.
 func New(node string, store Store, life, pledge time.Duration, lead func(context.Context, *Leadership), log *slog.Logger) *Elector {
-	return &Elector{Node: node, Store: store, Life: life, Lead: lead, Log: log,
+	return &Elector{Node: node, Store: store, Life: life, Lead: lead, Log: log, Lag: lag,
 		pledges: pledges{life: pledge, nonce: rand.Uint64()>>1 | 1, start: time.Now()}, lost: make(chan uint64, 1), offer: make(chan uint64, 1)}
 }
 
@@ -332,7 +333,7 @@
 				return
 			default:
 				e.Log.Debug("touch", "term", m.Term, "err", err)
-				if e.Peers != nil && time.Since(renewed) > limits.AloneAfter && e.handOver(ctx, m) {
+				if e.Peers != nil && time.Since(renewed) > limits.AloneAfter && e.trusts(ctx, err) && e.handOver(ctx, m) {
 					return
 				}
 			}
@@ -340,6 +341,27 @@
 	}
 }
 
+// trusts tells whether a failed renewal speaks against our way to the state service. Where no answer came and this process is far behind, it may be only that:
+// a hand-over would then cost a rebuild, which a controller that is as busy has to make. If it is cut off all the same, its votes and heartbeats end the term.
+func (e *Elector) trusts(ctx context.Context, err error) bool {
+	if !storage.TimedOut(err) {
+		return true
+	}
+	behind := e.Lag(ctx)
+	if behind <= limits.LagMost {
+		return true
+	}
+	e.Log.Warn("too busy to tell whether the state service is out of reach", "behind", behind.Round(time.Millisecond))
+	return false
+}
+
+// lag tells how much too late this process wakes from a short sleep.
+func lag(ctx context.Context) time.Duration {
+	began := time.Now()
+	storage.Sleep(ctx, limits.LagSample)
+	return time.Since(began) - limits.LagSample
+}
+
 // handOver gives the term up if another controller reaches the state service while we do not. The order matters: the leadership
 // ends for good before the successor hears of it.
 func (e *Elector) handOver(ctx context.Context, m *Leadership) bool {
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"os"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -25,6 +26,7 @@
 	r     *rand.Rand
 	mu    sync.Mutex
 	alone time.Time      // refused until then
+	mute  time.Time      // not answered until then
 	kept  []protocol.Txn // campaigns that get no answer and are applied when the test says so
 	keep  bool
 	lossy float64
@@ -36,8 +38,12 @@
 	if f.r.Float64() < 0.03 {
 		d = time.Duration(f.r.IntN(1400)) * time.Millisecond
 	}
-	refused := time.Now().Before(f.alone)
+	refused, muted := time.Now().Before(f.alone), time.Now().Before(f.mute)
 	f.mu.Unlock()
+	if muted {
+		time.Sleep(limits.StateTimeout)
+		return fmt.Errorf("%w: %w", storage.ErrUnclear, os.ErrDeadlineExceeded)
+	}
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
@@ -308,6 +314,13 @@
 	n.store.alone = until
 }
 
+// silence has the state service leave a node without answers until then.
+func (n *node) silence(until time.Time) {
+	n.store.mu.Lock()
+	defer n.store.mu.Unlock()
+	n.store.mute = until
+}
+
 // TestOneEntitledLeader: at no time are two controllers entitled, terms rise, and after the trouble there is a leader again.
 func TestOneEntitledLeader(t *testing.T) {
 	for seed := range uint64(30) {
@@ -461,6 +474,31 @@
 	})
 }
 
+// TestBusyLeader: a leader that gets no answers because it is itself behind does not hand over; one that is in time and gets none does.
+func TestBusyLeader(t *testing.T) {
+	for _, busy := range []bool{true, false} {
+		synctest.Test(t, func(t *testing.T) {
+			s := standin.NewState()
+			nodes := newNodes(s, 2, 2)
+			for _, n := range nodes {
+				n.start(t)
+				time.Sleep(3 * time.Second)
+			}
+			if busy {
+				nodes[0].up().Lag = func(context.Context) time.Duration { return time.Second }
+			}
+			nodes[0].silence(time.Now().Add(15 * time.Second))
+			time.Sleep(20 * time.Second)
+			if kept := nodes[0].entitled() != nil; kept != busy {
+				t.Errorf("busy: %v, still leads: %v", busy, kept)
+			}
+			for _, n := range nodes {
+				n.crash()
+			}
+		})
+	}
+}
+
 // TestCutLeader: a leader that is cut off from the state service and the other controllers, but not from its workers, stops being entitled, and another
 // leads long before the end of its hold. One that is cut off from the others alone goes on by its heartbeats.
 func TestCutLeader(t *testing.T) {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"net"
 	"net/url"
 	"strconv"
 	"sync/atomic"
@@ -34,6 +35,13 @@
 	ErrBadRequest = errors.New("state service rejected the request")
 )
 
+// TimedOut tells whether a call failed only because time went by without an answer. The service may then be out of reach, but a process that gets too little of
+// its processor sees the same.
+func TimedOut(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
 // Conflict reports the keys whose guards failed.
 type Conflict struct{ Failed []string }
 
@@ -73,7 +81,7 @@
 // New returns a Store for the work of the controllers themselves, of which only the leader's amounts to much.
 func New(addr string, settings config.State) *Store {
 	return &Store{
-		http:     transport.NewClient(addr, limits.StateConns, limits.MaxUpstreamBytes),
+		http:     transport.NewClient(addr, limits.StateIdle, limits.MaxUpstreamBytes).DialWithin(limits.TouchTimeout),
 		watch:    transport.NewClient(addr, 2, limits.MaxUpstreamBytes),
 		requests: limiter(settings.RPS, limits.OwnReads, 1),
 		writes:   limiter(settings.WriteRPS, limits.OwnWrites, settings.TxnOps),
@@ -106,7 +114,11 @@
 func (s *Store) Settings() config.State { return s.settings }
 
 func (s *Store) call(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, limits.StateTimeout)
+	return s.callWithin(ctx, limits.StateTimeout, method, target, body)
+}
+
+func (s *Store) callWithin(ctx context.Context, limit time.Duration, method, target string, body []byte) (*transport.Message, error) {
+	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	began := time.Now().UnixNano()
 	s.health.tried.Store(began)
@@ -282,7 +294,7 @@
 
 // Touch renews a hold.
 func (s *Store) Touch(ctx context.Context, tenure uint64) error {
-	m, err := s.call(ctx, "POST", "/holds/"+strconv.FormatUint(tenure, 10)+"/touch", nil)
+	m, err := s.callWithin(ctx, limits.TouchTimeout, "POST", "/holds/"+strconv.FormatUint(tenure, 10)+"/touch", nil)
 	if err != nil {
 		return err
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -21,11 +21,15 @@
 
 // Dial makes a connection, within DialTimeout.
 func (d Dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	return d.dialWithin(ctx, addr, limits.DialTimeout)
+}
+
+func (d Dialer) dialWithin(ctx context.Context, addr string, limit time.Duration) (net.Conn, error) {
 	if d == nil {
-		tcp := net.Dialer{Timeout: limits.DialTimeout, KeepAlive: -1}
+		tcp := net.Dialer{Timeout: limit, KeepAlive: -1}
 		return tcp.DialContext(ctx, "tcp", addr)
 	}
-	ctx, cancel := context.WithTimeout(ctx, limits.DialTimeout)
+	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return d(ctx, addr)
 }
@@ -37,6 +41,7 @@
 	idle    chan *outbound
 	sockets *Sockets // or nil
 	dialer  Dialer
+	dial    time.Duration // longest wait for a connection
 }
 
 type outbound struct {
@@ -54,7 +59,7 @@
 
 // NewClient returns a client that keeps up to keep idle connections.
 func NewClient(addr string, keep, maxBody int) *Client {
-	return &Client{addr: addr, maxBody: maxBody, idle: make(chan *outbound, keep)}
+	return &Client{addr: addr, maxBody: maxBody, idle: make(chan *outbound, keep), dial: limits.DialTimeout}
 }
 
 // Within makes the client's connections count among the sockets. It is called before the first use.
@@ -69,6 +74,12 @@
 	return c
 }
 
+// DialWithin sets how long it waits for a connection instead of DialTimeout. It is called before the first use.
+func (c *Client) DialWithin(limit time.Duration) *Client {
+	c.dial = limit
+	return c
+}
+
 // Addr is the server's address.
 func (c *Client) Addr() string { return c.addr }
 
@@ -115,7 +126,7 @@
 	if !c.sockets.make() {
 		return nil, fmt.Errorf("dial %s: %w", c.addr, ErrNoSocket)
 	}
-	conn, err := c.dialer.Dial(ctx, c.addr)
+	conn, err := c.dialer.dialWithin(ctx, c.addr, c.dial)
 	if err != nil {
 		c.sockets.hungUp()
 		return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
