--- /dev/null
+++ b/internal/coordination/peer/wire_test.go
@@ -0,0 +1,102 @@
+package peer
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"quillshunt/internal/coordination/peer/peerpb"
+)
+
+// TestWireNames pins the paths of the methods and the numbers and types of the fields, which controllers of other builds rely on.
+func TestWireNames(t *testing.T) {
+	want := []string{
+		"/quillshunt.peer.v1.Peer/Counts CountsRequest CountsReply",
+		"/quillshunt.peer.v1.Peer/Relay RelayRequest RelayReply",
+		"/quillshunt.peer.v1.Peer/Able AbleRequest AbleReply",
+		"/quillshunt.peer.v1.Peer/Take TakeRequest TakeReply",
+		"/quillshunt.peer.v1.Peer/Pledge PledgeRequest PledgeReply",
+		"/quillshunt.peer.v1.Peer/Confirm ConfirmRequest ConfirmReply",
+		"/quillshunt.peer.v1.Operator/Status StatusRequest StatusReply",
+		"CountsRequest 1 optional string",
+		"RelayRequest 1 optional bytes",
+		"RelayRequest 2 optional bool",
+		"RelayReply 1 optional int32",
+		"RelayReply 2 optional bytes",
+		"AbleReply 1 optional bool",
+		"TakeRequest 1 optional uint64",
+		"TakeRequest 2 optional uint64",
+		"PledgeRequest 1 optional uint64",
+		"PledgeRequest 2 optional uint64",
+		"PledgeReply 1 optional bool",
+		"PledgeReply 2 optional uint64",
+		"ConfirmRequest 1 optional string",
+		"ConfirmRequest 2 optional uint64",
+		"ConfirmRequest 3 optional bytes",
+		"ConfirmRequest 4 optional bool",
+		"ConfirmReply 1 optional bool",
+		"CountsReply 1 optional bool",
+		"CountsReply 2 optional int64",
+		"CountsReply 3 optional int64",
+		"StatusRequest 1 optional string",
+		"StatusRequest 2 optional bool",
+		"StatusReply 1 optional string",
+		"StatusReply 2 optional uint64",
+		"StatusReply 3 optional bool",
+		"StatusReply 4 optional bool",
+		"StatusReply 5 repeated Machine",
+		"StatusReply 6 repeated Team",
+		"StatusReply 7 repeated string",
+		"Machine 1 optional string",
+		"Machine 2 optional string",
+		"Machine 3 optional string",
+		"Machine 4 optional bool",
+		"Machine 5 optional string",
+		"Machine 6 optional double",
+		"Machine 7 optional double",
+		"Machine 8 optional int64",
+		"Machine 9 optional double",
+		"Team 1 optional string",
+		"Team 2 optional double",
+		"Team 3 optional double",
+		"Team 4 optional double",
+		"Team 5 optional int64",
+		"Team 6 optional int64",
+		"Team 7 optional int64",
+	}
+	var got []string
+	file := peerpb.File_internal_coordination_peer_peerpb_peer_proto
+	for i := range file.Services().Len() {
+		service := file.Services().Get(i)
+		for k := range service.Methods().Len() {
+			m := service.Methods().Get(k)
+			got = append(got, fmt.Sprintf("/%s/%s %s %s", service.FullName(), m.Name(), m.Input().Name(), m.Output().Name()))
+		}
+	}
+	for i := range file.Messages().Len() {
+		message := file.Messages().Get(i)
+		for k := range message.Fields().Len() {
+			got = append(got, fieldLine(message, message.Fields().Get(k)))
+		}
+	}
+	for _, line := range got {
+		if !slices.Contains(want, line) {
+			t.Errorf("not known: %s", line)
+		}
+	}
+	for _, line := range want {
+		if !slices.Contains(got, line) {
+			t.Errorf("gone: %s", line)
+		}
+	}
+}
+
+func fieldLine(message protoreflect.MessageDescriptor, f protoreflect.FieldDescriptor) string {
+	kind := f.Kind().String()
+	if f.Message() != nil {
+		kind = string(f.Message().Name())
+	}
+	return fmt.Sprintf("%s %d %s %s", message.Name(), f.Number(), f.Cardinality(), kind)
+}
