--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -42,26 +42,26 @@
 
 // Spec is a submitted job.
 type Spec struct {
-	NameId       string
-	Docket       string
-	Crew         string
-	Shape        string
-	Urgency      string
-	Pieces       int
-	Vcpus        float64
-	Accelerators float64
-	RamGb        float64
-	Rigkinds     []string
-	Yard         string
-	Together     bool
-	Scatter      bool
-	Lendable     bool
-	Bundle       string
-	SizeGb       float64
-	ReckonS      float64
-	BookmarkS    float64
-	StashS       float64
-	DueS         float64 // 0: no deadline
+	NameId       string   `cbor:"NameId" json:"NameId"`
+	Docket       string   `cbor:"Docket" json:"Docket"`
+	Crew         string   `cbor:"Crew" json:"Crew"`
+	Shape        string   `cbor:"Shape" json:"Shape"`
+	Urgency      string   `cbor:"Urgency" json:"Urgency"`
+	Pieces       int      `cbor:"Pieces" json:"Pieces"`
+	Vcpus        float64  `cbor:"Vcpus" json:"Vcpus"`
+	Accelerators float64  `cbor:"Accelerators" json:"Accelerators"`
+	RamGb        float64  `cbor:"RamGb" json:"RamGb"`
+	Rigkinds     []string `cbor:"Rigkinds" json:"Rigkinds"`
+	Yard         string   `cbor:"Yard" json:"Yard"`
+	Together     bool     `cbor:"Together" json:"Together"`
+	Scatter      bool     `cbor:"Scatter" json:"Scatter"`
+	Lendable     bool     `cbor:"Lendable" json:"Lendable"`
+	Bundle       string   `cbor:"Bundle" json:"Bundle"`
+	SizeGb       float64  `cbor:"SizeGb" json:"SizeGb"`
+	ReckonS      float64  `cbor:"ReckonS" json:"ReckonS"`
+	BookmarkS    float64  `cbor:"BookmarkS" json:"BookmarkS"`
+	StashS       float64  `cbor:"StashS" json:"StashS"`
+	DueS         float64  `cbor:"DueS" json:"DueS"` // 0: no deadline
 }
 
 // ErrInvalid is wrapped by every complaint about a malformed submission.
@@ -272,8 +272,8 @@
 
 // JobStatus answers a user.
 type JobStatus struct {
-	NameId   string
-	Standing string
-	Done     *int `cbor:"done,omitempty"`
-	Running  *int `cbor:"running,omitempty"`
+	NameId   string `cbor:"NameId"`
+	Standing string `cbor:"Standing"`
+	Done     *int   `cbor:"done,omitempty"`
+	Running  *int   `cbor:"running,omitempty"`
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -59,64 +59,72 @@
 
 // Leader names the leading controller.
 type Leader struct {
-	Node  string
-	Term  uint64
-	Nonce uint64 // tells one process of a node from the next
+	Node  string `cbor:"Node" json:"Node"`
+	Term  uint64 `cbor:"Term" json:"Term"`
+	Nonce uint64 `cbor:"Nonce" json:"Nonce"` // tells one process of a node from the next
 }
 
 // Term is the highest term so far.
-type Term struct{ Term uint64 }
+type Term struct {
+	Term uint64 `cbor:"Term" json:"Term"`
+}
 
 // Heartbeat is written by a leader that too few others pledge to, and when it has heard of a new process of another.
 type Heartbeat struct {
-	Term uint64
-	Seq  uint64
-	Seen uint64 // the term has taken in all changes of open jobs up to this revision
+	Term uint64 `cbor:"Term" json:"Term"`
+	Seq  uint64 `cbor:"Seq" json:"Seq"`
+	Seen uint64 `cbor:"Seen" json:"Seen"` // the term has taken in all changes of open jobs up to this revision
 }
 
 // Release is a controller's word that it pledges no more to a leader whose last heartbeat has that stamp, or an earlier one.
 type Release struct {
-	Heartbeat uint64 `cbor:"Beat"`
+	Heartbeat uint64 `cbor:"Beat" json:"Heartbeat"`
 }
 
 // Open is a job that is not over.
 type Open struct {
-	Spec      protocol.Spec
-	Cancelled bool
-	AtMs      int64 // time of day of the submission
-	CancelMs  int64 // time of day before which nobody was told that it is cancelled
+	Spec      protocol.Spec `cbor:"Spec" json:"Spec"`
+	Cancelled bool          `cbor:"Cancelled" json:"Cancelled"`
+	AtMs      int64         `cbor:"AtMs" json:"AtMs"`         // time of day of the submission
+	CancelMs  int64         `cbor:"CancelMs" json:"CancelMs"` // time of day before which nobody was told that it is cancelled
 }
 
 // Final is a job that is over.
-type Final struct{ Standing string }
+type Final struct {
+	Standing string `cbor:"Standing" json:"Standing"`
+}
 
 // Hire is a rental request: written before it is sent, with its machines once they are known.
 type Hire struct {
-	Rigkind  string
-	Yard     string
-	Lendable bool
-	Number   int
-	Answered bool
-	Rigs     []string // machines that are not gone
+	Rigkind  string   `cbor:"Rigkind" json:"Rigkind"`
+	Yard     string   `cbor:"Yard" json:"Yard"`
+	Lendable bool     `cbor:"Lendable" json:"Lendable"`
+	Number   int      `cbor:"Number" json:"Number"`
+	Answered bool     `cbor:"Answered" json:"Answered"`
+	Rigs     []string `cbor:"Rigs" json:"Rigs"` // machines that are not gone
 }
 
 // Up is a machine that reported. It is written before the machine gets its first task, so a new leader knows
 // where tasks of earlier terms can be, and where to ask.
 type Up struct {
-	Rig     string
-	Address string
+	Rig     string `cbor:"Rig" json:"Rig"`
+	Address string `cbor:"Address" json:"Address"`
 }
 
 // Ups is a sheet of such machines.
-type Ups struct{ Rigs []Up }
+type Ups struct {
+	Rigs []Up `cbor:"Rigs" json:"Rigs"`
+}
 
 // Types caches the machine types, so that a node can check submissions after a restart.
-type Types struct{ Rigkinds []protocol.Rigkind }
+type Types struct {
+	Rigkinds []protocol.Rigkind `cbor:"Rigkinds" json:"Rigkinds"`
+}
 
 // Fin is a chunk of a job's finished tasks: bit i of Bits is task Base+i.
 type Fin struct {
-	Base int
-	Bits string
+	Base int    `cbor:"Base" json:"Base"`
+	Bits string `cbor:"Bits" json:"Bits"`
 }
 
 // ChunkTasks is how many tasks a chunk holds so that its record stays below the value limit.
