--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -48,8 +48,8 @@
 		return err
 	}
 	state := standin.NewState()
-	cloud := &standin.Cloud{State: state, Controllers: controllers, Log: log, Types: []protocol.Rigkind{{
-		Sku: "c4", Vcpus: 4, RamGb: 16, CacheGb: 50, PullGbPerS: 1, Price: 1, MarketPrice: 0.4, StartupS: 2, Yards: []string{"a"}}}}
+	cloud := &standin.Cloud{State: state, Controllers: controllers, Log: log, Types: []protocol.MachineType{{
+		Name: "c4", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{"a"}}}}
 	cloud.Start(ctx)
 	failed := make(chan error, 2)
 	go func() { failed <- state.Server(addr(0), log).Run(ctx) }()
--- a/internal/coordination/controller/meetings_test.go
+++ b/internal/coordination/controller/meetings_test.go
@@ -14,7 +14,7 @@
 	"quillshunt/internal/standin"
 )
 
-func long(sp *protocol.Spec) { sp.ReckonS = 150 }
+func long(sp *protocol.Spec) { sp.EstimateS = 150 }
 
 // met fails a day that did not come into the situation it is there for.
 func (s *service) met(ok bool, what string, args ...any) {
@@ -123,7 +123,7 @@
 		for _, m := range all {
 			s.net.Set(s.leader(), m, standin.Hold)
 		}
-		j := s.submit(func(sp *protocol.Spec) { sp.Pieces, sp.Urgency = 4, "production" })
+		j := s.submit(func(sp *protocol.Spec) { sp.Tasks, sp.Priority = 4, "production" })
 		time.Sleep(time.Second)
 		s.met(s.cancel(j), "a cancellation")
 		time.Sleep(2 * time.Second)
@@ -259,7 +259,7 @@
 	{"more work than room, urgent and not, over slow links", func(s *service) {
 		s.net.SetLatency(150 * time.Millisecond)
 		s.warm(4, nil)
-		s.crowd(60*time.Second, 2*time.Second, func(sp *protocol.Spec) { sp.Pieces = 6 })
+		s.crowd(60*time.Second, 2*time.Second, func(sp *protocol.Spec) { sp.Tasks = 6 })
 		time.Sleep(30 * time.Second)
 		s.together(s.pick(2))
 		s.restart(s.leader(), 2*time.Second)
@@ -267,7 +267,7 @@
 		s.net.SetLatency(time.Millisecond)
 	}},
 	{"a new leader greets machines late in their lease and hears no more of them, while the cloud deletes nothing", func(s *service) {
-		s.warm(6, func(sp *protocol.Spec) { sp.ReckonS = 60 })
+		s.warm(6, func(sp *protocol.Spec) { sp.EstimateS = 60 })
 		lead, before := s.leader(), s.term()
 		all := s.cloud.Machines()
 		for _, m := range all {
@@ -287,7 +287,7 @@
 		s.start(lead)
 	}},
 	{"answers take about as long as a worker waits for them, while leaders change", func(s *service) {
-		s.warm(6, func(sp *protocol.Spec) { sp.ReckonS = 60 })
+		s.warm(6, func(sp *protocol.Spec) { sp.EstimateS = 60 })
 		first := s.term()
 		for i := range 6 {
 			// A report and its answer take 1.6 to 4.8 s together; a worker waits for 4 s, a controller takes a report for fresh for 3 s.
@@ -336,12 +336,12 @@
 		s.met(s.term() >= first+7, "changes of the leader: %d", s.term()-first)
 	}},
 	{"a team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation falls into that spell", func(s *service) {
-		s.warm(2, func(sp *protocol.Spec) { sp.Crew, sp.Pieces, sp.ReckonS = "red", 8, 150 })
+		s.warm(2, func(sp *protocol.Spec) { sp.Team, sp.Tasks, sp.EstimateS = "red", 8, 150 })
 		for end := time.Now().Add(time.Minute); s.on(s.running()...) < 16 && time.Now().Before(end); {
 			time.Sleep(500 * time.Millisecond)
 		}
 		s.met(s.on(s.running()...) == 16, "the team at its limit: %d", s.on(s.running()...))
-		more := s.submit(func(sp *protocol.Spec) { sp.Crew, sp.Pieces, sp.Urgency = "red", 8, "production" })
+		more := s.submit(func(sp *protocol.Spec) { sp.Team, sp.Tasks, sp.Priority = "red", 8, "production" })
 		j := s.pick(1)[0]
 		some := s.machines(j)[:1]
 		s.reach(some, standin.Hold, standin.Hold)
@@ -356,7 +356,7 @@
 		_ = more
 	}},
 	{"jobs of two or three tasks end far apart across a change of leader", func(s *service) {
-		s.warm(5, func(sp *protocol.Spec) { sp.Pieces = 2 + s.seq%2 })
+		s.warm(5, func(sp *protocol.Spec) { sp.Tasks = 2 + s.seq%2 })
 		// Machines go one after the other while the last tasks of jobs run: what was done must stay done.
 		for i := range 5 {
 			time.Sleep(5 * time.Second)
@@ -410,7 +410,7 @@
 		s.warm(2, nil)
 		for i := range 20 {
 			s.users.Go(func() {
-				j := s.submit(func(sp *protocol.Spec) { sp.Pieces, sp.ReckonS, sp.Urgency = 1, 3, "production" })
+				j := s.submit(func(sp *protocol.Spec) { sp.Tasks, sp.EstimateS, sp.Priority = 1, 3, "production" })
 				for s.on(j) == 0 {
 					time.Sleep(5 * time.Millisecond)
 				}
@@ -493,9 +493,9 @@
 	}},
 	{"jobs bound to one zone, arrays too, lose machines", func(s *service) {
 		s.warm(4, func(sp *protocol.Spec) {
-			sp.ReckonS, sp.Together, sp.Pieces = 20, s.seq%2 == 0, 5
+			sp.EstimateS, sp.SameZone, sp.Tasks = 20, s.seq%2 == 0, 5
 			if s.seq%2 == 1 {
-				sp.Yard = "b"
+				sp.Zone = "b"
 			}
 		})
 		for i := range 4 {
@@ -512,7 +512,7 @@
 	{"users repeat submissions, cancel what is done, and send what can't run or lacks a field, also in an outage", func(s *service) {
 		s.warm(4, nil)
 		time.Sleep(25 * time.Second)
-		good := protocol.Spec{NameId: "job-900000", Docket: "x", Crew: "red", Shape: "sweep", Urgency: "low", Pieces: 1, Vcpus: 1, RamGb: 1, Bundle: "i", ReckonS: 1}
+		good := protocol.Spec{ID: "job-900000", Class: "x", Team: "red", Shape: "sweep", Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 1}
 		odd := func() {
 			for name := range submission(s.t, good) {
 				m := submission(s.t, good)
--- a/internal/coordination/controller/service_test.go
+++ b/internal/coordination/controller/service_test.go
@@ -86,7 +86,7 @@
 		}
 		s.cloud = &standin.Cloud{State: s.state, Controllers: controllers, Log: s.log, Net: s.net, Spec: s.spec, Watch: s.watch, Trouble: s.trouble,
 			Times: config.Workers{ReportS: reportS, LeaseS: leaseS},
-			Types: []protocol.Rigkind{{Sku: "c8", Vcpus: capacity, RamGb: 64, CacheGb: 50, PullGbPerS: 1, Price: 1, MarketPrice: 0.4, StartupS: 4, Yards: s.zones}}}
+			Types: []protocol.MachineType{{Name: "c8", CPUs: capacity, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 4, Zones: s.zones}}}
 		s.cloud.Start(ctx)
 		go standin.Serve(s.net.Listen("cloud:1"), s.cloud.Server(""))
 		for _, name := range s.names {
@@ -277,15 +277,15 @@
 
 // owner is the id of a task's job.
 func owner(piece string) string {
-	id, _, _ := protocol.ParsePiece(piece)
+	id, _, _ := protocol.ParseTaskName(piece)
 	return id
 }
 
 // used is what a team's tasks use; the caller has the lock.
 func (s *service) used(team string) (cpus float64) {
 	for p := range s.runs {
-		if sp := s.jobs[owner(p)].spec; sp.Crew == team {
-			cpus += sp.Vcpus
+		if sp := s.jobs[owner(p)].spec; sp.Team == team {
+			cpus += sp.CPUs
 		}
 	}
 	return cpus
@@ -344,12 +344,12 @@
 			s.fault("%s %s: %v", method, target, err)
 		}
 	}
-	return m.Status, st.Standing
+	return m.Status, st.State
 }
 
 // sendsAway tells whether a controller refuses a question and ends the connection, so that the user's next try comes to another.
 func (s *service) sendsAway(node string, j *job) bool {
-	m, err := s.request(node, "GET", "/v2/runs/"+j.spec.NameId, nil, 2*time.Second)
+	m, err := s.request(node, "GET", "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
 	return err == nil && m.Status == 503 && m.RetryAfter > 0 && m.Close
 }
 
@@ -357,7 +357,7 @@
 func (s *service) hear(j *job, status int, standing string, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id := j.spec.NameId
+	id := j.spec.ID
 	switch {
 	case status == 404 && !j.accepted.IsZero() && sent.After(j.accepted):
 		s.fault("forgotten: %s", id)
@@ -385,7 +385,7 @@
 	case protocol.Done:
 		if j.said == "" {
 			j.said = standing // told stays zero: only cancelled jobs have a time to be gone by
-			for i := range j.spec.Pieces {
+			for i := range j.spec.Tasks {
 				if !s.cloud.Done(fmt.Sprintf("%s/%d", id, i)) {
 					s.fault("not_done: %s/%d", id, i)
 				}
@@ -398,12 +398,12 @@
 func (s *service) submit(change func(*protocol.Spec)) *job {
 	s.mu.Lock()
 	s.seq++
-	j := &job{spec: protocol.Spec{NameId: fmt.Sprintf("job-%06d", s.seq), Docket: "x", Crew: teams[s.seq%2].Name, Shape: "sweep",
-		Urgency: []string{"low", "standard", "high"}[s.seq%3], Pieces: 3, Vcpus: 2, RamGb: 1, Lendable: true, Bundle: "i", SizeGb: 0, ReckonS: 15}}
+	j := &job{spec: protocol.Spec{ID: fmt.Sprintf("job-%06d", s.seq), Class: "x", Team: teams[s.seq%2].Name, Shape: "sweep",
+		Priority: []string{"low", "standard", "high"}[s.seq%3], Tasks: 3, CPUs: 2, MemoryGB: 1, Spot: true, Image: "i", ImageGB: 0, EstimateS: 15}}
 	if change != nil {
 		change(&j.spec)
 	}
-	s.jobs[j.spec.NameId] = j
+	s.jobs[j.spec.ID] = j
 	s.mu.Unlock()
 	body := protocol.Encode(submission(s.t, j.spec))
 	s.until(60*time.Second, s.names, func(node string) bool {
@@ -421,7 +421,7 @@
 	if err := protocol.Decode(protocol.Encode(spec), &m); err != nil {
 		t.Fatal(err)
 	}
-	for name, set := range map[string]bool{"Rigkinds": len(spec.Rigkinds) > 0, "Yard": spec.Yard != "", "DueS": spec.DueS > 0} {
+	for name, set := range map[string]bool{"Rigkinds": len(spec.MachineTypes) > 0, "Yard": spec.Zone != "", "DueS": spec.DeadlineS > 0} {
 		if !set {
 			delete(m, name)
 		}
@@ -459,7 +459,7 @@
 	}
 	s.mu.Unlock()
 	sent := time.Now()
-	status, standing := s.call(node, "POST", "/v2/runs/"+j.spec.NameId+"/cancel", nil, 5*time.Second)
+	status, standing := s.call(node, "POST", "/v2/runs/"+j.spec.ID+"/cancel", nil, 5*time.Second)
 	s.hear(j, status, standing, sent)
 	return status == 200
 }
@@ -469,7 +469,7 @@
 	for _, node := range s.names {
 		s.users.Go(func() {
 			sent := time.Now()
-			status, standing := s.call(node, "GET", "/v2/runs/"+j.spec.NameId, nil, 2*time.Second)
+			status, standing := s.call(node, "GET", "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
 			s.hear(j, status, standing, sent)
 		})
 	}
@@ -509,7 +509,7 @@
 		on[owner(p)] = true
 	}
 	s.mu.Unlock()
-	return slices.DeleteFunc(s.known(), func(j *job) bool { return !on[j.spec.NameId] || !j.asked.IsZero() })
+	return slices.DeleteFunc(s.known(), func(j *job) bool { return !on[j.spec.ID] || !j.asked.IsZero() })
 }
 
 // pick waits until so many jobs run, and returns them.
@@ -530,7 +530,7 @@
 	defer s.mu.Unlock()
 	var out []string
 	for p, rig := range s.runs {
-		if (of == nil || owner(p) == of.spec.NameId) && !slices.Contains(out, rig) {
+		if (of == nil || owner(p) == of.spec.ID) && !slices.Contains(out, rig) {
 			out = append(out, rig)
 		}
 	}
@@ -546,7 +546,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, team := range teams {
-		if team.Name == j.spec.Crew && s.used(team.Name)+j.spec.Vcpus > team.CPUsMax {
+		if team.Name == j.spec.Team && s.used(team.Name)+j.spec.CPUs > team.CPUsMax {
 			return false
 		}
 	}
@@ -566,7 +566,7 @@
 				since[j] = time.Now()
 			} else if time.Since(since[j]) > 90*time.Second {
 				s.mu.Lock()
-				s.fault("%s waits for 90 s", j.spec.NameId)
+				s.fault("%s waits for 90 s", j.spec.ID)
 				s.mu.Unlock()
 				since[j] = time.Now()
 			}
@@ -594,7 +594,7 @@
 	defer s.mu.Unlock()
 	for _, j := range s.jobs {
 		if !j.accepted.IsZero() && j.said == "" {
-			s.fault("%s is not over four minutes after the last trouble (cancellation asked: %v)", j.spec.NameId, !j.asked.IsZero())
+			s.fault("%s is not over four minutes after the last trouble (cancellation asked: %v)", j.spec.ID, !j.asked.IsZero())
 		}
 	}
 }
@@ -627,7 +627,7 @@
 func (s *service) term() uint64 {
 	p, _ := s.state.Get(storage.KeyTerm)
 	var t storage.Term
-	if p.Stamp != 0 && protocol.Decode(p.Data, &t) != nil {
+	if p.Version != 0 && protocol.Decode(p.Value, &t) != nil {
 		s.t.Fatal("term record")
 	}
 	return t.Term
@@ -671,7 +671,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for p := range s.runs {
-		if slices.ContainsFunc(jobs, func(j *job) bool { return j.spec.NameId == owner(p) }) {
+		if slices.ContainsFunc(jobs, func(j *job) bool { return j.spec.ID == owner(p) }) {
 			n++
 		}
 	}
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -67,8 +67,8 @@
 func (m *Leadership) Saw(rev uint64) { m.seen.Store(rev) }
 
 // Guard makes a write fail once there is another leader.
-func (m *Leadership) Guard() protocol.Guard {
-	return protocol.Guard{Path: storage.KeyLeader, Stamp: m.Stamp}
+func (m *Leadership) Guard() protocol.Condition {
+	return protocol.Condition{Key: storage.KeyLeader, Version: m.Stamp}
 }
 
 // Others are the other controllers, as far as elections go.
@@ -169,20 +169,20 @@
 	if err != nil {
 		return fmt.Errorf("read leader: %w", err)
 	}
-	if p.Stamp != 0 {
+	if p.Version != 0 {
 		var l storage.Leader
-		if err := protocol.Decode(p.Data, &l); err != nil {
+		if err := protocol.Decode(p.Value, &l); err != nil {
 			return fmt.Errorf("read leader: %w", err)
 		}
 		if l.Node != e.Node {
 			e.setLeader(l.Node)
-			return e.follow(ctx, p.Stamp)
+			return e.follow(ctx, p.Version)
 		}
 		// The key carries our own name. Only one process of a name lives, so the one that wrote it is over
 		// (or it is this one, and its term was given up); the guard on its stamp makes the replacement safe.
 	}
 	e.setLeader("")
-	return e.campaign(ctx, protocol.Guard{Path: storage.KeyLeader, Stamp: p.Stamp})
+	return e.campaign(ctx, protocol.Condition{Key: storage.KeyLeader, Version: p.Version})
 }
 
 // follow waits until the leader key changes, the leader gives up and offers the lead to us, or it is surely not entitled any more.
@@ -194,7 +194,7 @@
 		_, err := e.Store.Watch(wctx, storage.KeyLeader, stamp)
 		changed <- err
 	}()
-	win := func(guards ...protocol.Guard) error {
+	win := func(guards ...protocol.Condition) error {
 		cancel()
 		<-changed
 		return e.campaign(ctx, guards...)
@@ -213,7 +213,7 @@
 			}
 			if e.look(ctx, d) {
 				e.Log.Warn("leader not heard of, replacing it", "leader", e.Leader())
-				return win(protocol.Guard{Path: storage.KeyLeader, Stamp: stamp}, protocol.Guard{Path: storage.KeyHeartbeat, Stamp: d.heartbeat})
+				return win(protocol.Condition{Key: storage.KeyLeader, Version: stamp}, protocol.Condition{Key: storage.KeyHeartbeat, Version: d.heartbeat})
 			}
 		case err := <-changed:
 			if err != nil && !errors.Is(err, storage.ErrGone) {
@@ -222,21 +222,21 @@
 			return nil
 		case offered := <-e.offer:
 			if offered == stamp {
-				return win(protocol.Guard{Path: storage.KeyLeader, Stamp: stamp})
+				return win(protocol.Condition{Key: storage.KeyLeader, Version: stamp})
 			}
 		}
 	}
 }
 
 // campaign tries to become leader of a new term, if what it is guarded by still holds.
-func (e *Elector) campaign(ctx context.Context, guards ...protocol.Guard) error {
+func (e *Elector) campaign(ctx context.Context, guards ...protocol.Condition) error {
 	tp, err := e.Store.Get(ctx, storage.KeyTerm)
 	if err != nil {
 		return fmt.Errorf("read term: %w", err)
 	}
 	var last storage.Term
-	if tp.Stamp != 0 {
-		if err := protocol.Decode(tp.Data, &last); err != nil {
+	if tp.Version != 0 {
+		if err := protocol.Decode(tp.Value, &last); err != nil {
 			return fmt.Errorf("read term: %w", err)
 		}
 	}
@@ -247,11 +247,11 @@
 	}
 	me := storage.Leader{Node: e.Node, Term: last.Term + 1, Nonce: e.pledges.nonce}
 	rev, err := e.Store.Txn(ctx, protocol.Txn{
-		Guards: append(guards, protocol.Guard{Path: storage.KeyTerm, Stamp: tp.Stamp}),
-		Apply: []protocol.Op{
-			{Write: storage.KeyLeader, Data: protocol.Encode(me), Tenure: tenure},
-			{Write: storage.KeyTerm, Data: protocol.Encode(storage.Term{Term: me.Term})},
-			{Write: storage.KeyHeartbeat, Data: protocol.Encode(storage.Heartbeat{Term: me.Term})},
+		Conditions: append(guards, protocol.Condition{Key: storage.KeyTerm, Version: tp.Version}),
+		Ops: []protocol.Op{
+			{Put: storage.KeyLeader, Value: protocol.Encode(me), Lease: tenure},
+			{Put: storage.KeyTerm, Value: protocol.Encode(storage.Term{Term: me.Term})},
+			{Put: storage.KeyHeartbeat, Value: protocol.Encode(storage.Heartbeat{Term: me.Term})},
 		},
 	})
 	var conflict *storage.Conflict
@@ -267,10 +267,10 @@
 			return fmt.Errorf("read leader after unclear election: %w", gerr)
 		}
 		var l storage.Leader
-		if p.Stamp == 0 || protocol.Decode(p.Data, &l) != nil || l != me || p.Tenure != tenure {
+		if p.Version == 0 || protocol.Decode(p.Value, &l) != nil || l != me || p.Lease != tenure {
 			return fmt.Errorf("campaign: %w", err)
 		}
-		rev = p.Stamp
+		rev = p.Version
 	case err != nil:
 		return fmt.Errorf("campaign: %w", err)
 	}
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -81,7 +81,7 @@
 		return 0, err
 	}
 	f.mu.Lock()
-	if f.keep && t.Apply[0].Write == storage.KeyLeader {
+	if f.keep && t.Ops[0].Put == storage.KeyLeader {
 		f.kept = append(f.kept, t)
 		f.mu.Unlock()
 		return 0, storage.ErrUnclear
@@ -107,7 +107,7 @@
 	if f.chance(f.lossy) {
 		return 0, storage.ErrUnclear
 	}
-	return r.Ledger, nil
+	return r.Revision, nil
 }
 
 func (f *flaky) List(ctx context.Context, prefix string, each func(protocol.Pair) error) (uint64, error) {
@@ -120,7 +120,7 @@
 			return 0, err
 		}
 	}
-	return l.Ledger, nil
+	return l.Revision, nil
 }
 
 func (f *flaky) CreateLease(ctx context.Context, life time.Duration) (uint64, error) {
@@ -144,7 +144,7 @@
 	end := time.After(limits.WatchHold)
 	for {
 		r, _ := f.s.Changes(prefix, since)
-		if len(r.Log) > 0 && !f.s.Down() {
+		if len(r.Changes) > 0 && !f.s.Down() {
 			return r, nil
 		}
 		select {
--- a/internal/coordination/election/pledge.go
+++ b/internal/coordination/election/pledge.go
@@ -107,8 +107,8 @@
 			sent = time.Now()
 			seq++
 			rev, err := e.Store.Txn(ctx, protocol.Txn{
-				Guards: []protocol.Guard{m.Guard(), {Path: storage.KeyHeartbeat, Stamp: heartbeat}},
-				Apply:  []protocol.Op{{Write: storage.KeyHeartbeat, Data: protocol.Encode(storage.Heartbeat{Term: m.Term, Seq: seq, Seen: m.seen.Load()})}},
+				Conditions: []protocol.Condition{m.Guard(), {Key: storage.KeyHeartbeat, Version: heartbeat}},
+				Ops:        []protocol.Op{{Put: storage.KeyHeartbeat, Value: protocol.Encode(storage.Heartbeat{Term: m.Term, Seq: seq, Seen: m.seen.Load()})}},
 			})
 			var conflict *storage.Conflict
 			switch {
@@ -121,7 +121,7 @@
 			case errors.As(err, &conflict):
 				// An earlier heartbeat of ours that had no answer. It was sent after what is covered was known, so it may stand in.
 				if p, err := e.Store.Get(ctx, storage.KeyHeartbeat); err == nil {
-					heartbeat = p.Stamp
+					heartbeat = p.Version
 				}
 			default:
 				e.Log.Debug("beat", "term", m.Term, "err", err)
@@ -157,15 +157,15 @@
 	if err != nil {
 		return false
 	}
-	if d.at.IsZero() || p.Stamp != d.heartbeat {
-		d.heartbeat, d.at, d.let = p.Stamp, time.Now(), false
+	if d.at.IsZero() || p.Version != d.heartbeat {
+		d.heartbeat, d.at, d.let = p.Version, time.Now(), false
 		return false
 	}
 	if !e.pledges.release(d.heartbeat) {
 		return false
 	}
 	if !d.let {
-		_, err := e.Store.Txn(ctx, protocol.Txn{Apply: []protocol.Op{{Write: storage.ReleaseKey(e.Node), Data: protocol.Encode(storage.Release{Heartbeat: d.heartbeat})}}})
+		_, err := e.Store.Txn(ctx, protocol.Txn{Ops: []protocol.Op{{Put: storage.ReleaseKey(e.Node), Value: protocol.Encode(storage.Release{Heartbeat: d.heartbeat})}}})
 		if err != nil {
 			return false
 		}
@@ -174,7 +174,7 @@
 	let := 0
 	_, err = e.Store.List(ctx, storage.PrefixRelease, func(p protocol.Pair) error {
 		var l storage.Release
-		if err := protocol.Decode(p.Data, &l); err != nil {
+		if err := protocol.Decode(p.Value, &l); err != nil {
 			return err
 		}
 		if l.Heartbeat >= d.heartbeat {
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -36,7 +36,7 @@
 
 	ctx    context.Context
 	stage  chan struct{}
-	types  atomic.Pointer[[]protocol.Rigkind]
+	types  atomic.Pointer[[]protocol.MachineType]
 	finals finals
 
 	relays  chan struct{}
@@ -60,8 +60,8 @@
 	for {
 		p, err := g.Store.Get(ctx, storage.KeyTypes)
 		var t storage.Types
-		if err == nil && p.Stamp != 0 && protocol.Decode(p.Data, &t) == nil {
-			g.types.Store(&t.Rigkinds)
+		if err == nil && p.Version != 0 && protocol.Decode(p.Value, &t) == nil {
+			g.types.Store(&t.MachineTypes)
 			back.Reset()
 			select {
 			case <-ctx.Done():
@@ -256,7 +256,7 @@
 
 // redirect sends a worker to a node, or with no name to the next one.
 func redirect(rsp *transport.Responder, name string) {
-	rsp.Respond(421, protocol.Encode(protocol.Redirect{Foreman: name}), 0)
+	rsp.Respond(421, protocol.Encode(protocol.Redirect{Leader: name}), 0)
 }
 
 type problem struct {
@@ -274,7 +274,7 @@
 	if err != nil {
 		return 400, problem{Error: err.Error()}
 	}
-	if st, over := g.over(spec.NameId); over {
+	if st, over := g.over(spec.ID); over {
 		return 200, st
 	}
 	types := g.types.Load()
@@ -283,7 +283,7 @@
 	}
 	if why := g.refusal(spec, *types); why != "" {
 		// A job that was accepted stays accepted, even if the types have changed since.
-		st, known, err := g.standing(ctx, spec.NameId)
+		st, known, err := g.standing(ctx, spec.ID)
 		if err != nil {
 			return g.away(err)
 		}
@@ -297,18 +297,18 @@
 		return 400, problem{Error: "too long"}
 	}
 	txn := protocol.Txn{
-		Guards: []protocol.Guard{{Path: storage.OpenKey(spec.NameId)}, {Path: storage.FinalKey(spec.NameId)}},
-		Apply:  []protocol.Op{{Write: storage.OpenKey(spec.NameId), Data: protocol.Encode(rec)}},
+		Conditions: []protocol.Condition{{Key: storage.OpenKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
+		Ops:        []protocol.Op{{Put: storage.OpenKey(spec.ID), Value: protocol.Encode(rec)}},
 	}
 	_, err = g.Store.Txn(ctx, txn)
 	var conflict *storage.Conflict
 	switch {
 	case err == nil:
-		return 201, protocol.JobStatus{NameId: spec.NameId, Standing: protocol.Pending}
+		return 201, protocol.JobStatus{ID: spec.ID, State: protocol.Pending}
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrUnclear):
 		// It is there already, or may have been written just now. What is not there yet may still be: the user asks again, and the
 		// guards make sure that it is written once.
-		st, known, rerr := g.standing(ctx, spec.NameId)
+		st, known, rerr := g.standing(ctx, spec.ID)
 		if rerr != nil {
 			return g.away(rerr)
 		}
@@ -317,16 +317,16 @@
 		}
 		return g.away(err)
 	case errors.Is(err, storage.ErrBadRequest):
-		g.Log.Error("submission not storable", "job", spec.NameId, "err", err)
+		g.Log.Error("submission not storable", "job", spec.ID, "err", err)
 		return 400, problem{Error: "cannot be stored"}
 	}
 	return g.away(err)
 }
 
 // refusal says why a job can never run, or "".
-func (g *Gateway) refusal(spec *protocol.Spec, types []protocol.Rigkind) string {
+func (g *Gateway) refusal(spec *protocol.Spec, types []protocol.MachineType) string {
 	for _, t := range g.Settings.Facts.Teams {
-		if t.Name == spec.Crew {
+		if t.Name == spec.Team {
 			if !scheduler.Runnable(spec, types, t.CPUsMax, t.GPUsMax) {
 				return "no allowed machine type holds a task, or the team's limit is below one task"
 			}
@@ -339,7 +339,7 @@
 // over tells what became of a job, if that is known here to be so for good.
 func (g *Gateway) over(id string) (protocol.JobStatus, bool) {
 	f, ok := g.finals.get(id)
-	return protocol.JobStatus{NameId: id, Standing: f}, ok
+	return protocol.JobStatus{ID: id, State: f}, ok
 }
 
 // standing reads a job's state. It looks at the open record first and then at the final one; as a job moves from the one to the other in one
@@ -348,23 +348,23 @@
 	if st, over := g.over(id); over {
 		return st, true, nil
 	}
-	st := protocol.JobStatus{NameId: id}
+	st := protocol.JobStatus{ID: id}
 	p, err := g.Store.Get(ctx, storage.OpenKey(id))
 	if err != nil {
 		return st, false, fmt.Errorf("read %s: %w", id, err)
 	}
-	if p.Stamp != 0 {
+	if p.Version != 0 {
 		var o storage.Open
-		if err := protocol.Decode(p.Data, &o); err != nil {
+		if err := protocol.Decode(p.Value, &o); err != nil {
 			return st, false, fmt.Errorf("read %s: %w", id, err)
 		}
-		st.Standing = protocol.Pending
+		st.State = protocol.Pending
 		if o.Cancelled {
 			// "aborted" is a confirmation, also to a poll. "pending" may be an older answer than another controller's.
 			if !g.confirm(ctx, id, p) {
 				return st, false, errUnconfirmed
 			}
-			st.Standing = protocol.Aborted
+			st.State = protocol.Aborted
 		}
 		return st, true, nil
 	}
@@ -372,15 +372,15 @@
 	if err != nil {
 		return st, false, fmt.Errorf("read %s: %w", id, err)
 	}
-	if p.Stamp == 0 {
+	if p.Version == 0 {
 		return st, false, nil
 	}
 	var f storage.Final
-	if err := protocol.Decode(p.Data, &f); err != nil {
+	if err := protocol.Decode(p.Value, &f); err != nil {
 		return st, false, fmt.Errorf("read %s: %w", id, err)
 	}
-	g.finals.put(id, f.Standing)
-	st.Standing = f.Standing
+	g.finals.put(id, f.State)
+	st.State = f.State
 	return st, true, nil
 }
 
@@ -396,11 +396,11 @@
 	if !known {
 		return 404, problem{Error: "no such job"}
 	}
-	if st.Standing == protocol.Pending {
+	if st.State == protocol.Pending {
 		if c, ok := g.counts(ctx, id); ok {
 			st.Done, st.Running = &c.Done, &c.Running
 			if c.Running > 0 {
-				st.Standing = protocol.Running
+				st.State = protocol.Running
 			}
 		}
 	}
@@ -423,7 +423,7 @@
 //   - the leader has written a heartbeat that covers the record. Such a write succeeds only while no later term has begun;
 //   - there is no leader key. Its hold is over, so no leader is entitled, and the next one reads the record.
 func (g *Gateway) confirm(ctx context.Context, id string, p protocol.Pair) bool {
-	known := g.Desk.Confirm(ctx, id, p.Stamp, p.Data) || g.Peers.Confirm(ctx, g.Leader(), id, p.Stamp, p.Data) || g.covered(ctx, p.Stamp)
+	known := g.Desk.Confirm(ctx, id, p.Version, p.Value) || g.Peers.Confirm(ctx, g.Leader(), id, p.Version, p.Value) || g.covered(ctx, p.Version)
 	if known {
 		g.finals.put(id, protocol.Aborted) // it stays so, whatever leader comes
 	}
@@ -436,11 +436,11 @@
 		return false
 	}
 	var heartbeat storage.Heartbeat
-	if p.Stamp != 0 && protocol.Decode(p.Data, &heartbeat) == nil && heartbeat.Seen >= stamp {
+	if p.Version != 0 && protocol.Decode(p.Value, &heartbeat) == nil && heartbeat.Seen >= stamp {
 		return true
 	}
 	p, err = g.Store.Get(ctx, storage.KeyLeader)
-	return err == nil && p.Stamp == 0
+	return err == nil && p.Version == 0
 }
 
 // cancelled answers a cancellation whose record is there.
@@ -448,7 +448,7 @@
 	if !g.confirm(ctx, id, p) {
 		return g.away(errUnconfirmed)
 	}
-	return 200, protocol.JobStatus{NameId: id, Standing: protocol.Aborted}
+	return 200, protocol.JobStatus{ID: id, State: protocol.Aborted}
 }
 
 // cancel marks a job as cancelled, and has the leader know of it before the user does.
@@ -464,20 +464,20 @@
 		if err != nil {
 			return g.away(err)
 		}
-		if p.Stamp == 0 {
+		if p.Version == 0 {
 			st, known, err := g.standing(ctx, id)
 			switch {
 			case err != nil:
 				return g.away(err)
 			case !known:
 				return 404, problem{Error: "no such job"}
-			case st.Standing == protocol.Done || st.Standing == protocol.Aborted:
+			case st.State == protocol.Done || st.State == protocol.Aborted:
 				return 200, st
 			}
 			continue // submitted between the two reads
 		}
 		var o storage.Open
-		if err := protocol.Decode(p.Data, &o); err != nil {
+		if err := protocol.Decode(p.Value, &o); err != nil {
 			return g.away(err)
 		}
 		if o.Cancelled {
@@ -486,11 +486,11 @@
 		o.Cancelled, o.CancelMs = true, time.Now().UnixMilli()
 		data := protocol.Encode(o)
 		rev, err := g.Store.Txn(ctx, protocol.Txn{
-			Guards: []protocol.Guard{{Path: storage.OpenKey(id), Stamp: p.Stamp}},
-			Apply:  []protocol.Op{{Write: storage.OpenKey(id), Data: data}},
+			Conditions: []protocol.Condition{{Key: storage.OpenKey(id), Version: p.Version}},
+			Ops:        []protocol.Op{{Put: storage.OpenKey(id), Value: data}},
 		})
 		if err == nil {
-			return g.cancelled(ctx, id, protocol.Pair{Stamp: rev, Data: data})
+			return g.cancelled(ctx, id, protocol.Pair{Version: rev, Value: data})
 		}
 		var conflict *storage.Conflict
 		if !errors.As(err, &conflict) && !errors.Is(err, storage.ErrUnclear) {
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -52,8 +52,8 @@
 func newFront(t *testing.T) *front {
 	log := slog.New(slog.DiscardHandler)
 	f := &front{t: t, state: standin.NewState(), addr: freePort(t)}
-	types := storage.Types{Rigkinds: []protocol.Rigkind{{Sku: "g8", Vcpus: 16, Accelerators: 2, RamGb: 128, Yards: []string{"a"}}}}
-	f.state.Txn(protocol.Txn{Apply: []protocol.Op{{Write: storage.KeyTypes, Data: protocol.Encode(types)}}})
+	types := storage.Types{MachineTypes: []protocol.MachineType{{Name: "g8", CPUs: 16, Accelerators: 2, MemoryGB: 128, Zones: []string{"a"}}}}
+	f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.KeyTypes, Value: protocol.Encode(types)}}})
 	back := freePort(t)
 	serve(t, f.state.Server(back, log))
 	s := &config.Settings{NodeName: "rig-0", Facts: config.Facts{
@@ -97,7 +97,7 @@
 			f.t.Fatal(err)
 		}
 	}
-	return m.Status, st.Standing, m
+	return m.Status, st.State, m
 }
 
 func run(id string, change map[string]any) map[string]any {
@@ -159,7 +159,7 @@
 	}
 
 	// A job that is over stays what it is, also for repeats and cancellations.
-	f.state.Txn(protocol.Txn{Apply: []protocol.Op{{Write: storage.FinalKey("job-2"), Data: protocol.Encode(storage.Final{Standing: protocol.Done})}}})
+	f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.FinalKey("job-2"), Value: protocol.Encode(storage.Final{State: protocol.Done})}}})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
 		if status, standing, _ := f.do("POST", target, run("job-2", nil)); status != 200 || standing != protocol.Done {
 			t.Errorf("%s of a done job: %d %q", target, status, standing)
@@ -203,9 +203,9 @@
 	for _, how := range []string{"beat", "no leader"} {
 		f := newFront(t)
 		hold := f.state.CreateLease(time.Hour)
-		f.state.Txn(protocol.Txn{Apply: []protocol.Op{
-			{Write: storage.KeyLeader, Tenure: hold, Data: protocol.Encode(storage.Leader{Node: "rig-9", Term: 1})},
-			{Write: storage.KeyHeartbeat, Data: protocol.Encode(storage.Heartbeat{Term: 1})}}})
+		f.state.Txn(protocol.Txn{Ops: []protocol.Op{
+			{Put: storage.KeyLeader, Lease: hold, Value: protocol.Encode(storage.Leader{Node: "rig-9", Term: 1})},
+			{Put: storage.KeyHeartbeat, Value: protocol.Encode(storage.Heartbeat{Term: 1})}}})
 		requests := []struct {
 			method, target string
 			body           any
@@ -223,12 +223,12 @@
 		}
 		ask(503, "")
 		p, _ := f.state.Get(storage.OpenKey("job-1"))
-		heartbeat := storage.Heartbeat{Term: 1, Seq: 1, Seen: p.Stamp - 1}
-		f.state.Txn(protocol.Txn{Apply: []protocol.Op{{Write: storage.KeyHeartbeat, Data: protocol.Encode(heartbeat)}}})
+		heartbeat := storage.Heartbeat{Term: 1, Seq: 1, Seen: p.Version - 1}
+		f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.KeyHeartbeat, Value: protocol.Encode(heartbeat)}}})
 		ask(503, "")
 		if how == "beat" {
-			heartbeat.Seen = p.Stamp
-			f.state.Txn(protocol.Txn{Apply: []protocol.Op{{Write: storage.KeyHeartbeat, Data: protocol.Encode(heartbeat)}}})
+			heartbeat.Seen = p.Version
+			f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.KeyHeartbeat, Value: protocol.Encode(heartbeat)}}})
 		} else {
 			f.state.EndLease(hold)
 		}
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -39,7 +39,7 @@
 
 func (c *caller) send(addr string) error {
 	c.tally++
-	body := protocol.Encode(protocol.Report{Rig: c.rig, Address: "127.0.0.1:1", Rigkind: "s", Yard: "a", Shift: 1, Tally: c.tally, Baton: c.baton, Pieces: c.tasks})
+	body := protocol.Encode(protocol.Report{Machine: c.rig, Address: "127.0.0.1:1", MachineType: "s", Zone: "a", Session: 1, Sequence: c.tally, Token: c.baton, Tasks: c.tasks})
 	_, err := c.conn.Write(transport.AppendRequest(nil, "POST", "/v1/report", addr, body))
 	return err
 }
@@ -66,10 +66,10 @@
 		if err := protocol.Decode(m.Body, &r); err != nil {
 			return 0, err
 		}
-		c.baton = r.Baton
-		for _, o := range r.Orders {
-			if o.Verb == protocol.VerbStart {
-				c.tasks = append(c.tasks, protocol.TaskReport{Piece: o.Piece, Try: o.Try, Standing: protocol.Running})
+		c.baton = r.Token
+		for _, o := range r.Commands {
+			if o.Verb == protocol.CommandStart {
+				c.tasks = append(c.tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 			}
 		}
 		return 200, nil
@@ -94,46 +94,46 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(limits.GCPercent))
 	log := slog.New(slog.DiscardHandler)
 	name := func(i int) string { return fmt.Sprintf("m-%06d", i) }
-	typ := protocol.Rigkind{Sku: "s", Vcpus: cpus, RamGb: 64, CacheGb: 50, PullGbPerS: 1, Price: 1, MarketPrice: 1, StartupS: 10, Yards: []string{"a"}}
+	typ := protocol.MachineType{Name: "s", CPUs: cpus, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 10, Zones: []string{"a"}}
 
 	state := standin.NewState()
 	write := func(key string, v any) uint64 {
-		status, r := state.Txn(protocol.Txn{Apply: []protocol.Op{{Write: key, Data: protocol.Encode(v)}}})
+		status, r := state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: key, Value: protocol.Encode(v)}}})
 		if status != 200 {
 			t.Fatalf("write %s: %d", key, status)
 		}
-		return r.Ledger
+		return r.Revision
 	}
-	write(storage.KeyTypes, storage.Types{Rigkinds: []protocol.Rigkind{typ}})
+	write(storage.KeyTypes, storage.Types{MachineTypes: []protocol.MachineType{typ}})
 	for i := 0; i < machines; i += each {
-		h, u := storage.Hire{Rigkind: "s", Yard: "a", Number: each, Answered: true}, storage.Ups{}
+		h, u := storage.Rental{MachineType: "s", Zone: "a", Count: each, Answered: true}, storage.Ups{}
 		for k := range each {
-			h.Rigs = append(h.Rigs, name(i+k))
-			u.Rigs = append(u.Rigs, storage.Up{Rig: name(i + k), Address: "127.0.0.1:1"})
+			h.Machines = append(h.Machines, name(i+k))
+			u.Machines = append(u.Machines, storage.Up{Machine: name(i + k), Address: "127.0.0.1:1"})
 		}
-		write(storage.HireKey(fmt.Sprintf("h-%d", i)), h)
+		write(storage.RentalKey(fmt.Sprintf("h-%d", i)), h)
 		write(storage.UpKey(fmt.Sprintf("0-%d", i)), u)
 	}
 	for i := range jobs {
 		id := fmt.Sprintf("job-%d", i)
-		write(storage.OpenKey(id), storage.Open{AtMs: time.Now().UnixMilli(), Spec: protocol.Spec{NameId: id, Docket: "c", Crew: "red", Shape: "sweep",
-			Urgency: "standard", Pieces: pieces, Vcpus: 1, RamGb: 1, Bundle: "i", ReckonS: 30}})
+		write(storage.OpenKey(id), storage.Open{AtMs: time.Now().UnixMilli(), Spec: protocol.Spec{ID: id, Class: "c", Team: "red", Shape: "sweep",
+			Priority: "standard", Tasks: pieces, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 30}})
 	}
 	stateAddr, cloudAddr := freePort(t), freePort(t)
 	serve(t, state.Server(stateAddr, log))
 	serve(t, &transport.Server{Addr: cloudAddr, MaxConns: 100, Log: log, Handle: func(req *transport.Message, rsp *transport.Responder) {
 		switch {
 		case req.Path == "/machine_types":
-			rsp.Respond(200, protocol.Encode(protocol.RigkindList{Rigkinds: []protocol.Rigkind{typ}}), 0)
+			rsp.Respond(200, protocol.Encode(protocol.MachineTypeList{Types: []protocol.MachineType{typ}}), 0)
 		case req.Path == "/rentals" && req.Method == "GET":
 			q, _ := url.ParseQuery(req.Query)
-			l := protocol.RigList{}
-			for i := 0; i < machines && len(l.Rigs) < limits.ListPage; i++ {
+			l := protocol.MachineList{}
+			for i := 0; i < machines && len(l.Machines) < limits.ListPage; i++ {
 				if n := name(i); n > q.Get("Since") {
-					l.Rigs = append(l.Rigs, protocol.Rig{NameId: n, Rigkind: "s", Yard: "a", Standing: protocol.RigRunning, AgeS: 100})
+					l.Machines = append(l.Machines, protocol.Machine{Name: n, MachineType: "s", Zone: "a", State: protocol.MachineRunning, AgeS: 100})
 				}
 			}
-			l.Truncated = len(l.Rigs) == limits.ListPage && l.Rigs[len(l.Rigs)-1].NameId != name(machines-1)
+			l.Truncated = len(l.Machines) == limits.ListPage && l.Machines[len(l.Machines)-1].Name != name(machines-1)
 			rsp.Respond(200, protocol.Encode(l), 0)
 		case req.Path == "/rentals/delete":
 			rsp.Respond(200, nil, 0)
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -58,7 +58,7 @@
 }
 
 // Types reads the machine types.
-func (c *Cloud) Types(ctx context.Context) ([]protocol.Rigkind, error) {
+func (c *Cloud) Types(ctx context.Context) ([]protocol.MachineType, error) {
 	m, err := c.call(ctx, "GET", "/machine_types", nil)
 	if err != nil {
 		return nil, err
@@ -66,18 +66,18 @@
 	if m.Status != 200 {
 		return nil, fmt.Errorf("%w: types: status %d", errCloud, m.Status)
 	}
-	var l protocol.RigkindList
+	var l protocol.MachineTypeList
 	if err := protocol.Decode(m.Body, &l); err != nil {
 		return nil, fmt.Errorf("types: %w", err)
 	}
-	if len(l.Rigkinds) == 0 {
+	if len(l.Types) == 0 {
 		return nil, fmt.Errorf("%w: no machine types", errCloud)
 	}
-	return l.Rigkinds, nil
+	return l.Types, nil
 }
 
 // hire sends a rental request until there is an answer.
-func (t *term) hire(ctx context.Context, req protocol.HireRequest) {
+func (t *term) hire(ctx context.Context, req protocol.RentalRequest) {
 	var back storage.Backoff
 	body := protocol.Encode(req)
 	for {
@@ -85,9 +85,9 @@
 			m, err := t.d.cloud.call(ctx, "POST", "/rentals", body)
 			switch {
 			case err == nil && m.Status == 200:
-				var r protocol.HireReply
+				var r protocol.RentalReply
 				if err = protocol.Decode(m.Body, &r); err == nil {
-					t.post(ctx, scheduler.HireDone{Name: req.Hire, Rigs: r.Rigs, OK: true})
+					t.post(ctx, scheduler.HireDone{Name: req.Name, Rigs: r.Machines, OK: true})
 					return
 				}
 			case err == nil && m.Status == 503:
@@ -95,18 +95,18 @@
 					Error string `cbor:"error"`
 				}
 				if protocol.Decode(m.Body, &r) == nil && r.Error == "no capacity" {
-					t.post(ctx, scheduler.HireDone{Name: req.Hire, NoCapacity: true})
+					t.post(ctx, scheduler.HireDone{Name: req.Name, NoCapacity: true})
 					return
 				}
 				err = fmt.Errorf("%w: %s", errCloud, r.Error)
 			case err == nil && m.Status == 400:
-				t.log.Error("rental rejected", "request", req.Hire)
-				t.post(ctx, scheduler.HireDone{Name: req.Hire, NoCapacity: true})
+				t.log.Error("rental rejected", "request", req.Name)
+				t.post(ctx, scheduler.HireDone{Name: req.Name, NoCapacity: true})
 				return
 			case err == nil:
 				err = fmt.Errorf("%w: rental: status %d", errCloud, m.Status)
 			}
-			t.log.Info("rental not answered", "request", req.Hire, "err", err)
+			t.log.Info("rental not answered", "request", req.Name, "err", err)
 		}
 		if !back.Wait(ctx) {
 			return
@@ -118,7 +118,7 @@
 func (t *term) remove(ctx context.Context, rigs []string) {
 	done := scheduler.DeleteDone{Rigs: rigs}
 	if t.m.Entitled() {
-		m, err := t.d.cloud.call(ctx, "POST", "/rentals/delete", protocol.Encode(protocol.DeleteRequest{Rigs: rigs}))
+		m, err := t.d.cloud.call(ctx, "POST", "/rentals/delete", protocol.Encode(protocol.DeleteRequest{Machines: rigs}))
 		if err == nil && m.Status != 200 {
 			err = fmt.Errorf("%w: delete: status %d", errCloud, m.Status)
 		}
@@ -142,7 +142,7 @@
 		if err == nil && m.Status != 200 {
 			err = fmt.Errorf("%w: list: status %d", errCloud, m.Status)
 		}
-		var l protocol.RigList
+		var l protocol.MachineList
 		if err == nil {
 			err = protocol.Decode(m.Body, &l)
 		}
@@ -151,12 +151,12 @@
 			t.post(ctx, scheduler.ListDone{})
 			return
 		}
-		done.Rigs = append(done.Rigs, l.Rigs...)
-		if !l.Truncated || len(l.Rigs) == 0 {
+		done.Rigs = append(done.Rigs, l.Machines...)
+		if !l.Truncated || len(l.Machines) == 0 {
 			t.post(ctx, done)
 			return
 		}
-		since = l.Rigs[len(l.Rigs)-1].NameId
+		since = l.Machines[len(l.Machines)-1].Name
 	}
 }
 
@@ -182,18 +182,18 @@
 	}
 }
 
-func (t *term) keepTypes(ctx context.Context, list []protocol.Rigkind) error {
+func (t *term) keepTypes(ctx context.Context, list []protocol.MachineType) error {
 	p, err := t.d.store.Get(ctx, storage.KeyTypes)
 	if err != nil {
 		return err
 	}
 	var old storage.Types
-	if p.Stamp != 0 && protocol.Decode(p.Data, &old) == nil && sameShapes(old.Rigkinds, list) {
+	if p.Version != 0 && protocol.Decode(p.Value, &old) == nil && sameShapes(old.MachineTypes, list) {
 		return nil
 	}
 	_, err = t.d.store.Txn(ctx, protocol.Txn{
-		Guards: []protocol.Guard{t.m.Guard(), {Path: storage.KeyTypes, Stamp: p.Stamp}},
-		Apply:  []protocol.Op{{Write: storage.KeyTypes, Data: protocol.Encode(storage.Types{Rigkinds: list})}},
+		Conditions: []protocol.Condition{t.m.Guard(), {Key: storage.KeyTypes, Version: p.Version}},
+		Ops:        []protocol.Op{{Put: storage.KeyTypes, Value: protocol.Encode(storage.Types{MachineTypes: list})}},
 	})
 	var conflict *storage.Conflict
 	if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
@@ -204,17 +204,17 @@
 }
 
 // sameShapes compares types but for their prices, which move all the time.
-func sameShapes(a, b []protocol.Rigkind) bool {
+func sameShapes(a, b []protocol.MachineType) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for i := range a {
 		x, y := a[i], b[i]
-		if x.Sku != y.Sku || x.Vcpus != y.Vcpus || x.Accelerators != y.Accelerators || x.RamGb != y.RamGb || len(x.Yards) != len(y.Yards) {
+		if x.Name != y.Name || x.CPUs != y.CPUs || x.Accelerators != y.Accelerators || x.MemoryGB != y.MemoryGB || len(x.Zones) != len(y.Zones) {
 			return false
 		}
-		for k := range x.Yards {
-			if x.Yards[k] != y.Yards[k] {
+		for k := range x.Zones {
+			if x.Zones[k] != y.Zones[k] {
 				return false
 			}
 		}
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -294,21 +294,21 @@
 		return 0, nil, err
 	}
 	err = listRecords(ctx, t.d.store, storage.PrefixFin, func(p protocol.Pair, f storage.Fin) {
-		if id, _, ok := storage.ParseFinKey(p.Path); ok {
-			evs = append(evs, scheduler.FinLoaded{ID: id, Stamp: p.Stamp, Rec: f})
+		if id, _, ok := storage.ParseFinKey(p.Key); ok {
+			evs = append(evs, scheduler.FinLoaded{ID: id, Stamp: p.Version, Rec: f})
 		}
 	})
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.d.store, storage.PrefixHire, func(p protocol.Pair, h storage.Hire) {
-		evs = append(evs, scheduler.HireLoaded{Name: strings.TrimPrefix(p.Path, storage.PrefixHire), Stamp: p.Stamp, Rec: h})
+	err = listRecords(ctx, t.d.store, storage.PrefixRental, func(p protocol.Pair, h storage.Rental) {
+		evs = append(evs, scheduler.HireLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRental), Stamp: p.Version, Rec: h})
 	})
 	if err != nil {
 		return 0, nil, err
 	}
 	err = listRecords(ctx, t.d.store, storage.PrefixUp, func(p protocol.Pair, u storage.Ups) {
-		evs = append(evs, scheduler.UpLoaded{Name: strings.TrimPrefix(p.Path, storage.PrefixUp), Stamp: p.Stamp, Rec: u})
+		evs = append(evs, scheduler.UpLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixUp), Stamp: p.Version, Rec: u})
 	})
 	return ledger, evs, err
 }
@@ -317,8 +317,8 @@
 func listRecords[T any](ctx context.Context, store *storage.Store, prefix string, each func(protocol.Pair, T)) error {
 	_, err := store.List(ctx, prefix, func(p protocol.Pair) error {
 		var rec T
-		if err := protocol.Decode(p.Data, &rec); err != nil {
-			return fmt.Errorf("%s: %w", p.Path, err)
+		if err := protocol.Decode(p.Value, &rec); err != nil {
+			return fmt.Errorf("%s: %w", p.Key, err)
 		}
 		each(p, rec)
 		return nil
@@ -329,7 +329,7 @@
 func (t *term) readOpen(ctx context.Context) (uint64, []scheduler.Event, error) {
 	var evs []scheduler.Event
 	ledger, err := t.d.store.List(ctx, storage.PrefixOpen, func(p protocol.Pair) error {
-		e, err := t.jobSeen(p.Path, p.Data, p.Stamp)
+		e, err := t.jobSeen(p.Key, p.Value, p.Version)
 		if err != nil {
 			return err
 		}
@@ -381,19 +381,19 @@
 			continue
 		}
 		back.Reset()
-		for _, c := range r.Log {
-			if c.Remove != "" {
-				t.post(ctx, scheduler.JobLeft{ID: strings.TrimPrefix(c.Remove, storage.PrefixOpen), Stamp: c.Stamp})
+		for _, c := range r.Changes {
+			if c.Delete != "" {
+				t.post(ctx, scheduler.JobLeft{ID: strings.TrimPrefix(c.Delete, storage.PrefixOpen), Stamp: c.Version})
 				continue
 			}
-			e, err := t.jobSeen(c.Write, c.Data, c.Stamp)
+			e, err := t.jobSeen(c.Put, c.Value, c.Version)
 			if err != nil {
 				t.log.Error("bad job record", "err", err)
 				continue
 			}
 			t.post(ctx, e)
 		}
-		since = max(since, r.Ledger)
+		since = max(since, r.Revision)
 		t.post(ctx, seenMsg(since))
 	}
 }
@@ -460,7 +460,7 @@
 		msg.reply(400, nil)
 		return
 	}
-	if r.Baton > t.m.Term {
+	if r.Token > t.m.Term {
 		t.d.lost(t.m.Term) // the worker has seen a later leader
 	}
 	entitled := wait < limits.StaleReport && t.m.Entitled()
@@ -474,14 +474,14 @@
 		case scheduler.ReplyOut:
 			reply := eff.Ref.(Reply)
 			if eff.Redirect {
-				reply(421, protocol.Encode(protocol.Redirect{Foreman: t.d.settings.NodeName}))
+				reply(421, protocol.Encode(protocol.Redirect{Leader: t.d.settings.NodeName}))
 				continue
 			}
 			if !eff.OK || !t.m.Entitled() {
 				reply(503, nil)
 				continue
 			}
-			reply(200, protocol.Encode(protocol.ReportReply{Baton: t.m.Term, Orders: eff.Orders}))
+			reply(200, protocol.Encode(protocol.ReportReply{Token: t.m.Term, Commands: eff.Orders}))
 		case scheduler.WriteOut:
 			if eff.Bulk {
 				t.bulk = append(t.bulk, eff)
--- a/internal/coordination/leader/workers.go
+++ b/internal/coordination/leader/workers.go
@@ -72,7 +72,7 @@
 	if !t.m.Entitled() {
 		return nil, fmt.Errorf("%w: no longer entitled", errWorker)
 	}
-	status, fresh, err := t.direct(ctx, c, protocol.Direct{Baton: t.m.Term, Shift: r.Shift})
+	status, fresh, err := t.direct(ctx, c, protocol.Direct{Token: t.m.Term, Session: r.Session})
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 	}
 	cctx, cancel := context.WithTimeout(ctx, limits.DirectTimeout)
 	defer cancel()
-	status, r, err := t.direct(cctx, c, protocol.Direct{Baton: t.m.Term, Shift: d.Shift, Orders: d.Orders})
+	status, r, err := t.direct(cctx, c, protocol.Direct{Token: t.m.Term, Session: d.Shift, Commands: d.Orders})
 	switch {
 	case errors.Is(err, transport.ErrNotSent):
 		done.Refused = true
@@ -130,7 +130,7 @@
 		t.log.Debug("direct command", "machine", d.Rig, "err", err)
 	case status == 409:
 		done.Refused = true
-		if r.Baton > t.m.Term {
+		if r.Token > t.m.Term {
 			t.d.lost(t.m.Term)
 		}
 	default:
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -53,10 +53,10 @@
 // carryOut writes a batch; it returns false when the term is over.
 func (w *writer) carryOut(ctx context.Context, batch []scheduler.WriteOut) bool {
 	var back storage.Backoff
-	txn := protocol.Txn{Guards: []protocol.Guard{w.t.m.Guard()}}
+	txn := protocol.Txn{Conditions: []protocol.Condition{w.t.m.Guard()}}
 	for _, o := range batch {
-		txn.Guards = append(txn.Guards, o.Guards...)
-		txn.Apply = append(txn.Apply, o.Ops...)
+		txn.Conditions = append(txn.Conditions, o.Guards...)
+		txn.Ops = append(txn.Ops, o.Ops...)
 	}
 	for {
 		rev, err := w.t.d.store.Txn(ctx, txn)
@@ -88,7 +88,7 @@
 			}
 			err = verr
 		case errors.Is(err, storage.ErrBadRequest):
-			w.t.log.Error("write rejected", "err", err, "ops", len(txn.Apply))
+			w.t.log.Error("write rejected", "err", err, "ops", len(txn.Ops))
 			if len(batch) == 1 {
 				w.t.post(ctx, scheduler.WriteDone{ID: batch[0].ID})
 				return true
@@ -111,24 +111,24 @@
 func (w *writer) holds(ctx context.Context, o scheduler.WriteOut) (bool, uint64, error) {
 	var rev uint64
 	for _, op := range o.Ops {
-		key := op.Write
+		key := op.Put
 		if key == "" {
-			key = op.Remove
+			key = op.Delete
 		}
 		p, err := w.t.d.store.Get(ctx, key)
 		if err != nil {
 			return false, 0, err
 		}
-		if op.Remove != "" {
-			if p.Stamp != 0 {
+		if op.Delete != "" {
+			if p.Version != 0 {
 				return false, 0, nil
 			}
 			continue
 		}
-		if p.Stamp == 0 || !same(p.Data, op.Data) {
+		if p.Version == 0 || !same(p.Value, op.Value) {
 			return false, 0, nil
 		}
-		rev = max(rev, p.Stamp)
+		rev = max(rev, p.Version)
 	}
 	return true, rev, nil
 }
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -27,35 +27,35 @@
 	options.Fleet.MaxMachines = machines
 	s := New(Config{Term: 1, Teams: []config.Team{{Name: "red", CPUs: 100, CPUsMax: 20000}, {Name: "blue", CPUs: 100, CPUsMax: 20000}},
 		Workers: config.Workers{ReportS: 1.5, LeaseS: 14, CancelS: 34}, State: config.State{ValueKB: 4, TxnOps: 8}, Options: options}, 0)
-	s.Step(TypesDone{OK: true, Types: []protocol.Rigkind{{Sku: "s", Vcpus: cpus, RamGb: 128, PullGbPerS: 1, Price: 1, MarketPrice: 1, StartupS: 5, Yards: []string{"a"}}}}, 0)
+	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s", CPUs: cpus, MemoryGB: 128, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, 0)
 	loadUp(s, "h", upHire("s", machines, longName), 0)
 	s.Step(Loaded{}, 0)
 	for i := range jobs {
 		s.Step(JobSeen{ID: fmt.Sprintf("job-%d", i), Stamp: uint64(i + 2), Rec: storage.Open{Spec: protocol.Spec{
-			NameId: fmt.Sprintf("job-%d", i), Docket: "c", Crew: []string{"red", "blue"}[i%2], Shape: "sweep", Urgency: "standard",
-			Pieces: 100_000, Vcpus: 1, RamGb: 1, Bundle: "i", ReckonS: 10}}}, 0)
+			ID: fmt.Sprintf("job-%d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: "sweep", Priority: "standard",
+			Tasks: 100_000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}}}, 0)
 	}
 	for i := range pressing {
 		id := fmt.Sprintf("job-%d", jobs+behind+i)
 		s.Step(JobSeen{ID: id, Stamp: uint64(jobs + behind + i + 2), Rec: storage.Open{Spec: protocol.Spec{
-			NameId: id, Docket: "pressing", Crew: "red", Shape: "sweep", Urgency: "standard", Pieces: 100, Vcpus: cpus, RamGb: 1, Bundle: "i", ReckonS: 10, DueS: 14}}}, 0)
+			ID: id, Class: "pressing", Team: "red", Shape: "sweep", Priority: "standard", Tasks: 100, CPUs: cpus, MemoryGB: 1, Image: "i", EstimateS: 10, DeadlineS: 14}}}, 0)
 	}
 	for i := range behind {
 		id := fmt.Sprintf("job-%d", jobs+i)
 		s.Step(JobSeen{ID: id, Stamp: uint64(jobs + i + 2), Age: 200 * time.Second, Rec: storage.Open{Spec: protocol.Spec{
-			NameId: id, Docket: "large", Crew: "red", Shape: "sweep", Urgency: "low", Pieces: 100, Vcpus: cpus, RamGb: 1, Bundle: "i", ReckonS: 10}}}, 0)
+			ID: id, Class: "large", Team: "red", Shape: "sweep", Priority: "low", Tasks: 100, CPUs: cpus, MemoryGB: 1, Image: "i", EstimateS: 10}}}, 0)
 	}
 	now := time.Duration(0)
 	have := make([][]protocol.TaskReport, machines)
 	var tally uint64
-	apply := func(m int, orders []protocol.Order) {
+	apply := func(m int, orders []protocol.Command) {
 		for _, o := range orders {
 			switch o.Verb {
-			case protocol.VerbStart:
-				have[m] = append(have[m], protocol.TaskReport{Piece: o.Piece, Try: o.Try, Standing: protocol.Running})
-			case protocol.VerbForget:
+			case protocol.CommandStart:
+				have[m] = append(have[m], protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+			case protocol.CommandForget:
 				for k := range have[m] {
-					if have[m][k].Try == o.Try {
+					if have[m][k].Attempt == o.Attempt {
 						have[m] = append(have[m][:k], have[m][k+1:]...)
 						break
 					}
@@ -89,8 +89,8 @@
 		now += 1500 * time.Millisecond / time.Duration(machines)
 		m := i % machines
 		for k := range have[m] {
-			if have[m][k].Standing == protocol.Running {
-				have[m][k].Standing, have[m][k].Cause = protocol.Ended, protocol.CauseDone
+			if have[m][k].State == protocol.Running {
+				have[m][k].State, have[m][k].Reason = protocol.Ended, protocol.ReasonDone
 				break
 			}
 		}
@@ -103,7 +103,7 @@
 }
 
 func report(m int, tally uint64, tasks []protocol.TaskReport) *protocol.Report {
-	return &protocol.Report{Rig: fmt.Sprintf("m-%06d", m), Address: "x:1", Rigkind: "s", Yard: "a", Shift: 1, Tally: tally, Baton: 1, Pieces: tasks}
+	return &protocol.Report{Machine: fmt.Sprintf("m-%06d", m), Address: "x:1", MachineType: "s", Zone: "a", Session: 1, Sequence: tally, Token: 1, Tasks: tasks}
 }
 
 // BenchmarkTakeOver is the pass in which a new leader that has just heard of all machines fills an empty fleet from a backlog of many times its size, for
@@ -147,12 +147,12 @@
 	options.Fleet.MaxMachines = machines
 	s := New(Config{Term: 1, Teams: []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}}, Workers: config.Workers{ReportS: 5, LeaseS: 27, CancelS: 47},
 		State: config.State{ValueKB: 8, TxnOps: 8}, Options: options}, 0)
-	s.Step(TypesDone{OK: true, Types: []protocol.Rigkind{{Sku: "s", Vcpus: 8, RamGb: 128, PullGbPerS: 1, Price: 1, MarketPrice: 1, StartupS: 5, Yards: []string{"a"}}}}, 0)
+	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s", CPUs: 8, MemoryGB: 128, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, 0)
 	loadUp(s, "h", upHire("s", machines, longName), 0)
 	for i := range machines / 7 {
 		s.Step(JobSeen{ID: fmt.Sprintf("job-%d", i), Stamp: uint64(i + 2), Rec: storage.Open{Spec: protocol.Spec{
-			NameId: fmt.Sprintf("job-%d", i), Docket: "c", Crew: "red", Shape: "sweep", Urgency: "standard",
-			Pieces: 150, Vcpus: 1, RamGb: 1, Bundle: "i", ReckonS: 10}}}, 0)
+			ID: fmt.Sprintf("job-%d", i), Class: "c", Team: "red", Shape: "sweep", Priority: "standard",
+			Tasks: 150, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}}}, 0)
 	}
 	s.Step(Loaded{}, 0)
 	for m := range heard {
@@ -183,8 +183,8 @@
 	for range 3 { // the fleet is filled
 		for i := range 50 {
 			for _, o := range b.report(i, tasks[i]...) {
-				if o.Verb == protocol.VerbStart {
-					tasks[i] = append(tasks[i], protocol.TaskReport{Piece: o.Piece, Try: o.Try, Standing: protocol.Running})
+				if o.Verb == protocol.CommandStart {
+					tasks[i] = append(tasks[i], protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 				}
 			}
 		}
--- a/internal/coordination/scheduler/dispatch_test.go
+++ b/internal/coordination/scheduler/dispatch_test.go
@@ -23,7 +23,7 @@
 	var under []DirectOut
 	take := func(effects []Effect) {
 		for _, e := range effects {
-			var orders []protocol.Order
+			var orders []protocol.Command
 			switch e := e.(type) {
 			case DirectOut:
 				under = append(under, e)
@@ -32,8 +32,8 @@
 				orders = e.Orders
 			}
 			for _, o := range orders {
-				if o.Verb == protocol.VerbStart {
-					starts[o.Piece]++
+				if o.Verb == protocol.CommandStart {
+					starts[o.Task]++
 				}
 			}
 		}
@@ -48,7 +48,7 @@
 	}
 	b.tally++
 	last := b.rig(machines - 1)
-	take(b.step(ReportIn{Entitled: true, Stayed: true, Report: &protocol.Report{Rig: last, Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally, Baton: 3}}))
+	take(b.step(ReportIn{Entitled: true, Stayed: true, Report: &protocol.Report{Machine: last, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}}))
 	if len(starts) != limits.DirectsMost+1 {
 		t.Errorf("%d tasks started, want one more by the answer to a report", len(starts))
 	}
@@ -56,9 +56,9 @@
 		d := under[0]
 		under = under[1:]
 		b.tally++
-		r := &protocol.Report{Rig: d.Rig, Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally, Baton: 3}
+		r := &protocol.Report{Machine: d.Rig, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
 		for _, o := range d.Orders {
-			r.Pieces = append(r.Pieces, protocol.TaskReport{Piece: o.Piece, Try: o.Try, Standing: protocol.Running})
+			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 		}
 		b.now -= 9 * time.Millisecond // all within the time in which these machines are fresh
 		take(b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: r}))
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -38,7 +38,7 @@
 type HireLoaded struct {
 	Name  string
 	Stamp uint64
-	Rec   storage.Hire
+	Rec   storage.Rental
 }
 
 // UpLoaded is a sheet of marked machines, read at the start of a term after all rentals.
@@ -98,13 +98,13 @@
 
 // ListDone is the cloud's list. Rigs is nil if it could not be read.
 type ListDone struct {
-	Rigs []protocol.Rig
+	Rigs []protocol.Machine
 	OK   bool
 }
 
 // TypesDone are the machine types.
 type TypesDone struct {
-	Types []protocol.Rigkind
+	Types []protocol.MachineType
 	OK    bool
 }
 
@@ -142,14 +142,14 @@
 	Ref      any
 	OK       bool
 	Redirect bool
-	Orders   []protocol.Order
+	Orders   []protocol.Command
 }
 
 // WriteOut changes the state service under the leader's guard, whole or not at all.
 type WriteOut struct {
 	ID     uint64
 	Bulk   bool // can wait for all others
-	Guards []protocol.Guard
+	Guards []protocol.Condition
 	Ops    []protocol.Op
 }
 
@@ -162,11 +162,11 @@
 	Rig     string
 	Address string
 	Shift   uint64
-	Orders  []protocol.Order
+	Orders  []protocol.Command
 }
 
 // HireOut sends a rental request, again and again until there is an answer.
-type HireOut struct{ Req protocol.HireRequest }
+type HireOut struct{ Req protocol.RentalRequest }
 
 // DeleteOut returns machines.
 type DeleteOut struct{ Rigs []string }
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/storage"
 )
 
-func (h *hire) request() protocol.HireRequest {
-	return protocol.HireRequest{Hire: h.name, Rigkind: h.rec.Rigkind, Yard: h.rec.Yard, Lendable: h.rec.Lendable, Number: h.rec.Number}
+func (h *hire) request() protocol.RentalRequest {
+	return protocol.RentalRequest{Name: h.name, MachineType: h.rec.MachineType, Zone: h.rec.Zone, Spot: h.rec.Spot, Count: h.rec.Count}
 }
 
 func (s *Scheduler) hireLoaded(e HireLoaded) {
@@ -23,8 +23,8 @@
 	} else {
 		s.emit(HireOut{Req: h.request()}) // repeated: the same answer, or the machines for the first time
 	}
-	for _, name := range e.Rec.Rigs {
-		s.machine(name, e.Rec.Rigkind, e.Rec.Yard, e.Rec.Lendable).hire = h.name
+	for _, name := range e.Rec.Machines {
+		s.machine(name, e.Rec.MachineType, e.Rec.Zone, e.Rec.Spot).hire = h.name
 	}
 }
 
@@ -32,9 +32,9 @@
 func (s *Scheduler) hireMachines(p pool, n int) {
 	s.hireSeq++
 	h := &hire{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.hireSeq), state: hireWriting, at: s.now,
-		rec: storage.Hire{Rigkind: p.kind, Yard: p.yard, Lendable: p.spot, Number: min(n, limits.HireMax)}}
+		rec: storage.Rental{MachineType: p.kind, Zone: p.yard, Spot: p.spot, Count: min(n, limits.HireMax)}}
 	s.hires[h.name] = h
-	s.note(false, "renting", "request", h.name, "type", p.kind, "zone", p.yard, "spot", p.spot, "count", h.rec.Number)
+	s.note(false, "renting", "request", h.name, "type", p.kind, "zone", p.yard, "spot", p.spot, "count", h.rec.Count)
 	s.writeHire(h)
 }
 
@@ -45,9 +45,9 @@
 		return
 	}
 	h.writing, h.dirty = true, false
-	key := storage.HireKey(h.name)
-	s.write(pendingWrite{kind: writeHire, hire: h.name, known: h.rec.Answered}, []protocol.Guard{{Path: key, Stamp: h.stamp}},
-		[]protocol.Op{{Write: key, Data: protocol.Encode(h.rec)}})
+	key := storage.RentalKey(h.name)
+	s.write(pendingWrite{kind: writeHire, hire: h.name, known: h.rec.Answered}, []protocol.Condition{{Key: key, Version: h.stamp}},
+		[]protocol.Op{{Put: key, Value: protocol.Encode(h.rec)}})
 }
 
 func (s *Scheduler) hireWritten(p pendingWrite, ok bool, rev uint64) {
@@ -64,7 +64,7 @@
 	h.stamp = rev
 	if p.known && !h.known {
 		h.known = true
-		for _, name := range h.rec.Rigs {
+		for _, name := range h.rec.Machines {
 			if m := s.machines[name]; m != nil && m.seen {
 				s.markUp(m) // it was up before its rental's record was written
 			}
@@ -81,7 +81,7 @@
 func (s *Scheduler) keepHire(h *hire) {
 	switch {
 	case h.writing || h.stamp == 0:
-	case h.state == hireAnswered && len(h.rec.Rigs) == 0:
+	case h.state == hireAnswered && len(h.rec.Machines) == 0:
 		s.removeHire(h)
 	case h.dirty && h.state != hireRemoving:
 		s.writeHire(h)
@@ -90,15 +90,15 @@
 
 func (s *Scheduler) removeHire(h *hire) {
 	h.state = hireRemoving
-	key := storage.HireKey(h.name)
-	s.write(pendingWrite{kind: writeHireRemove, hire: h.name}, []protocol.Guard{{Path: key, Stamp: h.stamp}},
-		[]protocol.Op{{Remove: key}})
+	key := storage.RentalKey(h.name)
+	s.write(pendingWrite{kind: writeHireRemove, hire: h.name}, []protocol.Condition{{Key: key, Version: h.stamp}},
+		[]protocol.Op{{Delete: key}})
 }
 
 // cover makes a record for a machine that no rental of ours accounts for.
 func (s *Scheduler) cover(m *machine) {
 	h := &hire{name: "found-" + m.name, state: hireAnswered, at: s.now,
-		rec: storage.Hire{Rigkind: m.kind, Yard: m.yard, Lendable: m.spot, Answered: true, Rigs: []string{m.name}}}
+		rec: storage.Rental{MachineType: m.kind, Zone: m.yard, Spot: m.spot, Answered: true, Machines: []string{m.name}}}
 	if s.hires[h.name] != nil {
 		return // its last record is just being removed; the next report tries again
 	}
@@ -113,7 +113,7 @@
 	if h == nil || h.state != hireAsking {
 		return
 	}
-	p := pool{h.rec.Rigkind, h.rec.Yard, h.rec.Lendable}
+	p := pool{h.rec.MachineType, h.rec.Zone, h.rec.Spot}
 	switch {
 	case e.NoCapacity:
 		s.refuse(p)
@@ -125,7 +125,7 @@
 		s.emit(HireOut{Req: h.request()})
 		return
 	}
-	if len(e.Rigs) < h.rec.Number {
+	if len(e.Rigs) < h.rec.Count {
 		s.refuse(p)
 		s.planAt = 0 // the rest is asked for elsewhere at once
 	} else if st := s.pools[p]; st != nil {
@@ -135,7 +135,7 @@
 	h.state, h.dirty = hireAnswered, true
 	h.rec.Answered = true
 	for _, name := range e.Rigs {
-		if s.gone[name] || slices.Contains(h.rec.Rigs, name) {
+		if s.gone[name] || slices.Contains(h.rec.Machines, name) {
 			continue
 		}
 		known := s.machines[name]
@@ -145,7 +145,7 @@
 		}
 		if m.hire == "" {
 			m.hire = h.name
-			h.rec.Rigs = append(h.rec.Rigs, name)
+			h.rec.Machines = append(h.rec.Machines, name)
 		}
 	}
 	s.dirty = true
@@ -178,8 +178,8 @@
 	s.kinds = s.kinds[:0]
 	for i := range e.Types {
 		t := e.Types[i]
-		s.types[t.Sku] = &t
-		s.kinds = append(s.kinds, t.Sku)
+		s.types[t.Name] = &t
+		s.kinds = append(s.kinds, t.Name)
 	}
 	sort.Strings(s.kinds)
 	for _, m := range s.fleet {
@@ -198,19 +198,19 @@
 	in := make(map[string]bool, len(e.Rigs))
 	for i := range e.Rigs {
 		r := &e.Rigs[i]
-		in[r.NameId] = true
-		if s.gone[r.NameId] {
+		in[r.Name] = true
+		if s.gone[r.Name] {
 			continue
 		}
-		m := s.machines[r.NameId]
+		m := s.machines[r.Name]
 		if m == nil {
 			if r.AgeS < (3 * s.cfg.ListLag).Seconds() {
 				continue // perhaps the answer to a rental of ours is on its way
 			}
-			if s.now >= s.took+limits.WaitOut(s.lease) && r.Standing != protocol.RigRunning {
+			if s.now >= s.took+limits.WaitOut(s.lease) && r.State != protocol.MachineRunning {
 				continue
 			}
-			m = s.machine(r.NameId, r.Rigkind, r.Yard, r.Lendable)
+			m = s.machine(r.Name, r.MachineType, r.Zone, r.Spot)
 			m.created = s.now - limits.Seconds(r.AgeS)
 			s.cover(m)
 		}
@@ -221,7 +221,7 @@
 		if m.addr == "" {
 			m.addr = r.Address
 		}
-		if r.Standing == protocol.RigFailed {
+		if r.State == protocol.MachineFailed {
 			s.remove(m, "failed")
 		}
 	}
@@ -404,7 +404,7 @@
 		case !m.seen:
 			patience := limits.BootPatienceMin
 			if m.typ != nil {
-				patience = max(patience, time.Duration(limits.BootPatience*float64(limits.Seconds(m.typ.StartupS))))
+				patience = max(patience, time.Duration(limits.BootPatience*float64(limits.Seconds(m.typ.BootS))))
 			}
 			if s.now > max(m.created, s.took)+patience {
 				s.remove(m, "never came up")
--- a/internal/coordination/scheduler/inspect.go
+++ b/internal/coordination/scheduler/inspect.go
@@ -98,7 +98,7 @@
 	if j == nil {
 		return []string{"not among the open jobs of this term"}
 	}
-	out := []string{fmt.Sprintf("%d of %d tasks done, %d on machines, %d waiting", j.doneN, j.spec.Pieces, len(j.bound), j.free())}
+	out := []string{fmt.Sprintf("%d of %d tasks done, %d on machines, %d waiting", j.doneN, j.spec.Tasks, len(j.bound), j.free())}
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	switch {
 	case j.cancelled:
@@ -114,7 +114,7 @@
 		add("failed on %d machines with no success between; tried again in %v", len(j.failOn), (j.resume - s.now).Round(time.Second))
 	}
 	if !j.team.fits(j.need) {
-		add("team %s uses %v of at most %v CPUs", j.spec.Crew, j.team.used.cpu, j.team.cfg.CPUsMax)
+		add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.used.cpu, j.team.cfg.CPUsMax)
 	}
 	usable, allowed, room := 0, 0, 0
 	for _, m := range s.fleet {
--- a/internal/coordination/scheduler/marks.go
+++ b/internal/coordination/scheduler/marks.go
@@ -42,7 +42,7 @@
 		return
 	}
 	m.mark = marking
-	u := storage.Up{Rig: m.name, Address: m.addr}
+	u := storage.Up{Machine: m.name, Address: m.addr}
 	size := storage.Size(u) + limits.SheetFrame
 	if full := s.sheet; full == nil || float64(full.size+size) > s.cfg.State.ValueKB*1024 {
 		s.sheetSeq++
@@ -54,7 +54,7 @@
 	}
 	s.sheet.size += size
 	m.sheet = s.sheet
-	m.sheet.rec.Rigs = append(m.sheet.rec.Rigs, u)
+	m.sheet.rec.Machines = append(m.sheet.rec.Machines, u)
 	m.sheet.live++
 	m.sheet.dirty = true
 	s.marksDirty = true
@@ -74,8 +74,8 @@
 		}
 		x.dirty, x.writing = false, true
 		key := storage.UpKey(x.name)
-		s.write(pendingWrite{kind: writeUps, sheet: x, n: len(x.rec.Rigs)}, []protocol.Guard{{Path: key, Stamp: x.stamp}},
-			[]protocol.Op{{Write: key, Data: protocol.Encode(x.rec)}})
+		s.write(pendingWrite{kind: writeUps, sheet: x, n: len(x.rec.Machines)}, []protocol.Condition{{Key: key, Version: x.stamp}},
+			[]protocol.Op{{Put: key, Value: protocol.Encode(x.rec)}})
 	}
 }
 
@@ -88,8 +88,8 @@
 		return
 	}
 	x.stamp = rev
-	for _, u := range x.rec.Rigs[:p.n] {
-		if m := s.machines[u.Rig]; m != nil && m.mark == marking {
+	for _, u := range x.rec.Machines[:p.n] {
+		if m := s.machines[u.Machine]; m != nil && m.mark == marking {
 			m.mark = marked
 			s.owe(m)
 		}
@@ -112,7 +112,7 @@
 	}
 	if x.stamp != 0 {
 		key := storage.UpKey(x.name)
-		s.write(pendingWrite{kind: writeUpsRemove, sheet: x}, []protocol.Guard{{Path: key, Stamp: x.stamp}}, []protocol.Op{{Remove: key}})
+		s.write(pendingWrite{kind: writeUpsRemove, sheet: x}, []protocol.Condition{{Key: key, Version: x.stamp}}, []protocol.Op{{Delete: key}})
 	}
 	s.sheets = slices.DeleteFunc(s.sheets, func(y *sheet) bool { return y == x })
 }
@@ -121,8 +121,8 @@
 func (s *Scheduler) upLoaded(e UpLoaded) {
 	x := &sheet{name: e.Name, rec: e.Rec, stamp: e.Stamp}
 	s.sheets = append(s.sheets, x)
-	for _, u := range e.Rec.Rigs {
-		if m := s.machines[u.Rig]; m != nil && m.sheet == nil {
+	for _, u := range e.Rec.Machines {
+		if m := s.machines[u.Machine]; m != nil && m.sheet == nil {
 			m.mark, m.addr, m.sheet = marked, u.Address, x
 			x.live++
 		}
--- a/internal/coordination/scheduler/model.go
+++ b/internal/coordination/scheduler/model.go
@@ -103,7 +103,7 @@
 type job struct {
 	id         string
 	spec       protocol.Spec
-	urgency    protocol.Urgency
+	urgency    protocol.Priority
 	team       *team
 	class      *class
 	need       room
@@ -135,7 +135,7 @@
 	pressAgain time.Duration // it looks for tasks to stop not before; see Scheduler.pressAgain
 }
 
-func (j *job) free() int { return j.spec.Pieces - j.doneN - len(j.bound) }
+func (j *job) free() int { return j.spec.Tasks - j.doneN - len(j.bound) }
 
 func getBit(b []uint64, i int) bool { return b[i/64]>>(i%64)&1 != 0 }
 func setBit(b []uint64, i int)      { b[i/64] |= 1 << (i % 64) }
@@ -149,13 +149,13 @@
 			continue
 		}
 		i := w*64 + bits.TrailingZeros64(open)
-		if i >= j.spec.Pieces {
+		if i >= j.spec.Tasks {
 			break
 		}
 		j.cursor = i
 		return i
 	}
-	j.cursor = j.spec.Pieces
+	j.cursor = j.spec.Tasks
 	return -1
 }
 
@@ -170,7 +170,7 @@
 // estimate is how long a task of the job is expected to run. The tasks that are done weigh against those on machines, which count as what is
 // known of the class: the first to be done are the shortest, and alone they would make the rest look short.
 func (j *job) estimate() float64 {
-	prior := j.spec.ReckonS * j.class.ratio
+	prior := j.spec.EstimateS * j.class.ratio
 	open := float64(len(j.bound) + limits.PriorTasks)
 	return max((j.runSum+prior*open)/(float64(j.runN)+open), limits.ShortestRun)
 }
@@ -199,26 +199,26 @@
 type machine struct {
 	name, addr, kind, yard string
 	spot                   bool
-	typ                    *protocol.Rigkind
+	typ                    *protocol.MachineType
 
 	seen       bool // we have its task list in our term
 	fenced     bool // its worker has seen our term, so no earlier leader can add tasks
 	shift      uint64
-	tally      uint64           // of the newest task list, from a report or a direct command
-	reportNo   uint64           // tally of the newest report
-	answered   []protocol.Order // what the newest report was answered with
-	proven     bool             // a round trip was seen since there was last reason to doubt it: answers reach the machine
-	doubt      time.Duration    // since when it is not proven
-	direct     bool             // has reported to us itself in our term
-	relayed    bool             // its last report came through another controller
-	relayFrom  time.Duration    // when that began
-	redirected bool             // was told once to come itself
-	misses     int              // probes that it did not answer in our term
-	directID   uint64           // a direct command that is not answered yet
-	mute       time.Duration    // no direct commands before this
-	deadShift  uint64           // sessions up to this one are surely over
-	heard      time.Duration    // arrival of the last report
-	leaseBase  time.Duration    // the session is over WaitOut(lease) after this, if we answer no more
+	tally      uint64             // of the newest task list, from a report or a direct command
+	reportNo   uint64             // tally of the newest report
+	answered   []protocol.Command // what the newest report was answered with
+	proven     bool               // a round trip was seen since there was last reason to doubt it: answers reach the machine
+	doubt      time.Duration      // since when it is not proven
+	direct     bool               // has reported to us itself in our term
+	relayed    bool               // its last report came through another controller
+	relayFrom  time.Duration      // when that began
+	redirected bool               // was told once to come itself
+	misses     int                // probes that it did not answer in our term
+	directID   uint64             // a direct command that is not answered yet
+	mute       time.Duration      // no direct commands before this
+	deadShift  uint64             // sessions up to this one are surely over
+	heard      time.Duration      // arrival of the last report
+	leaseBase  time.Duration      // the session is over WaitOut(lease) after this, if we answer no more
 	notice     bool
 	noticeEnd  time.Duration
 
@@ -256,7 +256,7 @@
 }
 
 // sizeOf is what a machine of a type has.
-func sizeOf(t *protocol.Rigkind) room { return room{t.Vcpus, t.Accelerators, t.RamGb} }
+func sizeOf(t *protocol.MachineType) room { return room{t.CPUs, t.Accelerators, t.MemoryGB} }
 
 func (m *machine) size() room {
 	if m.typ == nil {
@@ -281,9 +281,9 @@
 func (m *machine) perCPU() float64 { return m.price() / max(m.size().cpu, 1) }
 
 // priceOf is what a machine of a type costs an hour.
-func priceOf(t *protocol.Rigkind, spot bool) float64 {
+func priceOf(t *protocol.MachineType, spot bool) float64 {
 	if spot {
-		return t.MarketPrice
+		return t.SpotPrice
 	}
 	return t.Price
 }
@@ -302,7 +302,7 @@
 
 type hire struct {
 	name    string
-	rec     storage.Hire
+	rec     storage.Rental
 	stamp   uint64
 	state   hireState
 	at      time.Duration
@@ -352,7 +352,7 @@
 	classes  map[string]*class
 	machines map[string]*machine
 	fleet    []*machine // by name
-	types    map[string]*protocol.Rigkind
+	types    map[string]*protocol.MachineType
 	kinds    []string // names of types, sorted
 	hires    map[string]*hire
 	pools    map[pool]*poolState
@@ -413,7 +413,7 @@
 		teams:    map[string]*team{},
 		classes:  map[string]*class{},
 		machines: map[string]*machine{},
-		types:    map[string]*protocol.Rigkind{},
+		types:    map[string]*protocol.MachineType{},
 		hires:    map[string]*hire{},
 		pools:    map[pool]*poolState{},
 		writes:   map[uint64]pendingWrite{},
@@ -474,14 +474,14 @@
 		}
 	}
 	if h := s.hires[m.hire]; h != nil {
-		h.rec.Rigs = slices.DeleteFunc(h.rec.Rigs, func(n string) bool { return n == m.name })
+		h.rec.Machines = slices.DeleteFunc(h.rec.Machines, func(n string) bool { return n == m.name })
 		h.dirty = true
 	}
 }
 
 // bind ties a task to a machine's present session.
 func (s *Scheduler) bind(j *job, idx int, m *machine, try uint64, ph phase) *binding {
-	b := &binding{j: j, idx: idx, piece: protocol.PieceName(j.id, idx), try: try, m: m, phase: ph, at: s.now}
+	b := &binding{j: j, idx: idx, piece: protocol.TaskName(j.id, idx), try: try, m: m, phase: ph, at: s.now}
 	j.bound[idx] = b
 	s.owe(m)
 	setBit(j.busy, idx)
@@ -498,7 +498,7 @@
 	delete(j.bound, b.idx)
 	clearBit(j.busy, b.idx)
 	j.cursor = min(j.cursor, b.idx)
-	delete(m.binds, protocol.PieceName(j.id, b.idx))
+	delete(m.binds, protocol.TaskName(j.id, b.idx))
 	m.used = m.used.minus(j.need)
 	j.team.used = j.team.used.minus(j.need)
 	if b.stop {
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -69,38 +69,38 @@
 		Teams:      []config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 20, CPUsMax: 70}},
 		Objectives: []config.Objective{{Kind: "deadline", Class: "x", Times: 1}, {Kind: "finished", Class: "y", WithinS: 40}},
 		Options:    config.DefaultOptions()}, now)
-	s.Step(TypesDone{OK: true, Types: []protocol.Rigkind{
-		{Sku: "s4", Vcpus: 4, RamGb: 16, PullGbPerS: 1, Price: 1, MarketPrice: 0.4, StartupS: 8, Yards: []string{"a", "b"}},
-		{Sku: "b8", Vcpus: 8, RamGb: 32, PullGbPerS: 1, Price: 2, MarketPrice: 0.8, StartupS: 12, Yards: []string{"a", "b"}}}}, now)
+	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{
+		{Name: "s4", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8, Zones: []string{"a", "b"}},
+		{Name: "b8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 0.8, BootS: 12, Zones: []string{"a", "b"}}}}, now)
 	var rigs []*protocol.Report
 	for i := range 3 + r.IntN(14) {
-		g := &protocol.Report{Rig: fmt.Sprintf("m-%03d", i), Address: "x:1", Rigkind: pick("s4", "b8"), Yard: pick("a", "b"), Lendable: r.IntN(2) == 0, Shift: 1, Tally: 1, Baton: 1}
-		loadUp(s, "h"+g.Rig, storage.Hire{Rigkind: g.Rigkind, Yard: g.Yard, Lendable: g.Lendable, Number: 1, Answered: true, Rigs: []string{g.Rig}}, now)
+		g := &protocol.Report{Machine: fmt.Sprintf("m-%03d", i), Address: "x:1", MachineType: pick("s4", "b8"), Zone: pick("a", "b"), Spot: r.IntN(2) == 0, Session: 1, Sequence: 1, Token: 1}
+		loadUp(s, "h"+g.Machine, storage.Rental{MachineType: g.MachineType, Zone: g.Zone, Spot: g.Spot, Count: 1, Answered: true, Machines: []string{g.Machine}}, now)
 		rigs = append(rigs, g)
 	}
 	used := map[string]float64{}
 	for i := range 2 + r.IntN(14) {
-		sp := protocol.Spec{NameId: fmt.Sprintf("job-%d", i), Docket: pick("x", "y", "z"), Crew: pick("red", "blue"), Shape: "sweep",
-			Urgency: pick("low", "standard", "high"), Pieces: 1 + r.IntN(12), Vcpus: float64(r.IntN(5)), RamGb: float64(1 + r.IntN(6)),
-			Yard: pick("", "", "", "a"), Together: r.IntN(6) == 0, Scatter: r.IntN(6) == 0, Lendable: r.IntN(3) > 0, Bundle: pick("i", "k"), SizeGb: 2,
-			ReckonS: float64(2 + r.IntN(10)), DueS: float64(10 + r.IntN(30))}
-		if sp.Together {
-			sp.Scatter = false
+		sp := protocol.Spec{ID: fmt.Sprintf("job-%d", i), Class: pick("x", "y", "z"), Team: pick("red", "blue"), Shape: "sweep",
+			Priority: pick("low", "standard", "high"), Tasks: 1 + r.IntN(12), CPUs: float64(r.IntN(5)), MemoryGB: float64(1 + r.IntN(6)),
+			Zone: pick("", "", "", "a"), SameZone: r.IntN(6) == 0, SpreadZones: r.IntN(6) == 0, Spot: r.IntN(3) > 0, Image: pick("i", "k"), ImageGB: 2,
+			EstimateS: float64(2 + r.IntN(10)), DeadlineS: float64(10 + r.IntN(30))}
+		if sp.SameZone {
+			sp.SpreadZones = false
 		}
 		if r.IntN(5) == 0 {
-			sp.Rigkinds = []string{"b8"}
+			sp.MachineTypes = []string{"b8"}
 		}
-		s.Step(JobSeen{ID: sp.NameId, Stamp: uint64(100 + i), Rec: storage.Open{Spec: sp}, Age: time.Duration(r.IntN(30)+r.IntN(2)*r.IntN(200)) * time.Second}, now)
-		for t := range min(sp.Pieces, r.IntN(8)) { // some of its tasks run already
+		s.Step(JobSeen{ID: sp.ID, Stamp: uint64(100 + i), Rec: storage.Open{Spec: sp}, Age: time.Duration(r.IntN(30)+r.IntN(2)*r.IntN(200)) * time.Second}, now)
+		for t := range min(sp.Tasks, r.IntN(8)) { // some of its tasks run already
 			g := rigs[r.IntN(len(rigs))]
-			if size := s.types[g.Rigkind].Vcpus; used[g.Rig]+sp.Vcpus <= size {
-				used[g.Rig] += sp.Vcpus
-				g.Pieces = append(g.Pieces, protocol.TaskReport{Piece: protocol.PieceName(sp.NameId, t), Try: 1, Standing: protocol.Running})
+			if size := s.types[g.MachineType].CPUs; used[g.Machine]+sp.CPUs <= size {
+				used[g.Machine] += sp.CPUs
+				g.Tasks = append(g.Tasks, protocol.TaskReport{Task: protocol.TaskName(sp.ID, t), Attempt: 1, State: protocol.Running})
 			}
 		}
 	}
 	for _, g := range rigs {
-		s.machine(g.Rig, "", "", false).mark = marked
+		s.machine(g.Machine, "", "", false).mark = marked
 		s.Step(ReportIn{Report: g, Entitled: true}, now)
 	}
 	s.now = time.Duration(r.IntN(6)) * time.Second
@@ -163,7 +163,7 @@
 		Teams:      []config.Team{{Name: "red", CPUs: 40, CPUsMax: 1000}, {Name: "blue", CPUs: 40, CPUsMax: 1000}},
 		Objectives: []config.Objective{{Kind: "deadline", Class: "small", Times: 1}, {Kind: "wait", Class: "large", WithinS: 70}},
 		Options:    config.DefaultOptions()}, now)
-	s.Step(TypesDone{OK: true, Types: []protocol.Rigkind{{Sku: "s", Vcpus: cpus, RamGb: 64, PullGbPerS: 1, Price: 1, MarketPrice: 1, StartupS: 5, Yards: []string{"a"}}}}, now)
+	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s", CPUs: cpus, MemoryGB: 64, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, now)
 	h := upHire("s", machines, longName)
 	loadUp(s, "h", h, now)
 	s.Step(Loaded{}, now)
@@ -177,34 +177,34 @@
 	at, begun := map[string]time.Duration{}, map[string]time.Duration{}
 	done := map[string]int{}
 	var tally, stamp uint64
-	apply := func(m int, orders []protocol.Order) {
+	apply := func(m int, orders []protocol.Command) {
 		for _, o := range orders {
 			for k := 0; k < len(have[m]); k++ {
-				if x := &have[m][k]; x.Try == o.Try {
+				if x := &have[m][k]; x.Attempt == o.Attempt {
 					switch o.Verb {
-					case protocol.VerbStop:
-						x.Standing, x.Cause = protocol.Ended, protocol.CauseHalted
-					case protocol.VerbForget:
+					case protocol.CommandStop:
+						x.State, x.Reason = protocol.Ended, protocol.ReasonHalted
+					case protocol.CommandForget:
 						have[m] = slices.Delete(have[m], k, k+1)
 						k--
 					}
 				}
 			}
-			if o.Verb == protocol.VerbStart {
-				id, _, _ := protocol.ParsePiece(o.Piece)
+			if o.Verb == protocol.CommandStart {
+				id, _, _ := protocol.ParseTaskName(o.Task)
 				if _, ok := begun[id]; !ok {
 					begun[id] = now
 				}
-				have[m] = append(have[m], task{protocol.TaskReport{Piece: o.Piece, Try: o.Try, Standing: protocol.Running},
-					now + time.Duration(specs[id].ReckonS*(0.7+0.6*r.Float64())*float64(time.Second))})
+				have[m] = append(have[m], task{protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running},
+					now + time.Duration(specs[id].EstimateS*(0.7+0.6*r.Float64())*float64(time.Second))})
 			}
 		}
 	}
 	report := func(m int) *protocol.Report {
 		tally++
-		g := &protocol.Report{Rig: h.Rigs[m], Address: "x:1", Rigkind: "s", Yard: "a", Shift: 1, Tally: tally, Baton: 1}
+		g := &protocol.Report{Machine: h.Machines[m], Address: "x:1", MachineType: "s", Zone: "a", Session: 1, Sequence: tally, Token: 1}
 		for _, x := range have[m] {
-			g.Pieces = append(g.Pieces, x.TaskReport)
+			g.Tasks = append(g.Tasks, x.TaskReport)
 		}
 		return g
 	}
@@ -215,7 +215,7 @@
 			case ReplyOut:
 				apply(eff.Ref.(int), eff.Orders)
 			case DirectOut:
-				m := slices.Index(h.Rigs, eff.Rig)
+				m := slices.Index(h.Machines, eff.Rig)
 				apply(m, eff.Orders)
 				step(DirectDone{ID: eff.ID, Rig: eff.Rig, Report: report(m)})
 			case WriteOut:
@@ -226,23 +226,23 @@
 	}
 	submit := func(sp protocol.Spec) {
 		stamp++
-		sp.NameId, sp.Shape, sp.RamGb, sp.Bundle = fmt.Sprintf("job-%06d", stamp), "sweep", 1, "i"
-		specs[sp.NameId], at[sp.NameId] = sp, now
-		step(JobSeen{ID: sp.NameId, Stamp: stamp, Rec: storage.Open{Spec: sp}})
+		sp.ID, sp.Shape, sp.MemoryGB, sp.Image = fmt.Sprintf("job-%06d", stamp), "sweep", 1, "i"
+		specs[sp.ID], at[sp.ID] = sp, now
+		step(JobSeen{ID: sp.ID, Stamp: stamp, Rec: storage.Open{Spec: sp}})
 	}
 	for ; now < day; now += 500 * time.Millisecond {
 		// Small urgent work alone asks for a third more than there is; it goes to both teams.
 		if r.Float64() < 0.5*float64(machines*cpus)*1.3/(12*4*10) {
-			submit(protocol.Spec{Docket: "small", Crew: []string{"red", "blue"}[r.IntN(2)], Urgency: "high", Pieces: 6 + r.IntN(12), Vcpus: 4, ReckonS: 10, DueS: 40})
+			submit(protocol.Spec{Class: "small", Team: []string{"red", "blue"}[r.IntN(2)], Priority: "high", Tasks: 6 + r.IntN(12), CPUs: 4, EstimateS: 10, DeadlineS: 40})
 		}
 		if now%(60*time.Second) == 0 {
-			submit(protocol.Spec{Docket: "large", Crew: "blue", Urgency: "standard", Pieces: 10 + r.IntN(30), Vcpus: 8, ReckonS: 20})
+			submit(protocol.Spec{Class: "large", Team: "blue", Priority: "standard", Tasks: 10 + r.IntN(30), CPUs: 8, EstimateS: 20})
 		}
 		for m := range have {
 			for k := range have[m] {
-				if x := &have[m][k]; x.Standing == protocol.Running && now >= x.ends {
-					x.Standing, x.Cause = protocol.Ended, protocol.CauseDone
-					id, _, _ := protocol.ParsePiece(x.Piece)
+				if x := &have[m][k]; x.State == protocol.Running && now >= x.ends {
+					x.State, x.Reason = protocol.Ended, protocol.ReasonDone
+					id, _, _ := protocol.ParseTaskName(x.Task)
 					done[id]++
 				}
 			}
@@ -256,28 +256,28 @@
 	served := map[string]*share{}
 	var sizes []int
 	for _, sp := range specs {
-		if sp.Docket == "large" {
-			sizes = append(sizes, sp.Pieces)
+		if sp.Class == "large" {
+			sizes = append(sizes, sp.Tasks)
 		}
 	}
 	slices.Sort(sizes)
 	for id, sp := range specs {
 		age := day - at[id]
-		if b, ok := begun[id]; sp.Docket == "large" && age > 4*time.Minute && (!ok || b-at[id] > 4*time.Minute) {
-			t.Errorf("seed %d: %s with %d tasks began after %v (%v)", seed, id, sp.Pieces, b-at[id], ok)
+		if b, ok := begun[id]; sp.Class == "large" && age > 4*time.Minute && (!ok || b-at[id] > 4*time.Minute) {
+			t.Errorf("seed %d: %s with %d tasks began after %v (%v)", seed, id, sp.Tasks, b-at[id], ok)
 		}
 		if age < 8*time.Minute {
 			continue
 		}
-		kinds := []string{"class " + sp.Docket, "team " + sp.Crew}
-		if sp.Docket == "large" && sp.Pieces >= sizes[len(sizes)*2/3] { // a third of them
+		kinds := []string{"class " + sp.Class, "team " + sp.Team}
+		if sp.Class == "large" && sp.Tasks >= sizes[len(sizes)*2/3] { // a third of them
 			kinds = append(kinds, "largest")
 		}
 		for _, k := range kinds {
 			if served[k] == nil {
 				served[k] = &share{}
 			}
-			served[k].due += float64(sp.Pieces)
+			served[k].due += float64(sp.Tasks)
 			served[k].done += float64(done[id])
 		}
 	}
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -32,7 +32,7 @@
 type request struct {
 	need     room
 	team     *team
-	urgency  protocol.Urgency
+	urgency  protocol.Priority
 	guar     bool
 	spot     bool
 	pressing bool
@@ -80,7 +80,7 @@
 	size  int // of the number of tasks, in bits
 }
 
-func (j *job) group() group { return group{j.class, j.team, bits.Len(uint(j.spec.Pieces))} }
+func (j *job) group() group { return group{j.class, j.team, bits.Len(uint(j.spec.Tasks))} }
 
 // service is how many tasks of a group's jobs should have been started by now, and how many of these were.
 type service struct{ due, got int }
@@ -93,7 +93,7 @@
 		return 0
 	}
 	share := float64(age-limits.AgeRest) / float64(limits.AgeSpan)
-	return max(1, int(math.Ceil(min(share, 1)*float64(j.spec.Pieces))))
+	return max(1, int(math.Ceil(min(share, 1)*float64(j.spec.Tasks))))
 }
 
 // behind is how many tasks a job gets before all others: the first if it has not begun, else what it is behind with while its group is served badly.
@@ -209,8 +209,8 @@
 // placeJob places up to n of a job's tasks.
 func (s *Scheduler) placeJob(j *job, n int) {
 	p := &s.pass
-	ask := request{j.need, j.team, j.urgency, j.guar, j.spec.Lendable, s.pressing(j)}
-	common := j.spec.Yard == "" && len(j.spec.Rigkinds) == 0 && !j.spec.Together && !j.spec.Scatter && len(j.failOn) == 0
+	ask := request{j.need, j.team, j.urgency, j.guar, j.spec.Spot, s.pressing(j)}
+	common := j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && !j.spec.SameZone && !j.spec.SpreadZones && len(j.failOn) == 0
 	if ask.pressing && (s.now < j.pressAgain || (common && s.now < s.pressAgain[ask])) {
 		ask.pressing = false
 	}
@@ -250,7 +250,7 @@
 		if len(victims) > 0 || borrowed != j.team.borrows() {
 			clear(p.refused) // others may find room, or tasks to stop, that were not there before
 		}
-		if j.spec.Together || j.spec.Scatter {
+		if j.spec.SameZone || j.spec.SpreadZones {
 			sh = s.candidates(j, pressing) // where the others may go depends on where this one went
 			continue
 		}
@@ -269,7 +269,7 @@
 	}
 	const eps = limits.Epsilon
 	for _, j := range s.queue {
-		n := float64(j.spec.Pieces - j.doneN)
+		n := float64(j.spec.Tasks - j.doneN)
 		if j.cancelled {
 			n = 0
 		}
@@ -371,16 +371,16 @@
 }
 
 func (s *Scheduler) allows(j *job, kind, yard string, spot bool) bool {
-	if spot && !j.spec.Lendable {
+	if spot && !j.spec.Spot {
 		return false
 	}
-	if j.spec.Yard != "" && j.spec.Yard != yard {
+	if j.spec.Zone != "" && j.spec.Zone != yard {
 		return false
 	}
 	if !kindAllowed(&j.spec, kind) {
 		return false
 	}
-	if j.spec.Together || j.spec.Scatter {
+	if j.spec.SameZone || j.spec.SpreadZones {
 		here, total := 0, 0
 		for _, b := range j.bound {
 			total++
@@ -388,10 +388,10 @@
 				here++
 			}
 		}
-		if j.spec.Together && here < total {
+		if j.spec.SameZone && here < total {
 			return false
 		}
-		if j.spec.Scatter && here >= (j.spec.Pieces+1)/2 {
+		if j.spec.SpreadZones && here >= (j.spec.Tasks+1)/2 {
 			return false
 		}
 	}
@@ -440,8 +440,8 @@
 			}
 		}
 	}
-	if _, ok := m.images[j.spec.Bundle]; !ok {
-		c.scores[weighImage] = -j.spec.SizeGb / max(m.typ.PullGbPerS, limits.SlowestPull)
+	if _, ok := m.images[j.spec.Image]; !ok {
+		c.scores[weighImage] = -j.spec.ImageGB / max(m.typ.FetchGBPerS, limits.SlowestPull)
 	}
 	left := free.minus(j.need)
 	c.scores[weighPack] = -left.cpu
@@ -501,9 +501,9 @@
 	if b.phase == running {
 		ran = (s.now - b.runAt).Seconds()
 	}
-	if b.j.spec.BookmarkS > 0 {
-		for ran > b.j.spec.BookmarkS {
-			ran -= b.j.spec.BookmarkS
+	if b.j.spec.CheckpointS > 0 {
+		for ran > b.j.spec.CheckpointS {
+			ran -= b.j.spec.CheckpointS
 		}
 	}
 	return (ran + 1) * b.j.need.cpu * (1 + s.cfg.Options.Preemption.RestartWeight*float64(b.j.stops[b.idx]))
@@ -591,19 +591,19 @@
 
 // kindAllowed tells whether a job may use machines of a type.
 func kindAllowed(spec *protocol.Spec, kind string) bool {
-	return len(spec.Rigkinds) == 0 || slices.Contains(spec.Rigkinds, kind)
+	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, kind)
 }
 
 // kindFits tells whether some allowed type can hold a task of the job.
-func kindFits(spec *protocol.Spec, types []protocol.Rigkind) bool {
-	need := room{spec.Vcpus, spec.Accelerators, spec.RamGb}
+func kindFits(spec *protocol.Spec, types []protocol.MachineType) bool {
+	need := room{spec.CPUs, spec.Accelerators, spec.MemoryGB}
 	for i := range types {
 		t := &types[i]
-		ok := kindAllowed(spec, t.Sku)
-		if spec.Yard != "" {
+		ok := kindAllowed(spec, t.Name)
+		if spec.Zone != "" {
 			in := false
-			for _, y := range t.Yards {
-				in = in || y == spec.Yard
+			for _, y := range t.Zones {
+				in = in || y == spec.Zone
 			}
 			ok = ok && in
 		}
@@ -615,6 +615,6 @@
 }
 
 // Runnable tells whether a job could ever run: a task fits some allowed type, and its team's limit.
-func Runnable(spec *protocol.Spec, types []protocol.Rigkind, cpusMax, gpusMax float64) bool {
-	return kindFits(spec, types) && spec.Vcpus <= cpusMax && spec.Accelerators <= gpusMax
+func Runnable(spec *protocol.Spec, types []protocol.MachineType, cpusMax, gpusMax float64) bool {
+	return kindFits(spec, types) && spec.CPUs <= cpusMax && spec.Accelerators <= gpusMax
 }
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -16,7 +16,7 @@
 type offer struct {
 	m     *machine
 	p     pool
-	typ   *protocol.Rigkind
+	typ   *protocol.MachineType
 	ready float64 // seconds until it can start a task
 	used  float64 // CPUs in use or promised, also by tasks that start one after the other
 	load  float64 // CPU seconds that these still take
@@ -39,8 +39,8 @@
 		o := &offer{m: m, p: pool{m.kind, m.yard, m.spot}, typ: m.typ}
 		if !m.seen {
 			age := (s.now - m.created).Seconds()
-			if o.ready = m.typ.StartupS*limits.BootReckon - age; o.ready < 0 {
-				if age > limits.BootHope*m.typ.StartupS {
+			if o.ready = m.typ.BootS*limits.BootReckon - age; o.ready < 0 {
+				if age > limits.BootHope*m.typ.BootS {
 					continue // it may never come up; plan without it
 				}
 				o.ready = 2
@@ -63,9 +63,9 @@
 	asked := map[pool]int{}
 	for _, h := range s.hires {
 		if h.pending() {
-			total += h.rec.Number
+			total += h.rec.Count
 			calls--
-			asked[pool{h.rec.Rigkind, h.rec.Yard, h.rec.Lendable}]++
+			asked[pool{h.rec.MachineType, h.rec.Zone, h.rec.Spot}]++
 		}
 	}
 	// may is how many machines a pool may be asked for now. What is left of a pool is not known, and each refusal costs a call of the cloud's rate: pools of like
@@ -133,7 +133,7 @@
 // perCPU is what a CPU of a pool costs an hour.
 func (s *Scheduler) perCPU(p pool) float64 {
 	t := s.types[p.kind]
-	return priceOf(t, p.spot) / max(t.Vcpus, 1)
+	return priceOf(t, p.spot) / max(t.CPUs, 1)
 }
 
 // cheapPools is how many pools cost about as little as the cheapest.
@@ -141,8 +141,8 @@
 	low, n := math.Inf(1), 0
 	var costs []float64
 	for _, t := range s.types {
-		for range t.Yards {
-			costs = append(costs, s.perCPU(pool{kind: t.Sku, spot: true}), s.perCPU(pool{kind: t.Sku}))
+		for range t.Zones {
+			costs = append(costs, s.perCPU(pool{kind: t.Name, spot: true}), s.perCPU(pool{kind: t.Name}))
 		}
 	}
 	for _, c := range costs {
@@ -203,12 +203,12 @@
 func (s *Scheduler) pendingOffers() []*offer {
 	var out []*offer
 	for _, h := range s.sortedHires() {
-		t := s.types[h.rec.Rigkind]
+		t := s.types[h.rec.MachineType]
 		if t == nil || !h.pending() {
 			continue
 		}
-		for range h.rec.Number {
-			out = append(out, &offer{p: pool{h.rec.Rigkind, h.rec.Yard, h.rec.Lendable}, typ: t, ready: t.StartupS * limits.BootReckon})
+		for range h.rec.Count {
+			out = append(out, &offer{p: pool{h.rec.MachineType, h.rec.Zone, h.rec.Spot}, typ: t, ready: t.BootS * limits.BootReckon})
 		}
 	}
 	return out
@@ -227,8 +227,8 @@
 func (s *Scheduler) soonest(j *job) float64 {
 	least := math.Inf(1)
 	for _, t := range s.types {
-		if sizeOf(t).holds(j.need) && kindAllowed(&j.spec, t.Sku) {
-			least = min(least, t.StartupS*limits.BootReckon)
+		if sizeOf(t).holds(j.need) && kindAllowed(&j.spec, t.Name) {
+			least = min(least, t.BootS*limits.BootReckon)
 		}
 	}
 	return least
@@ -249,7 +249,7 @@
 	// would never be worked off.
 	within := max(max(s.patience(j), s.soonest(j))-(s.now-j.at).Seconds(), 0)
 	var p pool
-	var t *protocol.Rigkind
+	var t *protocol.MachineType
 	carry := 0.0
 	for _, o := range *all {
 		if n == 0 {
@@ -267,7 +267,7 @@
 				return
 			}
 		}
-		o := &offer{p: p, typ: t, ready: t.StartupS * limits.BootReckon}
+		o := &offer{p: p, typ: t, ready: t.BootS * limits.BootReckon}
 		got := o.take(j, n, est, 0, new(float64))
 		if got == 0 {
 			return
@@ -333,9 +333,9 @@
 
 // cheapestPool is where a machine for the job costs least for each task it holds, among the pools that are not known to be empty. A pool that has only been
 // asked for as much as may be now is left for a dearer one of like price, else it is asked again with the next plan.
-func (s *Scheduler) cheapestPool(j *job, open func(pool) bool) (pool, *protocol.Rigkind) {
+func (s *Scheduler) cheapestPool(j *job, open func(pool) bool) (pool, *protocol.MachineType) {
 	var best pool
-	var typ *protocol.Rigkind
+	var typ *protocol.MachineType
 	low, floor, busy := math.Inf(1), math.Inf(1), math.Inf(1)
 	for _, k := range s.kinds {
 		t := s.types[k]
@@ -344,7 +344,7 @@
 		if per == 0 {
 			continue
 		}
-		for _, y := range t.Yards {
+		for _, y := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				p := pool{k, y, spot}
 				if !s.allows(j, k, y, spot) {
--- a/internal/coordination/scheduler/probes_test.go
+++ b/internal/coordination/scheduler/probes_test.go
@@ -19,7 +19,7 @@
 	}
 	s := New(Config{Term: 3, Teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 100}}, Workers: config.Workers{ReportS: 60, LeaseS: 600, CancelS: 900},
 		State: config.State{WriteRPS: 20, ValueKB: 4, TxnOps: 8}, CoreShare: coreShare, Options: config.DefaultOptions()}, 0)
-	s.Step(TypesDone{OK: true, Types: []protocol.Rigkind{{Sku: "s8", Vcpus: 8, RamGb: 32, PullGbPerS: 1, Price: 1, MarketPrice: 1, StartupS: 5, Yards: []string{"a"}}}}, 0)
+	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, 0)
 	loadUp(s, "h-1-1", upHire("s8", machines, longName), 0)
 	asked := map[string]int{}
 	now := time.Duration(0)
--- a/internal/coordination/scheduler/report.go
+++ b/internal/coordination/scheduler/report.go
@@ -13,19 +13,19 @@
 // reportIn takes a worker's report, and answers it if we may.
 func (s *Scheduler) reportIn(e ReportIn) {
 	r := e.Report
-	if !e.Entitled || !r.Valid() || r.Baton > s.cfg.Term || s.gone[r.Rig] {
+	if !e.Entitled || !r.Valid() || r.Token > s.cfg.Term || s.gone[r.Machine] {
 		s.emit(ReplyOut{Ref: e.Ref})
 		return
 	}
-	if r.Baton < s.cfg.Term {
+	if r.Token < s.cfg.Term {
 		s.greet(e)
 		return
 	}
-	m := s.machine(r.Rig, r.Rigkind, r.Yard, r.Lendable)
+	m := s.machine(r.Machine, r.MachineType, r.Zone, r.Spot)
 	if m.knows(r, m.reportNo) {
 		// Late or repeated: the worker waits for no answer to it, and its task list is old. But if it is the newest one and has only just been
 		// answered, that may have been a copy that overtook it, and the worker waits for this answer.
-		copied := r.Shift == m.shift && r.Tally == m.reportNo && r.Shift > m.deadShift && s.now < m.heard+limits.StaleReport && !s.holdsCancelled(m, s.lastAnswer)
+		copied := r.Session == m.shift && r.Sequence == m.reportNo && r.Session > m.deadShift && s.now < m.heard+limits.StaleReport && !s.holdsCancelled(m, s.lastAnswer)
 		reply := ReplyOut{Ref: e.Ref, OK: copied}
 		if copied {
 			reply.Orders = m.again()
@@ -40,17 +40,17 @@
 	// After a silence a report may be a late one, even on its old connection.
 	s.prove(m, !m.fenced || (e.Stayed && s.now <= m.heard+s.stale()))
 	s.session(m, r)
-	m.reportNo, m.addr = r.Tally, r.Address
+	m.reportNo, m.addr = r.Sequence, r.Address
 	m.heard = s.now
 	s.markUp(m)
-	if r.WarningS != nil && !m.notice {
+	if r.NoticeS != nil && !m.notice {
 		m.notice = true
-		m.noticeEnd = s.now + limits.Seconds(*r.WarningS)
-		s.note(false, "spot notice", "machine", m.name, "seconds", *r.WarningS, "tasks", len(m.binds))
+		m.noticeEnd = s.now + limits.Seconds(*r.NoticeS)
+		s.note(false, "spot notice", "machine", m.name, "seconds", *r.NoticeS, "tasks", len(m.binds))
 		s.withdraw(m)
 	}
-	var orders []protocol.Order
-	if r.Tally > m.tally { // else a direct command's answer has overtaken it
+	var orders []protocol.Command
+	if r.Sequence > m.tally { // else a direct command's answer has overtaken it
 		orders = s.takeTasks(m, r, 0)
 	}
 	if s.holdsCancelled(m, s.lastAnswer) {
@@ -66,7 +66,7 @@
 		s.askDoubted(m)
 	}
 	s.place()
-	orders = s.orders(m, r.Tally, orders)
+	orders = s.orders(m, r.Sequence, orders)
 	m.todo, m.answered = false, orders
 	s.emit(ReplyOut{Ref: e.Ref, OK: true, Orders: orders})
 }
@@ -74,12 +74,12 @@
 // greet answers a report that has not seen our term. It may be a late copy of one from before: the machine may be dead or deleted since, so nothing is
 // believed of it but that a worker that hears the answer lives on. If it does, its next report shows our term, which no copy can.
 func (s *Scheduler) greet(e ReportIn) {
-	m := s.machines[e.Report.Rig]
+	m := s.machines[e.Report.Machine]
 	switch {
 	case m == nil:
 		s.emit(ReplyOut{Ref: e.Ref, OK: !e.Relayed, Redirect: e.Relayed})
 		return
-	case m.seen && e.Report.Shift < m.shift, e.Report.Shift <= m.deadShift:
+	case m.seen && e.Report.Session < m.shift, e.Report.Session <= m.deadShift:
 		s.emit(ReplyOut{Ref: e.Ref})
 		return
 	case !s.relay(m, e.Relayed):
@@ -93,12 +93,12 @@
 }
 
 // again are the orders of the last answer, without the starts that are not wanted any more or have arrived since.
-func (m *machine) again() []protocol.Order {
-	var out []protocol.Order
+func (m *machine) again() []protocol.Command {
+	var out []protocol.Command
 	for _, o := range m.answered {
-		if o.Verb == protocol.VerbStart {
-			b := m.binds[o.Piece]
-			if b == nil || b.try != o.Try || b.phase != sent || b.stop || b.j.cancelled || b.j.over {
+		if o.Verb == protocol.CommandStart {
+			b := m.binds[o.Task]
+			if b == nil || b.try != o.Attempt || b.phase != sent || b.stop || b.j.cancelled || b.j.over {
 				continue
 			}
 		}
@@ -143,7 +143,7 @@
 
 // session takes the session of a message that is not old. The tasks of earlier sessions were killed.
 func (s *Scheduler) session(m *machine, r *protocol.Report) {
-	if m.seen && r.Shift > m.shift {
+	if m.seen && r.Session > m.shift {
 		for _, b := range m.sortedBinds() {
 			if b.phase != assigned {
 				s.note(true, "session lost", "machine", m.name, "job", b.j.id, "task", b.idx, "attempt", b.try)
@@ -153,15 +153,15 @@
 		m.exits = map[attemptKey]exit{}
 		m.images = map[string]time.Duration{}
 	}
-	if !m.seen || r.Shift > m.shift {
+	if !m.seen || r.Session > m.shift {
 		m.tally, m.reportNo = 0, 0
 		s.dirty = true
 	}
 	if !m.seen {
 		m.upAt, m.idleSince = s.now, s.now
 	}
-	m.seen, m.shift = true, r.Shift
-	if r.Baton == s.cfg.Term && !m.fenced {
+	m.seen, m.shift = true, r.Session
+	if r.Token == s.cfg.Term && !m.fenced {
 		m.fenced, s.dirty = true, true
 		m.leaseBase = max(m.leaseBase, s.now)
 	}
@@ -179,7 +179,7 @@
 			s.askDoubted(m)
 		}
 	}
-	if m == nil || r == nil || r.Rig != e.Rig || !r.Valid() || r.Baton != s.cfg.Term || m.knows(r, m.tally) {
+	if m == nil || r == nil || r.Machine != e.Rig || !r.Valid() || r.Token != s.cfg.Term || m.knows(r, m.tally) {
 		return
 	}
 	s.session(m, r)
@@ -191,7 +191,7 @@
 
 // knows tells whether a message is no newer than one of the machine with that tally, or of a session that is over.
 func (m *machine) knows(r *protocol.Report, tally uint64) bool {
-	return m.seen && (r.Shift < m.shift || (r.Shift == m.shift && r.Tally <= tally)) || r.Shift <= m.deadShift
+	return m.seen && (r.Session < m.shift || (r.Session == m.shift && r.Sequence <= tally)) || r.Session <= m.deadShift
 }
 
 // directDone takes the answer to a direct command.
@@ -217,7 +217,7 @@
 		// repeat the starts, which is harmless, and the tasks stay bound until they show up or the session ends.
 		m.mute = s.now + limits.MuteAfter
 		m.unclear(e.ID)
-	case r.Rig != e.Rig || !r.Valid():
+	case r.Machine != e.Rig || !r.Valid():
 	case m.knows(r, m.tally):
 		// A later message was here first and has told what became of the tasks, but for one that it was too early for.
 		m.unclear(e.ID)
@@ -238,7 +238,7 @@
 }
 
 // strays sends orders about tasks that should not be on a machine; if it is not possible now, its next report brings them up again.
-func (s *Scheduler) strays(m *machine, orders []protocol.Order) {
+func (s *Scheduler) strays(m *machine, orders []protocol.Command) {
 	if len(orders) > 0 && s.reachable(m) {
 		s.send(m, orders)
 	}
@@ -248,7 +248,7 @@
 	return m.directID == 0 && !m.relayed && m.addr != "" && m.seen && m.fenced && !m.deleting && s.now >= m.mute && s.now <= m.heard+s.stale() && m.shift > m.deadShift
 }
 
-func (s *Scheduler) send(m *machine, orders []protocol.Order) {
+func (s *Scheduler) send(m *machine, orders []protocol.Command) {
 	s.sendSeq++
 	m.directID = s.sendSeq
 	s.directs++
@@ -293,33 +293,33 @@
 
 // takeTasks compares what a machine has with what we think it has. It returns orders about tasks that should not be there. The message is
 // a report, or with direct set the answer to that direct command.
-func (s *Scheduler) takeTasks(m *machine, r *protocol.Report, direct uint64) []protocol.Order {
-	m.tally = r.Tally
-	var orders []protocol.Order
-	listed := make(map[string]bool, len(r.Pieces))
+func (s *Scheduler) takeTasks(m *machine, r *protocol.Report, direct uint64) []protocol.Command {
+	m.tally = r.Sequence
+	var orders []protocol.Command
+	listed := make(map[string]bool, len(r.Tasks))
 	exits := make(map[attemptKey]exit, len(m.exits))
 	zero := 0.0
-	for i := range r.Pieces {
-		t := &r.Pieces[i]
-		jobID, idx, ok := protocol.ParsePiece(t.Piece)
+	for i := range r.Tasks {
+		t := &r.Tasks[i]
+		jobID, idx, ok := protocol.ParseTaskName(t.Task)
 		if !ok {
 			continue
 		}
 		j := s.jobs[jobID]
-		known := j != nil && idx < j.spec.Pieces
-		b := m.binds[t.Piece]
-		if t.Standing == protocol.Ended {
-			ours := b != nil && b.try == t.Try
+		known := j != nil && idx < j.spec.Tasks
+		b := m.binds[t.Task]
+		if t.State == protocol.Ended {
+			ours := b != nil && b.try == t.Attempt
 			if ours {
 				b.arrived()
-				listed[t.Piece] = true
+				listed[t.Task] = true
 			}
 			x, seen := m.exits[exitKey(t)]
 			switch {
 			case seen:
 			case ours:
 				x = s.ended(b, t)
-			case known && t.Cause == protocol.CauseDone && !j.cancelled:
+			case known && t.Reason == protocol.ReasonDone && !j.cancelled:
 				// An attempt that we had given up, or one of an earlier term: the result counts. If the task is
 				// bound elsewhere meanwhile, it is stopped there.
 				x = exit{j: j}
@@ -337,46 +337,46 @@
 			}
 			exits[exitKey(t)] = x
 			if !x.keep && x.durable() {
-				orders = append(orders, protocol.Order{Verb: protocol.VerbForget, Piece: t.Piece, Try: t.Try})
+				orders = append(orders, protocol.Command{Verb: protocol.CommandForget, Task: t.Task, Attempt: t.Attempt})
 			}
 			continue
 		}
 		// A task that fetches, runs or saves.
-		if b != nil && b.try != t.Try && b.phase != assigned && t.Try > b.try {
+		if b != nil && b.try != t.Attempt && b.phase != assigned && t.Attempt > b.try {
 			// A later attempt than ours, of an earlier order of this term? Attempts rise, so ours is over.
 			s.unbind(b)
 			b = nil
 		}
 		switch {
-		case b != nil && b.try == t.Try:
-			listed[t.Piece] = true
+		case b != nil && b.try == t.Attempt:
+			listed[t.Task] = true
 			s.progress(b, t)
 		case known && !getBit(j.done, idx) && (j.bound[idx] == nil || j.bound[idx].phase == assigned):
 			// Running, but not by our order: of an earlier term, mostly. It is ours now.
 			if o := j.bound[idx]; o != nil {
 				s.unbind(o)
 			}
-			b := s.bind(j, idx, m, t.Try, sent)
+			b := s.bind(j, idx, m, t.Attempt, sent)
 			s.progress(b, t)
-			listed[t.Piece] = true
+			listed[t.Task] = true
 			if !s.settled || j.cancelled {
 				break
 			}
-			s.note(true, "unexpected task adopted", "job", j.id, "task", idx, "attempt", t.Try, "machine", m.name)
+			s.note(true, "unexpected task adopted", "job", j.id, "task", idx, "attempt", t.Attempt, "machine", m.name)
 		case b != nil && b.phase != assigned:
 			// An older attempt is still here; our start is refused as busy. Keep the one that is here.
 			try := b.try
 			s.unbind(b)
-			b = s.bind(j, idx, m, t.Try, sent)
+			b = s.bind(j, idx, m, t.Attempt, sent)
 			s.progress(b, t)
-			listed[t.Piece] = true
-			s.note(true, "older attempt still there", "job", j.id, "task", idx, "attempt", t.Try, "newer", try, "machine", m.name)
+			listed[t.Task] = true
+			s.note(true, "older attempt still there", "job", j.id, "task", idx, "attempt", t.Attempt, "newer", try, "machine", m.name)
 		default:
-			orders = append(orders, protocol.Order{Verb: protocol.VerbStop, Piece: t.Piece, Try: t.Try, LeewayS: &zero})
+			orders = append(orders, protocol.Command{Verb: protocol.CommandStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 			if known && j.cancelled {
 				break
 			}
-			s.note(true, "stray task", "piece", t.Piece, "attempt", t.Try, "machine", m.name)
+			s.note(true, "stray task", "piece", t.Task, "attempt", t.Attempt, "machine", m.name)
 		}
 	}
 	m.exits = exits
@@ -410,7 +410,7 @@
 	try   uint64
 }
 
-func exitKey(t *protocol.TaskReport) attemptKey { return attemptKey{t.Piece, t.Try} }
+func exitKey(t *protocol.TaskReport) attemptKey { return attemptKey{t.Task, t.Attempt} }
 
 // arrived notes that the worker has our start. Only where it was repeated can another copy still be on its way.
 func (b *binding) arrived() {
@@ -423,7 +423,7 @@
 // progress notes what a bound task is doing.
 func (s *Scheduler) progress(b *binding, t *protocol.TaskReport) {
 	b.arrived()
-	switch t.Standing {
+	switch t.State {
 	case protocol.Running:
 		if b.phase != running {
 			b.phase, b.runAt = running, s.now
@@ -431,9 +431,9 @@
 			c.seen++
 			c.fetch += max(1/float64(c.seen), limits.LearnWeight) * ((s.now - b.at).Seconds() - c.fetch)
 			b.m.fetched += (s.now - b.at).Seconds() * b.j.need.cpu
-			s.emit(Note{Level: slog.LevelDebug, Msg: "task running", Args: []any{"job", b.j.id, "class", b.j.spec.Docket, "task", b.idx, "machine", b.m.name,
-				"age", (s.now - b.j.at).Seconds(), "queued", (b.at - b.j.at).Seconds(), "fetch", (s.now - b.at).Seconds(), "gb", b.j.spec.SizeGb}})
-			b.m.images[b.j.spec.Bundle] = s.now
+			s.emit(Note{Level: slog.LevelDebug, Msg: "task running", Args: []any{"job", b.j.id, "class", b.j.spec.Class, "task", b.idx, "machine", b.m.name,
+				"age", (s.now - b.j.at).Seconds(), "queued", (b.at - b.j.at).Seconds(), "fetch", (s.now - b.at).Seconds(), "gb", b.j.spec.ImageGB}})
+			b.m.images[b.j.spec.Image] = s.now
 		}
 	case protocol.Saving:
 		b.phase = saving
@@ -454,9 +454,9 @@
 	}
 	s.unbind(b)
 	x := exit{keep: b.unclear}
-	switch t.Cause {
-	case protocol.CauseDone:
-		m.images[j.spec.Bundle] = s.now
+	switch t.Reason {
+	case protocol.ReasonDone:
+		m.images[j.spec.Image] = s.now
 		m.errs, m.errJobs = 0, map[string]bool{}
 		m.useful += ran * j.need.cpu
 		if !j.cancelled {
@@ -466,21 +466,21 @@
 				s.learn(j, m, ran)
 			}
 		}
-	case protocol.CauseError:
+	case protocol.ReasonError:
 		m.wasted += ran * j.need.cpu
-		s.note(true, "task failed", "job", j.id, "task", idx, "attempt", t.Try, "machine", m.name)
+		s.note(true, "task failed", "job", j.id, "task", idx, "attempt", t.Attempt, "machine", m.name)
 		s.failed(j, m)
-	case protocol.CauseHalted:
+	case protocol.ReasonHalted:
 		m.wasted += ran * j.need.cpu
 		if b.stop && b.stopWhy != "cancelled" {
 			j.stops[idx]++
 		}
-	case protocol.CauseNoSuch:
+	case protocol.ReasonNoSuch:
 		// The job's description cannot be had; try again, but not at once.
 		j.resume = s.now + limits.JobBackoffMin
-		s.note(true, "start refused", "job", j.id, "task", idx, "machine", m.name, "reason", t.Cause)
+		s.note(true, "start refused", "job", j.id, "task", idx, "machine", m.name, "reason", t.Reason)
 	default:
-		s.note(false, "start refused", "job", j.id, "task", idx, "machine", m.name, "reason", t.Cause)
+		s.note(false, "start refused", "job", j.id, "task", idx, "machine", m.name, "reason", t.Reason)
 	}
 	s.finish(j)
 	return x
@@ -488,11 +488,11 @@
 
 // learn takes a task's run time into the estimates.
 func (s *Scheduler) learn(j *job, m *machine, ran float64) {
-	if j.spec.ReckonS > 0 {
+	if j.spec.EstimateS > 0 {
 		c := j.class
 		c.n++
 		w := max(1/float64(c.n), limits.LearnWeight)
-		c.ratio += w * (ran/j.spec.ReckonS - c.ratio)
+		c.ratio += w * (ran/j.spec.EstimateS - c.ratio)
 	}
 	if j.runN >= 3 {
 		m.speedN++
@@ -541,8 +541,8 @@
 		if b.phase == running {
 			need -= (s.now - b.runAt).Seconds()
 		}
-		if b.j.spec.BookmarkS > 0 {
-			if left < b.j.spec.StashS+limits.NoticeReports*s.report.Seconds() {
+		if b.j.spec.CheckpointS > 0 {
+			if left < b.j.spec.SaveS+limits.NoticeReports*s.report.Seconds() {
 				s.stopBinding(b, "spot notice")
 			}
 		} else if need > left {
@@ -554,7 +554,7 @@
 // orders are what a machine is told: stops and forgets first, then starts that fit into room that is surely free.
 //
 // tally is that of the report that is answered, or 0 for a direct command.
-func (s *Scheduler) orders(m *machine, tally uint64, orders []protocol.Order) []protocol.Order {
+func (s *Scheduler) orders(m *machine, tally uint64, orders []protocol.Command) []protocol.Command {
 	zero := 0.0
 	var held room // by tasks that are on the machine or on their way
 	binds := m.sortedBinds()
@@ -567,14 +567,14 @@
 			// The same attempt again: without effect if the first start has arrived, or arrives later. With a stop behind it, it
 			// only makes the worker know the attempt. A cancelled job's task is not started even so; dropBroken sees to its machine.
 			b.resent = true
-			orders = append(orders, protocol.Order{Verb: protocol.VerbStart, Piece: b.piece, Try: b.try})
+			orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.piece, Attempt: b.try})
 		}
 		if b.stop && (tally != 0 || !b.stopSent) {
 			b.stopSent = true
-			o := protocol.Order{Verb: protocol.VerbStop, Piece: b.piece, Try: b.try, LeewayS: &zero}
-			if b.j.spec.BookmarkS > 0 && !b.j.cancelled && b.stopWhy != "done elsewhere" {
-				grace := b.j.spec.StashS + limits.StashMargin.Seconds()
-				o.LeewayS = &grace
+			o := protocol.Command{Verb: protocol.CommandStop, Task: b.piece, Attempt: b.try, GraceS: &zero}
+			if b.j.spec.CheckpointS > 0 && !b.j.cancelled && b.stopWhy != "done elsewhere" {
+				grace := b.j.spec.SaveS + limits.StashMargin.Seconds()
+				o.GraceS = &grace
 			}
 			orders = append(orders, o)
 		}
@@ -600,7 +600,7 @@
 		if tally == 0 {
 			b.direct = s.sendSeq + 1 // see send
 		}
-		orders = append(orders, protocol.Order{Verb: protocol.VerbStart, Piece: b.piece, Try: b.try})
+		orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.piece, Attempt: b.try})
 		if len(orders) >= limits.MaxOrders {
 			break
 		}
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -98,27 +98,27 @@
 	b := &bed{t: t, s: New(Config{Term: 3,
 		Teams:   []config.Team{{Name: "red", CPUs: 8, CPUsMax: 100}, {Name: "blue", CPUs: 8, CPUsMax: 100}},
 		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34}, State: config.State{WriteRPS: 20, ValueKB: 4, TxnOps: 8}, Options: config.DefaultOptions()}, 0)}
-	b.step(TypesDone{OK: true, Types: []protocol.Rigkind{{Sku: "s8", Vcpus: 8, RamGb: 32, PullGbPerS: 1, Price: 1, MarketPrice: 1, StartupS: 5, Yards: []string{"a"}}}})
+	b.step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
 	loadUp(b.s, "h-1-1", upHire("s8", machines, b.rig), b.now)
 	b.step(Loaded{})
 	return b
 }
 
 // loadUp loads a rental whose machines are all up.
-func loadUp(s *Scheduler, name string, h storage.Hire, now time.Duration) {
+func loadUp(s *Scheduler, name string, h storage.Rental, now time.Duration) {
 	s.Step(HireLoaded{Name: name, Stamp: 1, Rec: h}, now)
 	var u storage.Ups
-	for _, rig := range h.Rigs {
-		u.Rigs = append(u.Rigs, storage.Up{Rig: rig, Address: "x:1"})
+	for _, rig := range h.Machines {
+		u.Machines = append(u.Machines, storage.Up{Machine: rig, Address: "x:1"})
 	}
 	s.Step(UpLoaded{Name: name, Stamp: 1, Rec: u}, now)
 }
 
 // upHire is the record of a rental with its machines.
-func upHire(kind string, machines int, name func(int) string) storage.Hire {
-	h := storage.Hire{Rigkind: kind, Yard: "a", Number: machines, Answered: true}
+func upHire(kind string, machines int, name func(int) string) storage.Rental {
+	h := storage.Rental{MachineType: kind, Zone: "a", Count: machines, Answered: true}
 	for i := range machines {
-		h.Rigs = append(h.Rigs, name(i))
+		h.Machines = append(h.Machines, name(i))
 	}
 	return h
 }
@@ -134,10 +134,10 @@
 }
 
 // report sends a report and returns the orders.
-func (b *bed) report(i int, tasks ...protocol.TaskReport) []protocol.Order {
+func (b *bed) report(i int, tasks ...protocol.TaskReport) []protocol.Command {
 	b.tally++
-	for _, e := range b.step(ReportIn{Entitled: true, Stayed: true, Report: &protocol.Report{Rig: b.rig(i), Address: "x:1", Rigkind: "s8", Yard: "a",
-		Shift: 1, Tally: b.tally, Baton: 3, Pieces: tasks}}) {
+	for _, e := range b.step(ReportIn{Entitled: true, Stayed: true, Report: &protocol.Report{Machine: b.rig(i), Address: "x:1", MachineType: "s8", Zone: "a",
+		Session: 1, Sequence: b.tally, Token: 3, Tasks: tasks}}) {
 		if r, ok := e.(ReplyOut); ok && r.OK {
 			return r.Orders
 		}
@@ -148,8 +148,8 @@
 
 func (b *bed) job(id, team, urgency string, pieces int, cpus float64, due float64) {
 	b.stamp++
-	b.step(JobSeen{ID: id, Stamp: 100 + b.stamp, Rec: storage.Open{Spec: protocol.Spec{NameId: id, Docket: "c", Crew: team, Shape: "sweep",
-		Urgency: urgency, Pieces: pieces, Vcpus: cpus, RamGb: 1, Bundle: "i", ReckonS: 10, DueS: due}}})
+	b.step(JobSeen{ID: id, Stamp: 100 + b.stamp, Rec: storage.Open{Spec: protocol.Spec{ID: id, Class: "c", Team: team, Shape: "sweep",
+		Priority: urgency, Tasks: pieces, CPUs: cpus, MemoryGB: 1, Image: "i", EstimateS: 10, DeadlineS: due}}})
 }
 
 // starts collects the starts of direct commands among the effects, and answers nothing.
@@ -163,7 +163,7 @@
 	return out
 }
 
-func verbs(orders []protocol.Order, verb string) int {
+func verbs(orders []protocol.Command, verb string) int {
 	n := 0
 	for _, o := range orders {
 		if o.Verb == verb {
@@ -179,29 +179,29 @@
 	b.report(0)
 	b.job("job-1", "red", "standard", 20, 1, 0)
 	d := b.direct()
-	if len(d) != 1 || verbs(d[0].Orders, protocol.VerbStart) != 8 {
+	if len(d) != 1 || verbs(d[0].Orders, protocol.CommandStart) != 8 {
 		t.Fatalf("starts: %+v", b.out)
 	}
-	done := protocol.TaskReport{Piece: "job-1/0", Try: d[0].Orders[0].Try, Standing: protocol.Ended, Cause: protocol.CauseDone}
-	other := protocol.TaskReport{Piece: "job-1/1", Try: d[0].Orders[1].Try, Standing: protocol.Running}
-	if orders := b.report(0, done, other); verbs(orders, protocol.VerbForget) != 0 {
+	done := protocol.TaskReport{Task: "job-1/0", Attempt: d[0].Orders[0].Attempt, State: protocol.Ended, Reason: protocol.ReasonDone}
+	other := protocol.TaskReport{Task: "job-1/1", Attempt: d[0].Orders[1].Attempt, State: protocol.Running}
+	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 0 {
 		t.Fatalf("forgotten at once: %+v", orders)
 	}
 	b.now += 5 * time.Second
 	var w *WriteOut
 	for _, e := range b.step(Tick{Entitled: true}) {
-		if x, ok := e.(WriteOut); ok && x.Ops[0].Write == storage.FinKey("job-1", 0) {
+		if x, ok := e.(WriteOut); ok && x.Ops[0].Put == storage.FinKey("job-1", 0) {
 			w = &x
 		}
 	}
 	if w == nil {
 		t.Fatalf("result not written: %+v", b.out)
 	}
-	if orders := b.report(0, done, other); verbs(orders, protocol.VerbForget) != 0 {
+	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 0 {
 		t.Fatalf("forgotten while the write is under way: %+v", orders)
 	}
 	b.step(WriteDone{ID: w.ID, OK: true, Rev: 500})
-	if orders := b.report(0, done, other); verbs(orders, protocol.VerbForget) != 1 {
+	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 1 {
 		t.Fatalf("not forgotten: %+v", orders)
 	}
 }
@@ -213,9 +213,9 @@
 	b.job("job-1", "red", "standard", 2, 1, 0)
 	var tasks []protocol.TaskReport
 	for _, o := range b.direct()[0].Orders {
-		tasks = append(tasks, protocol.TaskReport{Piece: o.Piece, Try: o.Try, Standing: protocol.Running})
+		tasks = append(tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 	}
-	tasks[0].Standing, tasks[0].Cause = protocol.Ended, protocol.CauseDone
+	tasks[0].State, tasks[0].Reason = protocol.Ended, protocol.ReasonDone
 	written := time.Duration(0)
 	for began := b.now; b.now < began+2*limits.FlushPatience && written == 0; b.now += time.Second {
 		b.report(0, tasks...)
@@ -235,7 +235,7 @@
 	b := newBed(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	task := protocol.TaskReport{Piece: "job-1/0", Try: b.direct()[0].Orders[0].Try, Standing: protocol.Running}
+	task := protocol.TaskReport{Task: "job-1/0", Attempt: b.direct()[0].Orders[0].Attempt, State: protocol.Running}
 	b.report(0, task)
 	b.stamp++
 	b.step(JobSeen{ID: "job-1", Stamp: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
@@ -259,8 +259,8 @@
 		b.job("job-1", "red", "standard", 1, 8, 0)
 		var task protocol.TaskReport
 		for _, d := range b.direct() {
-			task = protocol.TaskReport{Piece: d.Orders[0].Piece, Try: d.Orders[0].Try, Standing: protocol.Running}
-			b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: &protocol.Report{Rig: d.Rig, Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally + 1, Baton: 3, Pieces: []protocol.TaskReport{task}}})
+			task = protocol.TaskReport{Task: d.Orders[0].Task, Attempt: d.Orders[0].Attempt, State: protocol.Running}
+			b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: &protocol.Report{Machine: d.Rig, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally + 1, Token: 3, Tasks: []protocol.TaskReport{task}}})
 		}
 		held := b.s.jobs["job-1"].bound[0].m.name
 		b.tally++
@@ -275,18 +275,18 @@
 			b.now += time.Second
 			for i := range 2 {
 				b.tally++
-				r := &protocol.Report{Rig: b.rig(i), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally, Baton: 3}
-				if r.Rig == held {
-					r.Pieces = []protocol.TaskReport{task}
+				r := &protocol.Report{Machine: b.rig(i), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
+				if r.Machine == held {
+					r.Tasks = []protocol.TaskReport{task}
 				}
 				for _, e := range b.step(ReportIn{Entitled: true, Stayed: true, Report: r}) {
 					switch e := e.(type) {
 					case DirectOut:
 						b.step(DirectDone{ID: e.ID, Rig: e.Rig})
 					case ReplyOut:
-						if e.OK && r.Rig == held {
+						if e.OK && r.Machine == held {
 							last = b.now
-						} else if !e.OK && r.Rig != held {
+						} else if !e.OK && r.Machine != held {
 							t.Fatalf("age %v: the other machine is not answered", age)
 						}
 					}
@@ -318,19 +318,19 @@
 func TestMarkBeforeStart(t *testing.T) {
 	b := newBed(t, 0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	b.step(HireLoaded{Name: "h-2-1", Stamp: 7, Rec: storage.Hire{Rigkind: "s8", Yard: "a", Number: 1, Answered: true, Rigs: []string{b.rig(0)}}})
+	b.step(HireLoaded{Name: "h-2-1", Stamp: 7, Rec: storage.Rental{MachineType: "s8", Zone: "a", Count: 1, Answered: true, Machines: []string{b.rig(0)}}})
 	orders := b.report(0)
 	var mark *WriteOut
 	for _, e := range b.out {
-		if w, ok := e.(WriteOut); ok && w.Ops[0].Write == storage.UpKey("3-1") {
+		if w, ok := e.(WriteOut); ok && w.Ops[0].Put == storage.UpKey("3-1") {
 			mark = &w
 		}
 	}
-	if mark == nil || verbs(orders, protocol.VerbStart) != 0 || len(b.direct()) != 0 {
+	if mark == nil || verbs(orders, protocol.CommandStart) != 0 || len(b.direct()) != 0 {
 		t.Fatalf("before the mark: %+v %+v", orders, b.out)
 	}
 	b.step(WriteDone{ID: mark.ID, OK: true, Rev: 9})
-	if d := b.direct(); len(d) != 1 || verbs(d[0].Orders, protocol.VerbStart) != 1 {
+	if d := b.direct(); len(d) != 1 || verbs(d[0].Orders, protocol.CommandStart) != 1 {
 		t.Fatalf("after the mark: %+v", b.out)
 	}
 }
@@ -339,7 +339,7 @@
 func (b *bed) marksOut() []WriteOut {
 	var out []WriteOut
 	for _, e := range b.out {
-		if w, ok := e.(WriteOut); ok && strings.HasPrefix(w.Ops[0].Write, storage.PrefixUp) {
+		if w, ok := e.(WriteOut); ok && strings.HasPrefix(w.Ops[0].Put, storage.PrefixUp) {
 			out = append(out, w)
 		}
 	}
@@ -352,9 +352,9 @@
 	b := newBed(t, 0)
 	const rentals, each = 4, 50
 	for i := range rentals {
-		h := storage.Hire{Rigkind: "s8", Yard: "a", Number: each, Answered: true}
+		h := storage.Rental{MachineType: "s8", Zone: "a", Count: each, Answered: true}
 		for k := range each {
-			h.Rigs = append(h.Rigs, b.rig(i*each+k))
+			h.Machines = append(h.Machines, b.rig(i*each+k))
 		}
 		b.step(HireLoaded{Name: fmt.Sprintf("h-2-%d", i), Stamp: 7, Rec: h})
 	}
@@ -381,11 +381,11 @@
 	}
 	last := map[string]WriteOut{}
 	for _, w := range writes {
-		last[w.Ops[0].Write] = w
+		last[w.Ops[0].Put] = w
 	}
 	for key, w := range last {
 		var u storage.Ups
-		if err := protocol.Decode(w.Ops[0].Data, &u); err != nil {
+		if err := protocol.Decode(w.Ops[0].Value, &u); err != nil {
 			t.Fatal(err)
 		}
 		if !storage.Fits(u, b.s.cfg.State.ValueKB) {
@@ -421,25 +421,25 @@
 	m := b.s.machines[b.rig(0)]
 	m.mute = time.Hour // orders go with reports only
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	if n := verbs(b.report(0), protocol.VerbStart); n != 1 {
+	if n := verbs(b.report(0), protocol.CommandStart); n != 1 {
 		t.Fatalf("%d starts", n)
 	}
 	m.mute, m.directID = 0, 77
 	b.tally++
-	b.step(DirectDone{ID: 77, Rig: m.name, Report: &protocol.Report{Rig: m.name, Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally, Baton: 3}})
+	b.step(DirectDone{ID: 77, Rig: m.name, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}})
 	if len(m.binds) != 1 {
 		t.Fatal("freed by the answer to a direct command")
 	}
 	b.tally++
-	b.step(ProbeDone{Rig: m.name, Report: &protocol.Report{Rig: m.name, Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally, Baton: 3}})
+	b.step(ProbeDone{Rig: m.name, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}})
 	if len(m.binds) != 1 {
 		t.Fatal("freed by the answer to a probe")
 	}
 	m.mute = time.Hour
-	if n := verbs(b.report(0), protocol.VerbStart); n != 0 || len(m.binds) != 0 {
+	if n := verbs(b.report(0), protocol.CommandStart); n != 0 || len(m.binds) != 0 {
 		t.Fatalf("after a report without it: %d starts, %d bound", n, len(m.binds)) // its answer was lost, so the machine is in doubt
 	}
-	if n := verbs(b.report(0), protocol.VerbStart); n != 1 || len(m.binds) != 1 {
+	if n := verbs(b.report(0), protocol.CommandStart); n != 1 || len(m.binds) != 1 {
 		t.Fatalf("not placed again: %d starts", n)
 	}
 }
@@ -453,7 +453,7 @@
 	starts := 0
 	count := func() {
 		for _, d := range b.direct() {
-			starts += verbs(d.Orders, protocol.VerbStart)
+			starts += verbs(d.Orders, protocol.CommandStart)
 			b.step(DirectDone{ID: d.ID, Rig: d.Rig}) // no answer
 		}
 	}
@@ -471,10 +471,10 @@
 		b.now += time.Second
 		tally++
 		b.tally = tally
-		for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Rig: m.name, Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: tally, Baton: 3,
-			Pieces: []protocol.TaskReport{{Piece: "job-1/0", Try: max(try, 1), Standing: protocol.Ended, Cause: protocol.CauseDone}}}}) {
+		for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: tally, Token: 3,
+			Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: max(try, 1), State: protocol.Ended, Reason: protocol.ReasonDone}}}}) {
 			if r, ok := e.(ReplyOut); ok {
-				starts += verbs(r.Orders, protocol.VerbStart)
+				starts += verbs(r.Orders, protocol.CommandStart)
 			}
 		}
 		count()
@@ -512,7 +512,7 @@
 		return ReplyOut{}
 	}
 	// Of an earlier term, of a machine that this leader has never heard of.
-	old := protocol.Report{Rig: "m-gone", Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: 50, Baton: 2}
+	old := protocol.Report{Machine: "m-gone", Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 50, Token: 2}
 	for _, relayed := range []bool{false, true} {
 		answer(old, relayed)
 	}
@@ -520,8 +520,8 @@
 		t.Error("a copy raised a machine")
 	}
 	// Of an earlier term, of a machine that may hold tasks: not heard of, and no tasks taken from it.
-	known := protocol.Report{Rig: b.rig(0), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: 50, Baton: 2,
-		Pieces: []protocol.TaskReport{{Piece: "job-1/0", Try: 1, Standing: protocol.Running}}}
+	known := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 50, Token: 2,
+		Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.Running}}}
 	b.job("job-1", "red", "standard", 1, 1, 0)
 	if r := answer(known, false); !r.OK {
 		t.Error("a worker that waits for this answer gets none")
@@ -534,25 +534,25 @@
 	m.mute = time.Hour
 	b.report(0)
 	b.report(0)
-	first := protocol.Report{Rig: b.rig(0), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally, Baton: 3}
+	first := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
 	m.mark = marked
-	if r := answer(first, false); verbs(r.Orders, protocol.VerbStart) != 1 {
+	if r := answer(first, false); verbs(r.Orders, protocol.CommandStart) != 1 {
 		t.Errorf("the original brings %+v", r.Orders)
 	}
 	b.stamp++
 	b.step(JobSeen{ID: "job-1", Stamp: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
-	if r := answer(first, false); !r.OK || verbs(r.Orders, protocol.VerbStart) != 0 {
+	if r := answer(first, false); !r.OK || verbs(r.Orders, protocol.CommandStart) != 0 {
 		t.Errorf("after the cancellation: %+v", r)
 	}
 	// Of our term: the copy is answered like the original within the time that the worker waits, and does not keep the machine alive.
 	b.tally = 60
 	b.report(0)
 	heard, base := m.heard, m.leaseBase
-	now := protocol.Report{Rig: b.rig(0), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally, Baton: 3}
+	now := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
 	if r := answer(now, false); !r.OK {
 		t.Error("the original behind a copy is not answered")
 	}
-	if before := answer(protocol.Report{Rig: b.rig(0), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: 40, Baton: 3}, true); before.OK {
+	if before := answer(protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 40, Token: 3}, true); before.OK {
 		t.Error("an older one is answered")
 	}
 	b.now += 30 * time.Second
@@ -567,14 +567,14 @@
 	}
 	// A report that we had not seen and that comes after a silence may be late as well: no tasks until the machine answers.
 	b.tally++
-	late := protocol.Report{Rig: b.rig(0), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 2, Tally: b.tally, Baton: 3}
+	late := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 2, Sequence: b.tally, Token: 3}
 	b.step(ReportIn{Entitled: true, Stayed: true, Report: &late})
 	if b.s.usable(m) {
 		t.Error("usable by a late report")
 	}
 	b.tally++
 	probed := late
-	probed.Tally = b.tally
+	probed.Sequence = b.tally
 	b.step(ProbeDone{Rig: m.name, Report: &probed})
 	if !b.s.usable(m) {
 		t.Error("not usable after a round trip")
@@ -589,7 +589,7 @@
 		teams := []*team{{cfg: config.Team{CPUs: 1}, used: room{cpu: 5}}, {cfg: config.Team{CPUs: 9}, used: room{cpu: 5}}}
 		draw := func(name string) *binding {
 			return &binding{phase: running, j: &job{team: teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
-				urgency: protocol.Urgency(rapid.IntRange(0, 3).Draw(t, name+" urgency")), guar: rapid.Bool().Draw(t, name+" guaranteed")}}
+				urgency: protocol.Priority(rapid.IntRange(0, 3).Draw(t, name+" urgency")), guar: rapid.Bool().Draw(t, name+" guaranteed")}}
 		}
 		x, y := draw("x"), draw("y")
 		if s.mayStop(x.j, y) && s.mayStop(y.j, x) {
@@ -662,9 +662,9 @@
 // has seen a later leader.
 func TestNotEntitled(t *testing.T) {
 	b := newBed(t, 1)
-	r := &protocol.Report{Rig: b.rig(0), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: 50, Baton: 3}
+	r := &protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 50, Token: 3}
 	later := *r
-	later.Baton = 4
+	later.Token = 4
 	for _, e := range []ReportIn{{Report: r}, {Report: &later, Entitled: true}} {
 		for _, eff := range b.step(e) {
 			if x, ok := eff.(ReplyOut); ok && x.OK {
@@ -789,16 +789,16 @@
 // TestCheapestPool: machines are rented where they cost least for as long as that pool gives them, and the rest at once elsewhere.
 func TestCheapestPool(t *testing.T) {
 	b := newBed(t, 0)
-	b.step(TypesDone{OK: true, Types: []protocol.Rigkind{{Sku: "s8", Vcpus: 8, RamGb: 32, PullGbPerS: 1, Price: 2, MarketPrice: 1, StartupS: 5, Yards: []string{"a"}}}})
+	b.step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
 	b.s.cfg.CloudRPS = 4
-	b.step(JobSeen{ID: "job-1", Stamp: 100, Rec: storage.Open{Spec: protocol.Spec{NameId: "job-1", Docket: "c", Crew: "red", Shape: "sweep",
-		Urgency: "high", Pieces: 5000, Vcpus: 8, RamGb: 1, Bundle: "i", ReckonS: 10, Lendable: true}}})
+	b.step(JobSeen{ID: "job-1", Stamp: 100, Rec: storage.Open{Spec: protocol.Spec{ID: "job-1", Class: "c", Team: "red", Shape: "sweep",
+		Priority: "high", Tasks: 5000, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true}}})
 	b.s.teams["red"].cfg.CPUsMax = 1e6
 	rented := func() (spot, dear int) {
 		for b.now += time.Second; ; b.now += time.Second {
 			b.step(Tick{Entitled: true})
 			for _, h := range b.s.hires {
-				if h.pending() && h.rec.Lendable {
+				if h.pending() && h.rec.Spot {
 					spot++
 				} else if h.pending() {
 					dear++
@@ -831,9 +831,9 @@
 	}
 	b.job("job-1", "red", "high", 10, 8, 0)
 	for _, d := range b.direct() { // each machine is full, and has just begun
-		r := &protocol.Report{Rig: d.Rig, Shift: 1, Tally: 100, Baton: 3}
+		r := &protocol.Report{Machine: d.Rig, Session: 1, Sequence: 100, Token: 3}
 		for _, o := range d.Orders {
-			r.Pieces = append(r.Pieces, protocol.TaskReport{Piece: o.Piece, Try: o.Try, Standing: protocol.Running})
+			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 		}
 		b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: r})
 	}
@@ -844,7 +844,7 @@
 		n := 0
 		for _, h := range b.s.hires {
 			if h.pending() {
-				n += h.rec.Number
+				n += h.rec.Count
 			}
 		}
 		return n
@@ -854,8 +854,8 @@
 		t.Errorf("%d machines wanted for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
 	}
 	// What has waited for as long as a machine takes to boot does not wait as long again.
-	b.step(JobSeen{ID: "job-3", Stamp: 500, Age: 20 * time.Second, Rec: storage.Open{Spec: protocol.Spec{NameId: "job-3", Docket: "c", Crew: "blue", Shape: "sweep",
-		Urgency: "high", Pieces: 4, Vcpus: 8, RamGb: 1, Bundle: "i", ReckonS: 10}}})
+	b.step(JobSeen{ID: "job-3", Stamp: 500, Age: 20 * time.Second, Rec: storage.Open{Spec: protocol.Spec{ID: "job-3", Class: "c", Team: "blue", Shape: "sweep",
+		Priority: "high", Tasks: 4, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10}}})
 	if n := wanted(); n < 9 || n > 11 {
 		t.Errorf("%d machines wanted with 4 more tasks that have waited long, want 9 to 11", n)
 	}
@@ -875,9 +875,9 @@
 	b.report(0)
 	b.job("job-1", "red", "high", 1, 8, 0)
 	d := b.direct()[0]
-	first := protocol.TaskReport{Piece: d.Orders[0].Piece, Try: d.Orders[0].Try, Standing: protocol.Running}
+	first := protocol.TaskReport{Task: d.Orders[0].Task, Attempt: d.Orders[0].Attempt, State: protocol.Running}
 	b.tally += 10
-	b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: &protocol.Report{Rig: d.Rig, Shift: 1, Tally: b.tally, Baton: 3, Pieces: []protocol.TaskReport{first}}})
+	b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: &protocol.Report{Machine: d.Rig, Session: 1, Sequence: b.tally, Token: 3, Tasks: []protocol.TaskReport{first}}})
 	b.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
 	j := b.s.jobs["job-2"]
 	if len(j.bound) != 0 || len(b.s.pressAgain) == 0 {
@@ -886,13 +886,13 @@
 	// Now the task on the machine may be stopped, but it is too soon to look.
 	b.s.jobs["job-1"].urgency = protocol.Low
 	b.report(0, first)
-	if b.s.machines[d.Rig].binds[first.Piece].stop {
+	if b.s.machines[d.Rig].binds[first.Task].stop {
 		t.Error("stopped at once")
 	}
 	b.now += limits.PressAgain
 	b.s.dirty = true
 	b.report(0, first)
-	if !b.s.machines[d.Rig].binds[first.Piece].stop {
+	if !b.s.machines[d.Rig].binds[first.Task].stop {
 		t.Error("not stopped after the pause")
 	}
 	// Free room needs no look.
@@ -918,7 +918,7 @@
 		}
 		moved := func(i int) (probes int) { // a report on another connection
 			b.tally++
-			for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Rig: b.rig(i), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: b.tally, Baton: 3}}) {
+			for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Machine: b.rig(i), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}}) {
 				if _, ok := e.(ProbeOut); ok {
 					probes++
 				}
@@ -970,14 +970,14 @@
 	lease := limits.WaitOut(14 * time.Second)
 	starts := func() (n int) {
 		for _, d := range b.direct() {
-			n += verbs(d.Orders, protocol.VerbStart)
+			n += verbs(d.Orders, protocol.CommandStart)
 		}
 		return n
 	}
 	b.now = 13 * time.Second
 	greeted := false
-	for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Rig: b.rig(1), Address: "x:1", Rigkind: "s8", Yard: "a", Shift: 1, Tally: 9, Baton: 2,
-		Pieces: []protocol.TaskReport{{Piece: "job-1/0", Try: 7, Standing: protocol.Running}}}}) {
+	for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Machine: b.rig(1), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 9, Token: 2,
+		Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 7, State: protocol.Running}}}}) {
 		if r, ok := e.(ReplyOut); ok {
 			greeted = r.OK
 		}
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -97,7 +97,7 @@
 	s.emit(Note{Level: level, Msg: msg, Args: args})
 }
 
-func (s *Scheduler) write(p pendingWrite, guards []protocol.Guard, ops []protocol.Op) {
+func (s *Scheduler) write(p pendingWrite, guards []protocol.Condition, ops []protocol.Op) {
 	s.writeSeq++
 	s.writes[s.writeSeq] = p
 	s.emit(WriteOut{ID: s.writeSeq, Bulk: p.kind == writeChunk, Guards: guards, Ops: ops})
@@ -111,18 +111,18 @@
 		if s.closed[e.ID] {
 			return
 		}
-		t := s.teams[e.Rec.Spec.Crew]
+		t := s.teams[e.Rec.Spec.Team]
 		if t == nil {
 			return // a team that the settings no longer know; its jobs stay as they are
 		}
-		u, _ := protocol.ParseUrgency(e.Rec.Spec.Urgency)
-		words := (e.Rec.Spec.Pieces + 63) / 64
+		u, _ := protocol.ParsePriority(e.Rec.Spec.Priority)
+		words := (e.Rec.Spec.Tasks + 63) / 64
 		j = &job{
-			id: e.ID, spec: e.Rec.Spec, urgency: u, team: t, class: s.class(e.Rec.Spec.Docket),
-			need: room{e.Rec.Spec.Vcpus, e.Rec.Spec.Accelerators, e.Rec.Spec.RamGb},
+			id: e.ID, spec: e.Rec.Spec, urgency: u, team: t, class: s.class(e.Rec.Spec.Class),
+			need: room{e.Rec.Spec.CPUs, e.Rec.Spec.Accelerators, e.Rec.Spec.MemoryGB},
 			at:   s.now - e.Age, done: make([]uint64, words), busy: make([]uint64, words),
 			bound: map[int]*binding{}, stops: map[int]int{}, failOn: map[string]bool{},
-			chunks: make([]chunk, (e.Rec.Spec.Pieces+s.chunkLen-1)/s.chunkLen),
+			chunks: make([]chunk, (e.Rec.Spec.Tasks+s.chunkLen-1)/s.chunkLen),
 		}
 		j.dues = s.dues(j)
 		s.jobs[e.ID] = j
@@ -157,20 +157,20 @@
 func (s *Scheduler) dues(j *job) []due {
 	var out []due
 	for _, o := range s.cfg.Objectives {
-		if o.Class != j.spec.Docket {
+		if o.Class != j.spec.Class {
 			continue
 		}
 		switch {
-		case o.Kind == "deadline" && j.spec.DueS > 0:
-			out = append(out, due{at: j.at + limits.Seconds(j.spec.DueS*max(o.Times, 1))})
+		case o.Kind == "deadline" && j.spec.DeadlineS > 0:
+			out = append(out, due{at: j.at + limits.Seconds(j.spec.DeadlineS*max(o.Times, 1))})
 		case o.Kind == "finished" && o.WithinS > 0:
 			out = append(out, due{at: j.at + limits.Seconds(o.WithinS)})
 		case o.Kind == "wait" && o.WithinS > 0:
 			out = append(out, due{at: j.at + limits.Seconds(o.WithinS), start: true})
 		}
 	}
-	if len(out) == 0 && j.spec.DueS > 0 {
-		out = append(out, due{at: j.at + limits.Seconds(j.spec.DueS)})
+	if len(out) == 0 && j.spec.DeadlineS > 0 {
+		out = append(out, due{at: j.at + limits.Seconds(j.spec.DeadlineS)})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].at < out[b].at })
 	return out
@@ -199,7 +199,7 @@
 
 // finish writes a job's final record once nothing of it is left to do.
 func (s *Scheduler) finish(j *job) {
-	if j.over || j.finishing || len(j.bound) > 0 || (!j.cancelled && j.doneN < j.spec.Pieces) {
+	if j.over || j.finishing || len(j.bound) > 0 || (!j.cancelled && j.doneN < j.spec.Tasks) {
 		return
 	}
 	if j.cancelled && !s.settled {
@@ -210,20 +210,20 @@
 		standing = protocol.Aborted
 	}
 	ops := []protocol.Op{
-		{Write: storage.FinalKey(j.id), Data: protocol.Encode(storage.Final{Standing: standing})},
-		{Remove: storage.OpenKey(j.id)},
+		{Put: storage.FinalKey(j.id), Value: protocol.Encode(storage.Final{State: standing})},
+		{Delete: storage.OpenKey(j.id)},
 	}
 	for i := range j.chunks {
 		if j.chunks[i].writing {
 			return // its answer comes back here
 		}
 		if j.chunks[i].stamp != 0 && len(ops) < s.cfg.State.TxnOps {
-			ops = append(ops, protocol.Op{Remove: storage.FinKey(j.id, i*s.chunkLen)})
+			ops = append(ops, protocol.Op{Delete: storage.FinKey(j.id, i*s.chunkLen)})
 		}
 	}
 	j.finishing = true
 	s.write(pendingWrite{kind: writeFinal, j: j},
-		[]protocol.Guard{{Path: storage.OpenKey(j.id), Stamp: j.stamp}}, ops)
+		[]protocol.Condition{{Key: storage.OpenKey(j.id), Version: j.stamp}}, ops)
 }
 
 // closeJob forgets a job whose final record is durable.
@@ -238,7 +238,7 @@
 	}
 	if !j.cancelled {
 		x := s.closedServices[j.group()]
-		s.closedServices[j.group()] = service{x.due + j.spec.Pieces, x.got + j.spec.Pieces}
+		s.closedServices[j.group()] = service{x.due + j.spec.Tasks, x.got + j.spec.Tasks}
 	}
 	delete(s.jobs, j.id)
 	s.closed[j.id], s.order = true, nil
@@ -256,7 +256,7 @@
 		return
 	}
 	_ = e.Rec.Decode(func(i int) {
-		if i >= 0 && i < j.spec.Pieces && !getBit(j.done, i) {
+		if i >= 0 && i < j.spec.Tasks && !getBit(j.done, i) {
 			setBit(j.done, i)
 			j.doneN++
 		}
@@ -327,8 +327,8 @@
 		// Guarded by its own stamp as well: an earlier write of this chunk that was given up
 		// must not come late and undo this one.
 		s.write(pendingWrite{kind: writeChunk, j: j, n: x.n, ver: c.ver},
-			[]protocol.Guard{{Path: key, Stamp: c.stamp}},
-			[]protocol.Op{{Write: key, Data: protocol.Encode(storage.EncodeFin(j.done, x.n*s.chunkLen, s.chunkLen))}})
+			[]protocol.Condition{{Key: key, Version: c.stamp}},
+			[]protocol.Op{{Put: key, Value: protocol.Encode(storage.EncodeFin(j.done, x.n*s.chunkLen, s.chunkLen))}})
 	}
 }
 
@@ -363,7 +363,7 @@
 	case writeFinal:
 		p.j.finishing = false
 		if e.OK {
-			s.note(false, "job over", "job", p.j.id, "cancelled", p.j.cancelled, "tasks", p.j.spec.Pieces)
+			s.note(false, "job over", "job", p.j.id, "cancelled", p.j.cancelled, "tasks", p.j.spec.Tasks)
 			s.closeJob(p.j)
 		}
 		// Otherwise it was cancelled meanwhile: the watch brings the new record, and finish runs again.
--- a/internal/coordination/scheduler/world_test.go
+++ b/internal/coordination/scheduler/world_test.go
@@ -45,7 +45,7 @@
 	rigs      map[string]*rig
 	rigSeq    int
 	hired     map[string][]string
-	types     []protocol.Rigkind
+	types     []protocol.MachineType
 	teams     []config.Team
 	workers   config.Workers
 	jobs      map[string]*jobTruth
@@ -75,7 +75,7 @@
 }
 
 type rig struct {
-	protocol.Rig
+	protocol.Machine
 	bootAt   time.Duration
 	never    bool
 	gone     bool
@@ -141,9 +141,9 @@
 		hired: map[string][]string{}, jobs: map[string]*jobTruth{}, failEvery: map[string]bool{},
 		teams:   []config.Team{{Name: "red", CPUs: 12, CPUsMax: 32}, {Name: "blue", CPUs: 12, CPUsMax: 20}},
 		workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
-		types: []protocol.Rigkind{
-			{Sku: "s4", Vcpus: 4, RamGb: 16, PullGbPerS: 1, Price: 1, MarketPrice: 0.4, StartupS: 8, Yards: []string{"a", "b"}},
-			{Sku: "b8", Vcpus: 8, RamGb: 32, PullGbPerS: 1, Price: 2, MarketPrice: 0.8, StartupS: 12, Yards: []string{"a", "b"}},
+		types: []protocol.MachineType{
+			{Name: "s4", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8, Zones: []string{"a", "b"}},
+			{Name: "b8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 0.8, BootS: 12, Zones: []string{"a", "b"}},
 		}}
 	return w
 }
@@ -177,7 +177,7 @@
 		w.step(c, FinLoaded{ID: id, Stamp: w.keys[k].stamp, Rec: f})
 	}
 	for _, k := range w.sortedKeys("hire/") {
-		var h storage.Hire
+		var h storage.Rental
 		w.must(protocol.Decode(w.keys[k].data, &h))
 		w.step(c, HireLoaded{Name: k[len("hire/"):], Stamp: w.keys[k].stamp, Rec: h})
 	}
@@ -253,7 +253,7 @@
 			ref(nil)
 			return
 		}
-		ref(&protocol.ReportReply{Baton: c.term, Orders: eff.Orders})
+		ref(&protocol.ReportReply{Token: c.term, Commands: eff.Orders})
 	case DirectOut:
 		w.direct(c, eff)
 	case ProbeOut:
@@ -286,14 +286,14 @@
 			w.step(c, DeleteDone{Rigs: eff.Rigs, OK: ok})
 		})
 	case ListOut:
-		var list []protocol.Rig
+		var list []protocol.Machine
 		for _, n := range w.rigNames() {
 			g := w.rigs[n]
 			if !g.gone {
-				x := g.Rig
-				x.Standing = protocol.RigRunning
+				x := g.Machine
+				x.State = protocol.MachineRunning
 				if w.now < g.bootAt {
-					x.Standing = protocol.RigBooting
+					x.State = protocol.MachineBooting
 				}
 				x.AgeS = 20
 				list = append(list, x)
@@ -320,20 +320,20 @@
 		return
 	}
 	for _, g := range o.Guards {
-		if w.keys[g.Path].stamp != g.Stamp {
+		if w.keys[g.Key].stamp != g.Version {
 			w.step(c, WriteDone{ID: o.ID})
 			return
 		}
 	}
 	w.ledger++
 	for _, op := range o.Ops {
-		if op.Remove != "" {
-			delete(w.keys, op.Remove)
+		if op.Delete != "" {
+			delete(w.keys, op.Delete)
 			continue
 		}
-		w.keys[op.Write] = pairOf{w.ledger, op.Data}
-		if len(op.Write) > 6 && op.Write[:6] == "final/" {
-			w.final(op.Write[6:], op.Data)
+		w.keys[op.Put] = pairOf{w.ledger, op.Value}
+		if len(op.Put) > 6 && op.Put[:6] == "final/" {
+			w.final(op.Put[6:], op.Value)
 		}
 	}
 	rev := w.ledger
@@ -348,41 +348,41 @@
 	switch {
 	case j == nil:
 		w.t.Fatalf("invented: %s", id)
-	case f.Standing == protocol.Done && len(j.done) < j.spec.Pieces:
-		w.t.Fatalf("not_done: %s with %d of %d", id, len(j.done), j.spec.Pieces)
-	case f.Standing == protocol.Aborted && j.cancelled == 0:
+	case f.State == protocol.Done && len(j.done) < j.spec.Tasks:
+		w.t.Fatalf("not_done: %s with %d of %d", id, len(j.done), j.spec.Tasks)
+	case f.State == protocol.Aborted && j.cancelled == 0:
 		w.t.Fatalf("went_back: %s cancelled by nobody", id)
-	case f.Standing == protocol.Done && j.cancelled != 0:
+	case f.State == protocol.Done && j.cancelled != 0:
 		w.t.Fatalf("went_back: %s done after it was cancelled", id)
 	}
 }
 
-func (w *world) hire(c *controller, req protocol.HireRequest) {
+func (w *world) hire(c *controller, req protocol.RentalRequest) {
 	w.later(w.between(50*time.Millisecond, 2*time.Second), func() {
-		names, known := w.hired[req.Hire]
+		names, known := w.hired[req.Name]
 		if !known {
 			if w.chance(0.2) {
-				w.step(c, HireDone{Name: req.Hire, NoCapacity: true})
+				w.step(c, HireDone{Name: req.Name, NoCapacity: true})
 				return
 			}
-			for range min(req.Number, 4) {
+			for range min(req.Count, 4) {
 				w.rigSeq++
 				n := fmt.Sprintf("m-%06d", w.rigSeq)
 				names = append(names, n)
-				g := &rig{Rig: protocol.Rig{NameId: n, Address: n + ":1", Rigkind: req.Rigkind, Yard: req.Yard, Lendable: req.Lendable},
+				g := &rig{Machine: protocol.Machine{Name: n, Address: n + ":1", MachineType: req.MachineType, Zone: req.Zone, Spot: req.Spot},
 					bootAt: w.now + w.between(time.Second, 15*time.Second), inFlight: -1}
 				g.never = w.chance(0.05)
 				g.sick = w.chance(0.08)
 				g.lease, g.shift, g.nextRep = g.bootAt, 1, g.bootAt
 				w.rigs[n] = g
 			}
-			w.hired[req.Hire] = names
+			w.hired[req.Name] = names
 		}
 		if w.chance(0.1) && !w.calm { // the answer is lost; the request is repeated
 			w.later(time.Second, func() { w.hire(c, req) })
 			return
 		}
-		w.step(c, HireDone{Name: req.Hire, Rigs: names, OK: true})
+		w.step(c, HireDone{Name: req.Name, Rigs: names, OK: true})
 	})
 }
 
@@ -434,14 +434,14 @@
 // report makes the worker's report, with the next tally.
 func (w *world) report(g *rig) *protocol.Report {
 	g.tally++
-	r := &protocol.Report{Rig: g.NameId, Address: g.Address, Rigkind: g.Rigkind, Yard: g.Yard, Lendable: g.Lendable,
-		Shift: g.shift, Tally: g.tally, Baton: g.baton}
+	r := &protocol.Report{Machine: g.Name, Address: g.Address, MachineType: g.MachineType, Zone: g.Zone, Spot: g.Spot,
+		Session: g.shift, Sequence: g.tally, Token: g.baton}
 	if g.warn != 0 {
 		left := (g.warn - w.now).Seconds()
-		r.WarningS = &left
+		r.NoticeS = &left
 	}
 	for _, t := range g.tasks {
-		r.Pieces = append(r.Pieces, protocol.TaskReport{Piece: t.piece, Try: t.try, Standing: t.standing, Cause: t.cause})
+		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.piece, Attempt: t.try, State: t.standing, Reason: t.cause})
 	}
 	return r
 }
@@ -477,10 +477,10 @@
 			}
 		case protocol.Running:
 			if w.now >= t.end {
-				t.standing, t.cause = protocol.Ended, protocol.CauseDone
-				id, idx, _ := protocol.ParsePiece(t.piece)
+				t.standing, t.cause = protocol.Ended, protocol.ReasonDone
+				id, idx, _ := protocol.ParseTaskName(t.piece)
 				if g.sick || w.failEvery[id] {
-					t.cause = protocol.CauseError
+					t.cause = protocol.ReasonError
 				} else {
 					w.jobs[id].done[idx] = true
 				}
@@ -488,7 +488,7 @@
 			}
 		case protocol.Saving:
 			if w.now >= t.saveEnd {
-				t.standing, t.cause = protocol.Ended, protocol.CauseHalted
+				t.standing, t.cause = protocol.Ended, protocol.ReasonHalted
 				g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
 			}
 		}
@@ -552,77 +552,77 @@
 
 // response takes the answer to a report; it tells whether the worker got a 200 that it may use.
 func (w *world) response(g *rig, r *protocol.Report, sent time.Duration, reply *protocol.ReportReply) bool {
-	if g.gone || w.now < g.hungTill || g.inFlight != sent || r.Shift != g.shift {
+	if g.gone || w.now < g.hungTill || g.inFlight != sent || r.Session != g.shift {
 		return false
 	}
 	w.expire(g)
-	if r.Shift != g.shift {
+	if r.Session != g.shift {
 		return false
 	}
 	g.inFlight = -1
-	if reply == nil || reply.Baton < g.baton {
+	if reply == nil || reply.Token < g.baton {
 		g.nextRep = min(g.nextRep, w.now+time.Second)
 		return false
 	}
-	if reply.Baton > g.baton {
-		g.baton = reply.Baton
+	if reply.Token > g.baton {
+		g.baton = reply.Token
 		g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
 	}
 	g.lease = sent
-	if w.execute(g, reply.Orders) {
+	if w.execute(g, reply.Commands) {
 		g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
 	}
 	return true
 }
 
-func (w *world) execute(g *rig, orders []protocol.Order) bool {
+func (w *world) execute(g *rig, orders []protocol.Command) bool {
 	changed := false
 	for _, o := range orders {
 		changed = true
 		var here *rigTask
 		other := false
 		for _, t := range g.tasks {
-			if t.piece == o.Piece && t.try == o.Try {
+			if t.piece == o.Task && t.try == o.Attempt {
 				here = t
-			} else if t.piece == o.Piece && t.standing != protocol.Ended {
+			} else if t.piece == o.Task && t.standing != protocol.Ended {
 				other = true
 			}
 		}
 		switch o.Verb {
-		case protocol.VerbStart:
+		case protocol.CommandStart:
 			if here != nil {
 				continue
 			}
-			t := &rigTask{piece: o.Piece, try: o.Try, standing: protocol.Fetching, ready: w.now + w.between(0, 3*time.Second)}
+			t := &rigTask{piece: o.Task, try: o.Attempt, standing: protocol.Fetching, ready: w.now + w.between(0, 3*time.Second)}
 			g.tasks = append(g.tasks, t)
-			id, idx, _ := protocol.ParsePiece(o.Piece)
+			id, idx, _ := protocol.ParseTaskName(o.Task)
 			j := w.jobs[id]
 			used := 0.0
 			for _, x := range g.tasks {
 				if x != t && x.standing != protocol.Ended {
-					xid, _, _ := protocol.ParsePiece(x.piece)
-					used += w.jobs[xid].spec.Vcpus
+					xid, _, _ := protocol.ParseTaskName(x.piece)
+					used += w.jobs[xid].spec.CPUs
 				}
 			}
 			switch {
 			case other:
-				t.standing, t.cause = protocol.Ended, protocol.CauseBusy
-			case used+j.spec.Vcpus > w.size(g)+1e-9:
-				t.standing, t.cause = protocol.Ended, protocol.CauseNoRoom
+				t.standing, t.cause = protocol.Ended, protocol.ReasonBusy
+			case used+j.spec.CPUs > w.size(g)+1e-9:
+				t.standing, t.cause = protocol.Ended, protocol.ReasonNoRoom
 			case j.done[idx]:
 				t.end = t.ready // the result is kept
 			}
-		case protocol.VerbStop:
+		case protocol.CommandStop:
 			if here == nil || here.standing == protocol.Ended {
 				continue
 			}
-			id, _, _ := protocol.ParsePiece(o.Piece)
-			if sp := w.jobs[id].spec; here.standing == protocol.Running && sp.BookmarkS > 0 && o.LeewayS != nil && *o.LeewayS >= sp.StashS {
-				here.standing, here.saveEnd = protocol.Saving, w.now+time.Duration(sp.StashS*float64(time.Second))
-			} else if here.standing != protocol.Saving || *o.LeewayS == 0 {
-				here.standing, here.cause = protocol.Ended, protocol.CauseHalted
+			id, _, _ := protocol.ParseTaskName(o.Task)
+			if sp := w.jobs[id].spec; here.standing == protocol.Running && sp.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= sp.SaveS {
+				here.standing, here.saveEnd = protocol.Saving, w.now+time.Duration(sp.SaveS*float64(time.Second))
+			} else if here.standing != protocol.Saving || *o.GraceS == 0 {
+				here.standing, here.cause = protocol.Ended, protocol.ReasonHalted
 			}
-		case protocol.VerbForget:
+		case protocol.CommandForget:
 			for i, t := range g.tasks {
 				if t == here && t.standing == protocol.Ended {
 					g.tasks = append(g.tasks[:i], g.tasks[i+1:]...)
@@ -636,8 +636,8 @@
 
 func (w *world) size(g *rig) float64 {
 	for _, t := range w.types {
-		if t.Sku == g.Rigkind {
-			return t.Vcpus
+		if t.Name == g.MachineType {
+			return t.CPUs
 		}
 	}
 	return 0
@@ -650,16 +650,16 @@
 		t.end = w.now + w.between(2*time.Second, 12*time.Second)
 	}
 	g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
-	id, _, _ := protocol.ParsePiece(t.piece)
+	id, _, _ := protocol.ParseTaskName(t.piece)
 	j := w.jobs[id]
-	where := fmt.Sprintf("at %v: %s try %x on %s", w.now, t.piece, t.try, g.NameId)
-	if j.spec.Lendable != true && g.Lendable {
+	where := fmt.Sprintf("at %v: %s try %x on %s", w.now, t.piece, t.try, g.Name)
+	if j.spec.Spot != true && g.Spot {
 		w.t.Fatalf("wrong_place: spot: %s", where)
 	}
-	if j.spec.Yard != "" && j.spec.Yard != g.Yard {
+	if j.spec.Zone != "" && j.spec.Zone != g.Zone {
 		w.t.Fatalf("wrong_place: zone: %s", where)
 	}
-	if len(j.spec.Rigkinds) > 0 && j.spec.Rigkinds[0] != g.Rigkind {
+	if len(j.spec.MachineTypes) > 0 && j.spec.MachineTypes[0] != g.MachineType {
 		w.t.Fatalf("wrong_place: type: %s", where)
 	}
 	var busy []string
@@ -673,11 +673,11 @@
 			if x.standing != protocol.Running && x.standing != protocol.Saving {
 				continue
 			}
-			xid, _, _ := protocol.ParsePiece(x.piece)
-			used[w.jobs[xid].spec.Crew] += w.jobs[xid].spec.Vcpus
-			busy = append(busy, fmt.Sprintf("%s:%s#%x*%v", n, x.piece, x.try, w.jobs[xid].spec.Vcpus))
+			xid, _, _ := protocol.ParseTaskName(x.piece)
+			used[w.jobs[xid].spec.Team] += w.jobs[xid].spec.CPUs
+			busy = append(busy, fmt.Sprintf("%s:%s#%x*%v", n, x.piece, x.try, w.jobs[xid].spec.CPUs))
 			if xid == id {
-				zones[o.Yard]++
+				zones[o.Zone]++
 			}
 			if x.piece == t.piece && x != t {
 				w.t.Fatalf("ran_twice: %s, and on %s try %x", where, n, x.try)
@@ -689,10 +689,10 @@
 			w.t.Fatalf("quota: %s uses %v: %s; running: %v", tm.Name, used[tm.Name], where, busy)
 		}
 	}
-	if j.spec.Together && len(zones) > 1 {
+	if j.spec.SameZone && len(zones) > 1 {
 		w.t.Fatalf("wrong_place: together: %s", where)
 	}
-	if j.spec.Scatter && zones[g.Yard] > (j.spec.Pieces+1)/2 {
+	if j.spec.SpreadZones && zones[g.Zone] > (j.spec.Tasks+1)/2 {
 		w.t.Fatalf("wrong_place: scatter: %s", where)
 	}
 	w.checkCancelled(j, where)
@@ -708,24 +708,24 @@
 	w.jobSeq++
 	id := fmt.Sprintf("job-%06d", w.jobSeq)
 	pick := func(s ...string) string { return s[w.r.IntN(len(s))] }
-	sp := protocol.Spec{NameId: id, Docket: pick("x", "y"), Crew: pick("red", "blue"), Shape: "sweep",
-		Urgency: pick("low", "standard", "high", "production"), Pieces: 1 + w.r.IntN(8), Vcpus: float64(1 + w.r.IntN(4)), RamGb: 1,
-		Yard: pick("", "", "", "a"), Together: w.chance(0.2), Scatter: w.chance(0.2), Lendable: w.chance(0.6),
-		Bundle: pick("i", "k"), SizeGb: 1, ReckonS: 6}
-	if sp.Together {
-		sp.Scatter = false
+	sp := protocol.Spec{ID: id, Class: pick("x", "y"), Team: pick("red", "blue"), Shape: "sweep",
+		Priority: pick("low", "standard", "high", "production"), Tasks: 1 + w.r.IntN(8), CPUs: float64(1 + w.r.IntN(4)), MemoryGB: 1,
+		Zone: pick("", "", "", "a"), SameZone: w.chance(0.2), SpreadZones: w.chance(0.2), Spot: w.chance(0.6),
+		Image: pick("i", "k"), ImageGB: 1, EstimateS: 6}
+	if sp.SameZone {
+		sp.SpreadZones = false
 	}
-	if sp.Scatter {
-		sp.Yard = "" // half of the tasks could never be placed at once
+	if sp.SpreadZones {
+		sp.Zone = "" // half of the tasks could never be placed at once
 	}
 	if w.chance(0.2) {
-		sp.Rigkinds = []string{"b8"}
+		sp.MachineTypes = []string{"b8"}
 	}
 	if w.chance(0.3) {
-		sp.BookmarkS, sp.StashS = 2, 1
+		sp.CheckpointS, sp.SaveS = 2, 1
 	}
 	if w.chance(0.4) {
-		sp.DueS = 20
+		sp.DeadlineS = 20
 	}
 	w.jobs[id] = &jobTruth{spec: sp, done: map[int]bool{}}
 	w.put("open/"+id, storage.Open{Spec: sp})
@@ -762,10 +762,10 @@
 	struck := []*rig{w.rigs[names[w.r.IntN(len(names))]]}
 	switch w.r.IntN(8) {
 	case 0: // a zone
-		yard := struck[0].Yard
+		yard := struck[0].Zone
 		struck = nil
 		for _, n := range names {
-			if w.rigs[n].Yard == yard {
+			if w.rigs[n].Zone == yard {
 				struck = append(struck, w.rigs[n])
 			}
 		}
@@ -790,7 +790,7 @@
 			g.never, g.bootAt = true, time.Hour*10 // dies and stays listed
 			g.tasks = nil
 		case 3:
-			if g.Lendable {
+			if g.Spot {
 				g.warn = warned
 			}
 		case 4:
@@ -829,7 +829,7 @@
 		if w.now%time.Second == 0 {
 			for _, t := range g.tasks {
 				if t.standing == protocol.Running || t.standing == protocol.Saving {
-					id, _, _ := protocol.ParsePiece(t.piece)
+					id, _, _ := protocol.ParseTaskName(t.piece)
 					w.checkCancelled(w.jobs[id], fmt.Sprintf("at %v: %s still on %s", w.now, t.piece, n))
 				}
 			}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,63 +1,63 @@
 package protocol
 
-// Rigkind is a machine type.
-type Rigkind struct {
-	Sku          string   `cbor:"Sku" json:"Sku"`
-	Vcpus        float64  `cbor:"Vcpus" json:"Vcpus"`
+// MachineType is a machine type.
+type MachineType struct {
+	Name         string   `cbor:"Sku" json:"Sku"`
+	CPUs         float64  `cbor:"Vcpus" json:"Vcpus"`
 	Accelerators float64  `cbor:"Accelerators" json:"Accelerators"`
-	RamGb        float64  `cbor:"RamGb" json:"RamGb"`
-	CacheGb      float64  `cbor:"CacheGb" json:"CacheGb"`
-	PullGbPerS   float64  `cbor:"PullGbPerS" json:"PullGbPerS"`
+	MemoryGB     float64  `cbor:"RamGb" json:"RamGb"`
+	CacheGB      float64  `cbor:"CacheGb" json:"CacheGb"`
+	FetchGBPerS  float64  `cbor:"PullGbPerS" json:"PullGbPerS"`
 	Price        float64  `cbor:"Price" json:"Price"`
-	MarketPrice  float64  `cbor:"MarketPrice" json:"MarketPrice"`
-	StartupS     float64  `cbor:"StartupS" json:"StartupS"`
-	Yards        []string `cbor:"Yards" json:"Yards"`
+	SpotPrice    float64  `cbor:"MarketPrice" json:"MarketPrice"`
+	BootS        float64  `cbor:"StartupS" json:"StartupS"`
+	Zones        []string `cbor:"Yards" json:"Yards"`
 }
 
-// RigkindList answers GET /machine_types.
-type RigkindList struct {
-	Rigkinds []Rigkind `cbor:"Rigkinds"`
+// MachineTypeList answers GET /machine_types.
+type MachineTypeList struct {
+	Types []MachineType `cbor:"Rigkinds"`
 }
 
-// HireRequest rents machines.
-type HireRequest struct {
-	Hire     string `cbor:"Hire"`
-	Rigkind  string `cbor:"Rigkind"`
-	Yard     string `cbor:"Yard"`
-	Lendable bool   `cbor:"Lendable"`
-	Number   int    `cbor:"Number"`
+// RentalRequest rents machines.
+type RentalRequest struct {
+	Name        string `cbor:"Hire"`
+	MachineType string `cbor:"Rigkind"`
+	Zone        string `cbor:"Yard"`
+	Spot        bool   `cbor:"Lendable"`
+	Count       int    `cbor:"Number"`
 }
 
-// HireReply answers a rental.
-type HireReply struct {
-	Rigs []string `cbor:"Rigs"`
+// RentalReply answers a rental.
+type RentalReply struct {
+	Machines []string `cbor:"Rigs"`
 }
 
 // DeleteRequest returns machines.
 type DeleteRequest struct {
-	Rigs []string `cbor:"Rigs"`
+	Machines []string `cbor:"Rigs"`
 }
 
-// Standings of a machine in the cloud's list.
+// States of a machine in the cloud's list.
 const (
-	RigBooting = "booting"
-	RigRunning = "running"
-	RigFailed  = "failed"
+	MachineBooting = "booting"
+	MachineRunning = "running"
+	MachineFailed  = "failed"
 )
 
-// Rig is a machine in the cloud's list.
-type Rig struct {
-	NameId   string  `cbor:"NameId"`
-	Address  string  `cbor:"Address"`
-	Rigkind  string  `cbor:"Rigkind"`
-	Yard     string  `cbor:"Yard"`
-	Lendable bool    `cbor:"Lendable"`
-	Standing string  `cbor:"Standing"`
-	AgeS     float64 `cbor:"AgeS"`
+// Machine is a machine in the cloud's list.
+type Machine struct {
+	Name        string  `cbor:"NameId"`
+	Address     string  `cbor:"Address"`
+	MachineType string  `cbor:"Rigkind"`
+	Zone        string  `cbor:"Yard"`
+	Spot        bool    `cbor:"Lendable"`
+	State       string  `cbor:"Standing"`
+	AgeS        float64 `cbor:"AgeS"`
 }
 
-// RigList is a page of the cloud's list.
-type RigList struct {
-	Rigs      []Rig `cbor:"Rigs"`
-	Truncated bool  `cbor:"Truncated"`
+// MachineList is a page of the cloud's list.
+type MachineList struct {
+	Machines  []Machine `cbor:"Rigs"`
+	Truncated bool      `cbor:"Truncated"`
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -26,18 +26,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want.Pieces != 16 || want.RamGb != 64 || want.DueS != 900 || !want.Together || len(want.Rigkinds) != 1 {
+	if want.Tasks != 16 || want.MemoryGB != 64 || want.DeadlineS != 900 || !want.SameZone || len(want.MachineTypes) != 1 {
 		t.Fatalf("%+v", want)
 	}
 	// Whole numbers where amounts are due, unknown fields, and null or omitted alike.
 	run["Vcpus"], run["DueS"], run["Extra"] = 8, 900, map[string]any{"a": []int{1}}
 	delete(run, "Yard")
 	got, err := ParseSpec(Encode(run))
-	if err != nil || got.Vcpus != 8 || got.DueS != 900 || got.Yard != "" {
+	if err != nil || got.CPUs != 8 || got.DeadlineS != 900 || got.Zone != "" {
 		t.Fatalf("%+v %v", got, err)
 	}
 	run["Rigkinds"], run["DueS"] = nil, nil
-	if got, err = ParseSpec(Encode(run)); err != nil || got.Rigkinds != nil || got.DueS != 0 {
+	if got, err = ParseSpec(Encode(run)); err != nil || got.MachineTypes != nil || got.DeadlineS != 0 {
 		t.Fatalf("%+v %v", got, err)
 	}
 }
@@ -80,12 +80,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`job-[0-9]{1,12}`).Draw(t, "id")
 		n := rapid.IntRange(0, limits.MaxPieces-1).Draw(t, "n")
-		if j, i, ok := ParsePiece(PieceName(id, n)); !ok || j != id || i != n {
+		if j, i, ok := ParseTaskName(TaskName(id, n)); !ok || j != id || i != n {
 			t.Fatalf("%s %d: %s %d %v", id, n, j, i, ok)
 		}
 	})
 	for _, s := range []string{"", "job-1", "job-1/", "job-1/01", "job-1/-1", "job-1/1x", "job-x/1", "job-1/1234567", "/1"} {
-		if _, _, ok := ParsePiece(s); ok {
+		if _, _, ok := ParseTaskName(s); ok {
 			t.Errorf("%q parsed", s)
 		}
 	}
@@ -100,7 +100,7 @@
 		if err != nil {
 			return
 		}
-		if s.Pieces < 1 || s.Pieces > limits.MaxPieces || !ValidJobID(s.NameId) || !(s.Vcpus >= 0) || s.Shape != "sweep" {
+		if s.Tasks < 1 || s.Tasks > limits.MaxPieces || !ValidJobID(s.ID) || !(s.CPUs >= 0) || s.Shape != "sweep" {
 			t.Fatalf("accepted %+v", s)
 		}
 	})
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -1,67 +1,67 @@
 package protocol
 
-// Pair is a key with its value. In answers to a single read, Ledger is set when the key is absent.
+// Pair is a key with its value. In answers to a single read, Revision is set when the key is absent.
 type Pair struct {
-	Path   string `cbor:"Path"`
-	Data   Raw    `cbor:"Data"`
-	Stamp  uint64 `cbor:"Stamp"`
-	Tenure uint64 `cbor:"Tenure"`
-	Ledger uint64 `cbor:"Ledger"`
+	Key      string `cbor:"Path"`
+	Value    Raw    `cbor:"Data"`
+	Version  uint64 `cbor:"Stamp"`
+	Lease    uint64 `cbor:"Tenure"`
+	Revision uint64 `cbor:"Ledger"`
 }
 
 // Listing is a page of keys.
 type Listing struct {
 	Pairs     []Pair `cbor:"Pairs"`
 	Truncated bool   `cbor:"Truncated"`
-	Ledger    uint64 `cbor:"Ledger"`
+	Revision  uint64 `cbor:"Ledger"`
 }
 
-// Guard is a condition of a transaction.
-type Guard struct {
-	Path  string `cbor:"Path"`
-	Stamp uint64 `cbor:"Stamp"`
+// Condition is what a transaction requires of a key: that it has this version, 0 for a key that does not exist.
+type Condition struct {
+	Key     string `cbor:"Path"`
+	Version uint64 `cbor:"Stamp"`
 }
 
-// Op is a change in a transaction: a Write with Data, or a Remove.
+// Op is a change in a transaction: a Put with Value, or a Delete.
 type Op struct {
-	Write  string `cbor:"Write,omitempty"`
-	Data   Raw    `cbor:"Data,omitempty"`
-	Tenure uint64 `cbor:"Tenure,omitempty"`
-	Remove string `cbor:"Remove,omitempty"`
+	Put    string `cbor:"Write,omitempty"`
+	Value  Raw    `cbor:"Data,omitempty"`
+	Lease  uint64 `cbor:"Tenure,omitempty"`
+	Delete string `cbor:"Remove,omitempty"`
 }
 
 // Txn is a transaction.
 type Txn struct {
-	Guards []Guard `cbor:"Guards"`
-	Apply  []Op    `cbor:"Apply"`
+	Conditions []Condition `cbor:"Guards"`
+	Ops        []Op        `cbor:"Apply"`
 }
 
 // TxnReply answers a transaction.
 type TxnReply struct {
-	Ledger uint64   `cbor:"Ledger"`
-	Failed []string `cbor:"failed"`
+	Revision uint64   `cbor:"Ledger"`
+	Failed   []string `cbor:"failed"`
 }
 
-// HoldRequest asks for a lease.
+// LeaseRequest asks for a lease.
 type LeaseRequest struct {
 	LifeMs int64 `cbor:"LifeMs"`
 }
 
-// HoldReply answers it.
+// LeaseReply answers a LeaseRequest.
 type LeaseReply struct {
-	Tenure uint64 `cbor:"Tenure"`
+	Lease uint64 `cbor:"Tenure"`
 }
 
 // Change is an entry of a watch.
 type Change struct {
-	Write  string `cbor:"Write"`
-	Data   Raw    `cbor:"Data"`
-	Remove string `cbor:"Remove"`
-	Stamp  uint64 `cbor:"Stamp"`
+	Put     string `cbor:"Write"`
+	Value   Raw    `cbor:"Data"`
+	Delete  string `cbor:"Remove"`
+	Version uint64 `cbor:"Stamp"`
 }
 
 // WatchReply answers a watch.
 type WatchReply struct {
-	Ledger uint64   `cbor:"Ledger"`
-	Log    []Change `cbor:"Log"`
+	Revision uint64   `cbor:"Ledger"`
+	Changes  []Change `cbor:"Log"`
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -10,26 +10,26 @@
 	"quillshunt/internal/limits"
 )
 
-// Urgency is a job's priority; higher runs first.
-type Urgency int8
+// Priority is a job's priority; higher runs first.
+type Priority int8
 
 // The priorities of the protocol.
 const (
-	Low Urgency = iota
+	Low Priority = iota
 	Standard
 	High
 	Production
 )
 
-var urgencies = map[string]Urgency{"low": Low, "standard": Standard, "high": High, "production": Production}
+var urgencies = map[string]Priority{"low": Low, "standard": Standard, "high": High, "production": Production}
 
-// ParseUrgency reads a priority.
-func ParseUrgency(s string) (Urgency, bool) {
+// ParsePriority reads a priority.
+func ParsePriority(s string) (Priority, bool) {
 	u, ok := urgencies[s]
 	return u, ok
 }
 
-// Standings of a job and of a task.
+// States of a job and of a task.
 const (
 	Pending  = "pending"
 	Running  = "running"
@@ -42,26 +42,26 @@
 
 // Spec is a submitted job.
 type Spec struct {
-	NameId       string   `cbor:"NameId" json:"NameId"`
-	Docket       string   `cbor:"Docket" json:"Docket"`
-	Crew         string   `cbor:"Crew" json:"Crew"`
+	ID           string   `cbor:"NameId" json:"NameId"`
+	Class        string   `cbor:"Docket" json:"Docket"`
+	Team         string   `cbor:"Crew" json:"Crew"`
 	Shape        string   `cbor:"Shape" json:"Shape"`
-	Urgency      string   `cbor:"Urgency" json:"Urgency"`
-	Pieces       int      `cbor:"Pieces" json:"Pieces"`
-	Vcpus        float64  `cbor:"Vcpus" json:"Vcpus"`
+	Priority     string   `cbor:"Urgency" json:"Urgency"`
+	Tasks        int      `cbor:"Pieces" json:"Pieces"`
+	CPUs         float64  `cbor:"Vcpus" json:"Vcpus"`
 	Accelerators float64  `cbor:"Accelerators" json:"Accelerators"`
-	RamGb        float64  `cbor:"RamGb" json:"RamGb"`
-	Rigkinds     []string `cbor:"Rigkinds" json:"Rigkinds"`
-	Yard         string   `cbor:"Yard" json:"Yard"`
-	Together     bool     `cbor:"Together" json:"Together"`
-	Scatter      bool     `cbor:"Scatter" json:"Scatter"`
-	Lendable     bool     `cbor:"Lendable" json:"Lendable"`
-	Bundle       string   `cbor:"Bundle" json:"Bundle"`
-	SizeGb       float64  `cbor:"SizeGb" json:"SizeGb"`
-	ReckonS      float64  `cbor:"ReckonS" json:"ReckonS"`
-	BookmarkS    float64  `cbor:"BookmarkS" json:"BookmarkS"`
-	StashS       float64  `cbor:"StashS" json:"StashS"`
-	DueS         float64  `cbor:"DueS" json:"DueS"` // 0: no deadline
+	MemoryGB     float64  `cbor:"RamGb" json:"RamGb"`
+	MachineTypes []string `cbor:"Rigkinds" json:"Rigkinds"`
+	Zone         string   `cbor:"Yard" json:"Yard"`
+	SameZone     bool     `cbor:"Together" json:"Together"`
+	SpreadZones  bool     `cbor:"Scatter" json:"Scatter"`
+	Spot         bool     `cbor:"Lendable" json:"Lendable"`
+	Image        string   `cbor:"Bundle" json:"Bundle"`
+	ImageGB      float64  `cbor:"SizeGb" json:"SizeGb"`
+	EstimateS    float64  `cbor:"ReckonS" json:"ReckonS"`
+	CheckpointS  float64  `cbor:"BookmarkS" json:"BookmarkS"`
+	SaveS        float64  `cbor:"StashS" json:"StashS"`
+	DeadlineS    float64  `cbor:"DueS" json:"DueS"` // 0: no deadline
 }
 
 // ErrInvalid is wrapped by every complaint about a malformed submission.
@@ -198,37 +198,37 @@
 	}
 	f := &fields{m: m}
 	s := &Spec{
-		NameId:       f.text("NameId", false),
-		Docket:       f.text("Docket", false),
-		Crew:         f.text("Crew", false),
+		ID:           f.text("NameId", false),
+		Class:        f.text("Docket", false),
+		Team:         f.text("Crew", false),
 		Shape:        f.text("Shape", false),
-		Urgency:      f.text("Urgency", false),
-		Pieces:       f.count("Pieces", limits.MaxPieces),
-		Vcpus:        f.amount("Vcpus", false),
+		Priority:     f.text("Urgency", false),
+		Tasks:        f.count("Pieces", limits.MaxPieces),
+		CPUs:         f.amount("Vcpus", false),
 		Accelerators: f.amount("Accelerators", false),
-		RamGb:        f.amount("RamGb", false),
-		Rigkinds:     f.names("Rigkinds"),
-		Yard:         f.text("Yard", true),
-		Together:     f.flag("Together"),
-		Scatter:      f.flag("Scatter"),
-		Lendable:     f.flag("Lendable"),
-		Bundle:       f.text("Bundle", false),
-		SizeGb:       f.amount("SizeGb", false),
-		ReckonS:      f.amount("ReckonS", false),
-		BookmarkS:    f.amount("BookmarkS", false),
-		StashS:       f.amount("StashS", false),
-		DueS:         f.amount("DueS", true),
+		MemoryGB:     f.amount("RamGb", false),
+		MachineTypes: f.names("Rigkinds"),
+		Zone:         f.text("Yard", true),
+		SameZone:     f.flag("Together"),
+		SpreadZones:  f.flag("Scatter"),
+		Spot:         f.flag("Lendable"),
+		Image:        f.text("Bundle", false),
+		ImageGB:      f.amount("SizeGb", false),
+		EstimateS:    f.amount("ReckonS", false),
+		CheckpointS:  f.amount("BookmarkS", false),
+		SaveS:        f.amount("StashS", false),
+		DeadlineS:    f.amount("DueS", true),
 	}
 	if f.err != nil {
 		return nil, f.err
 	}
-	if !ValidJobID(s.NameId) {
+	if !ValidJobID(s.ID) {
 		return nil, fmt.Errorf("%w: NameId: not a job id", ErrInvalid)
 	}
 	if s.Shape != "sweep" {
 		return nil, fmt.Errorf("%w: Shape: must be sweep", ErrInvalid)
 	}
-	if _, ok := ParseUrgency(s.Urgency); !ok {
+	if _, ok := ParsePriority(s.Priority); !ok {
 		return nil, fmt.Errorf("%w: Urgency: unknown", ErrInvalid)
 	}
 	return s, nil
@@ -248,11 +248,11 @@
 	return true
 }
 
-// PieceName is the name of a job's task.
-func PieceName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
+// TaskName is the name of a job's task.
+func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParsePiece splits a task's name.
-func ParsePiece(name string) (job string, index int, ok bool) {
+// ParseTaskName splits a task's name.
+func ParseTaskName(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
 	if i < 0 || !ValidJobID(name[:i]) {
 		return "", 0, false
@@ -272,8 +272,8 @@
 
 // JobStatus answers a user.
 type JobStatus struct {
-	NameId   string `cbor:"NameId"`
-	Standing string `cbor:"Standing"`
-	Done     *int   `cbor:"done,omitempty"`
-	Running  *int   `cbor:"running,omitempty"`
+	ID      string `cbor:"NameId"`
+	State   string `cbor:"Standing"`
+	Done    *int   `cbor:"done,omitempty"`
+	Running *int   `cbor:"running,omitempty"`
 }
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -1,72 +1,72 @@
 package protocol
 
-// Causes of a task's end.
+// Reasons for the end of a task.
 const (
-	CauseDone   = "done"
-	CauseHalted = "halted"
-	CauseError  = "error"
-	CauseNoRoom = "no_room"
-	CauseBusy   = "busy"
-	CauseNoSuch = "no_such"
+	ReasonDone   = "done"
+	ReasonHalted = "halted"
+	ReasonError  = "error"
+	ReasonNoRoom = "no_room"
+	ReasonBusy   = "busy"
+	ReasonNoSuch = "no_such"
 )
 
-// Verbs of orders.
+// Verbs of commands.
 const (
-	VerbStart  = "start"
-	VerbStop   = "stop"
-	VerbForget = "forget"
+	CommandStart  = "start"
+	CommandStop   = "stop"
+	CommandForget = "forget"
 )
 
 // TaskReport is one task in a worker's report.
 type TaskReport struct {
-	Piece    string `cbor:"Piece"`
-	Try      uint64 `cbor:"Try"`
-	Standing string `cbor:"Standing"`
-	Cause    string `cbor:"Cause"`
-	Stored   bool   `cbor:"Stored"`
+	Task    string `cbor:"Piece"`
+	Attempt uint64 `cbor:"Try"`
+	State   string `cbor:"Standing"`
+	Reason  string `cbor:"Cause"`
+	Saved   bool   `cbor:"Stored"`
 }
 
 // Report is what a worker tells.
 type Report struct {
-	Rig      string       `cbor:"Rig"`
-	Address  string       `cbor:"Address"`
-	Rigkind  string       `cbor:"Rigkind"`
-	Yard     string       `cbor:"Yard"`
-	Lendable bool         `cbor:"Lendable"`
-	Shift    uint64       `cbor:"Shift"`
-	Tally    uint64       `cbor:"Tally"`
-	Baton    uint64       `cbor:"Baton"`
-	WarningS *float64     `cbor:"WarningS"`
-	Pieces   []TaskReport `cbor:"Pieces"`
+	Machine     string       `cbor:"Rig"`
+	Address     string       `cbor:"Address"`
+	MachineType string       `cbor:"Rigkind"`
+	Zone        string       `cbor:"Yard"`
+	Spot        bool         `cbor:"Lendable"`
+	Session     uint64       `cbor:"Shift"`
+	Sequence    uint64       `cbor:"Tally"`
+	Token       uint64       `cbor:"Baton"`
+	NoticeS     *float64     `cbor:"WarningS"`
+	Tasks       []TaskReport `cbor:"Pieces"`
 }
 
-// Order is one command to a worker.
-type Order struct {
+// Command is one command to a worker.
+type Command struct {
 	Verb    string   `cbor:"Verb"`
-	Piece   string   `cbor:"Piece"`
-	Try     uint64   `cbor:"Try"`
-	LeewayS *float64 `cbor:"LeewayS,omitempty"`
+	Task    string   `cbor:"Piece"`
+	Attempt uint64   `cbor:"Try"`
+	GraceS  *float64 `cbor:"LeewayS,omitempty"`
 }
 
 // ReportReply answers a report.
 type ReportReply struct {
-	Baton  uint64  `cbor:"Baton"`
-	Orders []Order `cbor:"Orders"`
+	Token    uint64    `cbor:"Baton"`
+	Commands []Command `cbor:"Orders"`
 }
 
 // Redirect is the body of a 421.
 type Redirect struct {
-	Foreman string `cbor:"Foreman,omitempty"`
+	Leader string `cbor:"Foreman,omitempty"`
 }
 
 // Direct is the body of a command sent to a worker.
 type Direct struct {
-	Baton  uint64  `cbor:"Baton"`
-	Shift  uint64  `cbor:"Shift"`
-	Orders []Order `cbor:"Orders"`
+	Token    uint64    `cbor:"Baton"`
+	Session  uint64    `cbor:"Shift"`
+	Commands []Command `cbor:"Orders"`
 }
 
 // Valid checks what the scheduler relies on.
 func (r *Report) Valid() bool {
-	return r.Rig != "" && r.Rigkind != "" && r.Yard != "" && r.Shift > 0
+	return r.Machine != "" && r.MachineType != "" && r.Zone != "" && r.Session > 0
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -16,7 +16,7 @@
 
 // Cloud is a stand-in of the cloud whose machines are workers in this process.
 type Cloud struct {
-	Types       []protocol.Rigkind
+	Types       []protocol.MachineType
 	State       *State // where workers read what a task needs
 	Controllers map[string]string
 	Log         *slog.Logger
@@ -99,7 +99,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.rigs[name]; w != nil {
-		return w.rig.Yard
+		return w.rig.Zone
 	}
 	return ""
 }
@@ -143,21 +143,21 @@
 	}
 	switch {
 	case req.Path == "/machine_types":
-		rsp.Respond(200, protocol.Encode(protocol.RigkindList{Rigkinds: c.Types}), 0)
+		rsp.Respond(200, protocol.Encode(protocol.MachineTypeList{Types: c.Types}), 0)
 	case req.Path == "/rentals" && req.Method == "POST":
-		var h protocol.HireRequest
-		if err := protocol.Decode(req.Body, &h); err != nil || h.Number < 1 {
+		var h protocol.RentalRequest
+		if err := protocol.Decode(req.Body, &h); err != nil || h.Count < 1 {
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		rsp.Respond(200, protocol.Encode(protocol.HireReply{Rigs: c.hire(h)}), 0)
+		rsp.Respond(200, protocol.Encode(protocol.RentalReply{Machines: c.hire(h)}), 0)
 	case req.Path == "/rentals/delete":
 		var d protocol.DeleteRequest
 		if err := protocol.Decode(req.Body, &d); err != nil {
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		for _, name := range d.Rigs {
+		for _, name := range d.Machines {
 			c.Kill(name)
 		}
 		rsp.Respond(200, nil, 0)
@@ -173,32 +173,32 @@
 	}
 }
 
-func (c *Cloud) hire(h protocol.HireRequest) []string {
+func (c *Cloud) hire(h protocol.RentalRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if names, ok := c.hired[h.Hire]; ok {
+	if names, ok := c.hired[h.Name]; ok {
 		return names
 	}
-	var typ *protocol.Rigkind
+	var typ *protocol.MachineType
 	for i := range c.Types {
-		if c.Types[i].Sku == h.Rigkind {
+		if c.Types[i].Name == h.MachineType {
 			typ = &c.Types[i]
 		}
 	}
 	names := []string{}
-	for range h.Number {
+	for range h.Count {
 		if typ == nil {
 			break
 		}
 		c.seq++
 		ctx, cancel := context.WithCancel(c.ctx)
-		w := &worker{cloud: c, typ: typ, cancel: cancel, born: time.Now(), rig: protocol.Rig{
-			NameId: fmt.Sprintf("m-%06d", c.seq), Rigkind: h.Rigkind, Yard: h.Yard, Lendable: h.Lendable, Standing: protocol.RigBooting}}
-		c.rigs[w.rig.NameId] = w
-		names = append(names, w.rig.NameId)
+		w := &worker{cloud: c, typ: typ, cancel: cancel, born: time.Now(), rig: protocol.Machine{
+			Name: fmt.Sprintf("m-%06d", c.seq), MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}}
+		c.rigs[w.rig.Name] = w
+		names = append(names, w.rig.Name)
 		go w.run(ctx)
 	}
-	c.hired[h.Hire] = names
+	c.hired[h.Name] = names
 	return names
 }
 
@@ -221,19 +221,19 @@
 	w.shift = 0 // whatever still reaches it finds nobody
 }
 
-func (c *Cloud) list(since string) protocol.RigList {
+func (c *Cloud) list(since string) protocol.MachineList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := protocol.RigList{Rigs: []protocol.Rig{}}
+	l := protocol.MachineList{Machines: []protocol.Machine{}}
 	for name, w := range c.rigs {
 		if name > since {
 			w.mu.Lock()
 			r := w.rig
 			w.mu.Unlock()
 			r.AgeS = time.Since(w.born).Seconds()
-			l.Rigs = append(l.Rigs, r)
+			l.Machines = append(l.Machines, r)
 		}
 	}
-	sort.Slice(l.Rigs, func(a, b int) bool { return l.Rigs[a].NameId < l.Rigs[b].NameId })
+	sort.Slice(l.Machines, func(a, b int) bool { return l.Machines[a].Name < l.Machines[b].Name })
 	return l
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -100,7 +100,7 @@
 	delete(s.holds, id)
 	var gone []string
 	for k, p := range s.keys {
-		if p.Tenure == id {
+		if p.Lease == id {
 			gone = append(gone, k)
 		}
 	}
@@ -111,7 +111,7 @@
 	s.ledger++
 	for _, k := range gone {
 		delete(s.keys, k)
-		s.log = append(s.log, protocol.Change{Remove: k, Stamp: s.ledger})
+		s.log = append(s.log, protocol.Change{Delete: k, Version: s.ledger})
 	}
 	s.wake()
 }
@@ -137,36 +137,36 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	for _, op := range t.Apply {
-		if op.Tenure != 0 {
-			if _, ok := s.holds[op.Tenure]; !ok {
+	for _, op := range t.Ops {
+		if op.Lease != 0 {
+			if _, ok := s.holds[op.Lease]; !ok {
 				return 400, protocol.TxnReply{}
 			}
 		}
 	}
-	r := protocol.TxnReply{Ledger: s.ledger, Failed: []string{}}
-	for _, g := range t.Guards {
-		if s.keys[g.Path].Stamp != g.Stamp {
-			r.Failed = append(r.Failed, g.Path)
+	r := protocol.TxnReply{Revision: s.ledger, Failed: []string{}}
+	for _, g := range t.Conditions {
+		if s.keys[g.Key].Version != g.Version {
+			r.Failed = append(r.Failed, g.Key)
 		}
 	}
 	if len(r.Failed) > 0 {
 		return 409, r
 	}
-	if len(t.Apply) > 0 {
+	if len(t.Ops) > 0 {
 		s.ledger++
-		for _, op := range t.Apply {
-			if op.Remove != "" {
-				delete(s.keys, op.Remove)
-				s.log = append(s.log, protocol.Change{Remove: op.Remove, Stamp: s.ledger})
+		for _, op := range t.Ops {
+			if op.Delete != "" {
+				delete(s.keys, op.Delete)
+				s.log = append(s.log, protocol.Change{Delete: op.Delete, Version: s.ledger})
 				continue
 			}
-			s.keys[op.Write] = protocol.Pair{Path: op.Write, Data: op.Data, Stamp: s.ledger, Tenure: op.Tenure}
-			s.log = append(s.log, protocol.Change{Write: op.Write, Data: op.Data, Stamp: s.ledger})
+			s.keys[op.Put] = protocol.Pair{Key: op.Put, Value: op.Value, Version: s.ledger, Lease: op.Lease}
+			s.log = append(s.log, protocol.Change{Put: op.Put, Value: op.Value, Version: s.ledger})
 		}
 		s.wake()
 	}
-	r.Ledger = s.ledger
+	r.Revision = s.ledger
 	return 200, r
 }
 
@@ -175,7 +175,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	l := protocol.Listing{Ledger: s.ledger, Pairs: []protocol.Pair{}}
+	l := protocol.Listing{Revision: s.ledger, Pairs: []protocol.Pair{}}
 	var names []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, prefix) && k > since {
@@ -230,10 +230,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	r := protocol.WatchReply{Ledger: s.ledger, Log: []protocol.Change{}}
+	r := protocol.WatchReply{Revision: s.ledger, Changes: []protocol.Change{}}
 	for _, c := range s.log {
-		if c.Stamp > since && strings.HasPrefix(c.Write+c.Remove, prefix) {
-			r.Log = append(r.Log, c)
+		if c.Version > since && strings.HasPrefix(c.Put+c.Delete, prefix) {
+			r.Changes = append(r.Changes, c)
 		}
 	}
 	next := make(chan struct{})
@@ -283,7 +283,7 @@
 	case strings.HasPrefix(path, "/kv/"):
 		p, ok := s.Get(path[len("/kv/"):])
 		if !ok {
-			rsp.Respond(404, protocol.Encode(map[string]uint64{"Ledger": s.List("", "", 1).Ledger}), 0)
+			rsp.Respond(404, protocol.Encode(map[string]uint64{"Ledger": s.List("", "", 1).Revision}), 0)
 			return
 		}
 		rsp.Respond(200, protocol.Encode(p), 0)
@@ -308,7 +308,7 @@
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		rsp.Respond(200, protocol.Encode(protocol.LeaseReply{Tenure: s.CreateLease(time.Duration(h.LifeMs) * time.Millisecond)}), 0)
+		rsp.Respond(200, protocol.Encode(protocol.LeaseReply{Lease: s.CreateLease(time.Duration(h.LifeMs) * time.Millisecond)}), 0)
 	case strings.HasPrefix(path, "/holds/"):
 		id, err := strconv.ParseUint(strings.TrimSuffix(path[len("/holds/"):], "/touch"), 10, 64)
 		if err != nil {
@@ -334,7 +334,7 @@
 	defer end.Stop()
 	for {
 		r, next := s.Changes(prefix, since)
-		if len(r.Log) > 0 && s.serves(caller) {
+		if len(r.Changes) > 0 && s.serves(caller) {
 			rsp.Respond(200, protocol.Encode(r), 0)
 			return
 		}
@@ -342,7 +342,7 @@
 		case <-next:
 		case <-end.C:
 			if !s.serves(caller) { // it tells nothing meanwhile
-				r = protocol.WatchReply{Ledger: since, Log: []protocol.Change{}}
+				r = protocol.WatchReply{Revision: since, Changes: []protocol.Change{}}
 			}
 			rsp.Respond(200, protocol.Encode(r), 0)
 			return
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -25,12 +25,12 @@
 // worker is a machine of the stand-in cloud. Its tasks only wait for the time that their owner reckons with.
 type worker struct {
 	cloud  *Cloud
-	typ    *protocol.Rigkind
+	typ    *protocol.MachineType
 	cancel context.CancelFunc
 	born   time.Time
 
 	mu       sync.Mutex
-	rig      protocol.Rig
+	rig      protocol.Machine
 	shift    uint64 // 0: not up, or gone
 	tally    uint64
 	baton    uint64
@@ -46,7 +46,7 @@
 
 // run boots the machine and reports until the context ends.
 func (w *worker) run(ctx context.Context) {
-	if !storage.Sleep(ctx, time.Duration(w.typ.StartupS*float64(time.Second))) {
+	if !storage.Sleep(ctx, time.Duration(w.typ.BootS*float64(time.Second))) {
 		return
 	}
 	addr, err := w.listen(ctx)
@@ -59,14 +59,14 @@
 		w.mu.Unlock()
 		return
 	}
-	w.rig.Address, w.rig.Standing = addr, protocol.RigRunning
+	w.rig.Address, w.rig.State = addr, protocol.MachineRunning
 	w.shift, w.tasks, w.answered = 1, map[string]*task{}, time.Now()
 	w.mu.Unlock()
 	var names []string
 	clients := map[string]*transport.Client{}
 	for n, a := range w.cloud.Controllers {
 		names = append(names, n)
-		clients[n] = transport.NewClient(a, 1, limits.MaxBodyBytes).Over(w.cloud.dialer(w.rig.NameId))
+		clients[n] = transport.NewClient(a, 1, limits.MaxBodyBytes).Over(w.cloud.dialer(w.rig.Name))
 		defer clients[n].Close()
 	}
 	sort.Strings(names)
@@ -84,7 +84,7 @@
 		switch {
 		case status == 200:
 			if time.Since(sent) < answerIn {
-				w.take(r.Shift, reply, sent)
+				w.take(r.Session, reply, sent)
 			}
 		case status == 421 && leader != "" && leader != names[at]:
 			clients[names[at]].Close()
@@ -108,7 +108,7 @@
 func (w *worker) listen(ctx context.Context) (string, error) {
 	server := &transport.Server{MaxConns: 20, Handle: w.handle, Log: w.cloud.Log}
 	if w.cloud.Net != nil {
-		addr := w.rig.NameId + ":9000"
+		addr := w.rig.Name + ":9000"
 		go Serve(w.cloud.Net.Listen(addr), server)
 		return addr, nil
 	}
@@ -119,7 +119,7 @@
 	server.Addr = addr
 	go func() {
 		if err := server.Run(ctx); err != nil {
-			w.cloud.Log.Error("worker", "machine", w.rig.NameId, "err", err)
+			w.cloud.Log.Error("worker", "machine", w.rig.Name, "err", err)
 		}
 	}()
 	return addr, nil
@@ -159,8 +159,8 @@
 // killAll ends and forgets all tasks; the caller has the lock.
 func (w *worker) killAll() {
 	for _, t := range w.tasks {
-		if t.Standing == protocol.Running {
-			w.watch(t.Piece, false)
+		if t.State == protocol.Running {
+			w.watch(t.Task, false)
 		}
 	}
 	w.tasks = map[string]*task{}
@@ -168,7 +168,7 @@
 
 func (w *worker) watch(piece string, runs bool) {
 	if w.cloud.Watch != nil {
-		w.cloud.Watch(w.rig.NameId, piece, runs)
+		w.cloud.Watch(w.rig.Name, piece, runs)
 	}
 }
 
@@ -177,7 +177,7 @@
 	ctx, cancel := context.WithTimeout(ctx, answerIn)
 	defer cancel()
 	body := protocol.Encode(r)
-	if after, ok := w.cloud.copied(w.rig.NameId); ok {
+	if after, ok := w.cloud.copied(w.rig.Name); ok {
 		time.AfterFunc(after, func() { w.copy(body) })
 	}
 	m, err := c.Do(ctx, "POST", "/v1/report", body)
@@ -192,7 +192,7 @@
 	case 421:
 		var to protocol.Redirect
 		if protocol.Decode(m.Body, &to) == nil {
-			leader = to.Foreman
+			leader = to.Leader
 		}
 	}
 	return m.Status, leader, reply
@@ -214,18 +214,18 @@
 func (w *worker) take(shift uint64, reply protocol.ReportReply, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if reply.Baton < w.baton || shift != w.shift {
+	if reply.Token < w.baton || shift != w.shift {
 		return
 	}
-	w.baton, w.answered = reply.Baton, sent
-	w.execute(reply.Orders)
+	w.baton, w.answered = reply.Token, sent
+	w.execute(reply.Commands)
 }
 
 // report makes a report; the caller has the lock.
 func (w *worker) report() protocol.Report {
 	w.tally++
-	r := protocol.Report{Rig: w.rig.NameId, Address: w.rig.Address, Rigkind: w.rig.Rigkind, Yard: w.rig.Yard, Lendable: w.rig.Lendable,
-		Shift: w.shift, Tally: w.tally, Baton: w.baton, Pieces: []protocol.TaskReport{}}
+	r := protocol.Report{Machine: w.rig.Name, Address: w.rig.Address, MachineType: w.rig.MachineType, Zone: w.rig.Zone, Spot: w.rig.Spot,
+		Session: w.shift, Sequence: w.tally, Token: w.baton, Tasks: []protocol.TaskReport{}}
 	var keys []string
 	for k := range w.tasks {
 		keys = append(keys, k)
@@ -233,52 +233,52 @@
 	sort.Strings(keys)
 	for _, k := range keys {
 		t := w.tasks[k]
-		if t.Standing == protocol.Running && time.Now().After(t.ends) {
-			w.end(t, protocol.CauseDone)
+		if t.State == protocol.Running && time.Now().After(t.ends) {
+			w.end(t, protocol.ReasonDone)
 		}
-		r.Pieces = append(r.Pieces, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskReport)
 	}
 	return r
 }
 
 // end ends a task that runs; the caller has the lock.
 func (w *worker) end(t *task, cause string) {
-	t.Standing, t.Cause = protocol.Ended, cause
-	if cause == protocol.CauseDone {
+	t.State, t.Reason = protocol.Ended, cause
+	if cause == protocol.ReasonDone {
 		w.cloud.results.Lock()
-		w.cloud.done[t.Piece] = true
+		w.cloud.done[t.Task] = true
 		w.cloud.results.Unlock()
 	}
-	w.watch(t.Piece, false)
+	w.watch(t.Task, false)
 }
 
 func taskKey(piece string, try uint64) string { return fmt.Sprintf("%s#%d", piece, try) }
 
 // execute carries out orders; the caller has the lock.
-func (w *worker) execute(orders []protocol.Order) {
+func (w *worker) execute(orders []protocol.Command) {
 	for _, o := range orders {
-		key := taskKey(o.Piece, o.Try)
+		key := taskKey(o.Task, o.Attempt)
 		t := w.tasks[key]
 		switch {
-		case o.Verb == protocol.VerbStart && t == nil:
+		case o.Verb == protocol.CommandStart && t == nil:
 			w.tasks[key] = w.begin(o)
-		case o.Verb == protocol.VerbStop && t != nil && t.Standing != protocol.Ended:
-			w.end(t, protocol.CauseHalted)
-		case o.Verb == protocol.VerbForget && t != nil && t.Standing == protocol.Ended:
+		case o.Verb == protocol.CommandStop && t != nil && t.State != protocol.Ended:
+			w.end(t, protocol.ReasonHalted)
+		case o.Verb == protocol.CommandForget && t != nil && t.State == protocol.Ended:
 			delete(w.tasks, key)
 		}
 	}
 }
 
-func (w *worker) begin(o protocol.Order) *task {
-	t := &task{TaskReport: protocol.TaskReport{Piece: o.Piece, Try: o.Try, Standing: protocol.Ended, Cause: protocol.CauseNoSuch}}
-	id, _, ok := protocol.ParsePiece(o.Piece)
+func (w *worker) begin(o protocol.Command) *task {
+	t := &task{TaskReport: protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Ended, Reason: protocol.ReasonNoSuch}}
+	id, _, ok := protocol.ParseTaskName(o.Task)
 	if !ok {
 		return t
 	}
 	for _, other := range w.tasks {
-		if other.Piece == o.Piece && other.Standing != protocol.Ended {
-			t.Cause = protocol.CauseBusy
+		if other.Task == o.Task && other.State != protocol.Ended {
+			t.Reason = protocol.ReasonBusy
 			return t
 		}
 	}
@@ -286,13 +286,13 @@
 	if !ok {
 		return t
 	}
-	if w.cloud.Done(o.Piece) {
-		t.Cause = protocol.CauseDone
+	if w.cloud.Done(o.Task) {
+		t.Reason = protocol.ReasonDone
 		return t
 	}
-	t.Standing, t.Cause = protocol.Running, ""
-	t.ends = time.Now().Add(limits.Seconds(spec.ReckonS))
-	w.watch(o.Piece, true)
+	t.State, t.Reason = protocol.Running, ""
+	t.ends = time.Now().Add(limits.Seconds(spec.EstimateS))
+	w.watch(o.Task, true)
 	return t
 }
 
@@ -302,7 +302,7 @@
 	}
 	p, ok := c.State.Get(storage.OpenKey(id))
 	var rec storage.Open
-	if !ok || protocol.Decode(p.Data, &rec) != nil {
+	if !ok || protocol.Decode(p.Value, &rec) != nil {
 		return rec.Spec, false
 	}
 	return rec.Spec, true
@@ -326,16 +326,16 @@
 		rsp.Respond(200, protocol.Encode(w.report()), 0)
 	case req.Path == "/do" && req.Method == "POST":
 		var d protocol.Direct
-		if err := protocol.Decode(req.Body, &d); err != nil || d.Shift == 0 {
+		if err := protocol.Decode(req.Body, &d); err != nil || d.Session == 0 {
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		if d.Baton < w.baton || d.Shift != w.shift {
+		if d.Token < w.baton || d.Session != w.shift {
 			rsp.Respond(409, protocol.Encode(w.report()), 0)
 			return
 		}
-		w.baton = d.Baton
-		w.execute(d.Orders)
+		w.baton = d.Token
+		w.execute(d.Commands)
 		rsp.Respond(200, protocol.Encode(w.report()), 0)
 	default:
 		rsp.Respond(404, nil, 0)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -21,7 +21,7 @@
 	PrefixRelease = "let/"
 	PrefixOpen    = "open/"
 	PrefixFin     = "fin/"
-	PrefixHire    = "hire/"
+	PrefixRental  = "hire/"
 	PrefixUp      = "up/"
 )
 
@@ -51,8 +51,8 @@
 	return id, base, err == nil
 }
 
-// HireKey is where a rental request is kept.
-func HireKey(name string) string { return PrefixHire + name }
+// RentalKey is where a rental request is kept.
+func RentalKey(name string) string { return PrefixRental + name }
 
 // UpKey is where a sheet of machines that may hold tasks is kept.
 func UpKey(name string) string { return PrefixUp + name }
@@ -91,34 +91,34 @@
 
 // Final is a job that is over.
 type Final struct {
-	Standing string `cbor:"Standing" json:"Standing"`
+	State string `cbor:"Standing" json:"Standing"`
 }
 
-// Hire is a rental request: written before it is sent, with its machines once they are known.
-type Hire struct {
-	Rigkind  string   `cbor:"Rigkind" json:"Rigkind"`
-	Yard     string   `cbor:"Yard" json:"Yard"`
-	Lendable bool     `cbor:"Lendable" json:"Lendable"`
-	Number   int      `cbor:"Number" json:"Number"`
-	Answered bool     `cbor:"Answered" json:"Answered"`
-	Rigs     []string `cbor:"Rigs" json:"Rigs"` // machines that are not gone
+// Rental is a rental request: written before it is sent, with its machines once they are known.
+type Rental struct {
+	MachineType string   `cbor:"Rigkind" json:"Rigkind"`
+	Zone        string   `cbor:"Yard" json:"Yard"`
+	Spot        bool     `cbor:"Lendable" json:"Lendable"`
+	Count       int      `cbor:"Number" json:"Number"`
+	Answered    bool     `cbor:"Answered" json:"Answered"`
+	Machines    []string `cbor:"Rigs" json:"Rigs"` // machines that are not gone
 }
 
 // Up is a machine that reported. It is written before the machine gets its first task, so a new leader knows
 // where tasks of earlier terms can be, and where to ask.
 type Up struct {
-	Rig     string `cbor:"Rig" json:"Rig"`
+	Machine string `cbor:"Rig" json:"Rig"`
 	Address string `cbor:"Address" json:"Address"`
 }
 
 // Ups is a sheet of such machines.
 type Ups struct {
-	Rigs []Up `cbor:"Rigs" json:"Rigs"`
+	Machines []Up `cbor:"Rigs" json:"Rigs"`
 }
 
 // Types caches the machine types, so that a node can check submissions after a restart.
 type Types struct {
-	Rigkinds []protocol.Rigkind `cbor:"Rigkinds" json:"Rigkinds"`
+	MachineTypes []protocol.MachineType `cbor:"Rigkinds" json:"Rigkinds"`
 }
 
 // Fin is a chunk of a job's finished tasks: bit i of Bits is task Base+i.
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -202,7 +202,7 @@
 		return p, fmt.Errorf("get %s: %w", key, err)
 	}
 	if m.Status == 404 {
-		p.Stamp, p.Data = 0, nil
+		p.Version, p.Value = 0, nil
 	}
 	return p, nil
 }
@@ -231,13 +231,13 @@
 			return 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		if first {
-			ledger, first = l.Ledger, false
+			ledger, first = l.Revision, false
 		}
 		for _, p := range l.Pairs {
 			if err := each(p); err != nil {
 				return 0, err
 			}
-			since = p.Path
+			since = p.Key
 		}
 		if !l.Truncated || len(l.Pairs) == 0 {
 			return ledger, nil
@@ -247,10 +247,10 @@
 
 // Txn carries out a transaction and returns its revision.
 func (s *Store) Txn(ctx context.Context, t protocol.Txn) (uint64, error) {
-	if err := s.admit(ctx, len(t.Apply)); err != nil {
+	if err := s.admit(ctx, len(t.Ops)); err != nil {
 		return 0, err
 	}
-	s.health.writes.Add(int64(len(t.Apply)))
+	s.health.writes.Add(int64(len(t.Ops)))
 	m, err := s.call(ctx, "POST", "/txn", protocol.Encode(t))
 	if err != nil {
 		return 0, err
@@ -264,11 +264,11 @@
 		if m.Status == 409 {
 			return 0, &Conflict{Failed: r.Failed}
 		}
-		return r.Ledger, nil
+		return r.Revision, nil
 	case 400:
 		// The one well-formed transaction that is rejected is one whose hold is over.
-		for _, op := range t.Apply {
-			if op.Tenure != 0 {
+		for _, op := range t.Ops {
+			if op.Lease != 0 {
 				return 0, fmt.Errorf("txn: %w", ErrNoLease)
 			}
 		}
@@ -289,7 +289,7 @@
 	if err := protocol.Decode(m.Body, &r); err != nil {
 		return 0, fmt.Errorf("hold: %w", err)
 	}
-	return r.Tenure, nil
+	return r.Lease, nil
 }
 
 // Touch renews a hold.
