--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -22,7 +22,7 @@
 	Peers   *peer.Server
 
 	settings *config.Settings
-	desk     *leader.Desk
+	desk     *leader.Runner
 	peers    *peer.Peers
 	elector  *election.Elector
 	front    *gateway.Gateway
@@ -34,7 +34,7 @@
 	sockets := transport.NewSockets(shares.Room, shares.Headroom)
 	store := storage.New(s.External.State, s.Facts.State).Over(dialer)
 	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS).Over(dialer)
-	desk := leader.NewDesk(s, options, store, cloud, sockets, log).Over(dialer)
+	desk := leader.NewRunner(s, options, store, cloud, sockets, log).Over(dialer)
 	elector := election.New(s.NodeName, store, time.Duration(options.Leadership.LeaderLease), limits.PledgeLife(limits.Seconds(s.Facts.Workers.LeaseS)), desk.Lead, log)
 	desk.OnLost(elector.Lost)
 	peers, err := peer.Dial(s.Members, dialer)
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	elector.Peers = peers
-	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Desk: desk, Peers: peers, Leader: elector.Leader, Settings: s, Stage: shares.Stage, Log: log}
+	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Runner: desk, Peers: peers, Leader: elector.Leader, Settings: s, Stage: shares.Stage, Log: log}
 	return &Controller{
 		Clients: &transport.Server{
 			Addr:      s.ClientListen,
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -27,7 +27,7 @@
 type Gateway struct {
 	Node     string
 	Store    *storage.Store
-	Desk     *leader.Desk
+	Runner   *leader.Runner
 	Peers    *peer.Peers
 	Leader   func() string // name of the leading node, or ""
 	Settings *config.Settings
@@ -147,11 +147,11 @@
 		after := 0
 		if status == 503 {
 			failing := g.Store.Failing()
-			after = limits.ComeBack(failing)
+			after = limits.RetryAfterSeconds(failing)
 			if failing > limits.AloneAfter {
 				// Perhaps only we are cut off, from the other controllers as well, so that we stay in service. The user's next try should not
 				// come here again only because the connection is still open.
-				rsp.HangUp()
+				rsp.CloseAfter()
 			}
 		}
 		rsp.Respond(status, b, after)
@@ -219,7 +219,7 @@
 
 // report hands a worker's report to the leader here, or sends the worker to where the leader is.
 func (g *Gateway) report(req *transport.Message, rsp *transport.Responder) {
-	if !g.Desk.Leads() {
+	if !g.Runner.Leads() {
 		name := g.Leader()
 		if name == g.Node {
 			name = ""
@@ -237,7 +237,7 @@
 		}
 		return
 	}
-	g.Desk.Report(req.Body, rsp.Before() == 200, func(status int, body []byte) { rsp.Respond(status, body, 0) })
+	g.Runner.Report(req.Body, rsp.Before() == 200, func(status int, body []byte) { rsp.Respond(status, body, 0) })
 }
 
 // relay asks the leader about a worker that came here. Mostly the leader wants it to come itself; if it cannot, as when the
@@ -263,7 +263,7 @@
 	Error string `cbor:"error"`
 }
 
-func (g *Gateway) away(err error) (int, any) {
+func (g *Gateway) retryLater(err error) (int, any) {
 	g.Log.Debug("user told to come back", "err", err)
 	return 503, problem{Error: "not now"}
 }
@@ -279,13 +279,13 @@
 	}
 	types := g.types.Load()
 	if types == nil {
-		return g.away(errors.New("machine types not known yet"))
+		return g.retryLater(errors.New("machine types not known yet"))
 	}
 	if why := g.refusal(spec, *types); why != "" {
 		// A job that was accepted stays accepted, even if the types have changed since.
 		st, known, err := g.standing(ctx, spec.ID)
 		if err != nil {
-			return g.away(err)
+			return g.retryLater(err)
 		}
 		if known {
 			return 200, st
@@ -310,17 +310,17 @@
 		// guards make sure that it is written once.
 		st, known, rerr := g.standing(ctx, spec.ID)
 		if rerr != nil {
-			return g.away(rerr)
+			return g.retryLater(rerr)
 		}
 		if known {
 			return 200, st
 		}
-		return g.away(err)
+		return g.retryLater(err)
 	case errors.Is(err, storage.ErrBadRequest):
 		g.Log.Error("submission not storable", "job", spec.ID, "err", err)
 		return 400, problem{Error: "cannot be stored"}
 	}
-	return g.away(err)
+	return g.retryLater(err)
 }
 
 // refusal says why a job can never run, or "".
@@ -391,7 +391,7 @@
 	}
 	st, known, err := g.standing(ctx, id)
 	if err != nil {
-		return g.away(err)
+		return g.retryLater(err)
 	}
 	if !known {
 		return 404, problem{Error: "no such job"}
@@ -408,8 +408,8 @@
 }
 
 func (g *Gateway) counts(ctx context.Context, id string) (peer.Counts, bool) {
-	if g.Desk.Leads() {
-		return g.Desk.Counts(ctx, id)
+	if g.Runner.Leads() {
+		return g.Runner.Counts(ctx, id)
 	}
 	return g.Peers.Counts(ctx, g.Leader(), id)
 }
@@ -423,7 +423,7 @@
 //   - the leader has written a heartbeat that covers the record. Such a write succeeds only while no later term has begun;
 //   - there is no leader key. Its hold is over, so no leader is entitled, and the next one reads the record.
 func (g *Gateway) confirm(ctx context.Context, id string, p protocol.Pair) bool {
-	known := g.Desk.Confirm(ctx, id, p.Version, p.Value) || g.Peers.Confirm(ctx, g.Leader(), id, p.Version, p.Value) || g.covered(ctx, p.Version)
+	known := g.Runner.Confirm(ctx, id, p.Version, p.Value) || g.Peers.Confirm(ctx, g.Leader(), id, p.Version, p.Value) || g.covered(ctx, p.Version)
 	if known {
 		g.finals.put(id, protocol.Aborted) // it stays so, whatever leader comes
 	}
@@ -446,7 +446,7 @@
 // cancelled answers a cancellation whose record is there.
 func (g *Gateway) cancelled(ctx context.Context, id string, p protocol.Pair) (int, any) {
 	if !g.confirm(ctx, id, p) {
-		return g.away(errUnconfirmed)
+		return g.retryLater(errUnconfirmed)
 	}
 	return 200, protocol.JobStatus{ID: id, State: protocol.Aborted}
 }
@@ -462,13 +462,13 @@
 	for {
 		p, err := g.Store.Get(ctx, storage.OpenKey(id))
 		if err != nil {
-			return g.away(err)
+			return g.retryLater(err)
 		}
 		if p.Version == 0 {
 			st, known, err := g.standing(ctx, id)
 			switch {
 			case err != nil:
-				return g.away(err)
+				return g.retryLater(err)
 			case !known:
 				return 404, problem{Error: "no such job"}
 			case st.State == protocol.Done || st.State == protocol.Aborted:
@@ -478,7 +478,7 @@
 		}
 		var o storage.Open
 		if err := protocol.Decode(p.Value, &o); err != nil {
-			return g.away(err)
+			return g.retryLater(err)
 		}
 		if o.Cancelled {
 			return g.cancelled(ctx, id, p)
@@ -494,7 +494,7 @@
 		}
 		var conflict *storage.Conflict
 		if !errors.As(err, &conflict) && !errors.Is(err, storage.ErrUnclear) {
-			return g.away(err)
+			return g.retryLater(err)
 		}
 		// It finished or was cancelled meanwhile, or this write was carried out and its answer lost: look again, within the
 		// user's time. The context ends the loop.
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &Gateway{Node: "rig-0", Store: store, Desk: leader.NewDesk(s, config.DefaultOptions(), store, nil, nil, log), Peers: peers,
+	g := &Gateway{Node: "rig-0", Store: store, Runner: leader.NewRunner(s, config.DefaultOptions(), store, nil, nil, log), Peers: peers,
 		Leader: func() string { return "" }, Settings: s, Stage: limits.UserStage, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -270,7 +270,7 @@
 func TestComeBack(t *testing.T) {
 	last := 0
 	for d := time.Duration(0); d < 5*time.Minute; d += time.Second {
-		n := limits.ComeBack(d)
+		n := limits.RetryAfterSeconds(d)
 		if n < max(last, 1) || n > 30 {
 			t.Fatalf("after %v: %d, before %d", d, n, last)
 		}
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -156,8 +156,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk := leader.NewDesk(s, config.DefaultOptions(), store, leader.NewCloud(cloudAddr, 100), sockets, log)
-	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Desk: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, Stage: shares.Stage, Log: log}
+	desk := leader.NewRunner(s, config.DefaultOptions(), store, leader.NewCloud(cloudAddr, 100), sockets, log)
+	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Runner: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, Stage: shares.Stage, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	g.Start(ctx)
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -77,17 +77,17 @@
 }
 
 // hire sends a rental request until there is an answer.
-func (t *term) hire(ctx context.Context, req protocol.RentalRequest) {
+func (t *term) rent(ctx context.Context, req protocol.RentalRequest) {
 	var back storage.Backoff
 	body := protocol.Encode(req)
 	for {
-		if t.m.Entitled() {
-			m, err := t.d.cloud.call(ctx, "POST", "/rentals", body)
+		if t.leadership.Entitled() {
+			m, err := t.runner.cloud.call(ctx, "POST", "/rentals", body)
 			switch {
 			case err == nil && m.Status == 200:
 				var r protocol.RentalReply
 				if err = protocol.Decode(m.Body, &r); err == nil {
-					t.post(ctx, scheduler.HireDone{Name: req.Name, Rigs: r.Machines, OK: true})
+					t.post(ctx, scheduler.RentalDone{Name: req.Name, Machines: r.Machines, OK: true})
 					return
 				}
 			case err == nil && m.Status == 503:
@@ -95,13 +95,13 @@
 					Error string `cbor:"error"`
 				}
 				if protocol.Decode(m.Body, &r) == nil && r.Error == "no capacity" {
-					t.post(ctx, scheduler.HireDone{Name: req.Name, NoCapacity: true})
+					t.post(ctx, scheduler.RentalDone{Name: req.Name, NoCapacity: true})
 					return
 				}
 				err = fmt.Errorf("%w: %s", errCloud, r.Error)
 			case err == nil && m.Status == 400:
 				t.log.Error("rental rejected", "request", req.Name)
-				t.post(ctx, scheduler.HireDone{Name: req.Name, NoCapacity: true})
+				t.post(ctx, scheduler.RentalDone{Name: req.Name, NoCapacity: true})
 				return
 			case err == nil:
 				err = fmt.Errorf("%w: rental: status %d", errCloud, m.Status)
@@ -116,9 +116,9 @@
 
 // remove returns machines; the scheduler repeats it until it is confirmed.
 func (t *term) remove(ctx context.Context, rigs []string) {
-	done := scheduler.DeleteDone{Rigs: rigs}
-	if t.m.Entitled() {
-		m, err := t.d.cloud.call(ctx, "POST", "/rentals/delete", protocol.Encode(protocol.DeleteRequest{Machines: rigs}))
+	done := scheduler.DeleteDone{Machines: rigs}
+	if t.leadership.Entitled() {
+		m, err := t.runner.cloud.call(ctx, "POST", "/rentals/delete", protocol.Encode(protocol.DeleteRequest{Machines: rigs}))
 		if err == nil && m.Status != 200 {
 			err = fmt.Errorf("%w: delete: status %d", errCloud, m.Status)
 		}
@@ -138,7 +138,7 @@
 		if since != "" {
 			target += "&Since=" + url.QueryEscape(since)
 		}
-		m, err := t.d.cloud.call(ctx, "GET", target, nil)
+		m, err := t.runner.cloud.call(ctx, "GET", target, nil)
 		if err == nil && m.Status != 200 {
 			err = fmt.Errorf("%w: list: status %d", errCloud, m.Status)
 		}
@@ -151,7 +151,7 @@
 			t.post(ctx, scheduler.ListDone{})
 			return
 		}
-		done.Rigs = append(done.Rigs, l.Machines...)
+		done.Machines = append(done.Machines, l.Machines...)
 		if !l.Truncated || len(l.Machines) == 0 {
 			t.post(ctx, done)
 			return
@@ -162,7 +162,7 @@
 
 // types reads the machine types, and keeps them in the state service for all nodes.
 func (t *term) types(ctx context.Context) {
-	list, err := t.d.cloud.Types(ctx)
+	list, err := t.runner.cloud.Types(ctx)
 	if err != nil {
 		t.log.Info("no machine types", "err", err)
 		t.post(ctx, scheduler.TypesDone{})
@@ -183,7 +183,7 @@
 }
 
 func (t *term) keepTypes(ctx context.Context, list []protocol.MachineType) error {
-	p, err := t.d.store.Get(ctx, storage.KeyTypes)
+	p, err := t.runner.store.Get(ctx, storage.KeyTypes)
 	if err != nil {
 		return err
 	}
@@ -191,13 +191,13 @@
 	if p.Version != 0 && protocol.Decode(p.Value, &old) == nil && sameShapes(old.MachineTypes, list) {
 		return nil
 	}
-	_, err = t.d.store.Txn(ctx, protocol.Txn{
-		Conditions: []protocol.Condition{t.m.Guard(), {Key: storage.KeyTypes, Version: p.Version}},
+	_, err = t.runner.store.Txn(ctx, protocol.Txn{
+		Conditions: []protocol.Condition{t.leadership.Guard(), {Key: storage.KeyTypes, Version: p.Version}},
 		Ops:        []protocol.Op{{Put: storage.KeyTypes, Value: protocol.Encode(storage.Types{MachineTypes: list})}},
 	})
 	var conflict *storage.Conflict
 	if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
-		t.d.lost(t.m.Term)
+		t.runner.lost(t.leadership.Term)
 		return nil
 	}
 	return err
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -25,8 +25,8 @@
 // Reply answers a worker's report: 200 with a body, or another status.
 type Reply func(status int, body []byte)
 
-// Desk is where messages for the present term are left. It outlives terms.
-type Desk struct {
+// Runner is where messages for the present term are left. It outlives terms.
+type Runner struct {
 	settings *config.Settings
 	options  config.Options
 	store    *storage.Store
@@ -38,37 +38,37 @@
 	term     atomic.Pointer[term]
 }
 
-// NewDesk returns a Desk.
-func NewDesk(settings *config.Settings, options config.Options, store *storage.Store, cloud *Cloud, sockets *transport.Sockets, log *slog.Logger) *Desk {
-	return &Desk{settings: settings, options: options, store: store, cloud: cloud, sockets: sockets, log: log, lost: func(uint64) {}}
+// NewRunner returns a Runner.
+func NewRunner(settings *config.Settings, options config.Options, store *storage.Store, cloud *Cloud, sockets *transport.Sockets, log *slog.Logger) *Runner {
+	return &Runner{settings: settings, options: options, store: store, cloud: cloud, sockets: sockets, log: log, lost: func(uint64) {}}
 }
 
 // Over makes it dial workers another way. It is called before the first use.
-func (d *Desk) Over(dialer transport.Dialer) *Desk {
+func (d *Runner) Over(dialer transport.Dialer) *Runner {
 	d.dialer = dialer
 	return d
 }
 
 // OnLost sets who is told that a term was found to be over.
-func (d *Desk) OnLost(f func(term uint64)) { d.lost = f }
+func (d *Runner) OnLost(f func(term uint64)) { d.lost = f }
 
 // term is one term's actor.
 type term struct {
-	d       *Desk
-	m       *election.Leadership
-	mail    chan any
-	start   time.Time
-	sched   *scheduler.Scheduler
-	writes  chan scheduler.WriteOut
-	log     *slog.Logger
-	pending []scheduler.WriteOut
-	bulk    []scheduler.WriteOut         // those that can wait for all others
-	workers map[string]*transport.Client // by address
-	clients int                          // most of these
-	probes  chan struct{}                // probes under way; a take-over asks all machines at once
-	longest time.Duration                // longest wait of a report in the mailbox since the last summary
-	late    atomic.Int64                 // when a report was last taken that had waited for longer than BusyWait, in nanoseconds of the term
-	usage   usage
+	runner     *Runner
+	leadership *election.Leadership
+	mailbox    chan any
+	start      time.Time
+	scheduler  *scheduler.Scheduler
+	writes     chan scheduler.WriteOut
+	log        *slog.Logger
+	pending    []scheduler.WriteOut
+	bulk       []scheduler.WriteOut         // those that can wait for all others
+	workers    map[string]*transport.Client // by address
+	clients    int                          // most of these
+	probes     chan struct{}                // probes under way; a take-over asks all machines at once
+	longest    time.Duration                // longest wait of a report in the mailbox since the last summary
+	late       atomic.Int64                 // when a report was last taken that had waited for longer than BusyWait, in nanoseconds of the term
+	usage      usage
 }
 
 type reportMsg struct {
@@ -98,22 +98,22 @@
 }
 
 // Leads tells whether this process leads.
-func (d *Desk) Leads() bool { return d.term.Load() != nil }
+func (d *Runner) Leads() bool { return d.term.Load() != nil }
 
 // Entitled tells whether it is surely the leader at this moment.
-func (d *Desk) Entitled() bool {
+func (d *Runner) Entitled() bool {
 	t := d.term.Load()
-	return t != nil && t.m.Entitled()
+	return t != nil && t.leadership.Entitled()
 }
 
 // Report hands a report to the term; stayed tells that the worker got a 200 before on its connection. It is answered 503 at once if nobody leads here
 // or the mailbox is full.
-func (d *Desk) Report(body []byte, stayed bool, reply Reply) {
+func (d *Runner) Report(body []byte, stayed bool, reply Reply) {
 	d.take(reportMsg{body: body, reply: reply, stayed: stayed})
 }
 
 // Relayed takes a report that came through another controller.
-func (d *Desk) Relayed(ctx context.Context, body []byte, stayed bool) (int, []byte) {
+func (d *Runner) Relayed(ctx context.Context, body []byte, stayed bool) (int, []byte) {
 	type answer struct {
 		status int
 		body   []byte
@@ -128,7 +128,7 @@
 	}
 }
 
-func (d *Desk) take(msg reportMsg) {
+func (d *Runner) take(msg reportMsg) {
 	t := d.term.Load()
 	if t == nil {
 		msg.reply(503, nil)
@@ -136,7 +136,7 @@
 	}
 	msg.arrived = time.Now()
 	select {
-	case t.mail <- msg:
+	case t.mailbox <- msg:
 	default:
 		msg.reply(503, nil)
 	}
@@ -145,7 +145,7 @@
 // ask leaves a question for the actor and waits for the answer.
 func ask[T any](ctx context.Context, t *term, msg any, reply <-chan T) (answer T, ok bool) {
 	select {
-	case t.mail <- msg:
+	case t.mailbox <- msg:
 	case <-ctx.Done():
 		return answer, false
 	}
@@ -158,7 +158,7 @@
 }
 
 // Counts returns a job's counts if this process leads.
-func (d *Desk) Counts(ctx context.Context, job string) (peer.Counts, bool) {
+func (d *Runner) Counts(ctx context.Context, job string) (peer.Counts, bool) {
 	t := d.term.Load()
 	if t == nil {
 		return peer.Counts{}, false
@@ -173,7 +173,7 @@
 // Confirm takes the record of a cancelled job from the controller that is about to tell the user. It tells whether we were entitled after the
 // scheduler had taken it: then no other controller was, and whoever leads later reads it in the state service. Our own watch may be silent
 // long after, when the state service refuses us or everybody.
-func (d *Desk) Confirm(ctx context.Context, job string, stamp uint64, record []byte) bool {
+func (d *Runner) Confirm(ctx context.Context, job string, stamp uint64, record []byte) bool {
 	t := d.term.Load()
 	if t == nil {
 		return false
@@ -190,7 +190,7 @@
 }
 
 // Inspect returns how the term stands if this process leads, and why a job waits if one is named.
-func (d *Desk) Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
+func (d *Runner) Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
 	t := d.term.Load()
 	if t == nil {
 		return nil, false
@@ -200,7 +200,7 @@
 	if !ok {
 		return nil, false
 	}
-	r := &peerpb.StatusReply{Leader: d.settings.NodeName, Term: v.Term, Entitled: t.m.Entitled(), Rebuilt: v.Rebuilt, Why: v.Why}
+	r := &peerpb.StatusReply{Leader: d.settings.NodeName, Term: v.Term, Entitled: t.leadership.Entitled(), Rebuilt: v.Rebuilt, Why: v.Why}
 	for _, m := range v.Machines {
 		r.Machines = append(r.Machines, &peerpb.Machine{Name: m.Name, Type: m.Kind, Zone: m.Yard, Spot: m.Spot, State: m.State,
 			Cpus: m.Cpus, Used: m.Used, Tasks: int64(m.Tasks), SilentS: m.Silent.Seconds()})
@@ -213,14 +213,14 @@
 }
 
 // Lead runs a term until its context ends.
-func (d *Desk) Lead(ctx context.Context, m *election.Leadership) {
+func (d *Runner) Lead(ctx context.Context, m *election.Leadership) {
 	f := &d.settings.Facts
 	shares := limits.ShareSockets(f.Machine.MaxSockets, len(d.settings.Members))
 	t := &term{
-		d: d, m: m,
-		mail:   make(chan any, limits.Mailbox(shares)),
-		start:  time.Now(),
-		writes: make(chan scheduler.WriteOut),
+		runner: d, leadership: m,
+		mailbox: make(chan any, limits.Mailbox(shares)),
+		start:   time.Now(),
+		writes:  make(chan scheduler.WriteOut),
 
 		workers: map[string]*transport.Client{},
 		clients: shares.Machines,
@@ -231,14 +231,14 @@
 	if options.Fleet.MaxMachines == 0 {
 		options.Fleet.MaxMachines = shares.Machines
 	}
-	t.sched = scheduler.New(scheduler.Config{
+	t.scheduler = scheduler.New(scheduler.Config{
 		Term: m.Term, Teams: f.Teams, Objectives: f.Objectives, Workers: f.Workers, State: f.State,
 		ListLag: limits.Seconds(f.Cloud.ListLagS), CloudRPS: f.Cloud.RPS * limits.CloudShare, CoreShare: f.Machine.CoreShare, Options: options,
 	}, 0)
 	d.term.Store(t)
 	defer d.term.Store(nil)
 	defer t.drain()
-	defer t.hangUp()
+	defer t.closeConnections()
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -256,7 +256,7 @@
 func (t *term) drain() {
 	for {
 		select {
-		case msg := <-t.mail:
+		case msg := <-t.mailbox:
 			if r, ok := msg.(reportMsg); ok {
 				r.reply(503, nil)
 			}
@@ -278,7 +278,7 @@
 				t.step(ctx, e)
 			}
 			t.step(ctx, scheduler.Loaded{})
-			t.m.Saw(ledger)
+			t.leadership.Saw(ledger)
 			return ledger, true
 		}
 		t.log.Warn("cannot load jobs", "err", err)
@@ -293,22 +293,22 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.d.store, storage.PrefixFin, func(p protocol.Pair, f storage.Fin) {
+	err = listRecords(ctx, t.runner.store, storage.PrefixFin, func(p protocol.Pair, f storage.Fin) {
 		if id, _, ok := storage.ParseFinKey(p.Key); ok {
-			evs = append(evs, scheduler.FinLoaded{ID: id, Stamp: p.Version, Rec: f})
+			evs = append(evs, scheduler.FinishedLoaded{ID: id, Version: p.Version, Rec: f})
 		}
 	})
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.d.store, storage.PrefixRental, func(p protocol.Pair, h storage.Rental) {
-		evs = append(evs, scheduler.HireLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRental), Stamp: p.Version, Rec: h})
+	err = listRecords(ctx, t.runner.store, storage.PrefixRental, func(p protocol.Pair, h storage.Rental) {
+		evs = append(evs, scheduler.RentalLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRental), Version: p.Version, Rec: h})
 	})
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.d.store, storage.PrefixUp, func(p protocol.Pair, u storage.Ups) {
-		evs = append(evs, scheduler.UpLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixUp), Stamp: p.Version, Rec: u})
+	err = listRecords(ctx, t.runner.store, storage.PrefixUp, func(p protocol.Pair, u storage.Ups) {
+		evs = append(evs, scheduler.RegistrationLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixUp), Version: p.Version, Rec: u})
 	})
 	return ledger, evs, err
 }
@@ -328,7 +328,7 @@
 
 func (t *term) readOpen(ctx context.Context) (uint64, []scheduler.Event, error) {
 	var evs []scheduler.Event
-	ledger, err := t.d.store.List(ctx, storage.PrefixOpen, func(p protocol.Pair) error {
+	ledger, err := t.runner.store.List(ctx, storage.PrefixOpen, func(p protocol.Pair) error {
 		e, err := t.jobSeen(p.Key, p.Value, p.Version)
 		if err != nil {
 			return err
@@ -344,10 +344,10 @@
 	if err := protocol.Decode(data, &o); err != nil {
 		return scheduler.JobSeen{}, fmt.Errorf("%s: %w", path, err)
 	}
-	e := scheduler.JobSeen{ID: strings.TrimPrefix(path, storage.PrefixOpen), Stamp: stamp, Rec: o, Age: max(age(o.AtMs), 0)}
+	e := scheduler.JobSeen{ID: strings.TrimPrefix(path, storage.PrefixOpen), Version: stamp, Rec: o, Age: max(age(o.AtMs), 0)}
 	if o.CancelMs != 0 {
 		// The clock that it was noted by and ours may differ by the bound of both.
-		e.CancelAge = max(age(o.CancelMs)+2*limits.Seconds(t.d.settings.Facts.SkewMs/1000), 0)
+		e.CancelAge = max(age(o.CancelMs)+2*limits.Seconds(t.runner.settings.Facts.SkewMs/1000), 0)
 	}
 	return e, nil
 }
@@ -359,7 +359,7 @@
 func (t *term) watch(ctx context.Context, since uint64) {
 	var back storage.Backoff
 	for ctx.Err() == nil {
-		r, err := t.d.store.Watch(ctx, storage.PrefixOpen, since)
+		r, err := t.runner.store.Watch(ctx, storage.PrefixOpen, since)
 		switch {
 		case errors.Is(err, storage.ErrGone):
 			ledger, evs, rerr := t.readOpen(ctx)
@@ -383,7 +383,7 @@
 		back.Reset()
 		for _, c := range r.Changes {
 			if c.Delete != "" {
-				t.post(ctx, scheduler.JobLeft{ID: strings.TrimPrefix(c.Delete, storage.PrefixOpen), Stamp: c.Version})
+				t.post(ctx, scheduler.JobLeft{ID: strings.TrimPrefix(c.Delete, storage.PrefixOpen), Version: c.Version})
 				continue
 			}
 			e, err := t.jobSeen(c.Put, c.Value, c.Version)
@@ -401,7 +401,7 @@
 // post leaves a message for the actor; it waits while the mailbox is full.
 func (t *term) post(ctx context.Context, msg any) {
 	select {
-	case t.mail <- msg:
+	case t.mailbox <- msg:
 	case <-ctx.Done():
 	}
 }
@@ -427,8 +427,8 @@
 			*queue = (*queue)[1:]
 		case <-tick.C:
 			t.makeRoom()
-			t.step(ctx, scheduler.Tick{Entitled: t.m.Entitled()})
-		case msg := <-t.mail:
+			t.step(ctx, scheduler.Tick{Entitled: t.leadership.Entitled()})
+		case msg := <-t.mailbox:
 			switch msg := msg.(type) {
 			case reportMsg:
 				t.report(ctx, msg)
@@ -436,9 +436,9 @@
 				t.step(ctx, scheduler.CountsIn{ID: msg.job, Ref: msg.reply})
 			case confirmMsg:
 				t.step(ctx, msg.seen)
-				msg.reply <- t.m.Entitled()
+				msg.reply <- t.leadership.Entitled()
 			case seenMsg:
-				t.m.Saw(uint64(msg))
+				t.leadership.Saw(uint64(msg))
 			case inspectMsg:
 				t.step(ctx, scheduler.InspectIn{Job: msg.job, Ref: msg.reply})
 			case scheduler.Event:
@@ -460,28 +460,28 @@
 		msg.reply(400, nil)
 		return
 	}
-	if r.Token > t.m.Term {
-		t.d.lost(t.m.Term) // the worker has seen a later leader
+	if r.Token > t.leadership.Term {
+		t.runner.lost(t.leadership.Term) // the worker has seen a later leader
 	}
-	entitled := wait < limits.StaleReport && t.m.Entitled()
+	entitled := wait < limits.StaleReport && t.leadership.Entitled()
 	t.step(ctx, scheduler.ReportIn{Report: &r, Ref: msg.reply, Entitled: entitled, Relayed: msg.relayed, Stayed: msg.stayed})
 }
 
 // step takes an event through the scheduler and carries out the effects.
 func (t *term) step(ctx context.Context, e scheduler.Event) {
-	for _, eff := range t.sched.Step(e, t.now()) {
+	for _, eff := range t.scheduler.Step(e, t.now()) {
 		switch eff := eff.(type) {
 		case scheduler.ReplyOut:
 			reply := eff.Ref.(Reply)
 			if eff.Redirect {
-				reply(421, protocol.Encode(protocol.Redirect{Leader: t.d.settings.NodeName}))
+				reply(421, protocol.Encode(protocol.Redirect{Leader: t.runner.settings.NodeName}))
 				continue
 			}
-			if !eff.OK || !t.m.Entitled() {
+			if !eff.OK || !t.leadership.Entitled() {
 				reply(503, nil)
 				continue
 			}
-			reply(200, protocol.Encode(protocol.ReportReply{Token: t.m.Term, Commands: eff.Orders}))
+			reply(200, protocol.Encode(protocol.ReportReply{Token: t.leadership.Term, Commands: eff.Commands}))
 		case scheduler.WriteOut:
 			if eff.Bulk {
 				t.bulk = append(t.bulk, eff)
@@ -492,10 +492,10 @@
 			go t.send(ctx, eff, t.worker(eff.Address))
 		case scheduler.ProbeOut:
 			go t.probe(ctx, eff)
-		case scheduler.HireOut:
-			go t.hire(ctx, eff.Req)
+		case scheduler.RentOut:
+			go t.rent(ctx, eff.Request)
 		case scheduler.DeleteOut:
-			go t.remove(ctx, eff.Rigs)
+			go t.remove(ctx, eff.Machines)
 		case scheduler.ListOut:
 			go t.list(ctx)
 		case scheduler.TypesOut:
@@ -506,7 +506,7 @@
 			eff.Ref.(chan scheduler.Snapshot) <- eff.Snapshot
 		case scheduler.Note:
 			if eff.Msg == scheduler.MsgSummary {
-				eff.Args = append(eff.Args, t.burden()...)
+				eff.Args = append(eff.Args, t.resourceUsage()...)
 			}
 			t.log.Log(ctx, eff.Level, eff.Msg, eff.Args...)
 		}
--- a/internal/coordination/leader/burden.go
+++ b/internal/coordination/leader/usage.go
@@ -14,15 +14,15 @@
 	writes, refused int64
 }
 
-// burden tells, for the summary line, how the process stands against its limits: what waits in the mailbox and for how long, processor time as a share of
+// resourceUsage tells, for the summary line, how the process stands against its limits: what waits in the mailbox and for how long, processor time as a share of
 // a core, memory of the heap, and changes sent to and calls refused by the state service since the line before.
-func (t *term) burden() []any {
+func (t *term) resourceUsage() []any {
 	last := t.usage
 	t.usage = usage{at: time.Now()}
-	t.usage.writes, t.usage.refused = t.d.store.Usage()
+	t.usage.writes, t.usage.refused = t.runner.store.Usage()
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(heap)
-	args := []any{"mailbox", len(t.mail), "longest_wait", t.longest.Round(time.Millisecond), "heap_mb", heap[0].Value.Uint64() >> 20,
+	args := []any{"mailbox", len(t.mailbox), "longest_wait", t.longest.Round(time.Millisecond), "heap_mb", heap[0].Value.Uint64() >> 20,
 		"writes", t.usage.writes - last.writes, "refused", t.usage.refused - last.refused}
 	t.longest = 0
 	var r syscall.Rusage
--- a/internal/coordination/leader/workers.go
+++ b/internal/coordination/leader/workers.go
@@ -42,19 +42,19 @@
 	}
 	if late := t.late.Load(); late != 0 && t.now()-time.Duration(late) < limits.BusyFor {
 		// Reports wait. They prove as much, and what waits is late for its worker's lease; a probe can come later.
-		t.post(ctx, scheduler.ProbeDone{Rig: p.Rig, Unasked: true})
+		t.post(ctx, scheduler.ProbeDone{Machine: p.Machine, NotSent: true})
 		return
 	}
 	pctx, cancel := context.WithTimeout(ctx, limits.ProbeTimeout)
 	defer cancel()
-	c := transport.NewClient(p.Address, 1, limits.MaxBodyBytes).Within(t.d.sockets).Over(t.d.dialer)
+	c := transport.NewClient(p.Address, 1, limits.MaxBodyBytes).Within(t.runner.sockets).Over(t.runner.dialer)
 	defer c.Close()
 	r, err := t.probeReport(pctx, c)
 	if err != nil {
-		t.log.Debug("probe", "machine", p.Rig, "err", err)
+		t.log.Debug("probe", "machine", p.Machine, "err", err)
 		r = nil
 	}
-	t.post(ctx, scheduler.ProbeDone{Rig: p.Rig, Report: r, Unasked: errors.Is(err, transport.ErrNoSocket)})
+	t.post(ctx, scheduler.ProbeDone{Machine: p.Machine, Report: r, NotSent: errors.Is(err, transport.ErrNoSocket)})
 }
 
 func (t *term) probeReport(ctx context.Context, c *transport.Client) (*protocol.Report, error) {
@@ -69,10 +69,10 @@
 	if err := protocol.Decode(m.Body, &r); err != nil {
 		return nil, fmt.Errorf("%w: status: %w", errWorker, err)
 	}
-	if !t.m.Entitled() {
+	if !t.leadership.Entitled() {
 		return nil, fmt.Errorf("%w: no longer entitled", errWorker)
 	}
-	status, fresh, err := t.direct(ctx, c, protocol.Direct{Token: t.m.Term, Session: r.Session})
+	status, fresh, err := t.direct(ctx, c, protocol.Direct{Token: t.leadership.Term, Session: r.Session})
 	if err != nil {
 		return nil, err
 	}
@@ -87,19 +87,19 @@
 	c := t.workers[addr]
 	if c == nil {
 		if len(t.workers) >= t.clients {
-			t.giveUp(1)
+			t.closeSome(1)
 		}
-		c = transport.NewClient(addr, 1, limits.MaxBodyBytes).Within(t.d.sockets).Over(t.d.dialer)
+		c = transport.NewClient(addr, 1, limits.MaxBodyBytes).Within(t.runner.sockets).Over(t.runner.dialer)
 		t.workers[addr] = c
 	}
 	return c
 }
 
 // makeRoom gives up connections to workers where what comes in needs the sockets.
-func (t *term) makeRoom() { t.giveUp(t.d.sockets.Excess()) }
+func (t *term) makeRoom() { t.closeSome(t.runner.sockets.Excess()) }
 
-// giveUp drops at least n kept connections to workers, any ones; a connection is cheap to make again.
-func (t *term) giveUp(n int) {
+// closeSome drops at least n kept connections to workers, any ones; a connection is cheap to make again.
+func (t *term) closeSome(n int) {
 	for addr, c := range t.workers {
 		if n <= 0 {
 			return
@@ -109,29 +109,29 @@
 	}
 }
 
-// hangUp drops the kept connections to workers.
-func (t *term) hangUp() { t.giveUp(math.MaxInt) }
+// closeConnections drops the kept connections to workers.
+func (t *term) closeConnections() { t.closeSome(math.MaxInt) }
 
 // send carries out a direct command.
 func (t *term) send(ctx context.Context, d scheduler.DirectOut, c *transport.Client) {
-	done := scheduler.DirectDone{ID: d.ID, Rig: d.Rig}
-	if !t.m.Entitled() {
+	done := scheduler.DirectDone{ID: d.ID, Machine: d.Machine}
+	if !t.leadership.Entitled() {
 		done.Refused = true
 		t.post(ctx, done)
 		return
 	}
 	cctx, cancel := context.WithTimeout(ctx, limits.DirectTimeout)
 	defer cancel()
-	status, r, err := t.direct(cctx, c, protocol.Direct{Token: t.m.Term, Session: d.Shift, Commands: d.Orders})
+	status, r, err := t.direct(cctx, c, protocol.Direct{Token: t.leadership.Term, Session: d.Session, Commands: d.Commands})
 	switch {
 	case errors.Is(err, transport.ErrNotSent):
 		done.Refused = true
 	case err != nil:
-		t.log.Debug("direct command", "machine", d.Rig, "err", err)
+		t.log.Debug("direct command", "machine", d.Machine, "err", err)
 	case status == 409:
 		done.Refused = true
-		if r.Token > t.m.Term {
-			t.d.lost(t.m.Term)
+		if r.Token > t.leadership.Term {
+			t.runner.lost(t.leadership.Term)
 		}
 	default:
 		done.Report = r
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -21,25 +21,25 @@
 		var batch []scheduler.WriteOut
 		ops, guards := 0, 1
 		if held != nil {
-			batch, ops, guards, held = append(batch, *held), len(held.Ops), 1+len(held.Guards), nil
+			batch, ops, guards, held = append(batch, *held), len(held.Ops), 1+len(held.Conditions), nil
 		} else {
 			select {
 			case <-ctx.Done():
 				return
 			case o := <-w.t.writes:
-				batch, ops, guards = append(batch, o), len(o.Ops), 1+len(o.Guards)
+				batch, ops, guards = append(batch, o), len(o.Ops), 1+len(o.Conditions)
 			}
 		}
-		most := w.t.d.store.Settings().TxnOps
+		most := w.t.runner.store.Settings().TxnOps
 	fill:
 		for ops < most {
 			select {
 			case o := <-w.t.writes:
-				if ops+len(o.Ops) > most || guards+len(o.Guards) > most*limits.GuardsPerOp {
+				if ops+len(o.Ops) > most || guards+len(o.Conditions) > most*limits.GuardsPerOp {
 					held = &o
 					break fill
 				}
-				batch, ops, guards = append(batch, o), ops+len(o.Ops), guards+len(o.Guards)
+				batch, ops, guards = append(batch, o), ops+len(o.Ops), guards+len(o.Conditions)
 			default:
 				break fill
 			}
@@ -53,23 +53,23 @@
 // carryOut writes a batch; it returns false when the term is over.
 func (w *writer) carryOut(ctx context.Context, batch []scheduler.WriteOut) bool {
 	var back storage.Backoff
-	txn := protocol.Txn{Conditions: []protocol.Condition{w.t.m.Guard()}}
+	txn := protocol.Txn{Conditions: []protocol.Condition{w.t.leadership.Guard()}}
 	for _, o := range batch {
-		txn.Conditions = append(txn.Conditions, o.Guards...)
+		txn.Conditions = append(txn.Conditions, o.Conditions...)
 		txn.Ops = append(txn.Ops, o.Ops...)
 	}
 	for {
-		rev, err := w.t.d.store.Txn(ctx, txn)
+		rev, err := w.t.runner.store.Txn(ctx, txn)
 		var conflict *storage.Conflict
 		switch {
 		case err == nil:
 			for _, o := range batch {
-				w.t.post(ctx, scheduler.WriteDone{ID: o.ID, OK: true, Rev: rev})
+				w.t.post(ctx, scheduler.WriteDone{ID: o.ID, OK: true, Version: rev})
 			}
 			return true
 		case errors.As(err, &conflict):
 			if conflict.Has(storage.KeyLeader) {
-				w.t.d.lost(w.t.m.Term)
+				w.t.runner.lost(w.t.leadership.Term)
 				return false
 			}
 			if len(batch) > 1 {
@@ -83,7 +83,7 @@
 			// Perhaps an earlier try of this same write, whose answer was lost, was carried out.
 			ok, rev, verr := w.holds(ctx, batch[0])
 			if verr == nil {
-				w.t.post(ctx, scheduler.WriteDone{ID: batch[0].ID, OK: ok, Rev: rev})
+				w.t.post(ctx, scheduler.WriteDone{ID: batch[0].ID, OK: ok, Version: rev})
 				return true
 			}
 			err = verr
@@ -115,7 +115,7 @@
 		if key == "" {
 			key = op.Delete
 		}
-		p, err := w.t.d.store.Get(ctx, key)
+		p, err := w.t.runner.store.Get(ctx, key)
 		if err != nil {
 			return false, 0, err
 		}
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -31,18 +31,18 @@
 	loadUp(s, "h", upHire("s", machines, longName), 0)
 	s.Step(Loaded{}, 0)
 	for i := range jobs {
-		s.Step(JobSeen{ID: fmt.Sprintf("job-%d", i), Stamp: uint64(i + 2), Rec: storage.Open{Spec: protocol.Spec{
+		s.Step(JobSeen{ID: fmt.Sprintf("job-%d", i), Version: uint64(i + 2), Rec: storage.Open{Spec: protocol.Spec{
 			ID: fmt.Sprintf("job-%d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: "sweep", Priority: "standard",
 			Tasks: 100_000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}}}, 0)
 	}
 	for i := range pressing {
 		id := fmt.Sprintf("job-%d", jobs+behind+i)
-		s.Step(JobSeen{ID: id, Stamp: uint64(jobs + behind + i + 2), Rec: storage.Open{Spec: protocol.Spec{
+		s.Step(JobSeen{ID: id, Version: uint64(jobs + behind + i + 2), Rec: storage.Open{Spec: protocol.Spec{
 			ID: id, Class: "pressing", Team: "red", Shape: "sweep", Priority: "standard", Tasks: 100, CPUs: cpus, MemoryGB: 1, Image: "i", EstimateS: 10, DeadlineS: 14}}}, 0)
 	}
 	for i := range behind {
 		id := fmt.Sprintf("job-%d", jobs+i)
-		s.Step(JobSeen{ID: id, Stamp: uint64(jobs + i + 2), Age: 200 * time.Second, Rec: storage.Open{Spec: protocol.Spec{
+		s.Step(JobSeen{ID: id, Version: uint64(jobs + i + 2), Age: 200 * time.Second, Rec: storage.Open{Spec: protocol.Spec{
 			ID: id, Class: "large", Team: "red", Shape: "sweep", Priority: "low", Tasks: 100, CPUs: cpus, MemoryGB: 1, Image: "i", EstimateS: 10}}}, 0)
 	}
 	now := time.Duration(0)
@@ -69,18 +69,18 @@
 		for _, eff := range s.Step(e, now) {
 			switch eff := eff.(type) {
 			case ReplyOut:
-				apply(eff.Ref.(int), eff.Orders)
+				apply(eff.Ref.(int), eff.Commands)
 			case DirectOut:
 				var m int
-				if _, err := fmt.Sscanf(eff.Rig, "m-%d", &m); err != nil {
+				if _, err := fmt.Sscanf(eff.Machine, "m-%d", &m); err != nil {
 					b.Fatal(err)
 				}
-				apply(m, eff.Orders)
+				apply(m, eff.Commands)
 				tally++
-				step(DirectDone{ID: eff.ID, Rig: eff.Rig, Report: report(m, tally, have[m])})
+				step(DirectDone{ID: eff.ID, Machine: eff.Machine, Report: report(m, tally, have[m])})
 			case WriteOut:
 				rev++
-				step(WriteDone{ID: eff.ID, OK: true, Rev: rev})
+				step(WriteDone{ID: eff.ID, OK: true, Version: rev})
 			}
 		}
 	}
@@ -150,7 +150,7 @@
 	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s", CPUs: 8, MemoryGB: 128, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, 0)
 	loadUp(s, "h", upHire("s", machines, longName), 0)
 	for i := range machines / 7 {
-		s.Step(JobSeen{ID: fmt.Sprintf("job-%d", i), Stamp: uint64(i + 2), Rec: storage.Open{Spec: protocol.Spec{
+		s.Step(JobSeen{ID: fmt.Sprintf("job-%d", i), Version: uint64(i + 2), Rec: storage.Open{Spec: protocol.Spec{
 			ID: fmt.Sprintf("job-%d", i), Class: "c", Team: "red", Shape: "sweep", Priority: "standard",
 			Tasks: 150, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}}}, 0)
 	}
--- a/internal/coordination/scheduler/dispatch_test.go
+++ b/internal/coordination/scheduler/dispatch_test.go
@@ -27,9 +27,9 @@
 			switch e := e.(type) {
 			case DirectOut:
 				under = append(under, e)
-				orders = e.Orders
+				orders = e.Commands
 			case ReplyOut:
-				orders = e.Orders
+				orders = e.Commands
 			}
 			for _, o := range orders {
 				if o.Verb == protocol.CommandStart {
@@ -56,12 +56,12 @@
 		d := under[0]
 		under = under[1:]
 		b.tally++
-		r := &protocol.Report{Machine: d.Rig, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
-		for _, o := range d.Orders {
+		r := &protocol.Report{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
+		for _, o := range d.Commands {
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 		}
 		b.now -= 9 * time.Millisecond // all within the time in which these machines are fresh
-		take(b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: r}))
+		take(b.step(DirectDone{ID: d.ID, Machine: d.Machine, Report: r}))
 	}
 	if len(starts) != machines {
 		t.Errorf("%d tasks started, want %d", len(starts), machines)
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -13,39 +13,39 @@
 
 // JobSeen is an open job as it stands in the state service.
 type JobSeen struct {
-	ID    string
-	Stamp uint64
-	Rec   storage.Open
-	Age   time.Duration // since its submission
+	ID      string
+	Version uint64
+	Rec     storage.Open
+	Age     time.Duration // since its submission
 
 	CancelAge time.Duration // since its user may first have been told that it is cancelled; at least as long as that is ago
 }
 
 // JobLeft is a job whose open record is gone.
 type JobLeft struct {
-	ID    string
-	Stamp uint64
+	ID      string
+	Version uint64
 }
 
-// FinLoaded is a chunk of finished tasks, read at the start of a term.
-type FinLoaded struct {
-	ID    string
-	Stamp uint64
-	Rec   storage.Fin
+// FinishedLoaded is a chunk of finished tasks, read at the start of a term.
+type FinishedLoaded struct {
+	ID      string
+	Version uint64
+	Rec     storage.Fin
 }
 
-// HireLoaded is a rental request, read at the start of a term.
-type HireLoaded struct {
-	Name  string
-	Stamp uint64
-	Rec   storage.Rental
+// RentalLoaded is a rental request, read at the start of a term.
+type RentalLoaded struct {
+	Name    string
+	Version uint64
+	Rec     storage.Rental
 }
 
-// UpLoaded is a sheet of marked machines, read at the start of a term after all rentals.
-type UpLoaded struct {
-	Name  string
-	Stamp uint64
-	Rec   storage.Ups
+// RegistrationLoaded is a page of registered machines, read at the start of a term after all rentals.
+type RegistrationLoaded struct {
+	Name    string
+	Version uint64
+	Rec     storage.Ups
 }
 
 // Loaded ends the reading at the start of a term.
@@ -62,44 +62,44 @@
 
 // ProbeDone is what a machine answered to a ProbeOut: its report after it had seen our term, or nothing.
 type ProbeDone struct {
-	Rig     string
+	Machine string
 	Report  *protocol.Report
-	Unasked bool // it was not asked for want of a socket, so that it did not answer says nothing
+	NotSent bool // it was not asked for want of a socket, so that it did not answer says nothing
 }
 
 // DirectDone is the outcome of a DirectOut.
 type DirectDone struct {
 	ID      uint64
-	Rig     string
+	Machine string
 	Report  *protocol.Report // what the worker has after the commands; nil if there was no answer
 	Refused bool             // nothing was executed: it was not sent, or the worker said so
 }
 
 // WriteDone is the outcome of a WriteOut.
 type WriteDone struct {
-	ID  uint64
-	OK  bool
-	Rev uint64
+	ID      uint64
+	OK      bool
+	Version uint64
 }
 
-// HireDone is the outcome of a HireOut.
-type HireDone struct {
+// RentalDone is the outcome of a RentOut.
+type RentalDone struct {
 	Name       string
-	Rigs       []string
+	Machines   []string
 	OK         bool
 	NoCapacity bool
 }
 
 // DeleteDone is the outcome of a DeleteOut.
 type DeleteDone struct {
-	Rigs []string
-	OK   bool
+	Machines []string
+	OK       bool
 }
 
 // ListDone is the cloud's list. Rigs is nil if it could not be read.
 type ListDone struct {
-	Rigs []protocol.Machine
-	OK   bool
+	Machines []protocol.Machine
+	OK       bool
 }
 
 // TypesDone are the machine types.
@@ -117,22 +117,22 @@
 // Tick lets time pass.
 type Tick struct{ Entitled bool }
 
-func (JobSeen) event()    {}
-func (JobLeft) event()    {}
-func (FinLoaded) event()  {}
-func (HireLoaded) event() {}
-func (UpLoaded) event()   {}
-func (Loaded) event()     {}
-func (ReportIn) event()   {}
-func (ProbeDone) event()  {}
-func (DirectDone) event() {}
-func (WriteDone) event()  {}
-func (HireDone) event()   {}
-func (DeleteDone) event() {}
-func (ListDone) event()   {}
-func (TypesDone) event()  {}
-func (CountsIn) event()   {}
-func (Tick) event()       {}
+func (JobSeen) event()            {}
+func (JobLeft) event()            {}
+func (FinishedLoaded) event()     {}
+func (RentalLoaded) event()       {}
+func (RegistrationLoaded) event() {}
+func (Loaded) event()             {}
+func (ReportIn) event()           {}
+func (ProbeDone) event()          {}
+func (DirectDone) event()         {}
+func (WriteDone) event()          {}
+func (RentalDone) event()         {}
+func (DeleteDone) event()         {}
+func (ListDone) event()           {}
+func (TypesDone) event()          {}
+func (CountsIn) event()           {}
+func (Tick) event()               {}
 
 // Effect is something to do.
 type Effect interface{ effect() }
@@ -142,34 +142,34 @@
 	Ref      any
 	OK       bool
 	Redirect bool
-	Orders   []protocol.Command
+	Commands []protocol.Command
 }
 
 // WriteOut changes the state service under the leader's guard, whole or not at all.
 type WriteOut struct {
-	ID     uint64
-	Bulk   bool // can wait for all others
-	Guards []protocol.Condition
-	Ops    []protocol.Op
+	ID         uint64
+	Bulk       bool // can wait for all others
+	Conditions []protocol.Condition
+	Ops        []protocol.Op
 }
 
 // ProbeOut asks a machine for its tasks and shows it our term.
-type ProbeOut struct{ Rig, Address string }
+type ProbeOut struct{ Machine, Address string }
 
 // DirectOut sends commands to a worker without waiting for its report.
 type DirectOut struct {
-	ID      uint64
-	Rig     string
-	Address string
-	Shift   uint64
-	Orders  []protocol.Command
+	ID       uint64
+	Machine  string
+	Address  string
+	Session  uint64
+	Commands []protocol.Command
 }
 
-// HireOut sends a rental request, again and again until there is an answer.
-type HireOut struct{ Req protocol.RentalRequest }
+// RentOut sends a rental request, again and again until there is an answer.
+type RentOut struct{ Request protocol.RentalRequest }
 
 // DeleteOut returns machines.
-type DeleteOut struct{ Rigs []string }
+type DeleteOut struct{ Machines []string }
 
 // ListOut reads the cloud's list.
 type ListOut struct{}
@@ -195,7 +195,7 @@
 func (WriteOut) effect()  {}
 func (ProbeOut) effect()  {}
 func (DirectOut) effect() {}
-func (HireOut) effect()   {}
+func (RentOut) effect()   {}
 func (DeleteOut) effect() {}
 func (ListOut) effect()   {}
 func (TypesOut) effect()  {}
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -11,47 +11,47 @@
 	"quillshunt/internal/storage"
 )
 
-func (h *hire) request() protocol.RentalRequest {
-	return protocol.RentalRequest{Name: h.name, MachineType: h.rec.MachineType, Zone: h.rec.Zone, Spot: h.rec.Spot, Count: h.rec.Count}
+func (h *rental) request() protocol.RentalRequest {
+	return protocol.RentalRequest{Name: h.name, MachineType: h.record.MachineType, Zone: h.record.Zone, Spot: h.record.Spot, Count: h.record.Count}
 }
 
-func (s *Scheduler) hireLoaded(e HireLoaded) {
-	h := &hire{name: e.Name, rec: e.Rec, stamp: e.Stamp, at: s.now, state: hireAsking, known: e.Rec.Answered}
-	s.hires[e.Name] = h
+func (s *Scheduler) rentalLoaded(e RentalLoaded) {
+	h := &rental{name: e.Name, record: e.Rec, version: e.Version, at: s.now, state: rentalRequested, known: e.Rec.Answered}
+	s.rentals[e.Name] = h
 	if e.Rec.Answered {
-		h.state = hireAnswered
+		h.state = rentalAnswered
 	} else {
-		s.emit(HireOut{Req: h.request()}) // repeated: the same answer, or the machines for the first time
+		s.emit(RentOut{Request: h.request()}) // repeated: the same answer, or the machines for the first time
 	}
 	for _, name := range e.Rec.Machines {
-		s.machine(name, e.Rec.MachineType, e.Rec.Zone, e.Rec.Spot).hire = h.name
+		s.machine(name, e.Rec.MachineType, e.Rec.Zone, e.Rec.Spot).rental = h.name
 	}
 }
 
-// hireMachines starts a rental: its name is durable before the request leaves, so that a successor can ask for the answer.
-func (s *Scheduler) hireMachines(p pool, n int) {
-	s.hireSeq++
-	h := &hire{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.hireSeq), state: hireWriting, at: s.now,
-		rec: storage.Rental{MachineType: p.kind, Zone: p.yard, Spot: p.spot, Count: min(n, limits.HireMax)}}
-	s.hires[h.name] = h
-	s.note(false, "renting", "request", h.name, "type", p.kind, "zone", p.yard, "spot", p.spot, "count", h.rec.Count)
-	s.writeHire(h)
+// rentMachines starts a rental: its name is durable before the request leaves, so that a successor can ask for the answer.
+func (s *Scheduler) rentMachines(p pool, n int) {
+	s.rentalSequence++
+	h := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentalSequence), state: rentalWriting, at: s.now,
+		record: storage.Rental{MachineType: p.kind, Zone: p.zone, Spot: p.spot, Count: min(n, limits.RentalMax)}}
+	s.rentals[h.name] = h
+	s.note(false, "renting", "request", h.name, "type", p.kind, "zone", p.zone, "spot", p.spot, "count", h.record.Count)
+	s.writeRental(h)
 }
 
-// writeHire writes a rental's record; one write of a record is under way at a time.
-func (s *Scheduler) writeHire(h *hire) {
+// writeRental writes a rental's record; one write of a record is under way at a time.
+func (s *Scheduler) writeRental(h *rental) {
 	if h.writing {
 		h.dirty = true
 		return
 	}
 	h.writing, h.dirty = true, false
 	key := storage.RentalKey(h.name)
-	s.write(pendingWrite{kind: writeHire, hire: h.name, known: h.rec.Answered}, []protocol.Condition{{Key: key, Version: h.stamp}},
-		[]protocol.Op{{Put: key, Value: protocol.Encode(h.rec)}})
+	s.write(pendingWrite{kind: writeRental, rental: h.name, known: h.record.Answered}, []protocol.Condition{{Key: key, Version: h.version}},
+		[]protocol.Op{{Put: key, Value: protocol.Encode(h.record)}})
 }
 
-func (s *Scheduler) hireWritten(p pendingWrite, ok bool, rev uint64) {
-	h := s.hires[p.hire]
+func (s *Scheduler) rentalWritten(p pendingWrite, ok bool, rev uint64) {
+	h := s.rentals[p.rental]
 	if h == nil {
 		return
 	}
@@ -61,95 +61,95 @@
 		s.note(true, "rental record refused", "request", h.name)
 		return
 	}
-	h.stamp = rev
+	h.version = rev
 	if p.known && !h.known {
 		h.known = true
-		for _, name := range h.rec.Machines {
+		for _, name := range h.record.Machines {
 			if m := s.machines[name]; m != nil && m.seen {
-				s.markUp(m) // it was up before its rental's record was written
+				s.register(m) // it was up before its rental's record was written
 			}
 		}
 	}
-	if h.state == hireWriting {
-		h.state = hireAsking
-		s.emit(HireOut{Req: h.request()})
+	if h.state == rentalWriting {
+		h.state = rentalRequested
+		s.emit(RentOut{Request: h.request()})
 	}
-	s.keepHire(h)
+	s.keepRental(h)
 }
 
-// keepHire brings a rental's record in line with what is known: it goes once all its machines are gone.
-func (s *Scheduler) keepHire(h *hire) {
+// keepRental brings a rental's record in line with what is known: it goes once all its machines are gone.
+func (s *Scheduler) keepRental(h *rental) {
 	switch {
-	case h.writing || h.stamp == 0:
-	case h.state == hireAnswered && len(h.rec.Machines) == 0:
-		s.removeHire(h)
-	case h.dirty && h.state != hireRemoving:
-		s.writeHire(h)
+	case h.writing || h.version == 0:
+	case h.state == rentalAnswered && len(h.record.Machines) == 0:
+		s.removeRental(h)
+	case h.dirty && h.state != rentalRemoving:
+		s.writeRental(h)
 	}
 }
 
-func (s *Scheduler) removeHire(h *hire) {
-	h.state = hireRemoving
+func (s *Scheduler) removeRental(h *rental) {
+	h.state = rentalRemoving
 	key := storage.RentalKey(h.name)
-	s.write(pendingWrite{kind: writeHireRemove, hire: h.name}, []protocol.Condition{{Key: key, Version: h.stamp}},
+	s.write(pendingWrite{kind: writeRentalRemove, rental: h.name}, []protocol.Condition{{Key: key, Version: h.version}},
 		[]protocol.Op{{Delete: key}})
 }
 
 // cover makes a record for a machine that no rental of ours accounts for.
 func (s *Scheduler) cover(m *machine) {
-	h := &hire{name: "found-" + m.name, state: hireAnswered, at: s.now,
-		rec: storage.Rental{MachineType: m.kind, Zone: m.yard, Spot: m.spot, Answered: true, Machines: []string{m.name}}}
-	if s.hires[h.name] != nil {
+	h := &rental{name: "found-" + m.name, state: rentalAnswered, at: s.now,
+		record: storage.Rental{MachineType: m.kind, Zone: m.zone, Spot: m.spot, Answered: true, Machines: []string{m.name}}}
+	if s.rentals[h.name] != nil {
 		return // its last record is just being removed; the next report tries again
 	}
-	s.note(true, "unexpected machine", "machine", m.name, "type", m.kind, "zone", m.yard, "spot", m.spot)
-	m.hire = h.name
-	s.hires[h.name] = h
-	s.writeHire(h)
+	s.note(true, "unexpected machine", "machine", m.name, "type", m.kind, "zone", m.zone, "spot", m.spot)
+	m.rental = h.name
+	s.rentals[h.name] = h
+	s.writeRental(h)
 }
 
-func (s *Scheduler) hireDone(e HireDone) {
-	h := s.hires[e.Name]
-	if h == nil || h.state != hireAsking {
+func (s *Scheduler) rentalDone(e RentalDone) {
+	h := s.rentals[e.Name]
+	if h == nil || h.state != rentalRequested {
 		return
 	}
-	p := pool{h.rec.MachineType, h.rec.Zone, h.rec.Spot}
+	p := pool{h.record.MachineType, h.record.Zone, h.record.Spot}
 	switch {
 	case e.NoCapacity:
 		s.refuse(p)
 		s.planAt = 0
-		s.note(false, "no capacity", "request", h.name, "type", p.kind, "zone", p.yard, "spot", p.spot)
-		s.removeHire(h)
+		s.note(false, "no capacity", "request", h.name, "type", p.kind, "zone", p.zone, "spot", p.spot)
+		s.removeRental(h)
 		return
 	case !e.OK:
-		s.emit(HireOut{Req: h.request()})
+		s.emit(RentOut{Request: h.request()})
 		return
 	}
-	if len(e.Rigs) < h.rec.Count {
+	if len(e.Machines) < h.record.Count {
 		s.refuse(p)
 		s.planAt = 0 // the rest is asked for elsewhere at once
 	} else if st := s.pools[p]; st != nil {
 		st.backoff = 0
 	}
-	s.note(false, "rented", "request", h.name, "machines", len(e.Rigs))
-	h.state, h.dirty = hireAnswered, true
-	h.rec.Answered = true
-	for _, name := range e.Rigs {
-		if s.gone[name] || slices.Contains(h.rec.Machines, name) {
+	s.note(false, "rented", "request", h.name, "machines", len(e.Machines))
+	h.state, h.dirty = rentalAnswered, true
+	h.record.Answered = true
+	for _, name := range e.Machines {
+		if s.gone[name] || slices.Contains(h.record.Machines, name) {
 			continue
 		}
 		known := s.machines[name]
-		m := s.machine(name, p.kind, p.yard, p.spot)
+		m := s.machine(name, p.kind, p.zone, p.spot)
 		if known == nil {
 			m.created = h.at
 		}
-		if m.hire == "" {
-			m.hire = h.name
-			h.rec.Machines = append(h.rec.Machines, name)
+		if m.rental == "" {
+			m.rental = h.name
+			h.record.Machines = append(h.record.Machines, name)
 		}
 	}
 	s.dirty = true
-	s.keepHire(h)
+	s.keepRental(h)
 }
 
 // refuse makes a pool wait before it is asked again.
@@ -183,7 +183,7 @@
 	}
 	sort.Strings(s.kinds)
 	for _, m := range s.fleet {
-		m.typ = s.types[m.kind]
+		m.machineType = s.types[m.kind]
 	}
 	s.dirty = true
 }
@@ -195,9 +195,9 @@
 		return
 	}
 	s.listAt = s.now + limits.ListEvery
-	in := make(map[string]bool, len(e.Rigs))
-	for i := range e.Rigs {
-		r := &e.Rigs[i]
+	in := make(map[string]bool, len(e.Machines))
+	for i := range e.Machines {
+		r := &e.Machines[i]
 		in[r.Name] = true
 		if s.gone[r.Name] {
 			continue
@@ -207,7 +207,7 @@
 			if r.AgeS < (3 * s.cfg.ListLag).Seconds() {
 				continue // perhaps the answer to a rental of ours is on its way
 			}
-			if s.now >= s.took+limits.WaitOut(s.lease) && r.State != protocol.MachineRunning {
+			if s.now >= s.tookOver+limits.WaitOut(s.lease) && r.State != protocol.MachineRunning {
 				continue
 			}
 			m = s.machine(r.Name, r.MachineType, r.Zone, r.Spot)
@@ -226,7 +226,7 @@
 		}
 	}
 	for _, m := range s.fleet {
-		if !s.settled && !m.seen && m.mark != unmarked && !in[m.name] {
+		if !s.recovered && !m.seen && m.registration != unregistered && !in[m.name] {
 			// It reported to an earlier leader, so it was listed once or is very new. Its deletion is the quickest
 			// evidence that nothing runs there.
 			s.remove(m, "not listed after the take-over")
@@ -249,12 +249,12 @@
 		return
 	}
 	m.deleting, m.deleteWhy, m.askedAt = true, why, -never/2
-	s.note(false, "returning", "machine", m.name, "reason", why, "tasks", len(m.binds))
+	s.note(false, "returning", "machine", m.name, "reason", why, "tasks", len(m.bindings))
 	s.withdraw(m)
 }
 
 func (s *Scheduler) deleteDone(e DeleteDone) {
-	for _, name := range e.Rigs {
+	for _, name := range e.Machines {
 		m := s.machines[name]
 		if m == nil {
 			continue
@@ -271,14 +271,14 @@
 		s.dropMachine(m)
 	}
 	s.dirty = true
-	for _, h := range s.sortedHires() {
-		s.keepHire(h)
+	for _, h := range s.sortedRentals() {
+		s.keepRental(h)
 	}
 }
 
-func (s *Scheduler) sortedHires() []*hire {
-	out := make([]*hire, 0, len(s.hires))
-	for _, h := range s.hires {
+func (s *Scheduler) sortedRentals() []*rental {
+	out := make([]*rental, 0, len(s.rentals))
+	for _, h := range s.rentals {
 		out = append(out, h)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].name < out[b].name })
@@ -299,11 +299,11 @@
 		s.sumAt = s.now + limits.SummaryEvery
 		s.summary()
 	}
-	s.writeMarks()
-	s.dropBroken()
+	s.writeRegistrations()
+	s.removeBroken()
 	s.probes.refill(s.now)
 	s.probe()
-	if s.now >= s.planAt && (s.settled || s.now > s.took+s.stale()) && len(s.types) > 0 {
+	if s.now >= s.planAt && (s.recovered || s.now > s.tookOver+s.stale()) && len(s.types) > 0 {
 		s.planAt = s.now + limits.PlanEvery
 		s.plan()
 	}
@@ -315,7 +315,7 @@
 		}
 	}
 	if len(names) > 0 {
-		s.emit(DeleteOut{Rigs: names})
+		s.emit(DeleteOut{Machines: names})
 	}
 }
 
@@ -331,7 +331,7 @@
 			continue
 		}
 		up++
-		if !m.proven {
+		if !m.verified {
 			doubted++
 		}
 		total += m.size().cpu
@@ -343,7 +343,7 @@
 		}
 		bound += len(j.bound)
 	}
-	s.note(false, MsgSummary, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.queue), "waiting", waiting, "bound", bound, "settled", s.settled)
+	s.note(false, MsgSummary, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.queue), "waiting", waiting, "bound", bound, "settled", s.recovered)
 }
 
 // crowded tells whether so many of all machines at once must have a common cause.
@@ -351,15 +351,15 @@
 	return n > limits.CrowdLeast && float64(n) > limits.SilentCrowd*float64(all)
 }
 
-// dropBroken returns machines that do not serve: never up, silent, sick.
-func (s *Scheduler) dropBroken() {
+// removeBroken returns machines that do not serve: never up, silent, sick.
+func (s *Scheduler) removeBroken() {
 	silent, up, unheard, doubted := 0, 0, 0, 0
 	limit := time.Duration(float64(s.lease) * limits.SilentShare)
 	since := func(m *machine) time.Duration { // when it last showed that it hears us
-		if !m.proven {
-			return max(min(m.heard, m.doubt), s.took)
+		if !m.verified {
+			return max(min(m.heard, m.unverifiedSince), s.tookOver)
 		}
-		return max(m.heard, s.took)
+		return max(m.heard, s.tookOver)
 	}
 	quiet := func(m *machine) bool { return m.seen && s.now > since(m)+limit }
 	for _, m := range s.fleet {
@@ -370,16 +370,16 @@
 			if s.now > since(m)+s.stale() {
 				silent++
 			}
-			if !m.proven {
+			if !m.verified {
 				doubted++
 			}
-		case m.mark != unmarked:
+		case m.registration != unregistered:
 			unheard++
 		}
 	}
-	s.doubtful = doubted > limits.CrowdLeast && float64(doubted) > limits.DoubtCrowd*float64(up)
+	s.manyUnverified = doubted > limits.CrowdLeast && float64(doubted) > limits.UnverifiedCrowd*float64(up)
 	lost := crowded(unheard, unheard+up)
-	s.fewUnheard = !s.settled && float64(unheard) <= max(limits.CrowdLeast, limits.FewUnheard*float64(unheard+up))
+	s.fewUnheard = !s.recovered && float64(unheard) <= max(limits.CrowdLeast, limits.FewUnheard*float64(unheard+up))
 	// Many machines falling silent together is a cut, not a series of deaths: they may come back, sooner than others would boot. Counted are
 	// those that have only just begun to be silent, as otherwise the first of a crowd would go one by one.
 	crowd := crowded(silent, up)
@@ -391,22 +391,22 @@
 			s.hurry(m)
 		}
 		switch {
-		case !m.seen && m.mark != unmarked:
+		case !m.seen && m.registration != unregistered:
 			// It had reported to an earlier leader, and neither reports to us nor answers.
 			patience := max(limits.RebuildPatience, time.Duration(limits.RebuildReports*float64(s.report)))
 			if lost {
 				patience = max(patience, limit) // so many at once may be a cut that ends soon
 			}
 			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer either costs less than the wait.
-			if s.now > s.took+patience || (s.fewUnheard && m.misses >= limits.FewMisses) {
+			if s.now > s.tookOver+patience || (s.fewUnheard && m.misses >= limits.FewMisses) {
 				s.remove(m, "not heard of since the take-over")
 			}
 		case !m.seen:
 			patience := limits.BootPatienceMin
-			if m.typ != nil {
-				patience = max(patience, time.Duration(limits.BootPatience*float64(limits.Seconds(m.typ.BootS))))
+			if m.machineType != nil {
+				patience = max(patience, time.Duration(limits.BootPatience*float64(limits.Seconds(m.machineType.BootS))))
 			}
-			if s.now > max(m.created, s.took)+patience {
+			if s.now > max(m.created, s.tookOver)+patience {
 				s.remove(m, "never came up")
 			}
 		case quiet(m) && (!crowd || s.now > since(m)+limits.CrowdLeases*limits.WaitOut(s.lease)):
@@ -415,7 +415,7 @@
 			s.remove(m, "fails its tasks")
 		case m.slow():
 			s.remove(m, "slow")
-		case m.notice && len(m.binds) == 0 && s.durable(m):
+		case m.notice && len(m.bindings) == 0 && s.durable(m):
 			s.remove(m, "spot notice")
 		default:
 			if s.holdsCancelled(m, s.deleteAt) {
@@ -427,8 +427,8 @@
 
 // holdsCancelled tells whether a machine may have a task of a cancelled job although that job's time is over.
 func (s *Scheduler) holdsCancelled(m *machine, over func(*job) time.Duration) bool {
-	for _, b := range m.binds {
-		if b.j.cancelled && b.phase != assigned && s.now > over(b.j) {
+	for _, b := range m.bindings {
+		if b.job.cancelled && b.phase != assigned && s.now > over(b.job) {
 			return true
 		}
 	}
@@ -454,7 +454,7 @@
 func (s *Scheduler) hurry(m *machine) {
 	for _, x := range m.exits {
 		if !x.durable() {
-			x.j.chunks[x.chunk].hurry = true
+			x.job.chunks[x.chunk].hurry = true
 		}
 	}
 }
--- a/internal/coordination/scheduler/inspect.go
+++ b/internal/coordination/scheduler/inspect.go
@@ -48,10 +48,10 @@
 }
 
 func (s *Scheduler) inspect(e InspectIn) {
-	v := Snapshot{Term: s.cfg.Term, Rebuilt: s.settled}
+	v := Snapshot{Term: s.cfg.Term, Rebuilt: s.recovered}
 	for _, m := range s.fleet {
-		v.Machines = append(v.Machines, MachineView{Name: m.name, Kind: m.kind, Yard: m.yard, Spot: m.spot, State: s.machineState(m),
-			Cpus: m.size().cpu, Used: m.used.cpu, Tasks: len(m.binds), Silent: s.now - max(m.heard, s.took)})
+		v.Machines = append(v.Machines, MachineView{Name: m.name, Kind: m.kind, Yard: m.zone, Spot: m.spot, State: s.machineState(m),
+			Cpus: m.size().cpu, Used: m.used.cpu, Tasks: len(m.bindings), Silent: s.now - max(m.heard, s.tookOver)})
 	}
 	for _, t := range s.cfg.Teams {
 		tv := TeamView{Name: t.Name, Used: s.teams[t.Name].used.cpu, Guar: t.CPUs, Most: t.CPUsMax}
@@ -74,7 +74,7 @@
 	switch {
 	case m.deleting:
 		return "returning: " + m.deleteWhy
-	case !m.seen && m.mark != unmarked:
+	case !m.seen && m.registration != unregistered:
 		return "not heard of in this term"
 	case !m.seen:
 		return "booting"
@@ -98,7 +98,7 @@
 	if j == nil {
 		return []string{"not among the open jobs of this term"}
 	}
-	out := []string{fmt.Sprintf("%d of %d tasks done, %d on machines, %d waiting", j.doneN, j.spec.Tasks, len(j.bound), j.free())}
+	out := []string{fmt.Sprintf("%d of %d tasks done, %d on machines, %d waiting", j.doneCount, j.spec.Tasks, len(j.bound), j.free())}
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	switch {
 	case j.cancelled:
@@ -107,7 +107,7 @@
 	case j.free() == 0:
 		return out
 	}
-	if !s.settled {
+	if !s.recovered {
 		add("the new leader does not know yet what runs where")
 	}
 	if s.now < j.resume {
--- a/internal/coordination/scheduler/model.go
+++ b/internal/coordination/scheduler/model.go
@@ -54,11 +54,11 @@
 
 // binding ties a task to a session of a machine.
 type binding struct {
-	j        *job
-	idx      int
-	piece    string // the task's name
-	try      uint64
-	m        *machine
+	job      *job
+	index    int
+	task     string // the task's name
+	attempt  uint64
+	machine  *machine
 	phase    phase
 	direct   uint64        // the direct command that carried the start and is not answered yet
 	unclear  bool          // a direct start went out and no answer came: it may arrive as long as this session and term last
@@ -72,21 +72,21 @@
 
 // exit is an ended task that its machine still lists.
 type exit struct {
-	keep  bool // an unclear start of this attempt may still arrive; forgotten, it would run again
-	j     *job // nil if there is nothing to write down
-	chunk int
-	ver   uint64
+	keep     bool // an unclear start of this attempt may still arrive; forgotten, it would run again
+	job      *job // nil if there is nothing to write down
+	chunk    int
+	sequence uint64
 }
 
 // chunk is a part of a job's finished tasks as the state service keeps it.
 type chunk struct {
-	stamp   uint64
-	ver     uint64 // rises with every finished task
-	durable uint64 // highest ver that is written
-	writing bool
-	wroteAt time.Duration
-	since   time.Duration // when it was first left for later
-	hurry   bool          // a machine that has results of it is to go
+	version  uint64
+	sequence uint64 // rises with every finished task
+	durable  uint64 // highest sequence that is written
+	writing  bool
+	wroteAt  time.Duration
+	since    time.Duration // when it was first left for later
+	hurry    bool          // a machine that has results of it is to go
 }
 
 // due is a time that a job should meet, by its completion or by the start of its tasks.
@@ -97,45 +97,45 @@
 
 // durable tells whether the result, if there is one, is written down.
 func (x exit) durable() bool {
-	return x.j == nil || x.j.over || x.j.chunks[x.chunk].durable >= x.ver
+	return x.job == nil || x.job.over || x.job.chunks[x.chunk].durable >= x.sequence
 }
 
 type job struct {
 	id         string
 	spec       protocol.Spec
-	urgency    protocol.Priority
+	priority   protocol.Priority
 	team       *team
 	class      *class
 	need       room
-	stamp      uint64
+	version    uint64
 	cancelled  bool
 	cancelAt   time.Duration // when its user may first have been told
 	cancelSeen time.Duration // when we learned of it
 	at         time.Duration // of its submission
 	dues       []due
-	guar       bool // fits into its team's guarantee together with the team's earlier unfinished jobs
+	guaranteed bool // fits into its team's guarantee together with the team's earlier unfinished jobs
 	owed       bool // its group is served badly; see age
 	over       bool // its final record is written
 	finishing  bool
 
-	done   []uint64
-	doneN  int
-	busy   []uint64
-	cursor int
-	bound  map[int]*binding
-	chunks []chunk
-	stops  map[int]int // how often a task was stopped by us
-
-	runSum  float64
-	runN    int
-	failOn  map[string]bool // machines that failed a task since the last success
-	backoff time.Duration
-	resume  time.Duration // nothing is placed before
+	done      []uint64
+	doneCount int
+	busy      []uint64
+	cursor    int
+	bound     map[int]*binding
+	chunks    []chunk
+	stops     map[int]int // how often a task was stopped by us
+
+	runSum   float64
+	runCount int
+	failOn   map[string]bool // machines that failed a task since the last success
+	backoff  time.Duration
+	resume   time.Duration // nothing is placed before
 
 	pressAgain time.Duration // it looks for tasks to stop not before; see Scheduler.pressAgain
 }
 
-func (j *job) free() int { return j.spec.Tasks - j.doneN - len(j.bound) }
+func (j *job) free() int { return j.spec.Tasks - j.doneCount - len(j.bound) }
 
 func getBit(b []uint64, i int) bool { return b[i/64]>>(i%64)&1 != 0 }
 func setBit(b []uint64, i int)      { b[i/64] |= 1 << (i % 64) }
@@ -172,7 +172,7 @@
 func (j *job) estimate() float64 {
 	prior := j.spec.EstimateS * j.class.ratio
 	open := float64(len(j.bound) + limits.PriorTasks)
-	return max((j.runSum+prior*open)/(float64(j.runN)+open), limits.ShortestRun)
+	return max((j.runSum+prior*open)/(float64(j.runCount)+open), limits.ShortestRun)
 }
 
 // occupies is how long a task is expected to take room: its run time and the wait for its image.
@@ -197,72 +197,72 @@
 }
 
 type machine struct {
-	name, addr, kind, yard string
+	name, addr, kind, zone string
 	spot                   bool
-	typ                    *protocol.MachineType
-
-	seen       bool // we have its task list in our term
-	fenced     bool // its worker has seen our term, so no earlier leader can add tasks
-	shift      uint64
-	tally      uint64             // of the newest task list, from a report or a direct command
-	reportNo   uint64             // tally of the newest report
-	answered   []protocol.Command // what the newest report was answered with
-	proven     bool               // a round trip was seen since there was last reason to doubt it: answers reach the machine
-	doubt      time.Duration      // since when it is not proven
-	direct     bool               // has reported to us itself in our term
-	relayed    bool               // its last report came through another controller
-	relayFrom  time.Duration      // when that began
-	redirected bool               // was told once to come itself
-	misses     int                // probes that it did not answer in our term
-	directID   uint64             // a direct command that is not answered yet
-	mute       time.Duration      // no direct commands before this
-	deadShift  uint64             // sessions up to this one are surely over
-	heard      time.Duration      // arrival of the last report
-	leaseBase  time.Duration      // the session is over WaitOut(lease) after this, if we answer no more
-	notice     bool
-	noticeEnd  time.Duration
-
-	binds map[string]*binding
-	exits map[attemptKey]exit
-	used  room
+	machineType            *protocol.MachineType
+
+	seen            bool // we have its task list in our term
+	fenced          bool // its worker has seen our term, so no earlier leader can add tasks
+	session         uint64
+	sequence        uint64             // of the newest task list, from a report or a direct command
+	reportSequence  uint64             // sequence number of the newest report
+	answered        []protocol.Command // what the newest report was answered with
+	verified        bool               // a round trip was seen since there was last reason to doubt it: answers reach the machine
+	unverifiedSince time.Duration      // since when it is not verified
+	direct          bool               // has reported to us itself in our term
+	relayed         bool               // its last report came through another controller
+	relayFrom       time.Duration      // when that began
+	redirected      bool               // was told once to come itself
+	misses          int                // probes that it did not answer in our term
+	directID        uint64             // a direct command that is not answered yet
+	mute            time.Duration      // no direct commands before this
+	endedSession    uint64             // sessions up to this one are surely over
+	heard           time.Duration      // arrival of the last report
+	leaseBase       time.Duration      // the session is over WaitOut(lease) after this, if we answer no more
+	notice          bool
+	noticeEnd       time.Duration
+
+	bindings map[string]*binding
+	exits    map[attemptKey]exit
+	used     room
 	// leaving is the part of used that tasks take that were told to stop.
 	leaving room
 	images  map[string]time.Duration
 
-	hire      string
-	mark      mark
-	sheet     *sheet        // that names it
-	probeAt   time.Duration // when to ask the machine directly, after a take-over
-	created   time.Duration
-	upAt      time.Duration
-	listed    bool
-	missing   int // lists in a row that lack it
-	idleSince time.Duration
-	heldFor   *job // in this pass; see hold
-	wasHeld   bool // in the pass before
-	wanted    bool // the last plan counts on it
-	drain     bool // to be emptied and returned, unless work comes
-	todo      bool // has orders that did not go out yet
-	deleting  bool
-	askedAt   time.Duration
-	deleteWhy string
-	errs      int
-	errJobs   map[string]bool
-	useful    float64 // CPU seconds of tasks that completed here, and of those that did not, and of waiting for images
-	wasted    float64
-	fetched   float64
-	speedSum  float64
-	speedN    int
+	rental       string
+	registration registration
+	page         *registryPage // that names it
+	probeAt      time.Duration // when to ask the machine directly, after a take-over
+	created      time.Duration
+	upAt         time.Duration
+	listed       bool
+	missing      int // lists in a row that lack it
+	idleSince    time.Duration
+	heldFor      *job // in this pass; see reserve
+	wasHeld      bool // in the pass before
+	wanted       bool // the last plan counts on it
+	drain        bool // to be emptied and returned, unless work comes
+	todo         bool // has orders that did not go out yet
+	deleting     bool
+	askedAt      time.Duration
+	deleteWhy    string
+	failures     int
+	failedJobs   map[string]bool
+	useful       float64 // CPU seconds of tasks that completed here, and of those that did not, and of waiting for images
+	wasted       float64
+	fetched      float64
+	speedSum     float64
+	speedCount   int
 }
 
 // sizeOf is what a machine of a type has.
 func sizeOf(t *protocol.MachineType) room { return room{t.CPUs, t.Accelerators, t.MemoryGB} }
 
 func (m *machine) size() room {
-	if m.typ == nil {
+	if m.machineType == nil {
 		return room{}
 	}
-	return sizeOf(m.typ)
+	return sizeOf(m.machineType)
 }
 
 // freeRoom is what may be promised: what is free, and what tasks that were told to stop will leave. A start is sent
@@ -271,10 +271,10 @@
 
 // price is what the machine costs an hour.
 func (m *machine) price() float64 {
-	if m.typ == nil {
+	if m.machineType == nil {
 		return 0
 	}
-	return priceOf(m.typ, m.spot)
+	return priceOf(m.machineType, m.spot)
 }
 
 // perCPU is the same for each of its CPUs.
@@ -288,23 +288,23 @@
 	return t.Price
 }
 
-type hireState uint8
+type rentalState uint8
 
 const (
-	hireWriting hireState = iota
-	hireAsking
-	hireAnswered
-	hireRemoving
+	rentalWriting rentalState = iota
+	rentalRequested
+	rentalAnswered
+	rentalRemoving
 )
 
 // pending tells whether the cloud has not answered yet.
-func (h *hire) pending() bool { return h.state == hireWriting || h.state == hireAsking }
+func (h *rental) pending() bool { return h.state == rentalWriting || h.state == rentalRequested }
 
-type hire struct {
+type rental struct {
 	name    string
-	rec     storage.Rental
-	stamp   uint64
-	state   hireState
+	record  storage.Rental
+	version uint64
+	state   rentalState
 	at      time.Duration
 	dirty   bool // the record in memory is newer than the written one
 	writing bool
@@ -313,7 +313,7 @@
 
 // pool is one type in one zone of one kind.
 type pool struct {
-	kind, yard string
+	kind, zone string
 	spot       bool
 }
 
@@ -341,7 +341,7 @@
 	lease    time.Duration
 	report   time.Duration
 	now      time.Duration
-	took     time.Duration
+	tookOver time.Duration
 	chunkLen int
 
 	jobs     map[string]*job
@@ -354,35 +354,35 @@
 	fleet    []*machine // by name
 	types    map[string]*protocol.MachineType
 	kinds    []string // names of types, sorted
-	hires    map[string]*hire
+	rentals  map[string]*rental
 	pools    map[pool]*poolState
 	writes   map[uint64]pendingWrite
 
-	sheets     []*sheet // in the order in which they were made
-	sheet      *sheet   // that new machines go on
-	sheetSeq   uint64
-	marksDirty bool // some sheet has machines that are not written yet
-	marksAt    time.Duration
-
-	seq        uint64 // of attempts
-	hireSeq    uint64
-	writeSeq   uint64
-	flushes    float64 // chunk writes that may go out now
-	sendSeq    uint64  // of direct commands
-	dirty      bool    // something changed that placement looks at
-	loaded     bool    // all that earlier terms wrote down is known
-	directs    int     // direct commands that are not answered yet
-	probes     probeBudget
-	fewUnheard bool // of the machines that may hold tasks of earlier terms only a few have not been heard of
-	doubtful   bool // so many machines are doubted that there must be a common cause
-	settled    bool // and all that may run; see settle
-	planAt     time.Duration
-	listAt     time.Duration
-	sumAt      time.Duration
-	boundAt    time.Duration // when to say again that the fleet is at its bound
-	listing    bool
-	typesAt    time.Duration
-	out        []Effect
+	pages              []*registryPage // in the order in which they were made
+	page               *registryPage   // that new machines go on
+	pageSequence       uint64
+	registrationsDirty bool // some page has machines that are not written yet
+	registrationsAt    time.Duration
+
+	seq            uint64 // of attempts
+	rentalSequence uint64
+	writeSeq       uint64
+	flushes        float64 // chunk writes that may go out now
+	sendSeq        uint64  // of direct commands
+	dirty          bool    // something changed that placement looks at
+	loaded         bool    // all that earlier terms wrote down is known
+	directs        int     // direct commands that are not answered yet
+	probes         probeBudget
+	fewUnheard     bool // of the machines that may hold tasks of earlier terms only a few have not been heard of
+	manyUnverified bool // so many machines are unverified that there must be a common cause
+	recovered      bool // and all that may run; see endRecovery
+	planAt         time.Duration
+	listAt         time.Duration
+	sumAt          time.Duration
+	boundAt        time.Duration // when to say again that the fleet is at its bound
+	listing        bool
+	typesAt        time.Duration
+	out            []Effect
 
 	pass pass
 	// pressAgain is when requests that found no tasks to stop may look for them again: the look goes through all tasks of all machines, and in an overload many jobs are
@@ -403,7 +403,7 @@
 // New returns the scheduler of a term that begins now.
 func New(cfg Config, now time.Duration) *Scheduler {
 	s := &Scheduler{
-		cfg: cfg, now: now, took: now,
+		cfg: cfg, now: now, tookOver: now,
 		lease:    limits.Seconds(cfg.Workers.LeaseS),
 		report:   limits.Seconds(cfg.Workers.ReportS),
 		chunkLen: storage.ChunkTasks(cfg.State.ValueKB),
@@ -414,14 +414,14 @@
 		classes:  map[string]*class{},
 		machines: map[string]*machine{},
 		types:    map[string]*protocol.MachineType{},
-		hires:    map[string]*hire{},
+		rentals:  map[string]*rental{},
 		pools:    map[pool]*poolState{},
 		writes:   map[uint64]pendingWrite{},
 		pass:     pass{refused: map[request]bool{}}, pressAgain: map[request]time.Duration{},
-		inZone:   map[string]int{},
-		marksAt:  now - limits.MarkEvery,
-		probes:   newProbeBudget(cfg.CoreShare),
-		services: map[group]service{}, closedServices: map[group]service{},
+		inZone:          map[string]int{},
+		registrationsAt: now - limits.RegisterEvery,
+		probes:          newProbeBudget(cfg.CoreShare),
+		services:        map[group]service{}, closedServices: map[group]service{},
 	}
 	for _, t := range cfg.Teams {
 		s.teams[t.Name] = &team{cfg: t}
@@ -442,8 +442,8 @@
 func (s *Scheduler) machine(name, kind, yard string, spot bool) *machine {
 	m := s.machines[name]
 	if m == nil {
-		m = &machine{name: name, created: s.now, leaseBase: s.took, idleSince: s.now, heard: -never / 2,
-			binds: map[string]*binding{}, exits: map[attemptKey]exit{}, images: map[string]time.Duration{}, errJobs: map[string]bool{}}
+		m = &machine{name: name, created: s.now, leaseBase: s.tookOver, idleSince: s.now, heard: -never / 2,
+			bindings: map[string]*binding{}, exits: map[attemptKey]exit{}, images: map[string]time.Duration{}, failedJobs: map[string]bool{}}
 		s.machines[name] = m
 		i := sort.Search(len(s.fleet), func(i int) bool { return s.fleet[i].name >= name })
 		s.fleet = append(s.fleet, nil)
@@ -451,8 +451,8 @@
 		s.fleet[i] = m
 	}
 	if kind != "" {
-		m.kind, m.yard, m.spot = kind, yard, spot
-		m.typ = s.types[kind]
+		m.kind, m.zone, m.spot = kind, yard, spot
+		m.machineType = s.types[kind]
 	}
 	return m
 }
@@ -466,26 +466,26 @@
 	s.note(false, "machine gone", "machine", m.name, "reason", m.deleteWhy, "type", m.kind, "spot", m.spot, "cpus", m.size().cpu, "life", life, "boot", boot,
 		"useful", m.useful, "wasted", m.wasted, "fetched", m.fetched)
 	delete(s.machines, m.name)
-	s.unmark(m)
+	s.unregister(m)
 	for i, x := range s.fleet {
 		if x == m {
 			s.fleet = append(s.fleet[:i], s.fleet[i+1:]...)
 			break
 		}
 	}
-	if h := s.hires[m.hire]; h != nil {
-		h.rec.Machines = slices.DeleteFunc(h.rec.Machines, func(n string) bool { return n == m.name })
+	if h := s.rentals[m.rental]; h != nil {
+		h.record.Machines = slices.DeleteFunc(h.record.Machines, func(n string) bool { return n == m.name })
 		h.dirty = true
 	}
 }
 
 // bind ties a task to a machine's present session.
 func (s *Scheduler) bind(j *job, idx int, m *machine, try uint64, ph phase) *binding {
-	b := &binding{j: j, idx: idx, piece: protocol.TaskName(j.id, idx), try: try, m: m, phase: ph, at: s.now}
+	b := &binding{job: j, index: idx, task: protocol.TaskName(j.id, idx), attempt: try, machine: m, phase: ph, at: s.now}
 	j.bound[idx] = b
-	s.owe(m)
+	s.queueCommands(m)
 	setBit(j.busy, idx)
-	m.binds[b.piece] = b
+	m.bindings[b.task] = b
 	m.used = m.used.plus(j.need)
 	j.team.used = j.team.used.plus(j.need)
 	return b
@@ -494,17 +494,17 @@
 // unbind takes a task off its machine. The caller has the evidence that it is not there and cannot come there:
 // no start of this attempt is on its way, or the session is over, or the machine is gone.
 func (s *Scheduler) unbind(b *binding) {
-	j, m := b.j, b.m
-	delete(j.bound, b.idx)
-	clearBit(j.busy, b.idx)
-	j.cursor = min(j.cursor, b.idx)
-	delete(m.binds, protocol.TaskName(j.id, b.idx))
+	j, m := b.job, b.machine
+	delete(j.bound, b.index)
+	clearBit(j.busy, b.index)
+	j.cursor = min(j.cursor, b.index)
+	delete(m.bindings, protocol.TaskName(j.id, b.index))
 	m.used = m.used.minus(j.need)
 	j.team.used = j.team.used.minus(j.need)
 	if b.stop {
 		m.leaving = m.leaving.minus(j.need)
 	}
-	if len(m.binds) == 0 {
+	if len(m.bindings) == 0 {
 		m.used, m.leaving = room{}, room{} // no rounding is carried on
 		m.idleSince = s.now
 	}
@@ -513,15 +513,15 @@
 
 // sortedBinds returns a machine's bindings in a fixed order.
 func (m *machine) sortedBinds() []*binding {
-	out := make([]*binding, 0, len(m.binds))
-	for _, b := range m.binds {
+	out := make([]*binding, 0, len(m.bindings))
+	for _, b := range m.bindings {
 		out = append(out, b)
 	}
 	sort.Slice(out, func(i, k int) bool {
-		if out[i].j.id != out[k].j.id {
-			return out[i].j.id < out[k].j.id
+		if out[i].job.id != out[k].job.id {
+			return out[i].job.id < out[k].job.id
 		}
-		return out[i].idx < out[k].idx
+		return out[i].index < out[k].index
 	})
 	return out
 }
@@ -532,6 +532,6 @@
 	for _, b := range j.bound {
 		out = append(out, b)
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].idx < out[k].idx })
+	sort.Slice(out, func(i, k int) bool { return out[i].index < out[k].index })
 	return out
 }
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -22,7 +22,7 @@
 	for _, j := range s.aged {
 		if n := s.behind(j); n > 0 && j.team.fits(j.need) && s.now >= j.resume {
 			s.placeJobPlain(j, n)
-			s.hold(j)
+			s.reserve(j)
 		}
 	}
 	for _, j := range order {
@@ -37,7 +37,7 @@
 	for ; n > 0 && j.team.fits(j.need); n-- {
 		var cs []candidate
 		for _, m := range s.fleet {
-			if m.drain || !s.usable(m) || len(m.binds)+len(m.exits) >= limits.MaxTasks {
+			if m.drain || !s.usable(m) || len(m.bindings)+len(m.exits) >= limits.MaxTasks {
 				continue
 			}
 			if c, ok := s.candidate(j, m, pressing); ok {
@@ -90,7 +90,7 @@
 		if r.IntN(5) == 0 {
 			sp.MachineTypes = []string{"b8"}
 		}
-		s.Step(JobSeen{ID: sp.ID, Stamp: uint64(100 + i), Rec: storage.Open{Spec: sp}, Age: time.Duration(r.IntN(30)+r.IntN(2)*r.IntN(200)) * time.Second}, now)
+		s.Step(JobSeen{ID: sp.ID, Version: uint64(100 + i), Rec: storage.Open{Spec: sp}, Age: time.Duration(r.IntN(30)+r.IntN(2)*r.IntN(200)) * time.Second}, now)
 		for t := range min(sp.Tasks, r.IntN(8)) { // some of its tasks run already
 			g := rigs[r.IntN(len(rigs))]
 			if size := s.types[g.MachineType].CPUs; used[g.Machine]+sp.CPUs <= size {
@@ -100,11 +100,11 @@
 		}
 	}
 	for _, g := range rigs {
-		s.machine(g.Machine, "", "", false).mark = marked
+		s.machine(g.Machine, "", "", false).registration = registered
 		s.Step(ReportIn{Report: g, Entitled: true}, now)
 	}
 	s.now = time.Duration(r.IntN(6)) * time.Second
-	s.loaded, s.settled, s.order = true, true, nil
+	s.loaded, s.recovered, s.order = true, true, nil
 	return s
 }
 
@@ -112,7 +112,7 @@
 	var out []string
 	for _, m := range s.fleet {
 		for _, b := range m.sortedBinds() {
-			out = append(out, fmt.Sprintf("%s %s try %d phase %d stop %v %s", m.name, b.piece, b.try, b.phase, b.stop, b.stopWhy))
+			out = append(out, fmt.Sprintf("%s %s try %d phase %d stop %v %s", m.name, b.task, b.attempt, b.phase, b.stop, b.stopWhy))
 		}
 	}
 	return out
@@ -135,7 +135,7 @@
 		}
 		placed += len(got) - before
 		for _, m := range quick.fleet {
-			for _, b := range m.binds {
+			for _, b := range m.bindings {
 				if b.stop {
 					stopped++
 				}
@@ -213,14 +213,14 @@
 		for _, eff := range s.Step(e, now) {
 			switch eff := eff.(type) {
 			case ReplyOut:
-				apply(eff.Ref.(int), eff.Orders)
+				apply(eff.Ref.(int), eff.Commands)
 			case DirectOut:
-				m := slices.Index(h.Machines, eff.Rig)
-				apply(m, eff.Orders)
-				step(DirectDone{ID: eff.ID, Rig: eff.Rig, Report: report(m)})
+				m := slices.Index(h.Machines, eff.Machine)
+				apply(m, eff.Commands)
+				step(DirectDone{ID: eff.ID, Machine: eff.Machine, Report: report(m)})
 			case WriteOut:
 				stamp++
-				step(WriteDone{ID: eff.ID, OK: true, Rev: 1_000_000 + stamp})
+				step(WriteDone{ID: eff.ID, OK: true, Version: 1_000_000 + stamp})
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 		stamp++
 		sp.ID, sp.Shape, sp.MemoryGB, sp.Image = fmt.Sprintf("job-%06d", stamp), "sweep", 1, "i"
 		specs[sp.ID], at[sp.ID] = sp, now
-		step(JobSeen{ID: sp.ID, Stamp: stamp, Rec: storage.Open{Spec: sp}})
+		step(JobSeen{ID: sp.ID, Version: stamp, Rec: storage.Open{Spec: sp}})
 	}
 	for ; now < day; now += 500 * time.Millisecond {
 		// Small urgent work alone asks for a third more than there is; it goes to both teams.
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -23,7 +23,7 @@
 	least    room             // none of them needs less of any resource
 	most     room             // no machine has more free room of any resource
 	refused  map[request]bool // requests for which no machine was found in this pass
-	holds    int              // machines that may still be held; see hold
+	holds    int              // machines that may still be held; see reserve
 	shelves  shelves
 	short    []*machine
 }
@@ -42,7 +42,7 @@
 // the full view, and picks victims where the best machine lacks room: the paper's algorithm, request by request. The tasks of one job ask the same question, so
 // filter and scores are worked out once for them and kept up to date for the machine that was chosen.
 func (s *Scheduler) place() {
-	if !s.dirty || !s.settled {
+	if !s.dirty || !s.recovered {
 		return
 	}
 	s.dirty = false
@@ -65,7 +65,7 @@
 	for _, j := range s.aged {
 		if n := s.behind(j); n > 0 && j.team.fits(j.need) && s.now >= j.resume {
 			s.placeJob(j, n)
-			s.hold(j)
+			s.reserve(j)
 		}
 	}
 	for _, j := range p.jobs {
@@ -98,11 +98,11 @@
 
 // behind is how many tasks a job gets before all others: the first if it has not begun, else what it is behind with while its group is served badly.
 func (s *Scheduler) behind(j *job) int {
-	n := min(s.dueTasks(j)-j.doneN-len(j.bound), j.free())
+	n := min(s.dueTasks(j)-j.doneCount-len(j.bound), j.free())
 	switch {
 	case n <= 0:
 		return 0
-	case j.doneN+len(j.bound) == 0:
+	case j.doneCount+len(j.bound) == 0:
 		return 1
 	case s.served(j) >= limits.AgeServed:
 		return 0
@@ -128,7 +128,7 @@
 		if due := s.dueTasks(j); due > 0 {
 			x := s.services[j.group()]
 			x.due += due
-			x.got += min(due, j.doneN+len(j.bound))
+			x.got += min(due, j.doneCount+len(j.bound))
 			s.services[j.group()] = x
 		}
 	}
@@ -139,7 +139,7 @@
 			s.aged = append(s.aged, j)
 		}
 	}
-	begun := func(j *job) int { return min(j.doneN+len(j.bound), 1) }
+	begun := func(j *job) int { return min(j.doneCount+len(j.bound), 1) }
 	slices.SortStableFunc(s.aged, func(a, b *job) int { // the queue is by age
 		return cmp.Or(cmp.Compare(begun(a), begun(b)), cmp.Compare(s.served(a), s.served(b)))
 	})
@@ -148,7 +148,7 @@
 // hold keeps the machines with the most free room for a job that is behind and finds none with enough, so that smaller tasks do not take
 // that room bit by bit for ever. A machine that was held in the pass before comes first: otherwise each one with as much room would take the
 // place of another, and none would ever have enough.
-func (s *Scheduler) hold(j *job) {
+func (s *Scheduler) reserve(j *job) {
 	p := &s.pass
 	n := min(s.behind(j), p.holds)
 	if n <= 0 || !j.team.fits(j.need) {
@@ -184,7 +184,7 @@
 	clear(p.refused)
 	for _, m := range s.fleet {
 		m.wasHeld, m.heldFor = m.heldFor != nil, nil
-		if m.drain || !s.usable(m) || len(m.binds)+len(m.exits) >= limits.MaxTasks {
+		if m.drain || !s.usable(m) || len(m.bindings)+len(m.exits) >= limits.MaxTasks {
 			continue
 		}
 		p.machines = append(p.machines, m)
@@ -209,7 +209,7 @@
 // placeJob places up to n of a job's tasks.
 func (s *Scheduler) placeJob(j *job, n int) {
 	p := &s.pass
-	ask := request{j.need, j.team, j.urgency, j.guar, j.spec.Spot, s.pressing(j)}
+	ask := request{j.need, j.team, j.priority, j.guaranteed, j.spec.Spot, s.pressing(j)}
 	common := j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && !j.spec.SameZone && !j.spec.SpreadZones && len(j.failOn) == 0
 	if ask.pressing && (s.now < j.pressAgain || (common && s.now < s.pressAgain[ask])) {
 		ask.pressing = false
@@ -269,12 +269,12 @@
 	}
 	const eps = limits.Epsilon
 	for _, j := range s.queue {
-		n := float64(j.spec.Tasks - j.doneN)
+		n := float64(j.spec.Tasks - j.doneCount)
 		if j.cancelled {
 			n = 0
 		}
 		c := j.team.claimed.plus(room{cpu: n * j.need.cpu, gpu: n * j.need.gpu})
-		j.guar = c.cpu <= j.team.cfg.CPUs+eps && c.gpu <= j.team.cfg.GPUs+eps
+		j.guaranteed = c.cpu <= j.team.cfg.CPUs+eps && c.gpu <= j.team.cfg.GPUs+eps
 		j.team.claimed = c
 	}
 }
@@ -312,10 +312,10 @@
 	sort.SliceStable(cs, func(a, b int) bool {
 		x, y := &cs[a], &cs[b]
 		switch {
-		case x.j.urgency != y.j.urgency:
-			return x.j.urgency > y.j.urgency
-		case x.j.guar != y.j.guar:
-			return x.j.guar
+		case x.j.priority != y.j.priority:
+			return x.j.priority > y.j.priority
+		case x.j.guaranteed != y.j.guaranteed:
+			return x.j.guaranteed
 		case x.late != y.late:
 			return !x.late
 		case x.work != y.work && !x.late:
@@ -356,13 +356,13 @@
 
 // usable tells whether a machine may get tasks at all.
 func (s *Scheduler) usable(m *machine) bool {
-	return m.proven && m.typ != nil && m.hire != "" && !m.notice && !m.deleting && !m.sick() &&
-		m.shift > m.deadShift && s.now <= m.heard+s.stale()
+	return m.verified && m.machineType != nil && m.rental != "" && !m.notice && !m.deleting && !m.sick() &&
+		m.session > m.endedSession && s.now <= m.heard+s.stale()
 }
 
 // allowed are the filters that no stopping of tasks can change.
 func (s *Scheduler) allowed(j *job, m *machine) bool {
-	return s.allows(j, m.kind, m.yard, m.spot) && m.size().holds(j.need) && !j.avoids(m)
+	return s.allows(j, m.kind, m.zone, m.spot) && m.size().holds(j.need) && !j.avoids(m)
 }
 
 // avoids tells whether a job goes elsewhere because the machine has failed it. Once it fails everywhere, any machine will do.
@@ -384,7 +384,7 @@
 		here, total := 0, 0
 		for _, b := range j.bound {
 			total++
-			if b.m.yard == yard {
+			if b.machine.zone == yard {
 				here++
 			}
 		}
@@ -418,16 +418,16 @@
 func (s *Scheduler) candidate(j *job, m *machine, pressing bool) (c candidate, ok bool) {
 	free := m.freeRoom()
 	over := !free.holds(j.need)
-	if over && !pressing || (m.heldFor != nil && m.heldFor != j) || !s.allowed(j, m) || len(m.binds)+len(m.exits) >= limits.MaxTasks {
+	if over && !pressing || (m.heldFor != nil && m.heldFor != j) || !s.allowed(j, m) || len(m.bindings)+len(m.exits) >= limits.MaxTasks {
 		return c, false
 	}
 	c.m = m
 	if over {
 		// The normal view: the machine without what this request may stop.
 		view := free
-		for _, b := range m.binds {
+		for _, b := range m.bindings {
 			if s.mayStop(j, b) {
-				view = view.plus(b.j.need)
+				view = view.plus(b.job.need)
 			}
 		}
 		if !view.holds(j.need) {
@@ -441,13 +441,13 @@
 		}
 	}
 	if _, ok := m.images[j.spec.Image]; !ok {
-		c.scores[weighImage] = -j.spec.ImageGB / max(m.typ.FetchGBPerS, limits.SlowestPull)
+		c.scores[weighImage] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.SlowestPull)
 	}
 	left := free.minus(j.need)
 	c.scores[weighPack] = -left.cpu
 	c.scores[weighPrice] = -m.perCPU()
-	if m.speedN >= 3 {
-		c.scores[weighSpeed] = -math.Round(m.speedSum/float64(m.speedN)/limits.SpeedStep) * limits.SpeedStep
+	if m.speedCount >= 3 {
+		c.scores[weighSpeed] = -math.Round(m.speedSum/float64(m.speedCount)/limits.SpeedStep) * limits.SpeedStep
 	} else {
 		c.scores[weighSpeed] = -1
 	}
@@ -462,7 +462,7 @@
 	var options []victim
 	for _, b := range c.m.sortedBinds() {
 		if s.mayStop(j, b) {
-			options = append(options, victim{b: b, need: b.j.need, loss: s.loss(b)})
+			options = append(options, victim{b: b, need: b.job.need, loss: s.loss(b)})
 		}
 	}
 	set := cheapest(options, j.need.minus(c.m.freeRoom()))
@@ -485,13 +485,13 @@
 // mayStop is the protocol's rule of who may be stopped for whom, narrowed so that it has no circles: borrowed work of high priority does not
 // stop what another team's guarantee covers, as that could stop it in turn, and so on without end. Nor is work stopped of which too little is done already.
 func (s *Scheduler) mayStop(j *job, b *binding) bool {
-	if b.stop || b.phase == assigned || b.j == j || b.j.owed {
+	if b.stop || b.phase == assigned || b.job == j || b.job.owed {
 		return false
 	}
-	if b.j.urgency < j.urgency {
-		return j.guar || !b.j.guar || b.j.team == j.team
+	if b.job.priority < j.priority {
+		return j.guaranteed || !b.job.guaranteed || b.job.team == j.team
 	}
-	return b.j.team != j.team && j.guar && !b.j.guar && b.j.team.borrows()
+	return b.job.team != j.team && j.guaranteed && !b.job.guaranteed && b.job.team.borrows()
 }
 
 // loss is what stopping a task would waste: its work since the last checkpoint, or its whole run time where it
@@ -501,12 +501,12 @@
 	if b.phase == running {
 		ran = (s.now - b.runAt).Seconds()
 	}
-	if b.j.spec.CheckpointS > 0 {
-		for ran > b.j.spec.CheckpointS {
-			ran -= b.j.spec.CheckpointS
+	if b.job.spec.CheckpointS > 0 {
+		for ran > b.job.spec.CheckpointS {
+			ran -= b.job.spec.CheckpointS
 		}
 	}
-	return (ran + 1) * b.j.need.cpu * (1 + s.cfg.Options.Preemption.RestartWeight*float64(b.j.stops[b.idx]))
+	return (ran + 1) * b.job.need.cpu * (1 + s.cfg.Options.Preemption.RestartWeight*float64(b.job.stops[b.index]))
 }
 
 // victim is a task that may be stopped.
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -31,41 +31,41 @@
 		total++
 		m.wanted = false
 		if !m.deleting {
-			s.inZone[m.yard]++
+			s.inZone[m.zone]++
 		}
-		if m.typ == nil || m.deleting || m.notice || m.sick() {
+		if m.machineType == nil || m.deleting || m.notice || m.sick() {
 			continue
 		}
-		o := &offer{m: m, p: pool{m.kind, m.yard, m.spot}, typ: m.typ}
+		o := &offer{m: m, p: pool{m.kind, m.zone, m.spot}, typ: m.machineType}
 		if !m.seen {
 			age := (s.now - m.created).Seconds()
-			if o.ready = m.typ.BootS*limits.BootReckon - age; o.ready < 0 {
-				if age > limits.BootHope*m.typ.BootS {
+			if o.ready = m.machineType.BootS*limits.BootReckon - age; o.ready < 0 {
+				if age > limits.BootHope*m.machineType.BootS {
 					continue // it may never come up; plan without it
 				}
 				o.ready = 2
 			}
-		} else if s.now > m.heard+2*s.stale() || (!m.proven && s.now > m.doubt+2*s.stale()) {
+		} else if s.now > m.heard+2*s.stale() || (!m.verified && s.now > m.unverifiedSince+2*s.stale()) {
 			continue
 		}
-		for _, b := range m.binds {
-			left := b.j.occupies()
+		for _, b := range m.bindings {
+			left := b.job.occupies()
 			if b.phase == running {
-				left = b.j.estimate()
+				left = b.job.estimate()
 				left = max(left-(s.now-b.runAt).Seconds(), limits.LeastLeft*left)
 			}
-			o.used += b.j.need.cpu
-			o.load += left * b.j.need.cpu
+			o.used += b.job.need.cpu
+			o.load += left * b.job.need.cpu
 		}
 		offers = append(offers, o)
 	}
 	calls := max(1, int(s.cfg.CloudRPS*limits.PlanEvery.Seconds())) // rental requests that the cloud takes until the next plan
 	asked := map[pool]int{}
-	for _, h := range s.hires {
+	for _, h := range s.rentals {
 		if h.pending() {
-			total += h.rec.Count
+			total += h.record.Count
 			calls--
-			asked[pool{h.rec.MachineType, h.rec.Zone, h.rec.Spot}]++
+			asked[pool{h.record.MachineType, h.record.Zone, h.record.Spot}]++
 		}
 	}
 	// may is how many machines a pool may be asked for now. What is left of a pool is not known, and each refusal costs a call of the cloud's rate: pools of like
@@ -76,7 +76,7 @@
 		if st := s.pools[p]; st != nil && st.backoff > 0 {
 			most = 1
 		}
-		return max(most-asked[p], 0) * limits.HireMax
+		return max(most-asked[p], 0) * limits.RentalMax
 	}
 	offers = append(offers, s.pendingOffers()...)
 	fresh := map[pool]float64{}
@@ -91,10 +91,10 @@
 		pools = append(pools, p)
 	}
 	slices.SortFunc(pools, func(a, b pool) int { // the cheapest first, as the calls may not do for all
-		return cmp.Or(cmp.Compare(s.perCPU(a), s.perCPU(b)), strings.Compare(a.kind, b.kind), strings.Compare(a.yard, b.yard))
+		return cmp.Or(cmp.Compare(s.perCPU(a), s.perCPU(b)), strings.Compare(a.kind, b.kind), strings.Compare(a.zone, b.zone))
 	})
 	for _, p := range pools {
-		n := int(math.Floor(fresh[p] + 1 - limits.HireFraction))
+		n := int(math.Floor(fresh[p] + 1 - limits.RentalFraction))
 		if n == 0 && total == 0 {
 			n = 1
 		}
@@ -102,15 +102,15 @@
 			s.boundAt = s.now + limits.SummaryEvery
 			s.note(true, "fleet at its bound", "machines", total, "wanted", n)
 		}
-		for n = min(n, s.fleetMax()-total); n > 0 && calls > 0; n -= limits.HireMax {
-			total += min(n, limits.HireMax)
+		for n = min(n, s.fleetMax()-total); n > 0 && calls > 0; n -= limits.RentalMax {
+			total += min(n, limits.RentalMax)
 			calls--
-			s.hireMachines(p, n)
+			s.rentMachines(p, n)
 		}
 	}
 	s.drain()
 	for _, m := range s.fleet {
-		if !s.settled || m.deleting || !m.seen || m.wanted || len(m.binds) > 0 || m.hire == "" {
+		if !s.recovered || m.deleting || !m.seen || m.wanted || len(m.bindings) > 0 || m.rental == "" {
 			continue
 		}
 		if !s.durable(m) {
@@ -202,13 +202,13 @@
 // pendingOffers are the machines of rentals that are under way.
 func (s *Scheduler) pendingOffers() []*offer {
 	var out []*offer
-	for _, h := range s.sortedHires() {
-		t := s.types[h.rec.MachineType]
+	for _, h := range s.sortedRentals() {
+		t := s.types[h.record.MachineType]
 		if t == nil || !h.pending() {
 			continue
 		}
-		for range h.rec.Count {
-			out = append(out, &offer{p: pool{h.rec.MachineType, h.rec.Zone, h.rec.Spot}, typ: t, ready: t.BootS * limits.BootReckon})
+		for range h.record.Count {
+			out = append(out, &offer{p: pool{h.record.MachineType, h.record.Zone, h.record.Spot}, typ: t, ready: t.BootS * limits.BootReckon})
 		}
 	}
 	return out
@@ -256,7 +256,7 @@
 			return
 		}
 		size := sizeOf(o.typ)
-		if !size.holds(j.need) || !s.allows(j, o.p.kind, o.p.yard, o.p.spot) || (o.m != nil && j.avoids(o.m)) {
+		if !size.holds(j.need) || !s.allows(j, o.p.kind, o.p.zone, o.p.spot) || (o.m != nil && j.avoids(o.m)) {
 			continue
 		}
 		n -= o.take(j, n, est, within, &carry)
@@ -272,7 +272,7 @@
 		if got == 0 {
 			return
 		}
-		s.inZone[p.yard]++
+		s.inZone[p.zone]++
 		whole := slots(sizeOf(t), j.need)
 		fresh[p] += float64(got) / float64(whole)
 		if got < whole {
--- a/internal/coordination/scheduler/probes.go
+++ b/internal/coordination/scheduler/probes.go
@@ -40,26 +40,26 @@
 func (s *Scheduler) probe() {
 	var due []*machine
 	for _, m := range s.fleet {
-		if (!s.settled && !m.fenced && m.mark != unmarked) || (m.seen && !m.proven) {
+		if (!s.recovered && !m.fenced && m.registration != unregistered) || (m.seen && !m.verified) {
 			due = append(due, m)
 		}
 	}
 	slices.SortStableFunc(due, func(a, b *machine) int { return int(a.probeAt - b.probeAt) })
 	for _, m := range due {
-		s.askDoubted(m)
+		s.probeMachine(m)
 	}
 }
 
-// askDoubted seeks the proof that answers reach a machine by a direct command without orders. Where many machines are doubted at once, as after they
+// askDoubted seeks the proof that answers reach a machine by a direct command without orders. Where many machines are unverified at once, as after they
 // all had to find their leader again, the next reports on their new connections prove most of them for nothing: there a machine is asked only once
 // its next report is overdue as a proof.
-func (s *Scheduler) askDoubted(m *machine) {
-	if m.seen && m.fenced && s.doubtful && s.now < m.doubt+time.Duration(limits.DoubtReports*float64(s.report)) {
+func (s *Scheduler) probeMachine(m *machine) {
+	if m.seen && m.fenced && s.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedReports*float64(s.report)) {
 		return
 	}
 	if m.addr == "" || m.deleting || s.now < m.probeAt || !s.probes.take() {
 		return
 	}
 	m.probeAt = s.now + limits.ProbeEvery
-	s.emit(ProbeOut{Rig: m.name, Address: m.addr})
+	s.emit(ProbeOut{Machine: m.name, Address: m.addr})
 }
--- a/internal/coordination/scheduler/probes_test.go
+++ b/internal/coordination/scheduler/probes_test.go
@@ -27,10 +27,10 @@
 		for _, e := range effects {
 			if p, ok := e.(ProbeOut); ok {
 				probes++
-				if asked[p.Rig]++; asked[p.Rig] > 1 && len(asked) < machines {
-					t.Errorf("%s is asked again while others have not been asked", p.Rig)
+				if asked[p.Machine]++; asked[p.Machine] > 1 && len(asked) < machines {
+					t.Errorf("%s is asked again while others have not been asked", p.Machine)
 				}
-				s.Step(ProbeDone{Rig: p.Rig}, now)
+				s.Step(ProbeDone{Machine: p.Machine}, now)
 			}
 		}
 		return probes
@@ -58,8 +58,8 @@
 		}
 		b.step(Tick{Entitled: true})
 		again := 0
-		for _, e := range b.step(ProbeDone{Rig: b.rig(0)}) {
-			if p, ok := e.(ProbeOut); ok && p.Rig == b.rig(0) {
+		for _, e := range b.step(ProbeDone{Machine: b.rig(0)}) {
+			if p, ok := e.(ProbeOut); ok && p.Machine == b.rig(0) {
 				again++
 			}
 		}
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -106,12 +106,12 @@
 
 // loadUp loads a rental whose machines are all up.
 func loadUp(s *Scheduler, name string, h storage.Rental, now time.Duration) {
-	s.Step(HireLoaded{Name: name, Stamp: 1, Rec: h}, now)
+	s.Step(RentalLoaded{Name: name, Version: 1, Rec: h}, now)
 	var u storage.Ups
 	for _, rig := range h.Machines {
 		u.Machines = append(u.Machines, storage.Up{Machine: rig, Address: "x:1"})
 	}
-	s.Step(UpLoaded{Name: name, Stamp: 1, Rec: u}, now)
+	s.Step(RegistrationLoaded{Name: name, Version: 1, Rec: u}, now)
 }
 
 // upHire is the record of a rental with its machines.
@@ -139,7 +139,7 @@
 	for _, e := range b.step(ReportIn{Entitled: true, Stayed: true, Report: &protocol.Report{Machine: b.rig(i), Address: "x:1", MachineType: "s8", Zone: "a",
 		Session: 1, Sequence: b.tally, Token: 3, Tasks: tasks}}) {
 		if r, ok := e.(ReplyOut); ok && r.OK {
-			return r.Orders
+			return r.Commands
 		}
 	}
 	b.t.Fatalf("report not answered: %+v", b.out)
@@ -148,7 +148,7 @@
 
 func (b *bed) job(id, team, urgency string, pieces int, cpus float64, due float64) {
 	b.stamp++
-	b.step(JobSeen{ID: id, Stamp: 100 + b.stamp, Rec: storage.Open{Spec: protocol.Spec{ID: id, Class: "c", Team: team, Shape: "sweep",
+	b.step(JobSeen{ID: id, Version: 100 + b.stamp, Rec: storage.Open{Spec: protocol.Spec{ID: id, Class: "c", Team: team, Shape: "sweep",
 		Priority: urgency, Tasks: pieces, CPUs: cpus, MemoryGB: 1, Image: "i", EstimateS: 10, DeadlineS: due}}})
 }
 
@@ -179,11 +179,11 @@
 	b.report(0)
 	b.job("job-1", "red", "standard", 20, 1, 0)
 	d := b.direct()
-	if len(d) != 1 || verbs(d[0].Orders, protocol.CommandStart) != 8 {
+	if len(d) != 1 || verbs(d[0].Commands, protocol.CommandStart) != 8 {
 		t.Fatalf("starts: %+v", b.out)
 	}
-	done := protocol.TaskReport{Task: "job-1/0", Attempt: d[0].Orders[0].Attempt, State: protocol.Ended, Reason: protocol.ReasonDone}
-	other := protocol.TaskReport{Task: "job-1/1", Attempt: d[0].Orders[1].Attempt, State: protocol.Running}
+	done := protocol.TaskReport{Task: "job-1/0", Attempt: d[0].Commands[0].Attempt, State: protocol.Ended, Reason: protocol.ReasonDone}
+	other := protocol.TaskReport{Task: "job-1/1", Attempt: d[0].Commands[1].Attempt, State: protocol.Running}
 	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 0 {
 		t.Fatalf("forgotten at once: %+v", orders)
 	}
@@ -200,7 +200,7 @@
 	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 0 {
 		t.Fatalf("forgotten while the write is under way: %+v", orders)
 	}
-	b.step(WriteDone{ID: w.ID, OK: true, Rev: 500})
+	b.step(WriteDone{ID: w.ID, OK: true, Version: 500})
 	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 1 {
 		t.Fatalf("not forgotten: %+v", orders)
 	}
@@ -212,7 +212,7 @@
 	b.report(0)
 	b.job("job-1", "red", "standard", 2, 1, 0)
 	var tasks []protocol.TaskReport
-	for _, o := range b.direct()[0].Orders {
+	for _, o := range b.direct()[0].Commands {
 		tasks = append(tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 	}
 	tasks[0].State, tasks[0].Reason = protocol.Ended, protocol.ReasonDone
@@ -235,10 +235,10 @@
 	b := newBed(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	task := protocol.TaskReport{Task: "job-1/0", Attempt: b.direct()[0].Orders[0].Attempt, State: protocol.Running}
+	task := protocol.TaskReport{Task: "job-1/0", Attempt: b.direct()[0].Commands[0].Attempt, State: protocol.Running}
 	b.report(0, task)
 	b.stamp++
-	b.step(JobSeen{ID: "job-1", Stamp: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
+	b.step(JobSeen{ID: "job-1", Version: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
 	b.s.machines[b.rig(0)].notice, b.s.machines[b.rig(0)].noticeEnd = true, time.Hour
 	for end := b.now + 20*time.Second; b.now < end; b.now += time.Second {
 		b.report(0, task)
@@ -259,12 +259,12 @@
 		b.job("job-1", "red", "standard", 1, 8, 0)
 		var task protocol.TaskReport
 		for _, d := range b.direct() {
-			task = protocol.TaskReport{Task: d.Orders[0].Task, Attempt: d.Orders[0].Attempt, State: protocol.Running}
-			b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: &protocol.Report{Machine: d.Rig, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally + 1, Token: 3, Tasks: []protocol.TaskReport{task}}})
+			task = protocol.TaskReport{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.Running}
+			b.step(DirectDone{ID: d.ID, Machine: d.Machine, Report: &protocol.Report{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally + 1, Token: 3, Tasks: []protocol.TaskReport{task}}})
 		}
-		held := b.s.jobs["job-1"].bound[0].m.name
+		held := b.s.jobs["job-1"].bound[0].machine.name
 		b.tally++
-		b.step(JobSeen{ID: "job-1", Stamp: 900, CancelAge: age, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
+		b.step(JobSeen{ID: "job-1", Version: 900, CancelAge: age, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
 		learned := b.now
 		told := b.now - age
 		if age >= 34*time.Second {
@@ -282,7 +282,7 @@
 				for _, e := range b.step(ReportIn{Entitled: true, Stayed: true, Report: r}) {
 					switch e := e.(type) {
 					case DirectOut:
-						b.step(DirectDone{ID: e.ID, Rig: e.Rig})
+						b.step(DirectDone{ID: e.ID, Machine: e.Machine})
 					case ReplyOut:
 						if e.OK && r.Machine == held {
 							last = b.now
@@ -294,8 +294,8 @@
 			}
 			for _, e := range b.step(Tick{Entitled: true}) {
 				if d, ok := e.(DeleteOut); ok && asked == 0 {
-					if d.Rigs[0] != held || len(d.Rigs) != 1 {
-						t.Fatalf("age %v: deletion of %v", age, d.Rigs)
+					if d.Machines[0] != held || len(d.Machines) != 1 {
+						t.Fatalf("age %v: deletion of %v", age, d.Machines)
 					}
 					asked = b.now
 				}
@@ -318,7 +318,7 @@
 func TestMarkBeforeStart(t *testing.T) {
 	b := newBed(t, 0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	b.step(HireLoaded{Name: "h-2-1", Stamp: 7, Rec: storage.Rental{MachineType: "s8", Zone: "a", Count: 1, Answered: true, Machines: []string{b.rig(0)}}})
+	b.step(RentalLoaded{Name: "h-2-1", Version: 7, Rec: storage.Rental{MachineType: "s8", Zone: "a", Count: 1, Answered: true, Machines: []string{b.rig(0)}}})
 	orders := b.report(0)
 	var mark *WriteOut
 	for _, e := range b.out {
@@ -329,13 +329,13 @@
 	if mark == nil || verbs(orders, protocol.CommandStart) != 0 || len(b.direct()) != 0 {
 		t.Fatalf("before the mark: %+v %+v", orders, b.out)
 	}
-	b.step(WriteDone{ID: mark.ID, OK: true, Rev: 9})
-	if d := b.direct(); len(d) != 1 || verbs(d[0].Orders, protocol.CommandStart) != 1 {
+	b.step(WriteDone{ID: mark.ID, OK: true, Version: 9})
+	if d := b.direct(); len(d) != 1 || verbs(d[0].Commands, protocol.CommandStart) != 1 {
 		t.Fatalf("after the mark: %+v", b.out)
 	}
 }
 
-// marksOut are the writes of marks among the effects.
+// marksOut are the writes of registrations among the effects.
 func (b *bed) marksOut() []WriteOut {
 	var out []WriteOut
 	for _, e := range b.out {
@@ -346,8 +346,8 @@
 	return out
 }
 
-// TestMarksTogether: machines of several rentals that come up at once are marked by few writes, each within the size of a value; none is marked before its
-// rental's record names it, as a successor ignores marks that no rental accounts for; and a successor finds all of them.
+// TestMarksTogether: machines of several rentals that come up at once are registered by few writes, each within the size of a value; none is registered before its
+// rental's record names it, as a successor ignores registrations that no rental accounts for; and a successor finds all of them.
 func TestMarksTogether(t *testing.T) {
 	b := newBed(t, 0)
 	const rentals, each = 4, 50
@@ -356,9 +356,9 @@
 		for k := range each {
 			h.Machines = append(h.Machines, b.rig(i*each+k))
 		}
-		b.step(HireLoaded{Name: fmt.Sprintf("h-2-%d", i), Stamp: 7, Rec: h})
+		b.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Rec: h})
 	}
-	b.s.hires["h-2-3"].known = false // its answer is being written
+	b.s.rentals["h-2-3"].known = false // its answer is being written
 	var writes []WriteOut
 	for i := range rentals * each {
 		b.report(i)
@@ -368,8 +368,8 @@
 	rev := uint64(100)
 	for n := 0; n < len(writes); n++ {
 		rev++
-		b.now += limits.MarkEvery
-		b.step(WriteDone{ID: writes[n].ID, OK: true, Rev: rev})
+		b.now += limits.RegisterEvery
+		b.step(WriteDone{ID: writes[n].ID, OK: true, Version: rev})
 		writes = append(writes, b.marksOut()...)
 	}
 	if len(writes) > 8 {
@@ -377,7 +377,7 @@
 	}
 	next := newBed(t, 0)
 	for i := range rentals {
-		next.step(HireLoaded{Name: fmt.Sprintf("h-2-%d", i), Stamp: 7, Rec: b.s.hires[fmt.Sprintf("h-2-%d", i)].rec})
+		next.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Rec: b.s.rentals[fmt.Sprintf("h-2-%d", i)].record})
 	}
 	last := map[string]WriteOut{}
 	for _, w := range writes {
@@ -391,23 +391,23 @@
 		if !storage.Fits(u, b.s.cfg.State.ValueKB) {
 			t.Errorf("a sheet of %d bytes", storage.Size(u))
 		}
-		next.step(UpLoaded{Name: key, Stamp: 9, Rec: u})
+		next.step(RegistrationLoaded{Name: key, Version: 9, Rec: u})
 	}
 	for i := range rentals * each {
 		known := i < (rentals-1)*each
-		if got := b.s.machines[b.rig(i)].mark == marked; got != known {
+		if got := b.s.machines[b.rig(i)].registration == registered; got != known {
 			t.Fatalf("machine %d marked: %v, its rental's record written: %v", i, got, known)
 		}
-		if m := next.s.machines[b.rig(i)]; (m.mark == marked && m.addr != "") != known {
-			t.Fatalf("machine %d at the successor: mark %v, address %q", i, m.mark, m.addr)
+		if m := next.s.machines[b.rig(i)]; (m.registration == registered && m.addr != "") != known {
+			t.Fatalf("machine %d at the successor: mark %v, address %q", i, m.registration, m.addr)
 		}
 	}
-	// Once the record is written the others are marked too.
-	h := b.s.hires["h-2-3"]
+	// Once the record is written the others are registered too.
+	h := b.s.rentals["h-2-3"]
 	h.writing = true
-	b.s.writes[9999] = pendingWrite{kind: writeHire, hire: h.name, known: true}
-	b.now += limits.MarkEvery
-	b.step(WriteDone{ID: 9999, OK: true, Rev: rev + 1})
+	b.s.writes[9999] = pendingWrite{kind: writeRental, rental: h.name, known: true}
+	b.now += limits.RegisterEvery
+	b.step(WriteDone{ID: 9999, OK: true, Version: rev + 1})
 	if len(b.marksOut()) == 0 {
 		t.Error("not marked when the rental's record is written")
 	}
@@ -426,20 +426,20 @@
 	}
 	m.mute, m.directID = 0, 77
 	b.tally++
-	b.step(DirectDone{ID: 77, Rig: m.name, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}})
-	if len(m.binds) != 1 {
+	b.step(DirectDone{ID: 77, Machine: m.name, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}})
+	if len(m.bindings) != 1 {
 		t.Fatal("freed by the answer to a direct command")
 	}
 	b.tally++
-	b.step(ProbeDone{Rig: m.name, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}})
-	if len(m.binds) != 1 {
+	b.step(ProbeDone{Machine: m.name, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}})
+	if len(m.bindings) != 1 {
 		t.Fatal("freed by the answer to a probe")
 	}
 	m.mute = time.Hour
-	if n := verbs(b.report(0), protocol.CommandStart); n != 0 || len(m.binds) != 0 {
-		t.Fatalf("after a report without it: %d starts, %d bound", n, len(m.binds)) // its answer was lost, so the machine is in doubt
+	if n := verbs(b.report(0), protocol.CommandStart); n != 0 || len(m.bindings) != 0 {
+		t.Fatalf("after a report without it: %d starts, %d bound", n, len(m.bindings)) // its answer was lost, so the machine is in doubt
 	}
-	if n := verbs(b.report(0), protocol.CommandStart); n != 1 || len(m.binds) != 1 {
+	if n := verbs(b.report(0), protocol.CommandStart); n != 1 || len(m.bindings) != 1 {
 		t.Fatalf("not placed again: %d starts", n)
 	}
 }
@@ -453,16 +453,16 @@
 	starts := 0
 	count := func() {
 		for _, d := range b.direct() {
-			starts += verbs(d.Orders, protocol.CommandStart)
-			b.step(DirectDone{ID: d.ID, Rig: d.Rig}) // no answer
+			starts += verbs(d.Commands, protocol.CommandStart)
+			b.step(DirectDone{ID: d.ID, Machine: d.Machine}) // no answer
 		}
 	}
 	count()
 	m := b.s.machines[b.rig(0)]
-	m.mark = marked
+	m.registration = registered
 	var try uint64
-	for _, x := range m.binds {
-		try = x.try
+	for _, x := range m.bindings {
+		try = x.attempt
 	}
 	// It hears nothing: its next reports come on other connections. One task that it had got all the same is done.
 	deleted := false
@@ -474,13 +474,13 @@
 		for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: tally, Token: 3,
 			Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: max(try, 1), State: protocol.Ended, Reason: protocol.ReasonDone}}}}) {
 			if r, ok := e.(ReplyOut); ok {
-				starts += verbs(r.Orders, protocol.CommandStart)
+				starts += verbs(r.Commands, protocol.CommandStart)
 			}
 		}
 		count()
 		for _, e := range b.step(Tick{Entitled: true}) {
 			if d, ok := e.(DeleteOut); ok {
-				for _, name := range d.Rigs {
+				for _, name := range d.Machines {
 					deleted = deleted || name == m.name
 				}
 			}
@@ -493,8 +493,8 @@
 	if !deleted {
 		t.Error("not deleted")
 	}
-	if j := b.s.jobs["job-1"]; j.doneN != 1 {
-		t.Errorf("%d results count", j.doneN)
+	if j := b.s.jobs["job-1"]; j.doneCount != 1 {
+		t.Errorf("%d results count", j.doneCount)
 	}
 }
 
@@ -527,21 +527,21 @@
 		t.Error("a worker that waits for this answer gets none")
 	}
 	m := b.s.machines[b.rig(0)]
-	if m.seen || m.fenced || len(m.binds) > 0 || b.s.usable(m) {
-		t.Errorf("believed: seen %v fenced %v binds %d", m.seen, m.fenced, len(m.binds))
+	if m.seen || m.fenced || len(m.bindings) > 0 || b.s.usable(m) {
+		t.Errorf("believed: seen %v fenced %v binds %d", m.seen, m.fenced, len(m.bindings))
 	}
 	// A copy overtakes its original, and the start in its answer gets lost. The original's answer brings it again, but not once the job is cancelled.
 	m.mute = time.Hour
 	b.report(0)
 	b.report(0)
 	first := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
-	m.mark = marked
-	if r := answer(first, false); verbs(r.Orders, protocol.CommandStart) != 1 {
-		t.Errorf("the original brings %+v", r.Orders)
+	m.registration = registered
+	if r := answer(first, false); verbs(r.Commands, protocol.CommandStart) != 1 {
+		t.Errorf("the original brings %+v", r.Commands)
 	}
 	b.stamp++
-	b.step(JobSeen{ID: "job-1", Stamp: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
-	if r := answer(first, false); !r.OK || verbs(r.Orders, protocol.CommandStart) != 0 {
+	b.step(JobSeen{ID: "job-1", Version: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
+	if r := answer(first, false); !r.OK || verbs(r.Commands, protocol.CommandStart) != 0 {
 		t.Errorf("after the cancellation: %+v", r)
 	}
 	// Of our term: the copy is answered like the original within the time that the worker waits, and does not keep the machine alive.
@@ -559,8 +559,8 @@
 	if r := answer(now, true); r.OK {
 		t.Error("a copy that comes after a lease is answered")
 	}
-	if r := answer(known, true); r.OK && len(r.Orders) > 0 {
-		t.Errorf("a copy from an earlier term brings %+v", r.Orders)
+	if r := answer(known, true); r.OK && len(r.Commands) > 0 {
+		t.Errorf("a copy from an earlier term brings %+v", r.Commands)
 	}
 	if m.heard != heard || m.leaseBase != base {
 		t.Error("a copy made a machine fresh")
@@ -575,7 +575,7 @@
 	b.tally++
 	probed := late
 	probed.Sequence = b.tally
-	b.step(ProbeDone{Rig: m.name, Report: &probed})
+	b.step(ProbeDone{Machine: m.name, Report: &probed})
 	if !b.s.usable(m) {
 		t.Error("not usable after a round trip")
 	}
@@ -588,11 +588,11 @@
 		s := &Scheduler{}
 		teams := []*team{{cfg: config.Team{CPUs: 1}, used: room{cpu: 5}}, {cfg: config.Team{CPUs: 9}, used: room{cpu: 5}}}
 		draw := func(name string) *binding {
-			return &binding{phase: running, j: &job{team: teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
-				urgency: protocol.Priority(rapid.IntRange(0, 3).Draw(t, name+" urgency")), guar: rapid.Bool().Draw(t, name+" guaranteed")}}
+			return &binding{phase: running, job: &job{team: teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
+				priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, name+" urgency")), guaranteed: rapid.Bool().Draw(t, name+" guaranteed")}}
 		}
 		x, y := draw("x"), draw("y")
-		if s.mayStop(x.j, y) && s.mayStop(y.j, x) {
+		if s.mayStop(x.job, y) && s.mayStop(y.job, x) {
 			t.Fatal("circle")
 		}
 	})
@@ -606,12 +606,12 @@
 	m := b.s.machines[b.rig(0)]
 	b.s.remove(m, "test")
 	b.step(Tick{Entitled: true})
-	b.step(DeleteDone{Rigs: []string{m.name}})
-	if len(m.binds) != 1 || b.s.machines[m.name] == nil {
+	b.step(DeleteDone{Machines: []string{m.name}})
+	if len(m.bindings) != 1 || b.s.machines[m.name] == nil {
 		t.Fatal("freed by a deletion that was not confirmed")
 	}
-	b.step(DeleteDone{Rigs: []string{m.name}, OK: true})
-	if len(m.binds) != 0 || b.s.machines[m.name] != nil {
+	b.step(DeleteDone{Machines: []string{m.name}, OK: true})
+	if len(m.bindings) != 0 || b.s.machines[m.name] != nil {
 		t.Fatal("not freed")
 	}
 }
@@ -716,7 +716,7 @@
 		b.now += time.Second
 		for _, e := range b.step(Tick{Entitled: true}) {
 			if d, ok := e.(DeleteOut); ok && b.now < 50*time.Second {
-				t.Fatalf("at %v: returned %v", b.now, d.Rigs)
+				t.Fatalf("at %v: returned %v", b.now, d.Machines)
 			}
 		}
 	}
@@ -730,8 +730,8 @@
 	b.job("job-1", "red", "standard", limits.MaxPieces, 0.01, 0)
 	j := b.s.jobs["job-1"]
 	for _, m := range b.s.fleet {
-		if len(m.binds) > limits.MaxTasks {
-			t.Fatalf("%d tasks on %s: its report would be too long", len(m.binds), m.name)
+		if len(m.bindings) > limits.MaxTasks {
+			t.Fatalf("%d tasks on %s: its report would be too long", len(m.bindings), m.name)
 		}
 	}
 	if len(j.bound) == 0 || len(j.chunks) < 2 {
@@ -771,17 +771,17 @@
 			for _, e := range b.step(Tick{Entitled: true}) {
 				switch e := e.(type) {
 				case ProbeOut:
-					b.step(ProbeDone{Rig: e.Rig})
+					b.step(ProbeDone{Machine: e.Machine})
 				case DeleteOut:
-					for _, name := range e.Rigs {
+					for _, name := range e.Machines {
 						deleted[name] = true
 					}
-					b.step(DeleteDone{Rigs: e.Rigs, OK: true})
+					b.step(DeleteDone{Machines: e.Machines, OK: true})
 				}
 			}
 		}
-		if b.s.settled == c.waits || (len(deleted) == 0) != c.waits {
-			t.Errorf("%d silent: settled %v, deleted %v", c.silent, b.s.settled, deleted)
+		if b.s.recovered == c.waits || (len(deleted) == 0) != c.waits {
+			t.Errorf("%d silent: settled %v, deleted %v", c.silent, b.s.recovered, deleted)
 		}
 	}
 }
@@ -791,14 +791,14 @@
 	b := newBed(t, 0)
 	b.step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
 	b.s.cfg.CloudRPS = 4
-	b.step(JobSeen{ID: "job-1", Stamp: 100, Rec: storage.Open{Spec: protocol.Spec{ID: "job-1", Class: "c", Team: "red", Shape: "sweep",
+	b.step(JobSeen{ID: "job-1", Version: 100, Rec: storage.Open{Spec: protocol.Spec{ID: "job-1", Class: "c", Team: "red", Shape: "sweep",
 		Priority: "high", Tasks: 5000, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true}}})
 	b.s.teams["red"].cfg.CPUsMax = 1e6
 	rented := func() (spot, dear int) {
 		for b.now += time.Second; ; b.now += time.Second {
 			b.step(Tick{Entitled: true})
-			for _, h := range b.s.hires {
-				if h.pending() && h.rec.Spot {
+			for _, h := range b.s.rentals {
+				if h.pending() && h.record.Spot {
 					spot++
 				} else if h.pending() {
 					dear++
@@ -812,9 +812,9 @@
 	if spot, dear := rented(); spot != 4 || dear != 0 {
 		t.Fatalf("%d requests to the cheap pool and %d to the dear one, want all that the cloud takes to the cheap one", spot, dear)
 	}
-	for _, h := range b.s.sortedHires() {
-		h.state = hireAsking
-		b.step(HireDone{Name: h.name, NoCapacity: true})
+	for _, h := range b.s.sortedRentals() {
+		h.state = rentalRequested
+		b.step(RentalDone{Name: h.name, NoCapacity: true})
 	}
 	if spot, dear := rented(); spot > 1 || dear == 0 {
 		t.Errorf("%d requests to the pool that refused and %d to the other", spot, dear)
@@ -831,20 +831,20 @@
 	}
 	b.job("job-1", "red", "high", 10, 8, 0)
 	for _, d := range b.direct() { // each machine is full, and has just begun
-		r := &protocol.Report{Machine: d.Rig, Session: 1, Sequence: 100, Token: 3}
-		for _, o := range d.Orders {
+		r := &protocol.Report{Machine: d.Machine, Session: 1, Sequence: 100, Token: 3}
+		for _, o := range d.Commands {
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 		}
-		b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: r})
+		b.step(DirectDone{ID: d.ID, Machine: d.Machine, Report: r})
 	}
 	b.job("job-2", "blue", "high", 8, 8, 20)
 	wanted := func() int {
 		b.s.planAt = 0
 		b.step(Tick{Entitled: true})
 		n := 0
-		for _, h := range b.s.hires {
+		for _, h := range b.s.rentals {
 			if h.pending() {
-				n += h.rec.Count
+				n += h.record.Count
 			}
 		}
 		return n
@@ -854,7 +854,7 @@
 		t.Errorf("%d machines wanted for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
 	}
 	// What has waited for as long as a machine takes to boot does not wait as long again.
-	b.step(JobSeen{ID: "job-3", Stamp: 500, Age: 20 * time.Second, Rec: storage.Open{Spec: protocol.Spec{ID: "job-3", Class: "c", Team: "blue", Shape: "sweep",
+	b.step(JobSeen{ID: "job-3", Version: 500, Age: 20 * time.Second, Rec: storage.Open{Spec: protocol.Spec{ID: "job-3", Class: "c", Team: "blue", Shape: "sweep",
 		Priority: "high", Tasks: 4, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10}}})
 	if n := wanted(); n < 9 || n > 11 {
 		t.Errorf("%d machines wanted with 4 more tasks that have waited long, want 9 to 11", n)
@@ -875,24 +875,24 @@
 	b.report(0)
 	b.job("job-1", "red", "high", 1, 8, 0)
 	d := b.direct()[0]
-	first := protocol.TaskReport{Task: d.Orders[0].Task, Attempt: d.Orders[0].Attempt, State: protocol.Running}
+	first := protocol.TaskReport{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.Running}
 	b.tally += 10
-	b.step(DirectDone{ID: d.ID, Rig: d.Rig, Report: &protocol.Report{Machine: d.Rig, Session: 1, Sequence: b.tally, Token: 3, Tasks: []protocol.TaskReport{first}}})
+	b.step(DirectDone{ID: d.ID, Machine: d.Machine, Report: &protocol.Report{Machine: d.Machine, Session: 1, Sequence: b.tally, Token: 3, Tasks: []protocol.TaskReport{first}}})
 	b.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
 	j := b.s.jobs["job-2"]
 	if len(j.bound) != 0 || len(b.s.pressAgain) == 0 {
 		t.Fatalf("%d tasks bound beside one that may not be stopped; %d requests remembered", len(j.bound), len(b.s.pressAgain))
 	}
 	// Now the task on the machine may be stopped, but it is too soon to look.
-	b.s.jobs["job-1"].urgency = protocol.Low
+	b.s.jobs["job-1"].priority = protocol.Low
 	b.report(0, first)
-	if b.s.machines[d.Rig].binds[first.Task].stop {
+	if b.s.machines[d.Machine].bindings[first.Task].stop {
 		t.Error("stopped at once")
 	}
 	b.now += limits.PressAgain
 	b.s.dirty = true
 	b.report(0, first)
-	if !b.s.machines[d.Rig].binds[first.Task].stop {
+	if !b.s.machines[d.Machine].bindings[first.Task].stop {
 		t.Error("not stopped after the pause")
 	}
 	// Free room needs no look.
@@ -906,7 +906,7 @@
 }
 
 // TestDoubtedTogether: a machine whose answers may not arrive is asked at once, but not hundreds that come on new connections together: their next reports
-// prove them, and who stays doubted is asked then. Probes of all kept a small controller from answering reports, for minutes.
+// setVerified them, and who stays unverified is asked then. Probes of all kept a small controller from answering reports, for minutes.
 func TestDoubtedTogether(t *testing.T) {
 	for _, n := range []int{1, 40} {
 		b := newBed(t, 40)
@@ -947,7 +947,7 @@
 		if n > 1 && early > n/4 {
 			t.Errorf("%d of %d machines doubted together are asked at once", early, n)
 		}
-		// The others prove themselves; one stays doubted and is asked.
+		// The others prove themselves; one stays unverified and is asked.
 		for i := range n - 1 {
 			b.report(i)
 		}
@@ -970,7 +970,7 @@
 	lease := limits.WaitOut(14 * time.Second)
 	starts := func() (n int) {
 		for _, d := range b.direct() {
-			n += verbs(d.Orders, protocol.CommandStart)
+			n += verbs(d.Commands, protocol.CommandStart)
 		}
 		return n
 	}
@@ -989,13 +989,13 @@
 		b.now += time.Second
 		if b.now < end {
 			b.report(0)
-			if b.s.settled || starts() > 0 {
+			if b.s.recovered || starts() > 0 {
 				t.Fatalf("placed at %v, the greeted machine's lease lasts until %v", b.now, end)
 			}
 		}
 	}
 	b.report(0)
-	if !b.s.settled {
+	if !b.s.recovered {
 		t.Errorf("not rebuilt although every lease is over")
 	}
 }
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -16,21 +16,21 @@
 const (
 	writeChunk writeKind = iota
 	writeFinal
-	writeHire
-	writeHireRemove
-	writeUps
-	writeUpsRemove
+	writeRental
+	writeRentalRemove
+	writeRegistration
+	writeRegistrationRemove
 )
 
 // pendingWrite is what a WriteOut was for.
 type pendingWrite struct {
-	kind  writeKind
-	j     *job
-	n     int    // chunk; of a sheet, how many machines of it this write makes durable
-	ver   uint64 // chunk version
-	hire  string
-	known bool // this write makes a rental's machines durable
-	sheet *sheet
+	kind     writeKind
+	job      *job
+	n        int    // chunk; of a page, how many machines of it this write makes durable
+	sequence uint64 // chunk version
+	rental   string
+	known    bool // this write makes a rental's machines durable
+	page     *registryPage
 }
 
 // Step takes one event. The effects are to be carried out in order.
@@ -43,17 +43,17 @@
 	case JobSeen:
 		s.jobSeen(e)
 	case JobLeft:
-		if j := s.jobs[e.ID]; j != nil && !j.finishing && e.Stamp > j.stamp {
+		if j := s.jobs[e.ID]; j != nil && !j.finishing && e.Version > j.version {
 			s.closeJob(j) // somebody else removed it: not in the protocol of our nodes, but then it is over
 		}
-	case FinLoaded:
+	case FinishedLoaded:
 		s.finLoaded(e)
-	case HireLoaded:
-		s.hireLoaded(e)
-	case UpLoaded:
-		s.upLoaded(e)
+	case RentalLoaded:
+		s.rentalLoaded(e)
+	case RegistrationLoaded:
+		s.registrationLoaded(e)
 	case Loaded:
-		s.note(false, "rebuilding", "jobs", len(s.jobs), "machines", len(s.machines), "hires", len(s.hires))
+		s.note(false, "rebuilding", "jobs", len(s.jobs), "machines", len(s.machines), "hires", len(s.rentals))
 		s.loaded, s.typesAt, s.listAt = true, 0, 0
 		s.tick(true)
 	case ReportIn:
@@ -64,8 +64,8 @@
 		s.directDone(e)
 	case WriteDone:
 		s.writeDone(e)
-	case HireDone:
-		s.hireDone(e)
+	case RentalDone:
+		s.rentalDone(e)
 	case DeleteDone:
 		s.deleteDone(e)
 	case ListDone:
@@ -79,8 +79,8 @@
 	case Tick:
 		s.tick(e.Entitled)
 	}
-	if s.loaded && !s.settled {
-		s.settle()
+	if s.loaded && !s.recovered {
+		s.endRecovery()
 	}
 	s.place()
 	s.dispatch()
@@ -100,7 +100,7 @@
 func (s *Scheduler) write(p pendingWrite, guards []protocol.Condition, ops []protocol.Op) {
 	s.writeSeq++
 	s.writes[s.writeSeq] = p
-	s.emit(WriteOut{ID: s.writeSeq, Bulk: p.kind == writeChunk, Guards: guards, Ops: ops})
+	s.emit(WriteOut{ID: s.writeSeq, Bulk: p.kind == writeChunk, Conditions: guards, Ops: ops})
 }
 
 // Jobs.
@@ -118,7 +118,7 @@
 		u, _ := protocol.ParsePriority(e.Rec.Spec.Priority)
 		words := (e.Rec.Spec.Tasks + 63) / 64
 		j = &job{
-			id: e.ID, spec: e.Rec.Spec, urgency: u, team: t, class: s.class(e.Rec.Spec.Class),
+			id: e.ID, spec: e.Rec.Spec, priority: u, team: t, class: s.class(e.Rec.Spec.Class),
 			need: room{e.Rec.Spec.CPUs, e.Rec.Spec.Accelerators, e.Rec.Spec.MemoryGB},
 			at:   s.now - e.Age, done: make([]uint64, words), busy: make([]uint64, words),
 			bound: map[int]*binding{}, stops: map[int]int{}, failOn: map[string]bool{},
@@ -133,10 +133,10 @@
 		s.queue = slices.Insert(s.queue, at, j)
 		s.order = nil
 	}
-	if e.Stamp < j.stamp {
+	if e.Version < j.version {
 		return
 	}
-	j.stamp = e.Stamp
+	j.version = e.Version
 	if e.Rec.Cancelled && !j.cancelled {
 		// The time allowed counts from the earliest word to the user, also across a change of leaders. Where it is over already, a leader that
 		// knew has let no lease live; so nobody knew, nobody was told, and it begins now.
@@ -192,17 +192,17 @@
 		return
 	}
 	b.stop, b.stopWhy = true, why
-	s.owe(b.m)
-	b.m.leaving = b.m.leaving.plus(b.j.need)
-	s.note(false, "stopping", "job", b.j.id, "task", b.idx, "attempt", b.try, "machine", b.m.name, "reason", why)
+	s.queueCommands(b.machine)
+	b.machine.leaving = b.machine.leaving.plus(b.job.need)
+	s.note(false, "stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
 }
 
 // finish writes a job's final record once nothing of it is left to do.
 func (s *Scheduler) finish(j *job) {
-	if j.over || j.finishing || len(j.bound) > 0 || (!j.cancelled && j.doneN < j.spec.Tasks) {
+	if j.over || j.finishing || len(j.bound) > 0 || (!j.cancelled && j.doneCount < j.spec.Tasks) {
 		return
 	}
-	if j.cancelled && !s.settled {
+	if j.cancelled && !s.recovered {
 		return // tasks of it that we have not heard of yet still count against its team's limit
 	}
 	standing := protocol.Done
@@ -217,13 +217,13 @@
 		if j.chunks[i].writing {
 			return // its answer comes back here
 		}
-		if j.chunks[i].stamp != 0 && len(ops) < s.cfg.State.TxnOps {
+		if j.chunks[i].version != 0 && len(ops) < s.cfg.State.TxnOps {
 			ops = append(ops, protocol.Op{Delete: storage.FinKey(j.id, i*s.chunkLen)})
 		}
 	}
 	j.finishing = true
-	s.write(pendingWrite{kind: writeFinal, j: j},
-		[]protocol.Condition{{Key: storage.OpenKey(j.id), Version: j.stamp}}, ops)
+	s.write(pendingWrite{kind: writeFinal, job: j},
+		[]protocol.Condition{{Key: storage.OpenKey(j.id), Version: j.version}}, ops)
 }
 
 // closeJob forgets a job whose final record is durable.
@@ -250,7 +250,7 @@
 	}
 }
 
-func (s *Scheduler) finLoaded(e FinLoaded) {
+func (s *Scheduler) finLoaded(e FinishedLoaded) {
 	j := s.jobs[e.ID]
 	if j == nil {
 		return
@@ -258,11 +258,11 @@
 	_ = e.Rec.Decode(func(i int) {
 		if i >= 0 && i < j.spec.Tasks && !getBit(j.done, i) {
 			setBit(j.done, i)
-			j.doneN++
+			j.doneCount++
 		}
 	})
 	if e.Rec.Base%s.chunkLen == 0 && e.Rec.Base/s.chunkLen < len(j.chunks) {
-		j.chunks[e.Rec.Base/s.chunkLen].stamp = e.Stamp
+		j.chunks[e.Rec.Base/s.chunkLen].version = e.Version
 	}
 }
 
@@ -272,12 +272,12 @@
 	c := &j.chunks[n]
 	if !getBit(j.done, idx) {
 		setBit(j.done, idx)
-		j.doneN++
-		c.ver++
+		j.doneCount++
+		c.sequence++
 	}
 	j.failOn = map[string]bool{}
 	j.backoff, j.resume = 0, 0
-	return n, c.ver
+	return n, c.sequence
 }
 
 // flush writes finished tasks down, those first that were not written for longest, within a share of the state service's rate: what is not written is
@@ -297,7 +297,7 @@
 		}
 		for i := range j.chunks {
 			c := &j.chunks[i]
-			if c.durable == c.ver || c.writing || (!c.hurry && s.now < c.wroteAt+limits.FlushEvery) {
+			if c.durable == c.sequence || c.writing || (!c.hurry && s.now < c.wroteAt+limits.FlushEvery) {
 				continue
 			}
 			if c.since == 0 {
@@ -326,8 +326,8 @@
 		key := storage.FinKey(j.id, x.n*s.chunkLen)
 		// Guarded by its own stamp as well: an earlier write of this chunk that was given up
 		// must not come late and undo this one.
-		s.write(pendingWrite{kind: writeChunk, j: j, n: x.n, ver: c.ver},
-			[]protocol.Condition{{Key: key, Version: c.stamp}},
+		s.write(pendingWrite{kind: writeChunk, job: j, n: x.n, sequence: c.sequence},
+			[]protocol.Condition{{Key: key, Version: c.version}},
 			[]protocol.Op{{Put: key, Value: protocol.Encode(storage.EncodeFin(j.done, x.n*s.chunkLen, s.chunkLen))}})
 	}
 }
@@ -354,28 +354,28 @@
 	delete(s.writes, e.ID)
 	switch p.kind {
 	case writeChunk:
-		c := &p.j.chunks[p.n]
+		c := &p.job.chunks[p.n]
 		c.writing = false
 		if e.OK {
-			c.stamp, c.durable = e.Rev, max(c.durable, p.ver)
+			c.version, c.durable = e.Version, max(c.durable, p.sequence)
 		}
-		s.finish(p.j)
+		s.finish(p.job)
 	case writeFinal:
-		p.j.finishing = false
+		p.job.finishing = false
 		if e.OK {
-			s.note(false, "job over", "job", p.j.id, "cancelled", p.j.cancelled, "tasks", p.j.spec.Tasks)
-			s.closeJob(p.j)
+			s.note(false, "job over", "job", p.job.id, "cancelled", p.job.cancelled, "tasks", p.job.spec.Tasks)
+			s.closeJob(p.job)
 		}
 		// Otherwise it was cancelled meanwhile: the watch brings the new record, and finish runs again.
-	case writeHire:
-		s.hireWritten(p, e.OK, e.Rev)
-	case writeUps:
-		s.marksWritten(p, e.OK, e.Rev)
-	case writeHireRemove:
+	case writeRental:
+		s.rentalWritten(p, e.OK, e.Version)
+	case writeRegistration:
+		s.registrationsWritten(p, e.OK, e.Version)
+	case writeRentalRemove:
 		if e.OK {
-			delete(s.hires, p.hire)
-		} else if h := s.hires[p.hire]; h != nil {
-			h.state = hireAnswered
+			delete(s.rentals, p.rental)
+		} else if h := s.rentals[p.rental]; h != nil {
+			h.state = rentalAnswered
 		}
 	}
 }
@@ -392,7 +392,7 @@
 			n++
 		}
 	}
-	s.emit(CountsOut{Ref: e.Ref, Known: true, Done: j.doneN, Running: n})
+	s.emit(CountsOut{Ref: e.Ref, Known: true, Done: j.doneCount, Running: n})
 }
 
 // tick looks at everything that only time changes.
@@ -408,7 +408,7 @@
 // expire frees the tasks of sessions that are surely over.
 func (s *Scheduler) expire() {
 	for _, m := range s.fleet {
-		if m.deadShift >= max(m.shift, 1) || s.now < m.leaseBase+limits.WaitOut(s.lease) {
+		if m.endedSession >= max(m.session, 1) || s.now < m.leaseBase+limits.WaitOut(s.lease) {
 			if s.now > m.heard+s.stale() {
 				s.withdraw(m)
 			}
@@ -416,16 +416,16 @@
 		}
 		// The worker sent the last report that we answered before it arrived here, so by its own clock
 		// and ours its lease is over and it has killed its tasks.
-		if len(m.binds) > 0 {
-			s.note(true, "session lapsed", "machine", m.name, "tasks", len(m.binds))
+		if len(m.bindings) > 0 {
+			s.note(true, "session lapsed", "machine", m.name, "tasks", len(m.bindings))
 		}
 		for _, b := range m.sortedBinds() {
 			s.unbind(b)
 		}
 		m.exits = map[attemptKey]exit{}
-		m.deadShift = max(m.shift, 1)
+		m.endedSession = max(m.session, 1)
 		if !m.seen {
-			m.deadShift = 0 // we do not know which session it was in; see settle
+			m.endedSession = 0 // we do not know which session it was in; see endRecovery
 		}
 	}
 }
@@ -444,15 +444,15 @@
 	}
 }
 
-// settle ends the time after a take-over in which tasks may run that we have not heard of: each machine that
+// endRecovery ends the time after a take-over in which tasks may run that we have not heard of: each machine that
 // may hold some has reported to us or is gone, or its lease from before is over. A machine that we have greeted has had its lease renewed by that: it has
 // the whole of it again, although it has shown us no tasks yet. A leader that is too busy to take its next reports must not forget that.
-func (s *Scheduler) settle() {
+func (s *Scheduler) endRecovery() {
 	for _, m := range s.fleet {
-		if !m.fenced && m.mark != unmarked && s.now < max(s.took, m.leaseBase)+limits.WaitOut(s.lease) {
+		if !m.fenced && m.registration != unregistered && s.now < max(s.tookOver, m.leaseBase)+limits.WaitOut(s.lease) {
 			return
 		}
 	}
-	s.settled, s.dirty = true, true
-	s.note(false, "rebuilt", "after", s.now-s.took, "machines", len(s.fleet), "jobs", len(s.jobs))
+	s.recovered, s.dirty = true, true
+	s.note(false, "rebuilt", "after", s.now-s.tookOver, "machines", len(s.fleet), "jobs", len(s.jobs))
 }
--- a/internal/coordination/scheduler/world_test.go
+++ b/internal/coordination/scheduler/world_test.go
@@ -174,17 +174,17 @@
 		var f storage.Fin
 		w.must(protocol.Decode(w.keys[k].data, &f))
 		id, _, _ := storage.ParseFinKey(k)
-		w.step(c, FinLoaded{ID: id, Stamp: w.keys[k].stamp, Rec: f})
+		w.step(c, FinishedLoaded{ID: id, Version: w.keys[k].stamp, Rec: f})
 	}
 	for _, k := range w.sortedKeys("hire/") {
 		var h storage.Rental
 		w.must(protocol.Decode(w.keys[k].data, &h))
-		w.step(c, HireLoaded{Name: k[len("hire/"):], Stamp: w.keys[k].stamp, Rec: h})
+		w.step(c, RentalLoaded{Name: k[len("hire/"):], Version: w.keys[k].stamp, Rec: h})
 	}
 	for _, k := range w.sortedKeys("up/") {
 		var u storage.Ups
 		w.must(protocol.Decode(w.keys[k].data, &u))
-		w.step(c, UpLoaded{Name: k[len("up/"):], Stamp: w.keys[k].stamp, Rec: u})
+		w.step(c, RegistrationLoaded{Name: k[len("up/"):], Version: w.keys[k].stamp, Rec: u})
 	}
 	w.step(c, Loaded{})
 }
@@ -209,7 +209,7 @@
 func (w *world) jobEvent(c *controller, key string) {
 	var o storage.Open
 	w.must(protocol.Decode(w.keys[key].data, &o))
-	e := JobSeen{ID: key[len("open/"):], Stamp: w.keys[key].stamp, Rec: o}
+	e := JobSeen{ID: key[len("open/"):], Version: w.keys[key].stamp, Rec: o}
 	if o.Cancelled {
 		e.CancelAge = w.now - time.Duration(o.CancelMs)*time.Millisecond
 	}
@@ -253,28 +253,28 @@
 			ref(nil)
 			return
 		}
-		ref(&protocol.ReportReply{Token: c.term, Commands: eff.Orders})
+		ref(&protocol.ReportReply{Token: c.term, Commands: eff.Commands})
 	case DirectOut:
 		w.direct(c, eff)
 	case ProbeOut:
-		g := w.rigs[eff.Rig]
+		g := w.rigs[eff.Machine]
 		if g == nil || g.gone || w.now < g.hungTill || w.now < g.cutTill || w.now < g.deafTill || w.now < g.bootAt {
 			return
 		}
 		if d, ok := w.transit(g); ok && d < time.Second && c.term >= g.baton {
 			g.baton = c.term
 			r := w.report(g)
-			w.later(d, func() { w.step(c, ProbeDone{Rig: eff.Rig, Report: r}) })
+			w.later(d, func() { w.step(c, ProbeDone{Machine: eff.Machine, Report: r}) })
 		}
 	case WriteOut:
 		w.later(w.between(5*time.Millisecond, 300*time.Millisecond), func() { w.txn(c, eff) })
-	case HireOut:
-		w.hire(c, eff.Req)
+	case RentOut:
+		w.hire(c, eff.Request)
 	case DeleteOut:
 		w.later(w.between(50*time.Millisecond, time.Second), func() {
 			ok := !w.chance(0.2) // else the answer is lost, or the request
 			done := ok || w.chance(0.5)
-			for _, n := range eff.Rigs {
+			for _, n := range eff.Machines {
 				if !done {
 					break
 				}
@@ -283,7 +283,7 @@
 					g.tasks = nil
 				}
 			}
-			w.step(c, DeleteDone{Rigs: eff.Rigs, OK: ok})
+			w.step(c, DeleteDone{Machines: eff.Machines, OK: ok})
 		})
 	case ListOut:
 		var list []protocol.Machine
@@ -299,7 +299,7 @@
 				list = append(list, x)
 			}
 		}
-		w.later(w.between(time.Second, 6*time.Second), func() { w.step(c, ListDone{Rigs: list, OK: true}) })
+		w.later(w.between(time.Second, 6*time.Second), func() { w.step(c, ListDone{Machines: list, OK: true}) })
 	case TypesOut:
 		w.later(100*time.Millisecond, func() { w.step(c, TypesDone{Types: w.types, OK: true}) })
 	}
@@ -319,7 +319,7 @@
 		c.dead = true // the guard on the leader key fails; the term is over
 		return
 	}
-	for _, g := range o.Guards {
+	for _, g := range o.Conditions {
 		if w.keys[g.Key].stamp != g.Version {
 			w.step(c, WriteDone{ID: o.ID})
 			return
@@ -337,7 +337,7 @@
 		}
 	}
 	rev := w.ledger
-	w.later(5*time.Millisecond, func() { w.step(c, WriteDone{ID: o.ID, OK: true, Rev: rev}) })
+	w.later(5*time.Millisecond, func() { w.step(c, WriteDone{ID: o.ID, OK: true, Version: rev}) })
 }
 
 // final checks that a job is called done only when all of its tasks are, and cancelled only by its user.
@@ -362,7 +362,7 @@
 		names, known := w.hired[req.Name]
 		if !known {
 			if w.chance(0.2) {
-				w.step(c, HireDone{Name: req.Name, NoCapacity: true})
+				w.step(c, RentalDone{Name: req.Name, NoCapacity: true})
 				return
 			}
 			for range min(req.Count, 4) {
@@ -382,7 +382,7 @@
 			w.later(time.Second, func() { w.hire(c, req) })
 			return
 		}
-		w.step(c, HireDone{Name: req.Name, Rigs: names, OK: true})
+		w.step(c, RentalDone{Name: req.Name, Machines: names, OK: true})
 	})
 }
 
@@ -392,11 +392,11 @@
 	finish := func(e DirectDone) {
 		if !answered {
 			answered = true
-			e.ID, e.Rig = d.ID, d.Rig
+			e.ID, e.Machine = d.ID, d.Machine
 			w.step(c, e)
 		}
 	}
-	g := w.rigs[d.Rig]
+	g := w.rigs[d.Machine]
 	if g == nil || g.gone || w.now >= c.until {
 		w.later(time.Millisecond, func() { finish(DirectDone{Refused: true}) })
 		return
@@ -419,11 +419,11 @@
 	}
 	w.expire(g)
 	var e DirectDone
-	if c.term < g.baton || d.Shift != g.shift {
+	if c.term < g.baton || d.Session != g.shift {
 		e.Refused = true
 	} else {
 		g.baton = c.term
-		w.execute(g, d.Orders)
+		w.execute(g, d.Commands)
 		e.Report = w.report(g)
 	}
 	if back, ok := w.transit(g); ok {
@@ -851,17 +851,17 @@
 	out := fmt.Sprintf("spec %+v\n", w.jobs[id].spec)
 	if j := s.jobs[id]; j != nil {
 		out += fmt.Sprintf("free %d done %d resume %v now %v fails %v cancelled %v finishing %v settled %v\n",
-			j.free(), j.doneN, j.resume, s.now, j.failOn, j.cancelled, j.finishing, s.settled)
+			j.free(), j.doneCount, j.resume, s.now, j.failOn, j.cancelled, j.finishing, s.recovered)
 		for _, b := range j.sortedBound() {
-			out += fmt.Sprintf("bound %d on %s phase %d direct %d unclear %v stop %v\n", b.idx, b.m.name, b.phase, b.direct, b.unclear, b.stop)
+			out += fmt.Sprintf("bound %d on %s phase %d direct %d unclear %v stop %v\n", b.index, b.machine.name, b.phase, b.direct, b.unclear, b.stop)
 		}
 	}
 	for _, t := range w.teams {
 		out += fmt.Sprintf("team %s used %+v\n", t.Name, s.teams[t.Name].used)
 	}
 	for _, m := range s.fleet {
-		out += fmt.Sprintf("%s %s %s spot %v seen %v fenced %v mark %d usable %v deleting %v sick %v heard %v shift %d dead %d binds %d used %+v free %+v\n", m.name, m.kind, m.yard, m.spot,
-			m.seen, m.fenced, m.mark, s.usable(m), m.deleting, m.sick(), m.heard, m.shift, m.deadShift, len(m.binds), m.used, m.freeRoom())
+		out += fmt.Sprintf("%s %s %s spot %v seen %v fenced %v mark %d usable %v deleting %v sick %v heard %v shift %d dead %d binds %d used %+v free %+v\n", m.name, m.kind, m.zone, m.spot,
+			m.seen, m.fenced, m.registration, s.usable(m), m.deleting, m.sick(), m.heard, m.session, m.endedSession, len(m.bindings), m.used, m.freeRoom())
 	}
 	return out
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -31,8 +31,8 @@
 	MaxRigkinds = 256
 	// MaxCBORNesting bounds nesting in a body; the protocol's deepest message has four levels.
 	MaxCBORNesting = 16
-	// HireMax is the largest Number of one rental request.
-	HireMax = 50
+	// RentalMax is the largest Number of one rental request.
+	RentalMax = 50
 	// DeleteMax is the largest number of names in one deletion.
 	DeleteMax = 100
 	// PoolRequests is how many rental requests may wait at least on one type, zone and kind. LikePrice: pools that cost up to so many times as much as the
@@ -88,10 +88,10 @@
 	RetryMax = 2 * time.Second
 	// RetryAfter is what an overloaded node tells a user, in whole seconds.
 	RetryAfter = 1
-	// ComeBackShare: for each such span that the state service has been out of reach a user is sent away for one more second, up to
+	// RetryAfterStep: for each such span that the state service has been out of reach a user is sent away for one more second, up to
 	// RetryAfterMax. An outage that is old may last as long again, but the user should not miss its end by much.
-	ComeBackShare = 8 * time.Second
-	RetryAfterMax = 4
+	RetryAfterStep = 8 * time.Second
+	RetryAfterMax  = 4
 )
 
 // Connections and stages.
@@ -180,7 +180,7 @@
 	PledgeMax   = 12 * time.Second
 	// PledgeEvery is how often pledges are renewed, as a share of their life: three renewals may fail.
 	PledgeEvery = 0.25
-	// PledgeDoubt is the share of a pledge's life without a request after which a leader is doubted. It only begins the wait.
+	// PledgeDoubt is the share of a pledge's life without a request after which a leader is unverified. It only begins the wait.
 	PledgeDoubt = 0.4
 	// DoubtEvery is how often a follower looks at that.
 	DoubtEvery = 250 * time.Millisecond
@@ -272,18 +272,18 @@
 	LearnWeight = 0.05
 	// StashMargin is added to the time a task needs to save when it is told to stop.
 	StashMargin = 2 * time.Second
-	// MaxOrders bounds the orders in one answer, so that it stays far below MaxBodyBytes.
-	MaxOrders = 300
+	// MaxCommands bounds the orders in one answer, so that it stays far below MaxBodyBytes.
+	MaxCommands = 300
 	// FlushEvery is how often one chunk of finished tasks is written at most. What is not written yet is
 	// kept by the workers, so this only bounds how long they list it.
 	FlushEvery = 3 * time.Second
 	// FinFrame is what a record of finished tasks needs beside the bitmap, in bytes, rounded up.
 	FinFrame = 128
-	// SheetFrame is what a sheet of marked machines needs beside its entries, and each entry beside its own JSON, in bytes, rounded up.
-	SheetFrame = 16
-	// MarkEvery is the least time between two writes of new machines: what comes up meanwhile goes into one, and a machine takes many times as long to boot.
-	MarkEvery = 200 * time.Millisecond
-	// FlushShare is the part of the state service's writes that may go into finished tasks: a third of what is not the users'. Final records, rentals and marks
+	// PageFrame is what a page of registered machines needs beside its entries, and each entry beside its own JSON, in bytes, rounded up.
+	PageFrame = 16
+	// RegisterEvery is the least time between two writes of new machines: what comes up meanwhile goes into one, and a machine takes many times as long to boot.
+	RegisterEvery = 200 * time.Millisecond
+	// FlushShare is the part of the state service's writes that may go into finished tasks: a third of what is not the users'. Final records, rentals and registrations
 	// need the rest, and nothing starts or ends without them.
 	FlushShare = 0.2
 	// FlushPatience is how long a job that is nearly over is left without a record of its finished tasks.
@@ -351,8 +351,8 @@
 	// DearRatio and DearSlack: a pool that costs this many times the cheapest is used only for jobs with less slack than this.
 	DearRatio = 2.5
 	DearSlack = 60 * time.Second
-	// HireFraction is the part of a machine that must be wanted before one more is rented while others run.
-	HireFraction = 0.3
+	// RentalFraction is the part of a machine that must be wanted before one more is rented while others run.
+	RentalFraction = 0.3
 	// RebuildPatience and RebuildReports (in report intervals) are how long after a take-over a machine that may hold tasks may stay unheard of before
 	// it is deleted, which is quicker evidence than the end of its lease. Workers find a new leader in a few seconds.
 	RebuildPatience = 6 * time.Second
@@ -363,9 +363,9 @@
 	FewMisses  = 2
 	// ProbeEvery is how often such a machine is asked directly.
 	ProbeEvery = 2 * time.Second
-	// DoubtCrowd is the share of machines doubted at once from which on they are given DoubtReports report intervals to prove themselves before they are asked.
-	DoubtCrowd   = 0.05
-	DoubtReports = 1.5
+	// UnverifiedCrowd is the share of machines unverified at once from which on they are given UnverifiedReports report intervals to prove themselves before they are asked.
+	UnverifiedCrowd   = 0.05
+	UnverifiedReports = 1.5
 	// BusyWait is how long a report may have waited in the mailbox that probes still go out beside it, and BusyFor how long that is held to tell of now: reports
 	// and the lease go first.
 	BusyWait = 250 * time.Millisecond
@@ -491,8 +491,8 @@
 // Seconds turns a protocol duration into a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ComeBack is what a user is told who can't be served now, in whole seconds: soon, and the later the longer the state service has been
+// RetryAfterSeconds is what a user is told who can't be served now, in whole seconds: soon, and the later the longer the state service has been
 // out of reach already.
-func ComeBack(failing time.Duration) int {
-	return min(RetryAfter+int(failing/ComeBackShare), RetryAfterMax)
+func RetryAfterSeconds(failing time.Duration) int {
+	return min(RetryAfter+int(failing/RetryAfterStep), RetryAfterMax)
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -54,7 +54,7 @@
 // RentalKey is where a rental request is kept.
 func RentalKey(name string) string { return PrefixRental + name }
 
-// UpKey is where a sheet of machines that may hold tasks is kept.
+// UpKey is where a page of machines that may hold tasks is kept.
 func UpKey(name string) string { return PrefixUp + name }
 
 // Leader names the leading controller.
@@ -111,7 +111,7 @@
 	Address string `cbor:"Address" json:"Address"`
 }
 
-// Ups is a sheet of such machines.
+// Ups is a page of such machines.
 type Ups struct {
 	Machines []Up `cbor:"Rigs" json:"Rigs"`
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -54,7 +54,7 @@
 
 func (o *outbound) close() {
 	_ = o.conn.Close()
-	o.sockets.hungUp()
+	o.sockets.released()
 }
 
 // NewClient returns a client that keeps up to keep idle connections.
@@ -128,7 +128,7 @@
 	}
 	conn, err := c.dialer.dialWithin(ctx, c.addr, c.dial)
 	if err != nil {
-		c.sockets.hungUp()
+		c.sockets.released()
 		return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
 	}
 	o := &outbound{conn: conn, dec: NewResponseDecoder(c.maxBody), buf: make([]byte, limits.ReadBytes), sockets: c.sockets}
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -46,7 +46,7 @@
 		return true
 	}
 	if r.s.MaxFleet > 0 && r.s.fleet >= r.s.MaxFleet {
-		r.HangUp()
+		r.CloseAfter()
 		return false
 	}
 	r.c.fleet = true
@@ -54,8 +54,8 @@
 	return true
 }
 
-// HangUp ends the connection with the answer.
-func (r *Responder) HangUp() {
+// CloseAfter ends the connection with the answer.
+func (r *Responder) CloseAfter() {
 	r.c.mu.Lock()
 	r.c.end = true
 	r.c.mu.Unlock()
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -45,7 +45,7 @@
 	defer s.turn.Unlock()
 	if c := s.conns[ec]; c != nil {
 		delete(s.conns, ec)
-		s.Sockets.left()
+		s.Sockets.leave()
 		if c.fleet {
 			s.fleet--
 		}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -121,7 +121,7 @@
 	s.turn.Lock()
 	defer s.turn.Unlock()
 	for range s.conns {
-		s.Sockets.left()
+		s.Sockets.leave()
 	}
 	s.conns, s.fleet = make(map[gnet.Conn]*inbound), 0
 }
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -26,7 +26,7 @@
 // admit takes a socket that is open already for a connection that came in, if there is room for it.
 func (s *Sockets) admit() bool { return s == nil || take(&s.inbound, &s.made, s.room) }
 
-func (s *Sockets) left() {
+func (s *Sockets) leave() {
 	if s != nil {
 		s.inbound.Add(-1)
 	}
@@ -35,7 +35,7 @@
 // make takes a socket for a connection to a worker.
 func (s *Sockets) make() bool { return s == nil || take(&s.made, &s.inbound, s.room-s.headroom) }
 
-func (s *Sockets) hungUp() {
+func (s *Sockets) released() {
 	if s != nil {
 		s.made.Add(-1)
 	}
