--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -85,7 +85,6 @@
 			return
 		}
 		rsp.Respond(g.health(), nil, 0)
-		return
 	case "/v1/report":
 		if req.Method != "POST" {
 			rsp.Respond(405, nil, 0)
@@ -96,8 +95,13 @@
 			return
 		}
 		g.report(req, rsp)
-		return
+	default:
+		g.handleUser(req, rsp)
 	}
+}
+
+// handleUser takes a user's request into the users' stage. What a full stage can't take is told at once to come back, unless nothing can become of it anyway.
+func (g *Gateway) handleUser(req *transport.Message, rsp *transport.Responder) {
 	method, id, action, ok := route(req.Path)
 	if !ok {
 		rsp.Respond(404, nil, 0)
@@ -107,56 +111,64 @@
 		rsp.Respond(405, nil, 0)
 		return
 	}
-	// What a full stage can't take is told at once to come back, unless nothing can become of it anyway.
 	select {
 	case g.stage <- struct{}{}:
+		arrived := time.Now()
+		go func() {
+			defer func() { <-g.stage }()
+			status := g.answerUser(action, id, req.Body, rsp)
+			g.Log.Debug("user answered", "path", req.Path, "status", status, "after", time.Since(arrived))
+		}()
 	default:
-		switch {
-		case action != submit && !protocol.ValidJobID(id):
-			rsp.Respond(404, nil, 0)
-		case action == submit && malformed(req.Body):
-			rsp.Respond(400, nil, 0)
-		default:
-			rsp.Respond(503, nil, limits.RetryAfter)
-		}
-		return
+		refuseUser(action, id, req.Body, rsp)
 	}
-	arrived := time.Now()
-	go func() {
-		defer func() { <-g.stage }()
-		limit := limits.SubmitAnswer
-		if action == show {
-			limit = limits.UserAnswer
-		}
-		ctx, cancel := context.WithTimeout(g.ctx, limit)
-		defer cancel()
-		var status int
-		var body any
-		switch action {
-		case submit:
-			status, body = g.submit(ctx, req.Body)
-		case show:
-			status, body = g.show(ctx, id)
-		case cancelRun:
-			status, body = g.cancel(ctx, id)
-		}
-		var b []byte
-		if body != nil {
-			b = protocol.Encode(body)
-		}
-		after := 0
-		if status == 503 {
-			failing := g.Store.Failing()
-			after = limits.RetryAfterSeconds(failing)
-			if failing > limits.AloneAfter {
-				// Perhaps only we are cut off, from the other controllers as well, so that we stay in service. The user's next try should not
-				// come here again only because the connection is still open.
-				rsp.CloseAfter()
-			}
+}
+
+// refuseUser answers a request for which the stage has no room.
+func refuseUser(action action, id string, body []byte, rsp *transport.Responder) {
+	switch {
+	case action != submit && !protocol.ValidJobID(id):
+		rsp.Respond(404, nil, 0)
+	case action == submit && malformed(body):
+		rsp.Respond(400, nil, 0)
+	default:
+		rsp.Respond(503, nil, limits.RetryAfter)
+	}
+}
+
+// answerUser works on a user's request and answers it. It returns the status.
+func (g *Gateway) answerUser(action action, id string, body []byte, rsp *transport.Responder) (status int) {
+	limit := limits.SubmitAnswer
+	if action == show {
+		limit = limits.UserAnswer
+	}
+	ctx, cancel := context.WithTimeout(g.ctx, limit)
+	defer cancel()
+	var answer any
+	switch action {
+	case submit:
+		status, answer = g.submit(ctx, body)
+	case show:
+		status, answer = g.show(ctx, id)
+	case cancelRun:
+		status, answer = g.cancel(ctx, id)
+	}
+	var encoded []byte
+	if answer != nil {
+		encoded = protocol.Encode(answer)
+	}
+	retryAfter := 0
+	if status == 503 {
+		failing := g.Store.Failing()
+		retryAfter = limits.RetryAfterSeconds(failing)
+		if failing > limits.AloneAfter {
+			// Perhaps only we are cut off, from the other controllers as well, so that we stay in service. The user's next try should not
+			// come here again only because the connection is still open.
+			rsp.CloseAfter()
 		}
-		rsp.Respond(status, b, after)
-		g.Log.Debug("user answered", "path", req.Path, "status", status, "after", time.Since(arrived))
-	}()
+	}
+	rsp.Respond(status, encoded, retryAfter)
+	return status
 }
 
 func malformed(body []byte) bool {
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -1,8 +1,11 @@
 package transport
 
 import (
+	"errors"
 	"sync"
 	"time"
+
+	"github.com/panjf2000/gnet/v2"
 )
 
 // Responder answers one request, once.
@@ -32,6 +35,39 @@
 	end  bool // close after out
 }
 
+// refuse answers what is malformed. What is too long is answered 400 as well: any other status would make a user try again in vain.
+func (c *inbound) refuse(err error) ([]byte, gnet.Action) {
+	out := AppendResponse(nil, 400, nil, 0, true)
+	if errors.Is(err, ErrTooLarge) {
+		// Closing now, with bytes still coming in, would reset the connection before the answer is read. The rest is thrown away until the
+		// sender closes, or for a while.
+		c.refused = true
+		return out, gnet.None
+	}
+	c.closing = true
+	return out, gnet.Close
+}
+
+// answer takes the answer to the request at hand if it is ready.
+func (c *inbound) answer() ([]byte, gnet.Action) {
+	c.mu.Lock()
+	out, end, done := c.out, c.end, c.done
+	if done {
+		c.out, c.done = nil, false
+	}
+	c.mu.Unlock()
+	if !done {
+		return nil, gnet.None
+	}
+	c.busy = false
+	c.last = time.Now()
+	if end || c.dec.Buffered() > 0 { // nobody pipelines, so a connection that does gets one answer
+		c.closing = true
+		return out, gnet.Close
+	}
+	return out, gnet.None
+}
+
 // Before is the status of the answer before on the same connection, or 0. As nobody pipelines, the sender has got that answer.
 func (r *Responder) Before() int {
 	r.c.mu.Lock()
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -119,114 +119,154 @@
 	return m
 }
 
+// next goes from phase to phase until a message is whole or more bytes are needed.
 func (d *Decoder) next() (*Message, error) {
 	for {
-		switch d.phase {
-		case phaseHead:
-			// One empty line before a request is tolerated, as the standard asks. It is decided before anything else is
-			// looked at, so that it does not matter in which pieces it comes.
-			if !d.response && !d.begun {
-				if len(d.buf) == 0 || (len(d.buf) == 1 && d.buf[0] == '\r') {
-					return nil, nil
-				}
-				d.buf = bytes.TrimPrefix(d.buf, []byte("\r\n"))
-				d.begun = true
-			}
-			from := max(0, d.scanned-3)
-			i := bytes.Index(d.buf[from:], []byte("\r\n\r\n"))
-			if i < 0 {
-				d.scanned = len(d.buf)
-				if len(d.buf) > limits.MaxHeadBytes {
-					return nil, ErrTooLarge
-				}
-				return nil, nil
-			}
-			end := from + i
-			if end > limits.MaxHeadBytes {
-				return nil, ErrTooLarge
-			}
-			if err := d.head(d.buf[:end]); err != nil {
-				return nil, err
-			}
-			d.buf = d.buf[end+4:]
-			d.scanned = 0
-			if d.phase == phaseHead { // no body
-				return d.finish(), nil
-			}
-		case phaseLength:
-			if len(d.buf) < d.need {
-				return nil, nil
-			}
-			d.msg.Body = append([]byte(nil), d.buf[:d.need]...)
-			d.buf = d.buf[d.need:]
-			return d.finish(), nil
-		case phaseChunkSize:
-			i := bytes.Index(d.buf, []byte("\r\n"))
-			if i < 0 {
-				if len(d.buf) > limits.MaxChunkLine {
-					return nil, ErrMalformed
-				}
-				return nil, nil
-			}
-			if i > limits.MaxChunkLine {
-				return nil, ErrMalformed
-			}
-			n, err := chunkSize(d.buf[:i])
-			if err != nil {
-				return nil, err
-			}
-			d.buf = d.buf[i+2:]
-			if n == 0 {
-				d.phase = phaseTrailer
-				continue
-			}
-			if n > d.maxBody || len(d.msg.Body)+n > d.maxBody {
-				return nil, ErrTooLarge
-			}
-			d.need, d.phase = n, phaseChunkData
-		case phaseChunkData:
-			if len(d.buf) == 0 {
-				return nil, nil
-			}
-			n := min(d.need, len(d.buf))
-			d.msg.Body = append(d.msg.Body, d.buf[:n]...)
-			d.buf = d.buf[n:]
-			if d.need -= n; d.need == 0 {
-				d.phase = phaseChunkEnd
-			}
-		case phaseChunkEnd:
-			if len(d.buf) < 2 {
-				return nil, nil
-			}
-			if d.buf[0] != '\r' || d.buf[1] != '\n' {
-				return nil, ErrMalformed
-			}
-			d.buf = d.buf[2:]
-			d.phase = phaseChunkSize
-		case phaseTrailer:
-			i := bytes.Index(d.buf, []byte("\r\n"))
-			if i < 0 {
-				if len(d.buf) > limits.MaxHeadBytes {
-					return nil, ErrTooLarge
-				}
-				return nil, nil
-			}
-			if d.trailer += i; d.trailer > limits.MaxHeadBytes {
-				return nil, ErrTooLarge
-			}
-			d.buf = d.buf[i+2:]
-			if i == 0 {
-				return d.finish(), nil
-			}
-		case phaseUntilClose:
-			if len(d.msg.Body)+len(d.buf) > d.maxBody {
-				return nil, ErrTooLarge
-			}
-			d.msg.Body = append(d.msg.Body, d.buf...)
-			d.buf = nil
-			return nil, nil
+		m, more, err := d.step()
+		if m != nil || err != nil || !more {
+			return m, err
+		}
+	}
+}
+
+// step reads what the present phase needs. It returns a message once that is whole; else more tells whether the next phase can go on with what
+// is there.
+func (d *Decoder) step() (m *Message, more bool, err error) {
+	switch d.phase {
+	case phaseHead:
+		return d.readHead()
+	case phaseLength:
+		return d.readLength()
+	case phaseChunkSize:
+		return d.readChunkSize()
+	case phaseChunkData:
+		return d.readChunkData()
+	case phaseChunkEnd:
+		return d.readChunkEnd()
+	case phaseTrailer:
+		return d.readTrailer()
+	default:
+		return d.readUntilClose()
+	}
+}
+
+func (d *Decoder) readHead() (m *Message, more bool, err error) {
+	// One empty line before a request is tolerated, as the standard asks. It is decided before anything else is
+	// looked at, so that it does not matter in which pieces it comes.
+	if !d.response && !d.begun {
+		if len(d.buf) == 0 || (len(d.buf) == 1 && d.buf[0] == '\r') {
+			return nil, false, nil
+		}
+		d.buf = bytes.TrimPrefix(d.buf, []byte("\r\n"))
+		d.begun = true
+	}
+	from := max(0, d.scanned-3)
+	i := bytes.Index(d.buf[from:], []byte("\r\n\r\n"))
+	if i < 0 {
+		d.scanned = len(d.buf)
+		if len(d.buf) > limits.MaxHeadBytes {
+			return nil, false, ErrTooLarge
 		}
+		return nil, false, nil
+	}
+	end := from + i
+	if end > limits.MaxHeadBytes {
+		return nil, false, ErrTooLarge
+	}
+	if err := d.head(d.buf[:end]); err != nil {
+		return nil, false, err
+	}
+	d.buf = d.buf[end+4:]
+	d.scanned = 0
+	if d.phase == phaseHead { // no body
+		return d.finish(), false, nil
+	}
+	return nil, true, nil
+}
+
+func (d *Decoder) readLength() (m *Message, more bool, err error) {
+	if len(d.buf) < d.need {
+		return nil, false, nil
+	}
+	d.msg.Body = append([]byte(nil), d.buf[:d.need]...)
+	d.buf = d.buf[d.need:]
+	return d.finish(), false, nil
+}
+
+func (d *Decoder) readChunkSize() (m *Message, more bool, err error) {
+	i := bytes.Index(d.buf, []byte("\r\n"))
+	if i > limits.MaxChunkLine || (i < 0 && len(d.buf) > limits.MaxChunkLine) {
+		return nil, false, ErrMalformed
+	}
+	if i < 0 {
+		return nil, false, nil
+	}
+	n, err := chunkSize(d.buf[:i])
+	if err != nil {
+		return nil, false, err
+	}
+	d.buf = d.buf[i+2:]
+	if n == 0 {
+		d.phase = phaseTrailer
+		return nil, true, nil
+	}
+	if n > d.maxBody || len(d.msg.Body)+n > d.maxBody {
+		return nil, false, ErrTooLarge
+	}
+	d.need, d.phase = n, phaseChunkData
+	return nil, true, nil
+}
+
+func (d *Decoder) readChunkData() (m *Message, more bool, err error) {
+	if len(d.buf) == 0 {
+		return nil, false, nil
+	}
+	n := min(d.need, len(d.buf))
+	d.msg.Body = append(d.msg.Body, d.buf[:n]...)
+	d.buf = d.buf[n:]
+	if d.need -= n; d.need == 0 {
+		d.phase = phaseChunkEnd
+	}
+	return nil, true, nil
+}
+
+func (d *Decoder) readChunkEnd() (m *Message, more bool, err error) {
+	if len(d.buf) < 2 {
+		return nil, false, nil
+	}
+	if d.buf[0] != '\r' || d.buf[1] != '\n' {
+		return nil, false, ErrMalformed
+	}
+	d.buf = d.buf[2:]
+	d.phase = phaseChunkSize
+	return nil, true, nil
+}
+
+func (d *Decoder) readTrailer() (m *Message, more bool, err error) {
+	i := bytes.Index(d.buf, []byte("\r\n"))
+	if i < 0 {
+		if len(d.buf) > limits.MaxHeadBytes {
+			return nil, false, ErrTooLarge
+		}
+		return nil, false, nil
+	}
+	if d.trailer += i; d.trailer > limits.MaxHeadBytes {
+		return nil, false, ErrTooLarge
+	}
+	d.buf = d.buf[i+2:]
+	if i == 0 {
+		return d.finish(), false, nil
+	}
+	return nil, true, nil
+}
+
+func (d *Decoder) readUntilClose() (m *Message, more bool, err error) {
+	if len(d.msg.Body)+len(d.buf) > d.maxBody {
+		return nil, false, ErrTooLarge
 	}
+	d.msg.Body = append(d.msg.Body, d.buf...)
+	d.buf = nil
+	return nil, false, nil
 }
 
 func chunkSize(line []byte) (int, error) {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -168,54 +167,28 @@
 			return nil, gnet.Close
 		}
 	}
-	for {
-		if c.busy {
-			c.mu.Lock()
-			if !c.done {
-				c.mu.Unlock()
-				return nil, gnet.None
-			}
-			out := c.out
-			end := c.end
-			c.out, c.done = nil, false
-			c.mu.Unlock()
-			c.busy = false
-			c.last = time.Now()
-			if end || c.dec.Buffered() > 0 {
-				// Nobody pipelines, so a connection that does gets one answer.
-				c.closing = true
-				return out, gnet.Close
-			}
-			return out, gnet.None
-		}
+	if !c.busy {
 		req, err := c.dec.Next()
 		if err != nil {
-			// Also for what is too long: any other status would make a user try again in vain.
-			out := AppendResponse(nil, 400, nil, 0, true)
-			if errors.Is(err, ErrTooLarge) {
-				// Closing now, with bytes still coming in, would reset the connection before the answer is read. The
-				// rest is thrown away until the sender closes, or for a while.
-				c.refused = true
-				return out, gnet.None
-			}
-			c.closing = true
-			return out, gnet.Close
+			return c.refuse(err)
 		}
 		if req == nil {
 			return nil, gnet.None
 		}
-		c.busy = true
-		r := &Responder{c: c, wake: func() { _ = ec.Wake(nil) }, s: s, sync: true}
-		c.mu.Lock()
-		c.end = req.Close
-		c.mu.Unlock()
-		s.Handle(req, r)
-		c.mu.Lock()
-		r.sync = false
-		done := c.done
-		c.mu.Unlock()
-		if !done {
-			return nil, gnet.None
-		}
+		s.begin(ec, c, req)
 	}
+	return c.answer()
+}
+
+// begin hands a request to the handler.
+func (s *Server) begin(ec gnet.Conn, c *inbound, req *Message) {
+	c.busy = true
+	r := &Responder{c: c, wake: func() { _ = ec.Wake(nil) }, s: s, sync: true}
+	c.mu.Lock()
+	c.end = req.Close
+	c.mu.Unlock()
+	s.Handle(req, r)
+	c.mu.Lock()
+	r.sync = false
+	c.mu.Unlock()
 }
