--- a/internal/coordination/leader/workers.go
+++ b/internal/coordination/leader/workers.go
@@ -49,12 +49,13 @@
 	defer cancel()
 	c := transport.NewClient(p.Address, 1, limits.MaxBodyBytes).Within(t.runner.sockets).Over(t.runner.dialer)
 	defer c.Close()
+	began := time.Now()
 	r, err := t.probeReport(pctx, c)
 	if err != nil {
 		t.log.Debug("probe", "machine", p.Machine, "err", err)
 		r = nil
 	}
-	t.post(ctx, scheduler.ProbeDone{Machine: p.Machine, Report: r, NotSent: errors.Is(err, transport.ErrNoSocket)})
+	t.post(ctx, scheduler.ProbeDone{Machine: p.Machine, Report: r, Took: time.Since(began), NotSent: errors.Is(err, transport.ErrNoSocket)})
 }
 
 func (t *term) probeReport(ctx context.Context, c *transport.Client) (*protocol.Report, error) {
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -64,7 +64,8 @@
 type ProbeDone struct {
 	Machine string
 	Report  *protocol.Report
-	NotSent bool // it was not asked for want of a socket, so that it did not answer says nothing
+	Took    time.Duration // from the first call to the last answer
+	NotSent bool          // it was not asked for want of a socket, so that it did not answer says nothing
 }
 
 // DirectDone is the outcome of a DirectOut.
--- a/internal/coordination/scheduler/probes.go
+++ b/internal/coordination/scheduler/probes.go
@@ -9,11 +9,12 @@
 
 // probeBudget bounds how many probes a second go out. A take-over may have to learn of thousands of machines at once; most of them report by
 // themselves within seconds, and a controller that probes them all meanwhile has no processor left for these reports, for its lease and for its
-// votes.
+// votes. How much it has shows in how long a probe takes: a worker answers in milliseconds.
 type probeBudget struct {
-	rate   float64 // probes a second
+	rate   float64 // probes a second, while they are answered at once
 	tokens float64
 	at     time.Duration // of the last refill
+	slow   time.Duration // until when probes are slowed down
 }
 
 func newProbeBudget(coreShare float64) probeBudget {
@@ -23,10 +24,21 @@
 
 // refill adds what the time since the last refill allows; what is not used in a second is lost.
 func (b *probeBudget) refill(now time.Duration) {
-	b.tokens = min(b.tokens+b.rate*(now-b.at).Seconds(), b.rate)
+	rate := b.rate
+	if now < b.slow {
+		rate *= limits.ProbeSlowdown
+	}
+	b.tokens = min(b.tokens+rate*(now-b.at).Seconds(), rate)
 	b.at = now
 }
 
+// observe notes how a probe went: busy tells that this controller took long for it, or had no time for it.
+func (b *probeBudget) observe(now time.Duration, busy bool) {
+	if busy {
+		b.slow = now + limits.ProbeEvery
+	}
+}
+
 func (b *probeBudget) take() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/coordination/scheduler/report.go
+++ b/internal/coordination/scheduler/report.go
@@ -171,6 +171,9 @@
 func (s *Scheduler) probeDone(e ProbeDone) {
 	m := s.machines[e.Machine]
 	r := e.Report
+	if r != nil || e.NotSent {
+		s.probes.observe(s.now, e.NotSent || e.Took > limits.BusyWait)
+	}
 	if m != nil && r == nil && !e.NotSent {
 		m.misses++
 		if s.fewUnheard && !m.seen && m.misses < limits.FewMisses {
@@ -188,7 +191,7 @@
 	s.sendCorrections(m, s.takeTasks(m, r, s.sendSeq))
 }
 
-// knows tells whether a message is no newer than one of the machine with that tally, or of a session that is over.
+// isOutdated tells whether a message is no newer than one of the machine with that tally, or of a session that is over.
 func (m *machine) isOutdated(r *protocol.Report, tally uint64) bool {
 	return m.seen && (r.Session < m.session || (r.Session == m.session && r.Sequence <= tally)) || r.Session <= m.endedSession
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -370,11 +370,12 @@
 	// and the lease go first.
 	BusyWait = 250 * time.Millisecond
 	BusyFor  = time.Second
-	// ProbeCost is about what a probe takes of a core: a connection, two calls and their system calls. Probes get ProbeProcessor of a controller's
-	// processor at most, and at least ProbeRateLeast a second; the rest is for reports, the lease and votes.
+	// ProbeCost is about what a probe takes of a core: a connection, two calls and their system calls. No more probes a second are sent than the
+	// controller's whole processor could carry, but at least ProbeRateLeast, and ProbeSlowdown of that after one took longer than BusyWait: then the
+	// processor is needed for reports, the lease and votes.
 	ProbeCost      = 400 * time.Microsecond
-	ProbeProcessor = 0.25
-	ProbeRateLeast = 10.0
+	ProbeSlowdown  = 0.25
+	ProbeRateLeast = 40.0
 	// ProbeTimeout bounds the two calls of a probe.
 	ProbeTimeout = 1500 * time.Millisecond
 	// DirectTimeout bounds a direct command; a worker answers in milliseconds or not at all.
@@ -461,7 +462,7 @@
 	if coreShare <= 0 {
 		coreShare = 1
 	}
-	return max(coreShare*ProbeProcessor/ProbeCost.Seconds(), ProbeRateLeast)
+	return max(coreShare/ProbeCost.Seconds(), ProbeRateLeast)
 }
 
 // WaitOut is how long to wait, by our clock, until a lease of d on another clock is surely over.
