--- a/internal/coordination/controller/service_test.go
+++ b/internal/coordination/controller/service_test.go
@@ -21,7 +21,8 @@
 	"quillshunt/internal/transport"
 )
 
-// service is the whole service in one process and in virtual time: real controllers, and stand-ins of everything around them, over a network in memory.
+// service is the whole service in one process and in virtual time: real controllers, and stand-ins of everything around them, over a
+// network in memory.
 // It checks the rules of the protocol by what users are told and what runs where.
 type service struct {
 	t     *testing.T
@@ -553,7 +554,8 @@
 	return j.said == "" && j.asked.IsZero()
 }
 
-// calm ends a day: with all troubles over, every job that was not cancelled gets done and is told to be, and the cancelled ones stay so. None waits for long
+// calm ends a day: with all troubles over, every job that was not cancelled gets done and is told to be, and the cancelled ones stay so.
+// None waits for long
 // that could run.
 func (s *service) calm() {
 	deadline := time.Now().Add(4 * time.Minute)
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -341,8 +341,10 @@
 	}
 }
 
-// trusts tells whether a failed renewal speaks against our way to the state service. Where no answer came and this process is far behind, it may be only that:
-// a hand-over would then cost a rebuild, which a controller that is as busy has to make. If it is cut off all the same, its votes and heartbeats end the term.
+// trusts tells whether a failed renewal speaks against our way to the state service. Where no answer came and this process is far
+// behind, it may be only that:
+// a hand-over would then cost a rebuild, which a controller that is as busy has to make. If it is cut off all the same, its votes and
+// heartbeats end the term.
 func (e *Elector) trusts(ctx context.Context, err error) bool {
 	if !storage.TimedOut(err) {
 		return true
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -499,7 +499,8 @@
 	}
 }
 
-// TestCutLeader: a leader that is cut off from the state service and the other controllers, but not from its workers, stops being entitled, and another
+// TestCutLeader: a leader that is cut off from the state service and the other controllers, but not from its workers, stops being
+// entitled, and another
 // leads long before the end of its hold. One that is cut off from the others alone goes on by its heartbeats.
 func TestCutLeader(t *testing.T) {
 	for i := range 12 {
@@ -536,7 +537,8 @@
 	}
 }
 
-// TestLateReplacement: a transaction that was to replace a silent leader comes late, when that leader is heard of again and entitled. It fails.
+// TestLateReplacement: a transaction that was to replace a silent leader comes late, when that leader is heard of again and entitled. It
+// fails.
 func TestLateReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewState()
@@ -595,7 +597,8 @@
 	return map[string]*peerpb.PledgeReply{"a": {Granted: nonces["a"] == 1, Nonce: 1}, "b": {Granted: nonces["b"] == 1, Nonce: 1}}
 }
 
-// TestOwnPledge: a leader's own pledge counts like any other. While it does, it does not let go of itself, and once it has let go, it does not count.
+// TestOwnPledge: a leader's own pledge counts like any other. While it does, it does not let go of itself, and once it has let go, it
+// does not count.
 func TestOwnPledge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewState()
@@ -665,7 +668,8 @@
 	})
 }
 
-// TestMargins: our entitlement ends before the hold can, and others' leases are waited out for longer than they can last, whatever the clocks do.
+// TestMargins: our entitlement ends before the hold can, and others' leases are waited out for longer than they can last, whatever the
+// clocks do.
 func TestMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
 		drift := time.Duration(float64(d) * limits.DriftShare)
--- a/internal/coordination/election/pledge.go
+++ b/internal/coordination/election/pledge.go
@@ -13,12 +13,16 @@
 	"quillshunt/internal/storage"
 )
 
-// The hold has to outlast an outage of the state service, so it is long, and a leader that is cut off would keep the lead that long. Pledges make
-// that time short: a leader is entitled only while, beside its hold, a majority of the controllers has lately pledged to it, or it has lately
-// written its heartbeat. Another controller may replace it before its hold ends if a majority has let go of it, each on record in the state service, and the heartbeat has
+// The hold has to outlast an outage of the state service, so it is long, and a leader that is cut off would keep the lead that long.
+// Pledges make
+// that time short: a leader is entitled only while, beside its hold, a majority of the controllers has lately pledged to it, or it has
+// lately
+// written its heartbeat. Another controller may replace it before its hold ends if a majority has let go of it, each on record in the
+// state service, and the heartbeat has
 // not changed for the life of a pledge, by which its election is guarded. docs/design.md has the proof.
 
-// pledges is what this process has promised. A process that has just come back does not know what the one before it had promised: it sits the
+// pledges is what this process has promised. A process that has just come back does not know what the one before it had promised: it
+// sits the
 // longest pledge out before it lets go of a leader, and pledges only to one that has written a heartbeat since it heard of this process.
 type pledges struct {
 	life  time.Duration
@@ -135,7 +139,8 @@
 	}
 }
 
-// doubt is what speaks against the leader that is followed: when it was first followed, its heartbeat, when that was read, and whether we have let go of it on record.
+// doubt is what speaks against the leader that is followed: when it was first followed, its heartbeat, when that was read, and whether
+// we have let go of it on record.
 type doubt struct {
 	stamp     uint64 // of the leader key
 	followed  time.Time
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// handleUser takes a user's request into the users' stage. What a full stage can't take is told at once to come back, unless nothing can become of it anyway.
+// handleUser takes a user's request into the users' stage. What a full stage can't take is told at once to come back, unless nothing can
+// become of it anyway.
 func (g *Gateway) handleUser(req *transport.Message, rsp *transport.Responder) {
 	method, id, action, ok := route(req.Path)
 	if !ok {
@@ -354,7 +355,8 @@
 	return protocol.JobStatus{ID: id, State: f}, ok
 }
 
-// standing reads a job's state. It looks at the open record first and then at the final one; as a job moves from the one to the other in one
+// standing reads a job's state. It looks at the open record first and then at the final one; as a job moves from the one to the other in
+// one
 // transaction, it is never missed.
 func (g *Gateway) standing(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
 	if st, over := g.over(id); over {
@@ -428,7 +430,8 @@
 
 var errUnconfirmed = errors.New("cancellation not confirmed yet")
 
-// confirm tells whether a cancellation that is in the state service binds whoever may lead, so that the user may be told. The leader's own watch
+// confirm tells whether a cancellation that is in the state service binds whoever may lead, so that the user may be told. The leader's
+// own watch
 // does not see to that: if the state service refuses the leader alone and then everybody, it goes on by pledges and hears nothing of the
 // cancellation until cancel_s is long over. So one of these must hold, after the record was there:
 //   - the leader says that it knows, and was entitled then. No other was, and later ones read the record;
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -112,7 +112,7 @@
 
 func TestUsersAPI(t *testing.T) {
 	f := newFront(t)
-	many := make([]string, limits.MaxRigkinds)
+	many := make([]string, limits.MaxMachineTypes)
 	for i := range many {
 		many[i] = "g8-with-a-rather-long-name"
 	}
@@ -197,7 +197,8 @@
 	}
 }
 
-// TestUnconfirmed: nobody is told that a job is cancelled while a leader may be entitled that does not know: not by the cancellation, nor by a poll or a
+// TestUnconfirmed: nobody is told that a job is cancelled while a leader may be entitled that does not know: not by the cancellation,
+// nor by a poll or a
 // repeated submission. It is told once the leader's heartbeat covers the record, or there is no leader.
 func TestUnconfirmed(t *testing.T) {
 	for _, how := range []string{"beat", "no leader"} {
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -83,7 +83,8 @@
 	return s[0].Value.Uint64() - s[1].Value.Uint64()
 }
 
-// TestThousands: two thousand workers at one controller with a backlog of tens of thousands of tasks, all of them coming back at once after a crash of all
+// TestThousands: two thousand workers at one controller with a backlog of tens of thousands of tasks, all of them coming back at once
+// after a crash of all
 // controllers. Memory, goroutines and threads stay bounded, and all are served.
 func TestThousands(t *testing.T) {
 	const machines, each, jobs, pieces, cpus = 2000, 50, 300, 150, 8
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -76,7 +76,7 @@
 	return l.Types, nil
 }
 
-// hire sends a rental request until there is an answer.
+// rent sends a rental request until there is an answer.
 func (t *term) rent(ctx context.Context, req protocol.RentalRequest) {
 	var back storage.Backoff
 	body := protocol.Encode(req)
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -106,7 +106,8 @@
 	return t != nil && t.leadership.Entitled()
 }
 
-// Report hands a report to the term; stayed tells that the worker got a 200 before on its connection. It is answered 503 at once if nobody leads here
+// Report hands a report to the term; stayed tells that the worker got a 200 before on its connection. It is answered 503 at once if
+// nobody leads here
 // or the mailbox is full.
 func (d *Runner) Report(body []byte, stayed bool, reply Reply) {
 	d.take(reportMsg{body: body, reply: reply, stayed: stayed})
@@ -170,7 +171,8 @@
 	return peer.Counts{Done: c.Done, Running: c.Running}, ok && c.Known
 }
 
-// Confirm takes the record of a cancelled job from the controller that is about to tell the user. It tells whether we were entitled after the
+// Confirm takes the record of a cancelled job from the controller that is about to tell the user. It tells whether we were entitled
+// after the
 // scheduler had taken it: then no other controller was, and whoever leads later reads it in the state service. Our own watch may be silent
 // long after, when the state service refuses us or everybody.
 func (d *Runner) Confirm(ctx context.Context, job string, stamp uint64, record []byte) bool {
@@ -202,7 +204,7 @@
 	}
 	r := &peerpb.StatusReply{Leader: d.settings.NodeName, Term: v.Term, Entitled: t.leadership.Entitled(), Rebuilt: v.Rebuilt, Why: v.Why}
 	for _, m := range v.Machines {
-		r.Machines = append(r.Machines, &peerpb.Machine{Name: m.Name, Type: m.Kind, Zone: m.Yard, Spot: m.Spot, State: m.State,
+		r.Machines = append(r.Machines, &peerpb.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: m.State,
 			Cpus: m.Cpus, Used: m.Used, Tasks: int64(m.Tasks), SilentS: m.Silent.Seconds()})
 	}
 	for _, tv := range v.Teams {
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -12,7 +12,8 @@
 
 // BenchmarkReport is the leader's cost of a report on a full fleet with a backlog: each report ends one task and a new
 // one is placed, at several sizes, also with large jobs that are behind and
-// find no room, and with jobs that would stop others but may not. Run it for a few thousand reports: those jobs are pressing for some seconds only. It should hardly depend on fleet or backlog. Compare versions as a ratio in one run; the time itself says nothing.
+// find no room, and with jobs that would stop others but may not. Run it for a few thousand reports: those jobs are pressing for some
+// seconds only. It should hardly depend on fleet or backlog. Compare versions as a ratio in one run; the time itself says nothing.
 func BenchmarkReport(b *testing.B) {
 	for _, c := range []struct{ machines, jobs, behind, pressing int }{{48, 30, 0, 0}, {270, 100, 0, 0}, {1090, 300, 0, 0}, {1090, 300, 100, 0}, {1820, 500, 0, 200}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d/behind=%d/pressing=%d", c.machines, c.jobs, c.behind, c.pressing), func(b *testing.B) {
@@ -106,7 +107,8 @@
 	return &protocol.Report{Machine: fmt.Sprintf("m-%06d", m), Address: "x:1", MachineType: "s", Zone: "a", Session: 1, Sequence: tally, Token: 1, Tasks: tasks}
 }
 
-// BenchmarkTakeOver is the pass in which a new leader that has just heard of all machines fills an empty fleet from a backlog of many times its size, for
+// BenchmarkTakeOver is the pass in which a new leader that has just heard of all machines fills an empty fleet from a backlog of many
+// times its size, for
 // each task placed: it should hardly depend on the size.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, machines := range []int{250, 1000, 2000} {
@@ -127,7 +129,8 @@
 	}
 }
 
-// BenchmarkPlan is the plan of the fleet, made once a second, with a full fleet and a backlog that grows with it. It must look at each machine and each job; its
+// BenchmarkPlan is the plan of the fleet, made once a second, with a full fleet and a backlog that grows with it. It must look at each
+// machine and each job; its
 // cost should not grow as their product.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{250, 500, 1000, 2000} {
@@ -168,7 +171,8 @@
 	return s
 }
 
-// TestReportAllocations guards the leader's cost of the commonest event, a report that brings nothing new, on a fleet with a backlog. Allocations repeat exactly,
+// TestReportAllocations guards the leader's cost of the commonest event, a report that brings nothing new, on a fleet with a backlog.
+// Allocations repeat exactly,
 // times don't; the bound is what it takes now, with a few to spare.
 func TestReportAllocations(t *testing.T) {
 	const reportAllocs = 14
--- a/internal/coordination/scheduler/dispatch_test.go
+++ b/internal/coordination/scheduler/dispatch_test.go
@@ -8,7 +8,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestDirectsAreBounded: however many machines get tasks at once, only so many direct commands are on their way. The other machines get their starts with the
+// TestDirectsAreBounded: however many machines get tasks at once, only so many direct commands are on their way. The other machines get
+// their starts with the
 // answers to their next reports, or directly once earlier commands are answered; each start goes out once.
 func TestDirectsAreBounded(t *testing.T) {
 	const machines = 3 * limits.DirectsMost
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -435,7 +435,8 @@
 	return false
 }
 
-// deleteAt is when a machine that still has a task of a cancelled job is deleted: early enough that the cloud has answered by lastAnswer. A leader that has
+// deleteAt is when a machine that still has a task of a cancelled job is deleted: early enough that the cloud has answered by
+// lastAnswer. A leader that has
 // only just learned of it lets the stops arrive first, while there is time.
 func (s *Scheduler) deleteAt(j *job) time.Duration {
 	within := limits.Seconds(s.cfg.Workers.CancelS)
@@ -444,7 +445,8 @@
 	return max(j.cancelAt+early, min(j.cancelSeen+limits.CancelGrace, j.cancelAt+late))
 }
 
-// lastAnswer is until when the reports of such a machine are answered. If its deletion is not confirmed by then, nothing but the end of its lease takes the task
+// lastAnswer is until when the reports of such a machine are answered. If its deletion is not confirmed by then, nothing but the end of
+// its lease takes the task
 // off it in time, also if it hangs and goes on. Its other tasks are lost with that, as they would be by the deletion.
 func (s *Scheduler) lastAnswer(j *job) time.Duration {
 	return j.cancelAt + limits.CancelLast(limits.Seconds(s.cfg.Workers.CancelS), s.lease)
--- a/internal/coordination/scheduler/inspect.go
+++ b/internal/coordination/scheduler/inspect.go
@@ -31,7 +31,7 @@
 
 // MachineView is a machine in a Snapshot.
 type MachineView struct {
-	Name, Kind, Yard string
+	Name, Type, Zone string
 	Spot             bool
 	State            string
 	Cpus, Used       float64
@@ -50,7 +50,7 @@
 func (s *Scheduler) inspect(e InspectIn) {
 	v := Snapshot{Term: s.cfg.Term, Rebuilt: s.recovered}
 	for _, m := range s.fleet {
-		v.Machines = append(v.Machines, MachineView{Name: m.name, Kind: m.kind, Yard: m.zone, Spot: m.spot, State: s.machineState(m),
+		v.Machines = append(v.Machines, MachineView{Name: m.name, Type: m.kind, Zone: m.zone, Spot: m.spot, State: s.machineState(m),
 			Cpus: m.size().cpu, Used: m.used.cpu, Tasks: len(m.bindings), Silent: s.now - max(m.heard, s.tookOver)})
 	}
 	for _, t := range s.cfg.Teams {
--- a/internal/coordination/scheduler/model.go
+++ b/internal/coordination/scheduler/model.go
@@ -167,7 +167,8 @@
 	seen  int
 }
 
-// estimate is how long a task of the job is expected to run. The tasks that are done weigh against those on machines, which count as what is
+// estimate is how long a task of the job is expected to run. The tasks that are done weigh against those on machines, which count as
+// what is
 // known of the class: the first to be done are the shortest, and alone they would make the rest look short.
 func (j *job) estimate() float64 {
 	prior := j.spec.EstimateS * j.class.ratio
@@ -385,7 +386,8 @@
 	out            []Effect
 
 	pass pass
-	// pressAgain is when requests that found no tasks to stop may look for them again: the look goes through all tasks of all machines, and in an overload many jobs are
+	// pressAgain is when requests that found no tasks to stop may look for them again: the look goes through all tasks of all machines, and
+	// in an overload many jobs are
 	// pressing at every event. Until then they take free room like others.
 	pressAgain map[request]time.Duration
 	order      []*job // see claims
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -147,7 +147,8 @@
 	}
 }
 
-// TestLastingOverload: with more urgent, small work than the machines can do, all day, each of the largest jobs begins within four minutes, and
+// TestLastingOverload: with more urgent, small work than the machines can do, all day, each of the largest jobs begins within four
+// minutes, and
 // of each class and team, and of the largest jobs, at least half of the work is done.
 func TestLastingOverload(t *testing.T) {
 	for seed := range uint64(4) {
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -39,7 +39,8 @@
 }
 
 // place is the scheduling pass. For each job in order of claim it filters the machines, ranks what is left on
-// the full view, and picks victims where the best machine lacks room: the paper's algorithm, request by request. The tasks of one job ask the same question, so
+// the full view, and picks victims where the best machine lacks room: the paper's algorithm, request by request. The tasks of one job
+// ask the same question, so
 // filter and scores are worked out once for them and kept up to date for the machine that was chosen.
 func (s *Scheduler) place() {
 	if !s.dirty || !s.recovered {
@@ -85,8 +86,10 @@
 // service is how many tasks of a group's jobs should have been started by now, and how many of these were.
 type service struct{ due, got int }
 
-// dueTasks is how many tasks of a job should have been started by now. The order of the queue favours what is urgent, small and on time; under
-// lasting overload the rest would never begin. So a job is due its first task at one age, and the others one by one from a later one on, whatever else waits.
+// dueTasks is how many tasks of a job should have been started by now. The order of the queue favours what is urgent, small and on time;
+// under
+// lasting overload the rest would never begin. So a job is due its first task at one age, and the others one by one from a later one on,
+// whatever else waits.
 func (s *Scheduler) dueTasks(j *job) int {
 	age := s.now - j.at
 	if age <= limits.AgeBegin || j.cancelled || j.over {
@@ -96,7 +99,8 @@
 	return max(1, int(math.Ceil(min(share, 1)*float64(j.spec.Tasks))))
 }
 
-// behind is how many tasks a job gets before all others: the first if it has not begun, else what it is behind with while its group is served badly.
+// behind is how many tasks a job gets before all others: the first if it has not begun, else what it is behind with while its group is
+// served badly.
 func (s *Scheduler) behind(j *job) int {
 	n := min(s.dueTasks(j)-j.doneCount-len(j.bound), j.free())
 	switch {
@@ -119,7 +123,8 @@
 	return float64(x.got) / float64(x.due)
 }
 
-// age works out which jobs are behind, in order: those that have not begun first, then by how badly their group is served, then by age, so that
+// age works out which jobs are behind, in order: those that have not begun first, then by how badly their group is served, then by age,
+// so that
 // jobs are completed rather than all of them begun.
 func (s *Scheduler) age() {
 	clear(s.services)
@@ -146,7 +151,8 @@
 }
 
 // hold keeps the machines with the most free room for a job that is behind and finds none with enough, so that smaller tasks do not take
-// that room bit by bit for ever. A machine that was held in the pass before comes first: otherwise each one with as much room would take the
+// that room bit by bit for ever. A machine that was held in the pass before comes first: otherwise each one with as much room would take
+// the
 // place of another, and none would ever have enough.
 func (s *Scheduler) reserve(j *job) {
 	p := &s.pass
@@ -482,8 +488,10 @@
 	return !late && slack < time.Duration(s.cfg.Options.Preemption.Slack)
 }
 
-// mayStop is the protocol's rule of who may be stopped for whom, narrowed so that it has no circles: borrowed work of high priority does not
-// stop what another team's guarantee covers, as that could stop it in turn, and so on without end. Nor is work stopped of which too little is done already.
+// mayStop is the protocol's rule of who may be stopped for whom, narrowed so that it has no circles: borrowed work of high priority does
+// not
+// stop what another team's guarantee covers, as that could stop it in turn, and so on without end. Nor is work stopped of which too
+// little is done already.
 func (s *Scheduler) mayStop(j *job, b *binding) bool {
 	if b.stop || b.phase == assigned || b.job == j || b.job.owed {
 		return false
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -68,7 +68,8 @@
 			asked[pool{h.record.MachineType, h.record.Zone, h.record.Spot}]++
 		}
 	}
-	// may is how many machines a pool may be asked for now. What is left of a pool is not known, and each refusal costs a call of the cloud's rate: pools of like
+	// may is how many machines a pool may be asked for now. What is left of a pool is not known, and each refusal costs a call of the
+	// cloud's rate: pools of like
 	// price share the calls, and one that refused lately is tried with one.
 	each := max(limits.PoolRequests, calls/max(s.cheapPools(), 1))
 	may := func(p pool) int {
@@ -164,7 +165,8 @@
 	return math.MaxInt32
 }
 
-// drain picks machines that are not needed to empty and be returned, the dearest and emptiest first: spread thin, the work would keep all of
+// drain picks machines that are not needed to empty and be returned, the dearest and emptiest first: spread thin, the work would keep
+// all of
 // them. It is decided anew with every plan, so a burst brings them back at once.
 func (s *Scheduler) drain() {
 	var total, used, waiting float64
@@ -245,7 +247,8 @@
 		return
 	}
 	open := func(p pool) bool { return fresh[p] < float64(may(p)) }
-	// What starts before a new machine can be up needs none. What has waited as long already can't wait as long again, or a queue that is always as long
+	// What starts before a new machine can be up needs none. What has waited as long already can't wait as long again, or a queue that is
+	// always as long
 	// would never be worked off.
 	within := max(max(s.patience(j), s.soonest(j))-(s.now-j.at).Seconds(), 0)
 	var p pool
@@ -286,8 +289,10 @@
 	}
 }
 
-// take promises up to n tasks to the offer and returns how many it takes: those that can start within a time, or as soon as it is ready. Of what is in
-// use, a part will be free by then, as tasks end one after the other. The fraction of a task that is left over is carried to the next offer.
+// take promises up to n tasks to the offer and returns how many it takes: those that can start within a time, or as soon as it is ready.
+// Of what is in
+// use, a part will be free by then, as tasks end one after the other. The fraction of a task that is left over is carried to the next
+// offer.
 func (o *offer) take(j *job, n int, est, within float64, carry *float64) int {
 	size := sizeOf(o.typ)
 	per := slots(size, j.need)
@@ -331,7 +336,8 @@
 	return int(min(n+limits.Epsilon, limits.MaxTasks))
 }
 
-// cheapestPool is where a machine for the job costs least for each task it holds, among the pools that are not known to be empty. A pool that has only been
+// cheapestPool is where a machine for the job costs least for each task it holds, among the pools that are not known to be empty. A pool
+// that has only been
 // asked for as much as may be now is left for a dearer one of like price, else it is asked again with the next plan.
 func (s *Scheduler) cheapestPool(j *job, open func(pool) bool) (pool, *protocol.MachineType) {
 	var best pool
--- a/internal/coordination/scheduler/rank.go
+++ b/internal/coordination/scheduler/rank.go
@@ -31,7 +31,8 @@
 	weighSpeed:      limits.WeighSpeed,
 }
 
-// shelves are candidates put together by their scores, as only the first by name of those that are alike can be the best: on a large fleet most are alike, and ranking
+// shelves are candidates put together by their scores, as only the first by name of those that are alike can be the best: on a large
+// fleet most are alike, and ranking
 // costs by the number of shelves, not of machines.
 type shelves struct {
 	cs []candidate  // the first of each shelf
--- a/internal/coordination/scheduler/registration.go
+++ b/internal/coordination/scheduler/registration.go
@@ -9,7 +9,8 @@
 	"quillshunt/internal/storage"
 )
 
-// mark tells whether the state service knows that a machine may hold tasks. A machine gets none before, so that a successor knows where to look.
+// mark tells whether the state service knows that a machine may hold tasks. A machine gets none before, so that a successor knows where
+// to look.
 type registration uint8
 
 const (
@@ -18,8 +19,10 @@
 	registered                // durable
 )
 
-// page is a record of registered machines, of whatever rentals: those that come up while one is written go into the next write together, so that a thousand
-// machines that come up at once cost some tens of changes. A page is filled until it is as large as a value may be, and removed once its machines are gone.
+// page is a record of registered machines, of whatever rentals: those that come up while one is written go into the next write together,
+// so that a thousand
+// machines that come up at once cost some tens of changes. A page is filled until it is as large as a value may be, and removed once its
+// machines are gone.
 // A machine that is gone is taken off its rental's record, not off the page: what no rental accounts for, a successor ignores.
 type registryPage struct {
 	name    string
@@ -61,7 +64,8 @@
 	s.writeRegistrations()
 }
 
-// writeRegistrations writes the pages with new machines, at most one write every RegisterEvery; the next tick or the answer to the last write goes on with it.
+// writeRegistrations writes the pages with new machines, at most one write every RegisterEvery; the next tick or the answer to the last
+// write goes on with it.
 func (s *Scheduler) writeRegistrations() {
 	if !s.registrationsDirty || s.now < s.registrationsAt+limits.RegisterEvery {
 		return
--- a/internal/coordination/scheduler/report.go
+++ b/internal/coordination/scheduler/report.go
@@ -70,7 +70,8 @@
 	s.emit(ReplyOut{Ref: e.Ref, OK: true, Commands: orders})
 }
 
-// answerUnfenced answers a report that has not seen our term. It may be a late copy of one from before: the machine may be dead or deleted since, so nothing is
+// answerUnfenced answers a report that has not seen our term. It may be a late copy of one from before: the machine may be dead or
+// deleted since, so nothing is
 // believed of it but that a worker that hears the answer lives on. If it does, its next report shows our term, which no copy can.
 func (s *Scheduler) answerUnfenced(e ReportIn) {
 	m := s.machines[e.Report.Machine]
@@ -106,7 +107,8 @@
 	return out
 }
 
-// setVerified notes whether answers are known to reach a machine. While they are not, it gets no new tasks: reports may arrive from a machine
+// setVerified notes whether answers are known to reach a machine. While they are not, it gets no new tasks: reports may arrive from a
+// machine
 // that hears nothing.
 func (s *Scheduler) setVerified(m *machine, ok bool) {
 	if ok && !m.verified {
@@ -118,7 +120,8 @@
 	m.verified = ok
 }
 
-// relay tells whether a report is answered the way it came. A worker that comes through another controller is first told to come itself; one
+// relay tells whether a report is answered the way it came. A worker that comes through another controller is first told to come itself;
+// one
 // that was here before and now comes that way, or that we did not reach either, cannot reach us. From time to time it is told to try again.
 func (s *Scheduler) relay(m *machine, relayed bool) bool {
 	if !relayed {
@@ -166,7 +169,8 @@
 	}
 }
 
-// probeDone takes the task list of a machine that has not shown us that it saw our term. The list was made after the worker had seen it, so no order
+// probeDone takes the task list of a machine that has not shown us that it saw our term. The list was made after the worker had seen it,
+// so no order
 // of an earlier leader can add to it. It renews no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
 	m := s.machines[e.Machine]
@@ -239,7 +243,8 @@
 	}
 }
 
-// sendCorrections sends orders about tasks that should not be on a machine; if it is not possible now, its next report brings them up again.
+// sendCorrections sends orders about tasks that should not be on a machine; if it is not possible now, its next report brings them up
+// again.
 func (s *Scheduler) sendCorrections(m *machine, orders []protocol.Command) {
 	if len(orders) > 0 && s.reachable(m) {
 		s.send(m, orders)
@@ -265,8 +270,10 @@
 	}
 }
 
-// dispatch sends starts and stops directly to machines that have just been decided on. Only so many commands are on their way at once: a worker answers
-// in milliseconds, so more than that means that this controller is behind, and then what is left over goes out in the answers to the next reports.
+// dispatch sends starts and stops directly to machines that have just been decided on. Only so many commands are on their way at once: a
+// worker answers
+// in milliseconds, so more than that means that this controller is behind, and then what is left over goes out in the answers to the
+// next reports.
 func (s *Scheduler) dispatch() {
 	if len(s.todo) == 0 || s.directs >= limits.DirectsMost {
 		return
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -249,8 +249,10 @@
 	}
 }
 
-// TestCancelledInTime: a machine that reports a cancelled task again and again, whatever it is told, and whose deletion nobody confirms, gets no answer from so
-// early on that its lease ends within cancel_s; and that time goes on across a change of leaders. A machine without such a task is answered all the while.
+// TestCancelledInTime: a machine that reports a cancelled task again and again, whatever it is told, and whose deletion nobody confirms,
+// gets no answer from so
+// early on that its lease ends within cancel_s; and that time goes on across a change of leaders. A machine without such a task is
+// answered all the while.
 func TestCancelledInTime(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second, 25 * time.Second, time.Hour} {
 		b := newBed(t, 2)
@@ -313,9 +315,9 @@
 	}
 }
 
-// TestMarkBeforeStart: a machine gets its first task only once the state service knows that it may have one; otherwise a
+// TestRegisteredBeforeStart: a machine gets its first task only once the state service knows that it may have one; otherwise a
 // new leader would not look for it there.
-func TestMarkBeforeStart(t *testing.T) {
+func TestRegisteredBeforeStart(t *testing.T) {
 	b := newBed(t, 0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
 	b.step(RentalLoaded{Name: "h-2-1", Version: 7, Rec: storage.Rental{MachineType: "s8", Zone: "a", Count: 1, Answered: true, Machines: []string{b.rig(0)}}})
@@ -346,9 +348,10 @@
 	return out
 }
 
-// TestMarksTogether: machines of several rentals that come up at once are registered by few writes, each within the size of a value; none is registered before its
+// TestRegistrationsTogether: machines of several rentals that come up at once are registered by few writes, each within the size of a value;
+// none is registered before its
 // rental's record names it, as a successor ignores registrations that no rental accounts for; and a successor finds all of them.
-func TestMarksTogether(t *testing.T) {
+func TestRegistrationsTogether(t *testing.T) {
 	b := newBed(t, 0)
 	const rentals, each = 4, 50
 	for i := range rentals {
@@ -444,7 +447,8 @@
 	}
 }
 
-// TestDeafMachine: a machine whose reports arrive while answers and commands don't reach it loses one start at most, gets no other until a round
+// TestDeafMachine: a machine whose reports arrive while answers and commands don't reach it loses one start at most, gets no other until
+// a round
 // trip is seen, and is deleted in time; what it finishes counts.
 func TestDeafMachine(t *testing.T) {
 	b := newBed(t, 2)
@@ -530,7 +534,8 @@
 	if m.seen || m.fenced || len(m.bindings) > 0 || b.s.usable(m) {
 		t.Errorf("believed: seen %v fenced %v binds %d", m.seen, m.fenced, len(m.bindings))
 	}
-	// A copy overtakes its original, and the start in its answer gets lost. The original's answer brings it again, but not once the job is cancelled.
+	// A copy overtakes its original, and the start in its answer gets lost. The original's answer brings it again, but not once the job is
+	// cancelled.
 	m.mute = time.Hour
 	b.report(0)
 	b.report(0)
@@ -581,7 +586,8 @@
 	}
 }
 
-// TestNoCircles: where one task may be stopped for another, the other may not be stopped for it. Without this, borrowed work of high priority
+// TestNoCircles: where one task may be stopped for another, the other may not be stopped for it. Without this, borrowed work of high
+// priority
 // and guaranteed work of another team stopped each other for ever.
 func TestNoCircles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -658,7 +664,8 @@
 	}
 }
 
-// TestNotEntitled: who may not act answers no report with 200, and takes nothing from it that would count as a renewed lease; so with a worker that
+// TestNotEntitled: who may not act answers no report with 200, and takes nothing from it that would count as a renewed lease; so with a
+// worker that
 // has seen a later leader.
 func TestNotEntitled(t *testing.T) {
 	b := newBed(t, 1)
@@ -753,7 +760,8 @@
 	}
 }
 
-// TestFewUnheard: after a take-over a machine that does not answer probes holds up all placement. If it is one of a few it is given up soon, and
+// TestFewUnheard: after a take-over a machine that does not answer probes holds up all placement. If it is one of a few it is given up
+// soon, and
 // the work goes on once its deletion is confirmed; a crowd may be behind a cut and is waited for.
 func TestFewUnheard(t *testing.T) {
 	for _, c := range []struct {
@@ -821,7 +829,8 @@
 	}
 }
 
-// TestPlanByStarts: machines are rented for all tasks that can't start before a new machine would be up, however much a busy fleet could work off later; what
+// TestPlanByStarts: machines are rented for all tasks that can't start before a new machine would be up, however much a busy fleet could
+// work off later; what
 // starts before needs none.
 func TestPlanByStarts(t *testing.T) {
 	b := newBed(t, 10)
@@ -849,7 +858,8 @@
 		}
 		return n
 	}
-	// Of ten tasks of 10 s that have just begun, nothing is known but their mean: a quarter or so ends in the 5.5 s that a machine takes to boot.
+	// Of ten tasks of 10 s that have just begun, nothing is known but their mean: a quarter or so ends in the 5.5 s that a machine takes to
+	// boot.
 	if n := wanted(); n < 5 || n > 7 {
 		t.Errorf("%d machines wanted for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
 	}
@@ -869,7 +879,8 @@
 	}
 }
 
-// TestPressAgain: a job whose time is short and that finds nobody to stop takes free room at once when there is some, and looks for tasks to stop again soon.
+// TestPressAgain: a job whose time is short and that finds nobody to stop takes free room at once when there is some, and looks for
+// tasks to stop again soon.
 func TestPressAgain(t *testing.T) {
 	b := newBed(t, 1)
 	b.report(0)
@@ -905,7 +916,8 @@
 	}
 }
 
-// TestDoubtedTogether: a machine whose answers may not arrive is asked at once, but not hundreds that come on new connections together: their next reports
+// TestDoubtedTogether: a machine whose answers may not arrive is asked at once, but not hundreds that come on new connections together:
+// their next reports
 // setVerified them, and who stays unverified is asked then. Probes of all kept a small controller from answering reports, for minutes.
 func TestDoubtedTogether(t *testing.T) {
 	for _, n := range []int{1, 40} {
@@ -961,8 +973,10 @@
 	}
 }
 
-// TestGreetedHoldsItsLease: a machine that a new leader has greeted, but whose next report it has not taken yet, may go on with its tasks for a whole lease from
-// then. The rebuild does not end before that, or a task of it would be started elsewhere: seen on controllers too busy to take reports in time.
+// TestGreetedHoldsItsLease: a machine that a new leader has greeted, but whose next report it has not taken yet, may go on with its
+// tasks for a whole lease from
+// then. The rebuild does not end before that, or a task of it would be started elsewhere: seen on controllers too busy to take reports
+// in time.
 func TestGreetedHoldsItsLease(t *testing.T) {
 	b := newBed(t, 2)
 	b.report(0)
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -280,7 +280,8 @@
 	return n, c.sequence
 }
 
-// flush writes finished tasks down, those first that were not written for longest, within a share of the state service's rate: what is not written is
+// flush writes finished tasks down, those first that were not written for longest, within a share of the state service's rate: what is
+// not written is
 // kept by the workers, and done again only where one is lost. A job that is nearly over needs no record but its final one.
 func (s *Scheduler) flush() {
 	rate := s.cfg.State.WriteRPS * limits.FlushShare
@@ -445,7 +446,8 @@
 }
 
 // endRecovery ends the time after a take-over in which tasks may run that we have not heard of: each machine that
-// may hold some has reported to us or is gone, or its lease from before is over. A machine that we have greeted has had its lease renewed by that: it has
+// may hold some has reported to us or is gone, or its lease from before is over. A machine that we have greeted has had its lease
+// renewed by that: it has
 // the whole of it again, although it has shown us no tasks yet. A leader that is too busy to take its next reports must not forget that.
 func (s *Scheduler) endRecovery() {
 	for _, m := range s.fleet {
--- a/internal/coordination/scheduler/tasks.go
+++ b/internal/coordination/scheduler/tasks.go
@@ -62,7 +62,8 @@
 	case j == nil || t.Reason != protocol.ReasonDone || j.cancelled:
 		return exit{}, false
 	}
-	// An attempt that we had given up, or one of an earlier term: the result counts. If the task is bound elsewhere meanwhile, it is stopped there.
+	// An attempt that we had given up, or one of an earlier term: the result counts. If the task is bound elsewhere meanwhile, it is
+	// stopped there.
 	x = exit{job: j}
 	x.chunk, x.sequence = s.taskDone(j, index)
 	if o := j.bound[index]; o != nil && o != b {
@@ -76,7 +77,8 @@
 	return x, false
 }
 
-// takePresent takes a task that fetches, runs or saves on a machine; j is its job, or nil if we do not know it. It returns false if the task should not be there.
+// takePresent takes a task that fetches, runs or saves on a machine; j is its job, or nil if we do not know it. It returns false if the
+// task should not be there.
 func (s *Scheduler) takePresent(m *machine, j *job, index int, t *protocol.TaskReport) bool {
 	b := m.bindings[t.Task]
 	if b != nil && b.phase != assigned && t.Attempt > b.attempt {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -27,15 +27,16 @@
 	MaxNameBytes = 128
 	// MaxAmount bounds amounts and durations, so that sums stay exact in a float64.
 	MaxAmount = 1e12
-	// MaxRigkinds bounds the list of allowed machine types of a job.
-	MaxRigkinds = 256
+	// MaxMachineTypes bounds the list of allowed machine types of a job.
+	MaxMachineTypes = 256
 	// MaxCBORNesting bounds nesting in a body; the protocol's deepest message has four levels.
 	MaxCBORNesting = 16
 	// RentalMax is the largest Number of one rental request.
 	RentalMax = 50
 	// DeleteMax is the largest number of names in one deletion.
 	DeleteMax = 100
-	// PoolRequests is how many rental requests may wait at least on one type, zone and kind. LikePrice: pools that cost up to so many times as much as the
+	// PoolRequests is how many rental requests may wait at least on one type, zone and kind. LikePrice: pools that cost up to so many times
+	// as much as the
 	// cheapest are asked beside it.
 	PoolRequests = 2
 	LikePrice    = 1.5
@@ -81,7 +82,8 @@
 	SubmitAnswer = 4 * time.Second
 	// PeerTimeout bounds the leader's answer on counts; they are for display only.
 	PeerTimeout = 250 * time.Millisecond
-	// ConfirmTimeout bounds the leader's word that it knows of a cancellation, asked of itself and then through the others; both fit into UserAnswer.
+	// ConfirmTimeout bounds the leader's word that it knows of a cancellation, asked of itself and then through the others; both fit into
+	// UserAnswer.
 	ConfirmTimeout = 600 * time.Millisecond
 	// RetryMin and RetryMax bound the jittered pause between tries at the state service and the cloud.
 	RetryMin = 100 * time.Millisecond
@@ -113,29 +115,35 @@
 	SpareSockets = 16
 	// ReservedMost bounds the part of the sockets that is set aside for the state service, the cloud and controllers, where there are few.
 	ReservedMost = 0.4
-	// UsersShare is the part of inbound connections that machines can't take. Users hold about one for each job that is not over, spread over all controllers.
+	// UsersShare is the part of inbound connections that machines can't take. Users hold about one for each job that is not over, spread
+	// over all controllers.
 	UsersShare = 0.12
-	// HeadroomShare is the part that connections to workers leave free, so that a rush of connections coming in finds room until kept ones are given up, half a
+	// HeadroomShare is the part that connections to workers leave free, so that a rush of connections coming in finds room until kept ones
+	// are given up, half a
 	// second later.
 	HeadroomShare = 0.06
 	// MadeShare is the part that inbound connections leave to connections to workers, for probes and direct commands when all else is taken.
 	MadeShare = 0.03
 	// StaleShare is the part of the machines' connections that may be dead ones, not swept yet, or of machines that are not ours any more.
 	StaleShare = 0.1
-	// ProbeShare is the part of the sockets that probes may hold at once, ProbesMost the most of them: a new leader asks all machines at once, and those that
+	// ProbeShare is the part of the sockets that probes may hold at once, ProbesMost the most of them: a new leader asks all machines at
+	// once, and those that
 	// are out of reach hold theirs for ProbeTimeout.
 	ProbeShare = 0.2
 	ProbesMost = 512
-	// UserStage is how many users' requests are worked on at once; one more is told to come back. Each holds one state-service call, and no more than
+	// UserStage is how many users' requests are worked on at once; one more is told to come back. Each holds one state-service call, and no
+	// more than
 	// UserStageShare of all sockets go to these.
 	UserStage      = 64
 	UserStageShare = 0.15
-	// ConnBytes is what a connection may hold of the heap between requests, in bytes: two thousand of them stay far below the memory of a controller that has
+	// ConnBytes is what a connection may hold of the heap between requests, in bytes: two thousand of them stay far below the memory of a
+	// controller that has
 	// as many sockets.
 	ConnBytes = 8 << 10
 	// MailboxLeast is the least size of the mailbox of the leader's scheduler, in messages; see Mailbox.
 	MailboxLeast = 512
-	// StateConns is how many connections to the state service the controller's own work needs at once, and StateIdle how many are kept for this and for users'
+	// StateConns is how many connections to the state service the controller's own work needs at once, and StateIdle how many are kept for
+	// this and for users'
 	// requests: as many as may be in use, since a controller that is behind can't make one in time.
 	StateConns = 8
 	StateIdle  = StateConns + UserStage
@@ -165,7 +173,8 @@
 	// TouchTimeout bounds a renewal, and the wait for a connection to the state service. It is longer than StateTimeout, as an answer is worth
 	// waiting for: a leader that is behind gets it late. It is short enough that a hand-over still comes after two renewals have failed.
 	TouchTimeout = 3500 * time.Millisecond
-	// LagSample is the length of the sleep by which a process learns how far it is behind, and LagMost how much too late it may wake from it and still trust
+	// LagSample is the length of the sleep by which a process learns how far it is behind, and LagMost how much too late it may wake from
+	// it and still trust
 	// that a call without an answer tells of the other side.
 	LagSample = 50 * time.Millisecond
 	LagMost   = 200 * time.Millisecond
@@ -197,7 +206,8 @@
 	// UsersReads and UsersWrites are what users' requests may use of the rates, at whichever controllers they come.
 	UsersReads  = 0.5
 	UsersWrites = 0.4
-	// OwnReads and OwnWrites are for the controllers' own work, nearly all of it the leader's. Together it is a little more than the whole of the writes, as
+	// OwnReads and OwnWrites are for the controllers' own work, nearly all of it the leader's. Together it is a little more than the whole
+	// of the writes, as
 	// users seldom need their part while a fleet comes up.
 	OwnReads  = 0.5
 	OwnWrites = 0.7
@@ -215,12 +225,15 @@
 	VictimCutoff = 10
 	// TickEvery is how often the scheduler looks at what only time changes.
 	TickEvery = 500 * time.Millisecond
-	// AgeBegin is the age from which a job is due its first task whatever else waits: users count on every job's beginning within four minutes, and room
-	// for it may have to be held for a while. From AgeRest on, and over AgeSpan, it is due the others; earlier it would push back jobs that can still be on time.
+	// AgeBegin is the age from which a job is due its first task whatever else waits: users count on every job's beginning within four
+	// minutes, and room
+	// for it may have to be held for a while. From AgeRest on, and over AgeSpan, it is due the others; earlier it would push back jobs that
+	// can still be on time.
 	AgeBegin = 150 * time.Second
 	AgeRest  = 240 * time.Second
 	AgeSpan  = 120 * time.Second
-	// AgeServed: while a group of jobs has got at least this share of what it is due, those of them that have begun wait in the ordinary order. Users count on
+	// AgeServed: while a group of jobs has got at least this share of what it is due, those of them that have begun wait in the ordinary
+	// order. Users count on
 	// half.
 	AgeServed = 0.65
 	// HoldShare: one of so many machines may be kept for jobs that are behind and lack room.
@@ -238,14 +251,16 @@
 	WeighPack = 4.0
 	// WeighSpeed prefers machines seen to be fast.
 	WeighSpeed = 1.0
-	// SpeedStep is the step in which observed speeds are compared, as a share of the usual run time: healthy machines differ by a tenth, and what is seen of one
+	// SpeedStep is the step in which observed speeds are compared, as a share of the usual run time: healthy machines differ by a tenth,
+	// and what is seen of one
 	// is not exact.
 	SpeedStep = 0.05
 	// FreshReports is how many report intervals a machine may be silent and still get tasks.
 	FreshReports = 2.5
 	// SickErrors is how many failures in a row, with no success between, make a machine suspect.
 	SickErrors = 2
-	// SlowTasks and SlowFactor: a machine whose last tasks, at least so many, took this many times as long as the same jobs' tasks elsewhere is
+	// SlowTasks and SlowFactor: a machine whose last tasks, at least so many, took this many times as long as the same jobs' tasks
+	// elsewhere is
 	// faulty. Healthy machines differ by a tenth; tasks of one job differ more, hence the number.
 	SlowTasks  = 4
 	SlowFactor = 2.5
@@ -281,9 +296,11 @@
 	FinFrame = 128
 	// PageFrame is what a page of registered machines needs beside its entries, and each entry beside its own JSON, in bytes, rounded up.
 	PageFrame = 16
-	// RegisterEvery is the least time between two writes of new machines: what comes up meanwhile goes into one, and a machine takes many times as long to boot.
+	// RegisterEvery is the least time between two writes of new machines: what comes up meanwhile goes into one, and a machine takes many
+	// times as long to boot.
 	RegisterEvery = 200 * time.Millisecond
-	// FlushShare is the part of the state service's writes that may go into finished tasks: a third of what is not the users'. Final records, rentals and registrations
+	// FlushShare is the part of the state service's writes that may go into finished tasks: a third of what is not the users'. Final
+	// records, rentals and registrations
 	// need the rest, and nothing starts or ends without them.
 	FlushShare = 0.2
 	// FlushPatience is how long a job that is nearly over is left without a record of its finished tasks.
@@ -331,7 +348,8 @@
 	BootPatience = 3.0
 	// BootPatienceMin is the least patience with a boot.
 	BootPatienceMin = 60 * time.Second
-	// BootReckon is how many nominal boot times a machine is reckoned to take; usual are 0.6 to 1.5. BootHope is how many are planned with; the few that take longer
+	// BootReckon is how many nominal boot times a machine is reckoned to take; usual are 0.6 to 1.5. BootHope is how many are planned with;
+	// the few that take longer
 	// or never come are planned without.
 	BootReckon = 1.1
 	BootHope   = 2.75
@@ -353,25 +371,31 @@
 	DearSlack = 60 * time.Second
 	// RentalFraction is the part of a machine that must be wanted before one more is rented while others run.
 	RentalFraction = 0.3
-	// RebuildPatience and RebuildReports (in report intervals) are how long after a take-over a machine that may hold tasks may stay unheard of before
+	// RebuildPatience and RebuildReports (in report intervals) are how long after a take-over a machine that may hold tasks may stay
+	// unheard of before
 	// it is deleted, which is quicker evidence than the end of its lease. Workers find a new leader in a few seconds.
 	RebuildPatience = 6 * time.Second
 	RebuildReports  = 2.5
-	// FewUnheard is the share of all machines up to which those that nothing is heard of since a take-over are given up after FewMisses probes without an
+	// FewUnheard is the share of all machines up to which those that nothing is heard of since a take-over are given up after FewMisses
+	// probes without an
 	// answer, the next one right after the one before.
 	FewUnheard = 0.03
 	FewMisses  = 2
 	// ProbeEvery is how often such a machine is asked directly.
 	ProbeEvery = 2 * time.Second
-	// UnverifiedCrowd is the share of machines unverified at once from which on they are given UnverifiedReports report intervals to prove themselves before they are asked.
+	// UnverifiedCrowd is the share of machines unverified at once from which on they are given UnverifiedReports report intervals to prove
+	// themselves before they are asked.
 	UnverifiedCrowd   = 0.05
 	UnverifiedReports = 1.5
-	// BusyWait is how long a report may have waited in the mailbox that probes still go out beside it, and BusyFor how long that is held to tell of now: reports
+	// BusyWait is how long a report may have waited in the mailbox that probes still go out beside it, and BusyFor how long that is held to
+	// tell of now: reports
 	// and the lease go first.
 	BusyWait = 250 * time.Millisecond
 	BusyFor  = time.Second
-	// ProbeCost is about what a probe takes of a core: a connection, two calls and their system calls. No more probes a second are sent than the
-	// controller's whole processor could carry, but at least ProbeRateLeast, and ProbeSlowdown of that after one took longer than BusyWait: then the
+	// ProbeCost is about what a probe takes of a core: a connection, two calls and their system calls. No more probes a second are sent
+	// than the
+	// controller's whole processor could carry, but at least ProbeRateLeast, and ProbeSlowdown of that after one took longer than BusyWait:
+	// then the
 	// processor is needed for reports, the lease and votes.
 	ProbeCost      = 400 * time.Microsecond
 	ProbeSlowdown  = 0.25
@@ -380,13 +404,15 @@
 	ProbeTimeout = 1500 * time.Millisecond
 	// DirectTimeout bounds a direct command; a worker answers in milliseconds or not at all.
 	DirectTimeout = 2 * time.Second
-	// DirectsMost is how many direct commands are on their way at once; see dispatch. Those to machines that are out of reach take DirectTimeout.
+	// DirectsMost is how many direct commands are on their way at once; see dispatch. Those to machines that are out of reach take
+	// DirectTimeout.
 	DirectsMost = 64
 	// MuteAfter is how long a worker that did not answer a direct command gets its orders by reports only.
 	MuteAfter = 10 * time.Second
 	// SummaryEvery is how often the leader logs how it stands.
 	SummaryEvery = 10 * time.Second
-	// RelayFor is how long a worker's reports are relayed before it is told to try the leader itself again. A try that fails costs it 5 s of its lease.
+	// RelayFor is how long a worker's reports are relayed before it is told to try the leader itself again. A try that fails costs it 5 s
+	// of its lease.
 	RelayFor = 30 * time.Second
 	// RelayTimeout bounds a relayed report; the worker waits 4 s.
 	RelayTimeout = 1500 * time.Millisecond
@@ -396,10 +422,12 @@
 	CutPause = 3 * time.Second
 	// AskAgain is the pause before a deletion that got no clear answer is repeated.
 	AskAgain = 2 * time.Second
-	// CancelShare is the share of the time in which a machine's lease can still be let run out (see CancelLast) after which one that still has a
+	// CancelShare is the share of the time in which a machine's lease can still be let run out (see CancelLast) after which one that still
+	// has a
 	// cancelled task is deleted.
 	CancelShare = 0.6
-	// CancelGrace is how long a leader that has only now learned of an older cancellation lets stops take their effect before it deletes machines.
+	// CancelGrace is how long a leader that has only now learned of an older cancellation lets stops take their effect before it deletes
+	// machines.
 	CancelGrace = 3 * time.Second
 	// CancelLatest is the share of cancel_s by which they are deleted all the same.
 	CancelLatest = 0.85
@@ -416,19 +444,22 @@
 	// HeapShare is the part of the memory limit given to the Go runtime as its soft limit; the rest is
 	// for stacks of threads, the binary and buffers of the kernel.
 	HeapShare = 0.55
-	// MemoryLeastMB is what a process needs to run at all: a follower without work holds 7 MB. MemoryScarceMB and CoreScarce are below what a leader of some tens of
+	// MemoryLeastMB is what a process needs to run at all: a follower without work holds 7 MB. MemoryScarceMB and CoreScarce are below what
+	// a leader of some tens of
 	// machines needs; on simulated machines such a one held 8 to 18 MB and used less than a hundredth of a core on average.
 	MemoryLeastMB  = 8.0
 	MemoryScarceMB = 32.0
 	CoreScarce     = 0.01
-	// GCPercent is the garbage collector's target: the live heap is a tenth of the soft limit or less, so there is room to collect less often, which saves
+	// GCPercent is the garbage collector's target: the live heap is a tenth of the soft limit or less, so there is room to collect less
+	// often, which saves
 	// processor time; near the limit it collects as often as it must.
 	GCPercent = 400
 	// Procs is GOMAXPROCS. A controller has a part of one core, so a second thread that looks for work would only take from the first.
 	Procs = 1
 )
 
-// Shares is how a controller's sockets are used. The state service, the cloud and the other controllers have theirs set aside; the rest is shared by need
+// Shares is how a controller's sockets are used. The state service, the cloud and the other controllers have theirs set aside; the rest
+// is shared by need
 // between connections that come in and those that are made to workers.
 type Shares struct {
 	Room     int // inbound connections and those made to workers, together
@@ -457,7 +488,8 @@
 // Mailbox is the size of the mailbox of the leader's scheduler: one report of each worker that can be connected, as each has one in flight.
 func Mailbox(s Shares) int { return max(MailboxLeast, s.Fleet) }
 
-// ProbeRate is how many probes a second a controller with such a share of a core sends at most; one whose share is not known is held to have a core.
+// ProbeRate is how many probes a second a controller with such a share of a core sends at most; one whose share is not known is held to
+// have a core.
 func ProbeRate(coreShare float64) float64 {
 	if coreShare <= 0 {
 		coreShare = 1
@@ -475,7 +507,8 @@
 	return d - time.Duration(float64(d)*2*DriftShare) - LeaderLeaseMargin
 }
 
-// CancelLast is how long after a cancellation a machine that still has the job's tasks may get an answer to a report: its lease then ends within
+// CancelLast is how long after a cancellation a machine that still has the job's tasks may get an answer to a report: its lease then
+// ends within
 // cancelWithin, whatever becomes of its deletion. It is at least half of cancelWithin, for leases that are too long for any of this.
 func CancelLast(cancelWithin, lease time.Duration) time.Duration {
 	return max(cancelWithin-WaitOut(lease), cancelWithin/2)
@@ -492,7 +525,8 @@
 // Seconds turns a protocol duration into a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// RetryAfterSeconds is what a user is told who can't be served now, in whole seconds: soon, and the later the longer the state service has been
+// RetryAfterSeconds is what a user is told who can't be served now, in whole seconds: soon, and the later the longer the state service
+// has been
 // out of reach already.
 func RetryAfterSeconds(failing time.Duration) int {
 	return min(RetryAfter+int(failing/RetryAfterStep), RetryAfterMax)
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -171,7 +171,7 @@
 		f.fail(name, "must be a list of names")
 		return nil
 	}
-	if len(list) > limits.MaxRigkinds {
+	if len(list) > limits.MaxMachineTypes {
 		f.fail(name, "too long")
 		return nil
 	}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -35,7 +35,8 @@
 	ErrBadRequest = errors.New("state service rejected the request")
 )
 
-// TimedOut tells whether a call failed only because time went by without an answer. The service may then be out of reach, but a process that gets too little of
+// TimedOut tells whether a call failed only because time went by without an answer. The service may then be out of reach, but a process
+// that gets too little of
 // its processor sees the same.
 func TimedOut(err error) bool {
 	var netErr net.Error
@@ -57,7 +58,8 @@
 	return false
 }
 
-// Store calls the state service. It is safe for concurrent use. A Store has its share of the service's rates. What users ask for has a share of its
+// Store calls the state service. It is safe for concurrent use. A Store has its share of the service's rates. What users ask for has a
+// share of its
 // own (see ForUsers), which any controller may use up, as load lies now here, now there; if that is too much in sum, the service
 // says so with 429 and has executed nothing.
 type Store struct {
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -9,7 +9,8 @@
 	"quillshunt/internal/limits"
 )
 
-// TestDown: users are sent away without a call while the state service is known to be out of reach, but a call is let through often enough that nobody
+// TestDown: users are sent away without a call while the state service is known to be out of reach, but a call is let through often
+// enough that nobody
 // is left without an answer for long once it is back.
 func TestDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/storage/wire_test.go
+++ b/internal/storage/wire_test.go
@@ -7,7 +7,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestRecordBytes pins every record to the bytes that other builds read, and to its size as the state service counts it: a rename in Go must change neither.
+// TestRecordBytes pins every record to the bytes that other builds read, and to its size as the state service counts it: a rename in Go
+// must change neither.
 func TestRecordBytes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// step reads what the present phase needs. It returns a message once that is whole; else more tells whether the next phase can go on with what
+// step reads what the present phase needs. It returns a message once that is whole; else more tells whether the next phase can go on
+// with what
 // is there.
 func (d *Decoder) step() (m *Message, more bool, err error) {
 	switch d.phase {
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -196,7 +196,8 @@
 	})
 }
 
-// TestConnectionMemory: a connection that has had its answer holds little, so that all workers can be connected within a controller's memory.
+// TestConnectionMemory: a connection that has had its answer holds little, so that all workers can be connected within a controller's
+// memory.
 func TestConnectionMemory(t *testing.T) {
 	const conns = 200
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -36,7 +36,8 @@
 	fleet int                    // how many connections are of machines
 }
 
-// ServeConn serves one connection until it ends, without the event loop: for networks in memory. The handler is called by one goroutine at a time, as on the loop.
+// ServeConn serves one connection until it ends, without the event loop: for networks in memory. The handler is called by one goroutine
+// at a time, as on the loop.
 func (s *Server) ServeConn(conn net.Conn) {
 	defer conn.Close()
 	c := &inbound{dec: NewRequestDecoder(limits.MaxBodyBytes)}
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -8,8 +8,10 @@
 // ErrNoSocket marks a call that was not tried because connections coming in need the sockets. It is an ErrNotSent.
 var ErrNoSocket = fmt.Errorf("%w: no socket to spare", ErrNotSent)
 
-// Sockets shares a number of sockets by need between the connections that come in and those that are made to workers. What comes in goes first: a
-// connection that is made may not take the last ones, and kept ones are given up for it (see Excess). Calls that must always get through, as to the
+// Sockets shares a number of sockets by need between the connections that come in and those that are made to workers. What comes in goes
+// first: a
+// connection that is made may not take the last ones, and kept ones are given up for it (see Excess). Calls that must always get
+// through, as to the
 // state service, are not counted here and have sockets of their own.
 type Sockets struct {
 	room     int64 // for both together
