--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -72,7 +72,7 @@
 }
 
 type reportMsg struct {
-	body    []byte // as it came; it is decoded here and not by the many goroutines of connections, which would each need a larger stack for it
+	body    []byte // as it came: the actor decodes all reports, those relayed included
 	reply   Reply
 	arrived time.Time
 	relayed bool
