--- a/cmd/quillshunt/client.go
+++ b/cmd/quillshunt/client.go
@@ -19,7 +19,7 @@
 func newClient() []*cobra.Command {
 	var addr string
 	call := func(cmd *cobra.Command, method, target string, body []byte) error {
-		ctx, cancel := context.WithTimeout(cmd.Context(), 2*limits.SubmitAnswer)
+		ctx, cancel := context.WithTimeout(cmd.Context(), 2*limits.SubmitTimeout)
 		defer cancel()
 		m, err := transport.NewClient(addr, 1, limits.MaxBodyBytes).Do(ctx, method, target, body)
 		if err != nil {
--- a/cmd/quillshunt/serve.go
+++ b/cmd/quillshunt/serve.go
@@ -22,7 +22,7 @@
 	log = log.With("node", s.NodeName)
 	debug.SetMemoryLimit(limits.HeapLimit(s.Facts.Machine.MemoryMB))
 	debug.SetGCPercent(limits.GCPercent)
-	runtime.GOMAXPROCS(limits.Procs)
+	runtime.GOMAXPROCS(limits.MaxProcs)
 	c, err := controller.New(s, options, nil, log)
 	if err != nil {
 		return err
--- a/cmd/quillshunt/status.go
+++ b/cmd/quillshunt/status.go
@@ -25,9 +25,9 @@
 			if len(args) == 1 {
 				job = args[0]
 			}
-			ctx, cancel := context.WithTimeout(cmd.Context(), limits.SubmitAnswer)
+			ctx, cancel := context.WithTimeout(cmd.Context(), limits.SubmitTimeout)
 			defer cancel()
-			r, err := peer.AskStatus(ctx, addr, job)
+			r, err := peer.RequestStatus(ctx, addr, job)
 			if err != nil {
 				return err
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -159,11 +159,11 @@
 func (s *Settings) Warnings() []string {
 	var out []string
 	m := s.Facts.Machine
-	if m.MemoryMB < limits.MemoryScarceMB {
-		out = append(out, fmt.Sprintf("facts.machine_limits.memory_mb: %v is little; a leader of a few machines needs %v", m.MemoryMB, limits.MemoryScarceMB))
+	if m.MemoryMB < limits.LowMemoryMB {
+		out = append(out, fmt.Sprintf("facts.machine_limits.memory_mb: %v is little; a leader of a few machines needs %v", m.MemoryMB, limits.LowMemoryMB))
 	}
-	if m.CoreShare > 0 && m.CoreShare < limits.CoreScarce {
-		out = append(out, fmt.Sprintf("facts.machine_limits.core_share: %v is little; a leader of a few machines needs %v", m.CoreShare, limits.CoreScarce))
+	if m.CoreShare > 0 && m.CoreShare < limits.LowCoreShare {
+		out = append(out, fmt.Sprintf("facts.machine_limits.core_share: %v is little; a leader of a few machines needs %v", m.CoreShare, limits.LowCoreShare))
 	}
 	return out
 }
@@ -235,15 +235,15 @@
 }
 
 func valueSize(field string, kb float64) error {
-	if !(kb >= limits.ValueLeastKB) || math.IsInf(kb, 0) {
-		return fmt.Errorf("%s: must be at least %v, got %v", field, limits.ValueLeastKB, kb)
+	if !(kb >= limits.MinValueKB) || math.IsInf(kb, 0) {
+		return fmt.Errorf("%s: must be at least %v, got %v", field, limits.MinValueKB, kb)
 	}
 	return nil
 }
 
 func transactionSize(field string, ops int) error {
-	if ops < limits.TxnOpsLeast {
-		return fmt.Errorf("%s: must be at least %d, got %d", field, limits.TxnOpsLeast, ops)
+	if ops < limits.MinTransactionOps {
+		return fmt.Errorf("%s: must be at least %d, got %d", field, limits.MinTransactionOps, ops)
 	}
 	return nil
 }
@@ -272,8 +272,8 @@
 	if err := first(errs); err != nil {
 		return err
 	}
-	if !(s.Facts.Machine.MemoryMB >= limits.MemoryLeastMB) {
-		return fmt.Errorf("facts.machine_limits.memory_mb: must be at least %v, got %v", limits.MemoryLeastMB, s.Facts.Machine.MemoryMB)
+	if !(s.Facts.Machine.MemoryMB >= limits.MinMemoryMB) {
+		return fmt.Errorf("facts.machine_limits.memory_mb: must be at least %v, got %v", limits.MinMemoryMB, s.Facts.Machine.MemoryMB)
 	}
 	if !(s.Facts.Machine.CoreShare >= 0) {
 		return fmt.Errorf("facts.machine_limits.core_share: must not be negative, got %v", s.Facts.Machine.CoreShare)
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -61,9 +61,9 @@
 		Leadership: LeadershipOptions{LeaderLease: Duration(limits.LeaderLease)},
 		Preemption: PreemptionOptions{Slack: Duration(limits.PreemptSlack), RestartWeight: limits.RestartWeight},
 		Fleet: FleetOptions{
-			LongestWait: Duration(limits.PlanHorizon), SlackShare: limits.SlackShare,
-			IdleReturn: Duration(limits.IdleReturn), Headroom: limits.DrainHeadroom,
-			DearRatio: limits.DearRatio, DearSlack: Duration(limits.DearSlack),
+			LongestWait: Duration(limits.MaxPlannedWait), SlackShare: limits.SlackShare,
+			IdleReturn: Duration(limits.IdleReturnAfter), Headroom: limits.DrainHeadroom,
+			DearRatio: limits.ExpensiveRatio, DearSlack: Duration(limits.ExpensiveSlack),
 		},
 	}
 }
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -22,49 +22,49 @@
 	Peers   *peer.Server
 
 	settings *config.Settings
-	desk     *leader.Runner
+	leader   *leader.Runner
 	peers    *peer.Peers
 	elector  *election.Elector
-	front    *gateway.Gateway
+	gateway  *gateway.Gateway
 }
 
 // New puts a controller together. A nil dialer dials TCP.
 func New(s *config.Settings, options config.Options, dialer transport.Dialer, log *slog.Logger) (*Controller, error) {
-	shares := limits.ShareSockets(s.Facts.Machine.MaxSockets, len(s.Members))
-	sockets := transport.NewSockets(shares.Room, shares.Headroom)
-	store := storage.New(s.External.State, s.Facts.State).Over(dialer)
-	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS).Over(dialer)
-	desk := leader.NewRunner(s, options, store, cloud, sockets, log).Over(dialer)
-	elector := election.New(s.NodeName, store, time.Duration(options.Leadership.LeaderLease), limits.PledgeLife(limits.Seconds(s.Facts.Workers.LeaseS)), desk.Lead, log)
-	desk.OnLost(elector.Lost)
+	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, len(s.Members))
+	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
+	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
+	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS).WithDialer(dialer)
+	desk := leader.NewRunner(s, options, store, cloud, sockets, log).WithDialer(dialer)
+	elector := election.New(s.NodeName, store, time.Duration(options.Leadership.LeaderLease), limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)), desk.RunTerm, log)
+	desk.OnTermLost(elector.TermLost)
 	peers, err := peer.Dial(s.Members, dialer)
 	if err != nil {
 		return nil, err
 	}
 	elector.Peers = peers
-	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Runner: desk, Peers: peers, Leader: elector.Leader, Settings: s, Stage: shares.Stage, Log: log}
+	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Runner: desk, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	return &Controller{
 		Clients: &transport.Server{
-			Addr:      s.ClientListen,
-			MaxConns:  shares.Inbound,
-			MaxFleet:  shares.Fleet,
-			FleetIdle: limits.Seconds(s.Facts.Workers.LeaseS),
-			Sockets:   sockets,
-			Handle:    front.Handle,
-			Log:       log,
+			Addr:        s.ClientListen,
+			MaxConns:    shares.Inbound,
+			MaxMachines: shares.MachineConns,
+			MachineIdle: limits.Seconds(s.Facts.Workers.LeaseS),
+			Sockets:     sockets,
+			Handle:      front.Handle,
+			Log:         log,
 		},
 		Peers:    peer.NewServer(desk, elector, peers),
 		settings: s,
-		desk:     desk,
+		leader:   desk,
 		peers:    peers,
 		elector:  elector,
-		front:    front,
+		gateway:  front,
 	}, nil
 }
 
 // Start begins to take part in elections and to prepare answers, until the context ends.
 func (c *Controller) Start(ctx context.Context) {
-	c.front.Start(ctx)
+	c.gateway.Start(ctx)
 	go c.elector.Run(ctx)
 }
 
@@ -80,7 +80,7 @@
 }
 
 // Entitled tells whether this controller is surely the leader at this moment.
-func (c *Controller) Entitled() bool { return c.desk.Entitled() }
+func (c *Controller) Entitled() bool { return c.leader.Entitled() }
 
 // Close hangs up on the other controllers.
 func (c *Controller) Close() { c.peers.Close() }
--- a/internal/coordination/controller/meetings_gang_test.go
+++ b/internal/coordination/controller/meetings_gang_test.go
@@ -35,8 +35,8 @@
 	change(&j.spec)
 	s.jobs[j.spec.ID] = j
 	s.mu.Unlock()
-	record := protocol.Encode(storage.Open{Spec: j.spec, AtMs: time.Now().UnixMilli()})
-	s.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.OpenKey(j.spec.ID), Value: record}}})
+	record := protocol.Encode(storage.OpenJob{Spec: j.spec, SubmittedAtMs: time.Now().UnixMilli()})
+	s.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey(j.spec.ID), Value: record}}})
 	return j
 }
 
--- a/internal/coordination/controller/meetings_test.go
+++ b/internal/coordination/controller/meetings_test.go
@@ -232,7 +232,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		s.met(s.nodes[lead].c.Entitled(), "the old leader still there")
-		time.Sleep(limits.AloneAfter)
+		time.Sleep(limits.IsolatedAfter)
 		s.met(s.sendsAway(lead, jobs[0]) && !s.sendsAway(s.other(lead), jobs[0]), "users sent away by the one that is cut off, and only there")
 		for s.term() == before {
 			time.Sleep(100 * time.Millisecond)
--- a/internal/coordination/controller/service_test.go
+++ b/internal/coordination/controller/service_test.go
@@ -347,7 +347,7 @@
 func (s *service) request(node, method, target string, body []byte, limit time.Duration) (*transport.Message, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, limit)
 	defer cancel()
-	return transport.NewClient(node+":8080", 0, limits.MaxBodyBytes).Over(s.net.Dialer("users")).Do(ctx, method, target, body)
+	return transport.NewClient(node+":8080", 0, limits.MaxBodyBytes).WithDialer(s.net.Dialer("users")).Do(ctx, method, target, body)
 }
 
 // call makes one user's request at a controller; status 0 is no answer.
@@ -647,7 +647,7 @@
 // term is the highest term so far.
 func (s *service) term() uint64 {
 	p, _ := s.state.Get(storage.KeyTerm)
-	var t storage.Term
+	var t storage.TermRecord
 	if p.Version != 0 && protocol.Decode(p.Value, &t) != nil {
 		s.t.Fatal("term record")
 	}
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -20,19 +20,19 @@
 	"quillshunt/internal/storage"
 )
 
-// flaky is a node's view of the state service: it delays, refuses, and loses answers of requests that were, or later are, carried out.
-type flaky struct {
+// unreliableStore is a node's view of the state service: it delays, refuses, and loses answers of requests that were, or later are, carried out.
+type unreliableStore struct {
 	s     *standin.State
 	r     *rand.Rand
 	mu    sync.Mutex
-	alone time.Time      // refused until then
-	mute  time.Time      // not answered until then
-	kept  []protocol.Txn // campaigns that get no answer and are applied when the test says so
+	alone time.Time              // refused until then
+	mute  time.Time              // not answered until then
+	kept  []protocol.Transaction // campaigns that get no answer and are applied when the test says so
 	keep  bool
 	lossy float64
 }
 
-func (f *flaky) enter(ctx context.Context) error {
+func (f *unreliableStore) enter(ctx context.Context) error {
 	f.mu.Lock()
 	d := time.Duration(1+f.r.IntN(20)) * time.Millisecond
 	if f.r.Float64() < 0.03 {
@@ -42,49 +42,49 @@
 	f.mu.Unlock()
 	if muted {
 		time.Sleep(limits.StateTimeout)
-		return fmt.Errorf("%w: %w", storage.ErrUnclear, os.ErrDeadlineExceeded)
+		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, os.ErrDeadlineExceeded)
 	}
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %w", storage.ErrUnclear, ctx.Err())
+		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, ctx.Err())
 	}
 	if refused || f.s.Down() {
-		return storage.ErrRefused
+		return storage.ErrNotExecuted
 	}
 	return nil
 }
 
-func (f *flaky) chance(p float64) bool {
+func (f *unreliableStore) chance(p float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.r.Float64() < p
 }
 
-func (f *flaky) loses() bool {
+func (f *unreliableStore) loses() bool {
 	f.mu.Lock()
 	p := f.lossy
 	f.mu.Unlock()
 	return f.chance(p)
 }
 
-func (f *flaky) Get(ctx context.Context, key string) (protocol.Pair, error) {
+func (f *unreliableStore) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
 	if err := f.enter(ctx); err != nil {
-		return protocol.Pair{}, err
+		return protocol.KeyValue{}, err
 	}
 	p, _ := f.s.Get(key)
 	return p, nil
 }
 
-func (f *flaky) Txn(ctx context.Context, t protocol.Txn) (uint64, error) {
+func (f *unreliableStore) CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
 	if err := f.enter(ctx); err != nil {
 		return 0, err
 	}
 	f.mu.Lock()
-	if f.keep && t.Ops[0].Put == storage.KeyLeader {
+	if f.keep && t.Operations[0].Put == storage.KeyLeader {
 		f.kept = append(f.kept, t)
 		f.mu.Unlock()
-		return 0, storage.ErrUnclear
+		return 0, storage.ErrOutcomeUnknown
 	}
 	f.mu.Unlock()
 	if f.chance(f.lossy) {
@@ -95,27 +95,27 @@
 			f.mu.Unlock()
 			time.AfterFunc(d, func() { f.s.Txn(t) })
 		}
-		return 0, storage.ErrUnclear
+		return 0, storage.ErrOutcomeUnknown
 	}
 	status, r := f.s.Txn(t)
 	switch {
 	case status == 400:
-		return 0, storage.ErrNoLease
+		return 0, storage.ErrLeaseExpired
 	case status == 409:
-		return 0, &storage.Conflict{Failed: r.Failed}
+		return 0, &storage.ConflictError{FailedKeys: r.FailedKeys}
 	}
 	if f.chance(f.lossy) {
-		return 0, storage.ErrUnclear
+		return 0, storage.ErrOutcomeUnknown
 	}
 	return r.Revision, nil
 }
 
-func (f *flaky) List(ctx context.Context, prefix string, each func(protocol.Pair) error) (uint64, error) {
+func (f *unreliableStore) List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error) {
 	if err := f.enter(ctx); err != nil {
 		return 0, err
 	}
-	l := f.s.List(prefix, "", limits.StatePage)
-	for _, p := range l.Pairs {
+	l := f.s.List(prefix, "", limits.StatePageSize)
+	for _, p := range l.Items {
 		if err := each(p); err != nil {
 			return 0, err
 		}
@@ -123,25 +123,25 @@
 	return l.Revision, nil
 }
 
-func (f *flaky) CreateLease(ctx context.Context, life time.Duration) (uint64, error) {
+func (f *unreliableStore) CreateLease(ctx context.Context, life time.Duration) (uint64, error) {
 	if err := f.enter(ctx); err != nil {
 		return 0, err
 	}
 	return f.s.CreateLease(life), nil
 }
 
-func (f *flaky) Touch(ctx context.Context, id uint64) error {
+func (f *unreliableStore) RenewLease(ctx context.Context, id uint64) error {
 	if err := f.enter(ctx); err != nil {
 		return err
 	}
 	if !f.s.Touch(id) {
-		return storage.ErrNoLease
+		return storage.ErrLeaseExpired
 	}
 	return nil
 }
 
-func (f *flaky) Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
-	end := time.After(limits.WatchHold)
+func (f *unreliableStore) Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
+	end := time.After(limits.WatchDuration)
 	for {
 		r, _ := f.s.Changes(prefix, since)
 		if len(r.Changes) > 0 && !f.s.Down() {
@@ -160,7 +160,7 @@
 // node is a controller that crashes and comes back.
 type node struct {
 	name   string
-	store  *flaky
+	store  *unreliableStore
 	cancel context.CancelFunc
 	done   chan struct{}
 	mu     sync.Mutex
@@ -176,7 +176,7 @@
 	if n.mute {
 		return 0
 	}
-	return limits.PledgeMin
+	return limits.VoteLeaseMin
 }
 
 func (n *node) isCut() bool {
@@ -199,11 +199,11 @@
 
 func (n *node) Size() int { return len(*n.others) - 1 }
 
-func (n *node) Pledge(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
+func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
 	out := map[string]*peerpb.PledgeReply{}
 	for _, o := range *n.others {
 		if e := n.reach(o); e != nil {
-			a := e.Pledge(heartbeat, nonces[o.name])
+			a := e.Vote(heartbeat, nonces[o.name])
 			if !n.store.loses() { // else the answer is lost
 				out[o.name] = a
 			}
@@ -212,17 +212,17 @@
 	return out
 }
 
-// Able and Take reach the other nodes directly; what is said may be lost or late.
-func (n *node) Able(ctx context.Context) string {
+// FindConnected and Take reach the other nodes directly; what is said may be lost or late.
+func (n *node) FindConnected(ctx context.Context) string {
 	for _, o := range *n.others {
-		if o != n && !n.isCut() && !o.isCut() && !n.store.chance(0.2) && o.up() != nil && o.up().Able(ctx) {
+		if o != n && !n.isCut() && !o.isCut() && !n.store.chance(0.2) && o.up() != nil && o.up().StateReachable(ctx) {
 			return o.name
 		}
 	}
 	return ""
 }
 
-func (n *node) Take(_ context.Context, name string, term, stamp uint64) error {
+func (n *node) OfferLeadership(_ context.Context, name string, term, stamp uint64) error {
 	for _, o := range *n.others {
 		if o.name != name || n.isCut() || o.isCut() || n.store.chance(0.2) {
 			continue
@@ -232,12 +232,12 @@
 		n.store.mu.Unlock()
 		time.AfterFunc(d, func() {
 			if e := o.up(); e != nil {
-				e.Take(term, stamp)
+				e.AcceptOffer(term, stamp)
 			}
 		})
 		return nil
 	}
-	return storage.ErrUnclear
+	return storage.ErrOutcomeUnknown
 }
 
 func (n *node) up() *Elector {
@@ -291,7 +291,7 @@
 func newNodes(s *standin.State, size int, seed uint64) []*node {
 	nodes := make([]*node, size)
 	for i := range nodes {
-		nodes[i] = &node{name: fmt.Sprintf("rig-%d", i), store: &flaky{s: s, r: rand.New(rand.NewPCG(seed, uint64(i)))}, others: &nodes, life: limits.LeaderLease}
+		nodes[i] = &node{name: fmt.Sprintf("rig-%d", i), store: &unreliableStore{s: s, r: rand.New(rand.NewPCG(seed, uint64(i)))}, others: &nodes, life: limits.LeaderLease}
 	}
 	return nodes
 }
@@ -330,7 +330,7 @@
 			var nodes []*node
 			size := 3 + int(seed/2)%2*2
 			for i := range size {
-				n := &node{name: fmt.Sprintf("rig-%d", i), store: &flaky{s: s, r: rand.New(rand.NewPCG(seed, uint64(10+i))), lossy: 0.1}, others: &nodes,
+				n := &node{name: fmt.Sprintf("rig-%d", i), store: &unreliableStore{s: s, r: rand.New(rand.NewPCG(seed, uint64(10+i))), lossy: 0.1}, others: &nodes,
 					life: time.Duration(10+25*(seed%3)) * time.Second, mute: seed%4 == 0}
 				nodes = append(nodes, n)
 			}
@@ -425,7 +425,7 @@
 func TestRestartTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewState()
-		n := &node{name: "rig-0", store: &flaky{s: s, r: rand.New(rand.NewPCG(1, 1))}, others: &[]*node{}, life: limits.LeaderLease}
+		n := &node{name: "rig-0", store: &unreliableStore{s: s, r: rand.New(rand.NewPCG(1, 1))}, others: &[]*node{}, life: limits.LeaderLease}
 		n.start(t)
 		time.Sleep(3 * time.Second)
 		first := n.entitled()
@@ -485,7 +485,7 @@
 				time.Sleep(3 * time.Second)
 			}
 			if busy {
-				nodes[0].up().Lag = func(context.Context) time.Duration { return time.Second }
+				nodes[0].up().Delay = func(context.Context) time.Duration { return time.Second }
 			}
 			nodes[0].silence(time.Now().Add(15 * time.Second))
 			time.Sleep(20 * time.Second)
@@ -504,7 +504,7 @@
 // leads long before the end of its hold. One that is cut off from the others alone goes on by its heartbeats.
 func TestCutLeader(t *testing.T) {
 	for i := range 12 {
-		alone, phase := i%2 == 0, time.Duration(i/2)*limits.WatchHold/6 // wherever the others' watches of the leader key end by themselves
+		alone, phase := i%2 == 0, time.Duration(i/2)*limits.WatchDuration/6 // wherever the others' watches of the leader key end by themselves
 		synctest.Test(t, func(t *testing.T) {
 			s := standin.NewState()
 			nodes := newNodes(s, 5, 3)
@@ -522,7 +522,7 @@
 			if alone {
 				leader.refuse(time.Now().Add(time.Hour))
 			}
-			time.Sleep(2*limits.PledgeMin + 3*time.Second)
+			time.Sleep(2*limits.VoteLeaseMin + 3*time.Second)
 			others := false
 			for _, n := range nodes {
 				others = others || (n != leader && n.entitled() != nil)
@@ -561,9 +561,9 @@
 			n.store.mu.Unlock()
 		}
 		cut(time.Now().Add(time.Hour))
-		time.Sleep(2*limits.PledgeMin + time.Second)
+		time.Sleep(2*limits.VoteLeaseMin + time.Second)
 		cut(time.Time{})
-		time.Sleep(limits.PledgeMin)
+		time.Sleep(limits.VoteLeaseMin)
 		if nodes[i].entitled() == nil {
 			t.Error("the leader is not entitled again")
 		}
@@ -588,27 +588,27 @@
 	})
 }
 
-// loyal are others of whom two of four always pledge: with the leader's own pledge just enough.
-type loyal struct{ Others }
+// loyalPeers are others of whom two of four always pledge: with the leader's own pledge just enough.
+type loyalPeers struct{ Peers }
 
-func (loyal) Size() int                   { return 4 }
-func (loyal) Able(context.Context) string { return "" }
-func (loyal) Pledge(_ context.Context, _ uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
+func (loyalPeers) Size() int                            { return 4 }
+func (loyalPeers) FindConnected(context.Context) string { return "" }
+func (loyalPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
 	return map[string]*peerpb.PledgeReply{"a": {Granted: nonces["a"] == 1, Nonce: 1}, "b": {Granted: nonces["b"] == 1, Nonce: 1}}
 }
 
-// TestOwnPledge: a leader's own pledge counts like any other. While it does, it does not let go of itself, and once it has let go, it
+// TestOwnVote: a leader's own pledge counts like any other. While it does, it does not let go of itself, and once it has let go, it
 // does not count.
-func TestOwnPledge(t *testing.T) {
+func TestOwnVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewState()
 		var lead atomic.Pointer[Leadership]
-		n := &flaky{s: s, r: rand.New(rand.NewPCG(5, 1))}
-		e := New("rig-0", n, limits.LeaderLease, limits.PledgeMin, func(ctx context.Context, given *Leadership) {
+		n := &unreliableStore{s: s, r: rand.New(rand.NewPCG(5, 1))}
+		e := New("rig-0", n, limits.LeaderLease, limits.VoteLeaseMin, func(ctx context.Context, given *Leadership) {
 			lead.Store(given)
 			<-ctx.Done()
 		}, slog.New(slog.DiscardHandler))
-		e.Peers = loyal{}
+		e.Peers = loyalPeers{}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -617,18 +617,18 @@
 		}()
 		time.Sleep(5 * time.Second)
 		s.SetDown(true) // pledges alone count
-		time.Sleep(2 * limits.PledgeMin)
+		time.Sleep(2 * limits.VoteLeaseMin)
 		m := lead.Load()
 		if m == nil || !m.Entitled() {
 			t.Fatal("not entitled by a majority of pledges")
 		}
-		if e.pledges.release(1 << 60) {
+		if e.voter.withdraw(1 << 60) {
 			t.Error("let go of itself while entitled")
 		}
-		e.pledges.mu.Lock()
-		e.pledges.released = 1 << 60
-		e.pledges.mu.Unlock()
-		time.Sleep(limits.WaitOut(limits.PledgeMin))
+		e.voter.mu.Lock()
+		e.voter.withdrawnUpTo = 1 << 60
+		e.voter.mu.Unlock()
+		time.Sleep(limits.LeaseSurelyOver(limits.VoteLeaseMin))
 		if m.Entitled() {
 			t.Error("entitled by less than a majority")
 		}
@@ -637,32 +637,32 @@
 	})
 }
 
-// TestRestartedPledges: a process that has just come back neither lets go of a leader, as the one before it may have pledged to it, nor
+// TestRestartedVoter: a process that has just come back neither lets go of a leader, as the one before it may have pledged to it, nor
 // pledges to one that does not know it yet, as the one before may have let go of that.
-func TestRestartedPledges(t *testing.T) {
+func TestRestartedVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pledges{life: limits.PledgeMin, nonce: 7, start: time.Now()}
-		if p.release(10) {
+		p := &voter{lease: limits.VoteLeaseMin, nonce: 7, startedAt: time.Now()}
+		if p.withdraw(10) {
 			t.Error("let go right after the start")
 		}
-		if p.grant(10, 6).Granted || p.grant(10, 0).Granted {
+		if p.vote(10, 6).Granted || p.vote(10, 0).Granted {
 			t.Error("pledged to a leader that takes it for another process")
 		}
-		if a := p.grant(10, 7); !a.Granted || a.Nonce != 7 {
+		if a := p.vote(10, 7); !a.Granted || a.Nonce != 7 {
 			t.Errorf("not pledged: %+v", a)
 		}
-		time.Sleep(limits.PledgeMin)
-		if p.release(10) {
+		time.Sleep(limits.VoteLeaseMin)
+		if p.withdraw(10) {
 			t.Error("let go while its pledge may be live")
 		}
-		time.Sleep(limits.PledgeMin)
-		if !p.release(10) {
+		time.Sleep(limits.VoteLeaseMin)
+		if !p.withdraw(10) {
 			t.Error("not let go")
 		}
-		if p.grant(10, 7).Granted || p.grant(9, 7).Granted {
+		if p.vote(10, 7).Granted || p.vote(9, 7).Granted {
 			t.Error("pledged again to a leader that it had let go of")
 		}
-		if !p.grant(11, 7).Granted {
+		if !p.vote(11, 7).Granted {
 			t.Error("not pledged to a leader with a later beat")
 		}
 	})
@@ -673,8 +673,8 @@
 func TestMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
 		drift := time.Duration(float64(d) * limits.DriftShare)
-		if limits.Entitled(d) >= d-2*drift || limits.WaitOut(d) <= d+2*drift {
-			t.Errorf("%v: entitled %v, waited out %v", d, limits.Entitled(d), limits.WaitOut(d))
+		if limits.EntitledFor(d) >= d-2*drift || limits.LeaseSurelyOver(d) <= d+2*drift {
+			t.Errorf("%v: entitled %v, waited out %v", d, limits.EntitledFor(d), limits.LeaseSurelyOver(d))
 		}
 	}
 }
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -53,8 +53,8 @@
 func newFront(t *testing.T, change ...func(*config.Settings)) *front {
 	log := slog.New(slog.DiscardHandler)
 	f := &front{t: t, state: standin.NewState(), addr: freePort(t)}
-	types := storage.Types{MachineTypes: []protocol.MachineType{{Name: "g8", CPUs: 16, Accelerators: 2, MemoryGB: 128, Zones: []string{"a"}}}}
-	f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.KeyTypes, Value: protocol.Encode(types)}}})
+	types := storage.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g8", CPUs: 16, Accelerators: 2, MemoryGB: 128, Zones: []string{"a"}}}}
+	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: protocol.Encode(types)}}})
 	back := freePort(t)
 	serve(t, f.state.Server(back, log))
 	s := &config.Settings{NodeName: "rig-0", Facts: config.Facts{
@@ -69,11 +69,11 @@
 		t.Fatal(err)
 	}
 	g := &Gateway{Node: "rig-0", Store: store, Runner: leader.NewRunner(s, config.DefaultOptions(), store, nil, nil, log), Peers: peers,
-		Leader: func() string { return "" }, Settings: s, Stage: limits.UserStage, Log: log}
+		Leader: func() string { return "" }, Settings: s, UserSlots: limits.UserSlots, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	g.Start(ctx)
-	for g.types.Load() == nil {
+	for g.machineTypes.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	serve(t, &transport.Server{Addr: f.addr, MaxConns: 20, Handle: g.Handle, Log: log})
@@ -168,7 +168,7 @@
 	}
 
 	// A job that is over stays what it is, also for repeats and cancellations.
-	f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.FinalKey("job-2"), Value: protocol.Encode(storage.Final{State: protocol.Done})}}})
+	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.FinalJobKey("job-2"), Value: protocol.Encode(storage.FinalJob{State: protocol.Done})}}})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
 		if status, standing, _ := f.do("POST", target, run("job-2", nil)); status != 200 || standing != protocol.Done {
 			t.Errorf("%s of a done job: %d %q", target, status, standing)
@@ -197,7 +197,7 @@
 			t.Errorf("%s in an outage: %d, retry after %d", target, status, m.RetryAfter)
 		}
 	}
-	if took := time.Since(began); took > limits.SubmitAnswer/2 {
+	if took := time.Since(began); took > limits.SubmitTimeout/2 {
 		t.Errorf("two refusals took %v", took)
 	}
 	f.state.SetDown(false)
@@ -213,9 +213,9 @@
 	for _, how := range []string{"beat", "no leader"} {
 		f := newFront(t)
 		hold := f.state.CreateLease(time.Hour)
-		f.state.Txn(protocol.Txn{Ops: []protocol.Op{
-			{Put: storage.KeyLeader, Lease: hold, Value: protocol.Encode(storage.Leader{Node: "rig-9", Term: 1})},
-			{Put: storage.KeyHeartbeat, Value: protocol.Encode(storage.Heartbeat{Term: 1})}}})
+		f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{
+			{Put: storage.KeyLeader, Lease: hold, Value: protocol.Encode(storage.LeaderRecord{Node: "rig-9", Term: 1})},
+			{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(storage.LeaderHeartbeat{Term: 1})}}})
 		requests := []struct {
 			method, target string
 			body           any
@@ -232,13 +232,13 @@
 			t.Fatalf("submitted: %d", status)
 		}
 		ask(503, "")
-		p, _ := f.state.Get(storage.OpenKey("job-1"))
-		heartbeat := storage.Heartbeat{Term: 1, Seq: 1, Seen: p.Version - 1}
-		f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.KeyHeartbeat, Value: protocol.Encode(heartbeat)}}})
+		p, _ := f.state.Get(storage.OpenJobKey("job-1"))
+		heartbeat := storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: p.Version - 1}
+		f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(heartbeat)}}})
 		ask(503, "")
 		if how == "beat" {
-			heartbeat.Seen = p.Version
-			f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.KeyHeartbeat, Value: protocol.Encode(heartbeat)}}})
+			heartbeat.ObservedRevision = p.Version
+			f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(heartbeat)}}})
 		} else {
 			f.state.EndLease(hold)
 		}
@@ -290,7 +290,7 @@
 
 // TestFullStage: beyond its stage the front door answers at once when to come back.
 func TestFullStage(t *testing.T) {
-	g := &Gateway{stage: make(chan struct{})}
+	g := &Gateway{userSlots: make(chan struct{})}
 	srv := &transport.Server{Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler)}
 	serve(t, srv)
 	f := &front{t: t, call: transport.NewClient(srv.Addr, 1, limits.MaxBodyBytes)}
@@ -330,7 +330,7 @@
 	for range 20 {
 		spec.MachineTypes = append(spec.MachineTypes, "g8-with-a-rather-long-name")
 	}
-	f.state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: storage.OpenKey("job-1"), Value: protocol.Encode(storage.Open{Spec: spec})}}})
+	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey("job-1"), Value: protocol.Encode(storage.OpenJob{Spec: spec})}}})
 	again := run("job-1", map[string]any{"Rigkinds": append([]string{"g8"}, spec.MachineTypes...)})
 	if status, standing, _ := f.do("POST", "/v2/runs", again); status != 200 || standing != protocol.Pending {
 		t.Errorf("repeated: %d %q", status, standing)
@@ -338,9 +338,9 @@
 	if status, standing, _ := f.do("POST", "/v2/runs/job-1/cancel", nil); status != 200 || standing != protocol.Aborted {
 		t.Errorf("cancelled: %d %q", status, standing)
 	}
-	p, _ := f.state.Get(storage.OpenKey("job-1"))
-	var rec storage.Open
-	if err := protocol.Decode(p.Value, &rec); err != nil || !storage.Fits(rec, 0.5) || rec.Spec.Tasks != 2 || rec.Spec.CPUs != 8 || rec.Spec.Team != "vision" {
+	p, _ := f.state.Get(storage.OpenJobKey("job-1"))
+	var rec storage.OpenJob
+	if err := protocol.Decode(p.Value, &rec); err != nil || !storage.FitsValueLimit(rec, 0.5) || rec.Spec.Tasks != 2 || rec.Spec.CPUs != 8 || rec.Spec.Team != "vision" {
 		t.Errorf("stored: %+v %v", rec, err)
 	}
 }
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -34,12 +34,12 @@
 	rig   string
 	tally uint64
 	baton uint64
-	tasks []protocol.TaskReport
+	tasks []protocol.TaskStatus
 }
 
 func (c *caller) send(addr string) error {
 	c.tally++
-	body := protocol.Encode(protocol.Report{Machine: c.rig, Address: "127.0.0.1:1", MachineType: "s", Zone: "a", Session: 1, Sequence: c.tally, Token: c.baton, Tasks: c.tasks})
+	body := protocol.Encode(protocol.Heartbeat{Machine: c.rig, Address: "127.0.0.1:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: c.tally, FencingToken: c.baton, Tasks: c.tasks})
 	_, err := c.conn.Write(transport.AppendRequest(nil, "POST", "/v1/report", addr, body))
 	return err
 }
@@ -62,14 +62,14 @@
 		if m.Status != 200 {
 			return m.Status, nil
 		}
-		var r protocol.ReportReply
+		var r protocol.HeartbeatReply
 		if err := protocol.Decode(m.Body, &r); err != nil {
 			return 0, err
 		}
-		c.baton = r.Token
+		c.baton = r.FencingToken
 		for _, o := range r.Commands {
 			if o.Verb == protocol.CommandStart {
-				c.tasks = append(c.tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+				c.tasks = append(c.tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 			}
 		}
 		return 200, nil
@@ -99,25 +99,25 @@
 
 	state := standin.NewState()
 	write := func(key string, v any) uint64 {
-		status, r := state.Txn(protocol.Txn{Ops: []protocol.Op{{Put: key, Value: protocol.Encode(v)}}})
+		status, r := state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: key, Value: protocol.Encode(v)}}})
 		if status != 200 {
 			t.Fatalf("write %s: %d", key, status)
 		}
 		return r.Revision
 	}
-	write(storage.KeyTypes, storage.Types{MachineTypes: []protocol.MachineType{typ}})
+	write(storage.KeyMachineTypes, storage.MachineTypes{MachineTypes: []protocol.MachineType{typ}})
 	for i := 0; i < machines; i += each {
-		h, u := storage.Rental{MachineType: "s", Zone: "a", Count: each, Answered: true}, storage.Ups{}
+		h, u := storage.Rental{MachineType: "s", Zone: "a", Count: each, Answered: true}, storage.RegistryPage{}
 		for k := range each {
 			h.Machines = append(h.Machines, name(i+k))
-			u.Machines = append(u.Machines, storage.Up{Machine: name(i + k), Address: "127.0.0.1:1"})
+			u.Machines = append(u.Machines, storage.RegisteredMachine{Machine: name(i + k), Address: "127.0.0.1:1"})
 		}
 		write(storage.RentalKey(fmt.Sprintf("h-%d", i)), h)
-		write(storage.UpKey(fmt.Sprintf("0-%d", i)), u)
+		write(storage.RegistryPageKey(fmt.Sprintf("0-%d", i)), u)
 	}
 	for i := range jobs {
 		id := fmt.Sprintf("job-%d", i)
-		write(storage.OpenKey(id), storage.Open{AtMs: time.Now().UnixMilli(), Spec: protocol.Spec{ID: id, Class: "c", Team: "red", Shape: "sweep",
+		write(storage.OpenJobKey(id), storage.OpenJob{SubmittedAtMs: time.Now().UnixMilli(), Spec: protocol.Spec{ID: id, Class: "c", Team: "red", Shape: "sweep",
 			Priority: "standard", Tasks: pieces, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 30}})
 	}
 	stateAddr, cloudAddr := freePort(t), freePort(t)
@@ -129,12 +129,12 @@
 		case req.Path == "/rentals" && req.Method == "GET":
 			q, _ := url.ParseQuery(req.Query)
 			l := protocol.MachineList{}
-			for i := 0; i < machines && len(l.Machines) < limits.ListPage; i++ {
+			for i := 0; i < machines && len(l.Machines) < limits.CloudPageSize; i++ {
 				if n := name(i); n > q.Get("Since") {
 					l.Machines = append(l.Machines, protocol.Machine{Name: n, MachineType: "s", Zone: "a", State: protocol.MachineRunning, AgeS: 100})
 				}
 			}
-			l.Truncated = len(l.Machines) == limits.ListPage && l.Machines[len(l.Machines)-1].Name != name(machines-1)
+			l.Truncated = len(l.Machines) == limits.CloudPageSize && l.Machines[len(l.Machines)-1].Name != name(machines-1)
 			rsp.Respond(200, protocol.Encode(l), 0)
 		case req.Path == "/rentals/delete":
 			rsp.Respond(200, nil, 0)
@@ -147,31 +147,31 @@
 		Teams: []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}}, Workers: config.Workers{ReportS: 5, LeaseS: 27, CancelS: 47},
 		State: config.State{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 8}, Cloud: config.Cloud{RPS: 100, ListLagS: 3},
 		Machine: config.MachineLimits{CoreShare: 0.3, MemoryMB: memoryMB, MaxSockets: 2907}}}
-	shares := limits.ShareSockets(s.Facts.Machine.MaxSockets, 4)
-	if shares.Machines < machines {
-		t.Fatalf("the sockets carry only %d machines", shares.Machines)
+	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, 4)
+	if shares.MaxMachines < machines {
+		t.Fatalf("the sockets carry only %d machines", shares.MaxMachines)
 	}
-	sockets := transport.NewSockets(shares.Room, shares.Headroom)
+	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
 	store := storage.New(stateAddr, s.Facts.State)
 	peers, err := peer.Dial(nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	desk := leader.NewRunner(s, config.DefaultOptions(), store, leader.NewCloud(cloudAddr, 100), sockets, log)
-	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Runner: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, Stage: shares.Stage, Log: log}
+	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Runner: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	g.Start(ctx)
 	addr := freePort(t)
-	serve(t, &transport.Server{Addr: addr, MaxConns: shares.Inbound, MaxFleet: shares.Fleet, Sockets: sockets, Handle: g.Handle, Log: log})
+	serve(t, &transport.Server{Addr: addr, MaxConns: shares.Inbound, MaxMachines: shares.MachineConns, Sockets: sockets, Handle: g.Handle, Log: log})
 
 	lead := func(term uint64) (end func()) {
-		stamp := write(storage.KeyLeader, storage.Leader{Node: "rig-0", Term: term})
+		stamp := write(storage.KeyLeader, storage.LeaderRecord{Node: "rig-0", Term: term})
 		tctx, over := context.WithCancel(ctx)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			desk.Lead(tctx, election.NewLeadership(term, stamp, time.Now().Add(time.Hour)))
+			desk.RunTerm(tctx, election.NewLeadership(term, stamp, time.Now().Add(time.Hour)))
 		}()
 		return func() { over(); <-done }
 	}
@@ -254,7 +254,7 @@
 			defer call.Close()
 			for i := 0; flooded.Err() == nil && i < floodEach; i++ {
 				body := protocol.Encode(run(fmt.Sprintf("job-%d", 100_000+u*floodEach+i), map[string]any{"Crew": "red", "Vcpus": 1, "Accelerators": 0, "RamGb": 1, "Rigkinds": nil}))
-				cctx, cancel := context.WithTimeout(ctx, limits.SubmitAnswer+time.Second)
+				cctx, cancel := context.WithTimeout(ctx, limits.SubmitTimeout+time.Second)
 				m, err := call.Do(cctx, "POST", "/v2/runs", body)
 				cancel()
 				switch {
@@ -288,7 +288,7 @@
 		t.Errorf("heap of %d bytes, want at most %d", m.HeapAlloc, bound)
 	}
 	// One for each direct command or probe at most, and those of fixed number.
-	if bound := machines + limits.UserStage + limits.CloudConns + 200; goroutines > bound {
+	if bound := machines + limits.UserSlots + limits.MaxCloudCalls + 200; goroutines > bound {
 		t.Errorf("%d goroutines, want at most %d", goroutines, bound)
 	}
 	if n := pprof.Lookup("threadcreate").Count(); n > 200 {
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -20,22 +20,22 @@
 // stay a little below the limit.
 type Cloud struct {
 	http  *transport.Client
-	limit *rate.Limiter
-	calls chan struct{} // under way
+	rate  *rate.Limiter
+	slots chan struct{} // under way
 }
 
 // NewCloud returns a Cloud.
 func NewCloud(addr string, rps float64) *Cloud {
 	return &Cloud{
 		http:  transport.NewClient(addr, 2, limits.MaxUpstreamBytes),
-		limit: rate.NewLimiter(rate.Limit(rps*limits.CloudShare), max(1, int(rps))),
-		calls: make(chan struct{}, limits.CloudConns),
+		rate:  rate.NewLimiter(rate.Limit(rps*limits.CloudRateShare), max(1, int(rps))),
+		slots: make(chan struct{}, limits.MaxCloudCalls),
 	}
 }
 
-// Over makes it dial another way. It is called before the first use.
-func (c *Cloud) Over(d transport.Dialer) *Cloud {
-	c.http.Over(d)
+// WithDialer makes it dial another way. It is called before the first use.
+func (c *Cloud) WithDialer(d transport.Dialer) *Cloud {
+	c.http.WithDialer(d)
 	return c
 }
 
@@ -43,12 +43,12 @@
 
 // call sends one request. Statuses other than 200 come as errors unless they are in pass.
 func (c *Cloud) call(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
-	if err := c.limit.Wait(ctx); err != nil {
+	if err := c.rate.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("%w: rate: %w", errCloud, err)
 	}
 	select {
-	case c.calls <- struct{}{}:
-		defer func() { <-c.calls }()
+	case c.slots <- struct{}{}:
+		defer func() { <-c.slots }()
 	case <-ctx.Done():
 		return nil, fmt.Errorf("%w: %w", errCloud, ctx.Err())
 	}
@@ -76,8 +76,8 @@
 	return l.Types, nil
 }
 
-// rent sends a rental request until there is an answer.
-func (t *term) rent(ctx context.Context, req protocol.RentalRequest) {
+// executeRental sends a rental request until there is an answer.
+func (t *term) executeRental(ctx context.Context, req protocol.RentalRequest) {
 	var back storage.Backoff
 	body := protocol.Encode(req)
 	for {
@@ -87,7 +87,7 @@
 			case err == nil && m.Status == 200:
 				var r protocol.RentalReply
 				if err = protocol.Decode(m.Body, &r); err == nil {
-					t.post(ctx, scheduler.RentalDone{Name: req.Name, Machines: r.Machines, OK: true})
+					t.send(ctx, scheduler.RentalDone{Name: req.Name, Machines: r.Machines, OK: true})
 					return
 				}
 			case err == nil && m.Status == 503:
@@ -95,13 +95,13 @@
 					Error string `cbor:"error"`
 				}
 				if protocol.Decode(m.Body, &r) == nil && r.Error == "no capacity" {
-					t.post(ctx, scheduler.RentalDone{Name: req.Name, NoCapacity: true})
+					t.send(ctx, scheduler.RentalDone{Name: req.Name, NoCapacity: true})
 					return
 				}
 				err = fmt.Errorf("%w: %s", errCloud, r.Error)
 			case err == nil && m.Status == 400:
 				t.log.Error("rental rejected", "request", req.Name)
-				t.post(ctx, scheduler.RentalDone{Name: req.Name, NoCapacity: true})
+				t.send(ctx, scheduler.RentalDone{Name: req.Name, NoCapacity: true})
 				return
 			case err == nil:
 				err = fmt.Errorf("%w: rental: status %d", errCloud, m.Status)
@@ -114,9 +114,9 @@
 	}
 }
 
-// remove returns machines; the scheduler repeats it until it is confirmed.
-func (t *term) remove(ctx context.Context, rigs []string) {
-	done := scheduler.DeleteDone{Machines: rigs}
+// executeDeletion returns machines; the scheduler repeats it until it is confirmed.
+func (t *term) executeDeletion(ctx context.Context, rigs []string) {
+	done := scheduler.DeletionDone{Machines: rigs}
 	if t.leadership.Entitled() {
 		m, err := t.runner.cloud.call(ctx, "POST", "/rentals/delete", protocol.Encode(protocol.DeleteRequest{Machines: rigs}))
 		if err == nil && m.Status != 200 {
@@ -126,15 +126,15 @@
 			t.log.Info("deletion not confirmed", "machines", len(rigs), "err", err)
 		}
 	}
-	t.post(ctx, done)
+	t.send(ctx, done)
 }
 
-// list reads the cloud's machines.
-func (t *term) list(ctx context.Context) {
-	done := scheduler.ListDone{OK: true}
+// listMachines reads the cloud's machines.
+func (t *term) listMachines(ctx context.Context) {
+	done := scheduler.MachinesListed{OK: true}
 	since := ""
 	for {
-		target := "/rentals?Limit=" + strconv.Itoa(limits.ListPage)
+		target := "/rentals?Limit=" + strconv.Itoa(limits.CloudPageSize)
 		if since != "" {
 			target += "&Since=" + url.QueryEscape(since)
 		}
@@ -148,30 +148,30 @@
 		}
 		if err != nil {
 			t.log.Debug("list", "err", err)
-			t.post(ctx, scheduler.ListDone{})
+			t.send(ctx, scheduler.MachinesListed{})
 			return
 		}
 		done.Machines = append(done.Machines, l.Machines...)
 		if !l.Truncated || len(l.Machines) == 0 {
-			t.post(ctx, done)
+			t.send(ctx, done)
 			return
 		}
 		since = l.Machines[len(l.Machines)-1].Name
 	}
 }
 
-// types reads the machine types, and keeps them in the state service for all nodes.
-func (t *term) types(ctx context.Context) {
+// refreshMachineTypes reads the machine types, and keeps them in the state service for all nodes.
+func (t *term) refreshMachineTypes(ctx context.Context) {
 	list, err := t.runner.cloud.Types(ctx)
 	if err != nil {
 		t.log.Info("no machine types", "err", err)
-		t.post(ctx, scheduler.TypesDone{})
+		t.send(ctx, scheduler.MachineTypesFetched{})
 		return
 	}
-	t.post(ctx, scheduler.TypesDone{Types: list, OK: true})
+	t.send(ctx, scheduler.MachineTypesFetched{Types: list, OK: true})
 	var back storage.Backoff
 	for {
-		err := t.keepTypes(ctx, list)
+		err := t.storeMachineTypes(ctx, list)
 		if err == nil {
 			return
 		}
@@ -182,19 +182,19 @@
 	}
 }
 
-func (t *term) keepTypes(ctx context.Context, list []protocol.MachineType) error {
-	stored, err := t.runner.store.ReadTypes(ctx)
-	if err != nil && !errors.Is(err, storage.ErrNoTypes) {
+func (t *term) storeMachineTypes(ctx context.Context, list []protocol.MachineType) error {
+	stored, err := t.runner.store.ReadMachineTypes(ctx)
+	if err != nil && !errors.Is(err, storage.ErrNoMachineTypes) {
 		return err
 	}
-	if err == nil && sameShapes(stored.Types, list) {
+	if err == nil && equalExceptPrices(stored.Types, list) {
 		return nil
 	}
-	for _, txn := range t.runner.store.TypesWrites(stored, list, t.leadership.Guard()) {
-		_, err = t.runner.store.Txn(ctx, txn)
-		var conflict *storage.Conflict
+	for _, txn := range t.runner.store.MachineTypesTransactions(stored, list, t.leadership.Guard()) {
+		_, err = t.runner.store.CompareAndSwap(ctx, txn)
+		var conflict *storage.ConflictError
 		if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
-			t.runner.lost(t.leadership.Term)
+			t.runner.termLost(t.leadership.Term)
 			return nil
 		}
 		if err != nil {
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// sameShapes compares types but for their prices, which move all the time.
-func sameShapes(a, b []protocol.MachineType) bool {
+// equalExceptPrices compares types but for their prices, which move all the time.
+func equalExceptPrices(a, b []protocol.MachineType) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -22,8 +22,8 @@
 	"quillshunt/internal/transport"
 )
 
-// Reply answers a worker's report: 200 with a body, or another status.
-type Reply func(status int, body []byte)
+// HeartbeatReply answers a worker's report: 200 with a body, or another status.
+type HeartbeatReply func(status int, body []byte)
 
 // Runner is where messages for the present term are left. It outlives terms.
 type Runner struct {
@@ -31,74 +31,74 @@
 	options  config.Options
 	store    *storage.Store
 	cloud    *Cloud
-	sockets  *transport.Sockets // or nil
+	sockets  *transport.SocketBudget // or nil
 	log      *slog.Logger
-	lost     func(term uint64)
+	termLost func(term uint64)
 	dialer   transport.Dialer // to workers
 	term     atomic.Pointer[term]
 }
 
 // NewRunner returns a Runner.
-func NewRunner(settings *config.Settings, options config.Options, store *storage.Store, cloud *Cloud, sockets *transport.Sockets, log *slog.Logger) *Runner {
-	return &Runner{settings: settings, options: options, store: store, cloud: cloud, sockets: sockets, log: log, lost: func(uint64) {}}
+func NewRunner(settings *config.Settings, options config.Options, store *storage.Store, cloud *Cloud, sockets *transport.SocketBudget, log *slog.Logger) *Runner {
+	return &Runner{settings: settings, options: options, store: store, cloud: cloud, sockets: sockets, log: log, termLost: func(uint64) {}}
 }
 
-// Over makes it dial workers another way. It is called before the first use.
-func (d *Runner) Over(dialer transport.Dialer) *Runner {
+// WithDialer makes it dial workers another way. It is called before the first use.
+func (d *Runner) WithDialer(dialer transport.Dialer) *Runner {
 	d.dialer = dialer
 	return d
 }
 
-// OnLost sets who is told that a term was found to be over.
-func (d *Runner) OnLost(f func(term uint64)) { d.lost = f }
+// OnTermLost sets who is told that a term was found to be over.
+func (d *Runner) OnTermLost(f func(term uint64)) { d.termLost = f }
 
 // term is one term's actor.
 type term struct {
-	runner     *Runner
-	leadership *election.Leadership
-	mailbox    chan any
-	start      time.Time
-	scheduler  *scheduler.Scheduler
-	writes     chan scheduler.WriteOut
-	log        *slog.Logger
-	pending    []scheduler.WriteOut
-	bulk       []scheduler.WriteOut         // those that can wait for all others
-	workers    map[string]*transport.Client // by address
-	clients    int                          // most of these
-	probes     chan struct{}                // probes under way; a take-over asks all machines at once
-	longest    time.Duration                // longest wait of a report in the mailbox since the last summary
-	late       atomic.Int64                 // when a report was last taken that had waited for longer than BusyWait, in nanoseconds of the term
-	usage      usage
+	runner            *Runner
+	leadership        *election.Leadership
+	mailbox           chan any
+	start             time.Time
+	scheduler         *scheduler.Scheduler
+	writes            chan scheduler.WriteRecords
+	log               *slog.Logger
+	urgentWrites      []scheduler.WriteRecords
+	bulkWrites        []scheduler.WriteRecords     // those that can wait for all others
+	workerClients     map[string]*transport.Client // by address
+	maxWorkerClients  int                          // most of these
+	probeSlots        chan struct{}                // probes under way; a take-over asks all machines at once
+	longestWait       time.Duration                // longest wait of a report in the mailbox since the last summary
+	lastSlowHeartbeat atomic.Int64                 // when a report was last taken that had waited for longer than BusyWait, in nanoseconds of the term
+	lastCounters      resourceCounters
 }
 
-type reportMsg struct {
-	body    []byte // as it came: the actor decodes all reports, those relayed included
-	reply   Reply
-	arrived time.Time
-	relayed bool
-	stayed  bool
+type heartbeatMessage struct {
+	body           []byte // as it came: the actor decodes all reports, those relayed included
+	reply          HeartbeatReply
+	arrived        time.Time
+	relayed        bool
+	sameConnection bool
 }
 
-// seenMsg comes after all changes of open jobs up to a revision.
-type seenMsg uint64
+// observedRevisionMessage comes after all changes of open jobs up to a revision.
+type observedRevisionMessage uint64
 
-type countsMsg struct {
+type taskCountsMessage struct {
 	job   string
-	reply chan scheduler.CountsOut
+	reply chan scheduler.TaskCounts
 }
 
-type confirmMsg struct {
-	seen  scheduler.JobSeen
+type cancellationMessage struct {
+	seen  scheduler.JobChanged
 	reply chan bool
 }
 
-type inspectMsg struct {
+type inspectMessage struct {
 	job   string
 	reply chan scheduler.Snapshot
 }
 
-// Leads tells whether this process leads.
-func (d *Runner) Leads() bool { return d.term.Load() != nil }
+// IsLeader tells whether this process leads.
+func (d *Runner) IsLeader() bool { return d.term.Load() != nil }
 
 // Entitled tells whether it is surely the leader at this moment.
 func (d *Runner) Entitled() bool {
@@ -106,21 +106,21 @@
 	return t != nil && t.leadership.Entitled()
 }
 
-// Report hands a report to the term; stayed tells that the worker got a 200 before on its connection. It is answered 503 at once if
+// Heartbeat hands a report to the term; stayed tells that the worker got a 200 before on its connection. It is answered 503 at once if
 // nobody leads here
 // or the mailbox is full.
-func (d *Runner) Report(body []byte, stayed bool, reply Reply) {
-	d.take(reportMsg{body: body, reply: reply, stayed: stayed})
+func (d *Runner) Heartbeat(body []byte, stayed bool, reply HeartbeatReply) {
+	d.enqueue(heartbeatMessage{body: body, reply: reply, sameConnection: stayed})
 }
 
-// Relayed takes a report that came through another controller.
-func (d *Runner) Relayed(ctx context.Context, body []byte, stayed bool) (int, []byte) {
+// RelayedHeartbeat takes a report that came through another controller.
+func (d *Runner) RelayedHeartbeat(ctx context.Context, body []byte, stayed bool) (int, []byte) {
 	type answer struct {
 		status int
 		body   []byte
 	}
 	got := make(chan answer, 1)
-	d.take(reportMsg{body: body, reply: func(status int, body []byte) { got <- answer{status, body} }, relayed: true, stayed: stayed})
+	d.enqueue(heartbeatMessage{body: body, reply: func(status int, body []byte) { got <- answer{status, body} }, relayed: true, sameConnection: stayed})
 	select {
 	case a := <-got:
 		return a.status, a.body
@@ -129,7 +129,7 @@
 	}
 }
 
-func (d *Runner) take(msg reportMsg) {
+func (d *Runner) enqueue(msg heartbeatMessage) {
 	t := d.term.Load()
 	if t == nil {
 		msg.reply(503, nil)
@@ -143,8 +143,8 @@
 	}
 }
 
-// ask leaves a question for the actor and waits for the answer.
-func ask[T any](ctx context.Context, t *term, msg any, reply <-chan T) (answer T, ok bool) {
+// request leaves a question for the actor and waits for the answer.
+func request[T any](ctx context.Context, t *term, msg any, reply <-chan T) (answer T, ok bool) {
 	select {
 	case t.mailbox <- msg:
 	case <-ctx.Done():
@@ -158,36 +158,36 @@
 	}
 }
 
-// Counts returns a job's counts if this process leads.
-func (d *Runner) Counts(ctx context.Context, job string) (peer.Counts, bool) {
+// TaskCounts returns a job's counts if this process leads.
+func (d *Runner) TaskCounts(ctx context.Context, job string) (peer.TaskCounts, bool) {
 	t := d.term.Load()
 	if t == nil {
-		return peer.Counts{}, false
+		return peer.TaskCounts{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, limits.PeerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, limits.TaskCountsTimeout)
 	defer cancel()
-	reply := make(chan scheduler.CountsOut, 1)
-	c, ok := ask(ctx, t, countsMsg{job: job, reply: reply}, reply)
-	return peer.Counts{Done: c.Done, Running: c.Running}, ok && c.Known
+	reply := make(chan scheduler.TaskCounts, 1)
+	c, ok := request(ctx, t, taskCountsMessage{job: job, reply: reply}, reply)
+	return peer.TaskCounts{Done: c.Done, Running: c.Running}, ok && c.Known
 }
 
-// Confirm takes the record of a cancelled job from the controller that is about to tell the user. It tells whether we were entitled
+// ConfirmCancellation takes the record of a cancelled job from the controller that is about to tell the user. It tells whether we were entitled
 // after the
 // scheduler had taken it: then no other controller was, and whoever leads later reads it in the state service. Our own watch may be silent
 // long after, when the state service refuses us or everybody.
-func (d *Runner) Confirm(ctx context.Context, job string, stamp uint64, record []byte) bool {
+func (d *Runner) ConfirmCancellation(ctx context.Context, job string, stamp uint64, record []byte) bool {
 	t := d.term.Load()
 	if t == nil {
 		return false
 	}
-	seen, err := t.jobSeen(storage.OpenKey(job), record, stamp)
-	if err != nil || !seen.Rec.Cancelled {
+	seen, err := t.jobSeen(storage.OpenJobKey(job), record, stamp)
+	if err != nil || !seen.Record.Cancelled {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, limits.ConfirmTimeout)
+	ctx, cancel := context.WithTimeout(ctx, limits.CancelConfirmTimeout)
 	defer cancel()
 	reply := make(chan bool, 1)
-	known, ok := ask(ctx, t, confirmMsg{seen: seen, reply: reply}, reply)
+	known, ok := request(ctx, t, cancellationMessage{seen: seen, reply: reply}, reply)
 	return ok && known
 }
 
@@ -198,49 +198,49 @@
 		return nil, false
 	}
 	reply := make(chan scheduler.Snapshot, 1)
-	v, ok := ask(ctx, t, inspectMsg{job: job, reply: reply}, reply)
+	v, ok := request(ctx, t, inspectMessage{job: job, reply: reply}, reply)
 	if !ok {
 		return nil, false
 	}
-	r := &peerpb.StatusReply{Leader: d.settings.NodeName, Term: v.Term, Entitled: t.leadership.Entitled(), Rebuilt: v.Rebuilt, Why: v.Why}
+	r := &peerpb.StatusReply{Leader: d.settings.NodeName, Term: v.Term, Entitled: t.leadership.Entitled(), Rebuilt: v.Recovered, Why: v.Explanation}
 	for _, m := range v.Machines {
 		r.Machines = append(r.Machines, &peerpb.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: m.State,
-			Cpus: m.Cpus, Used: m.Used, Tasks: int64(m.Tasks), SilentS: m.Silent.Seconds()})
+			Cpus: m.CPUs, Used: m.UsedCPUs, Tasks: int64(m.Tasks), SilentS: m.SilentFor.Seconds()})
 	}
 	for _, tv := range v.Teams {
-		r.Teams = append(r.Teams, &peerpb.Team{Name: tv.Name, Used: tv.Used, Guaranteed: tv.Guar, Most: tv.Most,
-			Jobs: int64(tv.Jobs), Bound: int64(tv.Bound), Waiting: int64(tv.Waiting)})
+		r.Teams = append(r.Teams, &peerpb.Team{Name: tv.Name, Used: tv.UsedCPUs, Guaranteed: tv.GuaranteedCPUs, Most: tv.MaxCPUs,
+			Jobs: int64(tv.Jobs), Bound: int64(tv.AssignedTasks), Waiting: int64(tv.WaitingTasks)})
 	}
 	return r, true
 }
 
-// Lead runs a term until its context ends.
-func (d *Runner) Lead(ctx context.Context, m *election.Leadership) {
+// RunTerm runs a term until its context ends.
+func (d *Runner) RunTerm(ctx context.Context, m *election.Leadership) {
 	f := &d.settings.Facts
-	shares := limits.ShareSockets(f.Machine.MaxSockets, len(d.settings.Members))
+	shares := limits.DivideSockets(f.Machine.MaxSockets, len(d.settings.Members))
 	t := &term{
 		runner: d, leadership: m,
-		mailbox: make(chan any, limits.Mailbox(shares)),
+		mailbox: make(chan any, limits.MailboxSize(shares)),
 		start:   time.Now(),
-		writes:  make(chan scheduler.WriteOut),
+		writes:  make(chan scheduler.WriteRecords),
 
-		workers: map[string]*transport.Client{},
-		clients: shares.Machines,
-		probes:  make(chan struct{}, shares.Probes),
-		log:     d.log.With("term", m.Term),
+		workerClients:    map[string]*transport.Client{},
+		maxWorkerClients: shares.MaxMachines,
+		probeSlots:       make(chan struct{}, shares.Probes),
+		log:              d.log.With("term", m.Term),
 	}
 	options := d.options
 	if options.Fleet.MaxMachines == 0 {
-		options.Fleet.MaxMachines = shares.Machines
+		options.Fleet.MaxMachines = shares.MaxMachines
 	}
 	t.scheduler = scheduler.New(scheduler.Config{
 		Term: m.Term, Teams: f.Teams, Objectives: f.Objectives, Workers: f.Workers, State: f.State,
-		ListLag: limits.Seconds(f.Cloud.ListLagS), CloudRPS: f.Cloud.RPS * limits.CloudShare, CoreShare: f.Machine.CoreShare, Options: options,
+		ListLag: limits.Seconds(f.Cloud.ListLagS), CloudRPS: f.Cloud.RPS * limits.CloudRateShare, CoreShare: f.Machine.CoreShare, Options: options,
 	}, 0)
 	d.term.Store(t)
 	defer d.term.Store(nil)
 	defer t.drain()
-	defer t.closeConnections()
+	defer t.closeAllWorkerClients()
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -250,7 +250,7 @@
 	}
 	w := &writer{t: t}
 	go w.run(ctx)
-	go t.watch(ctx, ledger)
+	go t.watchOpenJobs(ctx, ledger)
 	t.run(ctx)
 }
 
@@ -259,7 +259,7 @@
 	for {
 		select {
 		case msg := <-t.mailbox:
-			if r, ok := msg.(reportMsg); ok {
+			if r, ok := msg.(heartbeatMessage); ok {
 				r.reply(503, nil)
 			}
 		default:
@@ -274,13 +274,13 @@
 func (t *term) load(ctx context.Context) (uint64, bool) {
 	var back storage.Backoff
 	for {
-		ledger, evs, err := t.read(ctx)
+		ledger, evs, err := t.readRecords(ctx)
 		if err == nil {
 			for _, e := range evs {
 				t.step(ctx, e)
 			}
-			t.step(ctx, scheduler.Loaded{})
-			t.leadership.Saw(ledger)
+			t.step(ctx, scheduler.StateLoaded{})
+			t.leadership.Observe(ledger)
 			return ledger, true
 		}
 		t.log.Warn("cannot load jobs", "err", err)
@@ -290,34 +290,34 @@
 	}
 }
 
-func (t *term) read(ctx context.Context) (uint64, []scheduler.Event, error) {
-	ledger, evs, err := t.readOpen(ctx)
+func (t *term) readRecords(ctx context.Context) (uint64, []scheduler.Event, error) {
+	ledger, evs, err := t.readOpenJobs(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.runner.store, storage.PrefixFin, func(p protocol.Pair, f storage.Fin) {
-		if id, _, ok := storage.ParseFinKey(p.Key); ok {
-			evs = append(evs, scheduler.FinishedLoaded{ID: id, Version: p.Version, Rec: f})
+	err = listRecords(ctx, t.runner.store, storage.PrefixFinishedTasks, func(p protocol.KeyValue, f storage.FinishedTasks) {
+		if id, _, ok := storage.ParseFinishedTasksKey(p.Key); ok {
+			evs = append(evs, scheduler.FinishedTasksLoaded{JobID: id, Version: p.Version, Record: f})
 		}
 	})
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.runner.store, storage.PrefixRental, func(p protocol.Pair, h storage.Rental) {
-		evs = append(evs, scheduler.RentalLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRental), Version: p.Version, Rec: h})
+	err = listRecords(ctx, t.runner.store, storage.PrefixRental, func(p protocol.KeyValue, h storage.Rental) {
+		evs = append(evs, scheduler.RentalLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRental), Version: p.Version, Record: h})
 	})
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.runner.store, storage.PrefixUp, func(p protocol.Pair, u storage.Ups) {
-		evs = append(evs, scheduler.RegistrationLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixUp), Version: p.Version, Rec: u})
+	err = listRecords(ctx, t.runner.store, storage.PrefixRegistryPage, func(p protocol.KeyValue, u storage.RegistryPage) {
+		evs = append(evs, scheduler.RegistryPageLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRegistryPage), Version: p.Version, Record: u})
 	})
 	return ledger, evs, err
 }
 
 // listRecords reads all records of one kind.
-func listRecords[T any](ctx context.Context, store *storage.Store, prefix string, each func(protocol.Pair, T)) error {
-	_, err := store.List(ctx, prefix, func(p protocol.Pair) error {
+func listRecords[T any](ctx context.Context, store *storage.Store, prefix string, each func(protocol.KeyValue, T)) error {
+	_, err := store.List(ctx, prefix, func(p protocol.KeyValue) error {
 		var rec T
 		if err := protocol.Decode(p.Value, &rec); err != nil {
 			return fmt.Errorf("%s: %w", p.Key, err)
@@ -328,9 +328,9 @@
 	return err
 }
 
-func (t *term) readOpen(ctx context.Context) (uint64, []scheduler.Event, error) {
+func (t *term) readOpenJobs(ctx context.Context) (uint64, []scheduler.Event, error) {
 	var evs []scheduler.Event
-	ledger, err := t.runner.store.List(ctx, storage.PrefixOpen, func(p protocol.Pair) error {
+	ledger, err := t.runner.store.List(ctx, storage.PrefixOpenJob, func(p protocol.KeyValue) error {
 		e, err := t.jobSeen(p.Key, p.Value, p.Version)
 		if err != nil {
 			return err
@@ -341,15 +341,15 @@
 	return ledger, evs, err
 }
 
-func (t *term) jobSeen(path string, data protocol.Raw, stamp uint64) (scheduler.JobSeen, error) {
-	var o storage.Open
+func (t *term) jobSeen(path string, data protocol.Raw, stamp uint64) (scheduler.JobChanged, error) {
+	var o storage.OpenJob
 	if err := protocol.Decode(data, &o); err != nil {
-		return scheduler.JobSeen{}, fmt.Errorf("%s: %w", path, err)
+		return scheduler.JobChanged{}, fmt.Errorf("%s: %w", path, err)
 	}
-	e := scheduler.JobSeen{ID: strings.TrimPrefix(path, storage.PrefixOpen), Version: stamp, Rec: o, Age: max(age(o.AtMs), 0)}
-	if o.CancelMs != 0 {
+	e := scheduler.JobChanged{JobID: strings.TrimPrefix(path, storage.PrefixOpenJob), Version: stamp, Record: o, SinceSubmission: max(age(o.SubmittedAtMs), 0)}
+	if o.CancelledAtMs != 0 {
 		// The clock that it was noted by and ours may differ by the bound of both.
-		e.CancelAge = max(age(o.CancelMs)+2*limits.Seconds(t.runner.settings.Facts.SkewMs/1000), 0)
+		e.SinceCancellation = max(age(o.CancelledAtMs)+2*limits.Seconds(t.runner.settings.Facts.SkewMs/1000), 0)
 	}
 	return e, nil
 }
@@ -357,23 +357,23 @@
 // age is how long ago a time of day was.
 func age(ms int64) time.Duration { return time.Duration(time.Now().UnixMilli()-ms) * time.Millisecond }
 
-// watch follows the open jobs.
-func (t *term) watch(ctx context.Context, since uint64) {
+// watchOpenJobs follows the open jobs.
+func (t *term) watchOpenJobs(ctx context.Context, since uint64) {
 	var back storage.Backoff
 	for ctx.Err() == nil {
-		r, err := t.runner.store.Watch(ctx, storage.PrefixOpen, since)
+		r, err := t.runner.store.Watch(ctx, storage.PrefixOpenJob, since)
 		switch {
-		case errors.Is(err, storage.ErrGone):
-			ledger, evs, rerr := t.readOpen(ctx)
+		case errors.Is(err, storage.ErrCompacted):
+			ledger, evs, rerr := t.readOpenJobs(ctx)
 			if rerr != nil {
 				back.Wait(ctx)
 				continue
 			}
 			for _, e := range evs {
-				t.post(ctx, e)
+				t.send(ctx, e)
 			}
 			since = ledger
-			t.post(ctx, seenMsg(since))
+			t.send(ctx, observedRevisionMessage(since))
 			continue
 		case err != nil:
 			t.log.Debug("watch", "err", err)
@@ -385,7 +385,7 @@
 		back.Reset()
 		for _, c := range r.Changes {
 			if c.Delete != "" {
-				t.post(ctx, scheduler.JobLeft{ID: strings.TrimPrefix(c.Delete, storage.PrefixOpen), Version: c.Version})
+				t.send(ctx, scheduler.JobRemoved{JobID: strings.TrimPrefix(c.Delete, storage.PrefixOpenJob), Version: c.Version})
 				continue
 			}
 			e, err := t.jobSeen(c.Put, c.Value, c.Version)
@@ -393,15 +393,15 @@
 				t.log.Error("bad job record", "err", err)
 				continue
 			}
-			t.post(ctx, e)
+			t.send(ctx, e)
 		}
 		since = max(since, r.Revision)
-		t.post(ctx, seenMsg(since))
+		t.send(ctx, observedRevisionMessage(since))
 	}
 }
 
-// post leaves a message for the actor; it waits while the mailbox is full.
-func (t *term) post(ctx context.Context, msg any) {
+// send leaves a message for the actor; it waits while the mailbox is full.
+func (t *term) send(ctx context.Context, msg any) {
 	select {
 	case t.mailbox <- msg:
 	case <-ctx.Done():
@@ -410,14 +410,14 @@
 
 // run is the actor's loop.
 func (t *term) run(ctx context.Context) {
-	tick := time.NewTicker(limits.TickEvery)
+	tick := time.NewTicker(limits.TickInterval)
 	defer tick.Stop()
 	for {
-		var writes chan scheduler.WriteOut
-		var next scheduler.WriteOut
-		queue := &t.pending
-		if len(t.pending) == 0 {
-			queue = &t.bulk
+		var writes chan scheduler.WriteRecords
+		var next scheduler.WriteRecords
+		queue := &t.urgentWrites
+		if len(t.urgentWrites) == 0 {
+			queue = &t.bulkWrites
 		}
 		if len(*queue) > 0 {
 			writes, next = t.writes, (*queue)[0]
@@ -428,21 +428,21 @@
 		case writes <- next:
 			*queue = (*queue)[1:]
 		case <-tick.C:
-			t.makeRoom()
+			t.releaseSockets()
 			t.step(ctx, scheduler.Tick{Entitled: t.leadership.Entitled()})
 		case msg := <-t.mailbox:
 			switch msg := msg.(type) {
-			case reportMsg:
-				t.report(ctx, msg)
-			case countsMsg:
-				t.step(ctx, scheduler.CountsIn{ID: msg.job, Ref: msg.reply})
-			case confirmMsg:
+			case heartbeatMessage:
+				t.handleHeartbeat(ctx, msg)
+			case taskCountsMessage:
+				t.step(ctx, scheduler.TaskCountsRequested{ID: msg.job, ReplyTo: msg.reply})
+			case cancellationMessage:
 				t.step(ctx, msg.seen)
 				msg.reply <- t.leadership.Entitled()
-			case seenMsg:
-				t.leadership.Saw(uint64(msg))
-			case inspectMsg:
-				t.step(ctx, scheduler.InspectIn{Job: msg.job, Ref: msg.reply})
+			case observedRevisionMessage:
+				t.leadership.Observe(uint64(msg))
+			case inspectMessage:
+				t.step(ctx, scheduler.SnapshotRequested{Job: msg.job, ReplyTo: msg.reply})
 			case scheduler.Event:
 				t.step(ctx, msg)
 			}
@@ -450,67 +450,67 @@
 	}
 }
 
-// report takes a worker's report.
-func (t *term) report(ctx context.Context, msg reportMsg) {
+// handleHeartbeat takes a worker's report.
+func (t *term) handleHeartbeat(ctx context.Context, msg heartbeatMessage) {
 	wait := time.Since(msg.arrived)
-	t.longest = max(t.longest, wait)
-	if wait > limits.BusyWait {
-		t.late.Store(int64(t.now()))
+	t.longestWait = max(t.longestWait, wait)
+	if wait > limits.SlowHeartbeatWait {
+		t.lastSlowHeartbeat.Store(int64(t.now()))
 	}
-	var r protocol.Report
+	var r protocol.Heartbeat
 	if err := protocol.Decode(msg.body, &r); err != nil || !r.Valid() {
 		msg.reply(400, nil)
 		return
 	}
-	if r.Token > t.leadership.Term {
-		t.runner.lost(t.leadership.Term) // the worker has seen a later leader
+	if r.FencingToken > t.leadership.Term {
+		t.runner.termLost(t.leadership.Term) // the worker has seen a later leader
 	}
-	entitled := wait < limits.StaleReport && t.leadership.Entitled()
-	t.step(ctx, scheduler.ReportIn{Report: &r, Ref: msg.reply, Entitled: entitled, Relayed: msg.relayed, Stayed: msg.stayed})
+	entitled := wait < limits.HeartbeatAnswerTimeout && t.leadership.Entitled()
+	t.step(ctx, scheduler.HeartbeatReceived{Heartbeat: &r, ReplyTo: msg.reply, Entitled: entitled, Relayed: msg.relayed, SameConnection: msg.sameConnection})
 }
 
 // step takes an event through the scheduler and carries out the effects.
 func (t *term) step(ctx context.Context, e scheduler.Event) {
 	for _, eff := range t.scheduler.Step(e, t.now()) {
 		switch eff := eff.(type) {
-		case scheduler.ReplyOut:
-			reply := eff.Ref.(Reply)
+		case scheduler.HeartbeatReply:
+			reply := eff.ReplyTo.(HeartbeatReply)
 			if eff.Redirect {
 				reply(421, protocol.Encode(protocol.Redirect{Leader: t.runner.settings.NodeName}))
 				continue
 			}
-			if !eff.OK || !t.leadership.Entitled() {
+			if !eff.Accepted || !t.leadership.Entitled() {
 				reply(503, nil)
 				continue
 			}
-			reply(200, protocol.Encode(protocol.ReportReply{Token: t.leadership.Term, Commands: eff.Commands}))
-		case scheduler.WriteOut:
+			reply(200, protocol.Encode(protocol.HeartbeatReply{FencingToken: t.leadership.Term, Commands: eff.Commands}))
+		case scheduler.WriteRecords:
 			if eff.Bulk {
-				t.bulk = append(t.bulk, eff)
+				t.bulkWrites = append(t.bulkWrites, eff)
 			} else {
-				t.pending = append(t.pending, eff)
+				t.urgentWrites = append(t.urgentWrites, eff)
 			}
-		case scheduler.DirectOut:
-			go t.send(ctx, eff, t.worker(eff.Address))
-		case scheduler.ProbeOut:
-			go t.probe(ctx, eff)
-		case scheduler.RentOut:
-			go t.rent(ctx, eff.Request)
-		case scheduler.DeleteOut:
-			go t.remove(ctx, eff.Machines)
-		case scheduler.ListOut:
-			go t.list(ctx)
-		case scheduler.TypesOut:
-			go t.types(ctx)
-		case scheduler.CountsOut:
-			eff.Ref.(chan scheduler.CountsOut) <- eff
-		case scheduler.InspectOut:
-			eff.Ref.(chan scheduler.Snapshot) <- eff.Snapshot
-		case scheduler.Note:
-			if eff.Msg == scheduler.MsgSummary {
+		case scheduler.SendDirectCommands:
+			go t.executeDirectCommands(ctx, eff, t.workerClient(eff.Address))
+		case scheduler.ProbeMachine:
+			go t.executeProbe(ctx, eff)
+		case scheduler.RentMachines:
+			go t.executeRental(ctx, eff.Request)
+		case scheduler.DeleteMachines:
+			go t.executeDeletion(ctx, eff.Machines)
+		case scheduler.ListMachines:
+			go t.listMachines(ctx)
+		case scheduler.FetchMachineTypes:
+			go t.refreshMachineTypes(ctx)
+		case scheduler.TaskCounts:
+			eff.ReplyTo.(chan scheduler.TaskCounts) <- eff
+		case scheduler.SnapshotTaken:
+			eff.ReplyTo.(chan scheduler.Snapshot) <- eff.Snapshot
+		case scheduler.LogEntry:
+			if eff.Message == scheduler.SummaryMessage {
 				eff.Args = append(eff.Args, t.resourceUsage()...)
 			}
-			t.log.Log(ctx, eff.Level, eff.Msg, eff.Args...)
+			t.log.Log(ctx, eff.Level, eff.Message, eff.Args...)
 		}
 	}
 }
--- a/internal/coordination/leader/probe_test.go
+++ b/internal/coordination/leader/probe_test.go
@@ -13,15 +13,15 @@
 
 // TestProbesGiveWay: while reports wait in the mailbox, probes do not go out, and that says nothing about their machines.
 func TestProbesGiveWay(t *testing.T) {
-	term := &term{runner: &Runner{}, leadership: election.NewLeadership(1, 1, time.Now().Add(time.Hour)), mailbox: make(chan any, 1), probes: make(chan struct{}, 1),
+	term := &term{runner: &Runner{}, leadership: election.NewLeadership(1, 1, time.Now().Add(time.Hour)), mailbox: make(chan any, 1), probeSlots: make(chan struct{}, 1),
 		start: time.Now().Add(-time.Minute), log: slog.New(slog.DiscardHandler)}
 	for _, busy := range []bool{true, false} {
 		if busy {
-			term.late.Store(int64(term.now()))
+			term.lastSlowHeartbeat.Store(int64(term.now()))
 		} else {
-			term.late.Store(int64(term.now() - 2*limits.BusyFor))
+			term.lastSlowHeartbeat.Store(int64(term.now() - 2*limits.SlowHeartbeatMemory))
 		}
-		term.probe(context.Background(), scheduler.ProbeOut{Machine: "m-1", Address: "127.0.0.1:1"}) // refused, if it is asked
+		term.executeProbe(context.Background(), scheduler.ProbeMachine{Machine: "m-1", Address: "127.0.0.1:1"}) // refused, if it is asked
 		if done := (<-term.mailbox).(scheduler.ProbeDone); done.NotSent != busy || done.Machine != "m-1" {
 			t.Errorf("busy %v: %+v", busy, done)
 		}
--- a/internal/coordination/leader/usage.go
+++ b/internal/coordination/leader/usage.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// usage is what had been used up at the last summary.
-type usage struct {
+// resourceCounters is what had been used up at the last summary.
+type resourceCounters struct {
 	at              time.Time
 	cpu             time.Duration
 	writes, refused int64
@@ -18,19 +18,19 @@
 // processor time as a share of
 // a core, memory of the heap, and changes sent to and calls refused by the state service since the line before.
 func (t *term) resourceUsage() []any {
-	last := t.usage
-	t.usage = usage{at: time.Now()}
-	t.usage.writes, t.usage.refused = t.runner.store.Usage()
+	last := t.lastCounters
+	t.lastCounters = resourceCounters{at: time.Now()}
+	t.lastCounters.writes, t.lastCounters.refused = t.runner.store.Counters()
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(heap)
-	args := []any{"mailbox", len(t.mailbox), "longest_wait", t.longest.Round(time.Millisecond), "heap_mb", heap[0].Value.Uint64() >> 20,
-		"writes", t.usage.writes - last.writes, "refused", t.usage.refused - last.refused}
-	t.longest = 0
+	args := []any{"mailbox", len(t.mailbox), "longest_wait", t.longestWait.Round(time.Millisecond), "heap_mb", heap[0].Value.Uint64() >> 20,
+		"writes", t.lastCounters.writes - last.writes, "refused", t.lastCounters.refused - last.refused}
+	t.longestWait = 0
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err == nil {
-		t.usage.cpu = time.Duration(r.Utime.Nano() + r.Stime.Nano())
-		if wall := t.usage.at.Sub(last.at); !last.at.IsZero() && wall > 0 {
-			args = append(args, "cpu", math.Round(1000*float64(t.usage.cpu-last.cpu)/float64(wall))/1000)
+		t.lastCounters.cpu = time.Duration(r.Utime.Nano() + r.Stime.Nano())
+		if wall := t.lastCounters.at.Sub(last.at); !last.at.IsZero() && wall > 0 {
+			args = append(args, "cpu", math.Round(1000*float64(t.lastCounters.cpu-last.cpu)/float64(wall))/1000)
 		}
 	}
 	return args
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -16,18 +16,18 @@
 type writer struct{ t *term }
 
 func (w *writer) run(ctx context.Context) {
-	var held *scheduler.WriteOut
+	var held *scheduler.WriteRecords
 	for {
-		var batch []scheduler.WriteOut
+		var batch []scheduler.WriteRecords
 		ops, guards := 0, 1
 		if held != nil {
-			batch, ops, guards, held = append(batch, *held), len(held.Ops), 1+len(held.Conditions), nil
+			batch, ops, guards, held = append(batch, *held), len(held.Operations), 1+len(held.Conditions), nil
 		} else {
 			select {
 			case <-ctx.Done():
 				return
 			case o := <-w.t.writes:
-				batch, ops, guards = append(batch, o), len(o.Ops), 1+len(o.Conditions)
+				batch, ops, guards = append(batch, o), len(o.Operations), 1+len(o.Conditions)
 			}
 		}
 		most := w.t.runner.store.Settings().TxnOps
@@ -35,66 +35,66 @@
 		for ops < most {
 			select {
 			case o := <-w.t.writes:
-				if ops+len(o.Ops) > most || guards+len(o.Conditions) > most*limits.GuardsPerOp {
+				if ops+len(o.Operations) > most || guards+len(o.Conditions) > most*limits.ConditionsPerOperation {
 					held = &o
 					break fill
 				}
-				batch, ops, guards = append(batch, o), ops+len(o.Ops), guards+len(o.Conditions)
+				batch, ops, guards = append(batch, o), ops+len(o.Operations), guards+len(o.Conditions)
 			default:
 				break fill
 			}
 		}
-		if !w.carryOut(ctx, batch) {
+		if !w.execute(ctx, batch) {
 			return
 		}
 	}
 }
 
-// carryOut writes a batch; it returns false when the term is over.
-func (w *writer) carryOut(ctx context.Context, batch []scheduler.WriteOut) bool {
+// execute writes a batch; it returns false when the term is over.
+func (w *writer) execute(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	var back storage.Backoff
-	txn := protocol.Txn{Conditions: []protocol.Condition{w.t.leadership.Guard()}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{w.t.leadership.Guard()}}
 	for _, o := range batch {
 		txn.Conditions = append(txn.Conditions, o.Conditions...)
-		txn.Ops = append(txn.Ops, o.Ops...)
+		txn.Operations = append(txn.Operations, o.Operations...)
 	}
 	for {
-		rev, err := w.t.runner.store.Txn(ctx, txn)
-		var conflict *storage.Conflict
+		rev, err := w.t.runner.store.CompareAndSwap(ctx, txn)
+		var conflict *storage.ConflictError
 		switch {
 		case err == nil:
 			for _, o := range batch {
-				w.t.post(ctx, scheduler.WriteDone{ID: o.ID, OK: true, Version: rev})
+				w.t.send(ctx, scheduler.WriteCompleted{ID: o.ID, OK: true, Version: rev})
 			}
 			return true
 		case errors.As(err, &conflict):
 			if conflict.Has(storage.KeyLeader) {
-				w.t.runner.lost(w.t.leadership.Term)
+				w.t.runner.termLost(w.t.leadership.Term)
 				return false
 			}
 			if len(batch) > 1 {
 				for _, o := range batch {
-					if !w.carryOut(ctx, []scheduler.WriteOut{o}) {
+					if !w.execute(ctx, []scheduler.WriteRecords{o}) {
 						return false
 					}
 				}
 				return true
 			}
 			// Perhaps an earlier try of this same write, whose answer was lost, was carried out.
-			ok, rev, verr := w.holds(ctx, batch[0])
+			ok, rev, verr := w.alreadyApplied(ctx, batch[0])
 			if verr == nil {
-				w.t.post(ctx, scheduler.WriteDone{ID: batch[0].ID, OK: ok, Version: rev})
+				w.t.send(ctx, scheduler.WriteCompleted{ID: batch[0].ID, OK: ok, Version: rev})
 				return true
 			}
 			err = verr
 		case errors.Is(err, storage.ErrBadRequest):
-			w.t.log.Error("write rejected", "err", err, "ops", len(txn.Ops), "key", firstKey(txn))
+			w.t.log.Error("write rejected", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
 			if len(batch) == 1 {
-				w.t.post(ctx, scheduler.WriteDone{ID: batch[0].ID})
+				w.t.send(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
 				return true
 			}
 			for _, o := range batch {
-				if !w.carryOut(ctx, []scheduler.WriteOut{o}) {
+				if !w.execute(ctx, []scheduler.WriteRecords{o}) {
 					return false
 				}
 			}
@@ -108,26 +108,26 @@
 }
 
 // logRetry notes that a transaction is tried again. That the rate is used up is worth knowing, as ours should keep to it.
-func (w *writer) logRetry(err error, txn protocol.Txn) {
-	if errors.Is(err, storage.ErrRate) {
-		w.t.log.Info("write over the rate", "err", err, "ops", len(txn.Ops), "key", firstKey(txn))
+func (w *writer) logRetry(err error, txn protocol.Transaction) {
+	if errors.Is(err, storage.ErrRateLimited) {
+		w.t.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
 		return
 	}
 	w.t.log.Debug("write", "err", err, "key", firstKey(txn))
 }
 
 // firstKey names a transaction in the log.
-func firstKey(txn protocol.Txn) string {
-	if len(txn.Ops) == 0 {
+func firstKey(txn protocol.Transaction) string {
+	if len(txn.Operations) == 0 {
 		return ""
 	}
-	return txn.Ops[0].Put + txn.Ops[0].Delete
+	return txn.Operations[0].Put + txn.Operations[0].Delete
 }
 
-// holds tells whether the state service already shows what a write was to bring about.
-func (w *writer) holds(ctx context.Context, o scheduler.WriteOut) (bool, uint64, error) {
+// alreadyApplied tells whether the state service already shows what a write was to bring about.
+func (w *writer) alreadyApplied(ctx context.Context, o scheduler.WriteRecords) (bool, uint64, error) {
 	var rev uint64
-	for _, op := range o.Ops {
+	for _, op := range o.Operations {
 		key := op.Put
 		if key == "" {
 			key = op.Delete
@@ -142,7 +142,7 @@
 			}
 			continue
 		}
-		if p.Version == 0 || !same(p.Value, op.Value) {
+		if p.Version == 0 || !sameRecord(p.Value, op.Value) {
 			return false, 0, nil
 		}
 		rev = max(rev, p.Version)
@@ -150,16 +150,16 @@
 	return true, rev, nil
 }
 
-// same compares two values by meaning, as the service may write numbers in another form.
-func same(a, b protocol.Raw) bool {
+// sameRecord compares two values by meaning, as the service may write numbers in another form.
+func sameRecord(a, b protocol.Raw) bool {
 	var x, y any
 	if protocol.Decode(a, &x) != nil || protocol.Decode(b, &y) != nil {
 		return false
 	}
-	return reflect.DeepEqual(plain(x), plain(y))
+	return reflect.DeepEqual(decodeGeneric(x), decodeGeneric(y))
 }
 
-func plain(v any) any {
+func decodeGeneric(v any) any {
 	switch v := v.(type) {
 	case uint64:
 		return float64(v)
@@ -168,13 +168,13 @@
 	case []any:
 		out := make([]any, len(v))
 		for i := range v {
-			out[i] = plain(v[i])
+			out[i] = decodeGeneric(v[i])
 		}
 		return out
 	case map[any]any:
 		out := make(map[any]any, len(v))
 		for k, e := range v {
-			out[k] = plain(e)
+			out[k] = decodeGeneric(e)
 		}
 		return out
 	}
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -19,46 +19,46 @@
 	"quillshunt/internal/transport"
 )
 
-// Counts are a job's task counts.
-type Counts struct{ Done, Running int }
+// TaskCounts are a job's task counts.
+type TaskCounts struct{ Done, Running int }
 
-// Local answers for this process.
-type Local interface {
-	// Counts returns a job's counts if this process leads and knows the job.
-	Counts(ctx context.Context, job string) (Counts, bool)
-	// Relayed takes a worker's report that came through another controller.
-	Relayed(ctx context.Context, report []byte, stayed bool) (status int, body []byte)
-	// Confirm takes a cancelled job's record, and tells whether the leader of an entitled term here knows of it now.
-	Confirm(ctx context.Context, job string, stamp uint64, record []byte) bool
+// Leader answers for this process.
+type Leader interface {
+	// TaskCounts returns a job's counts if this process leads and knows the job.
+	TaskCounts(ctx context.Context, job string) (TaskCounts, bool)
+	// RelayedHeartbeat takes a worker's report that came through another controller.
+	RelayedHeartbeat(ctx context.Context, report []byte, stayed bool) (status int, body []byte)
+	// ConfirmCancellation takes a cancelled job's record, and tells whether the leader of an entitled term here knows of it now.
+	ConfirmCancellation(ctx context.Context, job string, stamp uint64, record []byte) bool
 	// Inspect tells how the term stands if this process leads.
 	Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool)
 }
 
-// Candidate is the part of this process that takes part in elections.
-type Candidate interface {
-	// Able tells whether the state service can be reached right now.
-	Able(ctx context.Context) bool
-	// Take is told that the term of that leader key is over.
-	Take(term, stamp uint64)
+// Elector is the part of this process that takes part in elections.
+type Elector interface {
+	// StateReachable tells whether the state service can be reached right now.
+	StateReachable(ctx context.Context) bool
+	// AcceptOffer is told that the term of that leader key is over.
+	AcceptOffer(term, stamp uint64)
 	// Leader is the name of the leader as far as known, or "".
 	Leader() string
-	// Pledge is asked by the leader.
-	Pledge(heartbeat, nonce uint64) *peerpb.PledgeReply
+	// Vote is asked by the leader.
+	Vote(heartbeat, nonce uint64) *peerpb.PledgeReply
 }
 
 // Server answers other controllers.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	peerpb.UnimplementedOperatorServer
-	peers     *Peers
-	local     Local
-	candidate Candidate
-	grpc      *grpc.Server
+	peers   *Peers
+	leader  Leader
+	elector Elector
+	grpc    *grpc.Server
 }
 
 // NewServer returns a Server for the local process.
-func NewServer(local Local, candidate Candidate, peers *Peers) *Server {
-	s := &Server{peers: peers, local: local, candidate: candidate, grpc: grpc.NewServer(
+func NewServer(local Leader, candidate Elector, peers *Peers) *Server {
+	s := &Server{peers: peers, leader: local, elector: candidate, grpc: grpc.NewServer(
 		grpc.MaxRecvMsgSize(limits.MaxBodyBytes),
 		grpc.MaxConcurrentStreams(limits.PeerStreams),
 		grpc.NumStreamWorkers(0),
@@ -89,47 +89,47 @@
 
 // Counts implements the service.
 func (s *Server) Counts(ctx context.Context, r *peerpb.CountsRequest) (*peerpb.CountsReply, error) {
-	c, ok := s.local.Counts(ctx, r.GetJob())
+	c, ok := s.leader.TaskCounts(ctx, r.GetJob())
 	return &peerpb.CountsReply{Known: ok, Done: int64(c.Done), Running: int64(c.Running)}, nil
 }
 
 // Relay implements the service.
 func (s *Server) Relay(ctx context.Context, r *peerpb.RelayRequest) (*peerpb.RelayReply, error) {
-	status, body := s.local.Relayed(ctx, r.GetReport(), r.GetStayed())
+	status, body := s.leader.RelayedHeartbeat(ctx, r.GetReport(), r.GetStayed())
 	return &peerpb.RelayReply{Status: int32(status), Body: body}, nil
 }
 
 // Able implements the service.
 func (s *Server) Able(ctx context.Context, _ *peerpb.AbleRequest) (*peerpb.AbleReply, error) {
-	return &peerpb.AbleReply{Able: s.candidate.Able(ctx)}, nil
+	return &peerpb.AbleReply{Able: s.elector.StateReachable(ctx)}, nil
 }
 
 // Take implements the service.
 func (s *Server) Take(_ context.Context, r *peerpb.TakeRequest) (*peerpb.TakeReply, error) {
-	s.candidate.Take(r.GetTerm(), r.GetStamp())
+	s.elector.AcceptOffer(r.GetTerm(), r.GetStamp())
 	return &peerpb.TakeReply{}, nil
 }
 
 // Pledge implements the service.
 func (s *Server) Pledge(_ context.Context, r *peerpb.PledgeRequest) (*peerpb.PledgeReply, error) {
-	return s.candidate.Pledge(r.GetHeartbeat(), r.GetNonce()), nil
+	return s.elector.Vote(r.GetHeartbeat(), r.GetNonce()), nil
 }
 
 // Confirm implements the service. A controller that does not lead passes the request on once: the sender may not reach the leader itself.
 func (s *Server) Confirm(ctx context.Context, r *peerpb.ConfirmRequest) (*peerpb.ConfirmReply, error) {
-	known := s.local.Confirm(ctx, r.GetJob(), r.GetStamp(), r.GetRecord())
+	known := s.leader.ConfirmCancellation(ctx, r.GetJob(), r.GetStamp(), r.GetRecord())
 	if !known && !r.GetPassedOn() {
-		known = s.peers.confirmAt(ctx, s.candidate.Leader(), &peerpb.ConfirmRequest{Job: r.GetJob(), Stamp: r.GetStamp(), Record: r.GetRecord(), PassedOn: true})
+		known = s.peers.confirmCancellationAt(ctx, s.elector.Leader(), &peerpb.ConfirmRequest{Job: r.GetJob(), Stamp: r.GetStamp(), Record: r.GetRecord(), PassedOn: true})
 	}
 	return &peerpb.ConfirmReply{Known: known}, nil
 }
 
 // Status implements the operators' service.
 func (s *Server) Status(ctx context.Context, r *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	if v, ok := s.local.Inspect(ctx, r.GetJob()); ok {
+	if v, ok := s.leader.Inspect(ctx, r.GetJob()); ok {
 		return v, nil
 	}
-	leader := s.candidate.Leader()
+	leader := s.elector.Leader()
 	conn := s.peers.conns[leader]
 	if r.GetPassedOn() || conn == nil {
 		return &peerpb.StatusReply{}, nil
@@ -141,8 +141,8 @@
 	return v, nil
 }
 
-// AskStatus asks the controller at an address.
-func AskStatus(ctx context.Context, addr, job string) (*peerpb.StatusReply, error) {
+// RequestStatus asks the controller at an address.
+func RequestStatus(ctx context.Context, addr, job string) (*peerpb.StatusReply, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return nil, fmt.Errorf("controller %s: %w", addr, err)
@@ -181,8 +181,8 @@
 	return p, nil
 }
 
-// askOne calls one controller, within a time limit.
-func askOne[T any](ctx context.Context, p *Peers, node string, limit time.Duration, call func(context.Context, peerpb.PeerClient) (T, error)) (reply T, err error) {
+// callPeer calls one controller, within a time limit.
+func callPeer[T any](ctx context.Context, p *Peers, node string, limit time.Duration, call func(context.Context, peerpb.PeerClient) (T, error)) (reply T, err error) {
 	conn := p.conns[node]
 	if conn == nil {
 		return reply, fmt.Errorf("no controller %q", node)
@@ -192,20 +192,20 @@
 	return call(ctx, peerpb.NewPeerClient(conn))
 }
 
-// Counts asks a controller for a job's counts.
-func (p *Peers) Counts(ctx context.Context, node, job string) (Counts, bool) {
-	r, err := askOne(ctx, p, node, limits.PeerTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.CountsReply, error) {
+// TaskCounts asks a controller for a job's counts.
+func (p *Peers) TaskCounts(ctx context.Context, node, job string) (TaskCounts, bool) {
+	r, err := callPeer(ctx, p, node, limits.TaskCountsTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.CountsReply, error) {
 		return c.Counts(ctx, &peerpb.CountsRequest{Job: job})
 	})
 	if err != nil || !r.GetKnown() {
-		return Counts{}, false
+		return TaskCounts{}, false
 	}
-	return Counts{Done: int(r.GetDone()), Running: int(r.GetRunning())}, true
+	return TaskCounts{Done: int(r.GetDone()), Running: int(r.GetRunning())}, true
 }
 
-// Relay hands a worker's report to the leading controller.
-func (p *Peers) Relay(ctx context.Context, node string, report []byte, stayed bool) (status int, body []byte, err error) {
-	r, err := askOne(ctx, p, node, limits.RelayTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.RelayReply, error) {
+// RelayHeartbeat hands a worker's report to the leading controller.
+func (p *Peers) RelayHeartbeat(ctx context.Context, node string, report []byte, stayed bool) (status int, body []byte, err error) {
+	r, err := callPeer(ctx, p, node, limits.RelayTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.RelayReply, error) {
 		return c.Relay(ctx, &peerpb.RelayRequest{Report: report, Stayed: stayed})
 	})
 	if err != nil {
@@ -214,8 +214,8 @@
 	return int(r.GetStatus()), r.GetBody(), nil
 }
 
-// askAll calls all controllers at once. The results arrive as they come; none of a controller that does not answer in time.
-func askAll[T any](ctx context.Context, p *Peers, limit time.Duration, call func(ctx context.Context, name string, c peerpb.PeerClient) (T, error)) <-chan T {
+// callAll calls all controllers at once. The results arrive as they come; none of a controller that does not answer in time.
+func callAll[T any](ctx context.Context, p *Peers, limit time.Duration, call func(ctx context.Context, name string, c peerpb.PeerClient) (T, error)) <-chan T {
 	found := make(chan T, len(p.conns))
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	var wg sync.WaitGroup
@@ -234,9 +234,9 @@
 	return found
 }
 
-// Able returns the name of a controller that reaches the state service, or "".
-func (p *Peers) Able(ctx context.Context) string {
-	able := askAll(ctx, p, limits.AbleTimeout, func(ctx context.Context, name string, c peerpb.PeerClient) (string, error) {
+// FindConnected returns the name of a controller that reaches the state service, or "".
+func (p *Peers) FindConnected(ctx context.Context) string {
+	able := callAll(ctx, p, limits.ConnectivityTimeout, func(ctx context.Context, name string, c peerpb.PeerClient) (string, error) {
 		r, err := c.Able(ctx, &peerpb.AbleRequest{})
 		if err != nil || !r.GetAble() {
 			return "", err
@@ -261,13 +261,13 @@
 // Size is how many other controllers there are.
 func (p *Peers) Size() int { return len(p.conns) }
 
-// Pledge asks all controllers for their pledge to the leader here.
-func (p *Peers) Pledge(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
+// RequestVotes asks all controllers for their pledge to the leader here.
+func (p *Peers) RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
 	type answer struct {
 		name  string
 		reply *peerpb.PledgeReply
 	}
-	got := askAll(ctx, p, limits.PledgeTimeout, func(ctx context.Context, name string, c peerpb.PeerClient) (answer, error) {
+	got := callAll(ctx, p, limits.VoteTimeout, func(ctx context.Context, name string, c peerpb.PeerClient) (answer, error) {
 		r, err := c.Pledge(ctx, &peerpb.PledgeRequest{Heartbeat: heartbeat, Nonce: nonces[name]})
 		return answer{name, r}, err
 	})
@@ -278,12 +278,12 @@
 	return out
 }
 
-// Confirm tells whether the leader knows of a cancellation now. It is asked itself, and through the others if it does not answer.
-func (p *Peers) Confirm(ctx context.Context, leader, job string, stamp uint64, record []byte) bool {
-	if p.confirmAt(ctx, leader, &peerpb.ConfirmRequest{Job: job, Stamp: stamp, Record: record, PassedOn: true}) {
+// ConfirmCancellation tells whether the leader knows of a cancellation now. It is asked itself, and through the others if it does not answer.
+func (p *Peers) ConfirmCancellation(ctx context.Context, leader, job string, stamp uint64, record []byte) bool {
+	if p.confirmCancellationAt(ctx, leader, &peerpb.ConfirmRequest{Job: job, Stamp: stamp, Record: record, PassedOn: true}) {
 		return true
 	}
-	known := askAll(ctx, p, limits.ConfirmTimeout, func(ctx context.Context, _ string, c peerpb.PeerClient) (bool, error) {
+	known := callAll(ctx, p, limits.CancelConfirmTimeout, func(ctx context.Context, _ string, c peerpb.PeerClient) (bool, error) {
 		r, err := c.Confirm(ctx, &peerpb.ConfirmRequest{Job: job, Stamp: stamp, Record: record})
 		return r.GetKnown(), err
 	})
@@ -295,16 +295,16 @@
 	return false
 }
 
-func (p *Peers) confirmAt(ctx context.Context, node string, r *peerpb.ConfirmRequest) bool {
-	a, err := askOne(ctx, p, node, limits.ConfirmTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.ConfirmReply, error) {
+func (p *Peers) confirmCancellationAt(ctx context.Context, node string, r *peerpb.ConfirmRequest) bool {
+	a, err := callPeer(ctx, p, node, limits.CancelConfirmTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.ConfirmReply, error) {
 		return c.Confirm(ctx, r)
 	})
 	return err == nil && a.GetKnown()
 }
 
-// Take tells a controller that the term of a leader key is over.
-func (p *Peers) Take(ctx context.Context, node string, term, stamp uint64) error {
-	_, err := askOne(ctx, p, node, limits.AbleTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.TakeReply, error) {
+// OfferLeadership tells a controller that the term of a leader key is over.
+func (p *Peers) OfferLeadership(ctx context.Context, node string, term, stamp uint64) error {
+	_, err := callPeer(ctx, p, node, limits.ConnectivityTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.TakeReply, error) {
 		return c.Take(ctx, &peerpb.TakeRequest{Term: term, Stamp: stamp})
 	})
 	if err != nil {
--- a/internal/coordination/scheduler/binding.go
+++ b/internal/coordination/scheduler/binding.go
@@ -6,85 +6,85 @@
 	"quillshunt/internal/protocol"
 )
 
-type phase uint8
+type assignmentState uint8
 
 const (
-	assigned phase = iota // ours alone: no order has left yet
-	sent                  // a start is on its way, or was lost
-	fetching
-	gathering // of a gang: has its image and waits for the others
-	running
-	saving
+	stateUnsent assignmentState = iota // ours alone: no order has left yet
+	stateSent                          // a start is on its way, or was lost
+	stateFetching
+	stateGathering // of a gang: has its image and waits for the others
+	stateRunning
+	stateSaving
 )
 
-// binding ties a task to a session of a machine.
-type binding struct {
-	job      *job
-	index    int
-	task     string // the task's name
-	attempt  uint64
-	machine  *machine
-	phase    phase
-	direct   uint64        // the direct command that carried the start and is not answered yet
-	unclear  bool          // a direct start went out and no answer came: it may arrive as long as this session and term last
-	resent   bool          // the start was repeated in an answer to a report
-	stopSent bool          // the stop went out at least once
-	at       time.Duration // when it was bound
-	runAt    time.Duration // when it was first seen running
-	stop     bool
-	stopWhy  string
+// assignment ties a task to a session of a machine.
+type assignment struct {
+	job              *job
+	index            int
+	taskName         string // the task's name
+	attempt          uint64
+	machine          *machine
+	state            assignmentState
+	directID         uint64        // the direct command that carried the start and is not answered yet
+	startUnconfirmed bool          // a direct start went out and no answer came: it may arrive as long as this session and term last
+	startRepeated    bool          // the start was repeated in an answer to a report
+	stopSent         bool          // the stop went out at least once
+	assignedAt       time.Duration // when it was bound
+	runningSince     time.Duration // when it was first seen running
+	stopping         bool
+	stopReason       string
 
-	committed bool // of a gang: room for all its tasks is confirmed, so the start may go out
-	abrupt    bool // to be ended without saving
+	committed     bool // of a gang: room for all its tasks is confirmed, so the start may go out
+	withoutSaving bool // to be ended without saving
 }
 
-// exit is an ended task that its machine still lists.
-type exit struct {
-	keep     bool // an unclear start of this attempt may still arrive; forgotten, it would run again
-	job      *job // nil if there is nothing to write down
-	chunk    int
-	sequence uint64
+// endedTask is an ended task that its machine still lists.
+type endedTask struct {
+	mustNotForget bool // an unclear start of this attempt may still arrive; forgotten, it would run again
+	job           *job // nil if there is nothing to write down
+	chunk         int
+	sequence      uint64
 }
 
-// durable tells whether the result, if there is one, is written down.
-func (x exit) durable() bool {
-	return x.job == nil || x.job.over || x.job.chunks[x.chunk].durable >= x.sequence
+// isDurable tells whether the result, if there is one, is written down.
+func (x endedTask) isDurable() bool {
+	return x.job == nil || x.job.closed || x.job.chunks[x.chunk].durableSequence >= x.sequence
 }
 
-// bind ties a task to a machine's present session.
-func (s *Scheduler) bind(j *job, idx int, m *machine, try uint64, ph phase) *binding {
-	b := &binding{job: j, index: idx, task: protocol.TaskName(j.id, idx), attempt: try, machine: m, phase: ph, at: s.now}
-	j.bound[idx] = b
-	j.startedAt = s.now
-	s.touchGang(j.gang)
-	s.queueCommands(m)
-	setBit(j.busy, idx)
-	m.bindings[b.task] = b
-	m.used = m.used.plus(j.need)
-	j.team.used = j.team.used.plus(j.need)
+// assign ties a task to a machine's present session.
+func (s *Scheduler) assign(j *job, idx int, m *machine, try uint64, ph assignmentState) *assignment {
+	b := &assignment{job: j, index: idx, taskName: protocol.TaskName(j.id, idx), attempt: try, machine: m, state: ph, assignedAt: s.now}
+	j.assignments[idx] = b
+	j.lastAssignedAt = s.now
+	s.markGangChanged(j.gang)
+	s.queueDispatch(m)
+	setBit(j.assignedBits, idx)
+	m.assignments[b.taskName] = b
+	m.allocated = m.allocated.plus(j.demand)
+	j.team.allocated = j.team.allocated.plus(j.demand)
 	return b
 }
 
-// unbind takes a task off its machine. The caller has the evidence that it is not there and cannot come there:
+// release takes a task off its machine. The caller has the evidence that it is not there and cannot come there:
 // no start of this attempt is on its way, or the session is over, or the machine is gone.
-func (s *Scheduler) unbind(b *binding) {
+func (s *Scheduler) release(b *assignment) {
 	j, m := b.job, b.machine
-	if m.bindings[b.task] != b {
+	if m.assignments[b.taskName] != b {
 		return // with its gang, by an earlier step of the same loop
 	}
-	s.lostGangTask(b)
-	delete(j.bound, b.index)
-	clearBit(j.busy, b.index)
-	j.cursor = min(j.cursor, b.index)
-	delete(m.bindings, b.task)
-	m.used = m.used.minus(j.need)
-	j.team.used = j.team.used.minus(j.need)
-	if b.stop {
-		m.leaving = m.leaving.minus(j.need)
+	s.gangTaskLost(b)
+	delete(j.assignments, b.index)
+	clearBit(j.assignedBits, b.index)
+	j.nextFreeHint = min(j.nextFreeHint, b.index)
+	delete(m.assignments, b.taskName)
+	m.allocated = m.allocated.minus(j.demand)
+	j.team.allocated = j.team.allocated.minus(j.demand)
+	if b.stopping {
+		m.releasing = m.releasing.minus(j.demand)
 	}
-	if len(m.bindings) == 0 {
-		m.used, m.leaving = room{}, room{} // no rounding is carried on
+	if len(m.assignments) == 0 {
+		m.allocated, m.releasing = resources{}, resources{} // no rounding is carried on
 		m.idleSince = s.now
 	}
-	s.dirty, s.roomChanged = true, true
+	s.placementNeeded, s.freeRoomChanged = true, true
 }
--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -11,19 +11,19 @@
 
 // TestCancelledOnNotice: a cancelled task that does not stop costs its machine in time, also one that the cloud has said to take.
 func TestCancelledOnNotice(t *testing.T) {
-	b := newBed(t, 1)
+	b := newSchedulerFixture(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	task := protocol.TaskReport{Task: "job-1/0", Attempt: b.direct()[0].Commands[0].Attempt, State: protocol.Running}
+	task := protocol.TaskStatus{Task: "job-1/0", Attempt: b.direct()[0].Commands[0].Attempt, State: protocol.Running}
 	b.report(0, task)
-	b.stamp++
-	b.step(JobSeen{ID: "job-1", Version: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
-	b.s.machines[b.rig(0)].notice, b.s.machines[b.rig(0)].noticeEnd = true, time.Hour
+	b.version++
+	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs["job-1"].spec}})
+	b.scheduler.machines[b.machine(0)].spotNotice, b.scheduler.machines[b.machine(0)].spotNoticeEnds = true, time.Hour
 	for end := b.now + 20*time.Second; b.now < end; b.now += time.Second {
 		b.report(0, task)
 		b.step(Tick{Entitled: true})
 	}
-	if !b.s.machines[b.rig(0)].deleting {
+	if !b.scheduler.machines[b.machine(0)].deleting {
 		t.Error("its machine is kept")
 	}
 }
@@ -34,18 +34,18 @@
 // answered all the while.
 func TestCancelledInTime(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second, 25 * time.Second, time.Hour} {
-		b := newBed(t, 2)
+		b := newSchedulerFixture(t, 2)
 		b.report(0)
 		b.report(1)
 		b.job("job-1", "red", "standard", 1, 8, 0)
-		var task protocol.TaskReport
+		var task protocol.TaskStatus
 		for _, d := range b.direct() {
-			task = protocol.TaskReport{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.Running}
-			b.step(DirectDone{ID: d.ID, Machine: d.Machine, Report: &protocol.Report{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally + 1, Token: 3, Tasks: []protocol.TaskReport{task}}})
+			task = protocol.TaskStatus{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.Running}
+			b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: &protocol.Heartbeat{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence + 1, FencingToken: 3, Tasks: []protocol.TaskStatus{task}}})
 		}
-		held := b.s.jobs["job-1"].bound[0].machine.name
-		b.tally++
-		b.step(JobSeen{ID: "job-1", Version: 900, CancelAge: age, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
+		held := b.scheduler.jobs["job-1"].assignments[0].machine.name
+		b.sequence++
+		b.step(JobChanged{JobID: "job-1", Version: 900, SinceCancellation: age, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs["job-1"].spec}})
 		learned := b.now
 		told := b.now - age
 		if age >= 34*time.Second {
@@ -55,26 +55,26 @@
 		for b.now < told+34*time.Second {
 			b.now += time.Second
 			for i := range 2 {
-				b.tally++
-				r := &protocol.Report{Machine: b.rig(i), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
+				b.sequence++
+				r := &protocol.Heartbeat{Machine: b.machine(i), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}
 				if r.Machine == held {
-					r.Tasks = []protocol.TaskReport{task}
+					r.Tasks = []protocol.TaskStatus{task}
 				}
-				for _, e := range b.step(ReportIn{Entitled: true, Stayed: true, Report: r}) {
+				for _, e := range b.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: r}) {
 					switch e := e.(type) {
-					case DirectOut:
-						b.step(DirectDone{ID: e.ID, Machine: e.Machine})
-					case ReplyOut:
-						if e.OK && r.Machine == held {
+					case SendDirectCommands:
+						b.step(DirectCommandsDone{ID: e.ID, Machine: e.Machine})
+					case HeartbeatReply:
+						if e.Accepted && r.Machine == held {
 							last = b.now
-						} else if !e.OK && r.Machine != held {
+						} else if !e.Accepted && r.Machine != held {
 							t.Fatalf("age %v: the other machine is not answered", age)
 						}
 					}
 				}
 			}
 			for _, e := range b.step(Tick{Entitled: true}) {
-				if d, ok := e.(DeleteOut); ok && asked == 0 {
+				if d, ok := e.(DeleteMachines); ok && asked == 0 {
 					if d.Machines[0] != held || len(d.Machines) != 1 {
 						t.Fatalf("age %v: deletion of %v", age, d.Machines)
 					}
@@ -88,7 +88,7 @@
 		if asked == 0 || asked > told+30*time.Second {
 			t.Errorf("age %v: deletion asked for %v after the word to the user", age, asked-told)
 		}
-		if asked < learned+limits.CancelGrace {
+		if asked < learned+limits.CancelStopGrace {
 			t.Errorf("age %v: deleted %v after we learned of it, before its stop could take effect", age, asked-learned)
 		}
 	}
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -11,73 +11,73 @@
 // Event is something that happened.
 type Event interface{ event() }
 
-// JobSeen is an open job as it stands in the state service.
-type JobSeen struct {
-	ID      string
-	Version uint64
-	Rec     storage.Open
-	Age     time.Duration // since its submission
+// JobChanged is an open job as it stands in the state service.
+type JobChanged struct {
+	JobID           string
+	Version         uint64
+	Record          storage.OpenJob
+	SinceSubmission time.Duration // since its submission
 
-	CancelAge time.Duration // since its user may first have been told that it is cancelled; at least as long as that is ago
+	SinceCancellation time.Duration // since its user may first have been told that it is cancelled; at least as long as that is ago
 }
 
-// JobLeft is a job whose open record is gone.
-type JobLeft struct {
-	ID      string
+// JobRemoved is a job whose open record is gone.
+type JobRemoved struct {
+	JobID   string
 	Version uint64
 }
 
-// FinishedLoaded is a chunk of finished tasks, read at the start of a term.
-type FinishedLoaded struct {
-	ID      string
+// FinishedTasksLoaded is a chunk of finished tasks, read at the start of a term.
+type FinishedTasksLoaded struct {
+	JobID   string
 	Version uint64
-	Rec     storage.Fin
+	Record  storage.FinishedTasks
 }
 
 // RentalLoaded is a rental request, read at the start of a term.
 type RentalLoaded struct {
 	Name    string
 	Version uint64
-	Rec     storage.Rental
+	Record  storage.Rental
 }
 
-// RegistrationLoaded is a page of registered machines, read at the start of a term after all rentals.
-type RegistrationLoaded struct {
+// RegistryPageLoaded is a page of registered machines, read at the start of a term after all rentals.
+type RegistryPageLoaded struct {
 	Name    string
 	Version uint64
-	Rec     storage.Ups
+	Record  storage.RegistryPage
 }
 
-// Loaded ends the reading at the start of a term.
-type Loaded struct{}
+// StateLoaded ends the reading at the start of a term.
+type StateLoaded struct{}
 
-// ReportIn is a worker's report. It is answered with a ReplyOut of the same Ref.
-type ReportIn struct {
-	Report   *protocol.Report
-	Ref      any
-	Entitled bool
-	Relayed  bool // came through another controller
-	Stayed   bool // on a connection on which the report before was answered 200: the worker got that answer
+// HeartbeatReceived is a worker's report. It is answered with a ReplyOut of the same Ref.
+type HeartbeatReceived struct {
+	Heartbeat      *protocol.Heartbeat
+	ReplyTo        any
+	Entitled       bool
+	Relayed        bool // came through another controller
+	SameConnection bool // on a connection on which the report before was answered 200: the worker got that answer
 }
 
 // ProbeDone is what a machine answered to a ProbeOut: its report after it had seen our term, or nothing.
 type ProbeDone struct {
-	Machine string
-	Report  *protocol.Report
-	Took    time.Duration // from the first call to the last answer
-	NotSent bool          // it was not asked for want of a socket, so that it did not answer says nothing
+	Machine   string
+	Heartbeat *protocol.Heartbeat
+	Took      time.Duration // from the first call to the last answer
+	NotSent   bool          // it was not asked for want of a socket, so that it did not answer says nothing
 }
 
-// DirectDone is the outcome of a DirectOut.
-type DirectDone struct {
-	ID      uint64
-	Machine string
-	Report  *protocol.Report // what the worker has after the commands; nil if there was no answer
-	Refused bool             // nothing was executed: it was not sent, or the worker said so
+// DirectCommandsDone is the outcome of a DirectOut.
+type DirectCommandsDone struct {
+	ID          uint64
+	Machine     string
+	Heartbeat   *protocol.Heartbeat // what the worker has after the commands; nil if there was no answer
+	NotExecuted bool                // nothing was executed: it was not sent, or the worker said so
 }
 
-// WriteDone is the outcome of a WriteOut.
-type WriteDone struct {
+// WriteCompleted is the outcome of a WriteOut.
+type WriteCompleted struct {
 	ID      uint64
 	OK      bool
 	Version uint64
@@ -91,114 +91,114 @@
 	NoCapacity bool
 }
 
-// DeleteDone is the outcome of a DeleteOut.
-type DeleteDone struct {
+// DeletionDone is the outcome of a DeleteOut.
+type DeletionDone struct {
 	Machines []string
 	OK       bool
 }
 
-// ListDone is the cloud's list. Rigs is nil if it could not be read.
-type ListDone struct {
+// MachinesListed is the cloud's list. Rigs is nil if it could not be read.
+type MachinesListed struct {
 	Machines []protocol.Machine
 	OK       bool
 }
 
-// TypesDone are the machine types.
-type TypesDone struct {
+// MachineTypesFetched are the machine types.
+type MachineTypesFetched struct {
 	Types []protocol.MachineType
 	OK    bool
 }
 
-// CountsIn asks for a job's counts; answered with a CountsOut.
-type CountsIn struct {
-	ID  string
-	Ref any
+// TaskCountsRequested asks for a job's counts; answered with a CountsOut.
+type TaskCountsRequested struct {
+	ID      string
+	ReplyTo any
 }
 
 // Tick lets time pass.
 type Tick struct{ Entitled bool }
 
-func (JobSeen) event()            {}
-func (JobLeft) event()            {}
-func (FinishedLoaded) event()     {}
-func (RentalLoaded) event()       {}
-func (RegistrationLoaded) event() {}
-func (Loaded) event()             {}
-func (ReportIn) event()           {}
-func (ProbeDone) event()          {}
-func (DirectDone) event()         {}
-func (WriteDone) event()          {}
-func (RentalDone) event()         {}
-func (DeleteDone) event()         {}
-func (ListDone) event()           {}
-func (TypesDone) event()          {}
-func (CountsIn) event()           {}
-func (Tick) event()               {}
+func (JobChanged) event()          {}
+func (JobRemoved) event()          {}
+func (FinishedTasksLoaded) event() {}
+func (RentalLoaded) event()        {}
+func (RegistryPageLoaded) event()  {}
+func (StateLoaded) event()         {}
+func (HeartbeatReceived) event()   {}
+func (ProbeDone) event()           {}
+func (DirectCommandsDone) event()  {}
+func (WriteCompleted) event()      {}
+func (RentalDone) event()          {}
+func (DeletionDone) event()        {}
+func (MachinesListed) event()      {}
+func (MachineTypesFetched) event() {}
+func (TaskCountsRequested) event() {}
+func (Tick) event()                {}
 
 // Effect is something to do.
 type Effect interface{ effect() }
 
-// ReplyOut answers a report: 200 with orders, 421 to make the worker come itself, or 503.
-type ReplyOut struct {
-	Ref      any
-	OK       bool
+// HeartbeatReply answers a report: 200 with orders, 421 to make the worker come itself, or 503.
+type HeartbeatReply struct {
+	ReplyTo  any
+	Accepted bool
 	Redirect bool
 	Commands []protocol.Command
 }
 
-// WriteOut changes the state service under the leader's guard, whole or not at all.
-type WriteOut struct {
+// WriteRecords changes the state service under the leader's guard, whole or not at all.
+type WriteRecords struct {
 	ID         uint64
 	Bulk       bool // can wait for all others
 	Conditions []protocol.Condition
-	Ops        []protocol.Op
+	Operations []protocol.Operation
 }
 
-// ProbeOut asks a machine for its tasks and shows it our term.
-type ProbeOut struct{ Machine, Address string }
+// ProbeMachine asks a machine for its tasks and shows it our term.
+type ProbeMachine struct{ Machine, Address string }
 
-// DirectOut sends commands to a worker without waiting for its report.
-type DirectOut struct {
-	ID       uint64
-	Machine  string
-	Address  string
-	Session  uint64
-	Commands []protocol.Command
+// SendDirectCommands sends commands to a worker without waiting for its report.
+type SendDirectCommands struct {
+	ID          uint64
+	Machine     string
+	Address     string
+	Incarnation uint64
+	Commands    []protocol.Command
 }
 
-// RentOut sends a rental request, again and again until there is an answer.
-type RentOut struct{ Request protocol.RentalRequest }
+// RentMachines sends a rental request, again and again until there is an answer.
+type RentMachines struct{ Request protocol.RentalRequest }
 
-// DeleteOut returns machines.
-type DeleteOut struct{ Machines []string }
+// DeleteMachines returns machines.
+type DeleteMachines struct{ Machines []string }
 
-// ListOut reads the cloud's list.
-type ListOut struct{}
+// ListMachines reads the cloud's list.
+type ListMachines struct{}
 
-// TypesOut reads the machine types.
-type TypesOut struct{}
+// FetchMachineTypes reads the machine types.
+type FetchMachineTypes struct{}
 
-// CountsOut answers a CountsIn.
-type CountsOut struct {
-	Ref           any
+// TaskCounts answers a CountsIn.
+type TaskCounts struct {
+	ReplyTo       any
 	Known         bool
 	Done, Running int
 }
 
-// Note is something an operator may want to read.
-type Note struct {
-	Level slog.Level
-	Msg   string
-	Args  []any
+// LogEntry is something an operator may want to read.
+type LogEntry struct {
+	Level   slog.Level
+	Message string
+	Args    []any
 }
 
-func (ReplyOut) effect()  {}
-func (WriteOut) effect()  {}
-func (ProbeOut) effect()  {}
-func (DirectOut) effect() {}
-func (RentOut) effect()   {}
-func (DeleteOut) effect() {}
-func (ListOut) effect()   {}
-func (TypesOut) effect()  {}
-func (CountsOut) effect() {}
-func (Note) effect()      {}
+func (HeartbeatReply) effect()     {}
+func (WriteRecords) effect()       {}
+func (ProbeMachine) effect()       {}
+func (SendDirectCommands) effect() {}
+func (RentMachines) effect()       {}
+func (DeleteMachines) effect()     {}
+func (ListMachines) effect()       {}
+func (FetchMachineTypes) effect()  {}
+func (TaskCounts) effect()         {}
+func (LogEntry) effect()           {}
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -11,57 +11,57 @@
 
 // TestForgetAfterDurable: a result is forgotten by its worker only once it is written down.
 func TestForgetAfterDurable(t *testing.T) {
-	b := newBed(t, 1)
+	b := newSchedulerFixture(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "standard", 20, 1, 0)
 	d := b.direct()
 	if len(d) != 1 || verbs(d[0].Commands, protocol.CommandStart) != 8 {
-		t.Fatalf("starts: %+v", b.out)
+		t.Fatalf("starts: %+v", b.effects)
 	}
-	done := protocol.TaskReport{Task: "job-1/0", Attempt: d[0].Commands[0].Attempt, State: protocol.Ended, Reason: protocol.ReasonDone}
-	other := protocol.TaskReport{Task: "job-1/1", Attempt: d[0].Commands[1].Attempt, State: protocol.Running}
+	done := protocol.TaskStatus{Task: "job-1/0", Attempt: d[0].Commands[0].Attempt, State: protocol.Ended, Reason: protocol.ReasonDone}
+	other := protocol.TaskStatus{Task: "job-1/1", Attempt: d[0].Commands[1].Attempt, State: protocol.Running}
 	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 0 {
 		t.Fatalf("forgotten at once: %+v", orders)
 	}
 	b.now += 5 * time.Second
-	var w *WriteOut
+	var w *WriteRecords
 	for _, e := range b.step(Tick{Entitled: true}) {
-		if x, ok := e.(WriteOut); ok && x.Ops[0].Put == storage.FinKey("job-1", 0) {
+		if x, ok := e.(WriteRecords); ok && x.Operations[0].Put == storage.FinishedTasksKey("job-1", 0) {
 			w = &x
 		}
 	}
 	if w == nil {
-		t.Fatalf("result not written: %+v", b.out)
+		t.Fatalf("result not written: %+v", b.effects)
 	}
 	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 0 {
 		t.Fatalf("forgotten while the write is under way: %+v", orders)
 	}
-	b.step(WriteDone{ID: w.ID, OK: true, Version: 500})
+	b.step(WriteCompleted{ID: w.ID, OK: true, Version: 500})
 	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 1 {
 		t.Fatalf("not forgotten: %+v", orders)
 	}
 }
 
-// TestFewRecords: a job that is nearly over is not written down task by task, as its final record says it all; one that drags on is.
-func TestFewRecords(t *testing.T) {
-	b := newBed(t, 1)
+// TestFewRegistryWrites: a job that is nearly over is not written down task by task, as its final record says it all; one that drags on is.
+func TestFewRegistryWrites(t *testing.T) {
+	b := newSchedulerFixture(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "standard", 2, 1, 0)
-	var tasks []protocol.TaskReport
+	var tasks []protocol.TaskStatus
 	for _, o := range b.direct()[0].Commands {
-		tasks = append(tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+		tasks = append(tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 	}
 	tasks[0].State, tasks[0].Reason = protocol.Ended, protocol.ReasonDone
 	written := time.Duration(0)
-	for began := b.now; b.now < began+2*limits.FlushPatience && written == 0; b.now += time.Second {
+	for began := b.now; b.now < began+2*limits.ChunkWritePatience && written == 0; b.now += time.Second {
 		b.report(0, tasks...)
 		for _, e := range b.step(Tick{Entitled: true}) {
-			if w, ok := e.(WriteOut); ok && w.Bulk {
+			if w, ok := e.(WriteRecords); ok && w.Bulk {
 				written = b.now - began
 			}
 		}
 	}
-	if written < limits.FlushPatience {
+	if written < limits.ChunkWritePatience {
 		t.Errorf("written after %v", written)
 	}
 }
@@ -69,30 +69,30 @@
 // TestDirectAnswerIsNoEvidence: a start that went out in the answer to a report may still be on its way when a direct command is
 // answered; only the next report shows that it is lost.
 func TestDirectAnswerIsNoEvidence(t *testing.T) {
-	b := newBed(t, 1)
+	b := newSchedulerFixture(t, 1)
 	b.report(0)
-	m := b.s.machines[b.rig(0)]
-	m.mute = time.Hour // orders go with reports only
+	m := b.scheduler.machines[b.machine(0)]
+	m.noDirectUntil = time.Hour // orders go with reports only
 	b.job("job-1", "red", "standard", 1, 1, 0)
 	if n := verbs(b.report(0), protocol.CommandStart); n != 1 {
 		t.Fatalf("%d starts", n)
 	}
-	m.mute, m.directID = 0, 77
-	b.tally++
-	b.step(DirectDone{ID: 77, Machine: m.name, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}})
-	if len(m.bindings) != 1 {
+	m.noDirectUntil, m.directID = 0, 77
+	b.sequence++
+	b.step(DirectCommandsDone{ID: 77, Machine: m.name, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}})
+	if len(m.assignments) != 1 {
 		t.Fatal("freed by the answer to a direct command")
 	}
-	b.tally++
-	b.step(ProbeDone{Machine: m.name, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}})
-	if len(m.bindings) != 1 {
+	b.sequence++
+	b.step(ProbeDone{Machine: m.name, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}})
+	if len(m.assignments) != 1 {
 		t.Fatal("freed by the answer to a probe")
 	}
-	m.mute = time.Hour
-	if n := verbs(b.report(0), protocol.CommandStart); n != 0 || len(m.bindings) != 0 {
-		t.Fatalf("after a report without it: %d starts, %d bound", n, len(m.bindings)) // its answer was lost, so the machine is in doubt
+	m.noDirectUntil = time.Hour
+	if n := verbs(b.report(0), protocol.CommandStart); n != 0 || len(m.assignments) != 0 {
+		t.Fatalf("after a report without it: %d starts, %d bound", n, len(m.assignments)) // its answer was lost, so the machine is in doubt
 	}
-	if n := verbs(b.report(0), protocol.CommandStart); n != 1 || len(m.bindings) != 1 {
+	if n := verbs(b.report(0), protocol.CommandStart); n != 1 || len(m.assignments) != 1 {
 		t.Fatalf("not placed again: %d starts", n)
 	}
 }
@@ -101,39 +101,39 @@
 // a round
 // trip is seen, and is deleted in time; what it finishes counts.
 func TestDeafMachine(t *testing.T) {
-	b := newBed(t, 2)
+	b := newSchedulerFixture(t, 2)
 	b.report(0)
 	b.job("job-1", "red", "standard", 2, 8, 0)
 	starts := 0
 	count := func() {
 		for _, d := range b.direct() {
 			starts += verbs(d.Commands, protocol.CommandStart)
-			b.step(DirectDone{ID: d.ID, Machine: d.Machine}) // no answer
+			b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine}) // no answer
 		}
 	}
 	count()
-	m := b.s.machines[b.rig(0)]
+	m := b.scheduler.machines[b.machine(0)]
 	m.registration = registered
 	var try uint64
-	for _, x := range m.bindings {
+	for _, x := range m.assignments {
 		try = x.attempt
 	}
 	// It hears nothing: its next reports come on other connections. One task that it had got all the same is done.
 	deleted := false
-	tally := b.tally
+	tally := b.sequence
 	for range 20 {
 		b.now += time.Second
 		tally++
-		b.tally = tally
-		for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: tally, Token: 3,
-			Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: max(try, 1), State: protocol.Ended, Reason: protocol.ReasonDone}}}}) {
-			if r, ok := e.(ReplyOut); ok {
+		b.sequence = tally
+		for _, e := range b.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: tally, FencingToken: 3,
+			Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: max(try, 1), State: protocol.Ended, Reason: protocol.ReasonDone}}}}) {
+			if r, ok := e.(HeartbeatReply); ok {
 				starts += verbs(r.Commands, protocol.CommandStart)
 			}
 		}
 		count()
 		for _, e := range b.step(Tick{Entitled: true}) {
-			if d, ok := e.(DeleteOut); ok {
+			if d, ok := e.(DeleteMachines); ok {
 				for _, name := range d.Machines {
 					deleted = deleted || name == m.name
 				}
@@ -147,7 +147,7 @@
 	if !deleted {
 		t.Error("not deleted")
 	}
-	if j := b.s.jobs["job-1"]; j.doneCount != 1 {
+	if j := b.scheduler.jobs["job-1"]; j.doneCount != 1 {
 		t.Errorf("%d results count", j.doneCount)
 	}
 }
@@ -155,101 +155,101 @@
 // TestLateCopies: copies of reports, however late, prove nothing: no machine is taken for alive or fresh by them, no lease is extended, and
 // a leader with no memory of a machine that is gone does not raise it.
 func TestLateCopies(t *testing.T) {
-	b := newBed(t, 1)
-	answer := func(r protocol.Report, relayed bool) ReplyOut {
-		for _, e := range b.step(ReportIn{Entitled: true, Relayed: relayed, Report: &r}) {
-			if r, ok := e.(ReplyOut); ok {
+	b := newSchedulerFixture(t, 1)
+	answer := func(r protocol.Heartbeat, relayed bool) HeartbeatReply {
+		for _, e := range b.step(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &r}) {
+			if r, ok := e.(HeartbeatReply); ok {
 				return r
 			}
 		}
 		t.Fatal("not answered")
-		return ReplyOut{}
+		return HeartbeatReply{}
 	}
 	// Of an earlier term, of a machine that this leader has never heard of.
-	old := protocol.Report{Machine: "m-gone", Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 50, Token: 2}
+	old := protocol.Heartbeat{Machine: "m-gone", Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 2}
 	for _, relayed := range []bool{false, true} {
 		answer(old, relayed)
 	}
-	if b.s.machines["m-gone"] != nil {
+	if b.scheduler.machines["m-gone"] != nil {
 		t.Error("a copy raised a machine")
 	}
 	// Of an earlier term, of a machine that may hold tasks: not heard of, and no tasks taken from it.
-	known := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 50, Token: 2,
-		Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 1, State: protocol.Running}}}
+	known := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 2,
+		Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 1, State: protocol.Running}}}
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	if r := answer(known, false); !r.OK {
+	if r := answer(known, false); !r.Accepted {
 		t.Error("a worker that waits for this answer gets none")
 	}
-	m := b.s.machines[b.rig(0)]
-	if m.seen || m.fenced || len(m.bindings) > 0 || b.s.usable(m) {
-		t.Errorf("believed: seen %v fenced %v binds %d", m.seen, m.fenced, len(m.bindings))
+	m := b.scheduler.machines[b.machine(0)]
+	if m.hasReported || m.fenced || len(m.assignments) > 0 || b.scheduler.isSchedulable(m) {
+		t.Errorf("believed: seen %v fenced %v binds %d", m.hasReported, m.fenced, len(m.assignments))
 	}
 	// A copy overtakes its original, and the start in its answer gets lost. The original's answer brings it again, but not once the job is
 	// cancelled.
-	m.mute = time.Hour
+	m.noDirectUntil = time.Hour
 	b.report(0)
 	b.report(0)
-	first := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
+	first := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}
 	m.registration = registered
 	if r := answer(first, false); verbs(r.Commands, protocol.CommandStart) != 1 {
 		t.Errorf("the original brings %+v", r.Commands)
 	}
-	b.stamp++
-	b.step(JobSeen{ID: "job-1", Version: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
-	if r := answer(first, false); !r.OK || verbs(r.Commands, protocol.CommandStart) != 0 {
+	b.version++
+	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs["job-1"].spec}})
+	if r := answer(first, false); !r.Accepted || verbs(r.Commands, protocol.CommandStart) != 0 {
 		t.Errorf("after the cancellation: %+v", r)
 	}
 	// Of our term: the copy is answered like the original within the time that the worker waits, and does not keep the machine alive.
-	b.tally = 60
+	b.sequence = 60
 	b.report(0)
-	heard, base := m.heard, m.leaseBase
-	now := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}
-	if r := answer(now, false); !r.OK {
+	heard, base := m.lastHeartbeatAt, m.leaseRenewedAt
+	now := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}
+	if r := answer(now, false); !r.Accepted {
 		t.Error("the original behind a copy is not answered")
 	}
-	if before := answer(protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 40, Token: 3}, true); before.OK {
+	if before := answer(protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 40, FencingToken: 3}, true); before.Accepted {
 		t.Error("an older one is answered")
 	}
 	b.now += 30 * time.Second
-	if r := answer(now, true); r.OK {
+	if r := answer(now, true); r.Accepted {
 		t.Error("a copy that comes after a lease is answered")
 	}
-	if r := answer(known, true); r.OK && len(r.Commands) > 0 {
+	if r := answer(known, true); r.Accepted && len(r.Commands) > 0 {
 		t.Errorf("a copy from an earlier term brings %+v", r.Commands)
 	}
-	if m.heard != heard || m.leaseBase != base {
+	if m.lastHeartbeatAt != heard || m.leaseRenewedAt != base {
 		t.Error("a copy made a machine fresh")
 	}
 	// A report that we had not seen and that comes after a silence may be late as well: no tasks until the machine answers.
-	b.tally++
-	late := protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 2, Sequence: b.tally, Token: 3}
-	b.step(ReportIn{Entitled: true, Stayed: true, Report: &late})
-	if b.s.usable(m) {
+	b.sequence++
+	late := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 2, Sequence: b.sequence, FencingToken: 3}
+	b.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: &late})
+	if b.scheduler.isSchedulable(m) {
 		t.Error("usable by a late report")
 	}
-	b.tally++
+	b.sequence++
 	probed := late
-	probed.Sequence = b.tally
-	b.step(ProbeDone{Machine: m.name, Report: &probed})
-	if !b.s.usable(m) {
+	probed.Sequence = b.sequence
+	b.step(ProbeDone{Machine: m.name, Heartbeat: &probed})
+	if !b.scheduler.isSchedulable(m) {
 		t.Error("not usable after a round trip")
 	}
 }
 
 // TestDeletionConfirmed: tasks of a machine that is being returned stay bound until the cloud confirms it.
 func TestDeletionConfirmed(t *testing.T) {
-	b := newBed(t, 1)
+	b := newSchedulerFixture(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	m := b.s.machines[b.rig(0)]
-	b.s.remove(m, "test")
+	m := b.scheduler.machines[b.machine(0)]
+	b.scheduler.returnMachine(m, "test")
 	b.step(Tick{Entitled: true})
-	b.step(DeleteDone{Machines: []string{m.name}})
-	if len(m.bindings) != 1 || b.s.machines[m.name] == nil {
+	b.step(DeletionDone{Machines: []string{m.name}})
+	if len(m.assignments) != 1 || b.scheduler.machines[m.name] == nil {
 		t.Fatal("freed by a deletion that was not confirmed")
 	}
-	b.step(DeleteDone{Machines: []string{m.name}, OK: true})
-	if len(m.bindings) != 0 || b.s.machines[m.name] != nil {
+	b.step(DeletionDone{Machines: []string{m.name}, OK: true})
+	if len(m.assignments) != 0 || b.scheduler.machines[m.name] != nil {
 		t.Fatal("not freed")
 	}
 }
@@ -258,31 +258,31 @@
 // worker that
 // has seen a later leader.
 func TestNotEntitled(t *testing.T) {
-	b := newBed(t, 1)
-	r := &protocol.Report{Machine: b.rig(0), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 50, Token: 3}
+	b := newSchedulerFixture(t, 1)
+	r := &protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 3}
 	later := *r
-	later.Token = 4
-	for _, e := range []ReportIn{{Report: r}, {Report: &later, Entitled: true}} {
+	later.FencingToken = 4
+	for _, e := range []HeartbeatReceived{{Heartbeat: r}, {Heartbeat: &later, Entitled: true}} {
 		for _, eff := range b.step(e) {
-			if x, ok := eff.(ReplyOut); ok && x.OK {
+			if x, ok := eff.(HeartbeatReply); ok && x.Accepted {
 				t.Errorf("answered: %+v", e)
 			}
 		}
 	}
-	if m := b.s.machines[b.rig(0)]; m.seen || m.leaseBase > 0 {
+	if m := b.scheduler.machines[b.machine(0)]; m.hasReported || m.leaseRenewedAt > 0 {
 		t.Errorf("counted as heard: %+v", m)
 	}
 }
 
-// TestFewUnheard: after a take-over a machine that does not answer probes holds up all placement. If it is one of a few it is given up
+// TestFewUnreported: after a take-over a machine that does not answer probes holds up all placement. If it is one of a few it is given up
 // soon, and
 // the work goes on once its deletion is confirmed; a crowd may be behind a cut and is waited for.
-func TestFewUnheard(t *testing.T) {
+func TestFewUnreported(t *testing.T) {
 	for _, c := range []struct {
 		silent int
 		waits  bool
 	}{{1, false}, {20, true}} {
-		b := newBed(t, 40)
+		b := newSchedulerFixture(t, 40)
 		for i := c.silent; i < 40; i++ {
 			b.report(i)
 		}
@@ -292,28 +292,28 @@
 			b.now += 500 * time.Millisecond
 			for _, e := range b.step(Tick{Entitled: true}) {
 				switch e := e.(type) {
-				case ProbeOut:
+				case ProbeMachine:
 					b.step(ProbeDone{Machine: e.Machine})
-				case DeleteOut:
+				case DeleteMachines:
 					for _, name := range e.Machines {
 						deleted[name] = true
 					}
-					b.step(DeleteDone{Machines: e.Machines, OK: true})
+					b.step(DeletionDone{Machines: e.Machines, OK: true})
 				}
 			}
 		}
-		if b.s.recovered == c.waits || (len(deleted) == 0) != c.waits {
-			t.Errorf("%d silent: settled %v, deleted %v", c.silent, b.s.recovered, deleted)
+		if b.scheduler.recovered == c.waits || (len(deleted) == 0) != c.waits {
+			t.Errorf("%d silent: settled %v, deleted %v", c.silent, b.scheduler.recovered, deleted)
 		}
 	}
 }
 
-// TestDoubtedTogether: a machine whose answers may not arrive is asked at once, but not hundreds that come on new connections together:
+// TestUnverifiedTogether: a machine whose answers may not arrive is asked at once, but not hundreds that come on new connections together:
 // their next reports
 // setVerified them, and who stays unverified is asked then. Probes of all kept a small controller from answering reports, for minutes.
-func TestDoubtedTogether(t *testing.T) {
+func TestUnverifiedTogether(t *testing.T) {
 	for _, n := range []int{1, 40} {
-		b := newBed(t, 40)
+		b := newSchedulerFixture(t, 40)
 		for range 2 {
 			for i := range 40 {
 				b.report(i)
@@ -321,9 +321,9 @@
 			b.now += 2 * time.Second // the probes of the take-over are long over
 		}
 		moved := func(i int) (probes int) { // a report on another connection
-			b.tally++
-			for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Machine: b.rig(i), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: b.tally, Token: 3}}) {
-				if _, ok := e.(ProbeOut); ok {
+			b.sequence++
+			for _, e := range b.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: b.machine(i), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}}) {
+				if _, ok := e.(ProbeMachine); ok {
 					probes++
 				}
 			}
@@ -332,7 +332,7 @@
 		tick := func(after time.Duration) (probes int) {
 			b.now += after
 			for _, e := range b.step(Tick{Entitled: true}) {
-				if _, ok := e.(ProbeOut); ok {
+				if _, ok := e.(ProbeMachine); ok {
 					probes++
 				}
 			}
@@ -365,15 +365,15 @@
 	}
 }
 
-// TestGreetedHoldsItsLease: a machine that a new leader has greeted, but whose next report it has not taken yet, may go on with its
+// TestAnsweredMachineKeepsItsLease: a machine that a new leader has greeted, but whose next report it has not taken yet, may go on with its
 // tasks for a whole lease from
 // then. The rebuild does not end before that, or a task of it would be started elsewhere: seen on controllers too busy to take reports
 // in time.
-func TestGreetedHoldsItsLease(t *testing.T) {
-	b := newBed(t, 2)
+func TestAnsweredMachineKeepsItsLease(t *testing.T) {
+	b := newSchedulerFixture(t, 2)
 	b.report(0)
 	b.job("job-1", "red", "standard", 4, 4, 0)
-	lease := limits.WaitOut(14 * time.Second)
+	lease := limits.LeaseSurelyOver(14 * time.Second)
 	starts := func() (n int) {
 		for _, d := range b.direct() {
 			n += verbs(d.Commands, protocol.CommandStart)
@@ -382,10 +382,10 @@
 	}
 	b.now = 13 * time.Second
 	greeted := false
-	for _, e := range b.step(ReportIn{Entitled: true, Report: &protocol.Report{Machine: b.rig(1), Address: "x:1", MachineType: "s8", Zone: "a", Session: 1, Sequence: 9, Token: 2,
-		Tasks: []protocol.TaskReport{{Task: "job-1/0", Attempt: 7, State: protocol.Running}}}}) {
-		if r, ok := e.(ReplyOut); ok {
-			greeted = r.OK
+	for _, e := range b.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: b.machine(1), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 2,
+		Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 7, State: protocol.Running}}}}) {
+		if r, ok := e.(HeartbeatReply); ok {
+			greeted = r.Accepted
 		}
 	}
 	if !greeted {
@@ -395,13 +395,13 @@
 		b.now += time.Second
 		if b.now < end {
 			b.report(0)
-			if b.s.recovered || starts() > 0 {
+			if b.scheduler.recovered || starts() > 0 {
 				t.Fatalf("placed at %v, the greeted machine's lease lasts until %v", b.now, end)
 			}
 		}
 	}
 	b.report(0)
-	if !b.s.recovered {
+	if !b.scheduler.recovered {
 		t.Errorf("not rebuilt although every lease is over")
 	}
 }
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -8,35 +8,35 @@
 	"quillshunt/internal/protocol"
 )
 
-// usable tells whether a machine may get tasks at all.
-func (s *Scheduler) usable(m *machine) bool {
-	return m.verified && m.machineType != nil && m.rental != "" && !m.notice && !m.deleting && !m.sick() &&
-		m.session > m.endedSession && s.now <= m.heard+s.stale()
+// isSchedulable tells whether a machine may get tasks at all.
+func (s *Scheduler) isSchedulable(m *machine) bool {
+	return m.verified && m.machineType != nil && m.rental != "" && !m.spotNotice && !m.deleting && !m.isFaulty() &&
+		m.incarnation > m.endedIncarnation && s.now <= m.lastHeartbeatAt+s.staleAfter()
 }
 
-// allowed are the filters that no stopping of tasks can change.
-func (s *Scheduler) allowed(j *job, m *machine) bool {
-	return s.allows(j, m.kind, m.zone, m.spot) && m.size().holds(j.need) && !j.avoids(m)
+// passesHardFilters are the filters that no stopping of tasks can change.
+func (s *Scheduler) passesHardFilters(j *job, m *machine) bool {
+	return s.placementAllowed(j, m.typeName, m.zone, m.spot) && m.size().fits(j.demand) && !j.avoids(m)
 }
 
 // avoids tells whether a job goes elsewhere because the machine has failed it. Once it fails everywhere, any machine will do.
 func (j *job) avoids(m *machine) bool {
-	return j.failOn[m.name] && len(j.failOn) < limits.JobFaultMachines
+	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
 }
 
-func (s *Scheduler) allows(j *job, kind, yard string, spot bool) bool {
+func (s *Scheduler) placementAllowed(j *job, kind, yard string, spot bool) bool {
 	if spot && !j.spec.Spot {
 		return false
 	}
 	if j.spec.Zone != "" && j.spec.Zone != yard {
 		return false
 	}
-	if !kindAllowed(&j.spec, kind) {
+	if !typeAllowed(&j.spec, kind) {
 		return false
 	}
 	if j.spec.SameZone || j.spec.SpreadZones {
 		here, total := 0, 0
-		for _, b := range j.bound {
+		for _, b := range j.assignments {
 			total++
 			if b.machine.zone == yard {
 				here++
@@ -52,85 +52,85 @@
 	return true
 }
 
-// candidates are the machines to look at: a request that may stop nothing needs free room.
-func (p *pass) candidates(pressing bool) []*machine {
+// eligibleMachines are the machines to look at: a request that may stop nothing needs free room.
+func (p *placementPass) eligibleMachines(pressing bool) []*machine {
 	if pressing {
 		return p.machines
 	}
-	return p.roomy
+	return p.withFreeRoom
 }
 
-// candidates are the machines that pass the filters for a task of the job, with their scores.
-func (s *Scheduler) candidates(j *job, pressing bool) *shelves {
+// collectCandidates are the machines that pass the filters for a task of the job, with their scores.
+func (s *Scheduler) collectCandidates(j *job, pressing bool) *candidateGroups {
 	p := &s.pass
-	p.shelves.clear()
-	for _, m := range p.candidates(pressing) {
-		if c, ok := s.candidate(j, m, pressing, nil); ok {
-			p.shelves.add(c)
+	p.groups.clear()
+	for _, m := range p.eligibleMachines(pressing) {
+		if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
+			p.groups.add(c)
 		}
 	}
-	return &p.shelves
+	return &p.groups
 }
 
-// candidate filters and scores one machine, as it would stand with the seats that the gang at hand has there already; nil if there
+// evaluateMachine filters and scores one machine, as it would stand with the seats that the gang at hand has there already; nil if there
 // are none.
-func (s *Scheduler) candidate(j *job, m *machine, pressing bool, planned *outlook) (c candidate, ok bool) {
-	free, tasks := planned.freeRoom(m), len(m.bindings)+len(m.exits)
+func (s *Scheduler) evaluateMachine(j *job, m *machine, pressing bool, planned *plannedView) (c candidate, ok bool) {
+	free, tasks := planned.freeRoom(m), len(m.assignments)+len(m.endedTasks)
 	if planned != nil {
 		tasks += planned.tasks
 	}
-	over := !free.holds(j.need)
-	if m.gangRoom && !j.usesGangRoom {
+	over := !free.fits(j.demand)
+	if m.reservedForGangs && !j.mayUseGangReservation {
 		return c, false
 	}
-	if over && !pressing || (m.heldFor != nil && m.heldFor != j) || !s.allowed(j, m) || tasks >= limits.MaxTasks {
+	if over && !pressing || (m.reservedFor != nil && m.reservedFor != j) || !s.passesHardFilters(j, m) || tasks >= limits.MaxTasksPerMachine {
 		return c, false
 	}
-	c.m = m
+	c.machine = m
 	if over {
 		// The normal view: the machine without what this request may stop.
 		view := free
-		for _, b := range m.bindings {
-			if !planned.stops(b) && s.mayStop(j, b) {
-				view = view.plus(b.job.need)
+		for _, b := range m.assignments {
+			if !planned.isStopped(b) && s.mayPreempt(j, b) {
+				view = view.plus(b.job.demand)
 			}
 		}
-		if !view.holds(j.need) {
+		if !view.fits(j.demand) {
 			return c, false
 		}
-		c.scores[weighOvercommit] = -1
-		for _, v := range s.stoppable(j, m, planned) {
-			c.scores[weighCost] -= v.loss
+		c.scores[weightOvercommit] = -1
+		for _, v := range s.preemptionOptions(j, m, planned) {
+			c.scores[weightCost] -= v.cost
 		}
 	}
-	if _, ok := m.images[j.spec.Image]; !ok {
-		c.scores[weighImage] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.SlowestPull)
+	if _, ok := m.cachedImages[j.spec.Image]; !ok {
+		c.scores[weightImage] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.MinImageFetchRate)
 	}
-	left := free.minus(j.need)
-	c.scores[weighPack] = -left.cpu
-	c.scores[weighPrice] = -m.perCPU()
-	if j.gang != nil && m.gangRoom {
-		c.scores[weighKept] = 1
+	left := free.minus(j.demand)
+	c.scores[weightPacking] = -left.cpu
+	c.scores[weightPrice] = -m.pricePerCPU()
+	if j.gang != nil && m.reservedForGangs {
+		c.scores[weightGangReservation] = 1
 	}
 	if m.speedCount >= 3 {
-		c.scores[weighSpeed] = -math.Round(m.speedSum/float64(m.speedCount)/limits.SpeedStep) * limits.SpeedStep
+		c.scores[weightSpeed] = -math.Round(m.speedSum/float64(m.speedCount)/limits.SpeedStep) * limits.SpeedStep
 	} else {
-		c.scores[weighSpeed] = -1
+		c.scores[weightSpeed] = -1
 	}
 	return c, true
 }
 
-// kindAllowed tells whether a job may use machines of a type.
-func kindAllowed(spec *protocol.Spec, kind string) bool {
+// typeAllowed tells whether a job may use machines of a type.
+func typeAllowed(spec *protocol.Spec, kind string) bool {
 	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, kind)
 }
 
-// kindFits tells whether some allowed type can hold a task of the job.
-func kindFits(spec *protocol.Spec, types []protocol.MachineType) bool {
-	need := room{spec.CPUs, spec.Accelerators, spec.MemoryGB}
+// fitsSomeType tells whether some allowed type can hold a task of the job.
+func fitsSomeType(spec *protocol.Spec, types []protocol.MachineType) bool {
+	need := resources{spec.CPUs, spec.Accelerators, spec.MemoryGB}
 	for i := range types {
 		t := &types[i]
-		ok := kindAllowed(spec, t.Name)
+		ok := typeAllowed(spec, t.Name)
 		if spec.Zone != "" {
 			in := false
 			for _, y := range t.Zones {
@@ -138,18 +138,18 @@
 			}
 			ok = ok && in
 		}
-		if ok && sizeOf(t).holds(need) {
+		if ok && typeResources(t).fits(need) {
 			return true
 		}
 	}
 	return false
 }
 
-// Runnable tells whether a job could ever run: a task fits some allowed type, and its team's limit; of a gang, all tasks together.
-func Runnable(spec *protocol.Spec, types []protocol.MachineType, cpusMax, gpusMax float64) bool {
+// CanEverRun tells whether a job could ever run: a task fits some allowed type, and its team's limit; of a gang, all tasks together.
+func CanEverRun(spec *protocol.Spec, types []protocol.MachineType, cpusMax, gpusMax float64) bool {
 	atOnce := 1.0
 	if spec.Gang() {
 		atOnce = float64(spec.Tasks)
 	}
-	return kindFits(spec, types) && atOnce*spec.CPUs <= cpusMax+limits.Epsilon && atOnce*spec.Accelerators <= gpusMax+limits.Epsilon
+	return fitsSomeType(spec, types) && atOnce*spec.CPUs <= cpusMax+limits.Epsilon && atOnce*spec.Accelerators <= gpusMax+limits.Epsilon
 }
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -16,25 +16,25 @@
 }
 
 func (s *Scheduler) rentalLoaded(e RentalLoaded) {
-	h := &rental{name: e.Name, record: e.Rec, version: e.Version, at: s.now, state: rentalRequested, known: e.Rec.Answered}
+	h := &rental{name: e.Name, record: e.Record, version: e.Version, requestedAt: s.now, state: rentalRequested, answerDurable: e.Record.Answered}
 	s.rentals[e.Name] = h
-	if e.Rec.Answered {
+	if e.Record.Answered {
 		h.state = rentalAnswered
 	} else {
-		s.emit(RentOut{Request: h.request()}) // repeated: the same answer, or the machines for the first time
+		s.emit(RentMachines{Request: h.request()}) // repeated: the same answer, or the machines for the first time
 	}
-	for _, name := range e.Rec.Machines {
-		s.machine(name, e.Rec.MachineType, e.Rec.Zone, e.Rec.Spot).rental = h.name
+	for _, name := range e.Record.Machines {
+		s.getOrAddMachine(name, e.Record.MachineType, e.Record.Zone, e.Record.Spot).rental = h.name
 	}
 }
 
 // rentMachines starts a rental: its name is durable before the request leaves, so that a successor can ask for the answer.
-func (s *Scheduler) rentMachines(p pool, n int) {
+func (s *Scheduler) rentMachines(p machinePool, n int) {
 	s.rentalSequence++
-	h := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentalSequence), state: rentalWriting, at: s.now,
-		record: storage.Rental{MachineType: p.kind, Zone: p.zone, Spot: p.spot, Count: min(n, s.rentalMost)}}
+	h := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentalSequence), state: rentalWriting, requestedAt: s.now,
+		record: storage.Rental{MachineType: p.typeName, Zone: p.zone, Spot: p.spot, Count: min(n, s.maxRentalMachines)}}
 	s.rentals[h.name] = h
-	s.note(false, "renting", "request", h.name, "type", p.kind, "zone", p.zone, "spot", p.spot, "count", h.record.Count)
+	s.log(false, "renting", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot, "count", h.record.Count)
 	s.writeRental(h)
 }
 
@@ -46,8 +46,8 @@
 	}
 	h.writing, h.dirty = true, false
 	key := storage.RentalKey(h.name)
-	s.write(pendingWrite{kind: writeRental, rental: h.name, known: h.record.Answered}, []protocol.Condition{{Key: key, Version: h.version}},
-		[]protocol.Op{{Put: key, Value: protocol.Encode(h.record)}})
+	s.write(pendingWrite{kind: writeRental, rental: h.name, answered: h.record.Answered}, []protocol.Condition{{Key: key, Version: h.version}},
+		[]protocol.Operation{{Put: key, Value: protocol.Encode(h.record)}})
 }
 
 func (s *Scheduler) rentalWritten(p pendingWrite, ok bool, rev uint64) {
@@ -58,27 +58,27 @@
 	h.writing = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
-		s.note(true, "rental record refused", "request", h.name)
+		s.log(true, "rental record refused", "request", h.name)
 		return
 	}
 	h.version = rev
-	if p.known && !h.known {
-		h.known = true
+	if p.answered && !h.answerDurable {
+		h.answerDurable = true
 		for _, name := range h.record.Machines {
-			if m := s.machines[name]; m != nil && m.seen {
-				s.register(m) // it was up before its rental's record was written
+			if m := s.machines[name]; m != nil && m.hasReported {
+				s.registerMachine(m) // it was up before its rental's record was written
 			}
 		}
 	}
 	if h.state == rentalWriting {
 		h.state = rentalRequested
-		s.emit(RentOut{Request: h.request()})
+		s.emit(RentMachines{Request: h.request()})
 	}
-	s.keepRental(h)
+	s.reconcileRental(h)
 }
 
-// keepRental brings a rental's record in line with what is known: it goes once all its machines are gone.
-func (s *Scheduler) keepRental(h *rental) {
+// reconcileRental brings a rental's record in line with what is known: it goes once all its machines are gone.
+func (s *Scheduler) reconcileRental(h *rental) {
 	switch {
 	case h.writing || h.version == 0:
 	case h.state == rentalAnswered && len(h.record.Machines) == 0:
@@ -92,17 +92,17 @@
 	h.state = rentalRemoving
 	key := storage.RentalKey(h.name)
 	s.write(pendingWrite{kind: writeRentalRemove, rental: h.name}, []protocol.Condition{{Key: key, Version: h.version}},
-		[]protocol.Op{{Delete: key}})
+		[]protocol.Operation{{Delete: key}})
 }
 
-// cover makes a record for a machine that no rental of ours accounts for.
-func (s *Scheduler) cover(m *machine) {
-	h := &rental{name: "found-" + m.name, state: rentalAnswered, at: s.now,
-		record: storage.Rental{MachineType: m.kind, Zone: m.zone, Spot: m.spot, Answered: true, Machines: []string{m.name}}}
+// adoptMachine makes a record for a machine that no rental of ours accounts for.
+func (s *Scheduler) adoptMachine(m *machine) {
+	h := &rental{name: "found-" + m.name, state: rentalAnswered, requestedAt: s.now,
+		record: storage.Rental{MachineType: m.typeName, Zone: m.zone, Spot: m.spot, Answered: true, Machines: []string{m.name}}}
 	if s.rentals[h.name] != nil {
 		return // its last record is just being removed; the next report tries again
 	}
-	s.note(true, "unexpected machine", "machine", m.name, "type", m.kind, "zone", m.zone, "spot", m.spot)
+	s.log(true, "unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
 	m.rental = h.name
 	s.rentals[h.name] = h
 	s.writeRental(h)
@@ -113,53 +113,53 @@
 	if h == nil || h.state != rentalRequested {
 		return
 	}
-	p := pool{h.record.MachineType, h.record.Zone, h.record.Spot}
+	p := machinePool{h.record.MachineType, h.record.Zone, h.record.Spot}
 	switch {
 	case e.NoCapacity:
-		s.refuse(p)
-		s.planAt = 0
-		s.note(false, "no capacity", "request", h.name, "type", p.kind, "zone", p.zone, "spot", p.spot)
+		s.backOffPool(p)
+		s.nextPlanAt = 0
+		s.log(false, "no capacity", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot)
 		s.removeRental(h)
 		return
 	case !e.OK:
-		s.emit(RentOut{Request: h.request()})
+		s.emit(RentMachines{Request: h.request()})
 		return
 	}
 	if len(e.Machines) < h.record.Count {
-		s.refuse(p)
-		s.planAt = 0 // the rest is asked for elsewhere at once
+		s.backOffPool(p)
+		s.nextPlanAt = 0 // the rest is asked for elsewhere at once
 	} else if st := s.pools[p]; st != nil {
 		st.backoff = 0
 	}
-	s.note(false, "rented", "request", h.name, "machines", len(e.Machines))
+	s.log(false, "rented", "request", h.name, "machines", len(e.Machines))
 	h.state, h.dirty = rentalAnswered, true
 	h.record.Answered = true
 	for _, name := range e.Machines {
-		if s.gone[name] || slices.Contains(h.record.Machines, name) {
+		if s.deletedMachines[name] || slices.Contains(h.record.Machines, name) {
 			continue
 		}
 		known := s.machines[name]
-		m := s.machine(name, p.kind, p.zone, p.spot)
+		m := s.getOrAddMachine(name, p.typeName, p.zone, p.spot)
 		if known == nil {
-			m.created = h.at
+			m.createdAt = h.requestedAt
 		}
 		if m.rental == "" {
 			m.rental = h.name
 			h.record.Machines = append(h.record.Machines, name)
 		}
 	}
-	s.dirty = true
-	s.keepRental(h)
+	s.placementNeeded = true
+	s.reconcileRental(h)
 }
 
-// refuse makes a pool wait before it is asked again.
-func (s *Scheduler) refuse(p pool) {
-	st := s.pool(p)
+// backOffPool makes a pool wait before it is asked again.
+func (s *Scheduler) backOffPool(p machinePool) {
+	st := s.poolState(p)
 	st.backoff = min(max(2*st.backoff, limits.CapacityBackoffMin), limits.CapacityBackoffMax)
-	st.until = s.now + st.backoff
+	st.notBefore = s.now + st.backoff
 }
 
-func (s *Scheduler) pool(p pool) *poolState {
+func (s *Scheduler) poolState(p machinePool) *poolState {
 	st := s.pools[p]
 	if st == nil {
 		st = &poolState{}
@@ -168,38 +168,38 @@
 	return st
 }
 
-func (s *Scheduler) typesDone(e TypesDone) {
+func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
 	if !e.OK {
-		s.typesAt = s.now + limits.AskAgain
+		s.nextTypesAt = s.now + limits.CloudRetryInterval
 		return
 	}
-	s.typesAt = s.now + limits.TypesEvery
-	clear(s.types)
-	s.kinds = s.kinds[:0]
+	s.nextTypesAt = s.now + limits.MachineTypesInterval
+	clear(s.machineTypes)
+	s.typeNames = s.typeNames[:0]
 	for i := range e.Types {
 		t := e.Types[i]
-		s.types[t.Name] = &t
-		s.kinds = append(s.kinds, t.Name)
+		s.machineTypes[t.Name] = &t
+		s.typeNames = append(s.typeNames, t.Name)
 	}
-	sort.Strings(s.kinds)
-	for _, m := range s.fleet {
-		m.machineType = s.types[m.kind]
+	sort.Strings(s.typeNames)
+	for _, m := range s.sortedMachines {
+		m.machineType = s.machineTypes[m.typeName]
 	}
-	s.dirty = true
+	s.placementNeeded = true
 }
 
-func (s *Scheduler) listDone(e ListDone) {
-	s.listing = false
+func (s *Scheduler) machinesListed(e MachinesListed) {
+	s.listInFlight = false
 	if !e.OK {
-		s.listAt = s.now + limits.AskAgain
+		s.nextListAt = s.now + limits.CloudRetryInterval
 		return
 	}
-	s.listAt = s.now + limits.ListEvery
+	s.nextListAt = s.now + limits.MachineListInterval
 	in := make(map[string]bool, len(e.Machines))
 	for i := range e.Machines {
 		r := &e.Machines[i]
 		in[r.Name] = true
-		if s.gone[r.Name] {
+		if s.deletedMachines[r.Name] {
 			continue
 		}
 		m := s.machines[r.Name]
@@ -207,72 +207,72 @@
 			if r.AgeS < (3 * s.cfg.ListLag).Seconds() {
 				continue // perhaps the answer to a rental of ours is on its way
 			}
-			if s.now >= s.tookOver+limits.WaitOut(s.lease) && r.State != protocol.MachineRunning {
+			if s.now >= s.termStartedAt+limits.LeaseSurelyOver(s.workerLease) && r.State != protocol.MachineRunning {
 				continue
 			}
-			m = s.machine(r.Name, r.MachineType, r.Zone, r.Spot)
-			m.created = s.now - limits.Seconds(r.AgeS)
-			s.cover(m)
+			m = s.getOrAddMachine(r.Name, r.MachineType, r.Zone, r.Spot)
+			m.createdAt = s.now - limits.Seconds(r.AgeS)
+			s.adoptMachine(m)
 		}
 		if !m.listed {
-			m.created = min(m.created, s.now-limits.Seconds(r.AgeS))
+			m.createdAt = min(m.createdAt, s.now-limits.Seconds(r.AgeS))
 		}
 		m.listed = true
-		if m.addr == "" {
-			m.addr = r.Address
+		if m.address == "" {
+			m.address = r.Address
 		}
 		if r.State == protocol.MachineFailed {
-			s.remove(m, "failed")
+			s.returnMachine(m, "failed")
 		}
 	}
-	for _, m := range s.fleet {
-		if !s.recovered && !m.seen && m.registration != unregistered && !in[m.name] {
+	for _, m := range s.sortedMachines {
+		if !s.recovered && !m.hasReported && m.registration != unregistered && !in[m.name] {
 			// It reported to an earlier leader, so it was listed once or is very new. Its deletion is the quickest
 			// evidence that nothing runs there.
-			s.remove(m, "not listed after the take-over")
+			s.returnMachine(m, "not listed after the take-over")
 			continue
 		}
 		if in[m.name] || !m.listed {
-			m.missing = 0
+			m.missingLists = 0
 			continue
 		}
 		// It was listed and is no more: gone, unless this list is an old one. Deleting it makes sure.
-		if m.missing++; m.missing >= limits.MissingLists && s.now > m.heard+s.stale() {
-			s.remove(m, "no longer listed")
+		if m.missingLists++; m.missingLists >= limits.MissingListsBeforeDelete && s.now > m.lastHeartbeatAt+s.staleAfter() {
+			s.returnMachine(m, "no longer listed")
 		}
 	}
 }
 
-// remove returns a machine to the cloud. Once asked, there is no way back, as the request may be carried out at any time.
-func (s *Scheduler) remove(m *machine, why string) {
+// returnMachine returns a machine to the cloud. Once asked, there is no way back, as the request may be carried out at any time.
+func (s *Scheduler) returnMachine(m *machine, why string) {
 	if m.deleting {
 		return
 	}
-	m.deleting, m.deleteWhy, m.askedAt = true, why, -never/2
-	s.note(false, "returning", "machine", m.name, "reason", why, "tasks", len(m.bindings))
-	s.withdraw(m)
+	m.deleting, m.deleteReason, m.deleteRequestedAt = true, why, -never/2
+	s.log(false, "returning", "machine", m.name, "reason", why, "tasks", len(m.assignments))
+	s.releaseUnsent(m)
 }
 
-func (s *Scheduler) deleteDone(e DeleteDone) {
+func (s *Scheduler) deletionDone(e DeletionDone) {
 	for _, name := range e.Machines {
 		m := s.machines[name]
 		if m == nil {
 			continue
 		}
 		if !e.OK {
-			m.askedAt = s.now
+			m.deleteRequestedAt = s.now
 			continue
 		}
 		// The machine and everything on it are gone.
-		s.gone[name] = true
-		for _, b := range m.sortedBinds() {
-			s.unbind(b)
+		s.deletedMachines[name] = true
+		for _, b := range m.sortedAssignments() {
+			s.release(b)
 		}
-		s.dropMachine(m)
+		s.forgetMachine(m)
 	}
-	s.dirty = true
+	s.placementNeeded = true
 	for _, h := range s.sortedRentals() {
-		s.keepRental(h)
+		s.reconcileRental(h)
 	}
 }
 
@@ -287,46 +287,46 @@
 
 // manageFleet keeps the fleet in step with the work.
 func (s *Scheduler) manageFleet() {
-	if s.now >= s.typesAt {
-		s.typesAt = s.now + limits.CloudTimeout
-		s.emit(TypesOut{})
+	if s.now >= s.nextTypesAt {
+		s.nextTypesAt = s.now + limits.CloudTimeout
+		s.emit(FetchMachineTypes{})
 	}
-	if s.now >= s.listAt && !s.listing {
-		s.listing = true
-		s.emit(ListOut{})
+	if s.now >= s.nextListAt && !s.listInFlight {
+		s.listInFlight = true
+		s.emit(ListMachines{})
 	}
-	if s.now >= s.sumAt {
-		s.sumAt = s.now + limits.SummaryEvery
-		s.summary()
+	if s.now >= s.nextSummaryAt {
+		s.nextSummaryAt = s.now + limits.SummaryInterval
+		s.logSummary()
 	}
-	s.writeRegistrations()
-	s.removeBroken()
+	s.writeRegistryPages()
+	s.removeFaultyMachines()
 	s.probes.refill(s.now)
-	s.probe()
-	if s.now >= s.planAt && (s.recovered || s.now > s.tookOver+s.stale()) && len(s.types) > 0 {
-		s.planAt = s.now + limits.PlanEvery
-		s.plan()
+	s.probeMachines()
+	if s.now >= s.nextPlanAt && (s.recovered || s.now > s.termStartedAt+s.staleAfter()) && len(s.machineTypes) > 0 {
+		s.nextPlanAt = s.now + limits.PlanInterval
+		s.planCapacity()
 	}
 	var names []string
-	for _, m := range s.fleet {
-		if m.deleting && s.now >= m.askedAt+limits.AskAgain && len(names) < limits.DeleteMax {
-			m.askedAt = never / 2
+	for _, m := range s.sortedMachines {
+		if m.deleting && s.now >= m.deleteRequestedAt+limits.CloudRetryInterval && len(names) < limits.MaxDeleteSize {
+			m.deleteRequestedAt = never / 2
 			names = append(names, m.name)
 		}
 	}
 	if len(names) > 0 {
-		s.emit(DeleteOut{Machines: names})
+		s.emit(DeleteMachines{Machines: names})
 	}
 }
 
 // MsgSummary marks the line that shows how the term stands.
-const MsgSummary = "summary"
+const SummaryMessage = "summary"
 
-// summary writes that line.
-func (s *Scheduler) summary() {
+// logSummary writes that line.
+func (s *Scheduler) logSummary() {
 	up, booting, doubted, total, used, waiting, bound := 0, 0, 0, 0.0, 0.0, 0, 0
-	for _, m := range s.fleet {
-		if !m.seen {
+	for _, m := range s.sortedMachines {
+		if !m.hasReported {
 			booting++
 			continue
 		}
@@ -335,39 +335,39 @@
 			doubted++
 		}
 		total += m.size().cpu
-		used += m.used.cpu
+		used += m.allocated.cpu
 	}
 	for _, j := range s.queue {
 		if !j.cancelled {
-			waiting += j.free()
+			waiting += j.waitingTasks()
 		}
-		bound += len(j.bound)
+		bound += len(j.assignments)
 	}
-	s.note(false, MsgSummary, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.queue), "waiting", waiting, "bound", bound, "settled", s.recovered)
+	s.log(false, SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.queue), "waiting", waiting, "bound", bound, "settled", s.recovered)
 }
 
-// crowded tells whether so many of all machines at once must have a common cause.
-func crowded(n, all int) bool {
-	return n > limits.CrowdLeast && float64(n) > limits.SilentCrowd*float64(all)
+// isCorrelated tells whether so many of all machines at once must have a common cause.
+func isCorrelated(n, all int) bool {
+	return n > limits.CorrelatedMin && float64(n) > limits.CorrelatedSilenceShare*float64(all)
 }
 
-// removeBroken returns machines that do not serve: never up, silent, sick.
-func (s *Scheduler) removeBroken() {
+// removeFaultyMachines returns machines that do not serve: never up, silent, sick.
+func (s *Scheduler) removeFaultyMachines() {
 	silent, up, unheard, doubted := 0, 0, 0, 0
-	limit := time.Duration(float64(s.lease) * limits.SilentShare)
+	limit := time.Duration(float64(s.workerLease) * limits.SilentLeaseShare)
 	since := func(m *machine) time.Duration { // when it last showed that it hears us
 		if !m.verified {
-			return max(min(m.heard, m.unverifiedSince), s.tookOver)
+			return max(min(m.lastHeartbeatAt, m.unverifiedSince), s.termStartedAt)
 		}
-		return max(m.heard, s.tookOver)
+		return max(m.lastHeartbeatAt, s.termStartedAt)
 	}
-	quiet := func(m *machine) bool { return m.seen && s.now > since(m)+limit }
-	for _, m := range s.fleet {
+	quiet := func(m *machine) bool { return m.hasReported && s.now > since(m)+limit }
+	for _, m := range s.sortedMachines {
 		switch {
 		case m.deleting:
-		case m.seen:
+		case m.hasReported:
 			up++
-			if s.now > since(m)+s.stale() {
+			if s.now > since(m)+s.staleAfter() {
 				silent++
 			}
 			if !m.verified {
@@ -377,98 +377,98 @@
 			unheard++
 		}
 	}
-	s.manyUnverified = doubted > limits.CrowdLeast && float64(doubted) > limits.UnverifiedCrowd*float64(up)
-	lost := crowded(unheard, unheard+up)
-	s.fewUnheard = !s.recovered && float64(unheard) <= max(limits.CrowdLeast, limits.FewUnheard*float64(unheard+up))
+	s.manyUnverified = doubted > limits.CorrelatedMin && float64(doubted) > limits.CorrelatedUnverifiedShare*float64(up)
+	lost := isCorrelated(unheard, unheard+up)
+	s.fewUnreported = !s.recovered && float64(unheard) <= max(limits.CorrelatedMin, limits.FewUnreportedShare*float64(unheard+up))
 	// Many machines falling silent together is a cut, not a series of deaths: they may come back, sooner than others would boot. Counted are
 	// those that have only just begun to be silent, as otherwise the first of a crowd would go one by one.
-	crowd := crowded(silent, up)
-	for _, m := range s.fleet {
+	crowd := isCorrelated(silent, up)
+	for _, m := range s.sortedMachines {
 		if m.deleting {
 			continue
 		}
-		if m.notice {
-			s.hurry(m)
+		if m.spotNotice {
+			s.expediteResults(m)
 		}
 		switch {
-		case !m.seen && m.registration != unregistered:
+		case !m.hasReported && m.registration != unregistered:
 			// It had reported to an earlier leader, and neither reports to us nor answers.
-			patience := max(limits.RebuildPatience, time.Duration(limits.RebuildReports*float64(s.report)))
+			patience := max(limits.RecoveryPatience, time.Duration(limits.RecoveryPatienceReports*float64(s.heartbeatInterval)))
 			if lost {
 				patience = max(patience, limit) // so many at once may be a cut that ends soon
 			}
 			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer either costs less than the wait.
-			if s.now > s.tookOver+patience || (s.fewUnheard && m.misses >= limits.FewMisses) {
-				s.remove(m, "not heard of since the take-over")
+			if s.now > s.termStartedAt+patience || (s.fewUnreported && m.missedProbes >= limits.UnreportedProbeMisses) {
+				s.returnMachine(m, "not heard of since the take-over")
 			}
-		case !m.seen:
-			patience := limits.BootPatienceMin
+		case !m.hasReported:
+			patience := limits.MinBootPatience
 			if m.machineType != nil {
 				patience = max(patience, time.Duration(limits.BootPatience*float64(limits.Seconds(m.machineType.BootS))))
 			}
-			if s.now > max(m.created, s.tookOver)+patience {
-				s.remove(m, "never came up")
+			if s.now > max(m.createdAt, s.termStartedAt)+patience {
+				s.returnMachine(m, "never came up")
 			}
-		case quiet(m) && (!crowd || s.now > since(m)+limits.CrowdLeases*limits.WaitOut(s.lease)):
-			s.remove(m, "silent")
-		case m.sick():
-			if !s.gangsSave(m) {
-				s.remove(m, "fails its tasks")
+		case quiet(m) && (!crowd || s.now > since(m)+limits.CorrelatedSilenceLeases*limits.LeaseSurelyOver(s.workerLease)):
+			s.returnMachine(m, "silent")
+		case m.isFaulty():
+			if !s.gangsStillSaving(m) {
+				s.returnMachine(m, "fails its tasks")
 			}
-		case m.slow():
-			if !s.gangsSave(m) {
-				s.remove(m, "slow")
+		case m.isSlow():
+			if !s.gangsStillSaving(m) {
+				s.returnMachine(m, "slow")
 			}
-		case m.notice && len(m.bindings) == 0 && s.durable(m):
-			s.remove(m, "spot notice")
+		case m.spotNotice && len(m.assignments) == 0 && s.resultsDurable(m):
+			s.returnMachine(m, "spot notice")
 		default:
-			if s.holdsCancelled(m, s.deleteAt) {
-				s.remove(m, "cancelled task does not stop")
+			if s.holdsCancelledTask(m, s.cancelDeleteAt) {
+				s.returnMachine(m, "cancelled task does not stop")
 			}
 		}
 	}
 }
 
-// holdsCancelled tells whether a machine may have a task of a cancelled job although that job's time is over.
-func (s *Scheduler) holdsCancelled(m *machine, over func(*job) time.Duration) bool {
-	for _, b := range m.bindings {
-		if b.job.cancelled && b.phase != assigned && s.now > over(b.job) {
+// holdsCancelledTask tells whether a machine may have a task of a cancelled job although that job's time is over.
+func (s *Scheduler) holdsCancelledTask(m *machine, over func(*job) time.Duration) bool {
+	for _, b := range m.assignments {
+		if b.job.cancelled && b.state != stateUnsent && s.now > over(b.job) {
 			return true
 		}
 	}
 	return false
 }
 
-// deleteAt is when a machine that still has a task of a cancelled job is deleted: early enough that the cloud has answered by
+// cancelDeleteAt is when a machine that still has a task of a cancelled job is deleted: early enough that the cloud has answered by
 // lastAnswer. A leader that has
 // only just learned of it lets the stops arrive first, while there is time.
-func (s *Scheduler) deleteAt(j *job) time.Duration {
+func (s *Scheduler) cancelDeleteAt(j *job) time.Duration {
 	within := limits.Seconds(s.cfg.Workers.CancelS)
-	early := time.Duration(limits.CancelShare * float64(limits.CancelLast(within, s.lease)))
-	late := time.Duration(limits.CancelLatest * float64(within))
-	return max(j.cancelAt+early, min(j.cancelSeen+limits.CancelGrace, j.cancelAt+late))
+	early := time.Duration(limits.CancelDeleteShare * float64(limits.CancelAnswerUntil(within, s.workerLease)))
+	late := time.Duration(limits.CancelDeleteLatestShare * float64(within))
+	return max(j.cancelledAt+early, min(j.cancelSeenAt+limits.CancelStopGrace, j.cancelledAt+late))
 }
 
-// lastAnswer is until when the reports of such a machine are answered. If its deletion is not confirmed by then, nothing but the end of
+// cancelAnswerUntil is until when the reports of such a machine are answered. If its deletion is not confirmed by then, nothing but the end of
 // its lease takes the task
 // off it in time, also if it hangs and goes on. Its other tasks are lost with that, as they would be by the deletion.
-func (s *Scheduler) lastAnswer(j *job) time.Duration {
-	return j.cancelAt + limits.CancelLast(limits.Seconds(s.cfg.Workers.CancelS), s.lease)
+func (s *Scheduler) cancelAnswerUntil(j *job) time.Duration {
+	return j.cancelledAt + limits.CancelAnswerUntil(limits.Seconds(s.cfg.Workers.CancelS), s.workerLease)
 }
 
-// hurry asks for the results that a machine lists to be written down next: it is to go.
-func (s *Scheduler) hurry(m *machine) {
-	for _, x := range m.exits {
-		if !x.durable() {
-			x.job.chunks[x.chunk].hurry = true
+// expediteResults asks for the results that a machine lists to be written down next: it is to go.
+func (s *Scheduler) expediteResults(m *machine) {
+	for _, x := range m.endedTasks {
+		if !x.isDurable() {
+			x.job.chunks[x.chunk].expedite = true
 		}
 	}
 }
 
-// durable tells whether all results that a machine lists are written down.
-func (s *Scheduler) durable(m *machine) bool {
-	for _, x := range m.exits {
-		if !x.durable() {
+// resultsDurable tells whether all results that a machine lists are written down.
+func (s *Scheduler) resultsDurable(m *machine) bool {
+	for _, x := range m.endedTasks {
+		if !x.isDurable() {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/gang_bed_test.go
+++ b/internal/coordination/scheduler/gang_bed_test.go
@@ -9,76 +9,76 @@
 )
 
 // gang submits a gang.
-func (b *bed) gang(id string, tasks int, cpus float64, change ...func(*protocol.Spec)) {
-	b.stamp++
+func (b *schedulerFixture) gang(id string, tasks int, cpus float64, change ...func(*protocol.Spec)) {
+	b.version++
 	spec := protocol.Spec{ID: id, Class: "g", Team: "red", Shape: protocol.ShapeGang, Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 1,
 		Image: "i", EstimateS: 10, CheckpointS: 20, SaveS: 3}
 	for _, f := range change {
 		f(&spec)
 	}
-	b.step(JobSeen{ID: id, Version: 100 + b.stamp, Rec: storage.Open{Spec: spec}})
+	b.step(JobChanged{JobID: id, Version: 100 + b.version, Record: storage.OpenJob{Spec: spec}})
 }
 
-// gangBed is a bed whose workers are played: each takes its commands and reports what it has.
-type gangBed struct {
-	*bed
-	tasks [][]protocol.TaskReport // on each machine
-	deaf  map[int]bool            // machines that take no direct commands
+// gangFixture is a bed whose workers are played: each takes its commands and reports what it has.
+type gangFixture struct {
+	*schedulerFixture
+	tasks       [][]protocol.TaskStatus // on each machine
+	unreachable map[int]bool            // machines that take no direct commands
 }
 
-func newGangBed(t *testing.T, machines int) *gangBed {
-	g := &gangBed{bed: newBed(t, machines), tasks: make([][]protocol.TaskReport, machines), deaf: map[int]bool{}}
+func newGangFixture(t *testing.T, machines int) *gangFixture {
+	g := &gangFixture{schedulerFixture: newSchedulerFixture(t, machines), tasks: make([][]protocol.TaskStatus, machines), unreachable: map[int]bool{}}
 	g.reportAll()
 	g.reportAll()
 	return g
 }
 
 // startedGang is a gang that fills some of the machines, a machine for each of its tasks, and whose starts have arrived.
-func startedGang(t *testing.T, machines, tasks int) *gangBed {
-	g := newGangBed(t, machines)
+func startedGang(t *testing.T, machines, tasks int) *gangFixture {
+	g := newGangFixture(t, machines)
 	g.gang("job-1", tasks, 8)
-	g.deliver(g.out)
+	g.deliver(g.effects)
 	return g
 }
 
 // reportAll lets every machine report once and take the answer; direct commands are taken as well.
-func (g *gangBed) reportAll() {
+func (g *gangFixture) reportAll() {
 	for i := range g.tasks {
 		orders := g.report(i, g.tasks[i]...)
-		out := g.out
+		out := g.effects
 		g.take(i, orders)
 		g.deliver(out)
 	}
 }
 
 // deliver takes the direct commands among some effects.
-func (g *gangBed) deliver(out []Effect) {
+func (g *gangFixture) deliver(out []Effect) {
 	for _, e := range out {
-		d, ok := e.(DirectOut)
+		d, ok := e.(SendDirectCommands)
 		if !ok {
 			continue
 		}
 		i := 0
-		for g.rig(i) != d.Machine {
+		for g.machine(i) != d.Machine {
 			i++
 		}
-		if g.deaf[i] {
+		if g.unreachable[i] {
 			continue
 		}
 		g.take(i, d.Commands)
-		g.tally++
-		more := g.step(DirectDone{ID: d.ID, Machine: d.Machine, Report: &protocol.Report{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a",
-			Session: 1, Sequence: g.tally, Token: 3, Tasks: g.tasks[i]}})
+		g.sequence++
+		more := g.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: &protocol.Heartbeat{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a",
+			Incarnation: 1, Sequence: g.sequence, FencingToken: 3, Tasks: g.tasks[i]}})
 		g.deliver(more)
 	}
 }
 
-func (g *gangBed) take(i int, orders []protocol.Command) {
+func (g *gangFixture) take(i int, orders []protocol.Command) {
 	for _, o := range orders {
-		k := slices.IndexFunc(g.tasks[i], func(t protocol.TaskReport) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
+		k := slices.IndexFunc(g.tasks[i], func(t protocol.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		switch {
 		case o.Verb == protocol.CommandStart && k < 0:
-			g.tasks[i] = append(g.tasks[i], protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Fetching})
+			g.tasks[i] = append(g.tasks[i], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Fetching})
 		case o.Verb == protocol.CommandForget && k >= 0:
 			g.tasks[i] = slices.Delete(g.tasks[i], k, k+1)
 		}
@@ -86,7 +86,7 @@
 }
 
 // all sets what every task of a job shows.
-func (g *gangBed) all(job, state string) {
+func (g *gangFixture) all(job, state string) {
 	for i := range g.tasks {
 		for k := range g.tasks[i] {
 			if id, _, _ := protocol.ParseTaskName(g.tasks[i][k].Task); id == job && g.tasks[i][k].State != protocol.Ended {
@@ -97,7 +97,7 @@
 }
 
 // end ends a task on a machine.
-func (g *gangBed) end(i int, task, reason string) {
+func (g *gangFixture) end(i int, task, reason string) {
 	for k := range g.tasks[i] {
 		if g.tasks[i][k].Task == task {
 			g.tasks[i][k].State, g.tasks[i][k].Reason = protocol.Ended, reason
@@ -106,7 +106,7 @@
 }
 
 // where returns the machine that has a live task, and its attempt.
-func (g *gangBed) where(task string) (machine int, attempt uint64) {
+func (g *gangFixture) where(task string) (machine int, attempt uint64) {
 	for i := range g.tasks {
 		for _, t := range g.tasks[i] {
 			if t.Task == task && t.State != protocol.Ended {
@@ -123,9 +123,9 @@
 	for _, e := range out {
 		var orders []protocol.Command
 		switch e := e.(type) {
-		case DirectOut:
+		case SendDirectCommands:
 			orders = e.Commands
-		case ReplyOut:
+		case HeartbeatReply:
 			orders = e.Commands
 		}
 		for _, o := range orders {
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -13,13 +13,13 @@
 
 // TestGangTogether: a gang gets all its machines in one pass and one attempt number, or none; a smaller one behind it is not kept waiting.
 func TestGangTogether(t *testing.T) {
-	b := newGangBed(t, 2)
+	b := newGangFixture(t, 2)
 	b.gang("job-1", 5, 4)
-	if got := commandsOf(b.out, protocol.CommandStart); len(got) != 0 || len(b.s.jobs["job-1"].bound) != 0 {
+	if got := commandsOf(b.effects, protocol.CommandStart); len(got) != 0 || len(b.scheduler.jobs["job-1"].assignments) != 0 {
 		t.Fatalf("a part of a gang that does not fit was started: %+v", got)
 	}
 	b.gang("job-2", 4, 4)
-	got := commandsOf(b.out, protocol.CommandStart)
+	got := commandsOf(b.effects, protocol.CommandStart)
 	if len(got) != 4 {
 		t.Fatalf("starts: %+v", got)
 	}
@@ -33,34 +33,34 @@
 // TestGangWaitsForConfirmedRoom: a gang that takes room from others sends no start before the last of them is known to be gone, so that it
 // never holds a part of its machines while somebody else has the rest.
 func TestGangWaitsForConfirmedRoom(t *testing.T) {
-	b := newGangBed(t, 2)
+	b := newGangFixture(t, 2)
 	b.job("job-1", "red", "low", 2, 6, 0)
-	b.deliver(b.out)
+	b.deliver(b.effects)
 	b.all("job-1", protocol.Running)
 	b.reportAll()
 	b.gang("job-2", 2, 8, func(s *protocol.Spec) { s.Priority, s.DeadlineS = "high", 12 })
-	stops := commandsOf(b.out, protocol.CommandStop)
+	stops := commandsOf(b.effects, protocol.CommandStop)
 	if len(stops) != 2 {
-		t.Fatalf("stops: %+v", b.out)
+		t.Fatalf("stops: %+v", b.effects)
 	}
-	b.deliver(b.out)
-	b.end(0, "job-1/0", protocol.ReasonHalted)
-	b.end(0, "job-1/1", protocol.ReasonHalted)
+	b.deliver(b.effects)
+	b.end(0, "job-1/0", protocol.ReasonStopped)
+	b.end(0, "job-1/1", protocol.ReasonStopped)
 	b.report(0, b.tasks[0]...)
-	if got := commandsOf(b.out, protocol.CommandStart); len(got) != 0 {
+	if got := commandsOf(b.effects, protocol.CommandStart); len(got) != 0 {
 		t.Fatalf("started while the other machine is not free: %+v", got)
 	}
-	b.end(1, "job-1/0", protocol.ReasonHalted)
-	b.end(1, "job-1/1", protocol.ReasonHalted)
+	b.end(1, "job-1/0", protocol.ReasonStopped)
+	b.end(1, "job-1/1", protocol.ReasonStopped)
 	b.report(1, b.tasks[1]...)
 	got := 0
-	for _, o := range commandsOf(b.out, protocol.CommandStart) {
+	for _, o := range commandsOf(b.effects, protocol.CommandStart) {
 		if id, _, _ := protocol.ParseTaskName(o.Task); id == "job-2" {
 			got++
 		}
 	}
 	if got != 2 {
-		t.Fatalf("%d starts once all room is free: %+v", got, b.out)
+		t.Fatalf("%d starts once all room is free: %+v", got, b.effects)
 	}
 }
 
@@ -78,7 +78,7 @@
 	if again == lostOn || again == other || again < 0 || same != attempt {
 		t.Fatalf("replaced on %d by attempt %x; lost on %d, attempt %x", again, same, lostOn, attempt)
 	}
-	if stays, _ := b.where("job-1/1"); stays != other || b.s.jobs["job-1"].bound[1].stop {
+	if stays, _ := b.where("job-1/1"); stays != other || b.scheduler.jobs["job-1"].assignments[1].stopping {
 		t.Error("the task that waits was stopped")
 	}
 }
@@ -92,14 +92,14 @@
 	b.reportAll()
 	b.end(lostOn, "job-1/0", protocol.ReasonError)
 	b.report(lostOn, b.tasks[lostOn]...)
-	if stops := commandsOf(b.out, protocol.CommandStop); len(stops) != 1 || stops[0].Task != "job-1/1" {
-		t.Fatalf("stops: %+v", b.out)
+	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 1 || stops[0].Task != "job-1/1" {
+		t.Fatalf("stops: %+v", b.effects)
 	}
-	b.deliver(b.out)
-	b.end(other, "job-1/1", protocol.ReasonHalted)
+	b.deliver(b.effects)
+	b.end(other, "job-1/1", protocol.ReasonStopped)
 	b.reportAll()
 	b.reportAll()
-	if j := b.s.jobs["job-1"]; j.gang.attempt == attempt {
+	if j := b.scheduler.jobs["job-1"]; j.gang.attempt == attempt {
 		t.Errorf("the same attempt again: %+v", j.gang)
 	}
 }
@@ -114,14 +114,14 @@
 	b.reportAll()
 	b.tasks[lostOn] = nil
 	b.report(lostOn)
-	stops := commandsOf(b.out, protocol.CommandStop)
+	stops := commandsOf(b.effects, protocol.CommandStop)
 	if len(stops) != 1 || stops[0].Task != "job-1/1" || *stops[0].GraceS != 0 {
 		t.Fatalf("stops: %+v", stops)
 	}
-	b.deliver(b.out)
+	b.deliver(b.effects)
 	for range 3 {
 		b.reportAll()
-		if starts := commandsOf(b.out, protocol.CommandStart); len(starts) != 0 {
+		if starts := commandsOf(b.effects, protocol.CommandStart); len(starts) != 0 {
 			t.Fatalf("started while a task is there: %+v", starts)
 		}
 	}
@@ -131,7 +131,7 @@
 	if i, again := b.where("job-1/0"); i < 0 || again <= attempt {
 		t.Errorf("next attempt: on %d, %x after %x", i, again, attempt)
 	}
-	if b.s.machines[b.rig(other)].failures != 0 || len(b.s.jobs["job-1"].failOn) != 0 {
+	if b.scheduler.machines[b.machine(other)].consecutiveFailures != 0 || len(b.scheduler.jobs["job-1"].failedMachines) != 0 {
 		t.Error("counted as a failure of machine or job")
 	}
 }
@@ -142,11 +142,11 @@
 	b := startedGang(t, 3, 3)
 	b.all("job-1", protocol.Running)
 	b.reportAll()
-	b.s.directs = limits.DirectsMost
+	b.scheduler.directCommandsInFlight = limits.MaxDirectCommands
 	left := 2.0
-	b.tally++
-	out := b.step(ReportIn{Entitled: true, Stayed: true, Report: &protocol.Report{Machine: b.rig(1), Address: "x:1", MachineType: "s8", Zone: "a",
-		Session: 1, Sequence: b.tally, Token: 3, NoticeS: &left, Tasks: b.tasks[1]}})
+	b.sequence++
+	out := b.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: &protocol.Heartbeat{Machine: b.machine(1), Address: "x:1", MachineType: "s8", Zone: "a",
+		Incarnation: 1, Sequence: b.sequence, FencingToken: 3, SpotNoticeS: &left, Tasks: b.tasks[1]}})
 	stops := commandsOf(out, protocol.CommandStop)
 	if len(stops) != 3 {
 		t.Fatalf("stops: %+v", stops)
@@ -160,12 +160,12 @@
 
 // TestGangStopGoesOnAfterTakeOver: a new leader that finds a task of a gang saving stops the rest, before it knows all machines.
 func TestGangStopGoesOnAfterTakeOver(t *testing.T) {
-	b := newBed(t, 3)
+	b := newSchedulerFixture(t, 3)
 	b.gang("job-1", 2, 8)
-	b.report(0, protocol.TaskReport{Task: "job-1/0", Attempt: 7, State: protocol.Running})
-	b.report(1, protocol.TaskReport{Task: "job-1/1", Attempt: 7, State: protocol.Saving})
-	stops := commandsOf(b.out, protocol.CommandStop)
-	if len(stops) != 2 || b.s.recovered {
+	b.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.Running})
+	b.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.Saving})
+	stops := commandsOf(b.effects, protocol.CommandStop)
+	if len(stops) != 2 || b.scheduler.recovered {
 		t.Fatalf("stops: %+v", stops)
 	}
 }
@@ -177,17 +177,17 @@
 		state string
 		start bool
 	}{{protocol.Gathering, true}, {protocol.Running, false}} {
-		b := newBed(t, 2)
+		b := newSchedulerFixture(t, 2)
 		b.gang("job-1", 2, 8)
-		has := protocol.TaskReport{Task: "job-1/0", Attempt: 7, State: c.state}
+		has := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: c.state}
 		b.report(0, has)
 		b.report(1)
-		starts, stops := commandsOf(b.out, protocol.CommandStart), commandsOf(b.out, protocol.CommandStop)
+		starts, stops := commandsOf(b.effects, protocol.CommandStart), commandsOf(b.effects, protocol.CommandStop)
 		switch {
 		case c.start && (len(starts) != 1 || starts[0].Attempt != 7 || starts[0].Task != "job-1/1"):
-			t.Errorf("%s: not completed: %+v", c.state, b.out)
+			t.Errorf("%s: not completed: %+v", c.state, b.effects)
 		case !c.start && (len(starts) != 0 || len(stops) != 1):
-			t.Errorf("%s: not ended: %+v", c.state, b.out)
+			t.Errorf("%s: not ended: %+v", c.state, b.effects)
 		}
 	}
 }
@@ -202,20 +202,20 @@
 	b.end(i, "job-1/0", protocol.ReasonDone)
 	b.report(i, b.tasks[i]...)
 	var final bool
-	for _, e := range b.out {
-		if w, ok := e.(WriteOut); ok && w.Ops[0].Put == storage.FinalKey("job-1") {
+	for _, e := range b.effects {
+		if w, ok := e.(WriteRecords); ok && w.Operations[0].Put == storage.FinalJobKey("job-1") {
 			final = true
-			b.step(WriteDone{ID: w.ID, OK: true, Version: 900})
+			b.step(WriteCompleted{ID: w.ID, OK: true, Version: 900})
 		}
 	}
 	if !final {
-		t.Fatalf("no final record: %+v", b.out)
+		t.Fatalf("no final record: %+v", b.effects)
 	}
-	if b.s.teams["red"].used.cpu != 8 {
-		t.Errorf("the other task counts no more: %+v", b.s.teams["red"].used)
+	if b.scheduler.teams["red"].allocated.cpu != 8 {
+		t.Errorf("the other task counts no more: %+v", b.scheduler.teams["red"].allocated)
 	}
 	b.gang("job-2", 2, 8)
-	if starts := commandsOf(b.out, protocol.CommandStart); len(starts) != 0 {
+	if starts := commandsOf(b.effects, protocol.CommandStart); len(starts) != 0 {
 		t.Errorf("its room was given away: %+v", starts)
 	}
 }
@@ -229,44 +229,44 @@
 	b.reportAll()
 	b.end(i, "job-1/0", protocol.ReasonIncomplete)
 	b.report(i, b.tasks[i]...)
-	if stops := commandsOf(b.out, protocol.CommandStop); len(stops) != 1 {
-		t.Fatalf("the other task still waits: %+v", b.out)
+	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 1 {
+		t.Fatalf("the other task still waits: %+v", b.effects)
 	}
-	b.deliver(b.out)
-	b.end(k, "job-1/1", protocol.ReasonHalted)
+	b.deliver(b.effects)
+	b.end(k, "job-1/1", protocol.ReasonStopped)
 	b.reportAll()
 	b.reportAll()
 	if at, again := b.where("job-1/0"); at < 0 || again <= attempt {
 		t.Errorf("not started again: %d %x", at, again)
 	}
-	if b.s.machines[b.rig(i)].failures != 0 || len(b.s.jobs["job-1"].failOn) != 0 {
+	if b.scheduler.machines[b.machine(i)].consecutiveFailures != 0 || len(b.scheduler.jobs["job-1"].failedMachines) != 0 {
 		t.Error("counted as a failure")
 	}
 }
 
 // TestGangVictim: a gang that is stopped for somebody counts once, with the loss of all its tasks, and leaves room on all its machines.
 func TestGangVictim(t *testing.T) {
-	b := newGangBed(t, 2)
+	b := newGangFixture(t, 2)
 	b.gang("job-1", 4, 4, func(s *protocol.Spec) { s.Priority, s.CheckpointS, s.SaveS = "low", 0, 0 })
-	b.deliver(b.out)
+	b.deliver(b.effects)
 	b.all("job-1", protocol.Running)
 	b.reportAll()
 	for range 3 {
 		b.now += time.Second
 		b.reportAll()
 	}
-	m := b.s.machines[b.rig(0)]
+	m := b.scheduler.machines[b.machine(0)]
 	b.job("job-2", "red", "high", 1, 8, 0)
-	options := b.s.stoppable(b.s.jobs["job-2"], m, nil)
-	one := b.s.loss(b.s.jobs["job-1"].bound[0])
-	if len(options) != 1 || options[0].need.cpu != 8 || options[0].loss < 3.9*one {
+	options := b.scheduler.preemptionOptions(b.scheduler.jobs["job-2"], m, nil)
+	one := b.scheduler.preemptionCost(b.scheduler.jobs["job-1"].assignments[0])
+	if len(options) != 1 || options[0].resources.cpu != 8 || options[0].cost < 3.9*one {
 		t.Fatalf("victims: %+v, a task's loss %v", options, one)
 	}
 	b.job("job-3", "red", "high", 2, 8, 12)
-	if stops := commandsOf(b.out, protocol.CommandStop); len(stops) != 4 {
+	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 4 {
 		t.Errorf("stops: %+v", stops)
 	}
-	if bound := len(b.s.jobs["job-3"].bound); bound != 2 {
+	if bound := len(b.scheduler.jobs["job-3"].assignments); bound != 2 {
 		t.Errorf("%d of 2 tasks have got the room that the gang leaves", bound)
 	}
 }
@@ -277,9 +277,9 @@
 		b := startedGang(t, 2, 2)
 		b.all("job-1", state)
 		b.reportAll()
-		b.stamp++
-		b.step(JobSeen{ID: "job-1", Version: 100 + b.stamp, Rec: storage.Open{Cancelled: true, Spec: b.s.jobs["job-1"].spec}})
-		stops := commandsOf(b.out, protocol.CommandStop)
+		b.version++
+		b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs["job-1"].spec}})
+		stops := commandsOf(b.effects, protocol.CommandStop)
 		if len(stops) != 2 || *stops[0].GraceS != 0 {
 			t.Errorf("%s: stops %+v", state, stops)
 		}
@@ -294,45 +294,45 @@
 		cpus, gpus float64
 		gang       bool
 	}{{32, 4, true}, {31, 4, false}, {32, 3, false}} {
-		if got := Runnable(&spec, types, c.cpus, c.gpus); got != c.gang {
+		if got := CanEverRun(&spec, types, c.cpus, c.gpus); got != c.gang {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
 	spec.Shape = protocol.ShapeArray
-	if !Runnable(&spec, types, 8, 1) {
+	if !CanEverRun(&spec, types, 8, 1) {
 		t.Error("array refused")
 	}
 }
 
 // TestGangOfSeveralAttempts: tasks of one gang that show different attempts never find each other, so all are stopped.
 func TestGangOfSeveralAttempts(t *testing.T) {
-	b := newBed(t, 2)
+	b := newSchedulerFixture(t, 2)
 	b.gang("job-1", 2, 8)
-	b.report(0, protocol.TaskReport{Task: "job-1/0", Attempt: 7, State: protocol.Gathering})
-	b.report(1, protocol.TaskReport{Task: "job-1/1", Attempt: 8, State: protocol.Gathering})
-	if stops := commandsOf(b.out, protocol.CommandStop); len(stops) != 2 {
-		t.Errorf("stops: %+v", b.out)
+	b.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.Gathering})
+	b.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.Gathering})
+	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 2 {
+		t.Errorf("stops: %+v", b.effects)
 	}
 }
 
 // TestCommittedRoomIsKept: the start of a more urgent task, for which room was promised that is not free yet, does not take the room
 // that a gang was committed to.
 func TestCommittedRoomIsKept(t *testing.T) {
-	b := newBed(t, 1)
+	b := newSchedulerFixture(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "low", 1, 4, 0)
 	b.job("job-2", "red", "high", 1, 64, 0) // fits no machine; bound by hand below
-	s, m := b.s, b.s.machines[b.rig(0)]
+	s, m := b.scheduler, b.scheduler.machines[b.machine(0)]
 	b.gang("job-3", 2, 8) // does not fit
-	leaving := s.jobs["job-1"].bound[0]
-	leaving.phase = running
-	s.stopBinding(leaving, "for job-2")
-	s.jobs["job-2"].need.cpu = 4
-	s.bind(s.jobs["job-2"], 0, m, 20, assigned)
+	leaving := s.jobs["job-1"].assignments[0]
+	leaving.state = stateRunning
+	s.stopAssignment(leaving, "for job-2")
+	s.jobs["job-2"].demand.cpu = 4
+	s.assign(s.jobs["job-2"], 0, m, 20, stateUnsent)
 	gang := s.jobs["job-3"]
-	gang.need.cpu = 4
-	s.bind(gang, 0, m, 21, assigned).committed = true
-	starts := commandsOf([]Effect{ReplyOut{Commands: s.commands(m, 1, nil)}}, protocol.CommandStart)
+	gang.demand.cpu = 4
+	s.assign(gang, 0, m, 21, stateUnsent).committed = true
+	starts := commandsOf([]Effect{HeartbeatReply{Commands: s.buildCommands(m, 1, nil)}}, protocol.CommandStart)
 	if len(starts) != 1 || starts[0].Task != "job-3/0" {
 		t.Errorf("starts: %+v", starts)
 	}
@@ -343,10 +343,10 @@
 	b := startedGang(t, 2, 2)
 	b.all("job-1", protocol.Running)
 	b.reportAll()
-	m := b.s.machines[b.rig(0)]
-	m.failures, m.failedJobs = limits.SickErrors, map[string]bool{"job-9": true}
+	m := b.scheduler.machines[b.machine(0)]
+	m.consecutiveFailures, m.failedJobs = limits.FaultyFailures, map[string]bool{"job-9": true}
 	b.step(Tick{Entitled: true})
-	if stops := commandsOf(b.out, protocol.CommandStop); len(stops) != 2 || m.deleting {
+	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 2 || m.deleting {
 		t.Fatalf("stops: %+v, deleting %v", stops, m.deleting)
 	}
 	for range 12 {
@@ -362,19 +362,19 @@
 // TestGangRoom: where gangs should start sooner than a machine boots, independent tasks leave the room that gangs lately used, until
 // they have waited for long.
 func TestGangRoom(t *testing.T) {
-	b := newGangBed(t, 2)
-	b.s.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "g", WithinS: 2, Share: 0.9}}
+	b := newGangFixture(t, 2)
+	b.scheduler.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "g", WithinS: 2, Share: 0.9}}
 	b.gang("job-1", 2, 2)
-	b.deliver(b.out)
+	b.deliver(b.effects)
 	b.all("job-1", protocol.Running)
 	b.reportAll()
 	b.step(Tick{Entitled: true})
-	b.now += limits.PlanEvery
+	b.now += limits.PlanInterval
 	b.reportAll()
 	b.step(Tick{Entitled: true})
 	kept := 0
-	for _, m := range b.s.fleet {
-		if m.gangRoom {
+	for _, m := range b.scheduler.sortedMachines {
+		if m.reservedForGangs {
 			kept++
 		}
 	}
@@ -382,35 +382,35 @@
 		t.Fatal("no machine is kept")
 	}
 	b.job("job-2", "red", "standard", 16, 1, 0)
-	b.deliver(b.out)
+	b.deliver(b.effects)
 	free := 0.0
-	for _, m := range b.s.fleet {
-		if m.gangRoom {
+	for _, m := range b.scheduler.sortedMachines {
+		if m.reservedForGangs {
 			free += m.freeRoom().cpu
 		}
 	}
 	if free < 4 {
 		t.Fatalf("independent tasks have taken what is kept: %v CPUs left", free)
 	}
-	for end := b.now + limits.GangRoomYields + 2*time.Second; b.now < end; b.now += time.Second {
+	for end := b.now + limits.GangReservationYieldAge + 2*time.Second; b.now < end; b.now += time.Second {
 		b.reportAll()
 		b.step(Tick{Entitled: true})
-		b.deliver(b.out)
+		b.deliver(b.effects)
 	}
-	if n := len(b.s.jobs["job-2"].bound); n < 12 {
+	if n := len(b.scheduler.jobs["job-2"].assignments); n < 12 {
 		t.Errorf("still kept from who has waited for long: %d tasks bound", n)
 	}
 }
 
 // TestOrphanOfAnOpenJob: finished tasks of a job that is open, but whose team the settings do not name, are no leftovers.
 func TestOrphanOfAnOpenJob(t *testing.T) {
-	b := newBed(t, 0)
-	s := New(b.s.cfg, 0)
-	s.Step(JobSeen{ID: "job-1", Version: 5, Rec: storage.Open{Spec: protocol.Spec{ID: "job-1", Team: "gone", Priority: "low", Tasks: 2}}}, 0)
-	s.Step(FinishedLoaded{ID: "job-1", Version: 6, Rec: storage.Fin{Bits: "AQ"}}, 0)
-	for _, e := range s.Step(Loaded{}, 0) {
-		if w, ok := e.(WriteOut); ok && w.Ops[0].Delete != "" {
-			if len(w.Conditions) != 1 || w.Conditions[0] != (protocol.Condition{Key: storage.OpenKey("job-1")}) {
+	b := newSchedulerFixture(t, 0)
+	s := New(b.scheduler.cfg, 0)
+	s.Step(JobChanged{JobID: "job-1", Version: 5, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-1", Team: "gone", Priority: "low", Tasks: 2}}}, 0)
+	s.Step(FinishedTasksLoaded{JobID: "job-1", Version: 6, Record: storage.FinishedTasks{Bits: "AQ"}}, 0)
+	for _, e := range s.Step(StateLoaded{}, 0) {
+		if w, ok := e.(WriteRecords); ok && w.Operations[0].Delete != "" {
+			if len(w.Conditions) != 1 || w.Conditions[0] != (protocol.Condition{Key: storage.OpenJobKey("job-1")}) {
 				t.Errorf("removed without a guard: %+v", w)
 			}
 		}
@@ -420,13 +420,13 @@
 // TestGangThatCannotBeComplete: no machine is rented or kept for a gang that is spread over more zones than there are, nor for long for one
 // that the cloud has not enough machines for.
 func TestGangThatCannotBeComplete(t *testing.T) {
-	b := newGangBed(t, 1)
+	b := newGangFixture(t, 1)
 	b.gang("job-1", 4, 8, func(s *protocol.Spec) { s.SpreadZones = true })
 	for range 3 {
-		b.now += limits.PlanEvery
+		b.now += limits.PlanInterval
 		b.step(Tick{Entitled: true})
-		for _, e := range b.out {
-			if w, ok := e.(WriteOut); ok && strings.HasPrefix(w.Ops[0].Put, storage.PrefixRental) {
+		for _, e := range b.effects {
+			if w, ok := e.(WriteRecords); ok && strings.HasPrefix(w.Operations[0].Put, storage.PrefixRental) {
 				t.Fatalf("rented for a gang that no zones can hold: %+v", w)
 			}
 		}
@@ -434,19 +434,19 @@
 	for _, c := range []struct {
 		age  time.Duration
 		kept bool
-	}{{0, true}, {limits.GangShortPatience + time.Second, false}} {
-		b = newGangBed(t, 1)
+	}{{0, true}, {limits.GangCapacityPatience + time.Second, false}} {
+		b = newGangFixture(t, 1)
 		for _, spot := range []bool{true, false} {
-			b.s.pool(pool{"s8", "a", spot}).until = never
+			b.scheduler.poolState(machinePool{"s8", "a", spot}).notBefore = never
 		}
-		b.stamp++
-		b.step(JobSeen{ID: "job-1", Version: 100 + b.stamp, Age: c.age, Rec: storage.Open{Spec: protocol.Spec{ID: "job-1", Class: "g", Team: "red",
+		b.version++
+		b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, SinceSubmission: c.age, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-1", Class: "g", Team: "red",
 			Shape: protocol.ShapeGang, Priority: "standard", Tasks: 2, CPUs: 8, MemoryGB: 1, Spot: true, Image: "i", EstimateS: 10}}})
-		b.now += limits.PlanEvery
+		b.now += limits.PlanInterval
 		b.reportAll()
 		b.step(Tick{Entitled: true})
-		if m := b.s.machines[b.rig(0)]; m.wanted != c.kept {
-			t.Errorf("after %v: its machine is kept: %v", c.age, m.wanted)
+		if m := b.scheduler.machines[b.machine(0)]; m.neededByPlan != c.kept {
+			t.Errorf("after %v: its machine is kept: %v", c.age, m.neededByPlan)
 		}
 	}
 }
@@ -454,28 +454,28 @@
 // TestGangAttemptKnownToWorker: a machine that lists a task of the attempt as ended takes no start of it for a new one. A new leader, which
 // does not remember where tasks were lost, sends the replacement elsewhere; and if such a start goes out, the task does not stay bound.
 func TestGangAttemptKnownToWorker(t *testing.T) {
-	ended := protocol.TaskReport{Task: "job-1/0", Attempt: 7, State: protocol.Ended, Reason: protocol.ReasonNoRoom}
-	waits := protocol.TaskReport{Task: "job-1/1", Attempt: 7, State: protocol.Gathering}
-	b := newBed(t, 3)
+	ended := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.Ended, Reason: protocol.ReasonNoRoom}
+	waits := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.Gathering}
+	b := newSchedulerFixture(t, 3)
 	b.gang("job-1", 2, 8)
 	b.report(0, ended)
 	b.report(1, waits)
 	b.report(2)
-	if starts := commandsOf(b.out, protocol.CommandStart); len(starts) != 1 || starts[0].Attempt != 7 {
-		t.Fatalf("starts: %+v", b.out)
+	if starts := commandsOf(b.effects, protocol.CommandStart); len(starts) != 1 || starts[0].Attempt != 7 {
+		t.Fatalf("starts: %+v", b.effects)
 	}
-	if m := b.s.jobs["job-1"].bound[0].machine; m.name != b.rig(2) {
+	if m := b.scheduler.jobs["job-1"].assignments[0].machine; m.name != b.machine(2) {
 		t.Errorf("replaced on %s", m.name)
 	}
-	b = newBed(t, 2)
+	b = newSchedulerFixture(t, 2)
 	b.gang("job-1", 2, 8)
 	b.report(0, ended)
 	b.report(1, waits)
-	if b.s.jobs["job-1"].bound[0] == nil {
-		b.s.bind(b.s.jobs["job-1"], 0, b.s.machines[b.rig(0)], 7, sent)
+	if b.scheduler.jobs["job-1"].assignments[0] == nil {
+		b.scheduler.assign(b.scheduler.jobs["job-1"], 0, b.scheduler.machines[b.machine(0)], 7, stateSent)
 	}
 	b.report(0, ended)
-	if bound := b.s.jobs["job-1"].bound[0]; bound != nil {
+	if bound := b.scheduler.jobs["job-1"].assignments[0]; bound != nil {
 		t.Errorf("still bound: %+v", bound)
 	}
 }
