--- a/internal/coordination/scheduler/gangplace.go
+++ b/internal/coordination/scheduler/gangplace.go
@@ -15,112 +15,112 @@
 
 // gangRequest is what decides whether a gang finds room, for gangs that ask for nothing particular.
 type gangRequest struct {
-	request
+	placementRequest
 	tasks       int
 	sameZone    bool
 	spreadZones bool
 }
 
-// seat is where a task of a gang may go.
-type seat struct {
+// taskPlacement is where a task of a gang may go.
+type taskPlacement struct {
 	machine *machine
-	victims []*binding
+	victims []*assignment
 }
 
-// outlook is how a machine would stand with the seats that were chosen so far.
-type outlook struct {
-	taken   room
-	freed   room
-	tasks   int
-	stopped map[*binding]bool
+// plannedView is how a machine would stand with the seats that were chosen so far.
+type plannedView struct {
+	takenRoom resources
+	freedRoom resources
+	tasks     int
+	stopped   map[*assignment]bool
 }
 
 // freeRoom is what may still be promised on the machine.
-func (v *outlook) freeRoom(m *machine) room {
+func (v *plannedView) freeRoom(m *machine) resources {
 	if v == nil {
 		return m.freeRoom()
 	}
-	return m.freeRoom().minus(v.taken).plus(v.freed)
+	return m.freeRoom().minus(v.takenRoom).plus(v.freedRoom)
 }
 
-// stops tells whether a task is to be stopped already.
-func (v *outlook) stops(b *binding) bool { return v != nil && v.stopped[b] }
+// isStopped tells whether a task is to be stopped already.
+func (v *plannedView) isStopped(b *assignment) bool { return v != nil && v.stopped[b] }
 
-// seating looks for seats for all missing tasks of a gang.
-type seating struct {
-	s        *Scheduler
-	j        *job
-	pressing bool
-	zone     string // the only one, or ""
-	views    map[*machine]*outlook
-	inZone   map[string]int // tasks of the gang
-	seats    []seat
-	shelves  shelves
-	loss     float64
+// gangPlacement looks for seats for all missing tasks of a gang.
+type gangPlacement struct {
+	scheduler   *Scheduler
+	job         *job
+	preempting  bool
+	zone        string // the only one, or ""
+	views       map[*machine]*plannedView
+	tasksInZone map[string]int // tasks of the gang
+	placements  []taskPlacement
+	groups      candidateGroups
+	cost        float64
 }
 
 // placeGang places all missing tasks of a gang, or none.
 func (s *Scheduler) placeGang(j *job) bool {
 	p, g := &s.pass, j.gang
-	n := j.free()
+	n := j.waitingTasks()
 	if n == 0 {
 		return true
 	}
-	if !j.teamAllows() {
+	if !j.withinTeamLimit() {
 		return false
 	}
 	ask := gangRequest{
-		request:  request{j.need, j.team, j.priority, j.guaranteed, j.spec.Spot, s.pressing(j), true},
-		tasks:    n,
-		sameZone: j.spec.SameZone, spreadZones: j.spec.SpreadZones,
+		placementRequest: placementRequest{j.demand, j.team, j.priority, j.guaranteed, j.spec.Spot, s.mayPreemptNow(j), true},
+		tasks:            n,
+		sameZone:         j.spec.SameZone, spreadZones: j.spec.SpreadZones,
 	}
-	common := j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && len(j.failOn) == 0 && len(j.bound) == 0
-	if s.now < j.pressAgain {
-		ask.pressing = false
+	common := j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && len(j.failedMachines) == 0 && len(j.assignments) == 0
+	if s.now < j.nextPreemptionSearch {
+		ask.preempting = false
 	}
-	if (common && p.refusedGangs[ask]) || (!ask.pressing && !p.most.holds(j.need)) {
+	if (common && p.unplaceableGangs[ask]) || (!ask.preempting && !p.maxFreeRoom.fits(j.demand)) {
 		return false
 	}
-	best := s.bestSeating(j, n, ask.pressing)
+	best := s.bestGangPlacement(j, n, ask.preempting)
 	if best == nil {
 		if common {
-			p.refusedGangs[ask] = true
+			p.unplaceableGangs[ask] = true
 		}
-		if ask.pressing {
-			j.pressAgain = s.now + limits.PressAgain
+		if ask.preempting {
+			j.nextPreemptionSearch = s.now + limits.PreemptionSearchInterval
 		}
 		return false
 	}
-	s.takeSeats(g, best)
+	s.applyGangPlacement(g, best)
 	return true
 }
 
-// bestSeating returns seats for n tasks of a gang, or nil: of the zones that have room for all, the one that costs least.
-func (s *Scheduler) bestSeating(j *job, n int, pressing bool) *seating {
+// bestGangPlacement returns seats for n tasks of a gang, or nil: of the zones that have room for all, the one that costs least.
+func (s *Scheduler) bestGangPlacement(j *job, n int, pressing bool) *gangPlacement {
 	if !j.spec.SameZone {
-		return s.seatGang(j, n, "", pressing)
+		return s.placeGangInZone(j, n, "", pressing)
 	}
-	var best *seating
-	for _, zone := range s.seatZones(j, n, pressing) {
-		found := s.seatGang(j, n, zone, pressing)
-		if found != nil && (best == nil || found.cheaper(best)) {
+	var best *gangPlacement
+	for _, zone := range s.gangZones(j, n, pressing) {
+		found := s.placeGangInZone(j, n, zone, pressing)
+		if found != nil && (best == nil || found.cheaperThan(best)) {
 			best = found
 		}
 	}
 	return best
 }
 
-// seatZones are the zones that may have room for n tasks of a gang, by name.
-func (s *Scheduler) seatZones(j *job, n int, pressing bool) []string {
+// gangZones are the zones that may have room for n tasks of a gang, by name.
+func (s *Scheduler) gangZones(j *job, n int, pressing bool) []string {
 	slotsIn := map[string]int{}
-	for _, m := range s.pass.candidates(pressing) {
-		if !s.allowed(j, m) || (m.heldFor != nil && m.heldFor != j) {
+	for _, m := range s.pass.eligibleMachines(pressing) {
+		if !s.passesHardFilters(j, m) || (m.reservedFor != nil && m.reservedFor != j) {
 			continue
 		}
 		if pressing {
-			slotsIn[m.zone] += slots(m.size(), j.need)
+			slotsIn[m.zone] += tasksThatFit(m.size(), j.demand)
 		} else {
-			slotsIn[m.zone] += slots(m.freeRoom(), j.need)
+			slotsIn[m.zone] += tasksThatFit(m.freeRoom(), j.demand)
 		}
 	}
 	var zones []string
@@ -133,55 +133,55 @@
 	return zones
 }
 
-// cheaper compares two seatings: work lost first, then how much of the image is to be fetched, then the number of machines.
-func (a *seating) cheaper(b *seating) bool {
-	return cmp.Or(cmp.Compare(a.loss, b.loss), cmp.Compare(a.fetches(), b.fetches()), cmp.Compare(len(a.views), len(b.views))) < 0
+// cheaperThan compares two seatings: work lost first, then how much of the image is to be fetched, then the number of machines.
+func (a *gangPlacement) cheaperThan(b *gangPlacement) bool {
+	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.imageFetches(), b.imageFetches()), cmp.Compare(len(a.views), len(b.views))) < 0
 }
 
-// fetches is on how many machines the gang would wait for its image.
-func (a *seating) fetches() int {
+// imageFetches is on how many machines the gang would wait for its image.
+func (a *gangPlacement) imageFetches() int {
 	n := 0
 	for m := range a.views {
-		if _, ok := m.images[a.j.spec.Image]; !ok {
+		if _, ok := m.cachedImages[a.job.spec.Image]; !ok {
 			n++
 		}
 	}
 	return n
 }
 
-// seatGang looks for seats for n tasks of a gang, in one zone if one is named. It returns nil if it does not find all of them.
-func (s *Scheduler) seatGang(j *job, n int, zone string, pressing bool) *seating {
-	a := &seating{s: s, j: j, pressing: pressing, zone: zone, views: map[*machine]*outlook{}, inZone: map[string]int{}}
-	for _, b := range j.bound {
-		a.inZone[b.machine.zone]++
-	}
-	a.reshelve()
-	for len(a.seats) < n {
-		best := rank(a.shelves.cs)
-		if best < 0 || !a.take(best) {
+// placeGangInZone looks for seats for n tasks of a gang, in one zone if one is named. It returns nil if it does not find all of them.
+func (s *Scheduler) placeGangInZone(j *job, n int, zone string, pressing bool) *gangPlacement {
+	a := &gangPlacement{scheduler: s, job: j, preempting: pressing, zone: zone, views: map[*machine]*plannedView{}, tasksInZone: map[string]int{}}
+	for _, b := range j.assignments {
+		a.tasksInZone[b.machine.zone]++
+	}
+	a.collectCandidates()
+	for len(a.placements) < n {
+		best := bestCandidate(a.groups.representatives)
+		if best < 0 || !a.placeOn(best) {
 			return nil
 		}
 	}
 	return a
 }
 
-// offer adds a machine to the candidates if a task may go there.
-func (a *seating) offer(m *machine) {
-	if a.zone != "" && m.zone != a.zone || a.j.gang.avoided[m.name] || a.j.gang.endedOn(m) || a.zoneFull(m.zone) {
+// offerMachine adds a machine to the candidates if a task may go there.
+func (a *gangPlacement) offerMachine(m *machine) {
+	if a.zone != "" && m.zone != a.zone || a.job.gang.lostMachines[m.name] || a.job.gang.hasEndedOn(m) || a.zoneFull(m.zone) {
 		return
 	}
-	if c, ok := a.s.candidate(a.j, m, a.pressing, a.views[m]); ok {
-		a.shelves.add(c)
+	if c, ok := a.scheduler.evaluateMachine(a.job, m, a.preempting, a.views[m]); ok {
+		a.groups.add(c)
 	}
 }
 
-// endedOn tells whether a machine lists a task of the gang's present attempt as ended: its worker takes a start of it for a repetition.
-func (g *gang) endedOn(m *machine) bool {
+// hasEndedOn tells whether a machine lists a task of the gang's present attempt as ended: its worker takes a start of it for a repetition.
+func (g *gang) hasEndedOn(m *machine) bool {
 	if g.state == gangWaiting {
 		return false
 	}
-	for key := range m.exits {
-		if id, _, _ := protocol.ParseTaskName(key.piece); key.try == g.attempt && id == g.job.id {
+	for key := range m.endedTasks {
+		if id, _, _ := protocol.ParseTaskName(key.task); key.attempt == g.attempt && id == g.job.id {
 			return true
 		}
 	}
@@ -189,132 +189,132 @@
 }
 
 // zoneFull tells whether a gang that is spread over zones may have no more tasks in one.
-func (a *seating) zoneFull(zone string) bool {
-	return a.j.spec.SpreadZones && a.inZone[zone] >= (a.j.spec.Tasks+1)/2
+func (a *gangPlacement) zoneFull(zone string) bool {
+	return a.job.spec.SpreadZones && a.tasksInZone[zone] >= (a.job.spec.Tasks+1)/2
 }
 
-// take takes a seat on the first machine of a shelf.
-func (a *seating) take(shelf int) bool {
-	c := a.shelves.cs[shelf]
-	victims, ok := a.s.victims(a.j, &c, a.views[c.m])
+// placeOn takes a seat on the first machine of a shelf.
+func (a *gangPlacement) placeOn(shelf int) bool {
+	c := a.groups.representatives[shelf]
+	victims, ok := a.scheduler.chooseVictims(a.job, &c, a.views[c.machine])
 	if !ok {
 		return false
 	}
-	a.shelves.takeFirst(shelf)
-	view := a.view(c.m)
-	view.taken, view.tasks = view.taken.plus(a.j.need), view.tasks+1
-	a.inZone[c.m.zone]++
-	a.seats = append(a.seats, seat{c.m, victims})
+	a.groups.takeFirst(shelf)
+	view := a.viewOf(c.machine)
+	view.takenRoom, view.tasks = view.takenRoom.plus(a.job.demand), view.tasks+1
+	a.tasksInZone[c.machine.zone]++
+	a.placements = append(a.placements, taskPlacement{c.machine, victims})
 	for _, v := range victims {
-		a.stop(v)
+		a.countVictim(v)
 	}
-	if len(victims) > 0 || a.zoneFull(c.m.zone) {
-		a.reshelve()
+	if len(victims) > 0 || a.zoneFull(c.machine.zone) {
+		a.collectCandidates()
 		return true
 	}
-	a.offer(c.m)
+	a.offerMachine(c.machine)
 	return true
 }
 
-// stop counts the room that a victim leaves; of a gang, on all its machines.
-func (a *seating) stop(b *binding) {
-	gone := []*binding{b}
+// countVictim counts the room that a victim leaves; of a gang, on all its machines.
+func (a *gangPlacement) countVictim(b *assignment) {
+	gone := []*assignment{b}
 	if b.job.gang != nil {
-		gone = b.job.sortedBound()
-		a.loss += a.s.gangLoss(b.job)
+		gone = b.job.sortedAssignments()
+		a.cost += a.scheduler.gangPreemptionCost(b.job)
 	} else {
-		a.loss += a.s.loss(b)
+		a.cost += a.scheduler.preemptionCost(b)
 	}
 	for _, x := range gone {
-		view := a.view(x.machine)
+		view := a.viewOf(x.machine)
 		if view.stopped == nil {
-			view.stopped = map[*binding]bool{}
+			view.stopped = map[*assignment]bool{}
 		}
-		if !view.stopped[x] && !x.stop {
+		if !view.stopped[x] && !x.stopping {
 			view.stopped[x] = true
-			view.freed = view.freed.plus(x.job.need)
+			view.freedRoom = view.freedRoom.plus(x.job.demand)
 		}
 	}
 }
 
-func (a *seating) view(m *machine) *outlook {
+func (a *gangPlacement) viewOf(m *machine) *plannedView {
 	v := a.views[m]
 	if v == nil {
-		v = &outlook{}
+		v = &plannedView{}
 		a.views[m] = v
 	}
 	return v
 }
 
-// reshelve looks at all machines, at first and after room was freed on several or a zone was filled.
-func (a *seating) reshelve() {
-	a.shelves.clear()
-	for _, m := range a.s.pass.candidates(a.pressing) {
-		a.offer(m)
+// collectCandidates looks at all machines, at first and after room was freed on several or a zone was filled.
+func (a *gangPlacement) collectCandidates() {
+	a.groups.clear()
+	for _, m := range a.scheduler.pass.eligibleMachines(a.preempting) {
+		a.offerMachine(m)
 	}
 }
 
-// takeSeats binds the missing tasks of a gang to their seats and stops the victims.
-func (s *Scheduler) takeSeats(g *gang, found *seating) {
+// applyGangPlacement binds the missing tasks of a gang to their seats and stops the victims.
+func (s *Scheduler) applyGangPlacement(g *gang, found *gangPlacement) {
 	j, p := g.job, &s.pass
-	for _, x := range found.seats {
+	for _, x := range found.placements {
 		for _, v := range x.victims {
 			s.stopTask(v, "preempted for "+j.id)
 		}
 	}
 	if g.state == gangWaiting {
-		g.state, g.attempt = gangPlaced, s.attempt()
+		g.state, g.attempt = gangPlaced, s.nextAttempt()
 	}
-	for _, x := range found.seats {
-		x.machine.heldFor = nil
-		s.bind(j, j.nextFree(), x.machine, g.attempt, assigned)
+	for _, x := range found.placements {
+		x.machine.reservedFor = nil
+		s.assign(j, j.nextWaitingTask(), x.machine, g.attempt, stateUnsent)
 	}
 	for m, v := range found.views {
 		if len(v.stopped) > 0 {
-			p.offer(m)
+			p.addFreedMachine(m)
 		}
 	}
-	p.clearRefused()
-	if !g.placed {
-		g.placed = true
-		s.placedGangs = append(s.placedGangs, g)
+	p.clearUnplaceable()
+	if !g.awaitsCommit {
+		g.awaitsCommit = true
+		s.uncommittedGangs = append(s.uncommittedGangs, g)
 	}
-	s.roomChanged = true
+	s.freeRoomChanged = true
 }
 
-// offerGang notes that the machines of a gang that was stopped have got more free room.
-func (s *Scheduler) offerGang(j *job) {
-	for _, b := range j.sortedBound() {
-		s.pass.offer(b.machine)
+// addGangMachinesToPass notes that the machines of a gang that was stopped have got more free room.
+func (s *Scheduler) addGangMachinesToPass(j *job) {
+	for _, b := range j.sortedAssignments() {
+		s.pass.addFreedMachine(b.machine)
 	}
 }
 
 // refillGangs replaces tasks that gangs lost before their start. A gang that can't be complete in time is stopped and waits again.
 func (s *Scheduler) refillGangs() {
-	refills := s.refills
-	s.refills = nil
+	refills := s.gangsToRefill
+	s.gangsToRefill = nil
 	for _, g := range refills {
-		if g.settled() || g.state != gangGathering || g.missing() == 0 {
+		if g.isOver() || g.state != gangGathering || g.missing() == 0 {
 			continue
 		}
-		fetch := limits.Seconds(g.job.class.fetch)
-		late := g.gatherBy != 0 && s.now+fetch > g.gatherBy
-		if late || s.now < g.job.resume || !s.placeGang(g.job) {
+		fetch := limits.Seconds(g.job.class.fetchSeconds)
+		late := g.completeBy != 0 && s.now+fetch > g.completeBy
+		if late || s.now < g.job.retryAt || !s.placeGang(g.job) {
 			s.stopGang(g, "no room for a lost task of the gang")
 		}
 	}
 }
 
-// reserveGang keeps machines for a gang that waits for long and finds no room, all in one zone if it must be: those with the most
+// reserveForWaitingGang keeps machines for a gang that waits for long and finds no room, all in one zone if it must be: those with the most
 // free room, and those that were kept before first.
-func (s *Scheduler) reserveGang(j *job) {
+func (s *Scheduler) reserveForWaitingGang(j *job) {
 	p := &s.pass
-	if j.free() == 0 || p.holds <= 0 || !j.teamAllows() {
+	if j.waitingTasks() == 0 || p.reservationsLeft <= 0 || !j.withinTeamLimit() {
 		return
 	}
 	byZone := map[string][]*machine{}
 	for _, m := range p.machines {
-		if m.heldFor == nil && s.allowed(j, m) {
+		if m.reservedFor == nil && s.passesHardFilters(j, m) {
 			zone := ""
 			if j.spec.SameZone {
 				zone = m.zone
@@ -325,41 +325,41 @@
 	var best []*machine
 	most := -1.0
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-		kept, free := s.keepMost(j, byZone[zone])
+		kept, free := s.pickForGang(j, byZone[zone])
 		if free > most {
 			best, most = kept, free
 		}
 	}
-	for _, m := range best[:min(len(best), p.holds)] {
-		m.heldFor = j
-		p.holds--
+	for _, m := range best[:min(len(best), p.reservationsLeft)] {
+		m.reservedFor = j
+		p.reservationsLeft--
 	}
 }
 
-// keepMost picks the machines that should first have room for all tasks of a gang, and how much room is free there. It returns none if they
+// pickForGang picks the machines that should first have room for all tasks of a gang, and how much room is free there. It returns none if they
 // could never hold all.
-func (s *Scheduler) keepMost(j *job, machines []*machine) (kept []*machine, free float64) {
-	slices.SortStableFunc(machines, heldFirst)
+func (s *Scheduler) pickForGang(j *job, machines []*machine) (kept []*machine, free float64) {
+	slices.SortStableFunc(machines, byReservation)
 	found := 0
 	for _, m := range machines {
-		if found >= j.free() {
+		if found >= j.waitingTasks() {
 			break
 		}
-		found += slots(m.size(), j.need)
+		found += tasksThatFit(m.size(), j.demand)
 		free += m.freeRoom().cpu
 		kept = append(kept, m)
 	}
-	if found < j.free() {
+	if found < j.waitingTasks() {
 		return nil, -1
 	}
 	return kept, free
 }
 
-// gangLoss is what stopping a gang would waste: the losses of all its tasks.
-func (s *Scheduler) gangLoss(j *job) float64 {
+// gangPreemptionCost is what stopping a gang would waste: the losses of all its tasks.
+func (s *Scheduler) gangPreemptionCost(j *job) float64 {
 	sum := 0.0
-	for _, b := range j.bound {
-		sum += s.loss(b)
+	for _, b := range j.assignments {
+		sum += s.preemptionCost(b)
 	}
 	return sum
 }
--- a/internal/coordination/scheduler/gangroom.go
+++ b/internal/coordination/scheduler/gangroom.go
@@ -25,25 +25,25 @@
 
 // gangDemand is what gangs of a kind asked for lately.
 type gangDemand struct {
-	sample  *job    // the newest of them
-	largest float64 // CPUs of the largest gang
-	peaks   []peak  // most CPUs used or waited for at once; newest last, falling
-	zone    string  // where room is kept for gangs that must be in one zone
-	seen    time.Duration
+	newestJob   *job         // the newest of them
+	largestCPUs float64      // CPUs of the largest gang
+	peaks       []demandPeak // most CPUs used or waited for at once; newest last, falling
+	zone        string       // where room is kept for gangs that must be in one zone
+	seenAt      time.Duration
 }
 
-type peak struct {
+type demandPeak struct {
 	at   time.Duration
 	cpus float64
 }
 
-// note takes how many CPUs gangs of this kind use or wait for now.
-func (d *gangDemand) note(now time.Duration, cpus float64) {
+// recordPeak takes how many CPUs gangs of this kind use or wait for now.
+func (d *gangDemand) recordPeak(now time.Duration, cpus float64) {
 	for len(d.peaks) > 0 && d.peaks[len(d.peaks)-1].cpus <= cpus {
 		d.peaks = d.peaks[:len(d.peaks)-1]
 	}
-	d.peaks = append(d.peaks, peak{now, cpus})
-	for d.peaks[0].at < now-limits.GangRoomMemory {
+	d.peaks = append(d.peaks, demandPeak{now, cpus})
+	for d.peaks[0].at < now-limits.GangDemandWindow {
 		d.peaks = d.peaks[1:]
 	}
 }
@@ -52,51 +52,51 @@
 	return gangKind{j.spec.Spot, j.spec.Zone, j.spec.SameZone, strings.Join(j.spec.MachineTypes, ",")}
 }
 
-// gangDemands works out what gangs ask for that room should be kept for.
-func (s *Scheduler) gangDemands() {
+// updateGangDemand works out what gangs ask for that room should be kept for.
+func (s *Scheduler) updateGangDemand() {
 	now := map[gangKind]float64{}
 	for _, j := range s.queue {
-		if j.gang == nil || j.gang.unplannable || j.cancelled || !s.needsReadyRoom(j) {
+		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !s.needsReservation(j) {
 			continue
 		}
-		cpus := j.needFor(j.spec.Tasks).cpu
+		cpus := j.demandOf(j.spec.Tasks).cpu
 		kind := j.gangKind()
 		now[kind] += cpus
-		d := s.gangRoom[kind]
+		d := s.gangDemand[kind]
 		if d == nil {
 			d = &gangDemand{}
-			s.gangRoom[kind] = d
+			s.gangDemand[kind] = d
 		}
-		d.sample, d.seen = j, s.now
-		d.largest = max(d.largest, cpus)
+		d.newestJob, d.seenAt = j, s.now
+		d.largestCPUs = max(d.largestCPUs, cpus)
 	}
-	for kind, d := range s.gangRoom {
-		if s.now > d.seen+limits.GangRoomMemory {
-			delete(s.gangRoom, kind)
+	for kind, d := range s.gangDemand {
+		if s.now > d.seenAt+limits.GangDemandWindow {
+			delete(s.gangDemand, kind)
 			continue
 		}
-		d.note(s.now, now[kind])
+		d.recordPeak(s.now, now[kind])
 	}
 }
 
-// needsReadyRoom tells whether a gang's tasks should start sooner than a machine that is rented for it would be up.
-func (s *Scheduler) needsReadyRoom(j *job) bool {
-	for _, d := range j.dues {
-		if d.start && (d.at-j.at).Seconds() < s.soonest(j) {
+// needsReservation tells whether a gang's tasks should start sooner than a machine that is rented for it would be up.
+func (s *Scheduler) needsReservation(j *job) bool {
+	for _, d := range j.deadlines {
+		if d.forStart && (d.at-j.submittedAt).Seconds() < s.quickestBoot(j) {
 			return true
 		}
 	}
 	return false
 }
 
-// keepGangRoom picks the machines that are kept for gangs, and adds to what is to be rented where there are too few.
-func (s *Scheduler) keepGangRoom(fresh map[pool]float64, may func(pool) int) {
-	for _, m := range s.fleet {
-		m.wasGangRoom, m.gangRoom = m.gangRoom, false
+// reserveForGangs picks the machines that are kept for gangs, and adds to what is to be rented where there are too few.
+func (s *Scheduler) reserveForGangs(fresh map[machinePool]float64, may func(machinePool) int) {
+	for _, m := range s.sortedMachines {
+		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
 	}
-	s.gangDemands()
-	kinds := make([]gangKind, 0, len(s.gangRoom))
-	for kind := range s.gangRoom {
+	s.updateGangDemand()
+	kinds := make([]gangKind, 0, len(s.gangDemand))
+	for kind := range s.gangDemand {
 		kinds = append(kinds, kind)
 	}
 	slices.SortFunc(kinds, func(a, b gangKind) int {
@@ -106,7 +106,7 @@
 		)
 	})
 	for _, kind := range kinds {
-		s.keepRoomFor(s.gangRoom[kind], fresh, may)
+		s.reserveForGangKind(s.gangDemand[kind], fresh, may)
 	}
 }
 
@@ -120,24 +120,24 @@
 	return -1
 }
 
-func (s *Scheduler) keepRoomFor(d *gangDemand, fresh map[pool]float64, may func(pool) int) {
-	want := d.peaks[0].cpus + d.largest
-	if d.sample.spec.SameZone {
-		d.zone = s.gangRoomZone(d)
+func (s *Scheduler) reserveForGangKind(d *gangDemand, fresh map[machinePool]float64, may func(machinePool) int) {
+	want := d.peaks[0].cpus + d.largestCPUs
+	if d.newestJob.spec.SameZone {
+		d.zone = s.chooseReservationZone(d)
 	}
 	var ms []*machine
 	total := 0.0
-	for _, m := range s.fleet {
+	for _, m := range s.sortedMachines {
 		total += m.size().cpu
-		if !m.gangRoom && s.keepable(d, m) {
+		if !m.reservedForGangs && s.reservable(d, m) {
 			ms = append(ms, m)
 		}
 	}
-	spare := total * limits.GangRoomShare
+	spare := total * limits.GangReservationShare
 	slices.SortStableFunc(ms, func(a, b *machine) int {
 		return cmp.Or(
-			compareBool(b.wasGangRoom, a.wasGangRoom),
-			compareBool(b.hasGang(), a.hasGang()),
+			compareBool(b.wasReservedForGangs, a.wasReservedForGangs),
+			compareBool(b.hasGangTask(), a.hasGangTask()),
 			cmp.Compare(b.freeRoom().cpu, a.freeRoom().cpu),
 		)
 	})
@@ -147,39 +147,39 @@
 		}
 		size := m.size().cpu
 		want -= size
-		m.wanted = true
+		m.neededByPlan = true
 		if spare >= size { // else it is not returned, but everybody may use it
 			spare -= size
-			m.gangRoom = true
+			m.reservedForGangs = true
 		}
 	}
 	if want <= 0 {
 		return
 	}
-	open := func(p pool) bool { return fresh[p] < float64(may(p)) && (d.zone == "" || p.zone == d.zone) }
-	if p, t := s.cheapestPool(&job{spec: d.sample.spec, need: d.sample.need, class: d.sample.class}, open); t != nil {
+	open := func(p machinePool) bool { return fresh[p] < float64(may(p)) && (d.zone == "" || p.zone == d.zone) }
+	if p, t := s.cheapestPool(&job{spec: d.newestJob.spec, demand: d.newestJob.demand, class: d.newestJob.class}, open); t != nil {
 		fresh[p] = max(fresh[p], math.Ceil(want/max(t.CPUs, 1))) // what is rented anyway counts as well
 	}
 }
 
-// keepable tells whether a machine may be kept for gangs of a kind; also one that boots.
-func (s *Scheduler) keepable(d *gangDemand, m *machine) bool {
-	if m.machineType == nil || m.deleting || m.notice || m.sick() || (m.seen && !s.usable(m)) || (d.zone != "" && m.zone != d.zone) {
+// reservable tells whether a machine may be kept for gangs of a kind; also one that boots.
+func (s *Scheduler) reservable(d *gangDemand, m *machine) bool {
+	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() || (m.hasReported && !s.isSchedulable(m)) || (d.zone != "" && m.zone != d.zone) {
 		return false
 	}
-	spec := &d.sample.spec
-	return (spec.Spot || !m.spot) && (spec.Zone == "" || spec.Zone == m.zone) && kindAllowed(spec, m.kind) && m.size().holds(d.sample.need)
+	spec := &d.newestJob.spec
+	return (spec.Spot || !m.spot) && (spec.Zone == "" || spec.Zone == m.zone) && typeAllowed(spec, m.typeName) && m.size().fits(d.newestJob.demand)
 }
 
-// gangRoomZone is the zone in which room is kept: where it is already, or where most machines are that may be kept.
-func (s *Scheduler) gangRoomZone(d *gangDemand) string {
+// chooseReservationZone is the zone in which room is kept: where it is already, or where most machines are that may be kept.
+func (s *Scheduler) chooseReservationZone(d *gangDemand) string {
 	kept, all := map[string]int{}, map[string]int{}
 	zone := d.zone
 	d.zone = ""
-	for _, m := range s.fleet {
-		if s.keepable(d, m) {
+	for _, m := range s.sortedMachines {
+		if s.reservable(d, m) {
 			all[m.zone]++
-			if m.wasGangRoom {
+			if m.wasReservedForGangs {
 				kept[m.zone]++
 			}
 		}
@@ -196,9 +196,9 @@
 	return best
 }
 
-// hasGang tells whether a task of a gang is bound to the machine.
-func (m *machine) hasGang() bool {
-	for _, b := range m.bindings {
+// hasGangTask tells whether a task of a gang is bound to the machine.
+func (m *machine) hasGangTask() bool {
+	for _, b := range m.assignments {
 		if b.job.gang != nil {
 			return true
 		}
@@ -206,8 +206,8 @@
 	return false
 }
 
-// yieldsGangRoom tells whether a job may use machines that are kept for gangs: gangs, and whoever waits for so long that room must
+// mayUseGangReservation tells whether a job may use machines that are kept for gangs: gangs, and whoever waits for so long that room must
 // not be kept from it any longer.
-func (s *Scheduler) yieldsGangRoom(j *job) bool {
-	return j.gang != nil || s.now > max(j.at, j.startedAt)+limits.GangRoomYields
+func (s *Scheduler) mayUseGangReservation(j *job) bool {
+	return j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.GangReservationYieldAge
 }
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -9,73 +9,73 @@
 	"quillshunt/internal/storage"
 )
 
-func (s *Scheduler) jobSeen(e JobSeen) {
-	j := s.jobs[e.ID]
+func (s *Scheduler) jobChanged(e JobChanged) {
+	j := s.jobs[e.JobID]
 	if j == nil {
-		if s.closed[e.ID] {
+		if s.closedJobs[e.JobID] {
 			return
 		}
-		t := s.teams[e.Rec.Spec.Team]
+		t := s.teams[e.Record.Spec.Team]
 		if t == nil {
 			return // a team that the settings no longer know; its jobs stay as they are
 		}
-		u, _ := protocol.ParsePriority(e.Rec.Spec.Priority)
-		words := (e.Rec.Spec.Tasks + 63) / 64
+		u, _ := protocol.ParsePriority(e.Record.Spec.Priority)
+		words := (e.Record.Spec.Tasks + 63) / 64
 		j = &job{
-			id: e.ID, spec: e.Rec.Spec, priority: u, team: t, class: s.class(e.Rec.Spec.Class),
-			need: room{e.Rec.Spec.CPUs, e.Rec.Spec.Accelerators, e.Rec.Spec.MemoryGB},
-			at:   s.now - e.Age, done: make([]uint64, words), busy: make([]uint64, words),
-			bound: map[int]*binding{}, stops: map[int]int{}, failOn: map[string]bool{},
-			chunks: make([]chunk, (e.Rec.Spec.Tasks+s.chunkLen-1)/s.chunkLen),
+			id: e.JobID, spec: e.Record.Spec, priority: u, team: t, class: s.class(e.Record.Spec.Class),
+			demand:      resources{e.Record.Spec.CPUs, e.Record.Spec.Accelerators, e.Record.Spec.MemoryGB},
+			submittedAt: s.now - e.SinceSubmission, doneBits: make([]uint64, words), assignedBits: make([]uint64, words),
+			assignments: map[int]*assignment{}, stopCounts: map[int]int{}, failedMachines: map[string]bool{},
+			chunks: make([]finishedChunk, (e.Record.Spec.Tasks+s.tasksPerChunk-1)/s.tasksPerChunk),
 		}
 		j.gang = newGang(j)
-		j.dues = s.dues(j)
-		s.jobs[e.ID] = j
+		j.deadlines = s.deadlines(j)
+		s.jobs[e.JobID] = j
 		at := sort.Search(len(s.queue), func(i int) bool {
 			q := s.queue[i]
-			return q.at > j.at || (q.at == j.at && q.id > j.id)
+			return q.submittedAt > j.submittedAt || (q.submittedAt == j.submittedAt && q.id > j.id)
 		})
 		s.queue = slices.Insert(s.queue, at, j)
-		s.order = nil
+		s.orderedQueue = nil
 	}
 	if e.Version < j.version {
 		return
 	}
 	j.version = e.Version
-	if e.Rec.Cancelled && !j.cancelled {
+	if e.Record.Cancelled && !j.cancelled {
 		// The time allowed counts from the earliest word to the user, also across a change of leaders. Where it is over already, a leader that
 		// knew has let no lease live; so nobody knew, nobody was told, and it begins now.
-		j.cancelled, j.cancelAt, j.cancelSeen = true, s.now, s.now
-		if e.CancelAge < limits.Seconds(s.cfg.Workers.CancelS) {
-			j.cancelAt -= e.CancelAge
+		j.cancelled, j.cancelledAt, j.cancelSeenAt = true, s.now, s.now
+		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
+			j.cancelledAt -= e.SinceCancellation
 		}
-		s.note(false, "job cancelled", "job", j.id, "bound", len(j.bound))
+		s.log(false, "job cancelled", "job", j.id, "bound", len(j.assignments))
 	}
 	if j.cancelled {
 		s.stopJob(j)
-		s.finish(j)
+		s.tryCloseJob(j)
 	}
-	s.dirty = true
+	s.placementNeeded = true
 }
 
-// dues are the times by which the job should be complete, from its own deadline and from the aims of its class.
-func (s *Scheduler) dues(j *job) []due {
-	var out []due
+// deadlines are the times by which the job should be complete, from its own deadline and from the aims of its class.
+func (s *Scheduler) deadlines(j *job) []deadline {
+	var out []deadline
 	for _, o := range s.cfg.Objectives {
 		if o.Class != j.spec.Class {
 			continue
 		}
 		switch {
 		case o.Kind == "deadline" && j.spec.DeadlineS > 0:
-			out = append(out, due{at: j.at + limits.Seconds(j.spec.DeadlineS*max(o.Times, 1))})
+			out = append(out, deadline{at: j.submittedAt + limits.Seconds(j.spec.DeadlineS*max(o.Times, 1))})
 		case o.Kind == "finished" && o.WithinS > 0:
-			out = append(out, due{at: j.at + limits.Seconds(o.WithinS)})
+			out = append(out, deadline{at: j.submittedAt + limits.Seconds(o.WithinS)})
 		case o.Kind == "wait" && o.WithinS > 0:
-			out = append(out, due{at: j.at + limits.Seconds(o.WithinS), start: true})
+			out = append(out, deadline{at: j.submittedAt + limits.Seconds(o.WithinS), forStart: true})
 		}
 	}
 	if len(out) == 0 && j.spec.DeadlineS > 0 {
-		out = append(out, due{at: j.at + limits.Seconds(j.spec.DeadlineS)})
+		out = append(out, deadline{at: j.submittedAt + limits.Seconds(j.spec.DeadlineS)})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].at < out[b].at })
 	return out
@@ -83,34 +83,34 @@
 
 // stopJob takes a cancelled job off its machines.
 func (s *Scheduler) stopJob(j *job) {
-	for _, b := range j.sortedBound() {
-		if b.phase == assigned {
-			s.unbind(b)
+	for _, b := range j.sortedAssignments() {
+		if b.state == stateUnsent {
+			s.release(b)
 			continue
 		}
-		s.stopBinding(b, "cancelled")
+		s.stopAssignment(b, "cancelled")
 	}
 }
 
-func (s *Scheduler) stopBinding(b *binding, why string) {
-	if b.stop {
+func (s *Scheduler) stopAssignment(b *assignment, why string) {
+	if b.stopping {
 		return
 	}
-	b.stop, b.stopWhy = true, why
-	s.queueCommands(b.machine)
+	b.stopping, b.stopReason = true, why
+	s.queueDispatch(b.machine)
 	if b.job.gang != nil {
-		s.urgent = append(s.urgent, b.machine)
+		s.gangDispatchQueue = append(s.gangDispatchQueue, b.machine)
 	}
-	b.machine.leaving = b.machine.leaving.plus(b.job.need)
-	s.note(false, "stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
+	b.machine.releasing = b.machine.releasing.plus(b.job.demand)
+	s.log(false, "stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
 }
 
-// finish writes a job's final record once nothing of it is left to do.
-func (s *Scheduler) finish(j *job) {
-	if j.over || j.finishing || (!j.cancelled && j.doneCount < j.spec.Tasks) {
+// tryCloseJob writes a job's final record once nothing of it is left to do.
+func (s *Scheduler) tryCloseJob(j *job) {
+	if j.closed || j.closing || (!j.cancelled && j.doneCount < j.spec.Tasks) {
 		return
 	}
-	if len(j.bound) > 0 && (j.gang == nil || j.cancelled) {
+	if len(j.assignments) > 0 && (j.gang == nil || j.cancelled) {
 		return // of a gang that is done, tasks that were not heard of yet have completed as well
 	}
 	if j.cancelled && !s.recovered {
@@ -120,42 +120,42 @@
 	if j.cancelled {
 		standing = protocol.Aborted
 	}
-	ops := []protocol.Op{
-		{Put: storage.FinalKey(j.id), Value: protocol.Encode(storage.Final{State: standing})},
-		{Delete: storage.OpenKey(j.id)},
+	ops := []protocol.Operation{
+		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: standing})},
+		{Delete: storage.OpenJobKey(j.id)},
 	}
 	for i := range j.chunks {
 		if j.chunks[i].writing {
 			return // its answer comes back here
 		}
 	}
-	keys := s.finishedKeys(j)
+	keys := s.finishedTasksKeys(j)
 	now := min(len(keys), s.cfg.State.TxnOps-len(ops))
 	for _, key := range keys[:now] {
-		ops = append(ops, protocol.Op{Delete: key})
+		ops = append(ops, protocol.Operation{Delete: key})
 	}
-	j.cleanup = keys[now:]
-	j.finishing = true
+	j.remainingRecordKeys = keys[now:]
+	j.closing = true
 	s.write(pendingWrite{kind: writeFinal, job: j},
-		[]protocol.Condition{{Key: storage.OpenKey(j.id), Version: j.version}}, ops)
+		[]protocol.Condition{{Key: storage.OpenJobKey(j.id), Version: j.version}}, ops)
 }
 
 // closeJob forgets a job whose final record is durable.
 func (s *Scheduler) closeJob(j *job) {
-	j.over = true
-	for _, b := range j.sortedBound() {
-		if b.phase == assigned {
-			s.unbind(b)
+	j.closed = true
+	for _, b := range j.sortedAssignments() {
+		if b.state == stateUnsent {
+			s.release(b)
 		} else {
-			s.stopBinding(b, "job over")
+			s.stopAssignment(b, "job over")
 		}
 	}
 	if !j.cancelled {
-		x := s.closedServices[j.group()]
-		s.closedServices[j.group()] = service{x.due + j.spec.Tasks, x.got + j.spec.Tasks}
+		x := s.closedJobProgress[j.group()]
+		s.closedJobProgress[j.group()] = groupServed{x.due + j.spec.Tasks, x.served + j.spec.Tasks}
 	}
 	delete(s.jobs, j.id)
-	s.closed[j.id], s.order = true, nil
+	s.closedJobs[j.id], s.orderedQueue = true, nil
 	for i, x := range s.queue {
 		if x == j {
 			s.queue = append(s.queue[:i], s.queue[i+1:]...)
@@ -164,20 +164,20 @@
 	}
 }
 
-func (s *Scheduler) counts(e CountsIn) {
+func (s *Scheduler) answerTaskCounts(e TaskCountsRequested) {
 	j := s.jobs[e.ID]
 	if j == nil {
-		s.emit(CountsOut{Ref: e.Ref})
+		s.emit(TaskCounts{ReplyTo: e.ReplyTo})
 		return
 	}
 	n := 0
-	for _, b := range j.bound {
-		if b.phase == running || b.phase == saving {
+	for _, b := range j.assignments {
+		if b.state == stateRunning || b.state == stateSaving {
 			n++
 		}
 	}
 	if j.gang != nil && n < j.spec.Tasks {
 		n = 0 // it runs as a whole or not at all
 	}
-	s.emit(CountsOut{Ref: e.Ref, Known: true, Done: j.doneCount, Running: n})
+	s.emit(TaskCounts{ReplyTo: e.ReplyTo, Known: true, Done: j.doneCount, Running: n})
 }
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -9,80 +9,82 @@
 )
 
 type machine struct {
-	name, addr, kind, zone string
-	spot                   bool
-	machineType            *protocol.MachineType
+	name, address, typeName, zone string
+	spot                          bool
+	machineType                   *protocol.MachineType
 
-	seen            bool // we have its task list in our term
-	fenced          bool // its worker has seen our term, so no earlier leader can add tasks
-	session         uint64
-	sequence        uint64             // of the newest task list, from a report or a direct command
-	reportSequence  uint64             // sequence number of the newest report
-	answered        []protocol.Command // what the newest report was answered with
-	verified        bool               // a round trip was seen since there was last reason to doubt it: answers reach the machine
-	unverifiedSince time.Duration      // since when it is not verified
-	direct          bool               // has reported to us itself in our term
-	relayed         bool               // its last report came through another controller
-	relayFrom       time.Duration      // when that began
-	redirected      bool               // was told once to come itself
-	misses          int                // probes that it did not answer in our term
-	directID        uint64             // a direct command that is not answered yet
-	mute            time.Duration      // no direct commands before this
-	endedSession    uint64             // sessions up to this one are surely over
-	heard           time.Duration      // arrival of the last report
-	leaseBase       time.Duration      // the session is over WaitOut(lease) after this, if we answer no more
-	notice          bool
-	noticeEnd       time.Duration
+	hasReported       bool // we have its task list in our term
+	fenced            bool // its worker has seen our term, so no earlier leader can add tasks
+	incarnation       uint64
+	sequence          uint64             // of the newest task list, from a report or a direct command
+	heartbeatSequence uint64             // sequence number of the newest report
+	lastCommands      []protocol.Command // what the newest report was answered with
+	verified          bool               // a round trip was seen since there was last reason to doubt it: answers reach the machine
+	unverifiedSince   time.Duration      // since when it is not verified
+	reportsDirectly   bool               // has reported to us itself in our term
+	relayed           bool               // its last report came through another controller
+	relayedSince      time.Duration      // when that began
+	redirected        bool               // was told once to come itself
+	missedProbes      int                // probes that it did not answer in our term
+	directID          uint64             // a direct command that is not answered yet
+	noDirectUntil     time.Duration      // no direct commands before this
+	endedIncarnation  uint64             // sessions up to this one are surely over
+	lastHeartbeatAt   time.Duration      // arrival of the last report
+	leaseRenewedAt    time.Duration      // the session is over WaitOut(lease) after this, if we answer no more
+	spotNotice        bool
+	spotNoticeEnds    time.Duration
 
-	bindings map[string]*binding
-	exits    map[attemptKey]exit
-	used     room
-	// leaving is the part of used that tasks take that were told to stop.
-	leaving room
-	images  map[string]time.Duration
+	assignments map[string]*assignment
+	endedTasks  map[attemptKey]endedTask
+	allocated   resources
+	// releasing is the part of used that tasks take that were told to stop.
+	releasing    resources
+	cachedImages map[string]time.Duration
 
-	rental       string
-	registration registration
-	page         *registryPage // that names it
-	probeAt      time.Duration // when to ask the machine directly, after a take-over
-	created      time.Duration
-	upAt         time.Duration
-	listed       bool
-	missing      int // lists in a row that lack it
-	idleSince    time.Duration
-	heldFor      *job // in this pass; see reserve
-	wasHeld      bool // in the pass before
-	wanted       bool // the last plan counts on it
-	gangRoom     bool // kept for gangs; see keepGangRoom
-	wasGangRoom  bool // by the plan before
-	gangWanted   bool // the last plan counts on it for a gang that waits
-	drain        bool // to be emptied and returned, unless work comes
-	todo         bool // has orders that did not go out yet
-	deleting     bool
-	askedAt      time.Duration
-	deleteWhy    string
-	failures     int
-	failedJobs   map[string]bool
-	useful       float64 // CPU seconds of tasks that completed here, and of those that did not, and of waiting for images
-	wasted       float64
-	fetched      float64
-	speedSum     float64
-	speedCount   int
+	rental              string
+	registration        registration
+	registryPage        *registryPage // that names it
+	nextProbeAt         time.Duration // when to ask the machine directly, after a take-over
+	createdAt           time.Duration
+	firstReportAt       time.Duration
+	listed              bool
+	missingLists        int // lists in a row that lack it
+	idleSince           time.Duration
+	reservedFor         *job // in this pass; see reserve
+	wasReserved         bool // in the pass before
+	neededByPlan        bool // the last plan counts on it
+	reservedForGangs    bool // kept for gangs; see keepGangRoom
+	wasReservedForGangs bool // by the plan before
+	neededByGang        bool // the last plan counts on it for a gang that waits
+	draining            bool // to be emptied and returned, unless work comes
+	dispatchQueued      bool // has orders that did not go out yet
+	deleting            bool
+	deleteRequestedAt   time.Duration
+	deleteReason        string
+	consecutiveFailures int
+	failedJobs          map[string]bool
+	usefulCPUSeconds    float64 // CPU seconds of tasks that completed here, and of those that did not, and of waiting for images
+	wastedCPUSeconds    float64
+	fetchCPUSeconds     float64
+	speedSum            float64
+	speedCount          int
 }
 
-// sizeOf is what a machine of a type has.
-func sizeOf(t *protocol.MachineType) room { return room{t.CPUs, t.Accelerators, t.MemoryGB} }
+// typeResources is what a machine of a type has.
+func typeResources(t *protocol.MachineType) resources {
+	return resources{t.CPUs, t.Accelerators, t.MemoryGB}
+}
 
-func (m *machine) size() room {
+func (m *machine) size() resources {
 	if m.machineType == nil {
-		return room{}
+		return resources{}
 	}
-	return sizeOf(m.machineType)
+	return typeResources(m.machineType)
 }
 
 // freeRoom is what may be promised: what is free, and what tasks that were told to stop will leave. A start is sent
 // only once the room is confirmed (see orders).
-func (m *machine) freeRoom() room { return m.size().minus(m.used).plus(m.leaving) }
+func (m *machine) freeRoom() resources { return m.size().minus(m.allocated).plus(m.releasing) }
 
 // price is what the machine costs an hour.
 func (m *machine) price() float64 {
@@ -92,8 +94,8 @@
 	return priceOf(m.machineType, m.spot)
 }
 
-// perCPU is the same for each of its CPUs.
-func (m *machine) perCPU() float64 { return m.price() / max(m.size().cpu, 1) }
+// pricePerCPU is the same for each of its CPUs.
+func (m *machine) pricePerCPU() float64 { return m.price() / max(m.size().cpu, 1) }
 
 // priceOf is what a machine of a type costs an hour.
 func priceOf(t *protocol.MachineType, spot bool) float64 {
@@ -103,38 +105,38 @@
 	return t.Price
 }
 
-// machine returns the machine of a name, new if need be.
-func (s *Scheduler) machine(name, kind, yard string, spot bool) *machine {
+// getOrAddMachine returns the machine of a name, new if need be.
+func (s *Scheduler) getOrAddMachine(name, kind, yard string, spot bool) *machine {
 	m := s.machines[name]
 	if m == nil {
-		m = &machine{name: name, created: s.now, leaseBase: s.tookOver, idleSince: s.now, heard: -never / 2,
-			bindings: map[string]*binding{}, exits: map[attemptKey]exit{}, images: map[string]time.Duration{}, failedJobs: map[string]bool{}}
+		m = &machine{name: name, createdAt: s.now, leaseRenewedAt: s.termStartedAt, idleSince: s.now, lastHeartbeatAt: -never / 2,
+			assignments: map[string]*assignment{}, endedTasks: map[attemptKey]endedTask{}, cachedImages: map[string]time.Duration{}, failedJobs: map[string]bool{}}
 		s.machines[name] = m
-		i := sort.Search(len(s.fleet), func(i int) bool { return s.fleet[i].name >= name })
-		s.fleet = append(s.fleet, nil)
-		copy(s.fleet[i+1:], s.fleet[i:])
-		s.fleet[i] = m
+		i := sort.Search(len(s.sortedMachines), func(i int) bool { return s.sortedMachines[i].name >= name })
+		s.sortedMachines = append(s.sortedMachines, nil)
+		copy(s.sortedMachines[i+1:], s.sortedMachines[i:])
+		s.sortedMachines[i] = m
 	}
 	if kind != "" {
-		m.kind, m.zone, m.spot = kind, yard, spot
-		m.machineType = s.types[kind]
+		m.typeName, m.zone, m.spot = kind, yard, spot
+		m.machineType = s.machineTypes[kind]
 	}
 	return m
 }
 
-func (s *Scheduler) dropMachine(m *machine) {
-	life := (s.now - m.created).Seconds()
+func (s *Scheduler) forgetMachine(m *machine) {
+	life := (s.now - m.createdAt).Seconds()
 	boot := life
-	if m.seen && m.upAt > m.created {
-		boot = (m.upAt - m.created).Seconds()
+	if m.hasReported && m.firstReportAt > m.createdAt {
+		boot = (m.firstReportAt - m.createdAt).Seconds()
 	}
-	s.note(false, "machine gone", "machine", m.name, "reason", m.deleteWhy, "type", m.kind, "spot", m.spot, "cpus", m.size().cpu, "life", life, "boot", boot,
-		"useful", m.useful, "wasted", m.wasted, "fetched", m.fetched)
+	s.log(false, "machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().cpu, "life", life, "boot", boot,
+		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
 	delete(s.machines, m.name)
 	s.unregister(m)
-	for i, x := range s.fleet {
+	for i, x := range s.sortedMachines {
 		if x == m {
-			s.fleet = append(s.fleet[:i], s.fleet[i+1:]...)
+			s.sortedMachines = append(s.sortedMachines[:i], s.sortedMachines[i+1:]...)
 			break
 		}
 	}
@@ -144,10 +146,10 @@
 	}
 }
 
-// sortedBinds returns a machine's bindings in a fixed order.
-func (m *machine) sortedBinds() []*binding {
-	out := make([]*binding, 0, len(m.bindings))
-	for _, b := range m.bindings {
+// sortedAssignments returns a machine's bindings in a fixed order.
+func (m *machine) sortedAssignments() []*assignment {
+	out := make([]*assignment, 0, len(m.assignments))
+	for _, b := range m.assignments {
 		out = append(out, b)
 	}
 	sort.Slice(out, func(i, k int) bool {
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -15,48 +15,48 @@
 	"quillshunt/internal/storage"
 )
 
-// placePlain is the scheduling pass as the paper has it: each request looks at every machine anew.
-func (s *Scheduler) placePlain() {
-	order := s.claims()
+// placeTasksNaively is the scheduling pass as the paper has it: each request looks at every machine anew.
+func (s *Scheduler) placeTasksNaively() {
+	order := s.queueOrder()
 	s.beginPass() // for what is held; the list of machines is not used
-	for _, j := range s.aged {
-		if n := s.behind(j); n > 0 && j.team.fits(j.need) && s.now >= j.resume {
-			s.placeJobPlain(j, n)
-			s.reserve(j)
+	for _, j := range s.overdue {
+		if n := s.overdueTasks(j); n > 0 && j.team.fits(j.demand) && s.now >= j.retryAt {
+			s.placeJobNaively(j, n)
+			s.reserveForJob(j)
 		}
 	}
 	for _, j := range order {
-		if !j.cancelled && s.now >= j.resume {
-			s.placeJobPlain(j, j.free())
+		if !j.cancelled && s.now >= j.retryAt {
+			s.placeJobNaively(j, j.waitingTasks())
 		}
 	}
 }
 
-func (s *Scheduler) placeJobPlain(j *job, n int) {
-	pressing := s.pressing(j)
-	for ; n > 0 && j.team.fits(j.need); n-- {
+func (s *Scheduler) placeJobNaively(j *job, n int) {
+	pressing := s.mayPreemptNow(j)
+	for ; n > 0 && j.team.fits(j.demand); n-- {
 		var cs []candidate
-		for _, m := range s.fleet {
-			if m.drain || !s.usable(m) || len(m.bindings)+len(m.exits) >= limits.MaxTasks {
+		for _, m := range s.sortedMachines {
+			if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 				continue
 			}
-			if c, ok := s.candidate(j, m, pressing, nil); ok {
+			if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
 				cs = append(cs, c)
 			}
 		}
-		best := rank(cs)
+		best := bestCandidate(cs)
 		if best < 0 {
 			return
 		}
-		victims, ok := s.victims(j, &cs[best], nil)
+		victims, ok := s.chooseVictims(j, &cs[best], nil)
 		if !ok {
 			return
 		}
 		for _, v := range victims {
-			s.stopBinding(v, "preempted for "+j.id)
+			s.stopAssignment(v, "preempted for "+j.id)
 		}
-		cs[best].m.heldFor = nil
-		s.bind(j, j.nextFree(), cs[best].m, s.attempt(), assigned)
+		cs[best].machine.reservedFor = nil
+		s.assign(j, j.nextWaitingTask(), cs[best].machine, s.nextAttempt(), stateUnsent)
 	}
 }
 
@@ -69,13 +69,13 @@
 		Teams:      []config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 20, CPUsMax: 70}},
 		Objectives: []config.Objective{{Kind: "deadline", Class: "x", Times: 1}, {Kind: "finished", Class: "y", WithinS: 40}},
 		Options:    config.DefaultOptions()}, now)
-	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{
+	s.Step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{
 		{Name: "s4", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8, Zones: []string{"a", "b"}},
 		{Name: "b8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 0.8, BootS: 12, Zones: []string{"a", "b"}}}}, now)
-	var rigs []*protocol.Report
+	var rigs []*protocol.Heartbeat
 	for i := range 3 + r.IntN(14) {
-		g := &protocol.Report{Machine: fmt.Sprintf("m-%03d", i), Address: "x:1", MachineType: pick("s4", "b8"), Zone: pick("a", "b"), Spot: r.IntN(2) == 0, Session: 1, Sequence: 1, Token: 1}
-		loadUp(s, "h"+g.Machine, storage.Rental{MachineType: g.MachineType, Zone: g.Zone, Spot: g.Spot, Count: 1, Answered: true, Machines: []string{g.Machine}}, now)
+		g := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%03d", i), Address: "x:1", MachineType: pick("s4", "b8"), Zone: pick("a", "b"), Spot: r.IntN(2) == 0, Incarnation: 1, Sequence: 1, FencingToken: 1}
+		loadRegistryPage(s, "h"+g.Machine, storage.Rental{MachineType: g.MachineType, Zone: g.Zone, Spot: g.Spot, Count: 1, Answered: true, Machines: []string{g.Machine}}, now)
 		rigs = append(rigs, g)
 	}
 	used := map[string]float64{}
@@ -90,53 +90,53 @@
 		if r.IntN(5) == 0 {
 			sp.MachineTypes = []string{"b8"}
 		}
-		s.Step(JobSeen{ID: sp.ID, Version: uint64(100 + i), Rec: storage.Open{Spec: sp}, Age: time.Duration(r.IntN(30)+r.IntN(2)*r.IntN(200)) * time.Second}, now)
+		s.Step(JobChanged{JobID: sp.ID, Version: uint64(100 + i), Record: storage.OpenJob{Spec: sp}, SinceSubmission: time.Duration(r.IntN(30)+r.IntN(2)*r.IntN(200)) * time.Second}, now)
 		for t := range min(sp.Tasks, r.IntN(8)) { // some of its tasks run already
 			g := rigs[r.IntN(len(rigs))]
-			if size := s.types[g.MachineType].CPUs; used[g.Machine]+sp.CPUs <= size {
+			if size := s.machineTypes[g.MachineType].CPUs; used[g.Machine]+sp.CPUs <= size {
 				used[g.Machine] += sp.CPUs
-				g.Tasks = append(g.Tasks, protocol.TaskReport{Task: protocol.TaskName(sp.ID, t), Attempt: 1, State: protocol.Running})
+				g.Tasks = append(g.Tasks, protocol.TaskStatus{Task: protocol.TaskName(sp.ID, t), Attempt: 1, State: protocol.Running})
 			}
 		}
 	}
 	for _, g := range rigs {
-		s.machine(g.Machine, "", "", false).registration = registered
-		s.Step(ReportIn{Report: g, Entitled: true}, now)
+		s.getOrAddMachine(g.Machine, "", "", false).registration = registered
+		s.Step(HeartbeatReceived{Heartbeat: g, Entitled: true}, now)
 	}
 	s.now = time.Duration(r.IntN(6)) * time.Second
-	s.loaded, s.recovered, s.order = true, true, nil
+	s.loaded, s.recovered, s.orderedQueue = true, true, nil
 	return s
 }
 
 func bindings(s *Scheduler) []string {
 	var out []string
-	for _, m := range s.fleet {
-		for _, b := range m.sortedBinds() {
-			out = append(out, fmt.Sprintf("%s %s try %d phase %d stop %v %s", m.name, b.task, b.attempt, b.phase, b.stop, b.stopWhy))
+	for _, m := range s.sortedMachines {
+		for _, b := range m.sortedAssignments() {
+			out = append(out, fmt.Sprintf("%s %s try %d phase %d stop %v %s", m.name, b.taskName, b.attempt, b.state, b.stopping, b.stopReason))
 		}
 	}
 	return out
 }
 
-// TestPassIsPlain: the pass that works out filter and scores once for a job, and skips machines and requests that cannot match, decides
+// TestPassMatchesNaivePlacement: the pass that works out filter and scores once for a job, and skips machines and requests that cannot match, decides
 // exactly as the plain one does.
-func TestPassIsPlain(t *testing.T) {
+func TestPassMatchesNaivePlacement(t *testing.T) {
 	placed, stopped := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		quick, plain := crowdedState(seed), crowdedState(seed)
 		before := len(bindings(quick))
-		quick.dirty = true
-		quick.place()
-		plain.placePlain()
+		quick.placementNeeded = true
+		quick.placeTasks()
+		plain.placeTasksNaively()
 		got, want := bindings(quick), bindings(plain)
 		if !slices.Equal(got, want) {
 			t.Fatalf("quick:\n%v\nplain:\n%v", got, want)
 		}
 		placed += len(got) - before
-		for _, m := range quick.fleet {
-			for _, b := range m.bindings {
-				if b.stop {
+		for _, m := range quick.sortedMachines {
+			for _, b := range m.assignments {
+				if b.stopping {
 					stopped++
 				}
 			}
@@ -164,13 +164,13 @@
 		Teams:      []config.Team{{Name: "red", CPUs: 40, CPUsMax: 1000}, {Name: "blue", CPUs: 40, CPUsMax: 1000}},
 		Objectives: []config.Objective{{Kind: "deadline", Class: "small", Times: 1}, {Kind: "wait", Class: "large", WithinS: 70}},
 		Options:    config.DefaultOptions()}, now)
-	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s", CPUs: cpus, MemoryGB: 64, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, now)
-	h := upHire("s", machines, longName)
-	loadUp(s, "h", h, now)
-	s.Step(Loaded{}, now)
+	s.Step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s", CPUs: cpus, MemoryGB: 64, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, now)
+	h := answeredRental("s", machines, longName)
+	loadRegistryPage(s, "h", h, now)
+	s.Step(StateLoaded{}, now)
 
 	type task struct {
-		protocol.TaskReport
+		protocol.TaskStatus
 		ends time.Duration
 	}
 	have := make([][]task, machines)
@@ -184,7 +184,7 @@
 				if x := &have[m][k]; x.Attempt == o.Attempt {
 					switch o.Verb {
 					case protocol.CommandStop:
-						x.State, x.Reason = protocol.Ended, protocol.ReasonHalted
+						x.State, x.Reason = protocol.Ended, protocol.ReasonStopped
 					case protocol.CommandForget:
 						have[m] = slices.Delete(have[m], k, k+1)
 						k--
@@ -196,16 +196,16 @@
 				if _, ok := begun[id]; !ok {
 					begun[id] = now
 				}
-				have[m] = append(have[m], task{protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running},
+				have[m] = append(have[m], task{protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running},
 					now + time.Duration(specs[id].EstimateS*(0.7+0.6*r.Float64())*float64(time.Second))})
 			}
 		}
 	}
-	report := func(m int) *protocol.Report {
+	report := func(m int) *protocol.Heartbeat {
 		tally++
-		g := &protocol.Report{Machine: h.Machines[m], Address: "x:1", MachineType: "s", Zone: "a", Session: 1, Sequence: tally, Token: 1}
+		g := &protocol.Heartbeat{Machine: h.Machines[m], Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: tally, FencingToken: 1}
 		for _, x := range have[m] {
-			g.Tasks = append(g.Tasks, x.TaskReport)
+			g.Tasks = append(g.Tasks, x.TaskStatus)
 		}
 		return g
 	}
@@ -213,15 +213,15 @@
 	step = func(e Event) {
 		for _, eff := range s.Step(e, now) {
 			switch eff := eff.(type) {
-			case ReplyOut:
-				apply(eff.Ref.(int), eff.Commands)
-			case DirectOut:
+			case HeartbeatReply:
+				apply(eff.ReplyTo.(int), eff.Commands)
+			case SendDirectCommands:
 				m := slices.Index(h.Machines, eff.Machine)
 				apply(m, eff.Commands)
-				step(DirectDone{ID: eff.ID, Machine: eff.Machine, Report: report(m)})
-			case WriteOut:
+				step(DirectCommandsDone{ID: eff.ID, Machine: eff.Machine, Heartbeat: report(m)})
+			case WriteRecords:
 				stamp++
-				step(WriteDone{ID: eff.ID, OK: true, Version: 1_000_000 + stamp})
+				step(WriteCompleted{ID: eff.ID, OK: true, Version: 1_000_000 + stamp})
 			}
 		}
 	}
@@ -229,7 +229,7 @@
 		stamp++
 		sp.ID, sp.Shape, sp.MemoryGB, sp.Image = fmt.Sprintf("job-%06d", stamp), "sweep", 1, "i"
 		specs[sp.ID], at[sp.ID] = sp, now
-		step(JobSeen{ID: sp.ID, Version: stamp, Rec: storage.Open{Spec: sp}})
+		step(JobChanged{JobID: sp.ID, Version: stamp, Record: storage.OpenJob{Spec: sp}})
 	}
 	for ; now < day; now += 500 * time.Millisecond {
 		// Small urgent work alone asks for a third more than there is; it goes to both teams.
@@ -248,7 +248,7 @@
 				}
 			}
 			if (int(now/(500*time.Millisecond))+m)%4 == 0 {
-				step(ReportIn{Report: report(m), Ref: m, Entitled: true, Stayed: true})
+				step(HeartbeatReceived{Heartbeat: report(m), ReplyTo: m, Entitled: true, SameConnection: true})
 			}
 		}
 		step(Tick{Entitled: true})
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -8,114 +8,114 @@
 	"quillshunt/internal/protocol"
 )
 
-// pass is what a scheduling pass keeps, so that its cost hardly grows with fleet and backlog: each request decides as if it looked at every
+// placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and backlog: each request decides as if it looked at every
 // machine anew (see TestPassIsPlain).
-type pass struct {
-	machines []*machine       // that may get tasks, by name
-	roomy    []*machine       // those of them with free room for any of the jobs
-	jobs     []*job           // that want room, in order of claim
-	least    room             // none of them needs less of any resource
-	most     room             // no machine has more free room of any resource
-	refused  map[request]bool // requests for which no machine was found in this pass
-	// refusedGangs are the same of gangs.
-	refusedGangs map[gangRequest]bool
-	holds        int // machines that may still be held; see reserve
-	shelves      shelves
-	short        []*machine
+type placementPass struct {
+	machines     []*machine                // that may get tasks, by name
+	withFreeRoom []*machine                // those of them with free room for any of the jobs
+	jobs         []*job                    // that want room, in order of claim
+	minDemand    resources                 // none of them needs less of any resource
+	maxFreeRoom  resources                 // no machine has more free room of any resource
+	unplaceable  map[placementRequest]bool // requests for which no machine was found in this pass
+	// unplaceableGangs are the same of gangs.
+	unplaceableGangs      map[gangRequest]bool
+	reservationsLeft      int // machines that may still be held; see reserve
+	groups                candidateGroups
+	reservationCandidates []*machine
 }
 
-// request is what decides where a task of a job may go, for jobs that ask for nothing particular.
-type request struct {
-	need     room
-	team     *team
-	urgency  protocol.Priority
-	guar     bool
-	spot     bool
-	pressing bool
-	gangRoom bool // may use machines that are kept for gangs
+// placementRequest is what decides where a task of a job may go, for jobs that ask for nothing particular.
+type placementRequest struct {
+	demand          resources
+	team            *team
+	priority        protocol.Priority
+	guaranteed      bool
+	spot            bool
+	preempting      bool
+	gangReservation bool // may use machines that are kept for gangs
 }
 
-// place is the scheduling pass. For each job in order of claim it filters the machines, ranks what is left on
+// placeTasks is the scheduling pass. For each job in order of claim it filters the machines, ranks what is left on
 // the full view, and picks victims where the best machine lacks room: the paper's algorithm, request by request. The tasks of one job
 // ask the same question, so
 // filter and scores are worked out once for them and kept up to date for the machine that was chosen.
-func (s *Scheduler) place() {
-	if !s.dirty || !s.recovered {
+func (s *Scheduler) placeTasks() {
+	if !s.placementNeeded || !s.recovered {
 		return
 	}
-	s.dirty = false
+	s.placementNeeded = false
 	p := &s.pass
 	p.jobs = p.jobs[:0]
-	for _, j := range s.claims() {
-		if j.free() == 0 || j.cancelled || j.over || s.now < j.resume || !j.teamAllows() {
+	for _, j := range s.queueOrder() {
+		if j.waitingTasks() == 0 || j.cancelled || j.closed || s.now < j.retryAt || !j.withinTeamLimit() {
 			continue
 		}
 		if len(p.jobs) == 0 {
-			p.least = j.need
+			p.minDemand = j.demand
 		}
-		p.least = p.least.least(j.need)
+		p.minDemand = p.minDemand.min(j.demand)
 		p.jobs = append(p.jobs, j)
 	}
-	if len(p.jobs) == 0 && len(s.refills) == 0 {
+	if len(p.jobs) == 0 && len(s.gangsToRefill) == 0 {
 		return
 	}
 	s.beginPass()
 	s.refillGangs()
-	for _, j := range s.aged {
-		n := s.behind(j)
-		if n <= 0 || !j.teamAllows() || s.now < j.resume {
+	for _, j := range s.overdue {
+		n := s.overdueTasks(j)
+		if n <= 0 || !j.withinTeamLimit() || s.now < j.retryAt {
 			continue
 		}
 		if j.gang != nil {
 			s.placeGang(j)
-			s.reserveGang(j)
+			s.reserveForWaitingGang(j)
 			continue
 		}
 		s.placeJob(j, n)
-		s.reserve(j)
+		s.reserveForJob(j)
 	}
 	for _, j := range p.jobs {
 		if j.gang != nil {
 			s.placeGang(j)
 			continue
 		}
-		s.placeJob(j, j.free())
+		s.placeJob(j, j.waitingTasks())
 	}
 }
 
 // beginPass collects the machines that may get tasks.
 func (s *Scheduler) beginPass() {
 	p := &s.pass
-	p.machines, p.roomy, p.most = p.machines[:0], p.roomy[:0], room{}
-	p.clearRefused()
-	for _, m := range s.fleet {
-		m.wasHeld, m.heldFor = m.heldFor != nil, nil
-		if m.drain || !s.usable(m) || len(m.bindings)+len(m.exits) >= limits.MaxTasks {
+	p.machines, p.withFreeRoom, p.maxFreeRoom = p.machines[:0], p.withFreeRoom[:0], resources{}
+	p.clearUnplaceable()
+	for _, m := range s.sortedMachines {
+		m.wasReserved, m.reservedFor = m.reservedFor != nil, nil
+		if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 			continue
 		}
 		p.machines = append(p.machines, m)
-		if free := m.freeRoom(); free.holds(p.least) {
-			p.roomy = append(p.roomy, m)
-			p.most = p.most.most(free)
+		if free := m.freeRoom(); free.fits(p.minDemand) {
+			p.withFreeRoom = append(p.withFreeRoom, m)
+			p.maxFreeRoom = p.maxFreeRoom.max(free)
 		}
 	}
-	p.holds = (len(p.machines) + limits.HoldShare - 1) / limits.HoldShare
+	p.reservationsLeft = (len(p.machines) + limits.ReservedMachinesRatio - 1) / limits.ReservedMachinesRatio
 }
 
-// clearRefused lets requests be tried again for which no machine was found.
-func (p *pass) clearRefused() {
-	clear(p.refused)
-	clear(p.refusedGangs)
+// clearUnplaceable lets requests be tried again for which no machine was found.
+func (p *placementPass) clearUnplaceable() {
+	clear(p.unplaceable)
+	clear(p.unplaceableGangs)
 }
 
-// offer notes that a machine has got more free room during the pass.
-func (p *pass) offer(m *machine) {
+// addFreedMachine notes that a machine has got more free room during the pass.
+func (p *placementPass) addFreedMachine(m *machine) {
 	if _, usable := slices.BinarySearchFunc(p.machines, m, byName); !usable {
 		return
 	}
-	p.most = p.most.most(m.freeRoom())
-	if i, ok := slices.BinarySearchFunc(p.roomy, m, byName); !ok {
-		p.roomy = slices.Insert(p.roomy, i, m)
+	p.maxFreeRoom = p.maxFreeRoom.max(m.freeRoom())
+	if i, ok := slices.BinarySearchFunc(p.withFreeRoom, m, byName); !ok {
+		p.withFreeRoom = slices.Insert(p.withFreeRoom, i, m)
 	}
 }
 
@@ -124,32 +124,32 @@
 // placeJob places up to n of a job's tasks.
 func (s *Scheduler) placeJob(j *job, n int) {
 	p := &s.pass
-	ask := request{j.need, j.team, j.priority, j.guaranteed, j.spec.Spot, s.pressing(j), j.usesGangRoom}
-	common := j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && !j.spec.SameZone && !j.spec.SpreadZones && len(j.failOn) == 0
-	if ask.pressing && (s.now < j.pressAgain || (common && s.now < s.pressAgain[ask])) {
-		ask.pressing = false
+	ask := placementRequest{j.demand, j.team, j.priority, j.guaranteed, j.spec.Spot, s.mayPreemptNow(j), j.mayUseGangReservation}
+	common := j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && !j.spec.SameZone && !j.spec.SpreadZones && len(j.failedMachines) == 0
+	if ask.preempting && (s.now < j.nextPreemptionSearch || (common && s.now < s.nextPreemptionSearch[ask])) {
+		ask.preempting = false
 	}
-	pressing := ask.pressing
-	if (common && p.refused[ask]) || (!pressing && !p.most.holds(j.need)) {
+	pressing := ask.preempting
+	if (common && p.unplaceable[ask]) || (!pressing && !p.maxFreeRoom.fits(j.demand)) {
 		return
 	}
-	sh := s.candidates(j, pressing)
-	for ; n > 0 && j.team.fits(j.need); n-- {
-		best := rank(sh.cs)
+	sh := s.collectCandidates(j, pressing)
+	for ; n > 0 && j.team.fits(j.demand); n-- {
+		best := bestCandidate(sh.representatives)
 		if best < 0 {
 			if common {
-				p.refused[ask] = true
+				p.unplaceable[ask] = true
 			}
 			switch {
 			case pressing && common:
-				s.pressAgain[ask] = s.now + limits.PressAgain
+				s.nextPreemptionSearch[ask] = s.now + limits.PreemptionSearchInterval
 			case pressing:
-				j.pressAgain = s.now + limits.PressAgain
+				j.nextPreemptionSearch = s.now + limits.PreemptionSearchInterval
 			}
 			return
 		}
-		m := sh.cs[best].m
-		victims, ok := s.victims(j, &sh.cs[best], nil)
+		m := sh.representatives[best].machine
+		victims, ok := s.chooseVictims(j, &sh.representatives[best], nil)
 		if !ok {
 			return
 		}
@@ -158,24 +158,24 @@
 			s.stopTask(v, "preempted for "+j.id)
 			if v.job.gang != nil {
 				gangStopped = true
-				s.offerGang(v.job)
+				s.addGangMachinesToPass(v.job)
 			}
 		}
-		m.heldFor = nil
-		borrowed := j.team.borrows()
-		s.bind(j, j.nextFree(), m, s.attempt(), assigned)
+		m.reservedFor = nil
+		borrowed := j.team.usesBorrowed()
+		s.assign(j, j.nextWaitingTask(), m, s.nextAttempt(), stateUnsent)
 		if len(victims) > 0 {
-			p.offer(m) // what was stopped may leave more than was asked for
+			p.addFreedMachine(m) // what was stopped may leave more than was asked for
 		}
-		if len(victims) > 0 || borrowed != j.team.borrows() {
-			p.clearRefused() // others may find room, or tasks to stop, that were not there before
+		if len(victims) > 0 || borrowed != j.team.usesBorrowed() {
+			p.clearUnplaceable() // others may find room, or tasks to stop, that were not there before
 		}
 		if j.spec.SameZone || j.spec.SpreadZones || gangStopped {
-			sh = s.candidates(j, pressing) // where the others may go depends on where this one went
+			sh = s.collectCandidates(j, pressing) // where the others may go depends on where this one went
 			continue
 		}
 		sh.takeFirst(best)
-		if c, ok := s.candidate(j, m, pressing, nil); ok {
+		if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
 			sh.add(c)
 		}
 	}
--- a/internal/coordination/scheduler/plan_test.go
+++ b/internal/coordination/scheduler/plan_test.go
@@ -12,55 +12,55 @@
 // TestFaultyMachines: a machine that fails what others do is returned, and so is one that is far slower; a job that fails everywhere
 // condemns no machine, and waits longer each time.
 func TestFaultyMachines(t *testing.T) {
-	b := newBed(t, 5)
+	b := newSchedulerFixture(t, 5)
 	for i := range 5 {
 		b.report(i)
 	}
 	b.job("job-1", "red", "standard", 1, 1, 0)
 	b.job("job-2", "red", "standard", 1, 1, 0)
-	j := b.s.jobs["job-1"]
-	m := b.s.machines[b.rig(0)]
-	b.s.failed(j, m)
-	b.s.failed(b.s.jobs["job-2"], m)
-	if !m.sick() {
+	j := b.scheduler.jobs["job-1"]
+	m := b.scheduler.machines[b.machine(0)]
+	b.scheduler.recordFailure(j, m)
+	b.scheduler.recordFailure(b.scheduler.jobs["job-2"], m)
+	if !m.isFaulty() {
 		t.Error("not sick after failing two jobs")
 	}
 	for i := 1; i < 5; i++ {
-		b.s.failed(j, b.s.machines[b.rig(i)])
+		b.scheduler.recordFailure(j, b.scheduler.machines[b.machine(i)])
 	}
 	for i := 1; i < 5; i++ {
-		if b.s.machines[b.rig(i)].sick() {
+		if b.scheduler.machines[b.machine(i)].isFaulty() {
 			t.Errorf("machine %d condemned by a job that fails everywhere", i)
 		}
 	}
 	first := j.backoff
-	b.s.failed(j, b.s.machines[b.rig(1)])
-	if first < limits.JobBackoffMin || j.backoff <= first || j.resume <= b.s.now {
+	b.scheduler.recordFailure(j, b.scheduler.machines[b.machine(1)])
+	if first < limits.JobBackoffMin || j.backoff <= first || j.retryAt <= b.scheduler.now {
 		t.Errorf("delays %v, then %v", first, j.backoff)
 	}
-	slow := b.s.machines[b.rig(2)]
-	other := b.s.jobs["job-2"]
+	slow := b.scheduler.machines[b.machine(2)]
+	other := b.scheduler.jobs["job-2"]
 	for range 6 {
-		b.s.learn(other, b.s.machines[b.rig(3)], 10)
+		b.scheduler.learnRunTime(other, b.scheduler.machines[b.machine(3)], 10)
 	}
-	for range limits.SlowTasks {
-		b.s.learn(other, slow, 60)
+	for range limits.SlowMachineTasks {
+		b.scheduler.learnRunTime(other, slow, 60)
 	}
-	if !slow.slow() || b.s.machines[b.rig(3)].slow() {
+	if !slow.isSlow() || b.scheduler.machines[b.machine(3)].isSlow() {
 		t.Error("slow machine not told from the others")
 	}
 }
 
 // TestSilentIsNotIdle: machines that all fell silent, as when the leader itself is cut off, are not returned as idle.
 func TestSilentIsNotIdle(t *testing.T) {
-	b := newBed(t, 8)
+	b := newSchedulerFixture(t, 8)
 	for i := range 8 {
 		b.report(i)
 	}
 	for range 100 {
 		b.now += time.Second
 		for _, e := range b.step(Tick{Entitled: true}) {
-			if d, ok := e.(DeleteOut); ok && b.now < 50*time.Second {
+			if d, ok := e.(DeleteMachines); ok && b.now < 50*time.Second {
 				t.Fatalf("at %v: returned %v", b.now, d.Machines)
 			}
 		}
@@ -69,19 +69,19 @@
 
 // TestCheapestPool: machines are rented where they cost least for as long as that pool gives them, and the rest at once elsewhere.
 func TestCheapestPool(t *testing.T) {
-	b := newBed(t, 0)
-	b.step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
-	b.s.cfg.CloudRPS = 4
-	b.step(JobSeen{ID: "job-1", Version: 100, Rec: storage.Open{Spec: protocol.Spec{ID: "job-1", Class: "c", Team: "red", Shape: "sweep",
+	b := newSchedulerFixture(t, 0)
+	b.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
+	b.scheduler.cfg.CloudRPS = 4
+	b.step(JobChanged{JobID: "job-1", Version: 100, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-1", Class: "c", Team: "red", Shape: "sweep",
 		Priority: "high", Tasks: 5000, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true}}})
-	b.s.teams["red"].cfg.CPUsMax = 1e6
+	b.scheduler.teams["red"].cfg.CPUsMax = 1e6
 	rented := func() (spot, dear int) {
 		for b.now += time.Second; ; b.now += time.Second {
 			b.step(Tick{Entitled: true})
-			for _, h := range b.s.rentals {
-				if h.pending() && h.record.Spot {
+			for _, h := range b.scheduler.rentals {
+				if h.isPending() && h.record.Spot {
 					spot++
-				} else if h.pending() {
+				} else if h.isPending() {
 					dear++
 				}
 			}
@@ -93,7 +93,7 @@
 	if spot, dear := rented(); spot != 4 || dear != 0 {
 		t.Fatalf("%d requests to the cheap pool and %d to the dear one, want all that the cloud takes to the cheap one", spot, dear)
 	}
-	for _, h := range b.s.sortedRentals() {
+	for _, h := range b.scheduler.sortedRentals() {
 		h.state = rentalRequested
 		b.step(RentalDone{Name: h.name, NoCapacity: true})
 	}
@@ -106,26 +106,26 @@
 // work off later; what
 // starts before needs none.
 func TestPlanByStarts(t *testing.T) {
-	b := newBed(t, 10)
-	b.s.cfg.CloudRPS = 100
+	b := newSchedulerFixture(t, 10)
+	b.scheduler.cfg.CloudRPS = 100
 	for i := range 10 {
 		b.report(i)
 	}
 	b.job("job-1", "red", "high", 10, 8, 0)
 	for _, d := range b.direct() { // each machine is full, and has just begun
-		r := &protocol.Report{Machine: d.Machine, Session: 1, Sequence: 100, Token: 3}
+		r := &protocol.Heartbeat{Machine: d.Machine, Incarnation: 1, Sequence: 100, FencingToken: 3}
 		for _, o := range d.Commands {
-			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
 		}
-		b.step(DirectDone{ID: d.ID, Machine: d.Machine, Report: r})
+		b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: r})
 	}
 	b.job("job-2", "blue", "high", 8, 8, 20)
 	wanted := func() int {
-		b.s.planAt = 0
+		b.scheduler.nextPlanAt = 0
 		b.step(Tick{Entitled: true})
 		n := 0
-		for _, h := range b.s.rentals {
-			if h.pending() {
+		for _, h := range b.scheduler.rentals {
+			if h.isPending() {
 				n += h.record.Count
 			}
 		}
@@ -137,12 +137,12 @@
 		t.Errorf("%d machines wanted for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
 	}
 	// What has waited for as long as a machine takes to boot does not wait as long again.
-	b.step(JobSeen{ID: "job-3", Version: 500, Age: 20 * time.Second, Rec: storage.Open{Spec: protocol.Spec{ID: "job-3", Class: "c", Team: "blue", Shape: "sweep",
+	b.step(JobChanged{JobID: "job-3", Version: 500, SinceSubmission: 20 * time.Second, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-3", Class: "c", Team: "blue", Shape: "sweep",
 		Priority: "high", Tasks: 4, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10}}})
 	if n := wanted(); n < 9 || n > 11 {
 		t.Errorf("%d machines wanted with 4 more tasks that have waited long, want 9 to 11", n)
 	}
-	b = newBed(t, 10)
+	b = newSchedulerFixture(t, 10)
 	for i := range 10 {
 		b.report(i)
 	}
--- a/internal/coordination/scheduler/probes.go
+++ b/internal/coordination/scheduler/probes.go
@@ -13,31 +13,31 @@
 // for its
 // votes. How much it has shows in how long a probe takes: a worker answers in milliseconds.
 type probeBudget struct {
-	rate   float64 // probes a second, while they are answered at once
-	tokens float64
-	at     time.Duration // of the last refill
-	slow   time.Duration // until when probes are slowed down
+	rate       float64 // probes a second, while they are answered at once
+	tokens     float64
+	refilledAt time.Duration // of the last refill
+	slowUntil  time.Duration // until when probes are slowed down
 }
 
 func newProbeBudget(coreShare float64) probeBudget {
 	rate := limits.ProbeRate(coreShare)
-	return probeBudget{rate: rate, tokens: rate * limits.TickEvery.Seconds()}
+	return probeBudget{rate: rate, tokens: rate * limits.TickInterval.Seconds()}
 }
 
 // refill adds what the time since the last refill allows; what is not used in a second is lost.
 func (b *probeBudget) refill(now time.Duration) {
 	rate := b.rate
-	if now < b.slow {
+	if now < b.slowUntil {
 		rate *= limits.ProbeSlowdown
 	}
-	b.tokens = min(b.tokens+rate*(now-b.at).Seconds(), rate)
-	b.at = now
+	b.tokens = min(b.tokens+rate*(now-b.refilledAt).Seconds(), rate)
+	b.refilledAt = now
 }
 
 // observe notes how a probe went: busy tells that this controller took long for it, or had no time for it.
 func (b *probeBudget) observe(now time.Duration, busy bool) {
 	if busy {
-		b.slow = now + limits.ProbeEvery
+		b.slowUntil = now + limits.ProbeInterval
 	}
 }
 
@@ -49,17 +49,17 @@
 	return true
 }
 
-// probe asks machines that may hold tasks of earlier terms, rather than wait for their reports, and those that may not hear our answers.
+// probeMachines asks machines that may hold tasks of earlier terms, rather than wait for their reports, and those that may not hear our answers.
 // Those
 // come first that were not asked for longest.
-func (s *Scheduler) probe() {
+func (s *Scheduler) probeMachines() {
 	var due []*machine
-	for _, m := range s.fleet {
-		if (!s.recovered && !m.fenced && m.registration != unregistered) || (m.seen && !m.verified) {
+	for _, m := range s.sortedMachines {
+		if (!s.recovered && !m.fenced && m.registration != unregistered) || (m.hasReported && !m.verified) {
 			due = append(due, m)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *machine) int { return int(a.probeAt - b.probeAt) })
+	slices.SortStableFunc(due, func(a, b *machine) int { return int(a.nextProbeAt - b.nextProbeAt) })
 	for _, m := range due {
 		s.probeMachine(m)
 	}
@@ -71,12 +71,12 @@
 // only once
 // its next report is overdue as a proof.
 func (s *Scheduler) probeMachine(m *machine) {
-	if m.seen && m.fenced && s.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedReports*float64(s.report)) {
+	if m.hasReported && m.fenced && s.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedGraceReports*float64(s.heartbeatInterval)) {
 		return
 	}
-	if m.addr == "" || m.deleting || s.now < m.probeAt || !s.probes.take() {
+	if m.address == "" || m.deleting || s.now < m.nextProbeAt || !s.probes.take() {
 		return
 	}
-	m.probeAt = s.now + limits.ProbeEvery
-	s.emit(ProbeOut{Machine: m.name, Address: m.addr})
+	m.nextProbeAt = s.now + limits.ProbeInterval
+	s.emit(ProbeMachine{Machine: m.name, Address: m.address})
 }
--- a/internal/coordination/scheduler/probes_test.go
+++ b/internal/coordination/scheduler/probes_test.go
@@ -13,8 +13,8 @@
 func takeOver(machines int, coreShare float64) *Scheduler {
 	s := New(Config{Term: 3, Teams: []config.Team{{Name: "red", CPUs: 8, CPUsMax: 100}}, Workers: config.Workers{ReportS: 60, LeaseS: 600, CancelS: 900},
 		State: config.State{WriteRPS: 20, ValueKB: 4, TxnOps: 8}, CoreShare: coreShare, Options: config.DefaultOptions()}, 0)
-	s.Step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, 0)
-	loadUp(s, "h-1-1", upHire("s8", machines, longName), 0)
+	s.Step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}, 0)
+	loadRegistryPage(s, "h-1-1", answeredRental("s8", machines, longName), 0)
 	return s
 }
 
@@ -39,7 +39,7 @@
 		now := time.Duration(0)
 		count := func(effects []Effect) (probes int) {
 			for _, e := range effects {
-				p, ok := e.(ProbeOut)
+				p, ok := e.(ProbeMachine)
 				if !ok {
 					continue
 				}
@@ -49,39 +49,39 @@
 				}
 				done := ProbeDone{Machine: p.Machine}
 				if c.took > 0 {
-					done.Took, done.Report = c.took, &protocol.Report{} // a worker's report that proves nothing
+					done.Took, done.Heartbeat = c.took, &protocol.Heartbeat{} // a worker's report that proves nothing
 				}
 				s.Step(done, now)
 			}
 			return probes
 		}
-		sent := count(s.Step(Loaded{}, now))
+		sent := count(s.Step(StateLoaded{}, now))
 		for len(asked) < machines {
-			now += limits.TickEvery
+			now += limits.TickInterval
 			sent += count(s.Step(Tick{Entitled: true}, now))
-			if most := rate*limits.TickEvery.Seconds() + rate*c.share*now.Seconds(); float64(sent) > most+1 {
+			if most := rate*limits.TickInterval.Seconds() + rate*c.share*now.Seconds(); float64(sent) > most+1 {
 				t.Fatalf("%s: %d probes within %v, at most %v are allowed", c.name, sent, now, most)
 			}
-			if late := machines/(rate*c.share) + 2*limits.TickEvery.Seconds(); now.Seconds() > late {
+			if late := machines/(rate*c.share) + 2*limits.TickInterval.Seconds(); now.Seconds() > late {
 				t.Fatalf("%s: after %v only %d of %d machines were asked", c.name, now, len(asked), machines)
 			}
 		}
 	}
 }
 
-// TestLastUnheardAskedAgain: all placement waits for the last machine that a new leader has not heard of, so a probe that it did not
+// TestLastUnreportedProbedAgain: all placement waits for the last machine that a new leader has not heard of, so a probe that it did not
 // answer is followed
 // by the next at once. Where many are unheard, as behind a cut, their probes keep to their pace.
-func TestLastUnheardAskedAgain(t *testing.T) {
+func TestLastUnreportedProbedAgain(t *testing.T) {
 	for _, c := range []struct{ silent, again int }{{1, 1}, {20, 0}} {
-		b := newBed(t, 40)
+		b := newSchedulerFixture(t, 40)
 		for i := c.silent; i < 40; i++ {
 			b.report(i)
 		}
 		b.step(Tick{Entitled: true})
 		again := 0
-		for _, e := range b.step(ProbeDone{Machine: b.rig(0)}) {
-			if p, ok := e.(ProbeOut); ok && p.Machine == b.rig(0) {
+		for _, e := range b.step(ProbeDone{Machine: b.machine(0)}) {
+			if p, ok := e.(ProbeMachine); ok && p.Machine == b.machine(0) {
 				again++
 			}
 		}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -6,58 +6,58 @@
 	"quillshunt/internal/limits"
 )
 
-// expire frees the tasks of sessions that are surely over.
-func (s *Scheduler) expire() {
-	for _, m := range s.fleet {
-		if m.endedSession >= max(m.session, 1) || s.now < m.leaseBase+limits.WaitOut(s.lease) {
-			if s.now > m.heard+s.stale() {
-				s.withdraw(m)
+// expireLeases frees the tasks of sessions that are surely over.
+func (s *Scheduler) expireLeases() {
+	for _, m := range s.sortedMachines {
+		if m.endedIncarnation >= max(m.incarnation, 1) || s.now < m.leaseRenewedAt+limits.LeaseSurelyOver(s.workerLease) {
+			if s.now > m.lastHeartbeatAt+s.staleAfter() {
+				s.releaseUnsent(m)
 			}
 			continue
 		}
 		// The worker sent the last report that we answered before it arrived here, so by its own clock
 		// and ours its lease is over and it has killed its tasks.
-		if len(m.bindings) > 0 {
-			s.note(true, "session lapsed", "machine", m.name, "tasks", len(m.bindings))
+		if len(m.assignments) > 0 {
+			s.log(true, "session lapsed", "machine", m.name, "tasks", len(m.assignments))
 		}
-		for _, b := range m.sortedBinds() {
-			s.unbind(b)
+		for _, b := range m.sortedAssignments() {
+			s.release(b)
 		}
-		m.exits = map[attemptKey]exit{}
-		m.endedSession = max(m.session, 1)
-		if !m.seen {
-			m.endedSession = 0 // we do not know which session it was in; see endRecovery
+		m.endedTasks = map[attemptKey]endedTask{}
+		m.endedIncarnation = max(m.incarnation, 1)
+		if !m.hasReported {
+			m.endedIncarnation = 0 // we do not know which session it was in; see endRecovery
 		}
 	}
 }
 
-// stale is how long a machine may be silent and still get tasks.
-func (s *Scheduler) stale() time.Duration {
-	return time.Duration(float64(s.report) * limits.FreshReports)
+// staleAfter is how long a machine may be silent and still get tasks.
+func (s *Scheduler) staleAfter() time.Duration {
+	return time.Duration(float64(s.heartbeatInterval) * limits.FreshHeartbeatIntervals)
 }
 
-// withdraw takes back tasks that no order has left for.
-func (s *Scheduler) withdraw(m *machine) {
-	for _, b := range m.sortedBinds() {
-		if b.phase == assigned {
-			s.unbind(b)
+// releaseUnsent takes back tasks that no order has left for.
+func (s *Scheduler) releaseUnsent(m *machine) {
+	for _, b := range m.sortedAssignments() {
+		if b.state == stateUnsent {
+			s.release(b)
 		}
 	}
 }
 
-// endRecovery ends the time after a take-over in which tasks may run that we have not heard of: each machine that
+// tryEndRecovery ends the time after a take-over in which tasks may run that we have not heard of: each machine that
 // may hold some has reported to us or is gone, or its lease from before is over. A machine that we have greeted has had its lease
 // renewed by that: it has
 // the whole of it again, although it has shown us no tasks yet. A leader that is too busy to take its next reports must not forget that.
-func (s *Scheduler) endRecovery() {
-	for _, m := range s.fleet {
-		if !m.fenced && m.registration != unregistered && s.now < max(s.tookOver, m.leaseBase)+limits.WaitOut(s.lease) {
+func (s *Scheduler) tryEndRecovery() {
+	for _, m := range s.sortedMachines {
+		if !m.fenced && m.registration != unregistered && s.now < max(s.termStartedAt, m.leaseRenewedAt)+limits.LeaseSurelyOver(s.workerLease) {
 			return
 		}
 	}
-	s.recovered, s.dirty = true, true
+	s.recovered, s.placementNeeded = true, true
 	for _, j := range s.queue {
-		s.touchGang(j.gang)
+		s.markGangChanged(j.gang)
 	}
-	s.note(false, "rebuilt", "after", s.now-s.tookOver, "machines", len(s.fleet), "jobs", len(s.jobs))
+	s.log(false, "rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.sortedMachines), "jobs", len(s.jobs))
 }
--- a/internal/coordination/scheduler/registration.go
+++ b/internal/coordination/scheduler/registration.go
@@ -25,111 +25,111 @@
 // machines are gone.
 // A machine that is gone is taken off its rental's record, not off the page: what no rental accounts for, a successor ignores.
 type registryPage struct {
-	name    string
-	rec     storage.Ups
-	size    int // of the value, in bytes, rounded up
-	stamp   uint64
-	live    int // machines of it that are not gone
-	dirty   bool
-	writing bool
+	name         string
+	record       storage.RegistryPage
+	encodedSize  int // of the value, in bytes, rounded up
+	version      uint64
+	liveMachines int // machines of it that are not gone
+	dirty        bool
+	writing      bool
 }
 
-// register sees to it that the state service knows that a machine may get tasks from now on.
-func (s *Scheduler) register(m *machine) {
+// registerMachine sees to it that the state service knows that a machine may get tasks from now on.
+func (s *Scheduler) registerMachine(m *machine) {
 	if m.rental == "" {
-		s.cover(m)
+		s.adoptMachine(m)
 	}
 	// The rental's record must name the machine first: a successor ignores a mark that no rental accounts for.
 	h := s.rentals[m.rental]
-	if h == nil || !h.known || m.registration != unregistered {
+	if h == nil || !h.answerDurable || m.registration != unregistered {
 		return
 	}
 	m.registration = registering
-	u := storage.Up{Machine: m.name, Address: m.addr}
-	size := storage.Size(u) + limits.PageFrame
-	if full := s.page; full == nil || float64(full.size+size) > s.cfg.State.ValueKB*1024 {
+	u := storage.RegisteredMachine{Machine: m.name, Address: m.address}
+	size := storage.EncodedSize(u) + limits.RegistryEntryOverhead
+	if full := s.currentPage; full == nil || float64(full.encodedSize+size) > s.cfg.State.ValueKB*1024 {
 		s.pageSequence++
-		s.page = &registryPage{name: fmt.Sprintf("%d-%d", s.cfg.Term, s.pageSequence), size: limits.PageFrame}
-		s.pages = append(s.pages, s.page)
+		s.currentPage = &registryPage{name: fmt.Sprintf("%d-%d", s.cfg.Term, s.pageSequence), encodedSize: limits.RegistryEntryOverhead}
+		s.registryPages = append(s.registryPages, s.currentPage)
 		if full != nil {
 			s.removeEmptyPage(full)
 		}
 	}
-	s.page.size += size
-	m.page = s.page
-	m.page.rec.Machines = append(m.page.rec.Machines, u)
-	m.page.live++
-	m.page.dirty = true
-	s.registrationsDirty = true
-	s.writeRegistrations()
+	s.currentPage.encodedSize += size
+	m.registryPage = s.currentPage
+	m.registryPage.record.Machines = append(m.registryPage.record.Machines, u)
+	m.registryPage.liveMachines++
+	m.registryPage.dirty = true
+	s.registryDirty = true
+	s.writeRegistryPages()
 }
 
-// writeRegistrations writes the pages with new machines, at most one write every RegisterEvery; the next tick or the answer to the last
+// writeRegistryPages writes the pages with new machines, at most one write every RegisterEvery; the next tick or the answer to the last
 // write goes on with it.
-func (s *Scheduler) writeRegistrations() {
-	if !s.registrationsDirty || s.now < s.registrationsAt+limits.RegisterEvery {
+func (s *Scheduler) writeRegistryPages() {
+	if !s.registryDirty || s.now < s.registryWrittenAt+limits.RegistryWriteInterval {
 		return
 	}
-	s.registrationsDirty, s.registrationsAt = false, s.now
-	for _, x := range s.pages {
+	s.registryDirty, s.registryWrittenAt = false, s.now
+	for _, x := range s.registryPages {
 		if !x.dirty || x.writing {
-			s.registrationsDirty = s.registrationsDirty || x.dirty
+			s.registryDirty = s.registryDirty || x.dirty
 			continue
 		}
 		x.dirty, x.writing = false, true
-		key := storage.UpKey(x.name)
-		s.write(pendingWrite{kind: writeRegistration, page: x, n: len(x.rec.Machines)}, []protocol.Condition{{Key: key, Version: x.stamp}},
-			[]protocol.Op{{Put: key, Value: protocol.Encode(x.rec)}})
+		key := storage.RegistryPageKey(x.name)
+		s.write(pendingWrite{kind: writeRegistration, registryPage: x, count: len(x.record.Machines)}, []protocol.Condition{{Key: key, Version: x.version}},
+			[]protocol.Operation{{Put: key, Value: protocol.Encode(x.record)}})
 	}
 }
 
-func (s *Scheduler) registrationsWritten(p pendingWrite, ok bool, rev uint64) {
-	x := p.page
+func (s *Scheduler) registryPageWritten(p pendingWrite, ok bool, rev uint64) {
+	x := p.registryPage
 	x.writing = false
 	if !ok {
 		// Only we write pages of our term, so this cannot be; without a mark the machines get no tasks.
-		s.note(true, "marks refused", "sheet", x.name)
+		s.log(true, "marks refused", "sheet", x.name)
 		return
 	}
-	x.stamp = rev
-	for _, u := range x.rec.Machines[:p.n] {
+	x.version = rev
+	for _, u := range x.record.Machines[:p.count] {
 		if m := s.machines[u.Machine]; m != nil && m.registration == registering {
 			m.registration = registered
-			s.roomChanged = true
-			s.queueCommands(m)
+			s.freeRoomChanged = true
+			s.queueDispatch(m)
 		}
 	}
-	s.writeRegistrations()
+	s.writeRegistryPages()
 	s.removeEmptyPage(x)
 }
 
 // unregister takes a machine that is gone off its page, and removes a page of which nothing is left.
 func (s *Scheduler) unregister(m *machine) {
-	if x := m.page; x != nil {
-		x.live--
+	if x := m.registryPage; x != nil {
+		x.liveMachines--
 		s.removeEmptyPage(x)
 	}
 }
 
 func (s *Scheduler) removeEmptyPage(x *registryPage) {
-	if x.live > 0 || x.writing || x.dirty || x == s.page {
+	if x.liveMachines > 0 || x.writing || x.dirty || x == s.currentPage {
 		return
 	}
-	if x.stamp != 0 {
-		key := storage.UpKey(x.name)
-		s.write(pendingWrite{kind: writeRegistrationRemove, page: x}, []protocol.Condition{{Key: key, Version: x.stamp}}, []protocol.Op{{Delete: key}})
+	if x.version != 0 {
+		key := storage.RegistryPageKey(x.name)
+		s.write(pendingWrite{kind: writeRegistrationRemove, registryPage: x}, []protocol.Condition{{Key: key, Version: x.version}}, []protocol.Operation{{Delete: key}})
 	}
-	s.pages = slices.DeleteFunc(s.pages, func(y *registryPage) bool { return y == x })
+	s.registryPages = slices.DeleteFunc(s.registryPages, func(y *registryPage) bool { return y == x })
 }
 
-// registrationLoaded takes a page of an earlier term, after all rentals.
-func (s *Scheduler) registrationLoaded(e RegistrationLoaded) {
-	x := &registryPage{name: e.Name, rec: e.Rec, stamp: e.Version}
-	s.pages = append(s.pages, x)
-	for _, u := range e.Rec.Machines {
-		if m := s.machines[u.Machine]; m != nil && m.page == nil {
-			m.registration, m.addr, m.page = registered, u.Address, x
-			x.live++
+// registryPageLoaded takes a page of an earlier term, after all rentals.
+func (s *Scheduler) registryPageLoaded(e RegistryPageLoaded) {
+	x := &registryPage{name: e.Name, record: e.Record, version: e.Version}
+	s.registryPages = append(s.registryPages, x)
+	for _, u := range e.Record.Machines {
+		if m := s.machines[u.Machine]; m != nil && m.registryPage == nil {
+			m.registration, m.address, m.registryPage = registered, u.Address, x
+			x.liveMachines++
 		}
 	}
 	s.removeEmptyPage(x)
--- a/internal/coordination/scheduler/registration_test.go
+++ b/internal/coordination/scheduler/registration_test.go
@@ -14,30 +14,30 @@
 // TestRegisteredBeforeStart: a machine gets its first task only once the state service knows that it may have one; otherwise a
 // new leader would not look for it there.
 func TestRegisteredBeforeStart(t *testing.T) {
-	b := newBed(t, 0)
+	b := newSchedulerFixture(t, 0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	b.step(RentalLoaded{Name: "h-2-1", Version: 7, Rec: storage.Rental{MachineType: "s8", Zone: "a", Count: 1, Answered: true, Machines: []string{b.rig(0)}}})
+	b.step(RentalLoaded{Name: "h-2-1", Version: 7, Record: storage.Rental{MachineType: "s8", Zone: "a", Count: 1, Answered: true, Machines: []string{b.machine(0)}}})
 	orders := b.report(0)
-	var mark *WriteOut
-	for _, e := range b.out {
-		if w, ok := e.(WriteOut); ok && w.Ops[0].Put == storage.UpKey("3-1") {
+	var mark *WriteRecords
+	for _, e := range b.effects {
+		if w, ok := e.(WriteRecords); ok && w.Operations[0].Put == storage.RegistryPageKey("3-1") {
 			mark = &w
 		}
 	}
 	if mark == nil || verbs(orders, protocol.CommandStart) != 0 || len(b.direct()) != 0 {
-		t.Fatalf("before the mark: %+v %+v", orders, b.out)
+		t.Fatalf("before the mark: %+v %+v", orders, b.effects)
 	}
-	b.step(WriteDone{ID: mark.ID, OK: true, Version: 9})
+	b.step(WriteCompleted{ID: mark.ID, OK: true, Version: 9})
 	if d := b.direct(); len(d) != 1 || verbs(d[0].Commands, protocol.CommandStart) != 1 {
-		t.Fatalf("after the mark: %+v", b.out)
+		t.Fatalf("after the mark: %+v", b.effects)
 	}
 }
 
-// marksOut are the writes of registrations among the effects.
-func (b *bed) marksOut() []WriteOut {
-	var out []WriteOut
-	for _, e := range b.out {
-		if w, ok := e.(WriteOut); ok && strings.HasPrefix(w.Ops[0].Put, storage.PrefixUp) {
+// registryWrites are the writes of registrations among the effects.
+func (b *schedulerFixture) registryWrites() []WriteRecords {
+	var out []WriteRecords
+	for _, e := range b.effects {
+		if w, ok := e.(WriteRecords); ok && strings.HasPrefix(w.Operations[0].Put, storage.PrefixRegistryPage) {
 			out = append(out, w)
 		}
 	}
@@ -48,66 +48,66 @@
 // a value; none is registered before its rental's record names it, as a successor ignores registrations that no rental accounts for;
 // and a successor finds all of them.
 func TestRegistrationsTogether(t *testing.T) {
-	b := newBed(t, 0)
+	b := newSchedulerFixture(t, 0)
 	const rentals, each = 4, 50
 	for i := range rentals {
 		h := storage.Rental{MachineType: "s8", Zone: "a", Count: each, Answered: true}
 		for k := range each {
-			h.Machines = append(h.Machines, b.rig(i*each+k))
+			h.Machines = append(h.Machines, b.machine(i*each+k))
 		}
-		b.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Rec: h})
+		b.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: h})
 	}
-	b.s.rentals["h-2-3"].known = false // its answer is being written
-	var writes []WriteOut
+	b.scheduler.rentals["h-2-3"].answerDurable = false // its answer is being written
+	var writes []WriteRecords
 	for i := range rentals * each {
 		b.report(i)
 		b.now -= 9 * time.Millisecond
-		writes = append(writes, b.marksOut()...)
+		writes = append(writes, b.registryWrites()...)
 	}
 	rev := uint64(100)
 	for n := 0; n < len(writes); n++ {
 		rev++
-		b.now += limits.RegisterEvery
-		b.step(WriteDone{ID: writes[n].ID, OK: true, Version: rev})
-		writes = append(writes, b.marksOut()...)
+		b.now += limits.RegistryWriteInterval
+		b.step(WriteCompleted{ID: writes[n].ID, OK: true, Version: rev})
+		writes = append(writes, b.registryWrites()...)
 	}
 	if len(writes) > 8 {
 		t.Errorf("%d writes for %d machines", len(writes), rentals*each)
 	}
-	next := newBed(t, 0)
+	next := newSchedulerFixture(t, 0)
 	for i := range rentals {
-		next.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Rec: b.s.rentals[fmt.Sprintf("h-2-%d", i)].record})
+		next.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: b.scheduler.rentals[fmt.Sprintf("h-2-%d", i)].record})
 	}
-	last := map[string]WriteOut{}
+	last := map[string]WriteRecords{}
 	for _, w := range writes {
-		last[w.Ops[0].Put] = w
+		last[w.Operations[0].Put] = w
 	}
 	for key, w := range last {
-		var u storage.Ups
-		if err := protocol.Decode(w.Ops[0].Value, &u); err != nil {
+		var u storage.RegistryPage
+		if err := protocol.Decode(w.Operations[0].Value, &u); err != nil {
 			t.Fatal(err)
 		}
-		if !storage.Fits(u, b.s.cfg.State.ValueKB) {
-			t.Errorf("a sheet of %d bytes", storage.Size(u))
+		if !storage.FitsValueLimit(u, b.scheduler.cfg.State.ValueKB) {
+			t.Errorf("a sheet of %d bytes", storage.EncodedSize(u))
 		}
-		next.step(RegistrationLoaded{Name: key, Version: 9, Rec: u})
+		next.step(RegistryPageLoaded{Name: key, Version: 9, Record: u})
 	}
 	for i := range rentals * each {
 		known := i < (rentals-1)*each
-		if got := b.s.machines[b.rig(i)].registration == registered; got != known {
+		if got := b.scheduler.machines[b.machine(i)].registration == registered; got != known {
 			t.Fatalf("machine %d marked: %v, its rental's record written: %v", i, got, known)
 		}
-		if m := next.s.machines[b.rig(i)]; (m.registration == registered && m.addr != "") != known {
-			t.Fatalf("machine %d at the successor: mark %v, address %q", i, m.registration, m.addr)
+		if m := next.scheduler.machines[b.machine(i)]; (m.registration == registered && m.address != "") != known {
+			t.Fatalf("machine %d at the successor: mark %v, address %q", i, m.registration, m.address)
 		}
 	}
 	// Once the record is written the others are registered too.
-	h := b.s.rentals["h-2-3"]
+	h := b.scheduler.rentals["h-2-3"]
 	h.writing = true
-	b.s.writes[9999] = pendingWrite{kind: writeRental, rental: h.name, known: true}
-	b.now += limits.RegisterEvery
-	b.step(WriteDone{ID: 9999, OK: true, Version: rev + 1})
-	if len(b.marksOut()) == 0 {
+	b.scheduler.pendingWrites[9999] = pendingWrite{kind: writeRental, rental: h.name, answered: true}
+	b.now += limits.RegistryWriteInterval
+	b.step(WriteCompleted{ID: 9999, OK: true, Version: rev + 1})
+	if len(b.registryWrites()) == 0 {
 		t.Error("not marked when the rental's record is written")
 	}
 }
--- a/internal/coordination/scheduler/report.go
+++ b/internal/coordination/scheduler/report.go
@@ -9,96 +9,96 @@
 	"quillshunt/internal/protocol"
 )
 
-// reportIn takes a worker's report, and answers it if we may.
-func (s *Scheduler) reportIn(e ReportIn) {
-	r := e.Report
-	if !e.Entitled || !r.Valid() || r.Token > s.cfg.Term || s.gone[r.Machine] {
-		s.emit(ReplyOut{Ref: e.Ref})
+// heartbeatReceived takes a worker's report, and answers it if we may.
+func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
+	r := e.Heartbeat
+	if !e.Entitled || !r.Valid() || r.FencingToken > s.cfg.Term || s.deletedMachines[r.Machine] {
+		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	if r.Token < s.cfg.Term {
-		s.answerUnfenced(e)
+	if r.FencingToken < s.cfg.Term {
+		s.answerUnfencedHeartbeat(e)
 		return
 	}
-	m := s.machine(r.Machine, r.MachineType, r.Zone, r.Spot)
-	if m.isOutdated(r, m.reportSequence) {
+	m := s.getOrAddMachine(r.Machine, r.MachineType, r.Zone, r.Spot)
+	if m.isOutdated(r, m.heartbeatSequence) {
 		// Late or repeated: the worker waits for no answer to it, and its task list is old. But if it is the newest one and has only just been
 		// answered, that may have been a copy that overtook it, and the worker waits for this answer.
-		copied := r.Session == m.session && r.Sequence == m.reportSequence && r.Session > m.endedSession && s.now < m.heard+limits.StaleReport && !s.holdsCancelled(m, s.lastAnswer)
-		reply := ReplyOut{Ref: e.Ref, OK: copied}
+		copied := r.Incarnation == m.incarnation && r.Sequence == m.heartbeatSequence && r.Incarnation > m.endedIncarnation && s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout && !s.holdsCancelledTask(m, s.cancelAnswerUntil)
+		reply := HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: copied}
 		if copied {
-			reply.Commands = m.repeatable()
+			reply.Commands = m.repeatableCommands()
 		}
 		s.emit(reply)
 		return
 	}
-	if !s.relay(m, e.Relayed) {
-		s.emit(ReplyOut{Ref: e.Ref, Redirect: true})
+	if !s.acceptsRelayed(m, e.Relayed) {
+		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Redirect: true})
 		return
 	}
 	// After a silence a report may be a late one, even on its old connection.
-	s.setVerified(m, !m.fenced || (e.Stayed && s.now <= m.heard+s.stale()))
-	s.session(m, r)
-	m.reportSequence, m.addr = r.Sequence, r.Address
-	m.heard = s.now
-	s.register(m)
-	if r.NoticeS != nil && !m.notice {
-		m.notice = true
-		m.noticeEnd = s.now + limits.Seconds(*r.NoticeS)
-		s.note(false, "spot notice", "machine", m.name, "seconds", *r.NoticeS, "tasks", len(m.bindings))
-		s.withdraw(m)
+	s.setVerified(m, !m.fenced || (e.SameConnection && s.now <= m.lastHeartbeatAt+s.staleAfter()))
+	s.observeIncarnation(m, r)
+	m.heartbeatSequence, m.address = r.Sequence, r.Address
+	m.lastHeartbeatAt = s.now
+	s.registerMachine(m)
+	if r.SpotNoticeS != nil && !m.spotNotice {
+		m.spotNotice = true
+		m.spotNoticeEnds = s.now + limits.Seconds(*r.SpotNoticeS)
+		s.log(false, "spot notice", "machine", m.name, "seconds", *r.SpotNoticeS, "tasks", len(m.assignments))
+		s.releaseUnsent(m)
 	}
 	var orders []protocol.Command
 	if r.Sequence > m.sequence { // else a direct command's answer has overtaken it
-		orders = s.takeTasks(m, r, 0)
+		orders = s.reconcileTasks(m, r, 0)
 	}
-	if s.holdsCancelled(m, s.lastAnswer) {
-		s.emit(ReplyOut{Ref: e.Ref})
+	if s.holdsCancelledTask(m, s.cancelAnswerUntil) {
+		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	m.leaseBase = s.now
-	if m.notice {
-		s.clearForNotice(m)
+	m.leaseRenewedAt = s.now
+	if m.spotNotice {
+		s.stopForSpotNotice(m)
 	}
 	if !m.verified {
-		s.withdraw(m)
+		s.releaseUnsent(m)
 		s.probeMachine(m)
 	}
 	s.decide()
-	orders = s.commands(m, r.Sequence, orders)
-	m.todo, m.answered = false, orders
-	s.emit(ReplyOut{Ref: e.Ref, OK: true, Commands: orders})
+	orders = s.buildCommands(m, r.Sequence, orders)
+	m.dispatchQueued, m.lastCommands = false, orders
+	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: orders})
 }
 
-// answerUnfenced answers a report that has not seen our term. It may be a late copy of one from before: the machine may be dead or
+// answerUnfencedHeartbeat answers a report that has not seen our term. It may be a late copy of one from before: the machine may be dead or
 // deleted since, so nothing is
 // believed of it but that a worker that hears the answer lives on. If it does, its next report shows our term, which no copy can.
-func (s *Scheduler) answerUnfenced(e ReportIn) {
-	m := s.machines[e.Report.Machine]
+func (s *Scheduler) answerUnfencedHeartbeat(e HeartbeatReceived) {
+	m := s.machines[e.Heartbeat.Machine]
 	switch {
 	case m == nil:
-		s.emit(ReplyOut{Ref: e.Ref, OK: !e.Relayed, Redirect: e.Relayed})
+		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: !e.Relayed, Redirect: e.Relayed})
 		return
-	case m.seen && e.Report.Session < m.session, e.Report.Session <= m.endedSession:
-		s.emit(ReplyOut{Ref: e.Ref})
+	case m.hasReported && e.Heartbeat.Incarnation < m.incarnation, e.Heartbeat.Incarnation <= m.endedIncarnation:
+		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
-	case !s.relay(m, e.Relayed):
-		s.emit(ReplyOut{Ref: e.Ref, Redirect: true})
+	case !s.acceptsRelayed(m, e.Relayed):
+		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Redirect: true})
 		return
 	}
 	if !m.fenced {
-		m.leaseBase = s.now // else it was sent before the machine saw our term, and session has noted when we heard of that
+		m.leaseRenewedAt = s.now // else it was sent before the machine saw our term, and session has noted when we heard of that
 	}
-	s.emit(ReplyOut{Ref: e.Ref, OK: true})
+	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true})
 }
 
 // again are the orders of the last answer, without the starts that are not wanted any more or have arrived since.
-func (m *machine) repeatable() []protocol.Command {
+func (m *machine) repeatableCommands() []protocol.Command {
 	var out []protocol.Command
-	for _, o := range m.answered {
+	for _, o := range m.lastCommands {
 		if o.Verb == protocol.CommandStart {
-			b := m.bindings[o.Task]
-			if b == nil || b.attempt != o.Attempt || b.phase != sent || b.stop || b.job.cancelled || b.job.over {
+			b := m.assignments[o.Task]
+			if b == nil || b.attempt != o.Attempt || b.state != stateSent || b.stopping || b.job.cancelled || b.job.closed {
 				continue
 			}
 		}
@@ -112,7 +112,7 @@
 // that hears nothing.
 func (s *Scheduler) setVerified(m *machine, ok bool) {
 	if ok && !m.verified {
-		s.dirty = true
+		s.placementNeeded = true
 	}
 	if !ok && (m.verified || m.unverifiedSince == 0) {
 		m.unverifiedSince = s.now
@@ -120,52 +120,52 @@
 	m.verified = ok
 }
 
-// relay tells whether a report is answered the way it came. A worker that comes through another controller is first told to come itself;
+// acceptsRelayed tells whether a report is answered the way it came. A worker that comes through another controller is first told to come itself;
 // one
 // that was here before and now comes that way, or that we did not reach either, cannot reach us. From time to time it is told to try again.
-func (s *Scheduler) relay(m *machine, relayed bool) bool {
+func (s *Scheduler) acceptsRelayed(m *machine, relayed bool) bool {
 	if !relayed {
-		m.direct, m.relayed, m.redirected = true, false, false
+		m.reportsDirectly, m.relayed, m.redirected = true, false, false
 		return true
 	}
-	if !m.direct && m.misses == 0 && !m.redirected {
+	if !m.reportsDirectly && m.missedProbes == 0 && !m.redirected {
 		m.redirected = true
 		return false
 	}
-	if m.relayed && s.now > m.relayFrom+limits.RelayFor {
+	if m.relayed && s.now > m.relayedSince+limits.RelayRetryAfter {
 		m.relayed = false
 		return false
 	}
 	if !m.relayed {
-		m.relayed, m.relayFrom = true, s.now
-		s.note(true, "reports relayed", "machine", m.name)
+		m.relayed, m.relayedSince = true, s.now
+		s.log(true, "reports relayed", "machine", m.name)
 	}
 	return true
 }
 
-// session takes the session of a message that is not old. The tasks of earlier sessions were killed.
-func (s *Scheduler) session(m *machine, r *protocol.Report) {
-	if m.seen && r.Session > m.session {
-		for _, b := range m.sortedBinds() {
-			if b.phase != assigned {
-				s.note(true, "session lost", "machine", m.name, "job", b.job.id, "task", b.index, "attempt", b.attempt)
+// observeIncarnation takes the session of a message that is not old. The tasks of earlier sessions were killed.
+func (s *Scheduler) observeIncarnation(m *machine, r *protocol.Heartbeat) {
+	if m.hasReported && r.Incarnation > m.incarnation {
+		for _, b := range m.sortedAssignments() {
+			if b.state != stateUnsent {
+				s.log(true, "session lost", "machine", m.name, "job", b.job.id, "task", b.index, "attempt", b.attempt)
 			}
-			s.unbind(b)
+			s.release(b)
 		}
-		m.exits = map[attemptKey]exit{}
-		m.images = map[string]time.Duration{}
+		m.endedTasks = map[attemptKey]endedTask{}
+		m.cachedImages = map[string]time.Duration{}
 	}
-	if !m.seen || r.Session > m.session {
-		m.sequence, m.reportSequence = 0, 0
-		s.dirty = true
+	if !m.hasReported || r.Incarnation > m.incarnation {
+		m.sequence, m.heartbeatSequence = 0, 0
+		s.placementNeeded = true
 	}
-	if !m.seen {
-		m.upAt, m.idleSince = s.now, s.now
+	if !m.hasReported {
+		m.firstReportAt, m.idleSince = s.now, s.now
 	}
-	m.seen, m.session = true, r.Session
-	if r.Token == s.cfg.Term && !m.fenced {
-		m.fenced, s.dirty = true, true
-		m.leaseBase = max(m.leaseBase, s.now)
+	m.hasReported, m.incarnation = true, r.Incarnation
+	if r.FencingToken == s.cfg.Term && !m.fenced {
+		m.fenced, s.placementNeeded = true, true
+		m.leaseRenewedAt = max(m.leaseRenewedAt, s.now)
 	}
 }
 
@@ -174,81 +174,81 @@
 // of an earlier leader can add to it. It renews no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
 	m := s.machines[e.Machine]
-	r := e.Report
+	r := e.Heartbeat
 	if r != nil || e.NotSent {
-		s.probes.observe(s.now, e.NotSent || e.Took > limits.BusyWait)
+		s.probes.observe(s.now, e.NotSent || e.Took > limits.SlowHeartbeatWait)
 	}
 	if m != nil && r == nil && !e.NotSent {
-		m.misses++
-		if s.fewUnheard && !m.seen && m.misses < limits.FewMisses {
-			m.probeAt = s.now // all placement waits for it
+		m.missedProbes++
+		if s.fewUnreported && !m.hasReported && m.missedProbes < limits.UnreportedProbeMisses {
+			m.nextProbeAt = s.now // all placement waits for it
 			s.probeMachine(m)
 		}
 	}
-	if m == nil || r == nil || r.Machine != e.Machine || !r.Valid() || r.Token != s.cfg.Term || m.isOutdated(r, m.sequence) {
+	if m == nil || r == nil || r.Machine != e.Machine || !r.Valid() || r.FencingToken != s.cfg.Term || m.isOutdated(r, m.sequence) {
 		return
 	}
-	s.session(m, r)
+	s.observeIncarnation(m, r)
 	s.setVerified(m, true)
 	// Like a direct command's answer it says nothing of starts that went out another way and may still arrive.
-	s.sendSeq++
-	s.sendCorrections(m, s.takeTasks(m, r, s.sendSeq))
+	s.directSequence++
+	s.sendCorrections(m, s.reconcileTasks(m, r, s.directSequence))
 }
 
 // isOutdated tells whether a message is no newer than one of the machine with that tally, or of a session that is over.
-func (m *machine) isOutdated(r *protocol.Report, tally uint64) bool {
-	return m.seen && (r.Session < m.session || (r.Session == m.session && r.Sequence <= tally)) || r.Session <= m.endedSession
+func (m *machine) isOutdated(r *protocol.Heartbeat, tally uint64) bool {
+	return m.hasReported && (r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Sequence <= tally)) || r.Incarnation <= m.endedIncarnation
 }
 
-// directDone takes the answer to a direct command.
-func (s *Scheduler) directDone(e DirectDone) {
-	s.directs--
+// directCommandsDone takes the answer to a direct command.
+func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
+	s.directCommandsInFlight--
 	m := s.machines[e.Machine]
 	if m == nil || m.directID != e.ID {
 		return
 	}
 	m.directID = 0
-	defer s.queueGangCommands(m)
-	r := e.Report
+	defer s.queueGangDispatch(m)
+	r := e.Heartbeat
 	switch {
-	case e.Refused:
+	case e.NotExecuted:
 		// Nothing reached the worker, or it executed nothing: these starts cannot arrive any more.
-		m.mute = s.now + limits.MuteAfter
-		for _, b := range m.sortedBinds() {
-			if b.direct == e.ID && b.phase == sent {
-				s.unbind(b)
+		m.noDirectUntil = s.now + limits.DirectCommandPause
+		for _, b := range m.sortedAssignments() {
+			if b.directID == e.ID && b.state == stateSent {
+				s.release(b)
 			}
 		}
 	case r == nil:
 		// It may be carried out at any time while the session and the term last. The next answers to reports
 		// repeat the starts, which is harmless, and the tasks stay bound until they show up or the session ends.
-		m.mute = s.now + limits.MuteAfter
-		m.unclear(e.ID)
+		m.noDirectUntil = s.now + limits.DirectCommandPause
+		m.markStartsUnconfirmed(e.ID)
 	case r.Machine != e.Machine || !r.Valid():
 	case m.isOutdated(r, m.sequence):
 		// A later message was here first and has told what became of the tasks, but for one that it was too early for.
-		m.unclear(e.ID)
+		m.markStartsUnconfirmed(e.ID)
 	default:
-		s.session(m, r)
+		s.observeIncarnation(m, r)
 		s.setVerified(m, true)
-		s.sendCorrections(m, s.takeTasks(m, r, e.ID))
+		s.sendCorrections(m, s.reconcileTasks(m, r, e.ID))
 	}
 }
 
-// queueGangCommands sends the commands of gangs that came up while another direct command was on its way.
-func (s *Scheduler) queueGangCommands(m *machine) {
-	if !m.hasGangCommand() {
+// queueGangDispatch sends the commands of gangs that came up while another direct command was on its way.
+func (s *Scheduler) queueGangDispatch(m *machine) {
+	if !m.hasUnsentGangCommand() {
 		return
 	}
-	s.queueCommands(m)
-	s.urgent = append(s.urgent, m)
+	s.queueDispatch(m)
+	s.gangDispatchQueue = append(s.gangDispatchQueue, m)
 }
 
-// unclear notes that we cannot tell whether the starts of a direct command have arrived.
-func (m *machine) unclear(id uint64) {
-	for _, b := range m.bindings {
-		if b.direct == id {
-			b.direct, b.unclear = 0, true
+// markStartsUnconfirmed notes that we cannot tell whether the starts of a direct command have arrived.
+func (m *machine) markStartsUnconfirmed(id uint64) {
+	for _, b := range m.assignments {
+		if b.directID == id {
+			b.directID, b.startUnconfirmed = 0, true
 		}
 	}
 }
@@ -256,29 +256,29 @@
 // sendCorrections sends orders about tasks that should not be on a machine; if it is not possible now, its next report brings them up
 // again.
 func (s *Scheduler) sendCorrections(m *machine, orders []protocol.Command) {
-	if len(orders) > 0 && s.reachable(m) {
-		s.send(m, orders)
+	if len(orders) > 0 && s.canSendDirectly(m) {
+		s.sendDirectly(m, orders)
 	}
 }
 
-func (s *Scheduler) reachable(m *machine) bool {
-	known := m.addr != "" && m.seen && m.fenced && m.session > m.endedSession
-	fresh := s.now >= m.mute && s.now <= m.heard+s.stale()
+func (s *Scheduler) canSendDirectly(m *machine) bool {
+	known := m.address != "" && m.hasReported && m.fenced && m.incarnation > m.endedIncarnation
+	fresh := s.now >= m.noDirectUntil && s.now <= m.lastHeartbeatAt+s.staleAfter()
 	return known && fresh && m.directID == 0 && !m.relayed && !m.deleting
 }
 
-func (s *Scheduler) send(m *machine, orders []protocol.Command) {
-	s.sendSeq++
-	m.directID = s.sendSeq
-	s.directs++
-	s.emit(DirectOut{ID: m.directID, Machine: m.name, Address: m.addr, Session: m.session, Commands: orders})
+func (s *Scheduler) sendDirectly(m *machine, orders []protocol.Command) {
+	s.directSequence++
+	m.directID = s.directSequence
+	s.directCommandsInFlight++
+	s.emit(SendDirectCommands{ID: m.directID, Machine: m.name, Address: m.address, Incarnation: m.incarnation, Commands: orders})
 }
 
-// queueCommands notes that a machine has orders that did not go out yet.
-func (s *Scheduler) queueCommands(m *machine) {
-	if !m.todo {
-		m.todo = true
-		s.todo = append(s.todo, m)
+// queueDispatch notes that a machine has orders that did not go out yet.
+func (s *Scheduler) queueDispatch(m *machine) {
+	if !m.dispatchQueued {
+		m.dispatchQueued = true
+		s.dispatchQueue = append(s.dispatchQueue, m)
 	}
 }
 
@@ -288,27 +288,27 @@
 // next reports.
 func (s *Scheduler) dispatch() {
 	s.dispatchGangStops()
-	if len(s.todo) == 0 || s.directs >= limits.DirectsMost {
+	if len(s.dispatchQueue) == 0 || s.directCommandsInFlight >= limits.MaxDirectCommands {
 		return
 	}
-	todo := s.todo
-	slices.SortFunc(todo[s.held:], byName)
-	s.todo, s.held = nil, 0
+	todo := s.dispatchQueue
+	slices.SortFunc(todo[s.deferredMachines:], byName)
+	s.dispatchQueue, s.deferredMachines = nil, 0
 	for i, m := range todo {
-		if s.directs >= limits.DirectsMost {
-			s.todo = todo[i:]
-			s.held = len(s.todo)
+		if s.directCommandsInFlight >= limits.MaxDirectCommands {
+			s.dispatchQueue = todo[i:]
+			s.deferredMachines = len(s.dispatchQueue)
 			return
 		}
-		if !m.todo {
+		if !m.dispatchQueued {
 			continue
 		}
-		m.todo = false
-		if !s.reachable(m) {
+		m.dispatchQueued = false
+		if !s.canSendDirectly(m) {
 			continue
 		}
-		if orders := s.commands(m, 0, nil); len(orders) > 0 {
-			s.send(m, orders)
+		if orders := s.buildCommands(m, 0, nil); len(orders) > 0 {
+			s.sendDirectly(m, orders)
 		}
 	}
 }
@@ -317,39 +317,39 @@
 // told too late loses the work of all. A machine that takes no direct command now is told in the answer to its next report, or once
 // the command that is on its way is answered.
 func (s *Scheduler) dispatchGangStops() {
-	urgent := s.urgent
-	s.urgent = nil
+	urgent := s.gangDispatchQueue
+	s.gangDispatchQueue = nil
 	for _, m := range urgent {
-		if m.hasGangStop() && s.reachable(m) {
-			s.send(m, s.commands(m, 0, nil))
+		if m.hasUnsentGangStop() && s.canSendDirectly(m) {
+			s.sendDirectly(m, s.buildCommands(m, 0, nil))
 		}
 	}
 }
 
-// sick tells whether a machine should get no more tasks: it has failed several in a row, and not just those of a job that
+// isFaulty tells whether a machine should get no more tasks: it has failed several in a row, and not just those of a job that
 // fails everywhere.
-func (m *machine) sick() bool {
-	return m.failures >= limits.SickErrors && len(m.failedJobs) > 0
+func (m *machine) isFaulty() bool {
+	return m.consecutiveFailures >= limits.FaultyFailures && len(m.failedJobs) > 0
 }
 
-// slow tells whether a machine takes far longer for its tasks than others do for the same jobs.
-func (m *machine) slow() bool {
-	return m.speedCount >= limits.SlowTasks && m.speedSum > limits.SlowFactor*float64(m.speedCount)
+// isSlow tells whether a machine takes far longer for its tasks than others do for the same jobs.
+func (m *machine) isSlow() bool {
+	return m.speedCount >= limits.SlowMachineTasks && m.speedSum > limits.SlowMachineFactor*float64(m.speedCount)
 }
 
-// clearForNotice stops tasks on a machine that the cloud takes away: in time to save, or at once if they cannot be done before.
-func (s *Scheduler) clearForNotice(m *machine) {
-	left := (m.noticeEnd - s.now).Seconds()
-	for _, b := range m.sortedBinds() {
-		if m.bindings[b.task] != b || b.stop || b.phase == assigned {
+// stopForSpotNotice stops tasks on a machine that the cloud takes away: in time to save, or at once if they cannot be done before.
+func (s *Scheduler) stopForSpotNotice(m *machine) {
+	left := (m.spotNoticeEnds - s.now).Seconds()
+	for _, b := range m.sortedAssignments() {
+		if m.assignments[b.taskName] != b || b.stopping || b.state == stateUnsent {
 			continue
 		}
 		need := b.job.estimate()
-		if b.phase == running {
-			need -= (s.now - b.runAt).Seconds()
+		if b.state == stateRunning {
+			need -= (s.now - b.runningSince).Seconds()
 		}
 		if b.job.spec.CheckpointS > 0 {
-			if left < b.job.spec.SaveS+limits.NoticeReports*s.report.Seconds() {
+			if left < b.job.spec.SaveS+limits.SpotNoticeSaveIntervals*s.heartbeatInterval.Seconds() {
 				s.stopTask(b, "spot notice")
 			}
 		} else if need > left {
@@ -361,25 +361,25 @@
 // orders are what a machine is told: stops and forgets first, then starts that fit into room that is surely free.
 //
 // tally is that of the report that is answered, or 0 for a direct command.
-func (s *Scheduler) commands(m *machine, tally uint64, orders []protocol.Command) []protocol.Command {
+func (s *Scheduler) buildCommands(m *machine, tally uint64, orders []protocol.Command) []protocol.Command {
 	zero := 0.0
-	held := m.held()
-	binds := m.sortedBinds()
+	held := m.committedRoom()
+	binds := m.sortedAssignments()
 	for _, b := range binds {
-		if b.phase == assigned {
+		if b.state == stateUnsent {
 			continue
 		}
-		if b.phase == sent && b.unclear && !b.job.cancelled && !b.job.over && tally != 0 {
+		if b.state == stateSent && b.startUnconfirmed && !b.job.cancelled && !b.job.closed && tally != 0 {
 			// The same attempt again: without effect if the first start has arrived, or arrives later. With a stop behind it, it
 			// only makes the worker know the attempt. A cancelled job's task is not started even so; removeBroken sees to its machine.
-			b.resent = true
-			orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.task, Attempt: b.attempt})
+			b.startRepeated = true
+			orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.taskName, Attempt: b.attempt})
 		}
-		if b.stop && (tally != 0 || !b.stopSent) {
+		if b.stopping && (tally != 0 || !b.stopSent) {
 			b.stopSent = true
-			o := protocol.Command{Verb: protocol.CommandStop, Task: b.task, Attempt: b.attempt, GraceS: &zero}
-			if b.job.spec.CheckpointS > 0 && !b.job.cancelled && !b.abrupt && b.stopWhy != "done elsewhere" {
-				grace := b.job.spec.SaveS + limits.StashMargin.Seconds()
+			o := protocol.Command{Verb: protocol.CommandStop, Task: b.taskName, Attempt: b.attempt, GraceS: &zero}
+			if b.job.spec.CheckpointS > 0 && !b.job.cancelled && !b.withoutSaving && b.stopReason != "done elsewhere" {
+				grace := b.job.spec.SaveS + limits.SaveMargin.Seconds()
 				o.GraceS = &grace
 			}
 			orders = append(orders, o)
@@ -388,11 +388,11 @@
 	sort.SliceStable(binds, func(a, b int) bool { return binds[a].job.priority > binds[b].job.priority })
 	size := m.size()
 	for _, b := range binds {
-		if b.phase != assigned {
+		if b.state != stateUnsent {
 			continue
 		}
-		if m.notice || m.deleting || b.job.cancelled {
-			s.unbind(b)
+		if m.spotNotice || m.deleting || b.job.cancelled {
+			s.release(b)
 			continue
 		}
 		if m.registration != registered {
@@ -400,16 +400,16 @@
 		}
 		switch {
 		case b.committed: // its room is kept, see commitGangs
-		case b.job.gang != nil || !size.holds(held.plus(b.job.need)):
+		case b.job.gang != nil || !size.fits(held.plus(b.job.demand)):
 			continue // its room is not confirmed yet
 		default:
-			held = held.plus(b.job.need)
+			held = held.plus(b.job.demand)
 		}
-		b.phase, b.at = sent, s.now
+		b.state, b.assignedAt = stateSent, s.now
 		if tally == 0 {
-			b.direct = s.sendSeq + 1 // see send
+			b.directID = s.directSequence + 1 // see send
 		}
-		orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.task, Attempt: b.attempt})
+		orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.taskName, Attempt: b.attempt})
 		if len(orders) >= limits.MaxCommands {
 			break
 		}
@@ -417,8 +417,8 @@
 	return orders
 }
 
-// attempt returns the next attempt number; attempts rise across leaders because the term is their high part.
-func (s *Scheduler) attempt() uint64 {
-	s.seq++
-	return s.cfg.Term<<limits.TryTermShift | s.seq
+// nextAttempt returns the next attempt number; attempts rise across leaders because the term is their high part.
+func (s *Scheduler) nextAttempt() uint64 {
+	s.attemptSequence++
+	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
 }
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -12,38 +12,38 @@
 	"quillshunt/internal/storage"
 )
 
-// bed is one machine with a scheduler that leads, for single stories.
-type bed struct {
-	t     *testing.T
-	s     *Scheduler
-	now   time.Duration
-	out   []Effect
-	tally uint64
-	stamp uint64
+// schedulerFixture is one machine with a scheduler that leads, for single stories.
+type schedulerFixture struct {
+	t         *testing.T
+	scheduler *Scheduler
+	now       time.Duration
+	effects   []Effect
+	sequence  uint64
+	version   uint64
 }
 
-func newBed(t *testing.T, machines int) *bed {
-	b := &bed{t: t, s: New(Config{Term: 3,
+func newSchedulerFixture(t *testing.T, machines int) *schedulerFixture {
+	b := &schedulerFixture{t: t, scheduler: New(Config{Term: 3,
 		Teams:   []config.Team{{Name: "red", CPUs: 8, CPUsMax: 100}, {Name: "blue", CPUs: 8, CPUsMax: 100}},
 		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)}, State: config.State{WriteRPS: 20, ValueKB: 4, TxnOps: 8}, Options: config.DefaultOptions()}, 0)}
-	b.step(TypesDone{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
-	loadUp(b.s, "h-1-1", upHire("s8", machines, b.rig), b.now)
-	b.step(Loaded{})
+	b.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
+	loadRegistryPage(b.scheduler, "h-1-1", answeredRental("s8", machines, b.machine), b.now)
+	b.step(StateLoaded{})
 	return b
 }
 
-// loadUp loads a rental whose machines are all up.
-func loadUp(s *Scheduler, name string, h storage.Rental, now time.Duration) {
-	s.Step(RentalLoaded{Name: name, Version: 1, Rec: h}, now)
-	var u storage.Ups
+// loadRegistryPage loads a rental whose machines are all up.
+func loadRegistryPage(s *Scheduler, name string, h storage.Rental, now time.Duration) {
+	s.Step(RentalLoaded{Name: name, Version: 1, Record: h}, now)
+	var u storage.RegistryPage
 	for _, rig := range h.Machines {
-		u.Machines = append(u.Machines, storage.Up{Machine: rig, Address: "x:1"})
+		u.Machines = append(u.Machines, storage.RegisteredMachine{Machine: rig, Address: "x:1"})
 	}
-	s.Step(RegistrationLoaded{Name: name, Version: 1, Rec: u}, now)
+	s.Step(RegistryPageLoaded{Name: name, Version: 1, Record: u}, now)
 }
 
-// upHire is the record of a rental with its machines.
-func upHire(kind string, machines int, name func(int) string) storage.Rental {
+// answeredRental is the record of a rental with its machines.
+func answeredRental(kind string, machines int, name func(int) string) storage.Rental {
 	h := storage.Rental{MachineType: kind, Zone: "a", Count: machines, Answered: true}
 	for i := range machines {
 		h.Machines = append(h.Machines, name(i))
@@ -53,38 +53,38 @@
 
 func longName(i int) string { return fmt.Sprintf("m-%06d", i) }
 
-func (b *bed) rig(i int) string { return fmt.Sprintf("m-%d", i) }
+func (b *schedulerFixture) machine(i int) string { return fmt.Sprintf("m-%d", i) }
 
-func (b *bed) step(e Event) []Effect {
+func (b *schedulerFixture) step(e Event) []Effect {
 	b.now += 10 * time.Millisecond
-	b.out = b.s.Step(e, b.now)
-	return b.out
+	b.effects = b.scheduler.Step(e, b.now)
+	return b.effects
 }
 
 // report sends a report and returns the orders.
-func (b *bed) report(i int, tasks ...protocol.TaskReport) []protocol.Command {
-	b.tally++
-	for _, e := range b.step(ReportIn{Entitled: true, Stayed: true, Report: &protocol.Report{Machine: b.rig(i), Address: "x:1", MachineType: "s8", Zone: "a",
-		Session: 1, Sequence: b.tally, Token: 3, Tasks: tasks}}) {
-		if r, ok := e.(ReplyOut); ok && r.OK {
+func (b *schedulerFixture) report(i int, tasks ...protocol.TaskStatus) []protocol.Command {
+	b.sequence++
+	for _, e := range b.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: &protocol.Heartbeat{Machine: b.machine(i), Address: "x:1", MachineType: "s8", Zone: "a",
+		Incarnation: 1, Sequence: b.sequence, FencingToken: 3, Tasks: tasks}}) {
+		if r, ok := e.(HeartbeatReply); ok && r.Accepted {
 			return r.Commands
 		}
 	}
-	b.t.Fatalf("report not answered: %+v", b.out)
+	b.t.Fatalf("report not answered: %+v", b.effects)
 	return nil
 }
 
-func (b *bed) job(id, team, urgency string, pieces int, cpus float64, due float64) {
-	b.stamp++
-	b.step(JobSeen{ID: id, Version: 100 + b.stamp, Rec: storage.Open{Spec: protocol.Spec{ID: id, Class: "c", Team: team, Shape: "sweep",
+func (b *schedulerFixture) job(id, team, urgency string, pieces int, cpus float64, due float64) {
+	b.version++
+	b.step(JobChanged{JobID: id, Version: 100 + b.version, Record: storage.OpenJob{Spec: protocol.Spec{ID: id, Class: "c", Team: team, Shape: "sweep",
 		Priority: urgency, Tasks: pieces, CPUs: cpus, MemoryGB: 1, Image: "i", EstimateS: 10, DeadlineS: due}}})
 }
 
 // starts collects the starts of direct commands among the effects, and answers nothing.
-func (b *bed) direct() []DirectOut {
-	var out []DirectOut
-	for _, e := range b.out {
-		if d, ok := e.(DirectOut); ok {
+func (b *schedulerFixture) direct() []SendDirectCommands {
+	var out []SendDirectCommands
+	for _, e := range b.effects {
+		if d, ok := e.(SendDirectCommands); ok {
 			out = append(out, d)
 		}
 	}
@@ -103,11 +103,11 @@
 
 // TestWhy: operators are told what a waiting job waits for.
 func TestWhy(t *testing.T) {
-	b := newBed(t, 2)
+	b := newSchedulerFixture(t, 2)
 	ask := func(id string) string {
-		for _, e := range b.step(InspectIn{Job: id}) {
-			if o, ok := e.(InspectOut); ok {
-				return strings.Join(o.Snapshot.Why, "; ")
+		for _, e := range b.step(SnapshotRequested{Job: id}) {
+			if o, ok := e.(SnapshotTaken); ok {
+				return strings.Join(o.Snapshot.Explanation, "; ")
 			}
 		}
 		return ""
@@ -132,31 +132,31 @@
 
 // TestHugeJob: a job of the largest size is placed, recorded in chunks below the value limit, and finished.
 func TestHugeJob(t *testing.T) {
-	b := newBed(t, 2)
+	b := newSchedulerFixture(t, 2)
 	b.report(0)
 	b.report(1)
-	b.job("job-1", "red", "standard", limits.MaxPieces, 0.01, 0)
-	j := b.s.jobs["job-1"]
-	for _, m := range b.s.fleet {
-		if len(m.bindings) > limits.MaxTasks {
-			t.Fatalf("%d tasks on %s: its report would be too long", len(m.bindings), m.name)
+	b.job("job-1", "red", "standard", limits.MaxTasksPerJob, 0.01, 0)
+	j := b.scheduler.jobs["job-1"]
+	for _, m := range b.scheduler.sortedMachines {
+		if len(m.assignments) > limits.MaxTasksPerMachine {
+			t.Fatalf("%d tasks on %s: its report would be too long", len(m.assignments), m.name)
 		}
 	}
-	if len(j.bound) == 0 || len(j.chunks) < 2 {
-		t.Fatalf("%d bound, %d chunks", len(j.bound), len(j.chunks))
+	if len(j.assignments) == 0 || len(j.chunks) < 2 {
+		t.Fatalf("%d bound, %d chunks", len(j.assignments), len(j.chunks))
 	}
-	for i := range limits.MaxPieces {
-		if j.bound[i] == nil {
-			b.s.taskDone(j, i)
+	for i := range limits.MaxTasksPerJob {
+		if j.assignments[i] == nil {
+			b.scheduler.recordTaskDone(j, i)
 		}
 	}
 	b.now += 4 * time.Second
 	for _, e := range b.step(Tick{Entitled: true}) {
-		if w, ok := e.(WriteOut); ok && len(w.Ops) > 8 {
-			t.Fatalf("%d operations", len(w.Ops))
+		if w, ok := e.(WriteRecords); ok && len(w.Operations) > 8 {
+			t.Fatalf("%d operations", len(w.Operations))
 		}
 	}
-	if got := j.free(); got != 0 {
+	if got := j.waitingTasks(); got != 0 {
 		t.Fatalf("%d free", got)
 	}
 }
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -21,13 +21,13 @@
 
 // pendingWrite is what a WriteOut was for.
 type pendingWrite struct {
-	kind     writeKind
-	job      *job
-	n        int    // chunk; of a page, how many machines of it this write makes durable
-	sequence uint64 // chunk version
-	rental   string
-	known    bool // this write makes a rental's machines durable
-	page     *registryPage
+	kind         writeKind
+	job          *job
+	count        int    // chunk; of a page, how many machines of it this write makes durable
+	sequence     uint64 // chunk version
+	rental       string
+	answered     bool // this write makes a rental's machines durable
+	registryPage *registryPage
 }
 
 // Step takes one event. The effects are to be carried out in order.
@@ -35,106 +35,106 @@
 	if now > s.now {
 		s.now = now
 	}
-	s.out = nil
+	s.effects = nil
 	switch e := e.(type) {
-	case JobSeen:
-		s.jobSeen(e)
-	case JobLeft:
-		if j := s.jobs[e.ID]; j != nil && !j.finishing && e.Version > j.version {
+	case JobChanged:
+		s.jobChanged(e)
+	case JobRemoved:
+		if j := s.jobs[e.JobID]; j != nil && !j.closing && e.Version > j.version {
 			s.closeJob(j) // somebody else removed it: not in the protocol of our nodes, but then it is over
 		}
-	case FinishedLoaded:
-		s.finLoaded(e)
+	case FinishedTasksLoaded:
+		s.finishedTasksLoaded(e)
 	case RentalLoaded:
 		s.rentalLoaded(e)
-	case RegistrationLoaded:
-		s.registrationLoaded(e)
-	case Loaded:
-		s.note(false, "rebuilding", "jobs", len(s.jobs), "machines", len(s.machines), "hires", len(s.rentals))
-		s.loaded, s.typesAt, s.listAt = true, 0, 0
-		s.removeOrphans()
+	case RegistryPageLoaded:
+		s.registryPageLoaded(e)
+	case StateLoaded:
+		s.log(false, "rebuilding", "jobs", len(s.jobs), "machines", len(s.machines), "hires", len(s.rentals))
+		s.loaded, s.nextTypesAt, s.nextListAt = true, 0, 0
+		s.removeOrphanedRecords()
 		s.tick(true)
-	case ReportIn:
-		s.reportIn(e)
+	case HeartbeatReceived:
+		s.heartbeatReceived(e)
 	case ProbeDone:
 		s.probeDone(e)
-	case DirectDone:
-		s.directDone(e)
-	case WriteDone:
+	case DirectCommandsDone:
+		s.directCommandsDone(e)
+	case WriteCompleted:
 		s.writeDone(e)
 	case RentalDone:
 		s.rentalDone(e)
-	case DeleteDone:
-		s.deleteDone(e)
-	case ListDone:
-		s.listDone(e)
-	case TypesDone:
-		s.typesDone(e)
-	case CountsIn:
-		s.counts(e)
-	case InspectIn:
-		s.inspect(e)
+	case DeletionDone:
+		s.deletionDone(e)
+	case MachinesListed:
+		s.machinesListed(e)
+	case MachineTypesFetched:
+		s.machineTypesFetched(e)
+	case TaskCountsRequested:
+		s.answerTaskCounts(e)
+	case SnapshotRequested:
+		s.takeSnapshot(e)
 	case Tick:
 		s.tick(e.Entitled)
 	}
 	if s.loaded && !s.recovered {
-		s.endRecovery()
+		s.tryEndRecovery()
 	}
 	s.decide()
 	s.dispatch()
-	return s.out
+	return s.effects
 }
 
 // decide brings gangs in line with what is known, places what wants room and lets gangs start whose room is confirmed.
 func (s *Scheduler) decide() {
-	s.settleGangs()
-	s.place()
-	s.settleGangs()
+	s.reconcileGangs()
+	s.placeTasks()
+	s.reconcileGangs()
 	s.commitGangs()
 }
 
-func (s *Scheduler) emit(e Effect) { s.out = append(s.out, e) }
+func (s *Scheduler) emit(e Effect) { s.effects = append(s.effects, e) }
 
-func (s *Scheduler) note(warn bool, msg string, args ...any) {
+func (s *Scheduler) log(warn bool, msg string, args ...any) {
 	level := slog.LevelInfo
 	if warn {
 		level = slog.LevelWarn
 	}
-	s.emit(Note{Level: level, Msg: msg, Args: args})
+	s.emit(LogEntry{Level: level, Message: msg, Args: args})
 }
 
-func (s *Scheduler) write(p pendingWrite, guards []protocol.Condition, ops []protocol.Op) {
-	s.writeSeq++
-	s.writes[s.writeSeq] = p
-	s.emit(WriteOut{ID: s.writeSeq, Bulk: p.kind == writeChunk || p.kind == writeCleanup, Conditions: guards, Ops: ops})
+func (s *Scheduler) write(p pendingWrite, guards []protocol.Condition, ops []protocol.Operation) {
+	s.writeSequence++
+	s.pendingWrites[s.writeSequence] = p
+	s.emit(WriteRecords{ID: s.writeSequence, Bulk: p.kind == writeChunk || p.kind == writeCleanup, Conditions: guards, Operations: ops})
 }
 
-func (s *Scheduler) writeDone(e WriteDone) {
-	p, ok := s.writes[e.ID]
+func (s *Scheduler) writeDone(e WriteCompleted) {
+	p, ok := s.pendingWrites[e.ID]
 	if !ok {
 		return
 	}
-	delete(s.writes, e.ID)
+	delete(s.pendingWrites, e.ID)
 	switch p.kind {
 	case writeChunk:
-		c := &p.job.chunks[p.n]
+		c := &p.job.chunks[p.count]
 		c.writing = false
 		if e.OK {
-			c.version, c.durable = e.Version, max(c.durable, p.sequence)
+			c.version, c.durableSequence = e.Version, max(c.durableSequence, p.sequence)
 		}
-		s.finish(p.job)
+		s.tryCloseJob(p.job)
 	case writeFinal:
-		p.job.finishing = false
+		p.job.closing = false
 		if e.OK {
-			s.note(false, "job over", "job", p.job.id, "cancelled", p.job.cancelled, "tasks", p.job.spec.Tasks)
+			s.log(false, "job over", "job", p.job.id, "cancelled", p.job.cancelled, "tasks", p.job.spec.Tasks)
 			s.closeJob(p.job)
-			s.removeFinished(p.job.id, p.job.cleanup)
+			s.removeFinishedTasks(p.job.id, p.job.remainingRecordKeys)
 		}
 		// Otherwise it was cancelled meanwhile: the watch brings the new record, and finish runs again.
 	case writeRental:
 		s.rentalWritten(p, e.OK, e.Version)
 	case writeRegistration:
-		s.registrationsWritten(p, e.OK, e.Version)
+		s.registryPageWritten(p, e.OK, e.Version)
 	case writeRentalRemove:
 		if e.OK {
 			delete(s.rentals, p.rental)
@@ -146,11 +146,11 @@
 
 // tick looks at everything that only time changes.
 func (s *Scheduler) tick(entitled bool) {
-	s.expire()
-	s.roomChanged = true // a machine may be usable again
+	s.expireLeases()
+	s.freeRoomChanged = true // a machine may be usable again
 	if !entitled {
 		return
 	}
-	s.flush()
+	s.writeFinishedTasks()
 	s.manageFleet()
 }
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -7,101 +7,101 @@
 	"quillshunt/internal/limits"
 )
 
-// victims are the tasks to stop on the chosen machine: the cheapest set that makes room for the request.
-func (s *Scheduler) victims(j *job, c *candidate, planned *outlook) ([]*binding, bool) {
-	if c.scores[weighOvercommit] == 0 {
+// chooseVictims are the tasks to stop on the chosen machine: the cheapest set that makes room for the request.
+func (s *Scheduler) chooseVictims(j *job, c *candidate, planned *plannedView) ([]*assignment, bool) {
+	if c.scores[weightOvercommit] == 0 {
 		return nil, true
 	}
-	options := s.stoppable(j, c.m, planned)
-	set := cheapest(options, j.need.minus(planned.freeRoom(c.m)))
+	options := s.preemptionOptions(j, c.machine, planned)
+	set := cheapestVictims(options, j.demand.minus(planned.freeRoom(c.machine)))
 	if set == nil {
 		return nil, false
 	}
-	out := make([]*binding, len(set))
+	out := make([]*assignment, len(set))
 	for i, k := range set {
-		out[i] = options[k].b
+		out[i] = options[k].assignment
 	}
 	return out, true
 }
 
-// stoppable are the tasks on a machine that may be stopped for a job. A gang counts once, with the room of all its tasks there and the loss
+// preemptionOptions are the tasks on a machine that may be stopped for a job. A gang counts once, with the room of all its tasks there and the loss
 // of all its tasks anywhere, as it is stopped as a whole.
-func (s *Scheduler) stoppable(j *job, m *machine, planned *outlook) []victim {
-	var out []victim
+func (s *Scheduler) preemptionOptions(j *job, m *machine, planned *plannedView) []preemptionOption {
+	var out []preemptionOption
 	gangs := map[*job]int{}
-	for _, b := range m.sortedBinds() {
-		if planned.stops(b) || !s.mayStop(j, b) {
+	for _, b := range m.sortedAssignments() {
+		if planned.isStopped(b) || !s.mayPreempt(j, b) {
 			continue
 		}
 		if b.job.gang == nil {
-			out = append(out, victim{b: b, need: b.job.need, loss: s.loss(b)})
+			out = append(out, preemptionOption{assignment: b, resources: b.job.demand, cost: s.preemptionCost(b)})
 			continue
 		}
 		if i, seen := gangs[b.job]; seen {
-			out[i].need = out[i].need.plus(b.job.need)
+			out[i].resources = out[i].resources.plus(b.job.demand)
 			continue
 		}
 		gangs[b.job] = len(out)
-		out = append(out, victim{b: b, need: b.job.need, loss: s.gangLoss(b.job)})
+		out = append(out, preemptionOption{assignment: b, resources: b.job.demand, cost: s.gangPreemptionCost(b.job)})
 	}
 	return out
 }
 
-// pressing tells whether waiting for room would break one of the job's times. Only then is room taken at somebody else's cost.
-func (s *Scheduler) pressing(j *job) bool {
+// mayPreemptNow tells whether waiting for room would break one of the job's times. Only then is room taken at somebody else's cost.
+func (s *Scheduler) mayPreemptNow(j *job) bool {
 	slack, late := s.slack(j)
 	return !late && slack < time.Duration(s.cfg.Options.Preemption.Slack)
 }
 
-// mayStop is the protocol's rule of who may be stopped for whom, narrowed so that it has no circles: borrowed work of high priority does
+// mayPreempt is the protocol's rule of who may be stopped for whom, narrowed so that it has no circles: borrowed work of high priority does
 // not
 // stop what another team's guarantee covers, as that could stop it in turn, and so on without end. Nor is work stopped of which too
 // little is done already.
-func (s *Scheduler) mayStop(j *job, b *binding) bool {
-	if b.stop || b.phase == assigned || b.job == j || b.job.owed {
+func (s *Scheduler) mayPreempt(j *job, b *assignment) bool {
+	if b.stopping || b.state == stateUnsent || b.job == j || b.job.underserved {
 		return false
 	}
 	if b.job.priority < j.priority {
 		return j.guaranteed || !b.job.guaranteed || b.job.team == j.team
 	}
-	return b.job.team != j.team && j.guaranteed && !b.job.guaranteed && b.job.team.borrows()
+	return b.job.team != j.team && j.guaranteed && !b.job.guaranteed && b.job.team.usesBorrowed()
 }
 
-// loss is what stopping a task would waste: its work since the last checkpoint, or its whole run time where it
+// preemptionCost is what stopping a task would waste: its work since the last checkpoint, or its whole run time where it
 // has none, weighted by how often it was stopped before so that the cheapest do not starve.
-func (s *Scheduler) loss(b *binding) float64 {
+func (s *Scheduler) preemptionCost(b *assignment) float64 {
 	ran := 0.0
-	if b.phase == running {
-		ran = (s.now - b.runAt).Seconds()
+	if b.state == stateRunning {
+		ran = (s.now - b.runningSince).Seconds()
 	}
 	if b.job.spec.CheckpointS > 0 {
 		for ran > b.job.spec.CheckpointS {
 			ran -= b.job.spec.CheckpointS
 		}
 	}
-	return (ran + 1) * b.job.need.cpu * (1 + s.cfg.Options.Preemption.RestartWeight*float64(b.job.stops[b.index]))
+	return (ran + 1) * b.job.demand.cpu * (1 + s.cfg.Options.Preemption.RestartWeight*float64(b.job.stopCounts[b.index]))
 }
 
-// victim is a task that may be stopped.
-type victim struct {
-	b    *binding
-	need room
-	loss float64
+// preemptionOption is a task that may be stopped.
+type preemptionOption struct {
+	assignment *assignment
+	resources  resources
+	cost       float64
 }
 
-// cheapest returns the indexes of the set of least loss that covers what is short in every resource, or nil. Up to a cutoff every set
+// cheapestVictims returns the indexes of the set of least loss that covers what is short in every resource, or nil. Up to a cutoff every set
 // is tried, else tasks are added by least loss per unit of room.
-func cheapest(options []victim, short room) []int {
-	covered := func(have room) bool { return have.holds(short) }
+func cheapestVictims(options []preemptionOption, short resources) []int {
+	covered := func(have resources) bool { return have.fits(short) }
 	if len(options) <= limits.VictimCutoff {
 		bestLoss, best := 0.0, -1
 		for set := 1; set < 1<<len(options); set++ {
-			var have room
+			var have resources
 			loss := 0.0
 			for i := range options {
 				if set>>i&1 != 0 {
-					have = have.plus(options[i].need)
-					loss += options[i].loss
+					have = have.plus(options[i].resources)
+					loss += options[i].cost
 				}
 			}
 			if covered(have) && (best < 0 || loss < bestLoss) {
@@ -119,16 +119,16 @@
 		}
 		return out
 	}
-	unit := func(v *victim) float64 {
+	unit := func(v *preemptionOption) float64 {
 		u := 0.0
 		if short.cpu > 0 {
-			u += min(v.need.cpu, short.cpu) / short.cpu
+			u += min(v.resources.cpu, short.cpu) / short.cpu
 		}
 		if short.gpu > 0 {
-			u += min(v.need.gpu, short.gpu) / short.gpu
+			u += min(v.resources.gpu, short.gpu) / short.gpu
 		}
-		if short.ram > 0 {
-			u += min(v.need.ram, short.ram) / short.ram
+		if short.memory > 0 {
+			u += min(v.resources.memory, short.memory) / short.memory
 		}
 		return max(u, limits.Epsilon)
 	}
@@ -138,15 +138,15 @@
 	}
 	sort.SliceStable(order, func(a, b int) bool {
 		x, y := &options[order[a]], &options[order[b]]
-		return x.loss/unit(x) < y.loss/unit(y)
+		return x.cost/unit(x) < y.cost/unit(y)
 	})
-	var have room
+	var have resources
 	var out []int
 	for _, i := range order {
 		if covered(have) {
 			break
 		}
-		have = have.plus(options[i].need)
+		have = have.plus(options[i].resources)
 		out = append(out, i)
 	}
 	if !covered(have) {
@@ -154,7 +154,7 @@
 	}
 	// Drop what turned out not to be needed, the dearest first.
 	for k := len(out) - 1; k >= 0; k-- {
-		if less := have.minus(options[out[k]].need); covered(less) {
+		if less := have.minus(options[out[k]].resources); covered(less) {
 			have = less
 			out = append(out[:k], out[k+1:]...)
 		}
--- a/internal/coordination/scheduler/world_gang_test.go
+++ b/internal/coordination/scheduler/world_gang_test.go
@@ -12,8 +12,8 @@
 // The world's workers run gangs as the protocol says: the tasks of one attempt find each other, start and complete together, notice
 // when one is gone, and save together or not at all.
 
-// gangTruth is one attempt of a gang.
-type gangTruth struct {
+// simulatedGang is one attempt of a gang.
+type simulatedGang struct {
 	spec      protocol.Spec
 	started   bool
 	end       time.Duration // when it completes
@@ -35,36 +35,36 @@
 }
 
 // gangOf returns the truth about a task's attempt, or nil if its job is no gang.
-func (w *world) gangOf(t *rigTask) *gangTruth {
-	id, _, _ := protocol.ParseTaskName(t.piece)
+func (w *simulation) gangOf(t *simulatedTask) *simulatedGang {
+	id, _, _ := protocol.ParseTaskName(t.name)
 	spec := w.jobs[id].spec
 	if !spec.Gang() {
 		return nil
 	}
-	key := fmt.Sprintf("%s#%x", id, t.try)
+	key := fmt.Sprintf("%s#%x", id, t.attempt)
 	g := w.gangs[key]
 	if g == nil {
-		g = &gangTruth{spec: spec, notice: w.between(0, w.peer()), had: map[string]bool{}}
+		g = &simulatedGang{spec: spec, notice: w.between(0, w.peer()), had: map[string]bool{}}
 		w.gangs[key] = g
 	}
 	return g
 }
 
-func (w *world) peer() time.Duration {
+func (w *simulation) peer() time.Duration {
 	return time.Duration(*w.workers.GangPeerS * float64(time.Second))
 }
 
 // member is a task of a gang that is on its machine.
 type member struct {
-	g *rig
-	t *rigTask
+	g *simulatedMachine
+	t *simulatedTask
 }
 
 // members are the tasks of each attempt that are on their machines.
-func (w *world) members() map[*gangTruth][]member {
-	out := map[*gangTruth][]member{}
-	for _, n := range w.rigNames() {
-		g := w.rigs[n]
+func (w *simulation) members() map[*simulatedGang][]member {
+	out := map[*simulatedGang][]member{}
+	for _, n := range w.machineNames() {
+		g := w.machines[n]
 		if g.gone {
 			continue
 		}
@@ -78,32 +78,32 @@
 }
 
 // onMachine tells whether a task counts as being on its machine.
-func (t *rigTask) onMachine() bool {
-	return t.standing == protocol.Running || t.standing == protocol.Saving || t.standing == protocol.Gathering
+func (t *simulatedTask) onMachine() bool {
+	return t.state == protocol.Running || t.state == protocol.Saving || t.state == protocol.Gathering
 }
 
 // gather is what a gang's task does once it has its image.
-func (w *world) gather(g *rig, t *rigTask) {
+func (w *simulation) gather(g *simulatedMachine, t *simulatedTask) {
 	w.begin(g, t)
-	if gang := w.gangOf(t); gang.had[t.piece] {
+	if gang := w.gangOf(t); gang.had[t.name] {
 		w.seen.replaced++
 	} else {
-		gang.had[t.piece] = true
+		gang.had[t.name] = true
 	}
-	id, index, _ := protocol.ParseTaskName(t.piece)
-	t.standing, t.gatherEnd = protocol.Gathering, w.now+time.Duration(*w.workers.GangWaitS*float64(time.Second))
+	id, index, _ := protocol.ParseTaskName(t.name)
+	t.state, t.gatherEnd = protocol.Gathering, w.now+time.Duration(*w.workers.GangWaitS*float64(time.Second))
 	if w.jobs[id].done[index] {
 		w.exit(member{g, t}, protocol.ReasonDone)
 	}
 }
 
-func (w *world) exit(m member, reason string) {
-	m.t.standing, m.t.cause = protocol.Ended, reason
-	m.g.nextRep = min(m.g.nextRep, w.now+500*time.Millisecond)
+func (w *simulation) exit(m member, reason string) {
+	m.t.state, m.t.reason = protocol.Ended, reason
+	m.g.nextReport = min(m.g.nextReport, w.now+500*time.Millisecond)
 }
 
 // runGangs lets gangs live until now.
-func (w *world) runGangs() {
+func (w *simulation) runGangs() {
 	all := w.members()
 	keys := make([]string, 0, len(w.gangs))
 	for k := range w.gangs {
@@ -115,10 +115,10 @@
 	}
 }
 
-func (w *world) runGang(gang *gangTruth, members []member) {
+func (w *simulation) runGang(gang *simulatedGang, members []member) {
 	awake := members[:0:0]
 	for _, m := range members {
-		if w.now >= m.g.hungTill {
+		if w.now >= m.g.hungUntil {
 			awake = append(awake, m)
 		}
 	}
@@ -140,22 +140,22 @@
 	}
 }
 
-func (w *world) exitAll(members []member, reason string) {
+func (w *simulation) exitAll(members []member, reason string) {
 	for _, m := range members {
 		w.exit(m, reason)
 	}
 }
 
 // gatherGang starts a gang that is complete, and ends tasks that have waited for too long.
-func (w *world) gatherGang(gang *gangTruth, members []member) {
+func (w *simulation) gatherGang(gang *simulatedGang, members []member) {
 	if len(members) == gang.spec.Tasks {
 		w.seen.started++
 		gang.started, gang.end = true, w.now+w.between(2*time.Second, 12*time.Second)
 		for _, m := range members {
-			m.t.standing = protocol.Running
-			m.g.nextRep = min(m.g.nextRep, w.now+500*time.Millisecond)
-			id, _, _ := protocol.ParseTaskName(m.t.piece)
-			if m.g.sick || w.failEvery[id] {
+			m.t.state = protocol.Running
+			m.g.nextReport = min(m.g.nextReport, w.now+500*time.Millisecond)
+			id, _, _ := protocol.ParseTaskName(m.t.name)
+			if m.g.faulty || w.failEvery[id] {
 				w.exit(m, protocol.ReasonError)
 			}
 		}
@@ -170,21 +170,21 @@
 }
 
 // completeGang ends a gang whose work is done: all its tasks complete together.
-func (w *world) completeGang(members []member) {
+func (w *simulation) completeGang(members []member) {
 	w.seen.completed++
 	for _, m := range members {
-		id, index, _ := protocol.ParseTaskName(m.t.piece)
+		id, index, _ := protocol.ParseTaskName(m.t.name)
 		w.jobs[id].done[index] = true
 	}
 	w.exitAll(members, protocol.ReasonDone)
 }
 
 // stopGangTask tells a task of a gang to stop.
-func (w *world) stopGangTask(g *rig, t *rigTask, grace float64) {
+func (w *simulation) stopGangTask(g *simulatedMachine, t *simulatedTask, grace float64) {
 	gang := w.gangOf(t)
-	if t.standing != protocol.Running || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
-		if !t.told || grace == 0 || t.standing != protocol.Running {
-			w.exit(member{g, t}, protocol.ReasonHalted)
+	if t.state != protocol.Running || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
+		if !t.told || grace == 0 || t.state != protocol.Running {
+			w.exit(member{g, t}, protocol.ReasonStopped)
 		}
 		return
 	}
@@ -195,7 +195,7 @@
 }
 
 // stopGang ends a gang that was told to stop: saved if all tasks were told in time, else by the time that they take to notice.
-func (w *world) stopGang(gang *gangTruth, members []member) {
+func (w *simulation) stopGang(gang *simulatedGang, members []member) {
 	told := 0
 	for _, m := range members {
 		if m.t.told {
@@ -205,7 +205,7 @@
 	save := time.Duration(gang.spec.SaveS * float64(time.Second))
 	switch {
 	case told == gang.spec.Tasks && w.now >= gang.firstStop+save:
-		w.exitAll(members, protocol.ReasonHalted)
+		w.exitAll(members, protocol.ReasonStopped)
 		w.seen.saved++
 	case w.now >= gang.firstStop+w.peer()+save:
 		w.exitAll(members, protocol.ReasonPeers)
--- a/internal/coordination/scheduler/world_test.go
+++ b/internal/coordination/scheduler/world_test.go
@@ -29,110 +29,110 @@
 	os.Exit(m.Run())
 }
 
-// world is a small stand-in for everything around the scheduler: workers, cloud, state service, and a network
+// simulation is a small stand-in for everything around the scheduler: workers, cloud, state service, and a network
 // that loses, delays and repeats. It checks the protocol's rules as they are seen from outside.
-type world struct {
+type simulation struct {
 	t   interface{ Fatalf(string, ...any) }
 	r   *rand.Rand
 	now time.Duration
 
-	calm      bool // no more faults
-	trace     bool
-	keys      map[string]pairOf
-	ledger    uint64
-	term      uint64
-	leaders   []*controller
-	rigs      map[string]*rig
-	rigSeq    int
-	hired     map[string][]string
-	types     []protocol.MachineType
-	teams     []config.Team
-	workers   config.Workers
-	jobs      map[string]*jobTruth
-	jobSeq    int
-	mail      []letter
-	failEvery map[string]bool // jobs that fail everywhere
-	gangs     map[string]*gangTruth
-	seen      *gangEvents
-}
-
-type pairOf struct {
-	stamp uint64
-	data  protocol.Raw
-}
-
-type jobTruth struct {
+	quiet           bool // no more faults
+	trace           bool
+	keys            map[string]storedRecord
+	revision        uint64
+	term            uint64
+	leaders         []*simulatedController
+	machines        map[string]*simulatedMachine
+	machineSequence int
+	rentals         map[string][]string
+	types           []protocol.MachineType
+	teams           []config.Team
+	workers         config.Workers
+	jobs            map[string]*simulatedJob
+	jobSequence     int
+	deliveries      []delivery
+	failEvery       map[string]bool // jobs that fail everywhere
+	gangs           map[string]*simulatedGang
+	seen            *gangEvents
+}
+
+type storedRecord struct {
+	version uint64
+	value   protocol.Raw
+}
+
+type simulatedJob struct {
 	spec      protocol.Spec
 	done      map[int]bool
 	cancelled time.Duration // when the user was told, or 0
 }
 
-type controller struct {
-	term  uint64
-	s     *Scheduler
-	base  time.Duration
-	until time.Duration // entitled before this
-	dead  bool
-	ends  time.Duration
+type simulatedController struct {
+	term      uint64
+	scheduler *Scheduler
+	base      time.Duration
+	until     time.Duration // entitled before this
+	dead      bool
+	ends      time.Duration
 }
 
-type rig struct {
+type simulatedMachine struct {
 	protocol.Machine
-	bootAt   time.Duration
-	never    bool
-	gone     bool
-	sick     bool
-	hungTill time.Duration
-	cutTill  time.Duration
-	deafTill time.Duration // its reports arrive, answers and commands don't reach it
-	stayed   *controller   // that answered its last report 200; it reports there again on the same connection
-	shift    uint64
-	tally    uint64
-	baton    uint64
-	lease    time.Duration // start of the lease
-	inFlight time.Duration // when the report in flight was sent, or -1
-	nextRep  time.Duration
-	warn     time.Duration
-	tasks    []*rigTask
-}
-
-type rigTask struct {
-	piece    string
-	try      uint64
-	standing string
-	cause    string
-	ready    time.Duration // fetch ends
-	end      time.Duration
-	saveEnd  time.Duration
+	bootAt       time.Duration
+	never        bool
+	gone         bool
+	faulty       bool
+	hungUntil    time.Duration
+	cutUntil     time.Duration
+	deafUntil    time.Duration        // its reports arrive, answers and commands don't reach it
+	stayed       *simulatedController // that answered its last report 200; it reports there again on the same connection
+	incarnation  uint64
+	sequence     uint64
+	fencingToken uint64
+	lease        time.Duration // start of the lease
+	inFlight     time.Duration // when the report in flight was sent, or -1
+	nextReport   time.Duration
+	spotNotice   time.Duration
+	tasks        []*simulatedTask
+}
+
+type simulatedTask struct {
+	name    string
+	attempt uint64
+	state   string
+	reason  string
+	ready   time.Duration // fetch ends
+	end     time.Duration
+	saveEnd time.Duration
 
 	gatherEnd time.Duration // of a gang's task: when it has waited for too long
 	told      bool          // of a gang's task: it was told to stop, and saves
 }
 
-type letter struct {
-	at time.Duration
-	do func()
+type delivery struct {
+	at      time.Duration
+	deliver func()
 }
 
-func (w *world) later(d time.Duration, f func()) {
-	w.mail = append(w.mail, letter{w.now + d, f})
+func (w *simulation) later(d time.Duration, f func()) {
+	w.deliveries = append(w.deliveries, delivery{w.now + d, f})
 }
 
-func (w *world) chance(p float64) bool { return w.r.Float64() < p }
+func (w *simulation) chance(p float64) bool { return w.r.Float64() < p }
 
-func (w *world) between(a, b time.Duration) time.Duration {
+func (w *simulation) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.r.Int64N(int64(b-a)+1))
 }
 
 // transit is how long a message takes; the second result is false if it is lost.
-func (w *world) transit(g *rig) (time.Duration, bool) {
-	if w.now < g.cutTill {
+func (w *simulation) transit(g *simulatedMachine) (time.Duration, bool) {
+	if w.now < g.cutUntil {
 		if w.chance(0.5) {
-			return g.cutTill - w.now + w.between(0, time.Second), true // held and delivered late
+			return g.cutUntil - w.now + w.between(0, time.Second), true // held and delivered late
 		}
 		return 0, false
 	}
-	if !w.calm && w.chance(0.04) {
+	if !w.quiet && w.chance(0.04) {
 		if w.chance(0.5) {
 			return w.between(time.Second, 30*time.Second), true
 		}
@@ -141,9 +141,9 @@
 	return w.between(time.Millisecond, 30*time.Millisecond), true
 }
 
-func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64) *world {
-	w := &world{t: t, r: rand.New(rand.NewPCG(seed, 7)), keys: map[string]pairOf{}, rigs: map[string]*rig{},
-		hired: map[string][]string{}, jobs: map[string]*jobTruth{}, failEvery: map[string]bool{}, gangs: map[string]*gangTruth{}, seen: &gangEvents{},
+func newSimulation(t interface{ Fatalf(string, ...any) }, seed uint64) *simulation {
+	w := &simulation{t: t, r: rand.New(rand.NewPCG(seed, 7)), keys: map[string]storedRecord{}, machines: map[string]*simulatedMachine{},
+		rentals: map[string][]string{}, jobs: map[string]*simulatedJob{}, failEvery: map[string]bool{}, gangs: map[string]*simulatedGang{}, seen: &gangEvents{},
 		teams:   []config.Team{{Name: "red", CPUs: 12, CPUsMax: 32}, {Name: "blue", CPUs: 12, CPUsMax: 20}},
 		workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)},
 		types: []protocol.MachineType{
@@ -155,13 +155,13 @@
 
 func seconds(v float64) *float64 { return &v }
 
-func (w *world) settings() Config {
+func (w *simulation) settings() Config {
 	return Config{Term: w.term, Teams: w.teams, Workers: w.workers,
 		State: config.State{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8}, ListLag: 3 * time.Second, Options: config.DefaultOptions()}
 }
 
 // takeOver elects a new leader. The one before is entitled no longer, but may go on for a while without knowing.
-func (w *world) takeOver() {
+func (w *simulation) takeOver() {
 	for _, c := range w.leaders {
 		if !c.dead {
 			c.until = min(c.until, w.now)
@@ -172,37 +172,37 @@
 		}
 	}
 	w.term++
-	c := &controller{term: w.term, s: New(w.settings(), 0), base: w.now, until: time.Hour * 10, ends: time.Hour * 10}
+	c := &simulatedController{term: w.term, scheduler: New(w.settings(), 0), base: w.now, until: time.Hour * 10, ends: time.Hour * 10}
 	w.leaders = append(w.leaders, c)
 	for _, k := range w.sortedKeys("open/") {
 		w.jobEvent(c, k)
 	}
 	for _, k := range w.sortedKeys("fin/") {
-		var f storage.Fin
-		w.must(protocol.Decode(w.keys[k].data, &f))
-		id, _, _ := storage.ParseFinKey(k)
-		w.step(c, FinishedLoaded{ID: id, Version: w.keys[k].stamp, Rec: f})
+		var f storage.FinishedTasks
+		w.must(protocol.Decode(w.keys[k].value, &f))
+		id, _, _ := storage.ParseFinishedTasksKey(k)
+		w.step(c, FinishedTasksLoaded{JobID: id, Version: w.keys[k].version, Record: f})
 	}
 	for _, k := range w.sortedKeys("hire/") {
 		var h storage.Rental
-		w.must(protocol.Decode(w.keys[k].data, &h))
-		w.step(c, RentalLoaded{Name: k[len("hire/"):], Version: w.keys[k].stamp, Rec: h})
+		w.must(protocol.Decode(w.keys[k].value, &h))
+		w.step(c, RentalLoaded{Name: k[len("hire/"):], Version: w.keys[k].version, Record: h})
 	}
 	for _, k := range w.sortedKeys("up/") {
-		var u storage.Ups
-		w.must(protocol.Decode(w.keys[k].data, &u))
-		w.step(c, RegistrationLoaded{Name: k[len("up/"):], Version: w.keys[k].stamp, Rec: u})
+		var u storage.RegistryPage
+		w.must(protocol.Decode(w.keys[k].value, &u))
+		w.step(c, RegistryPageLoaded{Name: k[len("up/"):], Version: w.keys[k].version, Record: u})
 	}
-	w.step(c, Loaded{})
+	w.step(c, StateLoaded{})
 }
 
-func (w *world) must(err error) {
+func (w *simulation) must(err error) {
 	if err != nil {
 		w.t.Fatalf("%v", err)
 	}
 }
 
-func (w *world) sortedKeys(prefix string) []string {
+func (w *simulation) sortedKeys(prefix string) []string {
 	var out []string
 	for k := range w.keys {
 		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
@@ -213,20 +213,20 @@
 	return out
 }
 
-func (w *world) jobEvent(c *controller, key string) {
-	var o storage.Open
-	w.must(protocol.Decode(w.keys[key].data, &o))
-	e := JobSeen{ID: key[len("open/"):], Version: w.keys[key].stamp, Rec: o}
+func (w *simulation) jobEvent(c *simulatedController, key string) {
+	var o storage.OpenJob
+	w.must(protocol.Decode(w.keys[key].value, &o))
+	e := JobChanged{JobID: key[len("open/"):], Version: w.keys[key].version, Record: o}
 	if o.Cancelled {
-		e.CancelAge = w.now - time.Duration(o.CancelMs)*time.Millisecond
+		e.SinceCancellation = w.now - time.Duration(o.CancelledAtMs)*time.Millisecond
 	}
 	w.step(c, e)
 }
 
 // put is a write by a controller that takes users' requests; the leader's watch brings it.
-func (w *world) put(key string, v any) {
-	w.ledger++
-	w.keys[key] = pairOf{w.ledger, protocol.Encode(v)}
+func (w *simulation) put(key string, v any) {
+	w.revision++
+	w.keys[key] = storedRecord{w.revision, protocol.Encode(v)}
 	for _, c := range w.leaders {
 		if c.dead {
 			continue
@@ -239,45 +239,45 @@
 	}
 }
 
-func (w *world) step(c *controller, e Event) {
+func (w *simulation) step(c *simulatedController, e Event) {
 	if c.dead {
 		return
 	}
-	for _, eff := range c.s.Step(e, w.now-c.base) {
+	for _, eff := range c.scheduler.Step(e, w.now-c.base) {
 		w.effect(c, eff)
 	}
 }
 
-func (w *world) effect(c *controller, eff Effect) {
+func (w *simulation) effect(c *simulatedController, eff Effect) {
 	if w.trace {
 		fmt.Printf("%v term %d: %T %+v\n", w.now, c.term, eff, eff)
 	}
 	entitled := w.now < c.until
 	switch eff := eff.(type) {
-	case ReplyOut:
-		ref := eff.Ref.(func(*protocol.ReportReply))
-		if !eff.OK || !entitled {
+	case HeartbeatReply:
+		ref := eff.ReplyTo.(func(*protocol.HeartbeatReply))
+		if !eff.Accepted || !entitled {
 			ref(nil)
 			return
 		}
-		ref(&protocol.ReportReply{Token: c.term, Commands: eff.Commands})
-	case DirectOut:
+		ref(&protocol.HeartbeatReply{FencingToken: c.term, Commands: eff.Commands})
+	case SendDirectCommands:
 		w.direct(c, eff)
-	case ProbeOut:
-		g := w.rigs[eff.Machine]
-		if g == nil || g.gone || w.now < g.hungTill || w.now < g.cutTill || w.now < g.deafTill || w.now < g.bootAt {
+	case ProbeMachine:
+		g := w.machines[eff.Machine]
+		if g == nil || g.gone || w.now < g.hungUntil || w.now < g.cutUntil || w.now < g.deafUntil || w.now < g.bootAt {
 			return
 		}
-		if d, ok := w.transit(g); ok && d < time.Second && c.term >= g.baton {
-			g.baton = c.term
+		if d, ok := w.transit(g); ok && d < time.Second && c.term >= g.fencingToken {
+			g.fencingToken = c.term
 			r := w.report(g)
-			w.later(d, func() { w.step(c, ProbeDone{Machine: eff.Machine, Report: r}) })
+			w.later(d, func() { w.step(c, ProbeDone{Machine: eff.Machine, Heartbeat: r}) })
 		}
-	case WriteOut:
+	case WriteRecords:
 		w.later(w.between(5*time.Millisecond, 300*time.Millisecond), func() { w.txn(c, eff) })
-	case RentOut:
-		w.hire(c, eff.Request)
-	case DeleteOut:
+	case RentMachines:
+		w.rentMachines(c, eff.Request)
+	case DeleteMachines:
 		w.later(w.between(50*time.Millisecond, time.Second), func() {
 			ok := !w.chance(0.2) // else the answer is lost, or the request
 			done := ok || w.chance(0.5)
@@ -285,17 +285,17 @@
 				if !done {
 					break
 				}
-				if g := w.rigs[n]; g != nil {
+				if g := w.machines[n]; g != nil {
 					g.gone = true
 					g.tasks = nil
 				}
 			}
-			w.step(c, DeleteDone{Machines: eff.Machines, OK: ok})
+			w.step(c, DeletionDone{Machines: eff.Machines, OK: ok})
 		})
-	case ListOut:
+	case ListMachines:
 		var list []protocol.Machine
-		for _, n := range w.rigNames() {
-			g := w.rigs[n]
+		for _, n := range w.machineNames() {
+			g := w.machines[n]
 			if !g.gone {
 				x := g.Machine
 				x.State = protocol.MachineRunning
@@ -306,50 +306,50 @@
 				list = append(list, x)
 			}
 		}
-		w.later(w.between(time.Second, 6*time.Second), func() { w.step(c, ListDone{Machines: list, OK: true}) })
-	case TypesOut:
-		w.later(100*time.Millisecond, func() { w.step(c, TypesDone{Types: w.types, OK: true}) })
+		w.later(w.between(time.Second, 6*time.Second), func() { w.step(c, MachinesListed{Machines: list, OK: true}) })
+	case FetchMachineTypes:
+		w.later(100*time.Millisecond, func() { w.step(c, MachineTypesFetched{Types: w.types, OK: true}) })
 	}
 }
 
-func (w *world) rigNames() []string {
+func (w *simulation) machineNames() []string {
 	var out []string
-	for n := range w.rigs {
+	for n := range w.machines {
 		out = append(out, n)
 	}
 	sort.Strings(out)
 	return out
 }
 
-func (w *world) txn(c *controller, o WriteOut) {
+func (w *simulation) txn(c *simulatedController, o WriteRecords) {
 	if c.term != w.term {
 		c.dead = true // the guard on the leader key fails; the term is over
 		return
 	}
 	for _, g := range o.Conditions {
-		if w.keys[g.Key].stamp != g.Version {
-			w.step(c, WriteDone{ID: o.ID})
+		if w.keys[g.Key].version != g.Version {
+			w.step(c, WriteCompleted{ID: o.ID})
 			return
 		}
 	}
-	w.ledger++
-	for _, op := range o.Ops {
+	w.revision++
+	for _, op := range o.Operations {
 		if op.Delete != "" {
 			delete(w.keys, op.Delete)
 			continue
 		}
-		w.keys[op.Put] = pairOf{w.ledger, op.Value}
+		w.keys[op.Put] = storedRecord{w.revision, op.Value}
 		if len(op.Put) > 6 && op.Put[:6] == "final/" {
 			w.final(op.Put[6:], op.Value)
 		}
 	}
-	rev := w.ledger
-	w.later(5*time.Millisecond, func() { w.step(c, WriteDone{ID: o.ID, OK: true, Version: rev}) })
+	rev := w.revision
+	w.later(5*time.Millisecond, func() { w.step(c, WriteCompleted{ID: o.ID, OK: true, Version: rev}) })
 }
 
 // final checks that a job is called done only when all of its tasks are, and cancelled only by its user.
-func (w *world) final(id string, data protocol.Raw) {
-	var f storage.Final
+func (w *simulation) final(id string, data protocol.Raw) {
+	var f storage.FinalJob
 	w.must(protocol.Decode(data, &f))
 	j := w.jobs[id]
 	switch {
@@ -364,29 +364,29 @@
 	}
 }
 
-func (w *world) hire(c *controller, req protocol.RentalRequest) {
+func (w *simulation) rentMachines(c *simulatedController, req protocol.RentalRequest) {
 	w.later(w.between(50*time.Millisecond, 2*time.Second), func() {
-		names, known := w.hired[req.Name]
+		names, known := w.rentals[req.Name]
 		if !known {
 			if w.chance(0.2) {
 				w.step(c, RentalDone{Name: req.Name, NoCapacity: true})
 				return
 			}
 			for range min(req.Count, 4) {
-				w.rigSeq++
-				n := fmt.Sprintf("m-%06d", w.rigSeq)
+				w.machineSequence++
+				n := fmt.Sprintf("m-%06d", w.machineSequence)
 				names = append(names, n)
-				g := &rig{Machine: protocol.Machine{Name: n, Address: n + ":1", MachineType: req.MachineType, Zone: req.Zone, Spot: req.Spot},
+				g := &simulatedMachine{Machine: protocol.Machine{Name: n, Address: n + ":1", MachineType: req.MachineType, Zone: req.Zone, Spot: req.Spot},
 					bootAt: w.now + w.between(time.Second, 15*time.Second), inFlight: -1}
 				g.never = w.chance(0.05)
-				g.sick = w.chance(0.08)
-				g.lease, g.shift, g.nextRep = g.bootAt, 1, g.bootAt
-				w.rigs[n] = g
+				g.faulty = w.chance(0.08)
+				g.lease, g.incarnation, g.nextReport = g.bootAt, 1, g.bootAt
+				w.machines[n] = g
 			}
-			w.hired[req.Name] = names
+			w.rentals[req.Name] = names
 		}
-		if w.chance(0.1) && !w.calm { // the answer is lost; the request is repeated
-			w.later(time.Second, func() { w.hire(c, req) })
+		if w.chance(0.1) && !w.quiet { // the answer is lost; the request is repeated
+			w.later(time.Second, func() { w.rentMachines(c, req) })
 			return
 		}
 		w.step(c, RentalDone{Name: req.Name, Machines: names, OK: true})
@@ -394,44 +394,44 @@
 }
 
 // direct delivers a direct command, perhaps very late, and times out for the sender.
-func (w *world) direct(c *controller, d DirectOut) {
+func (w *simulation) direct(c *simulatedController, d SendDirectCommands) {
 	answered := false
-	finish := func(e DirectDone) {
+	finish := func(e DirectCommandsDone) {
 		if !answered {
 			answered = true
 			e.ID, e.Machine = d.ID, d.Machine
 			w.step(c, e)
 		}
 	}
-	g := w.rigs[d.Machine]
+	g := w.machines[d.Machine]
 	if g == nil || g.gone || w.now >= c.until {
-		w.later(time.Millisecond, func() { finish(DirectDone{Refused: true}) })
+		w.later(time.Millisecond, func() { finish(DirectCommandsDone{NotExecuted: true}) })
 		return
 	}
-	w.later(2*time.Second, func() { finish(DirectDone{}) })
+	w.later(2*time.Second, func() { finish(DirectCommandsDone{}) })
 	delay, ok := w.transit(g)
-	if !ok || w.now < g.deafTill {
+	if !ok || w.now < g.deafUntil {
 		return
 	}
 	w.later(delay, func() { w.arrive(g, c, d, finish) })
 }
 
-func (w *world) arrive(g *rig, c *controller, d DirectOut, finish func(DirectDone)) {
+func (w *simulation) arrive(g *simulatedMachine, c *simulatedController, d SendDirectCommands, finish func(DirectCommandsDone)) {
 	if g.gone {
 		return
 	}
-	if w.now < g.hungTill {
-		w.later(g.hungTill-w.now, func() { w.arrive(g, c, d, finish) })
+	if w.now < g.hungUntil {
+		w.later(g.hungUntil-w.now, func() { w.arrive(g, c, d, finish) })
 		return
 	}
 	w.expire(g)
-	var e DirectDone
-	if c.term < g.baton || d.Session != g.shift {
-		e.Refused = true
+	var e DirectCommandsDone
+	if c.term < g.fencingToken || d.Incarnation != g.incarnation {
+		e.NotExecuted = true
 	} else {
-		g.baton = c.term
+		g.fencingToken = c.term
 		w.execute(g, d.Commands)
-		e.Report = w.report(g)
+		e.Heartbeat = w.report(g)
 	}
 	if back, ok := w.transit(g); ok {
 		w.later(back, func() { finish(e) })
@@ -439,45 +439,45 @@
 }
 
 // report makes the worker's report, with the next tally.
-func (w *world) report(g *rig) *protocol.Report {
-	g.tally++
-	r := &protocol.Report{Machine: g.Name, Address: g.Address, MachineType: g.MachineType, Zone: g.Zone, Spot: g.Spot,
-		Session: g.shift, Sequence: g.tally, Token: g.baton}
-	if g.warn != 0 {
-		left := (g.warn - w.now).Seconds()
-		r.NoticeS = &left
+func (w *simulation) report(g *simulatedMachine) *protocol.Heartbeat {
+	g.sequence++
+	r := &protocol.Heartbeat{Machine: g.Name, Address: g.Address, MachineType: g.MachineType, Zone: g.Zone, Spot: g.Spot,
+		Incarnation: g.incarnation, Sequence: g.sequence, FencingToken: g.fencingToken}
+	if g.spotNotice != 0 {
+		left := (g.spotNotice - w.now).Seconds()
+		r.SpotNoticeS = &left
 	}
 	for _, t := range g.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.piece, Attempt: t.try, State: t.standing, Reason: t.cause})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.reason})
 	}
 	return r
 }
 
 // expire ends the worker's session when its lease is over.
-func (w *world) expire(g *rig) {
+func (w *simulation) expire(g *simulatedMachine) {
 	if w.now > g.lease+time.Duration(w.workers.LeaseS*float64(time.Second)) {
 		g.tasks = nil
-		g.shift++
+		g.incarnation++
 		g.lease = w.now
 		g.inFlight = -1
 	}
 }
 
 // run lets a worker live until now.
-func (w *world) run(g *rig) {
+func (w *simulation) run(g *simulatedMachine) {
 	if g.gone || g.never || w.now < g.bootAt {
 		return
 	}
-	if g.warn != 0 && w.now >= g.warn {
+	if g.spotNotice != 0 && w.now >= g.spotNotice {
 		g.gone, g.tasks = true, nil
 		return
 	}
 	w.expire(g) // a hanging machine goes on within its lease or not at all (docs/questions.md)
-	if w.now < g.hungTill {
+	if w.now < g.hungUntil {
 		return
 	}
 	for _, t := range g.tasks {
-		switch t.standing {
+		switch t.state {
 		case protocol.Fetching:
 			if w.now >= t.ready {
 				if w.gangOf(t) != nil {
@@ -488,41 +488,41 @@
 			}
 		case protocol.Running:
 			if w.now >= t.end && w.gangOf(t) == nil {
-				t.standing, t.cause = protocol.Ended, protocol.ReasonDone
-				id, idx, _ := protocol.ParseTaskName(t.piece)
-				if g.sick || w.failEvery[id] {
-					t.cause = protocol.ReasonError
+				t.state, t.reason = protocol.Ended, protocol.ReasonDone
+				id, idx, _ := protocol.ParseTaskName(t.name)
+				if g.faulty || w.failEvery[id] {
+					t.reason = protocol.ReasonError
 				} else {
 					w.jobs[id].done[idx] = true
 				}
-				g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
+				g.nextReport = min(g.nextReport, w.now+500*time.Millisecond)
 			}
 		case protocol.Saving:
 			if w.now >= t.saveEnd {
-				t.standing, t.cause = protocol.Ended, protocol.ReasonHalted
-				g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
+				t.state, t.reason = protocol.Ended, protocol.ReasonStopped
+				g.nextReport = min(g.nextReport, w.now+500*time.Millisecond)
 			}
 		}
 	}
 	if g.inFlight >= 0 && w.now >= g.inFlight+4*time.Second {
 		g.inFlight = -1
-		g.nextRep = w.now + time.Second
+		g.nextReport = w.now + time.Second
 	}
-	if g.inFlight < 0 && w.now >= g.nextRep {
+	if g.inFlight < 0 && w.now >= g.nextReport {
 		w.sendReport(g)
 	}
 }
 
-func (w *world) sendReport(g *rig) {
+func (w *simulation) sendReport(g *simulatedMachine) {
 	r := w.report(g)
 	sent := w.now
-	g.inFlight, g.nextRep = sent, sent+w.between(1500*time.Millisecond, 2500*time.Millisecond)
+	g.inFlight, g.nextReport = sent, sent+w.between(1500*time.Millisecond, 2500*time.Millisecond)
 	stayed := g.stayed
 	g.stayed = nil
 	if w.chance(0.05) { // a copy, from before the original to well over a lease later, by any route
 		w.later(w.between(0, 40*time.Second), func() {
 			if to := w.leading(); to != nil {
-				w.step(to, ReportIn{Report: r, Entitled: w.now < to.until, Relayed: w.chance(0.5), Ref: func(*protocol.ReportReply) {}})
+				w.step(to, HeartbeatReceived{Heartbeat: r, Entitled: w.now < to.until, Relayed: w.chance(0.5), ReplyTo: func(*protocol.HeartbeatReply) {}})
 			}
 		})
 	}
@@ -536,13 +536,13 @@
 		if to == nil {
 			return
 		}
-		w.step(to, ReportIn{Report: r, Entitled: w.now < to.until, Stayed: to == stayed, Relayed: w.chance(0.1), Ref: func(reply *protocol.ReportReply) {
+		w.step(to, HeartbeatReceived{Heartbeat: r, Entitled: w.now < to.until, SameConnection: to == stayed, Relayed: w.chance(0.1), ReplyTo: func(reply *protocol.HeartbeatReply) {
 			back, ok := w.transit(g)
-			if !ok || w.now < g.deafTill {
+			if !ok || w.now < g.deafUntil {
 				return
 			}
 			w.later(back, func() {
-				if w.response(g, r, sent, reply) {
+				if w.heartbeatReply(g, r, sent, reply) {
 					g.stayed = to
 				}
 			})
@@ -551,8 +551,8 @@
 }
 
 // leading is a controller that a report may reach.
-func (w *world) leading() *controller {
-	var to *controller
+func (w *simulation) leading() *simulatedController {
+	var to *simulatedController
 	for _, c := range w.leaders {
 		if !c.dead && (to == nil || w.chance(0.7)) {
 			to = c
@@ -561,41 +561,41 @@
 	return to
 }
 
-// response takes the answer to a report; it tells whether the worker got a 200 that it may use.
-func (w *world) response(g *rig, r *protocol.Report, sent time.Duration, reply *protocol.ReportReply) bool {
-	if g.gone || w.now < g.hungTill || g.inFlight != sent || r.Session != g.shift {
+// heartbeatReply takes the answer to a report; it tells whether the worker got a 200 that it may use.
+func (w *simulation) heartbeatReply(g *simulatedMachine, r *protocol.Heartbeat, sent time.Duration, reply *protocol.HeartbeatReply) bool {
+	if g.gone || w.now < g.hungUntil || g.inFlight != sent || r.Incarnation != g.incarnation {
 		return false
 	}
 	w.expire(g)
-	if r.Session != g.shift {
+	if r.Incarnation != g.incarnation {
 		return false
 	}
 	g.inFlight = -1
-	if reply == nil || reply.Token < g.baton {
-		g.nextRep = min(g.nextRep, w.now+time.Second)
+	if reply == nil || reply.FencingToken < g.fencingToken {
+		g.nextReport = min(g.nextReport, w.now+time.Second)
 		return false
 	}
-	if reply.Token > g.baton {
-		g.baton = reply.Token
-		g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
+	if reply.FencingToken > g.fencingToken {
+		g.fencingToken = reply.FencingToken
+		g.nextReport = min(g.nextReport, w.now+500*time.Millisecond)
 	}
 	g.lease = sent
 	if w.execute(g, reply.Commands) {
-		g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
+		g.nextReport = min(g.nextReport, w.now+500*time.Millisecond)
 	}
 	return true
 }
 
-func (w *world) execute(g *rig, orders []protocol.Command) bool {
+func (w *simulation) execute(g *simulatedMachine, orders []protocol.Command) bool {
 	changed := false
 	for _, o := range orders {
 		changed = true
-		var here *rigTask
+		var here *simulatedTask
 		other := false
 		for _, t := range g.tasks {
-			if t.piece == o.Task && t.try == o.Attempt {
+			if t.name == o.Task && t.attempt == o.Attempt {
 				here = t
-			} else if t.piece == o.Task && t.standing != protocol.Ended {
+			} else if t.name == o.Task && t.state != protocol.Ended {
 				other = true
 			}
 		}
@@ -604,27 +604,27 @@
 			if here != nil {
 				continue
 			}
-			t := &rigTask{piece: o.Task, try: o.Attempt, standing: protocol.Fetching, ready: w.now + w.between(0, 3*time.Second)}
+			t := &simulatedTask{name: o.Task, attempt: o.Attempt, state: protocol.Fetching, ready: w.now + w.between(0, 3*time.Second)}
 			g.tasks = append(g.tasks, t)
 			id, idx, _ := protocol.ParseTaskName(o.Task)
 			j := w.jobs[id]
 			used := 0.0
 			for _, x := range g.tasks {
-				if x != t && x.standing != protocol.Ended {
-					xid, _, _ := protocol.ParseTaskName(x.piece)
+				if x != t && x.state != protocol.Ended {
+					xid, _, _ := protocol.ParseTaskName(x.name)
 					used += w.jobs[xid].spec.CPUs
 				}
 			}
 			switch {
 			case other:
-				t.standing, t.cause = protocol.Ended, protocol.ReasonBusy
+				t.state, t.reason = protocol.Ended, protocol.ReasonBusy
 			case used+j.spec.CPUs > w.size(g)+1e-9:
-				t.standing, t.cause = protocol.Ended, protocol.ReasonNoRoom
+				t.state, t.reason = protocol.Ended, protocol.ReasonNoRoom
 			case j.done[idx]:
 				t.end = t.ready // the result is kept
 			}
 		case protocol.CommandStop:
-			if here == nil || here.standing == protocol.Ended {
+			if here == nil || here.state == protocol.Ended {
 				continue
 			}
 			id, _, _ := protocol.ParseTaskName(o.Task)
@@ -632,14 +632,14 @@
 				w.stopGangTask(g, here, *o.GraceS)
 				continue
 			}
-			if sp := w.jobs[id].spec; here.standing == protocol.Running && sp.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= sp.SaveS {
-				here.standing, here.saveEnd = protocol.Saving, w.now+time.Duration(sp.SaveS*float64(time.Second))
-			} else if here.standing != protocol.Saving || *o.GraceS == 0 {
-				here.standing, here.cause = protocol.Ended, protocol.ReasonHalted
+			if sp := w.jobs[id].spec; here.state == protocol.Running && sp.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= sp.SaveS {
+				here.state, here.saveEnd = protocol.Saving, w.now+time.Duration(sp.SaveS*float64(time.Second))
+			} else if here.state != protocol.Saving || *o.GraceS == 0 {
+				here.state, here.reason = protocol.Ended, protocol.ReasonStopped
 			}
 		case protocol.CommandForget:
 			for i, t := range g.tasks {
-				if t == here && t.standing == protocol.Ended {
+				if t == here && t.state == protocol.Ended {
 					g.tasks = append(g.tasks[:i], g.tasks[i+1:]...)
 					break
 				}
@@ -649,7 +649,7 @@
 	return changed
 }
 
-func (w *world) size(g *rig) float64 {
+func (w *simulation) size(g *simulatedMachine) float64 {
 	for _, t := range w.types {
 		if t.Name == g.MachineType {
 			return t.CPUs
@@ -659,15 +659,15 @@
 }
 
 // begin is the moment at which a task starts on its machine; here the rules are checked.
-func (w *world) begin(g *rig, t *rigTask) {
-	t.standing = protocol.Running
+func (w *simulation) begin(g *simulatedMachine, t *simulatedTask) {
+	t.state = protocol.Running
 	if t.end == 0 {
 		t.end = w.now + w.between(2*time.Second, 12*time.Second)
 	}
-	g.nextRep = min(g.nextRep, w.now+500*time.Millisecond)
-	id, _, _ := protocol.ParseTaskName(t.piece)
+	g.nextReport = min(g.nextReport, w.now+500*time.Millisecond)
+	id, _, _ := protocol.ParseTaskName(t.name)
 	j := w.jobs[id]
-	where := fmt.Sprintf("at %v: %s try %x on %s", w.now, t.piece, t.try, g.Name)
+	where := fmt.Sprintf("at %v: %s try %x on %s", w.now, t.name, t.attempt, g.Name)
 	if j.spec.Spot != true && g.Spot {
 		w.t.Fatalf("wrong_place: spot: %s", where)
 	}
@@ -679,8 +679,8 @@
 	}
 	var busy []string
 	used, zones := map[string]float64{}, map[string]int{}
-	for _, n := range w.rigNames() {
-		o := w.rigs[n]
+	for _, n := range w.machineNames() {
+		o := w.machines[n]
 		if o.gone {
 			continue
 		}
@@ -688,14 +688,14 @@
 			if !x.onMachine() {
 				continue
 			}
-			xid, _, _ := protocol.ParseTaskName(x.piece)
+			xid, _, _ := protocol.ParseTaskName(x.name)
 			used[w.jobs[xid].spec.Team] += w.jobs[xid].spec.CPUs
-			busy = append(busy, fmt.Sprintf("%s:%s#%x*%v", n, x.piece, x.try, w.jobs[xid].spec.CPUs))
+			busy = append(busy, fmt.Sprintf("%s:%s#%x*%v", n, x.name, x.attempt, w.jobs[xid].spec.CPUs))
 			if xid == id {
 				zones[o.Zone]++
 			}
-			if x.piece == t.piece && x != t {
-				w.t.Fatalf("ran_twice: %s, and on %s try %x", where, n, x.try)
+			if x.name == t.name && x != t {
+				w.t.Fatalf("ran_twice: %s, and on %s try %x", where, n, x.attempt)
 			}
 		}
 	}
@@ -713,15 +713,15 @@
 	w.checkCancelled(j, where)
 }
 
-func (w *world) checkCancelled(j *jobTruth, where string) {
+func (w *simulation) checkCancelled(j *simulatedJob, where string) {
 	if j.cancelled != 0 && w.now > j.cancelled+time.Duration(w.workers.CancelS*float64(time.Second)) {
 		w.t.Fatalf("ran_cancelled: %s", where)
 	}
 }
 
-func (w *world) submit() {
-	w.jobSeq++
-	id := fmt.Sprintf("job-%06d", w.jobSeq)
+func (w *simulation) submit() {
+	w.jobSequence++
+	id := fmt.Sprintf("job-%06d", w.jobSequence)
 	pick := func(s ...string) string { return s[w.r.IntN(len(s))] }
 	sp := protocol.Spec{ID: id, Class: pick("x", "y"), Team: pick("red", "blue"), Shape: "sweep",
 		Priority: pick("low", "standard", "high", "production"), Tasks: 1 + w.r.IntN(8), CPUs: float64(1 + w.r.IntN(4)), MemoryGB: 1,
@@ -746,14 +746,14 @@
 		sp.Shape = protocol.ShapeGang
 		sp.Tasks = 1 + w.r.IntN(min(5, int(20/sp.CPUs))) // all together fit into the lower of the teams' limits
 	}
-	w.jobs[id] = &jobTruth{spec: sp, done: map[int]bool{}}
-	w.put("open/"+id, storage.Open{Spec: sp})
+	w.jobs[id] = &simulatedJob{spec: sp, done: map[int]bool{}}
+	w.put("open/"+id, storage.OpenJob{Spec: sp})
 	if w.chance(0.08) {
 		w.failEvery[id] = true
 	}
 }
 
-func (w *world) cancel() {
+func (w *simulation) cancel() {
 	open := w.sortedKeys("open/")
 	if len(open) == 0 {
 		return
@@ -761,38 +761,38 @@
 	w.cancelJob(open[w.r.IntN(len(open))])
 }
 
-func (w *world) cancelJob(key string) {
-	var o storage.Open
-	w.must(protocol.Decode(w.keys[key].data, &o))
+func (w *simulation) cancelJob(key string) {
+	var o storage.OpenJob
+	w.must(protocol.Decode(w.keys[key].value, &o))
 	if o.Cancelled {
 		return
 	}
-	o.Cancelled, o.CancelMs = true, w.now.Milliseconds()
+	o.Cancelled, o.CancelledAtMs = true, w.now.Milliseconds()
 	w.jobs[key[len("open/"):]].cancelled = w.now
 	w.put(key, o)
 }
 
 // fault is something going wrong.
-func (w *world) fault() {
-	names := w.rigNames()
+func (w *simulation) fault() {
+	names := w.machineNames()
 	if len(names) == 0 {
 		return
 	}
-	struck := []*rig{w.rigs[names[w.r.IntN(len(names))]]}
+	struck := []*simulatedMachine{w.machines[names[w.r.IntN(len(names))]]}
 	switch w.r.IntN(8) {
 	case 0: // a zone
 		yard := struck[0].Zone
 		struck = nil
 		for _, n := range names {
-			if w.rigs[n].Zone == yard {
-				struck = append(struck, w.rigs[n])
+			if w.machines[n].Zone == yard {
+				struck = append(struck, w.machines[n])
 			}
 		}
 	case 1: // a fifth of the fleet
 		struck = nil
 		for _, n := range names {
 			if w.chance(0.2) {
-				struck = append(struck, w.rigs[n])
+				struck = append(struck, w.machines[n])
 			}
 		}
 	}
@@ -802,20 +802,20 @@
 	for _, g := range struck {
 		switch kind {
 		case 0:
-			g.hungTill = hung
+			g.hungUntil = hung
 		case 1:
-			g.cutTill = cut
+			g.cutUntil = cut
 		case 2:
 			g.never, g.bootAt = true, time.Hour*10 // dies and stays listed
 			g.tasks = nil
 		case 3:
 			if g.Spot {
-				g.warn = warned
+				g.spotNotice = warned
 			}
 		case 4:
 			g.gone, g.tasks = true, nil
 		case 5:
-			g.deafTill = deaf
+			g.deafUntil = deaf
 		}
 	}
 	if len(struck) > 1 && w.chance(0.3) { // and all controllers in the same seconds
@@ -823,33 +823,33 @@
 	}
 }
 
-const worldStep = 50 * time.Millisecond
+const simulationStep = 50 * time.Millisecond
 
-func (w *world) advance() {
-	w.now += worldStep
+func (w *simulation) advance() {
+	w.now += simulationStep
 	for {
 		// Letters due are delivered in order of time; equals in the order in which they were sent.
 		next := -1
-		for i := range w.mail {
-			if w.mail[i].at <= w.now && (next < 0 || w.mail[i].at < w.mail[next].at) {
+		for i := range w.deliveries {
+			if w.deliveries[i].at <= w.now && (next < 0 || w.deliveries[i].at < w.deliveries[next].at) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		l := w.mail[next]
-		w.mail = append(w.mail[:next], w.mail[next+1:]...)
-		l.do()
+		l := w.deliveries[next]
+		w.deliveries = append(w.deliveries[:next], w.deliveries[next+1:]...)
+		l.deliver()
 	}
-	for _, n := range w.rigNames() {
-		g := w.rigs[n]
+	for _, n := range w.machineNames() {
+		g := w.machines[n]
 		w.run(g)
 		if w.now%time.Second == 0 {
 			for _, t := range g.tasks {
 				if t.onMachine() {
-					id, _, _ := protocol.ParseTaskName(t.piece)
-					w.checkCancelled(w.jobs[id], fmt.Sprintf("at %v: %s still on %s", w.now, t.piece, n))
+					id, _, _ := protocol.ParseTaskName(t.name)
+					w.checkCancelled(w.jobs[id], fmt.Sprintf("at %v: %s still on %s", w.now, t.name, n))
 				}
 			}
 		}
@@ -866,22 +866,22 @@
 }
 
 // explain tells why a job waits.
-func (w *world) explain(id string) string {
-	s := w.leaders[len(w.leaders)-1].s
+func (w *simulation) explain(id string) string {
+	s := w.leaders[len(w.leaders)-1].scheduler
 	out := fmt.Sprintf("spec %+v\n", w.jobs[id].spec)
 	if j := s.jobs[id]; j != nil {
 		out += fmt.Sprintf("free %d done %d resume %v now %v fails %v cancelled %v finishing %v settled %v\n",
-			j.free(), j.doneCount, j.resume, s.now, j.failOn, j.cancelled, j.finishing, s.recovered)
-		for _, b := range j.sortedBound() {
-			out += fmt.Sprintf("bound %d on %s phase %d direct %d unclear %v stop %v\n", b.index, b.machine.name, b.phase, b.direct, b.unclear, b.stop)
+			j.waitingTasks(), j.doneCount, j.retryAt, s.now, j.failedMachines, j.cancelled, j.closing, s.recovered)
+		for _, b := range j.sortedAssignments() {
+			out += fmt.Sprintf("bound %d on %s phase %d direct %d unclear %v stop %v\n", b.index, b.machine.name, b.state, b.directID, b.startUnconfirmed, b.stopping)
 		}
 	}
 	for _, t := range w.teams {
-		out += fmt.Sprintf("team %s used %+v\n", t.Name, s.teams[t.Name].used)
+		out += fmt.Sprintf("team %s used %+v\n", t.Name, s.teams[t.Name].allocated)
 	}
-	for _, m := range s.fleet {
-		out += fmt.Sprintf("%s %s %s spot %v seen %v fenced %v mark %d usable %v deleting %v sick %v heard %v shift %d dead %d binds %d used %+v free %+v\n", m.name, m.kind, m.zone, m.spot,
-			m.seen, m.fenced, m.registration, s.usable(m), m.deleting, m.sick(), m.heard, m.session, m.endedSession, len(m.bindings), m.used, m.freeRoom())
+	for _, m := range s.sortedMachines {
+		out += fmt.Sprintf("%s %s %s spot %v seen %v fenced %v mark %d usable %v deleting %v sick %v heard %v shift %d dead %d binds %d used %+v free %+v\n", m.name, m.typeName, m.zone, m.spot,
+			m.hasReported, m.fenced, m.registration, s.isSchedulable(m), m.deleting, m.isFaulty(), m.lastHeartbeatAt, m.incarnation, m.endedIncarnation, len(m.assignments), m.allocated, m.freeRoom())
 	}
 	return out
 }
@@ -890,14 +890,14 @@
 func TestRules(t *testing.T) {
 	seen := &gangEvents{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.Uint64().Draw(t, "seed"))
+		w := newSimulation(t, rapid.Uint64().Draw(t, "seed"))
 		w.seen = seen
-		playDay(w)
+		playRandomDay(w)
 	})
 	seen.check(t)
 }
 
-func playDay(w *world) {
+func playRandomDay(w *simulation) {
 	w.takeOver()
 	for w.now < 150*time.Second {
 		switch {
@@ -917,9 +917,9 @@
 		}
 		w.advance()
 	}
-	w.calm = true
-	for _, g := range w.rigs {
-		g.cutTill, g.deafTill, g.hungTill = 0, 0, min(g.hungTill, w.now+time.Second)
+	w.quiet = true
+	for _, g := range w.machines {
+		g.cutUntil, g.deafUntil, g.hungUntil = 0, 0, min(g.hungUntil, w.now+time.Second)
 	}
 	for _, key := range w.sortedKeys("open/") {
 		if w.failEvery[key[len("open/"):]] {
@@ -946,7 +946,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := newWorld(t, seed)
+	w := newSimulation(t, seed)
 	w.trace = true
-	playDay(w)
+	playRandomDay(w)
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -20,8 +20,8 @@
 	// the cloud, in bytes. A listing is at most 512 KiB; a watch answer has no
 	// limit of its own, and one past this is given up and the keys are read anew.
 	MaxUpstreamBytes = 4 << 20
-	// MaxPieces is the largest number of tasks in a job.
-	MaxPieces = 100_000
+	// MaxTasksPerJob is the largest number of tasks in a job.
+	MaxTasksPerJob = 100_000
 	// MaxNameBytes bounds names of jobs, teams, classes and images. State keys end at
 	// 200 bytes, and the longest key adds a prefix and a chunk number.
 	MaxNameBytes = 128
@@ -31,22 +31,22 @@
 	MaxMachineTypes = 256
 	// MaxCBORNesting bounds nesting in a body; the protocol's deepest message has four levels.
 	MaxCBORNesting = 16
-	// RentalMax is the largest Number of one rental request.
-	RentalMax = 50
-	// DeleteMax is the largest number of names in one deletion.
-	DeleteMax = 100
-	// PoolRequests is how many rental requests may wait at least on one type, zone and kind. LikePrice: pools that cost up to so many times
+	// MaxRentalSize is the largest Number of one rental request.
+	MaxRentalSize = 50
+	// MaxDeleteSize is the largest number of names in one deletion.
+	MaxDeleteSize = 100
+	// MinPoolRequests is how many rental requests may wait at least on one type, zone and kind. LikePrice: pools that cost up to so many times
 	// as much as the
 	// cheapest are asked beside it.
-	PoolRequests = 2
-	LikePrice    = 1.5
-	// ListPage is the Limit asked for when the cloud's machines are listed.
-	ListPage = 500
-	// StatePage is the Limit asked for when keys are listed; pages stay under
+	MinPoolRequests   = 2
+	SimilarPriceRatio = 1.5
+	// CloudPageSize is the Limit asked for when the cloud's machines are listed.
+	CloudPageSize = 500
+	// StatePageSize is the Limit asked for when keys are listed; pages stay under
 	// MaxUpstreamBytes at the largest value size seen so far.
-	StatePage = 200
-	// GuardsPerOp is how many guards a transaction may have for each operation.
-	GuardsPerOp = 4
+	StatePageSize = 200
+	// ConditionsPerOperation is how many guards a transaction may have for each operation.
+	ConditionsPerOperation = 4
 )
 
 // Clocks.
@@ -67,24 +67,24 @@
 	StateTimeout = 1500 * time.Millisecond
 	// CloudTimeout bounds one call to the cloud. It answers within a second or so.
 	CloudTimeout = 8 * time.Second
-	// WatchHold is how long a watch stays open when nothing changes.
-	WatchHold = 30 * time.Second
+	// WatchDuration is how long a watch stays open when nothing changes.
+	WatchDuration = 30 * time.Second
 	// WatchGrace is how long after WatchHold an answer may still come. Watches stay
 	// open in an outage, so a long wait is no fault; a dead connection is
 	// noticed after this.
 	WatchGrace = 10 * time.Second
 	// DialTimeout bounds a connection attempt.
 	DialTimeout = time.Second
-	// UserAnswer is the time in which a user's request is answered whatever happens.
+	// PollTimeout is the time in which a user's request is answered whatever happens.
 	// A user waits 5 s for a submission and 2 s for a poll.
-	UserAnswer = 1800 * time.Millisecond
-	// SubmitAnswer is the same for submissions and cancellations.
-	SubmitAnswer = 4 * time.Second
-	// PeerTimeout bounds the leader's answer on counts; they are for display only.
-	PeerTimeout = 250 * time.Millisecond
-	// ConfirmTimeout bounds the leader's word that it knows of a cancellation, asked of itself and then through the others; both fit into
+	PollTimeout = 1800 * time.Millisecond
+	// SubmitTimeout is the same for submissions and cancellations.
+	SubmitTimeout = 4 * time.Second
+	// TaskCountsTimeout bounds the leader's answer on counts; they are for display only.
+	TaskCountsTimeout = 250 * time.Millisecond
+	// CancelConfirmTimeout bounds the leader's word that it knows of a cancellation, asked of itself and then through the others; both fit into
 	// UserAnswer.
-	ConfirmTimeout = 600 * time.Millisecond
+	CancelConfirmTimeout = 600 * time.Millisecond
 	// RetryMin and RetryMax bound the jittered pause between tries at the state service and the cloud.
 	RetryMin = 100 * time.Millisecond
 	RetryMax = 2 * time.Second
@@ -98,52 +98,52 @@
 
 // Memory and processor.
 const (
-	// HeapShare is the part of the memory limit given to the Go runtime as its soft limit; the rest is
+	// HeapLimitShare is the part of the memory limit given to the Go runtime as its soft limit; the rest is
 	// for stacks of threads, the binary and buffers of the kernel.
-	HeapShare = 0.55
-	// MemoryLeastMB is what a process needs to run at all: a follower without work holds 7 MB. MemoryScarceMB and CoreScarce are below what
+	HeapLimitShare = 0.55
+	// MinMemoryMB is what a process needs to run at all: a follower without work holds 7 MB. MemoryScarceMB and CoreScarce are below what
 	// a leader of some tens of
 	// machines needs; on simulated machines such a one held 8 to 18 MB and used less than a hundredth of a core on average.
-	MemoryLeastMB  = 8.0
-	MemoryScarceMB = 32.0
-	CoreScarce     = 0.01
+	MinMemoryMB  = 8.0
+	LowMemoryMB  = 32.0
+	LowCoreShare = 0.01
 	// GCPercent is the garbage collector's target: the live heap is a tenth of the soft limit or less, so there is room to collect less
 	// often, which saves
 	// processor time; near the limit it collects as often as it must.
 	GCPercent = 400
-	// Procs is GOMAXPROCS. A controller has a part of one core, so a second thread that looks for work would only take from the first.
-	Procs = 1
+	// MaxProcs is GOMAXPROCS. A controller has a part of one core, so a second thread that looks for work would only take from the first.
+	MaxProcs = 1
 )
 
-// Shares is how a controller's sockets are used. The state service, the cloud and the other controllers have theirs set aside; the rest
+// SocketShares is how a controller's sockets are used. The state service, the cloud and the other controllers have theirs set aside; the rest
 // is shared by need
 // between connections that come in and those that are made to workers.
-type Shares struct {
-	Room     int // inbound connections and those made to workers, together
-	Headroom int // of these, what connections to workers leave free
-	Inbound  int // most inbound connections
-	Fleet    int // of these, most connections of machines
-	Machines int // most machines that are rented at once, unless the operator sets another number
-	Probes   int // most probes under way
-	Stage    int // most users' requests worked on at once
+type SocketShares struct {
+	Total        int // inbound connections and those made to workers, together
+	Headroom     int // of these, what connections to workers leave free
+	Inbound      int // most inbound connections
+	MachineConns int // of these, most connections of machines
+	MaxMachines  int // most machines that are rented at once, unless the operator sets another number
+	Probes       int // most probes under way
+	UserSlots    int // most users' requests worked on at once
 }
 
-// ShareSockets shares the sockets of a controller that has so many others beside it.
-func ShareSockets(sockets, others int) Shares {
-	s := Shares{Stage: min(UserStage, max(1, int(float64(sockets)*UserStageShare)))}
-	set := min(s.Stage+StateConns+CloudConns+2*others+SpareSockets, int(float64(sockets)*ReservedMost))
-	s.Room = sockets - set
+// DivideSockets shares the sockets of a controller that has so many others beside it.
+func DivideSockets(sockets, others int) SocketShares {
+	s := SocketShares{UserSlots: min(UserSlots, max(1, int(float64(sockets)*UserSlotsShare)))}
+	set := min(s.UserSlots+StateConns+MaxCloudCalls+2*others+SpareSockets, int(float64(sockets)*ReservedSocketShare))
+	s.Total = sockets - set
 	part := func(of int, share float64) int { return max(1, int(float64(of)*share)) }
-	s.Headroom = part(s.Room, HeadroomShare)
-	s.Inbound = s.Room - part(s.Room, MadeShare) - s.Headroom
-	s.Fleet = s.Inbound - part(s.Inbound, UsersShare)
-	s.Machines = part(s.Fleet, 1-StaleShare)
-	s.Probes = min(ProbesMost, part(s.Room, ProbeShare))
+	s.Headroom = part(s.Total, HeadroomShare)
+	s.Inbound = s.Total - part(s.Total, OutboundShare) - s.Headroom
+	s.MachineConns = s.Inbound - part(s.Inbound, UserConnShare)
+	s.MaxMachines = part(s.MachineConns, 1-StaleConnShare)
+	s.Probes = min(MaxProbes, part(s.Total, ProbeShare))
 	return s
 }
 
-// Mailbox is the size of the mailbox of the leader's scheduler: one report of each worker that can be connected, as each has one in flight.
-func Mailbox(s Shares) int { return max(MailboxLeast, s.Fleet) }
+// MailboxSize is the size of the mailbox of the leader's scheduler: one report of each worker that can be connected, as each has one in flight.
+func MailboxSize(s SocketShares) int { return max(MinMailboxSize, s.MachineConns) }
 
 // ProbeRate is how many probes a second a controller with such a share of a core sends at most; one whose share is not known is held to
 // have a core.
@@ -151,32 +151,32 @@
 	if coreShare <= 0 {
 		coreShare = 1
 	}
-	return max(coreShare/ProbeCost.Seconds(), ProbeRateLeast)
+	return max(coreShare/ProbeCost.Seconds(), MinProbeRate)
 }
 
-// WaitOut is how long to wait, by our clock, until a lease of d on another clock is surely over.
-func WaitOut(d time.Duration) time.Duration {
+// LeaseSurelyOver is how long to wait, by our clock, until a lease of d on another clock is surely over.
+func LeaseSurelyOver(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*2*DriftShare) + LeaseMargin
 }
 
-// Entitled is how long, by our clock, a hold of life d is surely ours from the moment its touch was sent.
-func Entitled(d time.Duration) time.Duration {
+// EntitledFor is how long, by our clock, a hold of life d is surely ours from the moment its touch was sent.
+func EntitledFor(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*2*DriftShare) - LeaderLeaseMargin
 }
 
-// CancelLast is how long after a cancellation a machine that still has the job's tasks may get an answer to a report: its lease then
+// CancelAnswerUntil is how long after a cancellation a machine that still has the job's tasks may get an answer to a report: its lease then
 // ends within
 // cancelWithin, whatever becomes of its deletion. It is at least half of cancelWithin, for leases that are too long for any of this.
-func CancelLast(cancelWithin, lease time.Duration) time.Duration {
-	return max(cancelWithin-WaitOut(lease), cancelWithin/2)
+func CancelAnswerUntil(cancelWithin, lease time.Duration) time.Duration {
+	return max(cancelWithin-LeaseSurelyOver(lease), cancelWithin/2)
 }
 
 // HeapLimit is the Go runtime's soft limit in bytes, by the memory of the controller's machine.
-func HeapLimit(memoryMB float64) int64 { return int64(memoryMB * HeapShare * (1 << 20)) }
+func HeapLimit(memoryMB float64) int64 { return int64(memoryMB * HeapLimitShare * (1 << 20)) }
 
-// PledgeLife is how long a controller's pledge to a leader lasts, by the workers' lease.
-func PledgeLife(lease time.Duration) time.Duration {
-	return min(max(time.Duration(float64(lease)*PledgeShare), PledgeMin), PledgeMax)
+// VoteLease is how long a controller's pledge to a leader lasts, by the workers' lease.
+func VoteLease(lease time.Duration) time.Duration {
+	return min(max(time.Duration(float64(lease)*VoteLeaseShare), VoteLeaseMin), VoteLeaseMax)
 }
 
 // Seconds turns a protocol duration into a time.Duration.
--- a/internal/protocol/cbor.go
+++ b/internal/protocol/cbor.go
@@ -24,7 +24,7 @@
 	decMode, err = cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:   limits.MaxCBORNesting,
-		MaxArrayElements:  limits.MaxPieces * 2,
+		MaxArrayElements:  limits.MaxTasksPerJob * 2,
 		IndefLength:       cbor.IndefLengthAllowed,
 		TagsMd:            cbor.TagsForbidden,
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
