--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -11,7 +11,7 @@
 	"quillshunt/internal/limits"
 )
 
-func goodRun() map[string]any {
+func validSubmission() map[string]any {
 	return map[string]any{
 		"NameId": "job-000412", "Docket": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "high", "Pieces": 16,
 		"Vcpus": 8.0, "Accelerators": 1.0, "RamGb": 64.0, "Bundle": "img-07", "SizeGb": 6.2,
@@ -21,7 +21,7 @@
 }
 
 func TestSpecAccepted(t *testing.T) {
-	run := goodRun()
+	run := validSubmission()
 	want, err := ParseSpec(Encode(run))
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	bad := map[string][]any{
 		"NameId": {nil, 7, "", "job-", "job-12x", "run-1", "job-1/2", long}, "Docket": {nil, 1, "", long}, "Crew": {nil, false, ""},
 		"Shape": {nil, "Ensemble", "service", 1}, "Urgency": {nil, "urgent", 2},
-		"Pieces": {nil, 0, -1, limits.MaxPieces + 1, 1.5, "1", uint64(math.MaxUint64)},
+		"Pieces": {nil, 0, -1, limits.MaxTasksPerJob + 1, 1.5, "1", uint64(math.MaxUint64)},
 		"Vcpus":  {nil, -1, math.NaN(), math.Inf(1), "4", true}, "Accelerators": {nil, -0.5}, "RamGb": {nil, math.Inf(-1)},
 		"Bundle": {nil, "", long}, "SizeGb": {nil, math.NaN()}, "Rigkinds": {"g8", []any{1}, []any{""}, []any{long}, 3},
 		"Yard": {1, "", long}, "Together": {nil, 1}, "Scatter": {nil, "no"}, "Lendable": {nil, 0},
@@ -56,14 +56,14 @@
 	}
 	for field, values := range bad {
 		for _, v := range values {
-			run := goodRun()
+			run := validSubmission()
 			run[field] = v
 			if _, err := ParseSpec(Encode(run)); !errors.Is(err, ErrInvalid) {
 				t.Errorf("%s = %v: %v", field, v, err)
 			}
 		}
 	}
-	good := Encode(goodRun())
+	good := Encode(validSubmission())
 	for name, b := range map[string][]byte{
 		"empty": {}, "null": Encode(nil), "list": Encode([]int{1}), "text": Encode("x"), "number": Encode(4),
 		"trailing bytes": append(append([]byte(nil), good...), 0), "cut short": good[:len(good)-1],
@@ -79,7 +79,7 @@
 func TestPieceNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`job-[0-9]{1,12}`).Draw(t, "id")
-		n := rapid.IntRange(0, limits.MaxPieces-1).Draw(t, "n")
+		n := rapid.IntRange(0, limits.MaxTasksPerJob-1).Draw(t, "n")
 		if j, i, ok := ParseTaskName(TaskName(id, n)); !ok || j != id || i != n {
 			t.Fatalf("%s %d: %s %d %v", id, n, j, i, ok)
 		}
@@ -92,7 +92,7 @@
 }
 
 func FuzzParseSpec(f *testing.F) {
-	f.Add(Encode(goodRun()))
+	f.Add(Encode(validSubmission()))
 	f.Add([]byte{0xa0})
 	f.Add([]byte{0xbf, 0x61, 'a', 0xf9, 0x7e, 0, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -100,7 +100,7 @@
 		if err != nil {
 			return
 		}
-		if s.Tasks < 1 || s.Tasks > limits.MaxPieces || !ValidJobID(s.ID) || !(s.CPUs >= 0) || (s.Shape != ShapeArray && s.Shape != ShapeGang) {
+		if s.Tasks < 1 || s.Tasks > limits.MaxTasksPerJob || !ValidJobID(s.ID) || !(s.CPUs >= 0) || (s.Shape != ShapeArray && s.Shape != ShapeGang) {
 			t.Fatalf("accepted %+v", s)
 		}
 	})
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -1,7 +1,7 @@
 package protocol
 
-// Pair is a key with its value. In answers to a single read, Revision is set when the key is absent.
-type Pair struct {
+// KeyValue is a key with its value. In answers to a single read, Revision is set when the key is absent.
+type KeyValue struct {
 	Key      string `cbor:"Path"`
 	Value    Raw    `cbor:"Data"`
 	Version  uint64 `cbor:"Stamp"`
@@ -9,11 +9,11 @@
 	Revision uint64 `cbor:"Ledger"`
 }
 
-// Listing is a page of keys.
-type Listing struct {
-	Pairs     []Pair `cbor:"Pairs"`
-	Truncated bool   `cbor:"Truncated"`
-	Revision  uint64 `cbor:"Ledger"`
+// KeyPage is a page of keys.
+type KeyPage struct {
+	Items     []KeyValue `cbor:"Pairs"`
+	Truncated bool       `cbor:"Truncated"`
+	Revision  uint64     `cbor:"Ledger"`
 }
 
 // Condition is what a transaction requires of a key: that it has this version, 0 for a key that does not exist.
@@ -22,24 +22,24 @@
 	Version uint64 `cbor:"Stamp"`
 }
 
-// Op is a change in a transaction: a Put with Value, or a Delete.
-type Op struct {
+// Operation is a change in a transaction: a Put with Value, or a Delete.
+type Operation struct {
 	Put    string `cbor:"Write,omitempty"`
 	Value  Raw    `cbor:"Data,omitempty"`
 	Lease  uint64 `cbor:"Tenure,omitempty"`
 	Delete string `cbor:"Remove,omitempty"`
 }
 
-// Txn is a transaction.
-type Txn struct {
+// Transaction is a transaction.
+type Transaction struct {
 	Conditions []Condition `cbor:"Guards"`
-	Ops        []Op        `cbor:"Apply"`
+	Operations []Operation `cbor:"Apply"`
 }
 
-// TxnReply answers a transaction.
-type TxnReply struct {
-	Revision uint64   `cbor:"Ledger"`
-	Failed   []string `cbor:"failed"`
+// TransactionReply answers a transaction.
+type TransactionReply struct {
+	Revision   uint64   `cbor:"Ledger"`
+	FailedKeys []string `cbor:"failed"`
 }
 
 // LeaseRequest asks for a lease.
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -21,11 +21,11 @@
 	Production
 )
 
-var urgencies = map[string]Priority{"low": Low, "standard": Standard, "high": High, "production": Production}
+var priorities = map[string]Priority{"low": Low, "standard": Standard, "high": High, "production": Production}
 
 // ParsePriority reads a priority.
 func ParsePriority(s string) (Priority, bool) {
-	u, ok := urgencies[s]
+	u, ok := priorities[s]
 	return u, ok
 }
 
@@ -78,20 +78,20 @@
 // ErrInvalid is wrapped by every complaint about a malformed submission.
 var ErrInvalid = errors.New("invalid")
 
-// fields reads typed fields out of a decoded map and keeps the first complaint.
-type fields struct {
+// fieldReader reads typed fields out of a decoded map and keeps the first complaint.
+type fieldReader struct {
 	m   map[string]any
 	err error
 }
 
-func (f *fields) fail(name, why string) {
+func (f *fieldReader) fail(name, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%w: %s: %s", ErrInvalid, name, why)
 	}
 }
 
 // get returns a field's value; null and omitted are the same.
-func (f *fields) get(name string, optional bool) (any, bool) {
+func (f *fieldReader) get(name string, optional bool) (any, bool) {
 	v := f.m[name]
 	if v == nil {
 		if !optional {
@@ -102,7 +102,7 @@
 	return v, true
 }
 
-func (f *fields) text(name string, optional bool) string {
+func (f *fieldReader) text(name string, optional bool) string {
 	v, ok := f.get(name, optional)
 	if !ok {
 		return ""
@@ -119,7 +119,7 @@
 	return s
 }
 
-func (f *fields) flag(name string) bool {
+func (f *fieldReader) flag(name string) bool {
 	v, ok := f.get(name, false)
 	if !ok {
 		return false
@@ -131,7 +131,7 @@
 	return b
 }
 
-func (f *fields) amount(name string, optional bool) float64 {
+func (f *fieldReader) amount(name string, optional bool) float64 {
 	v, ok := f.get(name, optional)
 	if !ok {
 		return 0
@@ -155,7 +155,7 @@
 	return x
 }
 
-func (f *fields) count(name string, most uint64) int {
+func (f *fieldReader) count(name string, most uint64) int {
 	v, ok := f.get(name, false)
 	if !ok {
 		return 0
@@ -172,7 +172,7 @@
 	return int(n)
 }
 
-func (f *fields) names(name string) []string {
+func (f *fieldReader) names(name string) []string {
 	v, ok := f.get(name, true)
 	if !ok {
 		return nil
@@ -207,14 +207,14 @@
 	if m == nil { // CBOR null decodes into a nil map
 		return nil, fmt.Errorf("%w: not a map", ErrInvalid)
 	}
-	f := &fields{m: m}
+	f := &fieldReader{m: m}
 	s := &Spec{
 		ID:           f.text("NameId", false),
 		Class:        f.text("Docket", false),
 		Team:         f.text("Crew", false),
 		Shape:        f.text("Shape", false),
 		Priority:     f.text("Urgency", false),
-		Tasks:        f.count("Pieces", limits.MaxPieces),
+		Tasks:        f.count("Pieces", limits.MaxTasksPerJob),
 		CPUs:         f.amount("Vcpus", false),
 		Accelerators: f.amount("Accelerators", false),
 		MemoryGB:     f.amount("RamGb", false),
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -2,12 +2,12 @@
 
 // Reasons for the end of a task.
 const (
-	ReasonDone   = "done"
-	ReasonHalted = "halted"
-	ReasonError  = "error"
-	ReasonNoRoom = "no_room"
-	ReasonBusy   = "busy"
-	ReasonNoSuch = "no_such"
+	ReasonDone        = "done"
+	ReasonStopped     = "halted"
+	ReasonError       = "error"
+	ReasonNoRoom      = "no_room"
+	ReasonBusy        = "busy"
+	ReasonUnknownTask = "no_such"
 
 	ReasonPeers      = "peers"      // of a gang: another task of it is gone
 	ReasonIncomplete = "incomplete" // of a gang: it was not complete in time
@@ -20,8 +20,8 @@
 	CommandForget = "forget"
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
 	Task    string `cbor:"Piece"`
 	Attempt uint64 `cbor:"Try"`
 	State   string `cbor:"Standing"`
@@ -29,18 +29,18 @@
 	Saved   bool   `cbor:"Stored"`
 }
 
-// Report is what a worker tells.
-type Report struct {
-	Machine     string       `cbor:"Rig"`
-	Address     string       `cbor:"Address"`
-	MachineType string       `cbor:"Rigkind"`
-	Zone        string       `cbor:"Yard"`
-	Spot        bool         `cbor:"Lendable"`
-	Session     uint64       `cbor:"Shift"`
-	Sequence    uint64       `cbor:"Tally"`
-	Token       uint64       `cbor:"Baton"`
-	NoticeS     *float64     `cbor:"WarningS"`
-	Tasks       []TaskReport `cbor:"Pieces"`
+// Heartbeat is what a worker tells.
+type Heartbeat struct {
+	Machine      string       `cbor:"Rig"`
+	Address      string       `cbor:"Address"`
+	MachineType  string       `cbor:"Rigkind"`
+	Zone         string       `cbor:"Yard"`
+	Spot         bool         `cbor:"Lendable"`
+	Incarnation  uint64       `cbor:"Shift"`
+	Sequence     uint64       `cbor:"Tally"`
+	FencingToken uint64       `cbor:"Baton"`
+	SpotNoticeS  *float64     `cbor:"WarningS"`
+	Tasks        []TaskStatus `cbor:"Pieces"`
 }
 
 // Command is one command to a worker.
@@ -51,10 +51,10 @@
 	GraceS  *float64 `cbor:"LeewayS,omitempty"`
 }
 
-// ReportReply answers a report.
-type ReportReply struct {
-	Token    uint64    `cbor:"Baton"`
-	Commands []Command `cbor:"Orders"`
+// HeartbeatReply answers a report.
+type HeartbeatReply struct {
+	FencingToken uint64    `cbor:"Baton"`
+	Commands     []Command `cbor:"Orders"`
 }
 
 // Redirect is the body of a 421.
@@ -62,14 +62,14 @@
 	Leader string `cbor:"Foreman,omitempty"`
 }
 
-// Direct is the body of a command sent to a worker.
-type Direct struct {
-	Token    uint64    `cbor:"Baton"`
-	Session  uint64    `cbor:"Shift"`
-	Commands []Command `cbor:"Orders"`
+// DirectCommands is the body of a command sent to a worker.
+type DirectCommands struct {
+	FencingToken uint64    `cbor:"Baton"`
+	Incarnation  uint64    `cbor:"Shift"`
+	Commands     []Command `cbor:"Orders"`
 }
 
 // Valid checks what the scheduler relies on.
-func (r *Report) Valid() bool {
-	return r.Machine != "" && r.MachineType != "" && r.Zone != "" && r.Session > 0
+func (r *Heartbeat) Valid() bool {
+	return r.Machine != "" && r.MachineType != "" && r.Zone != "" && r.Incarnation > 0
 }
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -98,7 +98,7 @@
 }
 
 // look returns what a task shows now; a task that has ended has left.
-func (g *gang) look(task string) protocol.TaskReport {
+func (g *gang) look(task string) protocol.TaskStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.update()
@@ -109,27 +109,27 @@
 	return shown
 }
 
-func (g *gang) show(m *gangMember) protocol.TaskReport {
+func (g *gang) show(m *gangMember) protocol.TaskStatus {
 	now := time.Now()
 	save := limits.Seconds(g.spec.SaveS)
 	switch {
 	case m == nil:
-		return protocol.TaskReport{State: protocol.Ended, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonPeers}
 	case g.completed:
-		return protocol.TaskReport{State: protocol.Ended, Reason: protocol.ReasonDone}
+		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonDone}
 	case g.started.IsZero() && now.After(m.since.Add(g.times.wait)):
-		return protocol.TaskReport{State: protocol.Ended, Reason: protocol.ReasonIncomplete}
+		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonIncomplete}
 	case g.started.IsZero():
-		return protocol.TaskReport{State: protocol.Gathering}
+		return protocol.TaskStatus{State: protocol.Gathering}
 	case !g.lost.IsZero() && now.After(g.lost.Add(g.times.peer)):
-		return protocol.TaskReport{State: protocol.Ended, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonPeers}
 	case !g.firstStop.IsZero() && g.allTold() && now.After(g.firstStop.Add(save)):
 		g.board.save(g.spec.ID, g.progress(g.firstStop))
-		return protocol.TaskReport{State: protocol.Ended, Reason: protocol.ReasonHalted, Saved: true}
+		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonStopped, Saved: true}
 	case !g.firstStop.IsZero() && now.After(g.firstStop.Add(g.times.peer+save)):
-		return protocol.TaskReport{State: protocol.Ended, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonPeers}
 	}
-	return protocol.TaskReport{State: protocol.Running}
+	return protocol.TaskStatus{State: protocol.Running}
 }
 
 // allTold tells whether all tasks that are left were told to stop; the caller has the lock.
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -19,7 +19,7 @@
 // State is a stand-in of the state service.
 type State struct {
 	mu     sync.Mutex
-	keys   map[string]protocol.Pair
+	keys   map[string]protocol.KeyValue
 	ledger uint64
 	log    []protocol.Change
 	holds  map[uint64]hold
@@ -46,7 +46,7 @@
 
 // NewState returns an empty State.
 func NewState() *State {
-	return &State{keys: map[string]protocol.Pair{}, holds: map[uint64]hold{}, waits: map[chan struct{}]bool{}, refused: map[string]bool{}}
+	return &State{keys: map[string]protocol.KeyValue{}, holds: map[uint64]hold{}, waits: map[chan struct{}]bool{}, refused: map[string]bool{}}
 }
 
 // SetLimits sets limits from now on; what is stored stays as it is.
@@ -64,16 +64,16 @@
 }
 
 // fits tells whether a transaction keeps to the limits; the caller has the lock.
-func (s *State) fits(t *protocol.Txn) bool {
-	if s.limits.TxnOps > 0 && len(t.Ops) > s.limits.TxnOps {
+func (s *State) fits(t *protocol.Transaction) bool {
+	if s.limits.TxnOps > 0 && len(t.Operations) > s.limits.TxnOps {
 		return false
 	}
-	for _, op := range t.Ops {
+	for _, op := range t.Operations {
 		var value any
 		if s.limits.ValueBytes == 0 || op.Delete != "" || protocol.Decode(op.Value, &value) != nil {
 			continue
 		}
-		if storage.Size(textKeys(value)) > s.limits.ValueBytes {
+		if storage.EncodedSize(textKeys(value)) > s.limits.ValueBytes {
 			return false
 		}
 	}
@@ -185,7 +185,7 @@
 }
 
 // Get reads a key.
-func (s *State) Get(key string) (protocol.Pair, bool) {
+func (s *State) Get(key string) (protocol.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -194,39 +194,39 @@
 }
 
 // Txn carries out a transaction: 200, 400 or 409.
-func (s *State) Txn(t protocol.Txn) (int, protocol.TxnReply) {
+func (s *State) Txn(t protocol.Transaction) (int, protocol.TransactionReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 	if !s.fits(&t) {
 		s.over++
-		return 400, protocol.TxnReply{}
+		return 400, protocol.TransactionReply{}
 	}
-	for _, op := range t.Ops {
+	for _, op := range t.Operations {
 		if op.Lease != 0 {
 			if _, ok := s.holds[op.Lease]; !ok {
-				return 400, protocol.TxnReply{}
+				return 400, protocol.TransactionReply{}
 			}
 		}
 	}
-	r := protocol.TxnReply{Revision: s.ledger, Failed: []string{}}
+	r := protocol.TransactionReply{Revision: s.ledger, FailedKeys: []string{}}
 	for _, g := range t.Conditions {
 		if s.keys[g.Key].Version != g.Version {
-			r.Failed = append(r.Failed, g.Key)
+			r.FailedKeys = append(r.FailedKeys, g.Key)
 		}
 	}
-	if len(r.Failed) > 0 {
+	if len(r.FailedKeys) > 0 {
 		return 409, r
 	}
-	if len(t.Ops) > 0 {
+	if len(t.Operations) > 0 {
 		s.ledger++
-		for _, op := range t.Ops {
+		for _, op := range t.Operations {
 			if op.Delete != "" {
 				delete(s.keys, op.Delete)
 				s.log = append(s.log, protocol.Change{Delete: op.Delete, Version: s.ledger})
 				continue
 			}
-			s.keys[op.Put] = protocol.Pair{Key: op.Put, Value: op.Value, Version: s.ledger, Lease: op.Lease}
+			s.keys[op.Put] = protocol.KeyValue{Key: op.Put, Value: op.Value, Version: s.ledger, Lease: op.Lease}
 			s.log = append(s.log, protocol.Change{Put: op.Put, Value: op.Value, Version: s.ledger})
 		}
 		s.wake()
@@ -236,11 +236,11 @@
 }
 
 // List returns the keys with a prefix after since, and whether there are more.
-func (s *State) List(prefix, since string, limit int) protocol.Listing {
+func (s *State) List(prefix, since string, limit int) protocol.KeyPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	l := protocol.Listing{Revision: s.ledger, Pairs: []protocol.Pair{}}
+	l := protocol.KeyPage{Revision: s.ledger, Items: []protocol.KeyValue{}}
 	var names []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, prefix) && k > since {
@@ -249,11 +249,11 @@
 	}
 	sort.Strings(names)
 	for _, k := range names {
-		if len(l.Pairs) == limit {
+		if len(l.Items) == limit {
 			l.Truncated = true
 			break
 		}
-		l.Pairs = append(l.Pairs, s.keys[k])
+		l.Items = append(l.Items, s.keys[k])
 	}
 	return l
 }
@@ -353,7 +353,7 @@
 		}
 		rsp.Respond(200, protocol.Encode(p), 0)
 	case path == "/txn":
-		var t protocol.Txn
+		var t protocol.Transaction
 		if err := protocol.Decode(req.Body, &t); err != nil {
 			rsp.Respond(400, nil, 0)
 			return
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -44,7 +44,7 @@
 }
 
 type task struct {
-	protocol.TaskReport
+	protocol.TaskStatus
 	ends time.Time
 	gang *gang // nil if its job's tasks are independent
 }
@@ -71,7 +71,7 @@
 	clients := map[string]*transport.Client{}
 	for n, a := range w.cloud.Controllers {
 		names = append(names, n)
-		clients[n] = transport.NewClient(a, 1, limits.MaxBodyBytes).Over(w.cloud.dialer(w.rig.Name))
+		clients[n] = transport.NewClient(a, 1, limits.MaxBodyBytes).WithDialer(w.cloud.dialer(w.rig.Name))
 		defer clients[n].Close()
 	}
 	sort.Strings(names)
@@ -89,7 +89,7 @@
 		switch {
 		case status == 200:
 			if time.Since(sent) < answerIn {
-				w.take(r.Session, reply, sent)
+				w.take(r.Incarnation, reply, sent)
 			}
 		case status == 421 && leader != "" && leader != names[at]:
 			clients[names[at]].Close()
@@ -184,7 +184,7 @@
 }
 
 // send makes a report.
-func (w *worker) send(ctx context.Context, c *transport.Client, r protocol.Report) (status int, leader string, reply protocol.ReportReply) {
+func (w *worker) send(ctx context.Context, c *transport.Client, r protocol.Heartbeat) (status int, leader string, reply protocol.HeartbeatReply) {
 	ctx, cancel := context.WithTimeout(ctx, answerIn)
 	defer cancel()
 	body := protocol.Encode(r)
@@ -215,28 +215,28 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), answerIn)
 			defer cancel()
-			c := transport.NewClient(addr, 0, limits.MaxBodyBytes).Over(w.cloud.dialer("copies"))
+			c := transport.NewClient(addr, 0, limits.MaxBodyBytes).WithDialer(w.cloud.dialer("copies"))
 			_, _ = c.Do(ctx, "POST", "/v1/report", body)
 		}()
 	}
 }
 
 // take executes an answer, unless its token is old or the session has changed.
-func (w *worker) take(shift uint64, reply protocol.ReportReply, sent time.Time) {
+func (w *worker) take(shift uint64, reply protocol.HeartbeatReply, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if reply.Token < w.baton || shift != w.shift {
+	if reply.FencingToken < w.baton || shift != w.shift {
 		return
 	}
-	w.baton, w.answered = reply.Token, sent
+	w.baton, w.answered = reply.FencingToken, sent
 	w.execute(reply.Commands)
 }
 
 // report makes a report; the caller has the lock.
-func (w *worker) report() protocol.Report {
+func (w *worker) report() protocol.Heartbeat {
 	w.tally++
-	r := protocol.Report{Machine: w.rig.Name, Address: w.rig.Address, MachineType: w.rig.MachineType, Zone: w.rig.Zone, Spot: w.rig.Spot,
-		Session: w.shift, Sequence: w.tally, Token: w.baton, Tasks: []protocol.TaskReport{}}
+	r := protocol.Heartbeat{Machine: w.rig.Name, Address: w.rig.Address, MachineType: w.rig.MachineType, Zone: w.rig.Zone, Spot: w.rig.Spot,
+		Incarnation: w.shift, Sequence: w.tally, FencingToken: w.baton, Tasks: []protocol.TaskStatus{}}
 	var keys []string
 	for k := range w.tasks {
 		keys = append(keys, k)
@@ -250,7 +250,7 @@
 		case t.State == protocol.Running && time.Now().After(t.ends):
 			w.end(t, protocol.ReasonDone)
 		}
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
@@ -287,7 +287,7 @@
 			if t.gang != nil && o.GraceS != nil && t.gang.stop(t.Task, *o.GraceS) {
 				continue // it saves
 			}
-			w.end(t, protocol.ReasonHalted)
+			w.end(t, protocol.ReasonStopped)
 		case o.Verb == protocol.CommandForget && t != nil && t.State == protocol.Ended:
 			delete(w.tasks, key)
 		}
@@ -295,7 +295,7 @@
 }
 
 func (w *worker) begin(o protocol.Command) *task {
-	t := &task{TaskReport: protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.Ended, Reason: protocol.ReasonNoSuch}}
+	t := &task{TaskStatus: protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Ended, Reason: protocol.ReasonUnknownTask}}
 	id, _, ok := protocol.ParseTaskName(o.Task)
 	if !ok {
 		return t
@@ -331,8 +331,8 @@
 	if c.Spec != nil {
 		return c.Spec(id)
 	}
-	p, ok := c.State.Get(storage.OpenKey(id))
-	var rec storage.Open
+	p, ok := c.State.Get(storage.OpenJobKey(id))
+	var rec storage.OpenJob
 	if !ok || protocol.Decode(p.Value, &rec) != nil {
 		return rec.Spec, false
 	}
@@ -353,16 +353,16 @@
 	case req.Path == "/status" && req.Method == "GET":
 		rsp.Respond(200, protocol.Encode(w.report()), 0)
 	case req.Path == "/do" && req.Method == "POST":
-		var d protocol.Direct
-		if err := protocol.Decode(req.Body, &d); err != nil || d.Session == 0 {
+		var d protocol.DirectCommands
+		if err := protocol.Decode(req.Body, &d); err != nil || d.Incarnation == 0 {
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		if d.Token < w.baton || d.Session != w.shift {
+		if d.FencingToken < w.baton || d.Incarnation != w.shift {
 			rsp.Respond(409, protocol.Encode(w.report()), 0)
 			return
 		}
-		w.baton = d.Token
+		w.baton = d.FencingToken
 		w.execute(d.Commands)
 		rsp.Respond(200, protocol.Encode(w.report()), 0)
 	default:
--- a/internal/storage/records_test.go
+++ b/internal/storage/records_test.go
@@ -12,7 +12,7 @@
 func TestFinRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := rapid.SampledFrom([]float64{0.25, 1, 4, 8}).Draw(t, "kb")
-		size := ChunkTasks(kb)
+		size := TasksPerChunk(kb)
 		tasks := rapid.IntRange(1, 100_000).Draw(t, "tasks")
 		bits := make([]uint64, (tasks+63)/64)
 		want := map[int]bool{}
@@ -29,11 +29,11 @@
 		}
 		got := map[int]bool{}
 		for base := 0; base < tasks; base += size {
-			f := EncodeFin(bits, base, size)
-			if !Fits(f, kb) {
+			f := EncodeFinishedTasks(bits, base, size)
+			if !FitsValueLimit(f, kb) {
 				t.Fatalf("chunk of %d tasks does not fit %v KiB", size, kb)
 			}
-			var back Fin
+			var back FinishedTasks
 			if err := protocol.Decode(protocol.Encode(f), &back); err != nil {
 				t.Fatal(err)
 			}
@@ -53,11 +53,11 @@
 }
 
 func TestFinKey(t *testing.T) {
-	if id, base, ok := ParseFinKey(FinKey("job-7", 4096)); !ok || id != "job-7" || base != 4096 {
+	if id, base, ok := ParseFinishedTasksKey(FinishedTasksKey("job-7", 4096)); !ok || id != "job-7" || base != 4096 {
 		t.Fatal(id, base, ok)
 	}
 	for _, k := range []string{"open/job-7", "fin/job-7", "fin/job-7/x"} {
-		if _, _, ok := ParseFinKey(k); ok {
+		if _, _, ok := ParseFinishedTasksKey(k); ok {
 			t.Errorf("%q parsed", k)
 		}
 	}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -23,36 +23,36 @@
 
 // Outcomes of a call that are not answers.
 var (
-	// ErrRefused: the service said that it did not carry the request out (429, 503), or nothing was sent.
-	ErrRefused = errors.New("state service refused")
-	// ErrRate: it was refused because more was asked than the service's rates allow. It is an ErrRefused as well.
-	ErrRate = errors.New("over the state service's rate")
-	// ErrUnclear: there was no answer; the request may have been carried out, or may still be.
-	ErrUnclear = errors.New("state service did not answer")
-	// ErrNoLease: the hold is over.
-	ErrNoLease = errors.New("no such hold")
-	// ErrGone: the watch began too long ago; the keys must be read again.
-	ErrGone = errors.New("changes no longer kept")
+	// ErrNotExecuted: the service said that it did not carry the request out (429, 503), or nothing was sent.
+	ErrNotExecuted = errors.New("state service refused")
+	// ErrRateLimited: it was refused because more was asked than the service's rates allow. It is an ErrRefused as well.
+	ErrRateLimited = errors.New("over the state service's rate")
+	// ErrOutcomeUnknown: there was no answer; the request may have been carried out, or may still be.
+	ErrOutcomeUnknown = errors.New("state service did not answer")
+	// ErrLeaseExpired: the hold is over.
+	ErrLeaseExpired = errors.New("no such hold")
+	// ErrCompacted: the watch began too long ago; the keys must be read again.
+	ErrCompacted = errors.New("changes no longer kept")
 	// ErrBadRequest: the service held the request to be malformed.
 	ErrBadRequest = errors.New("state service rejected the request")
 )
 
-// TimedOut tells whether a call failed only because time went by without an answer. The service may then be out of reach, but a process
+// IsTimeout tells whether a call failed only because time went by without an answer. The service may then be out of reach, but a process
 // that gets too little of
 // its processor sees the same.
-func TimedOut(err error) bool {
+func IsTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// Conflict reports the keys whose guards failed.
-type Conflict struct{ Failed []string }
+// ConflictError reports the keys whose guards failed.
+type ConflictError struct{ FailedKeys []string }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("guards failed: %v", c.Failed) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("guards failed: %v", c.FailedKeys) }
 
 // Has tells whether a key is among those that failed.
-func (c *Conflict) Has(key string) bool {
-	for _, k := range c.Failed {
+func (c *ConflictError) Has(key string) bool {
+	for _, k := range c.FailedKeys {
 		if k == key {
 			return true
 		}
@@ -65,52 +65,52 @@
 // own (see ForUsers), which any controller may use up, as load lies now here, now there; if that is too much in sum, the service
 // says so with 429 and has executed nothing.
 type Store struct {
-	http     *transport.Client
-	watch    *transport.Client
-	requests *rate.Limiter
-	writes   *rate.Limiter
-	patience time.Duration // longest wait for a share of the rates, or 0
-	settings config.State
-	health   *health
+	http        *transport.Client
+	watch       *transport.Client
+	requests    *rate.Limiter
+	writes      *rate.Limiter
+	maxRateWait time.Duration // longest wait for a share of the rates, or 0
+	settings    config.State
+	health      *serviceHealth
 }
 
-// health is what the last calls tell of the service. All times are Unix nanoseconds.
-type health struct {
-	failing atomic.Int64 // since when no call succeeded; 0 if the last one did
-	tried   atomic.Int64 // when the last call began
-	writes  atomic.Int64 // changes sent
-	refused atomic.Int64 // calls answered 429 or 503
+// serviceHealth is what the last calls tell of the service. All times are Unix nanoseconds.
+type serviceHealth struct {
+	failingSince atomic.Int64 // since when no call succeeded; 0 if the last one did
+	lastCallAt   atomic.Int64 // when the last call began
+	writes       atomic.Int64 // changes sent
+	refused      atomic.Int64 // calls answered 429 or 503
 }
 
 // New returns a Store for the work of the controllers themselves, of which only the leader's amounts to much.
 func New(addr string, settings config.State) *Store {
 	return &Store{
-		http:     transport.NewClient(addr, limits.StateIdle, limits.MaxUpstreamBytes).DialWithin(limits.TouchTimeout),
+		http:     transport.NewClient(addr, limits.StateIdle, limits.MaxUpstreamBytes).WithDialTimeout(limits.LeaseRenewTimeout),
 		watch:    transport.NewClient(addr, 2, limits.MaxUpstreamBytes),
-		requests: limiter(settings.RPS, limits.OwnReads, 1),
-		writes:   limiter(settings.WriteRPS, limits.OwnWrites, settings.TxnOps),
+		requests: newLimiter(settings.RPS, limits.ControllerReadShare, 1),
+		writes:   newLimiter(settings.WriteRPS, limits.ControllerWriteShare, settings.TxnOps),
 		settings: settings,
-		health:   &health{},
+		health:   &serviceHealth{},
 	}
 }
 
-// Over makes the store dial another way. It is called before the first use.
-func (s *Store) Over(d transport.Dialer) *Store {
-	s.http.Over(d)
-	s.watch.Over(d)
+// WithDialer makes the store dial another way. It is called before the first use.
+func (s *Store) WithDialer(d transport.Dialer) *Store {
+	s.http.WithDialer(d)
+	s.watch.WithDialer(d)
 	return s
 }
 
 // ForUsers returns a Store over the same connections with the users' share of the rates. It does not wait long for it.
 func (s *Store) ForUsers() *Store {
 	u := *s
-	u.requests = limiter(s.settings.RPS, limits.UsersReads, 1)
-	u.writes = limiter(s.settings.WriteRPS, limits.UsersWrites, s.settings.TxnOps)
-	u.patience = limits.ShareWait
+	u.requests = newLimiter(s.settings.RPS, limits.UserReadShare, 1)
+	u.writes = newLimiter(s.settings.WriteRPS, limits.UserWriteShare, s.settings.TxnOps)
+	u.maxRateWait = limits.UserRateWait
 	return &u
 }
 
-func limiter(rps, share float64, least int) *rate.Limiter {
+func newLimiter(rps, share float64, least int) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(rps*share), max(least, int(rps*share)))
 }
 
@@ -125,76 +125,76 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	began := time.Now().UnixNano()
-	s.health.tried.Store(began)
+	s.health.lastCallAt.Store(began)
 	m, err := s.http.Do(ctx, method, target, body)
 	if err == nil && m.Status != 503 {
-		s.health.failing.Store(0)
+		s.health.failingSince.Store(0)
 	} else {
-		s.health.failing.CompareAndSwap(0, began)
+		s.health.failingSince.CompareAndSwap(0, began)
 	}
 	if err == nil && (m.Status == 429 || m.Status == 503) {
 		s.health.refused.Add(1)
 	}
-	return checked(m, err)
+	return checkReply(m, err)
 }
 
-// Failing is for how long no call succeeded.
-func (s *Store) Failing() time.Duration {
-	if since := s.health.failing.Load(); since != 0 {
+// FailingFor is for how long no call succeeded.
+func (s *Store) FailingFor() time.Duration {
+	if since := s.health.failingSince.Load(); since != 0 {
 		return time.Since(time.Unix(0, since))
 	}
 	return 0
 }
 
-// Usage is how many changes were sent and how many calls were refused so far, for the log.
-func (s *Store) Usage() (writes, refused int64) {
+// Counters is how many changes were sent and how many calls were refused so far, for the log.
+func (s *Store) Counters() (writes, refused int64) {
 	return s.health.writes.Load(), s.health.refused.Load()
 }
 
-// Down tells whether the service is known to be out of reach, so that one more call would only keep somebody waiting. Now and then
+// Unavailable tells whether the service is known to be out of reach, so that one more call would only keep somebody waiting. Now and then
 // a call is let through to see whether it is over.
-func (s *Store) Down() bool {
-	return s.Failing() > limits.DownAfter && time.Since(time.Unix(0, s.health.tried.Load())) < limits.DownLook
+func (s *Store) Unavailable() bool {
+	return s.FailingFor() > limits.UnavailableAfter && time.Since(time.Unix(0, s.health.lastCallAt.Load())) < limits.UnavailableProbeInterval
 }
 
-func checked(m *transport.Message, err error) (*transport.Message, error) {
+func checkReply(m *transport.Message, err error) (*transport.Message, error) {
 	switch {
 	case errors.Is(err, transport.ErrNotSent):
-		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	case err != nil:
-		return nil, fmt.Errorf("%w: %w", ErrUnclear, err)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	case m.Status == 429:
-		return nil, fmt.Errorf("%w: %w", ErrRefused, ErrRate)
+		return nil, fmt.Errorf("%w: %w", ErrNotExecuted, ErrRateLimited)
 	case m.Status == 503:
-		return nil, fmt.Errorf("%w: status %d", ErrRefused, m.Status)
+		return nil, fmt.Errorf("%w: status %d", ErrNotExecuted, m.Status)
 	}
 	return m, nil
 }
 
-func (s *Store) admit(ctx context.Context, writes int) error {
-	if s.patience > 0 {
-		if s.Down() {
-			return fmt.Errorf("%w: known to be out of reach", ErrRefused)
+func (s *Store) waitForRate(ctx context.Context, writes int) error {
+	if s.maxRateWait > 0 {
+		if s.Unavailable() {
+			return fmt.Errorf("%w: known to be out of reach", ErrNotExecuted)
 		}
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, s.patience)
+		ctx, cancel = context.WithTimeout(ctx, s.maxRateWait)
 		defer cancel()
 	}
 	if err := s.requests.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: rate: %w", ErrRefused, err)
+		return fmt.Errorf("%w: rate: %w", ErrNotExecuted, err)
 	}
 	if writes > 0 {
 		if err := s.writes.WaitN(ctx, writes); err != nil {
-			return fmt.Errorf("%w: write rate: %w", ErrRefused, err)
+			return fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err)
 		}
 	}
 	return nil
 }
 
 // Get reads a key. An absent key is a Pair with Stamp 0.
-func (s *Store) Get(ctx context.Context, key string) (protocol.Pair, error) {
-	var p protocol.Pair
-	if err := s.admit(ctx, 0); err != nil {
+func (s *Store) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
+	var p protocol.KeyValue
+	if err := s.waitForRate(ctx, 0); err != nil {
 		return p, err
 	}
 	m, err := s.call(ctx, "GET", "/kv/"+key, nil)
@@ -214,14 +214,14 @@
 }
 
 // List reads all keys with a prefix. The ledger returned is that of the first page, from which a watch misses nothing.
-func (s *Store) List(ctx context.Context, prefix string, each func(protocol.Pair) error) (uint64, error) {
+func (s *Store) List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error) {
 	var ledger uint64
 	since, first := "", true
 	for {
-		if err := s.admit(ctx, 0); err != nil {
+		if err := s.waitForRate(ctx, 0); err != nil {
 			return 0, err
 		}
-		target := "/kv?Starts=" + url.QueryEscape(prefix) + "&Limit=" + strconv.Itoa(limits.StatePage)
+		target := "/kv?Starts=" + url.QueryEscape(prefix) + "&Limit=" + strconv.Itoa(limits.StatePageSize)
 		if since != "" {
 			target += "&Since=" + url.QueryEscape(since)
 		}
@@ -232,50 +232,50 @@
 		if m.Status != 200 {
 			return 0, fmt.Errorf("%w: list %s: status %d", ErrBadRequest, prefix, m.Status)
 		}
-		var l protocol.Listing
+		var l protocol.KeyPage
 		if err := protocol.Decode(m.Body, &l); err != nil {
 			return 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		if first {
 			ledger, first = l.Revision, false
 		}
-		for _, p := range l.Pairs {
+		for _, p := range l.Items {
 			if err := each(p); err != nil {
 				return 0, err
 			}
 			since = p.Key
 		}
-		if !l.Truncated || len(l.Pairs) == 0 {
+		if !l.Truncated || len(l.Items) == 0 {
 			return ledger, nil
 		}
 	}
 }
 
-// Txn carries out a transaction and returns its revision.
-func (s *Store) Txn(ctx context.Context, t protocol.Txn) (uint64, error) {
-	if err := s.admit(ctx, len(t.Ops)); err != nil {
+// CompareAndSwap carries out a transaction and returns its revision.
+func (s *Store) CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
+	if err := s.waitForRate(ctx, len(t.Operations)); err != nil {
 		return 0, err
 	}
-	s.health.writes.Add(int64(len(t.Ops)))
+	s.health.writes.Add(int64(len(t.Operations)))
 	m, err := s.call(ctx, "POST", "/txn", protocol.Encode(t))
 	if err != nil {
 		return 0, err
 	}
-	var r protocol.TxnReply
+	var r protocol.TransactionReply
 	switch m.Status {
 	case 200, 409:
 		if err := protocol.Decode(m.Body, &r); err != nil {
-			return 0, fmt.Errorf("%w: txn: %w", ErrUnclear, err)
+			return 0, fmt.Errorf("%w: txn: %w", ErrOutcomeUnknown, err)
 		}
 		if m.Status == 409 {
-			return 0, &Conflict{Failed: r.Failed}
+			return 0, &ConflictError{FailedKeys: r.FailedKeys}
 		}
 		return r.Revision, nil
 	case 400:
 		// The one well-formed transaction that is rejected is one whose hold is over.
-		for _, op := range t.Ops {
+		for _, op := range t.Operations {
 			if op.Lease != 0 {
-				return 0, fmt.Errorf("txn: %w", ErrNoLease)
+				return 0, fmt.Errorf("txn: %w", ErrLeaseExpired)
 			}
 		}
 	}
@@ -298,9 +298,9 @@
 	return r.Lease, nil
 }
 
-// Touch renews a hold.
-func (s *Store) Touch(ctx context.Context, tenure uint64) error {
-	m, err := s.callWithin(ctx, limits.TouchTimeout, "POST", "/holds/"+strconv.FormatUint(tenure, 10)+"/touch", nil)
+// RenewLease renews a hold.
+func (s *Store) RenewLease(ctx context.Context, tenure uint64) error {
+	m, err := s.callWithin(ctx, limits.LeaseRenewTimeout, "POST", "/holds/"+strconv.FormatUint(tenure, 10)+"/touch", nil)
 	if err != nil {
 		return err
 	}
@@ -308,13 +308,13 @@
 	case 200:
 		return nil
 	case 404:
-		return ErrNoLease
+		return ErrLeaseExpired
 	}
 	return fmt.Errorf("%w: touch: status %d", ErrBadRequest, m.Status)
 }
 
-// EndLease ends a hold at once, which removes the keys attached to it.
-func (s *Store) EndLease(ctx context.Context, tenure uint64) error {
+// RevokeLease ends a hold at once, which removes the keys attached to it.
+func (s *Store) RevokeLease(ctx context.Context, tenure uint64) error {
 	_, err := s.call(ctx, "DELETE", "/holds/"+strconv.FormatUint(tenure, 10), nil)
 	return err
 }
@@ -322,18 +322,18 @@
 // Watch waits for changes of keys with a prefix after a revision.
 func (s *Store) Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
 	var r protocol.WatchReply
-	if err := s.admit(ctx, 0); err != nil {
+	if err := s.waitForRate(ctx, 0); err != nil {
 		return r, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, limits.WatchHold+limits.WatchGrace)
+	ctx, cancel := context.WithTimeout(ctx, limits.WatchDuration+limits.WatchGrace)
 	defer cancel()
 	target := "/watch?Starts=" + url.QueryEscape(prefix) + "&Since=" + strconv.FormatUint(since, 10) +
-		"&HoldMs=" + strconv.FormatInt(limits.WatchHold.Milliseconds(), 10)
+		"&HoldMs=" + strconv.FormatInt(limits.WatchDuration.Milliseconds(), 10)
 	m, err := s.watch.Do(ctx, "GET", target, nil)
 	if errors.Is(err, transport.ErrTooLarge) {
-		return r, ErrGone
+		return r, ErrCompacted
 	}
-	if m, err = checked(m, err); err != nil {
+	if m, err = checkReply(m, err); err != nil {
 		return r, err
 	}
 	switch m.Status {
@@ -343,7 +343,7 @@
 		}
 		return r, nil
 	case 410:
-		return r, ErrGone
+		return r, ErrCompacted
 	}
 	return r, fmt.Errorf("%w: watch: status %d", ErrBadRequest, m.Status)
 }
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -17,25 +17,25 @@
 		own := New("127.0.0.1:1", config.State{RPS: 100, WriteRPS: 10, TxnOps: 8})
 		s := own.ForUsers()
 		failed := func() { // as call notes it
-			s.health.tried.Store(time.Now().UnixNano())
-			s.health.failing.CompareAndSwap(0, time.Now().UnixNano())
+			s.health.lastCallAt.Store(time.Now().UnixNano())
+			s.health.failingSince.CompareAndSwap(0, time.Now().UnixNano())
 		}
 		failed()
-		if s.Down() {
+		if s.Unavailable() {
 			t.Error("down after one failure")
 		}
-		time.Sleep(2 * limits.DownAfter)
+		time.Sleep(2 * limits.UnavailableAfter)
 		failed()
-		if !s.Down() || s.admit(t.Context(), 0) == nil {
+		if !s.Unavailable() || s.waitForRate(t.Context(), 0) == nil {
 			t.Error("not down after a while of failures")
 		}
-		if own.admit(t.Context(), 0) != nil {
+		if own.waitForRate(t.Context(), 0) != nil {
 			t.Error("the controllers' own calls are held back")
 		}
 		let := 0
 		for range 75 { // the users' bound on being without an answer, in seconds
 			time.Sleep(time.Second)
-			if s.admit(t.Context(), 0) == nil {
+			if s.waitForRate(t.Context(), 0) == nil {
 				let++
 				failed()
 			}
@@ -43,8 +43,8 @@
 		if let < 37 {
 			t.Errorf("%d of 75 tries let through", let)
 		}
-		s.health.failing.Store(0)
-		if s.Down() {
+		s.health.failingSince.Store(0)
+		if s.Unavailable() {
 			t.Error("down after a success")
 		}
 	})
--- a/internal/storage/types.go
+++ b/internal/storage/types.go
@@ -9,84 +9,84 @@
 )
 
 // ErrNoTypes means that the machine types are not kept yet, or are just being replaced.
-var ErrNoTypes = errors.New("machine types not kept yet")
+var ErrNoMachineTypes = errors.New("machine types not kept yet")
 
-// StoredTypes are the machine types as they are kept, with the versions of their records.
-type StoredTypes struct {
-	Types []protocol.MachineType
-	Whole uint64            // version of the one record; 0: there is none
-	Parts map[string]uint64 // versions of the records of parts, by key
+// StoredMachineTypes are the machine types as they are kept, with the versions of their records.
+type StoredMachineTypes struct {
+	Types               []protocol.MachineType
+	SingleRecordVersion uint64            // version of the one record; 0: there is none
+	PartVersions        map[string]uint64 // versions of the records of parts, by key
 }
 
-// ReadTypes reads the machine types. The parts count where they are complete; the one record may then be one of an earlier version of this
+// ReadMachineTypes reads the machine types. The parts count where they are complete; the one record may then be one of an earlier version of this
 // program, which knows no parts.
-func (s *Store) ReadTypes(ctx context.Context) (StoredTypes, error) {
-	stored := StoredTypes{Parts: map[string]uint64{}}
-	var parts []TypesPart
-	_, err := s.List(ctx, PrefixTypes, func(p protocol.Pair) error {
-		var part TypesPart
+func (s *Store) ReadMachineTypes(ctx context.Context) (StoredMachineTypes, error) {
+	stored := StoredMachineTypes{PartVersions: map[string]uint64{}}
+	var parts []MachineTypesPart
+	_, err := s.List(ctx, PrefixMachineTypesPart, func(p protocol.KeyValue) error {
+		var part MachineTypesPart
 		if err := protocol.Decode(p.Value, &part); err != nil {
 			return fmt.Errorf("%s: %w", p.Key, err)
 		}
 		parts = append(parts, part)
-		stored.Parts[p.Key] = p.Version
+		stored.PartVersions[p.Key] = p.Version
 		return nil
 	})
 	if err != nil {
 		return stored, err
 	}
-	p, err := s.Get(ctx, KeyTypes)
+	p, err := s.Get(ctx, KeyMachineTypes)
 	if err != nil {
 		return stored, err
 	}
-	stored.Whole = p.Version
+	stored.SingleRecordVersion = p.Version
 	if len(parts) > 0 {
-		types, complete := JoinTypes(parts)
+		types, complete := JoinMachineTypes(parts)
 		if !complete {
-			return stored, ErrNoTypes
+			return stored, ErrNoMachineTypes
 		}
 		stored.Types = types
 		return stored, nil
 	}
-	var whole Types
+	var whole MachineTypes
 	if p.Version == 0 {
-		return stored, ErrNoTypes
+		return stored, ErrNoMachineTypes
 	}
 	if err := protocol.Decode(p.Value, &whole); err != nil {
-		return stored, fmt.Errorf("%s: %w", KeyTypes, err)
+		return stored, fmt.Errorf("%s: %w", KeyMachineTypes, err)
 	}
 	stored.Types = whole.MachineTypes
 	return stored, nil
 }
 
-// TypesWrites are the transactions that keep machine types in place of what is stored, each within the limits of the service. The guard is
+// MachineTypesTransactions are the transactions that keep machine types in place of what is stored, each within the limits of the service. The guard is
 // that of the leader.
-func (s *Store) TypesWrites(stored StoredTypes, types []protocol.MachineType, guard protocol.Condition) []protocol.Txn {
-	var ops []protocol.Op
+func (s *Store) MachineTypesTransactions(stored StoredMachineTypes, types []protocol.MachineType, guard protocol.Condition) []protocol.Transaction {
+	var ops []protocol.Operation
 	conditions := map[string]uint64{}
-	whole := Types{MachineTypes: types}
+	whole := MachineTypes{MachineTypes: types}
 	keep := map[string]bool{}
-	if Fits(whole, s.settings.ValueKB) {
-		ops = append(ops, protocol.Op{Put: KeyTypes, Value: protocol.Encode(whole)})
-		conditions[KeyTypes] = stored.Whole
+	if FitsValueLimit(whole, s.settings.ValueKB) {
+		ops = append(ops, protocol.Operation{Put: KeyMachineTypes, Value: protocol.Encode(whole)})
+		conditions[KeyMachineTypes] = stored.SingleRecordVersion
 	} else {
-		for i, part := range SplitTypes(types, s.settings.ValueKB) {
-			key := TypesKey(i)
-			ops = append(ops, protocol.Op{Put: key, Value: protocol.Encode(part)})
-			conditions[key], keep[key] = stored.Parts[key], true
+		for i, part := range SplitMachineTypes(types, s.settings.ValueKB) {
+			key := MachineTypesPartKey(i)
+			ops = append(ops, protocol.Operation{Put: key, Value: protocol.Encode(part)})
+			conditions[key], keep[key] = stored.PartVersions[key], true
 		}
 	}
-	for key, version := range stored.Parts {
+	for key, version := range stored.PartVersions {
 		if !keep[key] {
-			ops = append(ops, protocol.Op{Delete: key})
+			ops = append(ops, protocol.Operation{Delete: key})
 			conditions[key] = version
 		}
 	}
-	var txns []protocol.Txn
+	var txns []protocol.Transaction
 	for len(ops) > 0 {
 		n := min(len(ops), s.settings.TxnOps)
-		t := protocol.Txn{Conditions: []protocol.Condition{guard}, Ops: ops[:n]}
-		for _, op := range t.Ops {
+		t := protocol.Transaction{Conditions: []protocol.Condition{guard}, Operations: ops[:n]}
+		for _, op := range t.Operations {
 			key := op.Put + op.Delete
 			t.Conditions = append(t.Conditions, protocol.Condition{Key: key, Version: conditions[key]})
 		}
--- a/internal/storage/types_test.go
+++ b/internal/storage/types_test.go
@@ -22,18 +22,18 @@
 			for i := range rapid.IntRange(1, 40).Draw(t, "types") {
 				types = append(types, protocol.MachineType{Name: fmt.Sprintf("type-%d", i), CPUs: float64(i), Zones: []string{"a", "b"}})
 			}
-			stored := StoredTypes{Parts: map[string]uint64{}}
+			stored := StoredMachineTypes{PartVersions: map[string]uint64{}}
 			for key := range kept {
-				if key != KeyTypes {
-					stored.Parts[key] = 1
+				if key != KeyMachineTypes {
+					stored.PartVersions[key] = 1
 				}
 			}
-			txns := store.TypesWrites(stored, types, protocol.Condition{Key: KeyLeader, Version: 1})
+			txns := store.MachineTypesTransactions(stored, types, protocol.Condition{Key: KeyLeader, Version: 1})
 			for _, txn := range txns {
-				if len(txn.Ops) > 4 || len(txn.Conditions) != len(txn.Ops)+1 {
-					t.Fatalf("transaction: %d changes, %d conditions", len(txn.Ops), len(txn.Conditions))
+				if len(txn.Operations) > 4 || len(txn.Conditions) != len(txn.Operations)+1 {
+					t.Fatalf("transaction: %d changes, %d conditions", len(txn.Operations), len(txn.Conditions))
 				}
-				for _, op := range txn.Ops {
+				for _, op := range txn.Operations {
 					delete(kept, op.Delete)
 					if op.Put != "" {
 						kept[op.Put] = op.Value
@@ -44,8 +44,8 @@
 				t.Fatalf("read %d types, wrote %d", len(got), len(types))
 			}
 		}
-		parts := SplitTypes([]protocol.MachineType{{Name: "a", Zones: make([]string, 60)}, {Name: "b", Zones: make([]string, 60)}, {Name: "c", Zones: make([]string, 60)}}, 0.5)
-		if _, whole := JoinTypes(parts[1:]); whole || len(parts) != 3 {
+		parts := SplitMachineTypes([]protocol.MachineType{{Name: "a", Zones: make([]string, 60)}, {Name: "b", Zones: make([]string, 60)}, {Name: "c", Zones: make([]string, 60)}}, 0.5)
+		if _, whole := JoinMachineTypes(parts[1:]); whole || len(parts) != 3 {
 			t.Fatalf("%d parts of 3 taken for all", len(parts)-1)
 		}
 	})
@@ -53,23 +53,23 @@
 
 // readTypes reads records as ReadTypes does.
 func readTypes(t *rapid.T, kept map[string]protocol.Raw) []protocol.MachineType {
-	var parts []TypesPart
-	for i := 0; kept[TypesKey(i)] != nil; i++ {
-		var part TypesPart
-		if err := protocol.Decode(kept[TypesKey(i)], &part); err != nil || !Fits(part, 0.5) {
-			t.Fatalf("part %d: %v, size %d", i, err, Size(part))
+	var parts []MachineTypesPart
+	for i := 0; kept[MachineTypesPartKey(i)] != nil; i++ {
+		var part MachineTypesPart
+		if err := protocol.Decode(kept[MachineTypesPartKey(i)], &part); err != nil || !FitsValueLimit(part, 0.5) {
+			t.Fatalf("part %d: %v, size %d", i, err, EncodedSize(part))
 		}
 		parts = append(parts, part)
 	}
 	if len(parts) > 0 {
-		types, whole := JoinTypes(parts)
+		types, whole := JoinMachineTypes(parts)
 		if !whole {
 			t.Fatalf("%d parts are not whole", len(parts))
 		}
 		return types
 	}
-	var whole Types
-	if err := protocol.Decode(kept[KeyTypes], &whole); err != nil {
+	var whole MachineTypes
+	if err := protocol.Decode(kept[KeyMachineTypes], &whole); err != nil {
 		t.Fatal(err)
 	}
 	return whole.MachineTypes
@@ -79,11 +79,11 @@
 func TestRentalFits(t *testing.T) {
 	for _, kb := range []float64{0.5, 1, 2, 4} {
 		r := Rental{MachineType: "a-type-with-a-rather-long-name", Zone: "a-zone-with-a-rather-long-name", Count: 50, Answered: true}
-		for i := range RentalMachines(kb) {
+		for i := range MaxRentalMachines(kb) {
 			r.Machines = append(r.Machines, fmt.Sprintf("machine-of-the-cloud-%06d", i))
 		}
-		if !Fits(r, kb) {
-			t.Errorf("%v KB: %d machines take %d bytes", kb, len(r.Machines), Size(r))
+		if !FitsValueLimit(r, kb) {
+			t.Errorf("%v KB: %d machines take %d bytes", kb, len(r.Machines), EncodedSize(r))
 		}
 	}
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -39,7 +39,7 @@
 	addr    string
 	maxBody int
 	idle    chan *outbound
-	sockets *Sockets // or nil
+	sockets *SocketBudget // or nil
 	dialer  Dialer
 	dial    time.Duration // longest wait for a connection
 }
@@ -49,7 +49,7 @@
 	raw     syscall.RawConn
 	dec     *Decoder
 	buf     []byte
-	sockets *Sockets
+	sockets *SocketBudget
 }
 
 func (o *outbound) close() {
@@ -62,20 +62,20 @@
 	return &Client{addr: addr, maxBody: maxBody, idle: make(chan *outbound, keep), dial: limits.DialTimeout}
 }
 
-// Within makes the client's connections count among the sockets. It is called before the first use.
-func (c *Client) Within(s *Sockets) *Client {
+// WithSockets makes the client's connections count among the sockets. It is called before the first use.
+func (c *Client) WithSockets(s *SocketBudget) *Client {
 	c.sockets = s
 	return c
 }
 
-// Over makes the client dial another way. It is called before the first use.
-func (c *Client) Over(d Dialer) *Client {
+// WithDialer makes the client dial another way. It is called before the first use.
+func (c *Client) WithDialer(d Dialer) *Client {
 	c.dialer = d
 	return c
 }
 
-// DialWithin sets how long it waits for a connection instead of DialTimeout. It is called before the first use.
-func (c *Client) DialWithin(limit time.Duration) *Client {
+// WithDialTimeout sets how long it waits for a connection instead of DialTimeout. It is called before the first use.
+func (c *Client) WithDialTimeout(limit time.Duration) *Client {
 	c.dial = limit
 	return c
 }
@@ -124,7 +124,7 @@
 		break
 	}
 	if !c.sockets.make() {
-		return nil, fmt.Errorf("dial %s: %w", c.addr, ErrNoSocket)
+		return nil, fmt.Errorf("dial %s: %w", c.addr, ErrSocketBudget)
 	}
 	conn, err := c.dialer.dialWithin(ctx, c.addr, c.dial)
 	if err != nil {
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -68,20 +68,20 @@
 	return out, gnet.None
 }
 
-// Before is the status of the answer before on the same connection, or 0. As nobody pipelines, the sender has got that answer.
-func (r *Responder) Before() int {
+// PreviousStatus is the status of the answer before on the same connection, or 0. As nobody pipelines, the sender has got that answer.
+func (r *Responder) PreviousStatus() int {
 	r.c.mu.Lock()
 	defer r.c.mu.Unlock()
 	return r.c.status
 }
 
-// FromFleet notes, while the handler runs, that the connection is of a machine of the fleet. It returns false, and the connection ends with
+// FromMachine notes, while the handler runs, that the connection is of a machine of the fleet. It returns false, and the connection ends with
 // the answer, if there are as many of these as may be: users need the rest.
-func (r *Responder) FromFleet() bool {
+func (r *Responder) FromMachine() bool {
 	if r.c.fleet {
 		return true
 	}
-	if r.s.MaxFleet > 0 && r.s.fleet >= r.s.MaxFleet {
+	if r.s.MaxMachines > 0 && r.s.fleet >= r.s.MaxMachines {
 		r.CloseAfter()
 		return false
 	}
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -83,7 +83,7 @@
 	e.s.turn.Lock()
 	defer e.s.turn.Unlock()
 	e.s.sweep()
-	return limits.SweepEvery, gnet.None
+	return limits.ConnSweepInterval, gnet.None
 }
 
 // logger hands gnet's log lines on.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -23,13 +23,13 @@
 // below the socket limit, so that accept does not fail for want of sockets. It handles a request on a connection
 // only after the answer before is written, which bounds what a slow reader can hold to one answer.
 type Server struct {
-	Addr      string
-	MaxConns  int
-	MaxFleet  int           // of these, connections of machines; 0: all
-	FleetIdle time.Duration // closes a machine's connection that has been silent this long, if less than IdleConn
-	Sockets   *Sockets      // or nil
-	Handle    Handler
-	Log       *slog.Logger
+	Addr        string
+	MaxConns    int
+	MaxMachines int           // of these, connections of machines; 0: all
+	MachineIdle time.Duration // closes a machine's connection that has been silent this long, if less than IdleConn
+	Sockets     *SocketBudget // or nil
+	Handle      Handler
+	Log         *slog.Logger
 
 	turn  sync.Mutex             // held by whoever serves a connection; guards what follows
 	conns map[gnet.Conn]*inbound // of the loop
@@ -89,7 +89,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if time.Since(started) < limits.SweepEvery {
+		if time.Since(started) < limits.ConnSweepInterval {
 			failures++
 		} else {
 			failures = 0
@@ -140,12 +140,12 @@
 func (s *Server) sweep() {
 	now := time.Now()
 	for ec, c := range s.conns {
-		limit := limits.IdleConn
-		if c.fleet && s.FleetIdle > 0 {
-			limit = min(limit, s.FleetIdle)
+		limit := limits.ConnIdleTimeout
+		if c.fleet && s.MachineIdle > 0 {
+			limit = min(limit, s.MachineIdle)
 		}
 		if c.refused || (!c.busy && c.dec.Started()) {
-			limit = limits.SlowRequest
+			limit = limits.RequestReadTimeout
 		}
 		if now.Sub(c.last) > limit {
 			c.closing = true
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -6,38 +6,38 @@
 )
 
 // ErrNoSocket marks a call that was not tried because connections coming in need the sockets. It is an ErrNotSent.
-var ErrNoSocket = fmt.Errorf("%w: no socket to spare", ErrNotSent)
+var ErrSocketBudget = fmt.Errorf("%w: no socket to spare", ErrNotSent)
 
-// Sockets shares a number of sockets by need between the connections that come in and those that are made to workers. What comes in goes
+// SocketBudget shares a number of sockets by need between the connections that come in and those that are made to workers. What comes in goes
 // first: a
 // connection that is made may not take the last ones, and kept ones are given up for it (see Excess). Calls that must always get
 // through, as to the
 // state service, are not counted here and have sockets of their own.
-type Sockets struct {
+type SocketBudget struct {
 	room     int64 // for both together
 	headroom int64 // kept free for what comes in, as giving up takes a moment
 	inbound  atomic.Int64
 	made     atomic.Int64
 }
 
-// NewSockets returns Sockets of which some are kept free for what comes in.
-func NewSockets(room, headroom int) *Sockets {
-	return &Sockets{room: int64(room), headroom: int64(headroom)}
+// NewSocketBudget returns Sockets of which some are kept free for what comes in.
+func NewSocketBudget(room, headroom int) *SocketBudget {
+	return &SocketBudget{room: int64(room), headroom: int64(headroom)}
 }
 
 // admit takes a socket that is open already for a connection that came in, if there is room for it.
-func (s *Sockets) admit() bool { return s == nil || take(&s.inbound, &s.made, s.room) }
+func (s *SocketBudget) admit() bool { return s == nil || take(&s.inbound, &s.made, s.room) }
 
-func (s *Sockets) leave() {
+func (s *SocketBudget) leave() {
 	if s != nil {
 		s.inbound.Add(-1)
 	}
 }
 
 // make takes a socket for a connection to a worker.
-func (s *Sockets) make() bool { return s == nil || take(&s.made, &s.inbound, s.room-s.headroom) }
+func (s *SocketBudget) make() bool { return s == nil || take(&s.made, &s.inbound, s.room-s.headroom) }
 
-func (s *Sockets) released() {
+func (s *SocketBudget) released() {
 	if s != nil {
 		s.made.Add(-1)
 	}
@@ -52,7 +52,7 @@
 }
 
 // Excess is how many connections to workers should be given up so that what comes in finds room.
-func (s *Sockets) Excess() int {
+func (s *SocketBudget) Excess() int {
 	if s == nil {
 		return 0
 	}
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -59,9 +59,9 @@
 // to what comes in, and nothing ends.
 func TestPastItsSockets(t *testing.T) {
 	const room, headroom, most, fleet = 60, 5, 50, 30
-	sockets := NewSockets(room, headroom)
-	front := listening(t, &Server{MaxConns: most, MaxFleet: fleet, Sockets: sockets, Handle: func(req *Message, rsp *Responder) {
-		if req.Path == "/v1/report" && !rsp.FromFleet() {
+	sockets := NewSocketBudget(room, headroom)
+	front := listening(t, &Server{MaxConns: most, MaxMachines: fleet, Sockets: sockets, Handle: func(req *Message, rsp *Responder) {
+		if req.Path == "/v1/report" && !rsp.FromMachine() {
 			rsp.Respond(503, nil, 0)
 			return
 		}
@@ -74,9 +74,9 @@
 	defer cancel()
 	var direct []*Client
 	for {
-		c := NewClient(worker.Addr, 1, limits.MaxBodyBytes).Within(sockets)
+		c := NewClient(worker.Addr, 1, limits.MaxBodyBytes).WithSockets(sockets)
 		if _, err := c.Do(ctx, "GET", "/status", nil); err != nil {
-			if !errors.Is(err, ErrNoSocket) || !errors.Is(err, ErrNotSent) {
+			if !errors.Is(err, ErrSocketBudget) || !errors.Is(err, ErrNotSent) {
 				t.Fatalf("past the sockets: %v", err)
 			}
 			break
