--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin plays the services that quillshunt depends on, on the loopback, so that it can be tried without
-// any of them: a state service and a cloud whose machines only wait. It writes the settings files of three controllers.
+// Command standin plays the services that quillshunt depends on, on the loopback, so that it can be
+// tried without any of them: a state service and a cloud whose machines only wait. It writes the
+// settings files of three controllers.
 package main
 
 import (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -88,7 +88,8 @@
 	Next     *NextState `json:"next"`
 }
 
-// NextState are the limits that the state service will have from an unknown moment on. What is missing stays as it is.
+// NextState are the limits that the state service will have from an unknown moment on. What is
+// missing stays as it is.
 type NextState struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -96,8 +97,9 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Lowest returns the limits that hold both now and after the announced change: for each limit the lower one. All requests keep to
-// these from the start, so that the moment of the change does not matter.
+// Lowest returns the limits that hold both now and after the announced change: for each limit the
+// lower one. All requests keep to these from the start, so that the moment of the change does not
+// matter.
 func (s State) Lowest() State {
 	if s.Next == nil {
 		return s
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// TestWarnings: settings that a controller can run with, but hardly serve with, are taken with a warning that names the field.
+// TestWarnings: settings that a controller can run with, but hardly serve with, are taken with a
+// warning that names the field.
 func TestWarnings(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{`"core_share":0.1`, `"core_share":0.1`, ""},
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestLowestLimits: announced limits are kept to from the start, each for itself, and only where they are lower.
+// TestLowestLimits: announced limits are kept to from the start, each for itself, and only where
+// they are lower.
 func TestLowestLimits(t *testing.T) {
 	s, err := Parse([]byte(strings.Replace(good, `"txn_ops":8}`, `"txn_ops":8,"next":{"write_rps":15,"value_kb":8,"txn_ops":4}}`, 1)))
 	if err != nil {
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -12,8 +12,8 @@
 	"quillshunt/internal/limits"
 )
 
-// Options are the operators' own settings, beyond the platform's file. They are read from TOML; what is not set
-// keeps its default.
+// Options are the operators' own settings, beyond the platform's file. They are read from TOML;
+// what is not set keeps its default.
 type Options struct {
 	Leadership LeadershipOptions `toml:"leadership"`
 	Preemption PreemptionOptions `toml:"preemption"`
--- a/internal/coordination/controller/meetings_gang_test.go
+++ b/internal/coordination/controller/meetings_gang_test.go
@@ -40,7 +40,8 @@
 	return j
 }
 
-// gangMeetings are troubles that meet gangs: a change of leaders in each state of a gang, lost and silent machines, late commands.
+// gangMeetings are troubles that meet gangs: a change of leaders in each state of a gang, lost and
+// silent machines, late commands.
 var gangMeetings = []meeting{
 	{"a leader ends while a gang gathers, as one machine was not reached", func(s *service) {
 		s.warm(4, long)
--- a/internal/coordination/controller/meetings_test.go
+++ b/internal/coordination/controller/meetings_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// meeting is a day on which troubles meet. It brings its meeting about, shows that it did, and ends calm.
+// meeting is a day on which troubles meet. It brings its meeting about, shows that it did, and ends
+// calm.
 type meeting struct {
 	name string
 	day  func(s *service)
@@ -292,7 +293,8 @@
 		s.warm(6, func(sp *protocol.Spec) { sp.EstimateS = 60 })
 		first := s.term()
 		for i := range 6 {
-			// A report and its answer take 1.6 to 4.8 s together; a worker waits for 4 s, a controller takes a report for fresh for 3 s.
+			// A report and its answer take 1.6 to 4.8 s together; a worker waits for 4 s, a
+			// controller takes a report for fresh for 3 s.
 			for _, m := range s.cloud.Machines() {
 				s.net.SetSlow(m, time.Duration(800+s.r.IntN(1600))*time.Millisecond)
 			}
@@ -359,7 +361,8 @@
 	}},
 	{"jobs of two or three tasks end far apart across a change of leader", func(s *service) {
 		s.warm(5, func(sp *protocol.Spec) { sp.Tasks = 2 + s.seq%2 })
-		// Machines go one after the other while the last tasks of jobs run: what was done must stay done.
+		// Machines go one after the other while the last tasks of jobs run: what was done must stay
+		// done.
 		for i := range 5 {
 			time.Sleep(5 * time.Second)
 			if ms := s.machines(nil); len(ms) > 0 {
@@ -550,7 +553,8 @@
 	}},
 }
 
-// TestMeetings plays each meeting of troubles, with fixed seeds. QUILLSHUNT_RANDOM=n plays n random seeds of each.
+// TestMeetings plays each meeting of troubles, with fixed seeds. QUILLSHUNT_RANDOM=n plays n random
+// seeds of each.
 func TestMeetings(t *testing.T) {
 	seeds := []uint64{1}
 	if n, err := strconv.Atoi(os.Getenv("QUILLSHUNT_RANDOM")); err == nil {
--- a/internal/coordination/controller/service_test.go
+++ b/internal/coordination/controller/service_test.go
@@ -21,9 +21,9 @@
 	"quillshunt/internal/transport"
 )
 
-// service is the whole service in one process and in virtual time: real controllers, and stand-ins of everything around them, over a
-// network in memory.
-// It checks the rules of the protocol by what users are told and what runs where.
+// service is the whole service in one process and in virtual time: real controllers, and stand-ins
+// of everything around them, over a network in memory. It checks the rules of the protocol by what
+// users are told and what runs where.
 type service struct {
 	t     *testing.T
 	r     *rand.Rand
@@ -367,7 +367,8 @@
 	return m.Status, st.State
 }
 
-// sendsAway tells whether a controller refuses a question and ends the connection, so that the user's next try comes to another.
+// sendsAway tells whether a controller refuses a question and ends the connection, so that the
+// user's next try comes to another.
 func (s *service) sendsAway(node string, j *job) bool {
 	m, err := s.request(node, "GET", "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
 	return err == nil && m.Status == 503 && m.RetryAfter > 0 && m.Close
@@ -463,7 +464,8 @@
 	return false
 }
 
-// cancel calls a job off, at the controllers named or at all of them, until the user is told what became of it.
+// cancel calls a job off, at the controllers named or at all of them, until the user is told what
+// became of it.
 func (s *service) cancel(j *job, nodes ...string) bool {
 	if len(nodes) == 0 {
 		nodes = s.names
@@ -558,7 +560,8 @@
 	return out
 }
 
-// waits tells whether a job that is not over has no task on a machine although its team is under its limit.
+// waits tells whether a job that is not over has no task on a machine although its team is under
+// its limit.
 func (s *service) waits(j *job) bool {
 	if s.on(j) > 0 {
 		return false
@@ -573,9 +576,8 @@
 	return j.said == "" && j.asked.IsZero()
 }
 
-// calm ends a day: with all troubles over, every job that was not cancelled gets done and is told to be, and the cancelled ones stay so.
-// None waits for long
-// that could run.
+// calm ends a day: with all troubles over, every job that was not cancelled gets done and is told
+// to be, and the cancelled ones stay so. None waits for long that could run.
 func (s *service) calm() {
 	deadline := time.Now().Add(4 * time.Minute)
 	since := map[*job]time.Time{}
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -61,13 +61,15 @@
 	}
 }
 
-// Entitled tells whether we are surely the leader at this moment. The process may lose its core right after, so
-// whatever follows is also fenced by the term, the stamp, or a name that is never used again.
+// Entitled tells whether we are surely the leader at this moment. The process may lose its core
+// right after, so whatever follows is also fenced by the term, the stamp, or a name that is never
+// used again.
 func (m *Leadership) Entitled() bool {
 	return !m.resigned.Load() && int64(time.Since(m.startedAt)) < min(m.leaseUntil.Load(), m.quorumUntil.Load())
 }
 
-// Observe notes that the term has taken in all changes of open jobs up to a revision; the next heartbeat says so.
+// Observe notes that the term has taken in all changes of open jobs up to a revision; the next
+// heartbeat says so.
 func (m *Leadership) Observe(rev uint64) { m.observedRevision.Store(rev) }
 
 // Guard makes a write fail once there is another leader.
@@ -83,11 +85,13 @@
 	OfferLeadership(ctx context.Context, node string, term, stamp uint64) error
 	// Size is how many other controllers there are.
 	Size() int
-	// RequestVotes asks all for their pledge; nonces are the processes that they are taken for. Who does not answer in time is missing.
+	// RequestVotes asks all for their pledge; nonces are the processes that they are taken for. Who
+	// does not answer in time is missing.
 	RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply
 }
 
-// Elector takes part in elections. Lead is called with each leadership and must return soon after its context ends.
+// Elector takes part in elections. Lead is called with each leadership and must return soon after
+// its context ends.
 type Elector struct {
 	Node          string
 	Store         Store
@@ -134,8 +138,9 @@
 	return err == nil
 }
 
-// AcceptOffer is told by the leader of a term that it has given it up and does nothing in it any more. We may lead at once, without waiting for
-// the end of its hold: the guard on the key's stamp sees to it that only that term is replaced.
+// AcceptOffer is told by the leader of a term that it has given it up and does nothing in it any
+// more. We may lead at once, without waiting for the end of its hold: the guard on the key's stamp
+// sees to it that only that term is replaced.
 func (e *Elector) AcceptOffer(term, stamp uint64) {
 	e.Log.Info("offered the lead", "term", term)
 	select {
@@ -182,14 +187,16 @@
 			e.setLeader(l.Node)
 			return e.follow(ctx, p.Version)
 		}
-		// The key carries our own name. Only one process of a name lives, so the one that wrote it is over
-		// (or it is this one, and its term was given up); the guard on its stamp makes the replacement safe.
+		// The key carries our own name. Only one process of a name lives, so the one that wrote it
+		// is over (or it is this one, and its term was given up); the guard on its stamp makes the
+		// replacement safe.
 	}
 	e.setLeader("")
 	return e.campaign(ctx, protocol.Condition{Key: storage.KeyLeader, Version: p.Version})
 }
 
-// follow waits until the leader key changes, the leader gives up and offers the lead to us, or it is surely not entitled any more.
+// follow waits until the leader key changes, the leader gives up and offers the lead to us, or it
+// is surely not entitled any more.
 func (e *Elector) follow(ctx context.Context, stamp uint64) error {
 	wctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -264,8 +271,8 @@
 		e.Log.Info("election lost", "term", me.Term)
 		return nil
 	case errors.Is(err, storage.ErrOutcomeUnknown):
-		// It may have been carried out: the key tells. If it is not there yet, the guards keep it out once
-		// somebody else has won, and a later round of ours finds it under our own name.
+		// It may have been carried out: the key tells. If it is not there yet, the guards keep it
+		// out once somebody else has won, and a later round of ours finds it under our own name.
 		p, gerr := e.Store.Get(ctx, storage.KeyLeader)
 		if gerr != nil {
 			return fmt.Errorf("read leader after unclear election: %w", gerr)
@@ -329,8 +336,8 @@
 			err := e.Store.RenewLease(ctx, tenure)
 			switch {
 			case err == nil:
-				// After an outage this may come long after we stopped being entitled. As the hold has lived all the
-				// while, nobody else can have led, and the term goes on.
+				// After an outage this may come long after we stopped being entitled. As the hold
+				// has lived all the while, nobody else can have led, and the term goes on.
 				m.extendLease(sent.Add(limits.EntitledFor(e.LeaseDuration)))
 				renewed = time.Now()
 			case errors.Is(err, storage.ErrLeaseExpired):
@@ -345,10 +352,10 @@
 	}
 }
 
-// blamesStateService tells whether a failed renewal speaks against our way to the state service. Where no answer came and this process is far
-// behind, it may be only that:
-// a hand-over would then cost a rebuild, which a controller that is as busy has to make. If it is cut off all the same, its votes and
-// heartbeats end the term.
+// blamesStateService tells whether a failed renewal speaks against our way to the state service.
+// Where no answer came and this process is far behind, it may be only that: a hand-over would then
+// cost a rebuild, which a controller that is as busy has to make. If it is cut off all the same,
+// its votes and heartbeats end the term.
 func (e *Elector) blamesStateService(ctx context.Context, err error) bool {
 	if !storage.IsTimeout(err) {
 		return true
@@ -368,8 +375,8 @@
 	return time.Since(began) - limits.DelaySample
 }
 
-// handOver gives the term up if another controller reaches the state service while we do not. The order matters: the leadership
-// ends for good before the successor hears of it.
+// handOver gives the term up if another controller reaches the state service while we do not. The
+// order matters: the leadership ends for good before the successor hears of it.
 func (e *Elector) handOver(ctx context.Context, m *Leadership) bool {
 	node := e.Peers.FindConnected(ctx)
 	if node == "" {
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -20,7 +20,8 @@
 	"quillshunt/internal/storage"
 )
 
-// unreliableStore is a node's view of the state service: it delays, refuses, and loses answers of requests that were, or later are, carried out.
+// unreliableStore is a node's view of the state service: it delays, refuses, and loses answers of
+// requests that were, or later are, carried out.
 type unreliableStore struct {
 	s     *standin.State
 	r     *rand.Rand
@@ -287,7 +288,8 @@
 	return nil
 }
 
-// newNodes are controllers of one state service that neither crash nor lose anything by themselves; they are not started.
+// newNodes are controllers of one state service that neither crash nor lose anything by themselves;
+// they are not started.
 func newNodes(s *standin.State, size int, seed uint64) []*node {
 	nodes := make([]*node, size)
 	for i := range nodes {
@@ -301,7 +303,8 @@
 	return slices.IndexFunc(nodes, func(n *node) bool { return n.entitled() != nil })
 }
 
-// sever cuts a node off from the other controllers, and refuse has the state service refuse it, until then.
+// sever cuts a node off from the other controllers, and refuse has the state service refuse it,
+// until then.
 func (n *node) sever(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -321,7 +324,8 @@
 	n.store.mute = until
 }
 
-// TestOneEntitledLeader: at no time are two controllers entitled, terms rise, and after the trouble there is a leader again.
+// TestOneEntitledLeader: at no time are two controllers entitled, terms rise, and after the trouble
+// there is a leader again.
 func TestOneEntitledLeader(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
@@ -421,7 +425,8 @@
 	}
 }
 
-// TestRestartTakesOver: a controller that comes back under the leader's name does not wait for the hold to end.
+// TestRestartTakesOver: a controller that comes back under the leader's name does not wait for the
+// hold to end.
 func TestRestartTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewState()
@@ -442,8 +447,8 @@
 	})
 }
 
-// TestHandOver: a leader that alone is refused by the state service is replaced long before its hold ends, and one that is refused like all
-// others is not.
+// TestHandOver: a leader that alone is refused by the state service is replaced long before its
+// hold ends, and one that is refused like all others is not.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewState()
@@ -474,7 +479,8 @@
 	})
 }
 
-// TestBusyLeader: a leader that gets no answers because it is itself behind does not hand over; one that is in time and gets none does.
+// TestBusyLeader: a leader that gets no answers because it is itself behind does not hand over; one
+// that is in time and gets none does.
 func TestBusyLeader(t *testing.T) {
 	for _, busy := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -499,9 +505,9 @@
 	}
 }
 
-// TestCutLeader: a leader that is cut off from the state service and the other controllers, but not from its workers, stops being
-// entitled, and another
-// leads long before the end of its hold. One that is cut off from the others alone goes on by its heartbeats.
+// TestCutLeader: a leader that is cut off from the state service and the other controllers, but not
+// from its workers, stops being entitled, and another leads long before the end of its hold. One
+// that is cut off from the others alone goes on by its heartbeats.
 func TestCutLeader(t *testing.T) {
 	for i := range 12 {
 		alone, phase := i%2 == 0, time.Duration(i/2)*limits.WatchDuration/6 // wherever the others' watches of the leader key end by themselves
@@ -537,8 +543,8 @@
 	}
 }
 
-// TestLateReplacement: a transaction that was to replace a silent leader comes late, when that leader is heard of again and entitled. It
-// fails.
+// TestLateReplacement: a transaction that was to replace a silent leader comes late, when that
+// leader is heard of again and entitled. It fails.
 func TestLateReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewState()
@@ -597,8 +603,8 @@
 	return map[string]*peerpb.PledgeReply{"a": {Granted: nonces["a"] == 1, Nonce: 1}, "b": {Granted: nonces["b"] == 1, Nonce: 1}}
 }
 
-// TestOwnVote: a leader's own pledge counts like any other. While it does, it does not let go of itself, and once it has let go, it
-// does not count.
+// TestOwnVote: a leader's own pledge counts like any other. While it does, it does not let go of
+// itself, and once it has let go, it does not count.
 func TestOwnVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewState()
@@ -637,8 +643,9 @@
 	})
 }
 
-// TestRestartedVoter: a process that has just come back neither lets go of a leader, as the one before it may have pledged to it, nor
-// pledges to one that does not know it yet, as the one before may have let go of that.
+// TestRestartedVoter: a process that has just come back neither lets go of a leader, as the one
+// before it may have pledged to it, nor pledges to one that does not know it yet, as the one before
+// may have let go of that.
 func TestRestartedVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &voter{lease: limits.VoteLeaseMin, nonce: 7, startedAt: time.Now()}
@@ -668,8 +675,8 @@
 	})
 }
 
-// TestMargins: our entitlement ends before the hold can, and others' leases are waited out for longer than they can last, whatever the
-// clocks do.
+// TestMargins: our entitlement ends before the hold can, and others' leases are waited out for
+// longer than they can last, whatever the clocks do.
 func TestMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
 		drift := time.Duration(float64(d) * limits.DriftShare)
--- a/internal/coordination/election/pledge.go
+++ b/internal/coordination/election/pledge.go
@@ -13,17 +13,16 @@
 	"quillshunt/internal/storage"
 )
 
-// The hold has to outlast an outage of the state service, so it is long, and a leader that is cut off would keep the lead that long.
-// Pledges make
-// that time short: a leader is entitled only while, beside its hold, a majority of the controllers has lately pledged to it, or it has
-// lately
-// written its heartbeat. Another controller may replace it before its hold ends if a majority has let go of it, each on record in the
-// state service, and the heartbeat has
-// not changed for the life of a pledge, by which its election is guarded. docs/design.md has the proof.
+// The hold has to outlast an outage of the state service, so it is long, and a leader that is cut
+// off would keep the lead that long. Pledges make that time short: a leader is entitled only while,
+// beside its hold, a majority of the controllers has lately pledged to it, or it has lately written
+// its heartbeat. Another controller may replace it before its hold ends if a majority has let go of
+// it, each on record in the state service, and the heartbeat has not changed for the life of a
+// pledge, by which its election is guarded. docs/design.md has the proof.
 
-// voter is what this process has promised. A process that has just come back does not know what the one before it had promised: it
-// sits the
-// longest pledge out before it lets go of a leader, and pledges only to one that has written a heartbeat since it heard of this process.
+// voter is what this process has promised. A process that has just come back does not know what the
+// one before it had promised: it sits the longest pledge out before it lets go of a leader, and
+// pledges only to one that has written a heartbeat since it heard of this process.
 type voter struct {
 	lease     time.Duration
 	nonce     uint64 // tells this process from the next of its node; never 0
@@ -68,7 +67,8 @@
 	return time.Since(since) > time.Duration(float64(p.lease)*limits.SuspicionShare)
 }
 
-// Vote is asked by a leader for this controller's pledge; nonce is that of the process that the leader takes this one for.
+// Vote is asked by a leader for this controller's pledge; nonce is that of the process that the
+// leader takes this one for.
 func (e *Elector) Vote(heartbeat, nonce uint64) *peerpb.PledgeReply {
 	return e.voter.vote(heartbeat, nonce)
 }
@@ -79,7 +79,8 @@
 // quorum is a majority of all controllers, this one included.
 func (e *Elector) quorum() int { return (e.Peers.Size()+1)/2 + 1 }
 
-// keepQuorum renews the entitlement of a term by pledges, and by heartbeats where these don't do, until the term is over.
+// keepQuorum renews the entitlement of a term by pledges, and by heartbeats where these don't do,
+// until the term is over.
 func (e *Elector) keepQuorum(ctx context.Context, m *Leadership) {
 	life := e.voter.lease
 	tick := time.NewTicker(time.Duration(float64(life) * limits.VoteRenewShare))
@@ -123,7 +124,8 @@
 				e.TermLost(m.Term)
 				return
 			case errors.As(err, &conflict):
-				// An earlier heartbeat of ours that had no answer. It was sent after what is covered was known, so it may stand in.
+				// An earlier heartbeat of ours that had no answer. It was sent after what is
+				// covered was known, so it may stand in.
 				if p, err := e.Store.Get(ctx, storage.KeyLeaderHeartbeat); err == nil {
 					heartbeat = p.Version
 				}
@@ -139,8 +141,8 @@
 	}
 }
 
-// suspicion is what speaks against the leader that is followed: when it was first followed, its heartbeat, when that was read, and whether
-// we have let go of it on record.
+// suspicion is what speaks against the leader that is followed: when it was first followed, its
+// heartbeat, when that was read, and whether we have let go of it on record.
 type suspicion struct {
 	leaderVersion uint64 // of the leader key
 	followedAt    time.Time
@@ -149,7 +151,8 @@
 	withdrawn     bool
 }
 
-// mayReplaceLeader goes on with a doubt, or begins one. It tells whether the leader may be replaced, guarded by the heartbeat.
+// mayReplaceLeader goes on with a doubt, or begins one. It tells whether the leader may be
+// replaced, guarded by the heartbeat.
 func (e *Elector) mayReplaceLeader(ctx context.Context, d *suspicion) bool {
 	if !e.voter.leaderSilent(d.followedAt) {
 		d.since = time.Time{}
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// handleUser takes a user's request into the users' stage. What a full stage can't take is told at once to come back, unless nothing can
-// become of it anyway.
+// handleUser takes a user's request into the users' stage. What a full stage can't take is told at
+// once to come back, unless nothing can become of it anyway.
 func (g *Gateway) handleUser(req *transport.Message, rsp *transport.Responder) {
 	method, id, action, ok := route(req.Path)
 	if !ok {
@@ -162,8 +162,9 @@
 		failing := g.Store.FailingFor()
 		retryAfter = limits.RetryAfterSeconds(failing)
 		if failing > limits.IsolatedAfter {
-			// Perhaps only we are cut off, from the other controllers as well, so that we stay in service. The user's next try should not
-			// come here again only because the connection is still open.
+			// Perhaps only we are cut off, from the other controllers as well, so that we stay in
+			// service. The user's next try should not come here again only because the connection
+			// is still open.
 			rsp.CloseAfter()
 		}
 	}
@@ -188,8 +189,9 @@
 	return err != nil
 }
 
-// health is 503 while we alone do not reach the state service: then users are better served by another node. In an outage for all it stays
-// 200, as it would help nobody if all nodes were taken out; a node that hears of no other either cannot tell which it is.
+// health is 503 while we alone do not reach the state service: then users are better served by
+// another node. In an outage for all it stays 200, as it would help nobody if all nodes were taken
+// out; a node that hears of no other either cannot tell which it is.
 func (g *Gateway) health() int {
 	if g.Store.FailingFor() < limits.IsolatedAfter {
 		g.isolated.Store(false)
@@ -241,7 +243,8 @@
 	return "", "", 0, false
 }
 
-// handleHeartbeat hands a worker's report to the leader here, or sends the worker to where the leader is.
+// handleHeartbeat hands a worker's report to the leader here, or sends the worker to where the
+// leader is.
 func (g *Gateway) handleHeartbeat(req *transport.Message, rsp *transport.Responder) {
 	if !g.Runner.IsLeader() {
 		name := g.Leader()
@@ -264,8 +267,9 @@
 	g.Runner.Heartbeat(req.Body, rsp.PreviousStatus() == 200, func(status int, body []byte) { rsp.Respond(status, body, 0) })
 }
 
-// relayHeartbeat asks the leader about a worker that came here. Mostly the leader wants it to come itself; if it cannot, as when the
-// network between its zone and the leader's is cut, the leader answers its reports through us.
+// relayHeartbeat asks the leader about a worker that came here. Mostly the leader wants it to come
+// itself; if it cannot, as when the network between its zone and the leader's is cut, the leader
+// answers its reports through us.
 func (g *Gateway) relayHeartbeat(name string, body []byte, rsp *transport.Responder) {
 	defer func() { <-g.relaySlots }()
 	status, answer, err := g.Peers.RelayHeartbeat(g.ctx, name, body, rsp.PreviousStatus() == 200)
@@ -322,8 +326,8 @@
 	case err == nil:
 		return 201, protocol.JobStatus{ID: spec.ID, State: protocol.Pending}
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrOutcomeUnknown):
-		// It is there already, or may have been written just now. What is not there yet may still be: the user asks again, and the
-		// guards make sure that it is written once.
+		// It is there already, or may have been written just now. What is not there yet may still
+		// be: the user asks again, and the guards make sure that it is written once.
 		st, known, rerr := g.readJobStatus(ctx, spec.ID)
 		if rerr != nil {
 			return g.retryLater(rerr)
@@ -339,7 +343,8 @@
 	return g.retryLater(err)
 }
 
-// rejectUnlessAccepted refuses a submission. A job that was accepted stays accepted, even if machine types or limits have changed since.
+// rejectUnlessAccepted refuses a submission. A job that was accepted stays accepted, even if
+// machine types or limits have changed since.
 func (g *Gateway) rejectUnlessAccepted(ctx context.Context, id string, status int, why string) (int, any) {
 	st, known, err := g.readJobStatus(ctx, id)
 	if err != nil {
@@ -370,9 +375,8 @@
 	return protocol.JobStatus{ID: id, State: f}, ok
 }
 
-// readJobStatus reads a job's state. It looks at the open record first and then at the final one; as a job moves from the one to the other in
-// one
-// transaction, it is never missed.
+// readJobStatus reads a job's state. It looks at the open record first and then at the final one;
+// as a job moves from the one to the other in one transaction, it is never missed.
 func (g *Gateway) readJobStatus(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
 	if st, over := g.finalState(id); over {
 		return st, true, nil
@@ -389,7 +393,8 @@
 		}
 		st.State = protocol.Pending
 		if o.Cancelled {
-			// "aborted" is a confirmation, also to a poll. "pending" may be an older answer than another controller's.
+			// "aborted" is a confirmation, also to a poll. "pending" may be an older answer than
+			// another controller's.
 			if !g.confirmCancellation(ctx, id, p) {
 				return st, false, errUnconfirmed
 			}
@@ -445,10 +450,11 @@
 
 var errUnconfirmed = errors.New("cancellation not confirmed yet")
 
-// confirmCancellation tells whether a cancellation that is in the state service binds whoever may lead, so that the user may be told. The leader's
-// own watch
-// does not see to that: if the state service refuses the leader alone and then everybody, it goes on by pledges and hears nothing of the
-// cancellation until cancel_s is long over. So one of these must hold, after the record was there:
+// confirmCancellation tells whether a cancellation that is in the state service binds whoever may
+// lead, so that the user may be told. The leader's own watch does not see to that: if the state
+// service refuses the leader alone and then everybody, it goes on by pledges and hears nothing of
+// the cancellation until cancel_s is long over. So one of these must hold, after the record was
+// there:
 //   - the leader says that it knows, and was entitled then. No other was, and later ones read the record;
 //   - the leader has written a heartbeat that covers the record. Such a write succeeds only while no later term has begun;
 //   - there is no leader key. Its hold is over, so no leader is entitled, and the next one reads the record.
@@ -526,8 +532,8 @@
 		if !errors.As(err, &conflict) && !errors.Is(err, storage.ErrOutcomeUnknown) {
 			return g.retryLater(err)
 		}
-		// It finished or was cancelled meanwhile, or this write was carried out and its answer lost: look again, within the
-		// user's time. The context ends the loop.
+		// It finished or was cancelled meanwhile, or this write was carried out and its answer
+		// lost: look again, within the user's time. The context ends the loop.
 	}
 }
 
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -175,7 +175,8 @@
 		}
 	}
 
-	// Without the state service nobody is told anything but when to come back; final states are known for good.
+	// Without the state service nobody is told anything but when to come back; final states are
+	// known for good.
 	if status, _, _ := f.do("POST", "/v2/runs", run("job-4", nil)); status != 201 {
 		t.Errorf("submitted: %d", status)
 	}
@@ -206,9 +207,9 @@
 	}
 }
 
-// TestUnconfirmed: nobody is told that a job is cancelled while a leader may be entitled that does not know: not by the cancellation,
-// nor by a poll or a
-// repeated submission. It is told once the leader's heartbeat covers the record, or there is no leader.
+// TestUnconfirmed: nobody is told that a job is cancelled while a leader may be entitled that does
+// not know: not by the cancellation, nor by a poll or a repeated submission. It is told once the
+// leader's heartbeat covers the record, or there is no leader.
 func TestUnconfirmed(t *testing.T) {
 	for _, how := range []string{"beat", "no leader"} {
 		f := newFront(t)
@@ -248,7 +249,8 @@
 	}
 }
 
-// TestMalformedCostsItsConnection: what cannot be parsed is answered and closed, and others are served on.
+// TestMalformedCostsItsConnection: what cannot be parsed is answered and closed, and others are
+// served on.
 func TestMalformedCostsItsConnection(t *testing.T) {
 	f := newFront(t)
 	for _, raw := range []string{
@@ -276,7 +278,8 @@
 	}
 }
 
-// TestComeBack: the longer the state service is away, the later a user is told to come back, within what the user waits at most.
+// TestComeBack: the longer the state service is away, the later a user is told to come back, within
+// what the user waits at most.
 func TestComeBack(t *testing.T) {
 	last := 0
 	for d := time.Duration(0); d < 5*time.Minute; d += time.Second {
@@ -315,7 +318,8 @@
 	}
 }
 
-// TestNoGangs: where the settings name no times of gangs, the workers know none, and a gang is malformed; also with a full stage.
+// TestNoGangs: where the settings name no times of gangs, the workers know none, and a gang is
+// malformed; also with a full stage.
 func TestNoGangs(t *testing.T) {
 	f := newFront(t)
 	if status, _, _ := f.do("POST", "/v2/runs", run("job-1", map[string]any{"Shape": "ensemble"})); status != 400 {
@@ -323,7 +327,8 @@
 	}
 }
 
-// TestLargeRecord: a job that was stored when values could be larger can still be cancelled, and a repeated submission of it is known.
+// TestLargeRecord: a job that was stored when values could be larger can still be cancelled, and a
+// repeated submission of it is known.
 func TestLargeRecord(t *testing.T) {
 	f := newFront(t, func(s *config.Settings) { s.Facts.State.ValueKB = 0.5 })
 	spec := protocol.Spec{ID: "job-1", Class: "train", Team: "vision", Shape: protocol.ShapeArray, Priority: "high", Tasks: 2, CPUs: 8, Image: "img"}
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -27,7 +27,8 @@
 	"quillshunt/internal/transport"
 )
 
-// caller is a worker's side of a connection: it sends a report and reads the answer later, so that thousands of them wait at once.
+// caller is a worker's side of a connection: it sends a report and reads the answer later, so that
+// thousands of them wait at once.
 type caller struct {
 	conn  net.Conn
 	dec   *transport.Decoder
@@ -83,9 +84,9 @@
 	return s[0].Value.Uint64() - s[1].Value.Uint64()
 }
 
-// TestThousands: two thousand workers at one controller with a backlog of tens of thousands of tasks, all of them coming back at once
-// after a crash of all
-// controllers. Memory, goroutines and threads stay bounded, and all are served.
+// TestThousands: two thousand workers at one controller with a backlog of tens of thousands of
+// tasks, all of them coming back at once after a crash of all controllers. Memory, goroutines and
+// threads stay bounded, and all are served.
 func TestThousands(t *testing.T) {
 	const machines, each, jobs, pieces, cpus = 2000, 50, 300, 150, 8
 	const floodUsers, floodEach = 200, 100
@@ -243,7 +244,8 @@
 		c.conn.Close()
 		dial(c)
 	}
-	// Users come in a flood at the same time. What can't be taken is refused at once, and the memory is that of the settings at most.
+	// Users come in a flood at the same time. What can't be taken is refused at once, and the
+	// memory is that of the settings at most.
 	var taken, refused atomic.Int64
 	var peak atomic.Uint64
 	flooded, stop := context.WithCancel(ctx)
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -16,8 +16,8 @@
 	"quillshunt/internal/transport"
 )
 
-// Cloud calls the cloud within its rate. Only the leader rents; two terms may overlap for a moment, so we
-// stay a little below the limit.
+// Cloud calls the cloud within its rate. Only the leader rents; two terms may overlap for a moment,
+// so we stay a little below the limit.
 type Cloud struct {
 	http  *transport.Client
 	rate  *rate.Limiter
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -106,9 +106,8 @@
 	return t != nil && t.leadership.Entitled()
 }
 
-// Heartbeat hands a report to the term; stayed tells that the worker got a 200 before on its connection. It is answered 503 at once if
-// nobody leads here
-// or the mailbox is full.
+// Heartbeat hands a report to the term; stayed tells that the worker got a 200 before on its
+// connection. It is answered 503 at once if nobody leads here or the mailbox is full.
 func (d *Runner) Heartbeat(body []byte, stayed bool, reply HeartbeatReply) {
 	d.enqueue(heartbeatMessage{body: body, reply: reply, sameConnection: stayed})
 }
@@ -171,10 +170,10 @@
 	return peer.TaskCounts{Done: c.Done, Running: c.Running}, ok && c.Known
 }
 
-// ConfirmCancellation takes the record of a cancelled job from the controller that is about to tell the user. It tells whether we were entitled
-// after the
-// scheduler had taken it: then no other controller was, and whoever leads later reads it in the state service. Our own watch may be silent
-// long after, when the state service refuses us or everybody.
+// ConfirmCancellation takes the record of a cancelled job from the controller that is about to tell
+// the user. It tells whether we were entitled after the scheduler had taken it: then no other
+// controller was, and whoever leads later reads it in the state service. Our own watch may be
+// silent long after, when the state service refuses us or everybody.
 func (d *Runner) ConfirmCancellation(ctx context.Context, job string, stamp uint64, record []byte) bool {
 	t := d.term.Load()
 	if t == nil {
--- a/internal/coordination/leader/probe_test.go
+++ b/internal/coordination/leader/probe_test.go
@@ -11,7 +11,8 @@
 	"quillshunt/internal/limits"
 )
 
-// TestProbesGiveWay: while reports wait in the mailbox, probes do not go out, and that says nothing about their machines.
+// TestProbesGiveWay: while reports wait in the mailbox, probes do not go out, and that says nothing
+// about their machines.
 func TestProbesGiveWay(t *testing.T) {
 	term := &term{runner: &Runner{}, leadership: election.NewLeadership(1, 1, time.Now().Add(time.Hour)), mailbox: make(chan any, 1), probeSlots: make(chan struct{}, 1),
 		start: time.Now().Add(-time.Minute), log: slog.New(slog.DiscardHandler)}
--- a/internal/coordination/leader/usage.go
+++ b/internal/coordination/leader/usage.go
@@ -14,9 +14,9 @@
 	writes, refused int64
 }
 
-// resourceUsage tells, for the summary line, how the process stands against its limits: what waits in the mailbox and for how long,
-// processor time as a share of
-// a core, memory of the heap, and changes sent to and calls refused by the state service since the line before.
+// resourceUsage tells, for the summary line, how the process stands against its limits: what waits
+// in the mailbox and for how long, processor time as a share of a core, memory of the heap, and
+// changes sent to and calls refused by the state service since the line before.
 func (t *term) resourceUsage() []any {
 	last := t.lastCounters
 	t.lastCounters = resourceCounters{at: time.Now()}
--- a/internal/coordination/leader/workers.go
+++ b/internal/coordination/leader/workers.go
@@ -16,7 +16,8 @@
 // errWorker marks an answer of a worker that is not what was asked for.
 var errWorker = errors.New("worker")
 
-// sendDirectCommands sends commands to a worker and returns its report after them. The status is 200, or 409 if nothing was executed.
+// sendDirectCommands sends commands to a worker and returns its report after them. The status is
+// 200, or 409 if nothing was executed.
 func (t *term) sendDirectCommands(ctx context.Context, c *transport.Client, d protocol.DirectCommands) (int, *protocol.Heartbeat, error) {
 	m, err := c.Do(ctx, "POST", "/do", protocol.Encode(d))
 	if err != nil {
@@ -32,7 +33,8 @@
 	return m.Status, &r, nil
 }
 
-// executeProbe learns a machine's session and shows it our term; what it answers then is not changed by earlier leaders any more.
+// executeProbe learns a machine's session and shows it our term; what it answers then is not
+// changed by earlier leaders any more.
 func (t *term) executeProbe(ctx context.Context, p scheduler.ProbeMachine) {
 	select {
 	case t.probeSlots <- struct{}{}:
@@ -41,7 +43,8 @@
 		return
 	}
 	if late := t.lastSlowHeartbeat.Load(); late != 0 && t.now()-time.Duration(late) < limits.SlowHeartbeatMemory {
-		// Reports wait. They prove as much, and what waits is late for its worker's lease; a probe can come later.
+		// Reports wait. They prove as much, and what waits is late for its worker's lease; a probe
+		// can come later.
 		t.send(ctx, scheduler.ProbeDone{Machine: p.Machine, NotSent: true})
 		return
 	}
@@ -99,7 +102,8 @@
 // releaseSockets gives up connections to workers where what comes in needs the sockets.
 func (t *term) releaseSockets() { t.closeWorkerClients(t.runner.sockets.Excess()) }
 
-// closeWorkerClients drops at least n kept connections to workers, any ones; a connection is cheap to make again.
+// closeWorkerClients drops at least n kept connections to workers, any ones; a connection is cheap
+// to make again.
 func (t *term) closeWorkerClients(n int) {
 	for addr, c := range t.workerClients {
 		if n <= 0 {
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/storage"
 )
 
-// writer carries out the term's writes, several in one transaction, each under the leader's guard. A write without
-// a clear outcome is repeated as it was until there is one.
+// writer carries out the term's writes, several in one transaction, each under the leader's guard.
+// A write without a clear outcome is repeated as it was until there is one.
 type writer struct{ t *term }
 
 func (w *writer) run(ctx context.Context) {
@@ -107,7 +107,8 @@
 	}
 }
 
-// logRetry notes that a transaction is tried again. That the rate is used up is worth knowing, as ours should keep to it.
+// logRetry notes that a transaction is tried again. That the rate is used up is worth knowing, as
+// ours should keep to it.
 func (w *writer) logRetry(err error, txn protocol.Transaction) {
 	if errors.Is(err, storage.ErrRateLimited) {
 		w.t.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -28,7 +28,8 @@
 	TaskCounts(ctx context.Context, job string) (TaskCounts, bool)
 	// RelayedHeartbeat takes a worker's report that came through another controller.
 	RelayedHeartbeat(ctx context.Context, report []byte, stayed bool) (status int, body []byte)
-	// ConfirmCancellation takes a cancelled job's record, and tells whether the leader of an entitled term here knows of it now.
+	// ConfirmCancellation takes a cancelled job's record, and tells whether the leader of an
+	// entitled term here knows of it now.
 	ConfirmCancellation(ctx context.Context, job string, stamp uint64, record []byte) bool
 	// Inspect tells how the term stands if this process leads.
 	Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool)
@@ -115,7 +116,8 @@
 	return s.elector.Vote(r.GetHeartbeat(), r.GetNonce()), nil
 }
 
-// Confirm implements the service. A controller that does not lead passes the request on once: the sender may not reach the leader itself.
+// Confirm implements the service. A controller that does not lead passes the request on once: the
+// sender may not reach the leader itself.
 func (s *Server) Confirm(ctx context.Context, r *peerpb.ConfirmRequest) (*peerpb.ConfirmReply, error) {
 	known := s.leader.ConfirmCancellation(ctx, r.GetJob(), r.GetStamp(), r.GetRecord())
 	if !known && !r.GetPassedOn() {
@@ -214,7 +216,8 @@
 	return int(r.GetStatus()), r.GetBody(), nil
 }
 
-// callAll calls all controllers at once. The results arrive as they come; none of a controller that does not answer in time.
+// callAll calls all controllers at once. The results arrive as they come; none of a controller that
+// does not answer in time.
 func callAll[T any](ctx context.Context, p *Peers, limit time.Duration, call func(ctx context.Context, name string, c peerpb.PeerClient) (T, error)) <-chan T {
 	found := make(chan T, len(p.conns))
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -278,7 +281,8 @@
 	return out
 }
 
-// ConfirmCancellation tells whether the leader knows of a cancellation now. It is asked itself, and through the others if it does not answer.
+// ConfirmCancellation tells whether the leader knows of a cancellation now. It is asked itself, and
+// through the others if it does not answer.
 func (p *Peers) ConfirmCancellation(ctx context.Context, leader, job string, stamp uint64, record []byte) bool {
 	if p.confirmCancellationAt(ctx, leader, &peerpb.ConfirmRequest{Job: job, Stamp: stamp, Record: record, PassedOn: true}) {
 		return true
--- a/internal/coordination/peer/wire_test.go
+++ b/internal/coordination/peer/wire_test.go
@@ -10,7 +10,8 @@
 	"quillshunt/internal/coordination/peer/peerpb"
 )
 
-// TestWireNames pins the paths of the methods and the numbers and types of the fields, which controllers of other builds rely on.
+// TestWireNames pins the paths of the methods and the numbers and types of the fields, which
+// controllers of other builds rely on.
 func TestWireNames(t *testing.T) {
 	want := []string{
 		"/quillshunt.peer.v1.Peer/Counts CountsRequest CountsReply",
--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -10,7 +10,8 @@
 	"quillshunt/internal/limits"
 )
 
-// jobGroup is what must not be left behind as a whole under lasting overload: the jobs of a class and team of about the same size.
+// jobGroup is what must not be left behind as a whole under lasting overload: the jobs of a class
+// and team of about the same size.
 type jobGroup struct {
 	class     *jobClass
 	team      *team
@@ -19,13 +20,14 @@
 
 func (j *job) group() jobGroup { return jobGroup{j.class, j.team, bits.Len(uint(j.spec.Tasks))} }
 
-// groupServed is how many tasks of a group's jobs should have been started by now, and how many of these were.
+// groupServed is how many tasks of a group's jobs should have been started by now, and how many of
+// these were.
 type groupServed struct{ due, served int }
 
-// tasksDue is how many tasks of a job should have been started by now. The order of the queue favours what is urgent, small and on time;
-// under
-// lasting overload the rest would never begin. So a job is due its first task at one age, and the others one by one from a later one on,
-// whatever else waits.
+// tasksDue is how many tasks of a job should have been started by now. The order of the queue
+// favours what is urgent, small and on time; under lasting overload the rest would never begin. So
+// a job is due its first task at one age, and the others one by one from a later one on, whatever
+// else waits.
 func (s *Scheduler) tasksDue(j *job) int {
 	age := s.now - j.submittedAt
 	if age <= limits.FirstTaskDueAge || j.cancelled || j.closed {
@@ -35,8 +37,8 @@
 	return max(1, int(math.Ceil(min(share, 1)*float64(j.spec.Tasks))))
 }
 
-// overdueTasks is how many tasks a job gets before all others: the first if it has not begun, else what it is behind with while its group is
-// served badly.
+// overdueTasks is how many tasks a job gets before all others: the first if it has not begun, else
+// what it is behind with while its group is served badly.
 func (s *Scheduler) overdueTasks(j *job) int {
 	n := min(s.tasksDue(j)-j.doneCount-len(j.assignments), j.waitingTasks())
 	switch {
@@ -59,9 +61,9 @@
 	return float64(x.served) / float64(x.due)
 }
 
-// updateOverdue works out which jobs are behind, in order: those that have not begun first, then by how badly their group is served, then by age,
-// so that
-// jobs are completed rather than all of them begun.
+// updateOverdue works out which jobs are behind, in order: those that have not begun first, then by
+// how badly their group is served, then by age, so that jobs are completed rather than all of them
+// begun.
 func (s *Scheduler) updateOverdue() {
 	clear(s.groupProgress)
 	maps.Copy(s.groupProgress, s.closedJobProgress)
@@ -86,10 +88,10 @@
 	})
 }
 
-// hold keeps the machines with the most free room for a job that is behind and finds none with enough, so that smaller tasks do not take
-// that room bit by bit for ever. A machine that was held in the pass before comes first: otherwise each one with as much room would take
-// the
-// place of another, and none would ever have enough.
+// hold keeps the machines with the most free room for a job that is behind and finds none with
+// enough, so that smaller tasks do not take that room bit by bit for ever. A machine that was held
+// in the pass before comes first: otherwise each one with as much room would take the place of
+// another, and none would ever have enough.
 func (s *Scheduler) reserveForJob(j *job) {
 	p := &s.pass
 	n := min(s.overdueTasks(j), p.reservationsLeft)
@@ -111,7 +113,8 @@
 	p.reservationsLeft -= n
 }
 
-// byReservation orders machines that may be held: those held in the pass before, then those with the most free room.
+// byReservation orders machines that may be held: those held in the pass before, then those with
+// the most free room.
 func byReservation(a, b *machine) int {
 	return cmp.Or(compareBool(b.wasReserved, a.wasReserved), cmp.Compare(b.freeRoom().cpu, a.freeRoom().cpu))
 }
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -10,10 +10,11 @@
 	"quillshunt/internal/storage"
 )
 
-// BenchmarkReport is the leader's cost of a report on a full fleet with a backlog: each report ends one task and a new one is
-// placed, at several sizes, also with large jobs that are behind and find no room, with jobs that would stop others but may not, and
-// with gangs that wait. Run it for a few thousand reports: those jobs are pressing for some seconds only. It should hardly depend on
-// fleet or backlog. Compare versions as a ratio in one run; the time itself says nothing.
+// BenchmarkReport is the leader's cost of a report on a full fleet with a backlog: each report ends
+// one task and a new one is placed, at several sizes, also with large jobs that are behind and find
+// no room, with jobs that would stop others but may not, and with gangs that wait. Run it for a few
+// thousand reports: those jobs are pressing for some seconds only. It should hardly depend on fleet
+// or backlog. Compare versions as a ratio in one run; the time itself says nothing.
 func BenchmarkReport(b *testing.B) {
 	for _, c := range []benchmarkSetup{{machines: 48, jobs: 30}, {machines: 270, jobs: 100}, {machines: 1090, jobs: 300}, {machines: 1090, jobs: 300, overdue: 100},
 		{machines: 1820, jobs: 500, preempting: 200}, {machines: 4000, jobs: 500}, {machines: 4000, jobs: 500, gangs: 300}} {
@@ -118,9 +119,9 @@
 	return &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", m), Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: tally, FencingToken: 1, Tasks: tasks}
 }
 
-// BenchmarkTakeOver is the pass in which a new leader that has just heard of all machines fills an empty fleet from a backlog of many
-// times its size, for
-// each task placed: it should hardly depend on the size.
+// BenchmarkTakeOver is the pass in which a new leader that has just heard of all machines fills an
+// empty fleet from a backlog of many times its size, for each task placed: it should hardly depend
+// on the size.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, machines := range []int{250, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -140,9 +141,9 @@
 	}
 }
 
-// BenchmarkPlan is the plan of the fleet, made once a second, with a full fleet and a backlog that grows with it. It must look at each
-// machine and each job; its
-// cost should not grow as their product.
+// BenchmarkPlan is the plan of the fleet, made once a second, with a full fleet and a backlog that
+// grows with it. It must look at each machine and each job; its cost should not grow as their
+// product.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{250, 500, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -155,7 +156,8 @@
 	}
 }
 
-// reportedMachines is a new leader with a backlog of many times an empty fleet that has heard of some of its machines.
+// reportedMachines is a new leader with a backlog of many times an empty fleet that has heard of
+// some of its machines.
 func reportedMachines(machines, heard int) *Scheduler {
 	options := config.DefaultOptions()
 	options.Fleet.MaxMachines = machines
@@ -182,9 +184,9 @@
 	return s
 }
 
-// TestReportAllocations guards the leader's cost of the commonest event, a report that brings nothing new, on a fleet with a backlog.
-// Allocations repeat exactly,
-// times don't; the bound is what it takes now, with a few to spare.
+// TestReportAllocations guards the leader's cost of the commonest event, a report that brings
+// nothing new, on a fleet with a backlog. Allocations repeat exactly, times don't; the bound is
+// what it takes now, with a few to spare.
 func TestReportAllocations(t *testing.T) {
 	const reportAllocs = 14
 	b := newSchedulerFixture(t, 50)
--- a/internal/coordination/scheduler/binding.go
+++ b/internal/coordination/scheduler/binding.go
@@ -65,8 +65,9 @@
 	return b
 }
 
-// release takes a task off its machine. The caller has the evidence that it is not there and cannot come there:
-// no start of this attempt is on its way, or the session is over, or the machine is gone.
+// release takes a task off its machine. The caller has the evidence that it is not there and cannot
+// come there: no start of this attempt is on its way, or the session is over, or the machine is
+// gone.
 func (s *Scheduler) release(b *assignment) {
 	j, m := b.job, b.machine
 	if m.assignments[b.taskName] != b {
--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -9,7 +9,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestCancelledOnNotice: a cancelled task that does not stop costs its machine in time, also one that the cloud has said to take.
+// TestCancelledOnNotice: a cancelled task that does not stop costs its machine in time, also one
+// that the cloud has said to take.
 func TestCancelledOnNotice(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
@@ -28,10 +29,10 @@
 	}
 }
 
-// TestCancelledInTime: a machine that reports a cancelled task again and again, whatever it is told, and whose deletion nobody confirms,
-// gets no answer from so
-// early on that its lease ends within cancel_s; and that time goes on across a change of leaders. A machine without such a task is
-// answered all the while.
+// TestCancelledInTime: a machine that reports a cancelled task again and again, whatever it is
+// told, and whose deletion nobody confirms, gets no answer from so early on that its lease ends
+// within cancel_s; and that time goes on across a change of leaders. A machine without such a task
+// is answered all the while.
 func TestCancelledInTime(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second, 25 * time.Second, time.Hour} {
 		b := newSchedulerFixture(t, 2)
--- a/internal/coordination/scheduler/dispatch_test.go
+++ b/internal/coordination/scheduler/dispatch_test.go
@@ -8,9 +8,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestDirectCommandsAreBounded: however many machines get tasks at once, only so many direct commands are on their way. The other machines get
-// their starts with the
-// answers to their next reports, or directly once earlier commands are answered; each start goes out once.
+// TestDirectCommandsAreBounded: however many machines get tasks at once, only so many direct
+// commands are on their way. The other machines get their starts with the answers to their next
+// reports, or directly once earlier commands are answered; each start goes out once.
 func TestDirectCommandsAreBounded(t *testing.T) {
 	const machines = 3 * limits.MaxDirectCommands
 	b := newSchedulerFixture(t, machines)
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestFewRegistryWrites: a job that is nearly over is not written down task by task, as its final record says it all; one that drags on is.
+// TestFewRegistryWrites: a job that is nearly over is not written down task by task, as its final
+// record says it all; one that drags on is.
 func TestFewRegistryWrites(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestDirectAnswerIsNoEvidence: a start that went out in the answer to a report may still be on its way when a direct command is
-// answered; only the next report shows that it is lost.
+// TestDirectAnswerIsNoEvidence: a start that went out in the answer to a report may still be on its
+// way when a direct command is answered; only the next report shows that it is lost.
 func TestDirectAnswerIsNoEvidence(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
@@ -97,9 +98,9 @@
 	}
 }
 
-// TestDeafMachine: a machine whose reports arrive while answers and commands don't reach it loses one start at most, gets no other until
-// a round
-// trip is seen, and is deleted in time; what it finishes counts.
+// TestDeafMachine: a machine whose reports arrive while answers and commands don't reach it loses
+// one start at most, gets no other until a round trip is seen, and is deleted in time; what it
+// finishes counts.
 func TestDeafMachine(t *testing.T) {
 	b := newSchedulerFixture(t, 2)
 	b.report(0)
@@ -118,7 +119,8 @@
 	for _, x := range m.assignments {
 		try = x.attempt
 	}
-	// It hears nothing: its next reports come on other connections. One task that it had got all the same is done.
+	// It hears nothing: its next reports come on other connections. One task that it had got all
+	// the same is done.
 	deleted := false
 	tally := b.sequence
 	for range 20 {
@@ -152,8 +154,9 @@
 	}
 }
 
-// TestLateCopies: copies of reports, however late, prove nothing: no machine is taken for alive or fresh by them, no lease is extended, and
-// a leader with no memory of a machine that is gone does not raise it.
+// TestLateCopies: copies of reports, however late, prove nothing: no machine is taken for alive or
+// fresh by them, no lease is extended, and a leader with no memory of a machine that is gone does
+// not raise it.
 func TestLateCopies(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	answer := func(r protocol.Heartbeat, relayed bool) HeartbeatReply {
@@ -184,8 +187,8 @@
 	if m.hasReported || m.fenced || len(m.assignments) > 0 || b.scheduler.isSchedulable(m) {
 		t.Errorf("believed: seen %v fenced %v binds %d", m.hasReported, m.fenced, len(m.assignments))
 	}
-	// A copy overtakes its original, and the start in its answer gets lost. The original's answer brings it again, but not once the job is
-	// cancelled.
+	// A copy overtakes its original, and the start in its answer gets lost. The original's answer
+	// brings it again, but not once the job is cancelled.
 	m.noDirectUntil = time.Hour
 	b.report(0)
 	b.report(0)
@@ -199,7 +202,8 @@
 	if r := answer(first, false); !r.Accepted || verbs(r.Commands, protocol.CommandStart) != 0 {
 		t.Errorf("after the cancellation: %+v", r)
 	}
-	// Of our term: the copy is answered like the original within the time that the worker waits, and does not keep the machine alive.
+	// Of our term: the copy is answered like the original within the time that the worker waits,
+	// and does not keep the machine alive.
 	b.sequence = 60
 	b.report(0)
 	heard, base := m.lastHeartbeatAt, m.leaseRenewedAt
@@ -220,7 +224,8 @@
 	if m.lastHeartbeatAt != heard || m.leaseRenewedAt != base {
 		t.Error("a copy made a machine fresh")
 	}
-	// A report that we had not seen and that comes after a silence may be late as well: no tasks until the machine answers.
+	// A report that we had not seen and that comes after a silence may be late as well: no tasks
+	// until the machine answers.
 	b.sequence++
 	late := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 2, Sequence: b.sequence, FencingToken: 3}
 	b.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: &late})
@@ -236,7 +241,8 @@
 	}
 }
 
-// TestDeletionConfirmed: tasks of a machine that is being returned stay bound until the cloud confirms it.
+// TestDeletionConfirmed: tasks of a machine that is being returned stay bound until the cloud
+// confirms it.
 func TestDeletionConfirmed(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
@@ -254,9 +260,8 @@
 	}
 }
 
-// TestNotEntitled: who may not act answers no report with 200, and takes nothing from it that would count as a renewed lease; so with a
-// worker that
-// has seen a later leader.
+// TestNotEntitled: who may not act answers no report with 200, and takes nothing from it that would
+// count as a renewed lease; so with a worker that has seen a later leader.
 func TestNotEntitled(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	r := &protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 3}
@@ -274,9 +279,9 @@
 	}
 }
 
-// TestFewUnreported: after a take-over a machine that does not answer probes holds up all placement. If it is one of a few it is given up
-// soon, and
-// the work goes on once its deletion is confirmed; a crowd may be behind a cut and is waited for.
+// TestFewUnreported: after a take-over a machine that does not answer probes holds up all
+// placement. If it is one of a few it is given up soon, and the work goes on once its deletion is
+// confirmed; a crowd may be behind a cut and is waited for.
 func TestFewUnreported(t *testing.T) {
 	for _, c := range []struct {
 		silent int
@@ -308,9 +313,10 @@
 	}
 }
 
-// TestUnverifiedTogether: a machine whose answers may not arrive is asked at once, but not hundreds that come on new connections together:
-// their next reports
-// setVerified them, and who stays unverified is asked then. Probes of all kept a small controller from answering reports, for minutes.
+// TestUnverifiedTogether: a machine whose answers may not arrive is asked at once, but not hundreds
+// that come on new connections together: their next reports setVerified them, and who stays
+// unverified is asked then. Probes of all kept a small controller from answering reports, for
+// minutes.
 func TestUnverifiedTogether(t *testing.T) {
 	for _, n := range []int{1, 40} {
 		b := newSchedulerFixture(t, 40)
@@ -365,10 +371,10 @@
 	}
 }
 
-// TestAnsweredMachineKeepsItsLease: a machine that a new leader has greeted, but whose next report it has not taken yet, may go on with its
-// tasks for a whole lease from
-// then. The rebuild does not end before that, or a task of it would be started elsewhere: seen on controllers too busy to take reports
-// in time.
+// TestAnsweredMachineKeepsItsLease: a machine that a new leader has greeted, but whose next report
+// it has not taken yet, may go on with its tasks for a whole lease from then. The rebuild does not
+// end before that, or a task of it would be started elsewhere: seen on controllers too busy to take
+// reports in time.
 func TestAnsweredMachineKeepsItsLease(t *testing.T) {
 	b := newSchedulerFixture(t, 2)
 	b.report(0)
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -19,7 +19,8 @@
 	return s.placementAllowed(j, m.typeName, m.zone, m.spot) && m.size().fits(j.demand) && !j.avoids(m)
 }
 
-// avoids tells whether a job goes elsewhere because the machine has failed it. Once it fails everywhere, any machine will do.
+// avoids tells whether a job goes elsewhere because the machine has failed it. Once it fails
+// everywhere, any machine will do.
 func (j *job) avoids(m *machine) bool {
 	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
 }
@@ -72,8 +73,8 @@
 	return &p.groups
 }
 
-// evaluateMachine filters and scores one machine, as it would stand with the seats that the gang at hand has there already; nil if there
-// are none.
+// evaluateMachine filters and scores one machine, as it would stand with the seats that the gang at
+// hand has there already; nil if there are none.
 func (s *Scheduler) evaluateMachine(j *job, m *machine, pressing bool, planned *plannedView) (c candidate, ok bool) {
 	free, tasks := planned.freeRoom(m), len(m.assignments)+len(m.endedTasks)
 	if planned != nil {
@@ -145,7 +146,8 @@
 	return false
 }
 
-// CanEverRun tells whether a job could ever run: a task fits some allowed type, and its team's limit; of a gang, all tasks together.
+// CanEverRun tells whether a job could ever run: a task fits some allowed type, and its team's
+// limit; of a gang, all tasks together.
 func CanEverRun(spec *protocol.Spec, types []protocol.MachineType, cpusMax, gpusMax float64) bool {
 	atOnce := 1.0
 	if spec.Gang() {
--- a/internal/coordination/scheduler/finished.go
+++ b/internal/coordination/scheduler/finished.go
@@ -8,9 +8,10 @@
 	"quillshunt/internal/storage"
 )
 
-// Records of finished tasks may be of another size than the chunks of this term: earlier versions and other limits of the state
-// service cut them differently. All of them are read as their union. A record that begins where a chunk of ours does is replaced by
-// it, once what it tells of later chunks is written elsewhere; the others stay as they are until the job is over.
+// Records of finished tasks may be of another size than the chunks of this term: earlier versions
+// and other limits of the state service cut them differently. All of them are read as their union.
+// A record that begins where a chunk of ours does is replaced by it, once what it tells of later
+// chunks is written elsewhere; the others stay as they are until the job is over.
 
 // finishedTasksLoaded takes a record of finished tasks, read at the start of the term.
 func (s *Scheduler) finishedTasksLoaded(e FinishedTasksLoaded) {
@@ -43,7 +44,8 @@
 	}
 }
 
-// coversUnwrittenTasks tells whether the record of a chunk still tells of tasks of later chunks that are not written elsewhere.
+// coversUnwrittenTasks tells whether the record of a chunk still tells of tasks of later chunks
+// that are not written elsewhere.
 func (j *job) coversUnwrittenTasks(n int) bool {
 	for k := n + 1; k <= j.chunks[n].lastCoveredChunk; k++ {
 		if j.chunks[k].durableSequence < j.chunks[k].sequence {
@@ -75,8 +77,8 @@
 	s.orphanedRecords = nil
 }
 
-// removeFinishedTasks removes records of finished tasks of a job that is over, each by a write of its own, as there may be more than a
-// transaction takes.
+// removeFinishedTasks removes records of finished tasks of a job that is over, each by a write of
+// its own, as there may be more than a transaction takes.
 func (s *Scheduler) removeFinishedTasks(job string, keys []string) {
 	for _, key := range keys {
 		s.write(pendingWrite{kind: writeCleanup}, []protocol.Condition{{Key: storage.OpenJobKey(job)}}, []protocol.Operation{{Delete: key}})
@@ -107,9 +109,9 @@
 	j.chunks[idx/s.tasksPerChunk].sequence++
 }
 
-// writeFinishedTasks writes finished tasks down, those first that were not written for longest, within a share of the state service's rate: what is
-// not written is
-// kept by the workers, and done again only where one is lost. A job that is nearly over needs no record but its final one.
+// writeFinishedTasks writes finished tasks down, those first that were not written for longest,
+// within a share of the state service's rate: what is not written is kept by the workers, and done
+// again only where one is lost. A job that is nearly over needs no record but its final one.
 func (s *Scheduler) writeFinishedTasks() {
 	rate := s.cfg.State.WriteRPS * limits.ChunkWriteShare
 	s.chunkWriteBudget = min(s.chunkWriteBudget+rate*limits.TickInterval.Seconds(), max(rate, 1))
--- a/internal/coordination/scheduler/finished_test.go
+++ b/internal/coordination/scheduler/finished_test.go
@@ -18,7 +18,8 @@
 	changes int // carried out
 }
 
-// execute applies the writes among some effects and feeds the answers back. It returns the size of the largest transaction.
+// execute applies the writes among some effects and feeds the answers back. It returns the size of
+// the largest transaction.
 func (f *memoryStore) execute(s *Scheduler, out []Effect, now time.Duration) (most int) {
 	for _, e := range out {
 		w, ok := e.(WriteRecords)
@@ -63,8 +64,9 @@
 	return done
 }
 
-// TestFinishedOfAnotherSize: records that were cut for larger or smaller values are read as their union; nothing that they tell is
-// lost at any moment while they are replaced, and all are removed when the job is over, within the size of a transaction.
+// TestFinishedOfAnotherSize: records that were cut for larger or smaller values are read as their
+// union; nothing that they tell is lost at any moment while they are replaced, and all are removed
+// when the job is over, within the size of a transaction.
 func TestFinishedOfAnotherSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tasks, job = 6000, "job-1"
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// rentMachines starts a rental: its name is durable before the request leaves, so that a successor can ask for the answer.
+// rentMachines starts a rental: its name is durable before the request leaves, so that a successor
+// can ask for the answer.
 func (s *Scheduler) rentMachines(p machinePool, n int) {
 	s.rentalSequence++
 	h := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentalSequence), state: rentalWriting, requestedAt: s.now,
@@ -77,7 +78,8 @@
 	s.reconcileRental(h)
 }
 
-// reconcileRental brings a rental's record in line with what is known: it goes once all its machines are gone.
+// reconcileRental brings a rental's record in line with what is known: it goes once all its
+// machines are gone.
 func (s *Scheduler) reconcileRental(h *rental) {
 	switch {
 	case h.writing || h.version == 0:
@@ -227,8 +229,8 @@
 	}
 	for _, m := range s.sortedMachines {
 		if !s.recovered && !m.hasReported && m.registration != unregistered && !in[m.name] {
-			// It reported to an earlier leader, so it was listed once or is very new. Its deletion is the quickest
-			// evidence that nothing runs there.
+			// It reported to an earlier leader, so it was listed once or is very new. Its deletion
+			// is the quickest evidence that nothing runs there.
 			s.returnMachine(m, "not listed after the take-over")
 			continue
 		}
@@ -243,7 +245,8 @@
 	}
 }
 
-// returnMachine returns a machine to the cloud. Once asked, there is no way back, as the request may be carried out at any time.
+// returnMachine returns a machine to the cloud. Once asked, there is no way back, as the request
+// may be carried out at any time.
 func (s *Scheduler) returnMachine(m *machine, why string) {
 	if m.deleting {
 		return
@@ -380,8 +383,9 @@
 	s.manyUnverified = doubted > limits.CorrelatedMin && float64(doubted) > limits.CorrelatedUnverifiedShare*float64(up)
 	lost := isCorrelated(unheard, unheard+up)
 	s.fewUnreported = !s.recovered && float64(unheard) <= max(limits.CorrelatedMin, limits.FewUnreportedShare*float64(unheard+up))
-	// Many machines falling silent together is a cut, not a series of deaths: they may come back, sooner than others would boot. Counted are
-	// those that have only just begun to be silent, as otherwise the first of a crowd would go one by one.
+	// Many machines falling silent together is a cut, not a series of deaths: they may come back,
+	// sooner than others would boot. Counted are those that have only just begun to be silent, as
+	// otherwise the first of a crowd would go one by one.
 	crowd := isCorrelated(silent, up)
 	for _, m := range s.sortedMachines {
 		if m.deleting {
@@ -397,7 +401,8 @@
 			if lost {
 				patience = max(patience, limit) // so many at once may be a cut that ends soon
 			}
-			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer either costs less than the wait.
+			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer
+			// either costs less than the wait.
 			if s.now > s.termStartedAt+patience || (s.fewUnreported && m.missedProbes >= limits.UnreportedProbeMisses) {
 				s.returnMachine(m, "not heard of since the take-over")
 			}
@@ -429,7 +434,8 @@
 	}
 }
 
-// holdsCancelledTask tells whether a machine may have a task of a cancelled job although that job's time is over.
+// holdsCancelledTask tells whether a machine may have a task of a cancelled job although that job's
+// time is over.
 func (s *Scheduler) holdsCancelledTask(m *machine, over func(*job) time.Duration) bool {
 	for _, b := range m.assignments {
 		if b.job.cancelled && b.state != stateUnsent && s.now > over(b.job) {
@@ -439,9 +445,9 @@
 	return false
 }
 
-// cancelDeleteAt is when a machine that still has a task of a cancelled job is deleted: early enough that the cloud has answered by
-// lastAnswer. A leader that has
-// only just learned of it lets the stops arrive first, while there is time.
+// cancelDeleteAt is when a machine that still has a task of a cancelled job is deleted: early
+// enough that the cloud has answered by lastAnswer. A leader that has only just learned of it lets
+// the stops arrive first, while there is time.
 func (s *Scheduler) cancelDeleteAt(j *job) time.Duration {
 	within := limits.Seconds(s.cfg.Workers.CancelS)
 	early := time.Duration(limits.CancelDeleteShare * float64(limits.CancelAnswerUntil(within, s.workerLease)))
@@ -449,9 +455,9 @@
 	return max(j.cancelledAt+early, min(j.cancelSeenAt+limits.CancelStopGrace, j.cancelledAt+late))
 }
 
-// cancelAnswerUntil is until when the reports of such a machine are answered. If its deletion is not confirmed by then, nothing but the end of
-// its lease takes the task
-// off it in time, also if it hangs and goes on. Its other tasks are lost with that, as they would be by the deletion.
+// cancelAnswerUntil is until when the reports of such a machine are answered. If its deletion is
+// not confirmed by then, nothing but the end of its lease takes the task off it in time, also if it
+// hangs and goes on. Its other tasks are lost with that, as they would be by the deletion.
 func (s *Scheduler) cancelAnswerUntil(j *job) time.Duration {
 	return j.cancelledAt + limits.CancelAnswerUntil(limits.Seconds(s.cfg.Workers.CancelS), s.workerLease)
 }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -23,11 +23,13 @@
 	return [...]string{"waiting", "placed", "gathering", "running", "stopping"}[g]
 }
 
-// gang decides what becomes of the tasks of a gang together. Every change of one of its bindings leaves it on a list (see touchGang), and
-// settleGangs looks at the gang as a whole before the next placement.
+// gang decides what becomes of the tasks of a gang together. Every change of one of its bindings
+// leaves it on a list (see touchGang), and settleGangs looks at the gang as a whole before the next
+// placement.
 //
-// Its tasks share one attempt number, also a task that takes the place of a lost one before the start. A binding is therefore known by
-// machine, session and attempt, and the next attempt begins only when no task is bound any more.
+// Its tasks share one attempt number, also a task that takes the place of a lost one before the
+// start. A binding is therefore known by machine, session and attempt, and the next attempt begins
+// only when no task is bound any more.
 type gang struct {
 	job     *job
 	state   gangState
@@ -52,7 +54,8 @@
 	return &gang{job: j, lostMachines: map[string]bool{}}
 }
 
-// missing is how many tasks want a machine now: all of a gang that waits, and those that were lost before the start.
+// missing is how many tasks want a machine now: all of a gang that waits, and those that were lost
+// before the start.
 func (g *gang) missing() int {
 	if g.isOver() {
 		return 0
@@ -64,7 +67,8 @@
 	return 0
 }
 
-// isOver tells whether nothing is left to decide: the job is over, or its tasks are being removed for good.
+// isOver tells whether nothing is left to decide: the job is over, or its tasks are being removed
+// for good.
 func (g *gang) isOver() bool {
 	j := g.job
 	return j.closed || j.cancelled || j.doneCount == j.spec.Tasks
@@ -158,8 +162,8 @@
 	return v
 }
 
-// stopGang tells all tasks of a gang to stop, never a part of them: they save together or not at all. Tasks whose start has not gone out
-// are released.
+// stopGang tells all tasks of a gang to stop, never a part of them: they save together or not at
+// all. Tasks whose start has not gone out are released.
 func (s *Scheduler) stopGang(g *gang, why string) {
 	if g.state != gangStopping {
 		g.state, g.stopStartedAt = gangStopping, s.now
@@ -173,8 +177,9 @@
 	}
 }
 
-// abortGang ends what is left of a gang that has lost a task after its start. Its work since the last checkpoint is lost already;
-// the rest would only wait until they notice, so that the next attempt would begin later.
+// abortGang ends what is left of a gang that has lost a task after its start. Its work since the
+// last checkpoint is lost already; the rest would only wait until they notice, so that the next
+// attempt would begin later.
 func (s *Scheduler) abortGang(g *gang) {
 	for _, b := range g.job.assignments {
 		b.withoutSaving = true
@@ -245,8 +250,9 @@
 	return limits.Seconds(*v)
 }
 
-// commitGangs lets the starts of a gang go out once room for all its tasks is confirmed, so that two gangs can't each hold what the other
-// lacks. The room of a committed task is kept for it even before its start is sent.
+// commitGangs lets the starts of a gang go out once room for all its tasks is confirmed, so that
+// two gangs can't each hold what the other lacks. The room of a committed task is kept for it even
+// before its start is sent.
 func (s *Scheduler) commitGangs() {
 	if !s.freeRoomChanged {
 		return
@@ -295,7 +301,8 @@
 	return true
 }
 
-// committedRoom is the room of tasks that are on the machine or on their way, and of those that were committed to it.
+// committedRoom is the room of tasks that are on the machine or on their way, and of those that
+// were committed to it.
 func (m *machine) committedRoom() resources {
 	var held resources
 	for _, b := range m.assignments {
@@ -306,7 +313,8 @@
 	return held
 }
 
-// gangsStillSaving tells whether gangs on a machine that is to be returned still need it to save their work. It tells them to stop first.
+// gangsStillSaving tells whether gangs on a machine that is to be returned still need it to save
+// their work. It tells them to stop first.
 func (s *Scheduler) gangsStillSaving(m *machine) bool {
 	wait := false
 	for _, b := range m.sortedAssignments() {
@@ -321,8 +329,8 @@
 	return wait
 }
 
-// hasUnsentGangStop tells whether the machine has to be told of a gang's stop. That can't wait: tasks of a gang that are told too late lose the
-// work of all.
+// hasUnsentGangStop tells whether the machine has to be told of a gang's stop. That can't wait:
+// tasks of a gang that are told too late lose the work of all.
 func (m *machine) hasUnsentGangStop() bool {
 	for _, b := range m.assignments {
 		if b.job.gang != nil && b.stopping && !b.stopSent {
@@ -332,7 +340,8 @@
 	return false
 }
 
-// hasUnsentGangCommand tells whether the machine has a start or stop of a gang's task that has not gone out.
+// hasUnsentGangCommand tells whether the machine has a start or stop of a gang's task that has not
+// gone out.
 func (m *machine) hasUnsentGangCommand() bool {
 	for _, b := range m.assignments {
 		if b.job.gang != nil && ((b.stopping && !b.stopSent) || (b.state == stateUnsent && b.committed)) {
--- a/internal/coordination/scheduler/gang_bed_test.go
+++ b/internal/coordination/scheduler/gang_bed_test.go
@@ -33,7 +33,8 @@
 	return g
 }
 
-// startedGang is a gang that fills some of the machines, a machine for each of its tasks, and whose starts have arrived.
+// startedGang is a gang that fills some of the machines, a machine for each of its tasks, and whose
+// starts have arrived.
 func startedGang(t *testing.T, machines, tasks int) *gangFixture {
 	g := newGangFixture(t, machines)
 	g.gang("job-1", tasks, 8)
@@ -117,7 +118,8 @@
 	return -1, 0
 }
 
-// commandsOf collects the commands of a verb that an event brings out, by direct commands and in the answer.
+// commandsOf collects the commands of a verb that an event brings out, by direct commands and in
+// the answer.
 func commandsOf(out []Effect, verb string) []protocol.Command {
 	var found []protocol.Command
 	for _, e := range out {
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -11,7 +11,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestGangTogether: a gang gets all its machines in one pass and one attempt number, or none; a smaller one behind it is not kept waiting.
+// TestGangTogether: a gang gets all its machines in one pass and one attempt number, or none; a
+// smaller one behind it is not kept waiting.
 func TestGangTogether(t *testing.T) {
 	b := newGangFixture(t, 2)
 	b.gang("job-1", 5, 4)
@@ -30,8 +31,9 @@
 	}
 }
 
-// TestGangWaitsForConfirmedRoom: a gang that takes room from others sends no start before the last of them is known to be gone, so that it
-// never holds a part of its machines while somebody else has the rest.
+// TestGangWaitsForConfirmedRoom: a gang that takes room from others sends no start before the last
+// of them is known to be gone, so that it never holds a part of its machines while somebody else
+// has the rest.
 func TestGangWaitsForConfirmedRoom(t *testing.T) {
 	b := newGangFixture(t, 2)
 	b.job("job-1", "red", "low", 2, 6, 0)
@@ -64,8 +66,9 @@
 	}
 }
 
-// TestGangReplacement: a task that is lost while the gang gathers gets another machine under the same attempt number, never the one
-// that may know that attempt; under a new leader as well, which learns the number from reports.
+// TestGangReplacement: a task that is lost while the gang gathers gets another machine under the
+// same attempt number, never the one that may know that attempt; under a new leader as well, which
+// learns the number from reports.
 func TestGangReplacement(t *testing.T) {
 	b := startedGang(t, 3, 2)
 	lostOn, attempt := b.where("job-1/0")
@@ -83,7 +86,8 @@
 	}
 }
 
-// TestGangNotReplacedTooLate: without room for a lost task the whole gang is stopped, and waits again under a new attempt.
+// TestGangNotReplacedTooLate: without room for a lost task the whole gang is stopped, and waits
+// again under a new attempt.
 func TestGangNotReplacedTooLate(t *testing.T) {
 	b := startedGang(t, 2, 2)
 	lostOn, attempt := b.where("job-1/0")
@@ -104,8 +108,9 @@
 	}
 }
 
-// TestGangLostWhileRunning: what is left of a gang that lost a task is ended at once, and the next attempt starts only when the last
-// task of the old one is gone: a task that is still on its machine would run twice.
+// TestGangLostWhileRunning: what is left of a gang that lost a task is ended at once, and the next
+// attempt starts only when the last task of the old one is gone: a task that is still on its
+// machine would run twice.
 func TestGangLostWhileRunning(t *testing.T) {
 	b := startedGang(t, 3, 2)
 	lostOn, attempt := b.where("job-1/0")
@@ -136,8 +141,8 @@
 	}
 }
 
-// TestGangStopsAsAWhole: a notice for one machine stops the gang on all, in one step, with time to save, however many direct
-// commands are on their way.
+// TestGangStopsAsAWhole: a notice for one machine stops the gang on all, in one step, with time to
+// save, however many direct commands are on their way.
 func TestGangStopsAsAWhole(t *testing.T) {
 	b := startedGang(t, 3, 3)
 	b.all("job-1", protocol.Running)
@@ -158,7 +163,8 @@
 	}
 }
 
-// TestGangStopGoesOnAfterTakeOver: a new leader that finds a task of a gang saving stops the rest, before it knows all machines.
+// TestGangStopGoesOnAfterTakeOver: a new leader that finds a task of a gang saving stops the rest,
+// before it knows all machines.
 func TestGangStopGoesOnAfterTakeOver(t *testing.T) {
 	b := newSchedulerFixture(t, 3)
 	b.gang("job-1", 2, 8)
@@ -170,8 +176,8 @@
 	}
 }
 
-// TestGangAfterTakeOver: a new leader completes a gang that gathers, under the number that its reports show; it ends one that ran
-// and has lost a task.
+// TestGangAfterTakeOver: a new leader completes a gang that gathers, under the number that its
+// reports show; it ends one that ran and has lost a task.
 func TestGangAfterTakeOver(t *testing.T) {
 	for _, c := range []struct {
 		state string
@@ -192,8 +198,8 @@
 	}
 }
 
-// TestGangDone: when one task is done all are, so the job is, also while reports of the others are still to come; but their machines stay
-// bound.
+// TestGangDone: when one task is done all are, so the job is, also while reports of the others are
+// still to come; but their machines stay bound.
 func TestGangDone(t *testing.T) {
 	b := startedGang(t, 2, 2)
 	i, _ := b.where("job-1/0")
@@ -220,7 +226,8 @@
 	}
 }
 
-// TestGangIncomplete: a gang whose tasks gave up waiting is neither the machines' fault nor the job's, and starts again as a whole.
+// TestGangIncomplete: a gang whose tasks gave up waiting is neither the machines' fault nor the
+// job's, and starts again as a whole.
 func TestGangIncomplete(t *testing.T) {
 	b := startedGang(t, 3, 2) // with room for another in place of the one that gave up; but the rest will give up as well
 	i, attempt := b.where("job-1/0")
@@ -244,7 +251,8 @@
 	}
 }
 
-// TestGangVictim: a gang that is stopped for somebody counts once, with the loss of all its tasks, and leaves room on all its machines.
+// TestGangVictim: a gang that is stopped for somebody counts once, with the loss of all its tasks,
+// and leaves room on all its machines.
 func TestGangVictim(t *testing.T) {
 	b := newGangFixture(t, 2)
 	b.gang("job-1", 4, 4, func(s *protocol.Spec) { s.Priority, s.CheckpointS, s.SaveS = "low", 0, 0 })
@@ -304,7 +312,8 @@
 	}
 }
 
-// TestGangOfSeveralAttempts: tasks of one gang that show different attempts never find each other, so all are stopped.
+// TestGangOfSeveralAttempts: tasks of one gang that show different attempts never find each other,
+// so all are stopped.
 func TestGangOfSeveralAttempts(t *testing.T) {
 	b := newSchedulerFixture(t, 2)
 	b.gang("job-1", 2, 8)
@@ -315,8 +324,8 @@
 	}
 }
 
-// TestCommittedRoomIsKept: the start of a more urgent task, for which room was promised that is not free yet, does not take the room
-// that a gang was committed to.
+// TestCommittedRoomIsKept: the start of a more urgent task, for which room was promised that is not
+// free yet, does not take the room that a gang was committed to.
 func TestCommittedRoomIsKept(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
@@ -338,7 +347,8 @@
 	}
 }
 
-// TestGangSavesBeforeItsMachineGoes: a machine that fails its tasks is returned only after gangs on it have had the time to save.
+// TestGangSavesBeforeItsMachineGoes: a machine that fails its tasks is returned only after gangs on
+// it have had the time to save.
 func TestGangSavesBeforeItsMachineGoes(t *testing.T) {
 	b := startedGang(t, 2, 2)
 	b.all("job-1", protocol.Running)
@@ -359,8 +369,8 @@
 	}
 }
 
-// TestGangRoom: where gangs should start sooner than a machine boots, independent tasks leave the room that gangs lately used, until
-// they have waited for long.
+// TestGangRoom: where gangs should start sooner than a machine boots, independent tasks leave the
+// room that gangs lately used, until they have waited for long.
 func TestGangRoom(t *testing.T) {
 	b := newGangFixture(t, 2)
 	b.scheduler.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "g", WithinS: 2, Share: 0.9}}
@@ -402,7 +412,8 @@
 	}
 }
 
-// TestOrphanOfAnOpenJob: finished tasks of a job that is open, but whose team the settings do not name, are no leftovers.
+// TestOrphanOfAnOpenJob: finished tasks of a job that is open, but whose team the settings do not
+// name, are no leftovers.
 func TestOrphanOfAnOpenJob(t *testing.T) {
 	b := newSchedulerFixture(t, 0)
 	s := New(b.scheduler.cfg, 0)
@@ -417,8 +428,8 @@
 	}
 }
 
-// TestGangThatCannotBeComplete: no machine is rented or kept for a gang that is spread over more zones than there are, nor for long for one
-// that the cloud has not enough machines for.
+// TestGangThatCannotBeComplete: no machine is rented or kept for a gang that is spread over more
+// zones than there are, nor for long for one that the cloud has not enough machines for.
 func TestGangThatCannotBeComplete(t *testing.T) {
 	b := newGangFixture(t, 1)
 	b.gang("job-1", 4, 8, func(s *protocol.Spec) { s.SpreadZones = true })
@@ -451,8 +462,9 @@
 	}
 }
 
-// TestGangAttemptKnownToWorker: a machine that lists a task of the attempt as ended takes no start of it for a new one. A new leader, which
-// does not remember where tasks were lost, sends the replacement elsewhere; and if such a start goes out, the task does not stay bound.
+// TestGangAttemptKnownToWorker: a machine that lists a task of the attempt as ended takes no start
+// of it for a new one. A new leader, which does not remember where tasks were lost, sends the
+// replacement elsewhere; and if such a start goes out, the task does not stay bound.
 func TestGangAttemptKnownToWorker(t *testing.T) {
 	ended := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.Ended, Reason: protocol.ReasonNoRoom}
 	waits := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.Gathering}
--- a/internal/coordination/scheduler/gangplace.go
+++ b/internal/coordination/scheduler/gangplace.go
@@ -9,9 +9,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// The paper's extension to runs that are placed and stopped as a whole: the request for a gang asks for one machine after the other
-// by the plain filter, ranking and choice of victims, on views that count what the tasks before it take, and takes effect only if
-// all of them found one.
+// The paper's extension to runs that are placed and stopped as a whole: the request for a gang asks
+// for one machine after the other by the plain filter, ranking and choice of victims, on views that
+// count what the tasks before it take, and takes effect only if all of them found one.
 
 // gangRequest is what decides whether a gang finds room, for gangs that ask for nothing particular.
 type gangRequest struct {
@@ -95,7 +95,8 @@
 	return true
 }
 
-// bestGangPlacement returns seats for n tasks of a gang, or nil: of the zones that have room for all, the one that costs least.
+// bestGangPlacement returns seats for n tasks of a gang, or nil: of the zones that have room for
+// all, the one that costs least.
 func (s *Scheduler) bestGangPlacement(j *job, n int, pressing bool) *gangPlacement {
 	if !j.spec.SameZone {
 		return s.placeGangInZone(j, n, "", pressing)
@@ -133,7 +134,8 @@
 	return zones
 }
 
-// cheaperThan compares two seatings: work lost first, then how much of the image is to be fetched, then the number of machines.
+// cheaperThan compares two seatings: work lost first, then how much of the image is to be fetched,
+// then the number of machines.
 func (a *gangPlacement) cheaperThan(b *gangPlacement) bool {
 	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.imageFetches(), b.imageFetches()), cmp.Compare(len(a.views), len(b.views))) < 0
 }
@@ -149,7 +151,8 @@
 	return n
 }
 
-// placeGangInZone looks for seats for n tasks of a gang, in one zone if one is named. It returns nil if it does not find all of them.
+// placeGangInZone looks for seats for n tasks of a gang, in one zone if one is named. It returns
+// nil if it does not find all of them.
 func (s *Scheduler) placeGangInZone(j *job, n int, zone string, pressing bool) *gangPlacement {
 	a := &gangPlacement{scheduler: s, job: j, preempting: pressing, zone: zone, views: map[*machine]*plannedView{}, tasksInZone: map[string]int{}}
 	for _, b := range j.assignments {
@@ -175,7 +178,8 @@
 	}
 }
 
-// hasEndedOn tells whether a machine lists a task of the gang's present attempt as ended: its worker takes a start of it for a repetition.
+// hasEndedOn tells whether a machine lists a task of the gang's present attempt as ended: its
+// worker takes a start of it for a repetition.
 func (g *gang) hasEndedOn(m *machine) bool {
 	if g.state == gangWaiting {
 		return false
@@ -246,7 +250,8 @@
 	return v
 }
 
-// collectCandidates looks at all machines, at first and after room was freed on several or a zone was filled.
+// collectCandidates looks at all machines, at first and after room was freed on several or a zone
+// was filled.
 func (a *gangPlacement) collectCandidates() {
 	a.groups.clear()
 	for _, m := range a.scheduler.pass.eligibleMachines(a.preempting) {
@@ -289,7 +294,8 @@
 	}
 }
 
-// refillGangs replaces tasks that gangs lost before their start. A gang that can't be complete in time is stopped and waits again.
+// refillGangs replaces tasks that gangs lost before their start. A gang that can't be complete in
+// time is stopped and waits again.
 func (s *Scheduler) refillGangs() {
 	refills := s.gangsToRefill
 	s.gangsToRefill = nil
@@ -305,8 +311,8 @@
 	}
 }
 
-// reserveForWaitingGang keeps machines for a gang that waits for long and finds no room, all in one zone if it must be: those with the most
-// free room, and those that were kept before first.
+// reserveForWaitingGang keeps machines for a gang that waits for long and finds no room, all in one
+// zone if it must be: those with the most free room, and those that were kept before first.
 func (s *Scheduler) reserveForWaitingGang(j *job) {
 	p := &s.pass
 	if j.waitingTasks() == 0 || p.reservationsLeft <= 0 || !j.withinTeamLimit() {
@@ -336,8 +342,8 @@
 	}
 }
 
-// pickForGang picks the machines that should first have room for all tasks of a gang, and how much room is free there. It returns none if they
-// could never hold all.
+// pickForGang picks the machines that should first have room for all tasks of a gang, and how much
+// room is free there. It returns none if they could never hold all.
 func (s *Scheduler) pickForGang(j *job, machines []*machine) (kept []*machine, free float64) {
 	slices.SortStableFunc(machines, byReservation)
 	found := 0
--- a/internal/coordination/scheduler/gangroom.go
+++ b/internal/coordination/scheduler/gangroom.go
@@ -11,11 +11,13 @@
 	"quillshunt/internal/limits"
 )
 
-// Gangs that should start sooner than a machine boots need room that is there already. Independent tasks would fill it, as they take
-// whatever is free, and a gang can't stop work of its own priority. So some machines are kept for gangs: as many as gangs lately
-// used or waited for at once, and room for one more. Who waits for long may use them all the same (see yieldsGangRoom).
+// Gangs that should start sooner than a machine boots need room that is there already. Independent
+// tasks would fill it, as they take whatever is free, and a gang can't stop work of its own
+// priority. So some machines are kept for gangs: as many as gangs lately used or waited for at
+// once, and room for one more. Who waits for long may use them all the same (see yieldsGangRoom).
 
-// gangKind is what decides which machines gangs may use: gangs that may use the same ones share the room that is kept.
+// gangKind is what decides which machines gangs may use: gangs that may use the same ones share the
+// room that is kept.
 type gangKind struct {
 	spot     bool
 	zone     string
@@ -79,7 +81,8 @@
 	}
 }
 
-// needsReservation tells whether a gang's tasks should start sooner than a machine that is rented for it would be up.
+// needsReservation tells whether a gang's tasks should start sooner than a machine that is rented
+// for it would be up.
 func (s *Scheduler) needsReservation(j *job) bool {
 	for _, d := range j.deadlines {
 		if d.forStart && (d.at-j.submittedAt).Seconds() < s.quickestBoot(j) {
@@ -89,7 +92,8 @@
 	return false
 }
 
-// reserveForGangs picks the machines that are kept for gangs, and adds to what is to be rented where there are too few.
+// reserveForGangs picks the machines that are kept for gangs, and adds to what is to be rented
+// where there are too few.
 func (s *Scheduler) reserveForGangs(fresh map[machinePool]float64, may func(machinePool) int) {
 	for _, m := range s.sortedMachines {
 		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
@@ -171,7 +175,8 @@
 	return (spec.Spot || !m.spot) && (spec.Zone == "" || spec.Zone == m.zone) && typeAllowed(spec, m.typeName) && m.size().fits(d.newestJob.demand)
 }
 
-// chooseReservationZone is the zone in which room is kept: where it is already, or where most machines are that may be kept.
+// chooseReservationZone is the zone in which room is kept: where it is already, or where most
+// machines are that may be kept.
 func (s *Scheduler) chooseReservationZone(d *gangDemand) string {
 	kept, all := map[string]int{}, map[string]int{}
 	zone := d.zone
@@ -206,8 +211,8 @@
 	return false
 }
 
-// mayUseGangReservation tells whether a job may use machines that are kept for gangs: gangs, and whoever waits for so long that room must
-// not be kept from it any longer.
+// mayUseGangReservation tells whether a job may use machines that are kept for gangs: gangs, and
+// whoever waits for so long that room must not be kept from it any longer.
 func (s *Scheduler) mayUseGangReservation(j *job) bool {
 	return j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.GangReservationYieldAge
 }
--- a/internal/coordination/scheduler/inspect.go
+++ b/internal/coordination/scheduler/inspect.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// SnapshotRequested asks how the term stands, and why a job waits if one is named. Answered with an InspectOut.
+// SnapshotRequested asks how the term stands, and why a job waits if one is named. Answered with an
+// InspectOut.
 type SnapshotRequested struct {
 	Job     string
 	ReplyTo any
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -83,7 +83,8 @@
 	return resources{k * j.demand.cpu, k * j.demand.gpu, k * j.demand.memory}
 }
 
-// withinTeamLimit tells whether its team's limit lets a task of it start now; of a gang, all that want to.
+// withinTeamLimit tells whether its team's limit lets a task of it start now; of a gang, all that
+// want to.
 func (j *job) withinTeamLimit() bool {
 	if j.gang != nil {
 		return j.team.fits(j.demandOf(j.waitingTasks()))
@@ -121,9 +122,9 @@
 	fetchSamples  int
 }
 
-// estimate is how long a task of the job is expected to run. The tasks that are done weigh against those on machines, which count as
-// what is
-// known of the class: the first to be done are the shortest, and alone they would make the rest look short.
+// estimate is how long a task of the job is expected to run. The tasks that are done weigh against
+// those on machines, which count as what is known of the class: the first to be done are the
+// shortest, and alone they would make the rest look short.
 func (j *job) estimate() float64 {
 	prior := j.spec.EstimateS * j.class.estimateRatio
 	open := float64(len(j.assignments) + limits.EstimatePriorTasks)
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -43,8 +43,9 @@
 	}
 	j.version = e.Version
 	if e.Record.Cancelled && !j.cancelled {
-		// The time allowed counts from the earliest word to the user, also across a change of leaders. Where it is over already, a leader that
-		// knew has let no lease live; so nobody knew, nobody was told, and it begins now.
+		// The time allowed counts from the earliest word to the user, also across a change of
+		// leaders. Where it is over already, a leader that knew has let no lease live; so nobody
+		// knew, nobody was told, and it begins now.
 		j.cancelled, j.cancelledAt, j.cancelSeenAt = true, s.now, s.now
 		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
 			j.cancelledAt -= e.SinceCancellation
@@ -58,7 +59,8 @@
 	s.placementNeeded = true
 }
 
-// deadlines are the times by which the job should be complete, from its own deadline and from the aims of its class.
+// deadlines are the times by which the job should be complete, from its own deadline and from the
+// aims of its class.
 func (s *Scheduler) deadlines(j *job) []deadline {
 	var out []deadline
 	for _, o := range s.cfg.Objectives {
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -82,8 +82,8 @@
 	return typeResources(m.machineType)
 }
 
-// freeRoom is what may be promised: what is free, and what tasks that were told to stop will leave. A start is sent
-// only once the room is confirmed (see orders).
+// freeRoom is what may be promised: what is free, and what tasks that were told to stop will leave.
+// A start is sent only once the room is confirmed (see orders).
 func (m *machine) freeRoom() resources { return m.size().minus(m.allocated).plus(m.releasing) }
 
 // price is what the machine costs an hour.
--- a/internal/coordination/scheduler/model.go
+++ b/internal/coordination/scheduler/model.go
@@ -144,9 +144,9 @@
 	effects                []Effect
 
 	pass placementPass
-	// nextPreemptionSearch is when requests that found no tasks to stop may look for them again: the look goes through all tasks of all machines, and
-	// in an overload many jobs are
-	// pressing at every event. Until then they take free room like others.
+	// nextPreemptionSearch is when requests that found no tasks to stop may look for them again:
+	// the look goes through all tasks of all machines, and in an overload many jobs are pressing at
+	// every event. Until then they take free room like others.
 	nextPreemptionSearch map[placementRequest]time.Duration
 	orderedQueue         []*job // see claims
 	orderedAt            time.Duration
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -15,7 +15,8 @@
 	"quillshunt/internal/storage"
 )
 
-// placeTasksNaively is the scheduling pass as the paper has it: each request looks at every machine anew.
+// placeTasksNaively is the scheduling pass as the paper has it: each request looks at every machine
+// anew.
 func (s *Scheduler) placeTasksNaively() {
 	order := s.queueOrder()
 	s.beginPass() // for what is held; the list of machines is not used
@@ -60,7 +61,8 @@
 	}
 }
 
-// crowdedState makes a scheduler with machines that are partly full and a backlog. The same seed makes the same state.
+// crowdedState makes a scheduler with machines that are partly full and a backlog. The same seed
+// makes the same state.
 func crowdedState(seed uint64) *Scheduler {
 	r := rand.New(rand.NewPCG(seed, 11))
 	pick := func(s ...string) string { return s[r.IntN(len(s))] }
@@ -118,8 +120,8 @@
 	return out
 }
 
-// TestPassMatchesNaivePlacement: the pass that works out filter and scores once for a job, and skips machines and requests that cannot match, decides
-// exactly as the plain one does.
+// TestPassMatchesNaivePlacement: the pass that works out filter and scores once for a job, and
+// skips machines and requests that cannot match, decides exactly as the plain one does.
 func TestPassMatchesNaivePlacement(t *testing.T) {
 	placed, stopped := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -147,9 +149,9 @@
 	}
 }
 
-// TestLastingOverload: with more urgent, small work than the machines can do, all day, each of the largest jobs begins within four
-// minutes, and
-// of each class and team, and of the largest jobs, at least half of the work is done.
+// TestLastingOverload: with more urgent, small work than the machines can do, all day, each of the
+// largest jobs begins within four minutes, and of each class and team, and of the largest jobs, at
+// least half of the work is done.
 func TestLastingOverload(t *testing.T) {
 	for seed := range uint64(4) {
 		overload(t, seed)
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and backlog: each request decides as if it looked at every
-// machine anew (see TestPassIsPlain).
+// placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
+// backlog: each request decides as if it looked at every machine anew (see TestPassIsPlain).
 type placementPass struct {
 	machines     []*machine                // that may get tasks, by name
 	withFreeRoom []*machine                // those of them with free room for any of the jobs
@@ -24,7 +24,8 @@
 	reservationCandidates []*machine
 }
 
-// placementRequest is what decides where a task of a job may go, for jobs that ask for nothing particular.
+// placementRequest is what decides where a task of a job may go, for jobs that ask for nothing
+// particular.
 type placementRequest struct {
 	demand          resources
 	team            *team
@@ -35,10 +36,10 @@
 	gangReservation bool // may use machines that are kept for gangs
 }
 
-// placeTasks is the scheduling pass. For each job in order of claim it filters the machines, ranks what is left on
-// the full view, and picks victims where the best machine lacks room: the paper's algorithm, request by request. The tasks of one job
-// ask the same question, so
-// filter and scores are worked out once for them and kept up to date for the machine that was chosen.
+// placeTasks is the scheduling pass. For each job in order of claim it filters the machines, ranks
+// what is left on the full view, and picks victims where the best machine lacks room: the paper's
+// algorithm, request by request. The tasks of one job ask the same question, so filter and scores
+// are worked out once for them and kept up to date for the machine that was chosen.
 func (s *Scheduler) placeTasks() {
 	if !s.placementNeeded || !s.recovered {
 		return
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -12,7 +12,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// capacity is room in time that the plan may use: of a machine that is up, is booting, or would be rented.
+// capacity is room in time that the plan may use: of a machine that is up, is booting, or would be
+// rented.
 type capacity struct {
 	machine        *machine
 	pool           machinePool
@@ -22,7 +23,8 @@
 	busyCPUSeconds float64 // CPU seconds that these still take
 }
 
-// planCapacity compares the backlog with what the fleet can work off in time, rents what is missing and returns what is idle.
+// planCapacity compares the backlog with what the fleet can work off in time, rents what is missing
+// and returns what is idle.
 func (s *Scheduler) planCapacity() {
 	var offers []*capacity
 	total := 0
@@ -68,9 +70,9 @@
 			asked[machinePool{h.record.MachineType, h.record.Zone, h.record.Spot}]++
 		}
 	}
-	// may is how many machines a pool may be asked for now. What is left of a pool is not known, and each refusal costs a call of the
-	// cloud's rate: pools of like
-	// price share the calls, and one that refused lately is tried with one.
+	// may is how many machines a pool may be asked for now. What is left of a pool is not known,
+	// and each refusal costs a call of the cloud's rate: pools of like price share the calls, and
+	// one that refused lately is tried with one.
 	each := max(limits.MinPoolRequests, calls/max(s.countCheapPools(), 1))
 	may := func(p machinePool) int {
 		most := each
@@ -171,9 +173,9 @@
 	return math.MaxInt32
 }
 
-// updateDraining picks machines that are not needed to empty and be returned, the dearest and emptiest first: spread thin, the work would keep
-// all of
-// them. It is decided anew with every plan, so a burst brings them back at once.
+// updateDraining picks machines that are not needed to empty and be returned, the dearest and
+// emptiest first: spread thin, the work would keep all of them. It is decided anew with every plan,
+// so a burst brings them back at once.
 func (s *Scheduler) updateDraining() {
 	var total, used, waiting float64
 	var ms []*machine
@@ -249,8 +251,8 @@
 	return typeResources(o.machineType).fits(j.demand) && s.placementAllowed(j, o.pool.typeName, o.pool.zone, o.pool.spot)
 }
 
-// planJob promises a job's waiting tasks to offers that can start them in time, and adds machines to rent for what is left. It returns
-// how many tasks found neither.
+// planJob promises a job's waiting tasks to offers that can start them in time, and adds machines
+// to rent for what is left. It returns how many tasks found neither.
 func (s *Scheduler) planJob(j *job, fresh map[machinePool]float64, may func(machinePool) int, all *[]*capacity) (left int) {
 	est, n := j.occupancy(), j.waitingTasks()
 	// What the team's limit keeps out needs no machine now.
@@ -262,8 +264,8 @@
 	}
 	zones := j.newZonePlan()
 	open := func(p machinePool) bool { return fresh[p] < float64(may(p)) && zones.remaining(p.zone) > 0 }
-	// What starts before a new machine can be up needs none. What has waited as long already can't wait as long again, or a queue that
-	// is always as long would never be worked off.
+	// What starts before a new machine can be up needs none. What has waited as long already can't
+	// wait as long again, or a queue that is always as long would never be worked off.
 	within := max(max(s.maxPlannedWait(j), s.quickestBoot(j))-(s.now-j.submittedAt).Seconds(), 0)
 	if j.gang != nil && j.spec.SameZone && !s.chooseGangZone(j, zones, n, within, open, *all) {
 		return n
@@ -317,15 +319,16 @@
 	return 0
 }
 
-// roundUpMachines rounds up how many machines of a pool are to be rented: a gang needs all of its machines, and who has waited for
-// long for a part of one would else wait as long as other machines run.
+// roundUpMachines rounds up how many machines of a pool are to be rented: a gang needs all of its
+// machines, and who has waited for long for a part of one would else wait as long as other machines
+// run.
 func roundUpMachines(fresh map[machinePool]float64, p machinePool) {
 	fresh[p] = math.Ceil(fresh[p] - limits.Epsilon)
 }
 
-// takeTasks promises up to n tasks to the offer and returns how many it takes: those that can start within a time, or as soon as it is ready.
-// Of what is in
-// use, a part will be free by then, as tasks end one after the other. The fraction of a task that is left over is carried to the next
+// takeTasks promises up to n tasks to the offer and returns how many it takes: those that can start
+// within a time, or as soon as it is ready. Of what is in use, a part will be free by then, as
+// tasks end one after the other. The fraction of a task that is left over is carried to the next
 // offer.
 func (o *capacity) takeTasks(j *job, n int, est, within float64, carry *float64) int {
 	per := tasksThatFit(typeResources(o.machineType), j.demand)
@@ -347,7 +350,8 @@
 	return k
 }
 
-// gangTasksToPlace is how many tasks must be placed together: the missing ones of a gang, or none in particular.
+// gangTasksToPlace is how many tasks must be placed together: the missing ones of a gang, or none
+// in particular.
 func (j *job) gangTasksToPlace() int {
 	if j.gang == nil {
 		return 0
@@ -363,8 +367,8 @@
 	return typeResources(o.machineType).cpu / float64(per)
 }
 
-// startableTasks is how many tasks of a job the offer can start within a time, of the number that it holds; a fraction where tasks in use
-// will be over by then.
+// startableTasks is how many tasks of a job the offer can start within a time, of the number that
+// it holds; a fraction where tasks in use will be over by then.
 func (o *capacity) startableTasks(j *job, per int, within float64) float64 {
 	free := typeResources(o.machineType).cpu - o.usedCPUs
 	if w := within - o.readyInS; w > 0 && o.busyCPUSeconds > 0 {
@@ -388,9 +392,9 @@
 	return int(min(n+limits.Epsilon, limits.MaxTasksPerMachine))
 }
 
-// cheapestPool is where a machine for the job costs least for each task it holds, among the pools that are not known to be empty. A pool
-// that has only been
-// asked for as much as may be now is left for a dearer one of like price, else it is asked again with the next plan.
+// cheapestPool is where a machine for the job costs least for each task it holds, among the pools
+// that are not known to be empty. A pool that has only been asked for as much as may be now is left
+// for a dearer one of like price, else it is asked again with the next plan.
 func (s *Scheduler) cheapestPool(j *job, open func(machinePool) bool) (machinePool, *protocol.MachineType) {
 	var best machinePool
 	var typ *protocol.MachineType
--- a/internal/coordination/scheduler/plan_test.go
+++ b/internal/coordination/scheduler/plan_test.go
@@ -9,8 +9,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestFaultyMachines: a machine that fails what others do is returned, and so is one that is far slower; a job that fails everywhere
-// condemns no machine, and waits longer each time.
+// TestFaultyMachines: a machine that fails what others do is returned, and so is one that is far
+// slower; a job that fails everywhere condemns no machine, and waits longer each time.
 func TestFaultyMachines(t *testing.T) {
 	b := newSchedulerFixture(t, 5)
 	for i := range 5 {
@@ -51,7 +51,8 @@
 	}
 }
 
-// TestSilentIsNotIdle: machines that all fell silent, as when the leader itself is cut off, are not returned as idle.
+// TestSilentIsNotIdle: machines that all fell silent, as when the leader itself is cut off, are not
+// returned as idle.
 func TestSilentIsNotIdle(t *testing.T) {
 	b := newSchedulerFixture(t, 8)
 	for i := range 8 {
@@ -67,7 +68,8 @@
 	}
 }
 
-// TestCheapestPool: machines are rented where they cost least for as long as that pool gives them, and the rest at once elsewhere.
+// TestCheapestPool: machines are rented where they cost least for as long as that pool gives them,
+// and the rest at once elsewhere.
 func TestCheapestPool(t *testing.T) {
 	b := newSchedulerFixture(t, 0)
 	b.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
@@ -102,9 +104,8 @@
 	}
 }
 
-// TestPlanByStarts: machines are rented for all tasks that can't start before a new machine would be up, however much a busy fleet could
-// work off later; what
-// starts before needs none.
+// TestPlanByStarts: machines are rented for all tasks that can't start before a new machine would
+// be up, however much a busy fleet could work off later; what starts before needs none.
 func TestPlanByStarts(t *testing.T) {
 	b := newSchedulerFixture(t, 10)
 	b.scheduler.cfg.CloudRPS = 100
@@ -131,8 +132,8 @@
 		}
 		return n
 	}
-	// Of ten tasks of 10 s that have just begun, nothing is known but their mean: a quarter or so ends in the 5.5 s that a machine takes to
-	// boot.
+	// Of ten tasks of 10 s that have just begun, nothing is known but their mean: a quarter or so
+	// ends in the 5.5 s that a machine takes to boot.
 	if n := wanted(); n < 5 || n > 7 {
 		t.Errorf("%d machines wanted for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
 	}
--- a/internal/coordination/scheduler/planzones.go
+++ b/internal/coordination/scheduler/planzones.go
@@ -8,8 +8,9 @@
 	"quillshunt/internal/limits"
 )
 
-// zonePlan is how many more tasks of a job may be planned in each zone. Only gangs need it: their tasks are planned together, while
-// those of an array are bound one by one, and where the next may go is seen from the bound ones.
+// zonePlan is how many more tasks of a job may be planned in each zone. Only gangs need it: their
+// tasks are planned together, while those of an array are bound one by one, and where the next may
+// go is seen from the bound ones.
 type zonePlan struct {
 	onlyZone   string // the one zone of a gang that must be in one; "" while it is not chosen
 	maxPerZone int    // in a zone
@@ -50,8 +51,9 @@
 	return n
 }
 
-// chooseGangZone chooses the zone in which a gang is planned that must be in one: the one whose machines can start most of its tasks in time,
-// unless it falls short and has nothing to rent; else the one of the cheapest pool. It returns false if there is none.
+// chooseGangZone chooses the zone in which a gang is planned that must be in one: the one whose
+// machines can start most of its tasks in time, unless it falls short and has nothing to rent; else
+// the one of the cheapest pool. It returns false if there is none.
 func (s *Scheduler) chooseGangZone(j *job, zones *zonePlan, n int, within float64, open func(machinePool) bool, offers []*capacity) bool {
 	if zones.onlyZone != "" {
 		return true
@@ -84,8 +86,9 @@
 	return true
 }
 
-// planGang plans the missing tasks of a gang together. Machines are rented and kept for a gang that finds a part of them only for a while:
-// the cloud may have the rest soon, but a gang that can't be complete must not cost money for ever.
+// planGang plans the missing tasks of a gang together. Machines are rented and kept for a gang that
+// finds a part of them only for a while: the cloud may have the rest soon, but a gang that can't be
+// complete must not cost money for ever.
 func (s *Scheduler) planGang(j *job, fresh map[machinePool]float64, may func(machinePool) int, all *[]*capacity) {
 	g := j.gang
 	if g.lacksCapacity = !s.hasEnoughZones(j); g.lacksCapacity {
@@ -111,7 +114,8 @@
 	}
 }
 
-// hasEnoughZones tells whether a gang that is spread over zones could have all its tasks on machines if these had room without end.
+// hasEnoughZones tells whether a gang that is spread over zones could have all its tasks on
+// machines if these had room without end.
 func (s *Scheduler) hasEnoughZones(j *job) bool {
 	if !j.spec.SpreadZones {
 		return true
--- a/internal/coordination/scheduler/probes.go
+++ b/internal/coordination/scheduler/probes.go
@@ -7,11 +7,10 @@
 	"quillshunt/internal/limits"
 )
 
-// probeBudget bounds how many probes a second go out. A take-over may have to learn of thousands of machines at once; most of them
-// report by
-// themselves within seconds, and a controller that probes them all meanwhile has no processor left for these reports, for its lease and
-// for its
-// votes. How much it has shows in how long a probe takes: a worker answers in milliseconds.
+// probeBudget bounds how many probes a second go out. A take-over may have to learn of thousands of
+// machines at once; most of them report by themselves within seconds, and a controller that probes
+// them all meanwhile has no processor left for these reports, for its lease and for its votes. How
+// much it has shows in how long a probe takes: a worker answers in milliseconds.
 type probeBudget struct {
 	rate       float64 // probes a second, while they are answered at once
 	tokens     float64
@@ -34,7 +33,8 @@
 	b.refilledAt = now
 }
 
-// observe notes how a probe went: busy tells that this controller took long for it, or had no time for it.
+// observe notes how a probe went: busy tells that this controller took long for it, or had no time
+// for it.
 func (b *probeBudget) observe(now time.Duration, busy bool) {
 	if busy {
 		b.slowUntil = now + limits.ProbeInterval
@@ -49,9 +49,9 @@
 	return true
 }
 
-// probeMachines asks machines that may hold tasks of earlier terms, rather than wait for their reports, and those that may not hear our answers.
-// Those
-// come first that were not asked for longest.
+// probeMachines asks machines that may hold tasks of earlier terms, rather than wait for their
+// reports, and those that may not hear our answers. Those come first that were not asked for
+// longest.
 func (s *Scheduler) probeMachines() {
 	var due []*machine
 	for _, m := range s.sortedMachines {
@@ -65,11 +65,10 @@
 	}
 }
 
-// askDoubted seeks the proof that answers reach a machine by a direct command without orders. Where many machines are unverified at
-// once, as after they
-// all had to find their leader again, the next reports on their new connections prove most of them for nothing: there a machine is asked
-// only once
-// its next report is overdue as a proof.
+// askDoubted seeks the proof that answers reach a machine by a direct command without orders. Where
+// many machines are unverified at once, as after they all had to find their leader again, the next
+// reports on their new connections prove most of them for nothing: there a machine is asked only
+// once its next report is overdue as a proof.
 func (s *Scheduler) probeMachine(m *machine) {
 	if m.hasReported && m.fenced && s.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedGraceReports*float64(s.heartbeatInterval)) {
 		return
--- a/internal/coordination/scheduler/probes_test.go
+++ b/internal/coordination/scheduler/probes_test.go
@@ -18,9 +18,9 @@
 	return s
 }
 
-// TestProbesArePaced: after a take-over a small controller asks its machines one after the other, not all at once, and slower once that
-// takes it long; those that
-// never answer do not keep it from asking the others. Seen on controllers that spent their processor on probes while reports and the
+// TestProbesArePaced: after a take-over a small controller asks its machines one after the other,
+// not all at once, and slower once that takes it long; those that never answer do not keep it from
+// asking the others. Seen on controllers that spent their processor on probes while reports and the
 // lease waited.
 func TestProbesArePaced(t *testing.T) {
 	const machines, coreShare = 1000, 0.05
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestLastUnreportedProbedAgain: all placement waits for the last machine that a new leader has not heard of, so a probe that it did not
-// answer is followed
-// by the next at once. Where many are unheard, as behind a cut, their probes keep to their pace.
+// TestLastUnreportedProbedAgain: all placement waits for the last machine that a new leader has not
+// heard of, so a probe that it did not answer is followed by the next at once. Where many are
+// unheard, as behind a cut, their probes keep to their pace.
 func TestLastUnreportedProbedAgain(t *testing.T) {
 	for _, c := range []struct{ silent, again int }{{1, 1}, {20, 0}} {
 		b := newSchedulerFixture(t, 40)
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/limits"
 )
 
-// updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits in together with the team's
-// earlier unfinished jobs. The queue is in order of submission.
+// updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits
+// in together with the team's earlier unfinished jobs. The queue is in order of submission.
 func (s *Scheduler) updateGuarantees() {
 	for _, t := range s.teams {
 		t.claimed = resources{}
@@ -34,10 +34,12 @@
 	work  float64 // CPU seconds that its waiting tasks need, weighted by the slack
 }
 
-// queueOrder orders the jobs that want room: by priority, guarantee before borrowed, then by slack to the next time
-// that can still be met, then by age. Jobs whose times are all past come after those that can be helped.
+// queueOrder orders the jobs that want room: by priority, guarantee before borrowed, then by slack
+// to the next time that can still be met, then by age. Jobs whose times are all past come after
+// those that can be helped.
 //
-// The order is kept for a short while, as slacks change slowly; a new job makes it anew. It holds jobs that want nothing just now as well.
+// The order is kept for a short while, as slacks change slowly; a new job makes it anew. It holds
+// jobs that want nothing just now as well.
 func (s *Scheduler) queueOrder() []*job {
 	if s.now < s.orderedAt+limits.QueueOrderTTL && s.orderedQueue != nil {
 		return s.orderedQueue
@@ -83,7 +85,8 @@
 	return s.orderedQueue
 }
 
-// slack is how long a job can still wait and meet the next of its times, and whether all of them are out of reach.
+// slack is how long a job can still wait and meet the next of its times, and whether all of them
+// are out of reach.
 func (s *Scheduler) slack(j *job) (time.Duration, bool) {
 	est := limits.Seconds(j.estimate())
 	for _, d := range j.deadlines {
--- a/internal/coordination/scheduler/rank.go
+++ b/internal/coordination/scheduler/rank.go
@@ -33,9 +33,9 @@
 	weightGangReservation: limits.WeightGangReservation,
 }
 
-// candidateGroups are candidates put together by their scores, as only the first by name of those that are alike can be the best: on a large
-// fleet most are alike, and ranking
-// costs by the number of shelves, not of machines.
+// candidateGroups are candidates put together by their scores, as only the first by name of those
+// that are alike can be the best: on a large fleet most are alike, and ranking costs by the number
+// of shelves, not of machines.
 type candidateGroups struct {
 	representatives []candidate  // the first of each shelf
 	members         [][]*machine // all of each, by name
@@ -84,8 +84,8 @@
 	sh.representatives, sh.members = sh.representatives[:last], sh.members[:last]
 }
 
-// bestCandidate returns the candidate with the highest sum of multiplier times score, each score rescaled between the candidates'
-// lowest and highest, or -1. Of equals the first by name wins.
+// bestCandidate returns the candidate with the highest sum of multiplier times score, each score
+// rescaled between the candidates' lowest and highest, or -1. Of equals the first by name wins.
 func bestCandidate(cs []candidate) int {
 	if len(cs) == 0 {
 		return -1
--- a/internal/coordination/scheduler/registration.go
+++ b/internal/coordination/scheduler/registration.go
@@ -9,8 +9,8 @@
 	"quillshunt/internal/storage"
 )
 
-// mark tells whether the state service knows that a machine may hold tasks. A machine gets none before, so that a successor knows where
-// to look.
+// mark tells whether the state service knows that a machine may hold tasks. A machine gets none
+// before, so that a successor knows where to look.
 type registration uint8
 
 const (
@@ -19,11 +19,11 @@
 	registered                // durable
 )
 
-// page is a record of registered machines, of whatever rentals: those that come up while one is written go into the next write together,
-// so that a thousand
-// machines that come up at once cost some tens of changes. A page is filled until it is as large as a value may be, and removed once its
-// machines are gone.
-// A machine that is gone is taken off its rental's record, not off the page: what no rental accounts for, a successor ignores.
+// page is a record of registered machines, of whatever rentals: those that come up while one is
+// written go into the next write together, so that a thousand machines that come up at once cost
+// some tens of changes. A page is filled until it is as large as a value may be, and removed once
+// its machines are gone. A machine that is gone is taken off its rental's record, not off the page:
+// what no rental accounts for, a successor ignores.
 type registryPage struct {
 	name         string
 	record       storage.RegistryPage
@@ -39,7 +39,8 @@
 	if m.rental == "" {
 		s.adoptMachine(m)
 	}
-	// The rental's record must name the machine first: a successor ignores a mark that no rental accounts for.
+	// The rental's record must name the machine first: a successor ignores a mark that no rental
+	// accounts for.
 	h := s.rentals[m.rental]
 	if h == nil || !h.answerDurable || m.registration != unregistered {
 		return
@@ -64,8 +65,8 @@
 	s.writeRegistryPages()
 }
 
-// writeRegistryPages writes the pages with new machines, at most one write every RegisterEvery; the next tick or the answer to the last
-// write goes on with it.
+// writeRegistryPages writes the pages with new machines, at most one write every RegisterEvery; the
+// next tick or the answer to the last write goes on with it.
 func (s *Scheduler) writeRegistryPages() {
 	if !s.registryDirty || s.now < s.registryWrittenAt+limits.RegistryWriteInterval {
 		return
--- a/internal/coordination/scheduler/registration_test.go
+++ b/internal/coordination/scheduler/registration_test.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestRegisteredBeforeStart: a machine gets its first task only once the state service knows that it may have one; otherwise a
-// new leader would not look for it there.
+// TestRegisteredBeforeStart: a machine gets its first task only once the state service knows that
+// it may have one; otherwise a new leader would not look for it there.
 func TestRegisteredBeforeStart(t *testing.T) {
 	b := newSchedulerFixture(t, 0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
@@ -44,9 +44,10 @@
 	return out
 }
 
-// TestRegistrationsTogether: machines of several rentals that come up at once are registered by few writes, each within the size of
-// a value; none is registered before its rental's record names it, as a successor ignores registrations that no rental accounts for;
-// and a successor finds all of them.
+// TestRegistrationsTogether: machines of several rentals that come up at once are registered by few
+// writes, each within the size of a value; none is registered before its rental's record names it,
+// as a successor ignores registrations that no rental accounts for; and a successor finds all of
+// them.
 func TestRegistrationsTogether(t *testing.T) {
 	b := newSchedulerFixture(t, 0)
 	const rentals, each = 4, 50
--- a/internal/coordination/scheduler/report.go
+++ b/internal/coordination/scheduler/report.go
@@ -22,8 +22,9 @@
 	}
 	m := s.getOrAddMachine(r.Machine, r.MachineType, r.Zone, r.Spot)
 	if m.isOutdated(r, m.heartbeatSequence) {
-		// Late or repeated: the worker waits for no answer to it, and its task list is old. But if it is the newest one and has only just been
-		// answered, that may have been a copy that overtook it, and the worker waits for this answer.
+		// Late or repeated: the worker waits for no answer to it, and its task list is old. But if
+		// it is the newest one and has only just been answered, that may have been a copy that
+		// overtook it, and the worker waits for this answer.
 		copied := r.Incarnation == m.incarnation && r.Sequence == m.heartbeatSequence && r.Incarnation > m.endedIncarnation && s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout && !s.holdsCancelledTask(m, s.cancelAnswerUntil)
 		reply := HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: copied}
 		if copied {
@@ -70,9 +71,10 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: orders})
 }
 
-// answerUnfencedHeartbeat answers a report that has not seen our term. It may be a late copy of one from before: the machine may be dead or
-// deleted since, so nothing is
-// believed of it but that a worker that hears the answer lives on. If it does, its next report shows our term, which no copy can.
+// answerUnfencedHeartbeat answers a report that has not seen our term. It may be a late copy of one
+// from before: the machine may be dead or deleted since, so nothing is believed of it but that a
+// worker that hears the answer lives on. If it does, its next report shows our term, which no copy
+// can.
 func (s *Scheduler) answerUnfencedHeartbeat(e HeartbeatReceived) {
 	m := s.machines[e.Heartbeat.Machine]
 	switch {
@@ -92,7 +94,8 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true})
 }
 
-// again are the orders of the last answer, without the starts that are not wanted any more or have arrived since.
+// again are the orders of the last answer, without the starts that are not wanted any more or have
+// arrived since.
 func (m *machine) repeatableCommands() []protocol.Command {
 	var out []protocol.Command
 	for _, o := range m.lastCommands {
@@ -107,9 +110,8 @@
 	return out
 }
 
-// setVerified notes whether answers are known to reach a machine. While they are not, it gets no new tasks: reports may arrive from a
-// machine
-// that hears nothing.
+// setVerified notes whether answers are known to reach a machine. While they are not, it gets no
+// new tasks: reports may arrive from a machine that hears nothing.
 func (s *Scheduler) setVerified(m *machine, ok bool) {
 	if ok && !m.verified {
 		s.placementNeeded = true
@@ -120,9 +122,9 @@
 	m.verified = ok
 }
 
-// acceptsRelayed tells whether a report is answered the way it came. A worker that comes through another controller is first told to come itself;
-// one
-// that was here before and now comes that way, or that we did not reach either, cannot reach us. From time to time it is told to try again.
+// acceptsRelayed tells whether a report is answered the way it came. A worker that comes through
+// another controller is first told to come itself; one that was here before and now comes that way,
+// or that we did not reach either, cannot reach us. From time to time it is told to try again.
 func (s *Scheduler) acceptsRelayed(m *machine, relayed bool) bool {
 	if !relayed {
 		m.reportsDirectly, m.relayed, m.redirected = true, false, false
@@ -143,7 +145,8 @@
 	return true
 }
 
-// observeIncarnation takes the session of a message that is not old. The tasks of earlier sessions were killed.
+// observeIncarnation takes the session of a message that is not old. The tasks of earlier sessions
+// were killed.
 func (s *Scheduler) observeIncarnation(m *machine, r *protocol.Heartbeat) {
 	if m.hasReported && r.Incarnation > m.incarnation {
 		for _, b := range m.sortedAssignments() {
@@ -169,9 +172,9 @@
 	}
 }
 
-// probeDone takes the task list of a machine that has not shown us that it saw our term. The list was made after the worker had seen it,
-// so no order
-// of an earlier leader can add to it. It renews no lease.
+// probeDone takes the task list of a machine that has not shown us that it saw our term. The list
+// was made after the worker had seen it, so no order of an earlier leader can add to it. It renews
+// no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
 	m := s.machines[e.Machine]
 	r := e.Heartbeat
@@ -190,12 +193,14 @@
 	}
 	s.observeIncarnation(m, r)
 	s.setVerified(m, true)
-	// Like a direct command's answer it says nothing of starts that went out another way and may still arrive.
+	// Like a direct command's answer it says nothing of starts that went out another way and may
+	// still arrive.
 	s.directSequence++
 	s.sendCorrections(m, s.reconcileTasks(m, r, s.directSequence))
 }
 
-// isOutdated tells whether a message is no newer than one of the machine with that tally, or of a session that is over.
+// isOutdated tells whether a message is no newer than one of the machine with that tally, or of a
+// session that is over.
 func (m *machine) isOutdated(r *protocol.Heartbeat, tally uint64) bool {
 	return m.hasReported && (r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Sequence <= tally)) || r.Incarnation <= m.endedIncarnation
 }
@@ -220,13 +225,15 @@
 			}
 		}
 	case r == nil:
-		// It may be carried out at any time while the session and the term last. The next answers to reports
-		// repeat the starts, which is harmless, and the tasks stay bound until they show up or the session ends.
+		// It may be carried out at any time while the session and the term last. The next answers
+		// to reports repeat the starts, which is harmless, and the tasks stay bound until they show
+		// up or the session ends.
 		m.noDirectUntil = s.now + limits.DirectCommandPause
 		m.markStartsUnconfirmed(e.ID)
 	case r.Machine != e.Machine || !r.Valid():
 	case m.isOutdated(r, m.sequence):
-		// A later message was here first and has told what became of the tasks, but for one that it was too early for.
+		// A later message was here first and has told what became of the tasks, but for one that it
+		// was too early for.
 		m.markStartsUnconfirmed(e.ID)
 	default:
 		s.observeIncarnation(m, r)
@@ -235,7 +242,8 @@
 	}
 }
 
-// queueGangDispatch sends the commands of gangs that came up while another direct command was on its way.
+// queueGangDispatch sends the commands of gangs that came up while another direct command was on
+// its way.
 func (s *Scheduler) queueGangDispatch(m *machine) {
 	if !m.hasUnsentGangCommand() {
 		return
@@ -253,8 +261,8 @@
 	}
 }
 
-// sendCorrections sends orders about tasks that should not be on a machine; if it is not possible now, its next report brings them up
-// again.
+// sendCorrections sends orders about tasks that should not be on a machine; if it is not possible
+// now, its next report brings them up again.
 func (s *Scheduler) sendCorrections(m *machine, orders []protocol.Command) {
 	if len(orders) > 0 && s.canSendDirectly(m) {
 		s.sendDirectly(m, orders)
@@ -282,10 +290,10 @@
 	}
 }
 
-// dispatch sends starts and stops directly to machines that have just been decided on. Only so many commands are on their way at once: a
-// worker answers
-// in milliseconds, so more than that means that this controller is behind, and then what is left over goes out in the answers to the
-// next reports.
+// dispatch sends starts and stops directly to machines that have just been decided on. Only so many
+// commands are on their way at once: a worker answers in milliseconds, so more than that means that
+// this controller is behind, and then what is left over goes out in the answers to the next
+// reports.
 func (s *Scheduler) dispatch() {
 	s.dispatchGangStops()
 	if len(s.dispatchQueue) == 0 || s.directCommandsInFlight >= limits.MaxDirectCommands {
@@ -313,9 +321,10 @@
 	}
 }
 
-// dispatchGangStops sends the stops of gangs ahead of all else, however many commands are on their way: a gang of which one task is
-// told too late loses the work of all. A machine that takes no direct command now is told in the answer to its next report, or once
-// the command that is on its way is answered.
+// dispatchGangStops sends the stops of gangs ahead of all else, however many commands are on their
+// way: a gang of which one task is told too late loses the work of all. A machine that takes no
+// direct command now is told in the answer to its next report, or once the command that is on its
+// way is answered.
 func (s *Scheduler) dispatchGangStops() {
 	urgent := s.gangDispatchQueue
 	s.gangDispatchQueue = nil
@@ -326,8 +335,8 @@
 	}
 }
 
-// isFaulty tells whether a machine should get no more tasks: it has failed several in a row, and not just those of a job that
-// fails everywhere.
+// isFaulty tells whether a machine should get no more tasks: it has failed several in a row, and
+// not just those of a job that fails everywhere.
 func (m *machine) isFaulty() bool {
 	return m.consecutiveFailures >= limits.FaultyFailures && len(m.failedJobs) > 0
 }
@@ -337,7 +346,8 @@
 	return m.speedCount >= limits.SlowMachineTasks && m.speedSum > limits.SlowMachineFactor*float64(m.speedCount)
 }
 
-// stopForSpotNotice stops tasks on a machine that the cloud takes away: in time to save, or at once if they cannot be done before.
+// stopForSpotNotice stops tasks on a machine that the cloud takes away: in time to save, or at once
+// if they cannot be done before.
 func (s *Scheduler) stopForSpotNotice(m *machine) {
 	left := (m.spotNoticeEnds - s.now).Seconds()
 	for _, b := range m.sortedAssignments() {
@@ -358,7 +368,8 @@
 	}
 }
 
-// orders are what a machine is told: stops and forgets first, then starts that fit into room that is surely free.
+// orders are what a machine is told: stops and forgets first, then starts that fit into room that
+// is surely free.
 //
 // tally is that of the report that is answered, or 0 for a direct command.
 func (s *Scheduler) buildCommands(m *machine, tally uint64, orders []protocol.Command) []protocol.Command {
@@ -370,8 +381,9 @@
 			continue
 		}
 		if b.state == stateSent && b.startUnconfirmed && !b.job.cancelled && !b.job.closed && tally != 0 {
-			// The same attempt again: without effect if the first start has arrived, or arrives later. With a stop behind it, it
-			// only makes the worker know the attempt. A cancelled job's task is not started even so; removeBroken sees to its machine.
+			// The same attempt again: without effect if the first start has arrived, or arrives
+			// later. With a stop behind it, it only makes the worker know the attempt. A cancelled
+			// job's task is not started even so; removeBroken sees to its machine.
 			b.startRepeated = true
 			orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.taskName, Attempt: b.attempt})
 		}
@@ -417,7 +429,8 @@
 	return orders
 }
 
-// nextAttempt returns the next attempt number; attempts rise across leaders because the term is their high part.
+// nextAttempt returns the next attempt number; attempts rise across leaders because the term is
+// their high part.
 func (s *Scheduler) nextAttempt() uint64 {
 	s.attemptSequence++
 	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// TestHugeJob: a job of the largest size is placed, recorded in chunks below the value limit, and finished.
+// TestHugeJob: a job of the largest size is placed, recorded in chunks below the value limit, and
+// finished.
 func TestHugeJob(t *testing.T) {
 	b := newSchedulerFixture(t, 2)
 	b.report(0)
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -85,7 +85,8 @@
 	return s.effects
 }
 
-// decide brings gangs in line with what is known, places what wants room and lets gangs start whose room is confirmed.
+// decide brings gangs in line with what is known, places what wants room and lets gangs start whose
+// room is confirmed.
 func (s *Scheduler) decide() {
 	s.reconcileGangs()
 	s.placeTasks()
--- a/internal/coordination/scheduler/tasks.go
+++ b/internal/coordination/scheduler/tasks.go
@@ -7,8 +7,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// reconcileTasks compares what a machine has with what we think it has. It returns commands about tasks that should not be there. The message is
-// a report, or with direct set the answer to that direct command.
+// reconcileTasks compares what a machine has with what we think it has. It returns commands about
+// tasks that should not be there. The message is a report, or with direct set the answer to that
+// direct command.
 func (s *Scheduler) reconcileTasks(m *machine, r *protocol.Heartbeat, direct uint64) []protocol.Command {
 	m.sequence = r.Sequence
 	var commands []protocol.Command
@@ -46,7 +47,8 @@
 	return commands
 }
 
-// reconcileEndedTask takes a task that a machine lists as ended; j is its job, or nil if we do not know it. It tells whether the attempt was ours.
+// reconcileEndedTask takes a task that a machine lists as ended; j is its job, or nil if we do not
+// know it. It tells whether the attempt was ours.
 func (s *Scheduler) reconcileEndedTask(m *machine, j *job, index int, t *protocol.TaskStatus) (x endedTask, ours bool) {
 	b := m.assignments[t.Task]
 	ours = b != nil && b.attempt == t.Attempt
@@ -57,8 +59,8 @@
 	x, seen := m.endedTasks[attemptKeyOf(t)]
 	switch {
 	case seen && ours:
-		// The attempt had ended here before we sent it once more, as the gang's tasks share one. The start has no effect, as long as the
-		// worker is not told to forget the attempt.
+		// The attempt had ended here before we sent it once more, as the gang's tasks share one.
+		// The start has no effect, as long as the worker is not told to forget the attempt.
 		s.release(b)
 		x.mustNotForget = x.mustNotForget || onItsWay
 		return x, true
@@ -69,8 +71,8 @@
 	case j == nil || t.Reason != protocol.ReasonDone || j.cancelled:
 		return endedTask{}, false
 	}
-	// An attempt that we had given up, or one of an earlier term: the result counts. If the task is bound elsewhere meanwhile, it is
-	// stopped there.
+	// An attempt that we had given up, or one of an earlier term: the result counts. If the task is
+	// bound elsewhere meanwhile, it is stopped there.
 	x = endedTask{job: j}
 	x.chunk, x.sequence = s.recordTaskDone(j, index)
 	if o := j.assignments[index]; o != nil && o != b {
@@ -84,8 +86,8 @@
 	return x, false
 }
 
-// reconcilePresentTask takes a task that fetches, runs or saves on a machine; j is its job, or nil if we do not know it. It returns false if the
-// task should not be there.
+// reconcilePresentTask takes a task that fetches, runs or saves on a machine; j is its job, or nil
+// if we do not know it. It returns false if the task should not be there.
 func (s *Scheduler) reconcilePresentTask(m *machine, j *job, index int, t *protocol.TaskStatus) bool {
 	b := m.assignments[t.Task]
 	if b != nil && b.state != stateUnsent && t.Attempt > b.attempt {
@@ -126,7 +128,8 @@
 	return protocol.Command{Verb: protocol.CommandStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero}
 }
 
-// reconcileMissingTasks frees the tasks of a machine that a message does not list, where that proves that they are not there and will not come.
+// reconcileMissingTasks frees the tasks of a machine that a message does not list, where that
+// proves that they are not there and will not come.
 func (s *Scheduler) reconcileMissingTasks(m *machine, listed map[string]bool, direct uint64) {
 	for _, b := range m.sortedAssignments() {
 		if b.state == stateUnsent || listed[b.taskName] {
@@ -139,8 +142,9 @@
 			case b.directID == 0 && direct != 0:
 				continue // the start went out in an answer to a report; that exchange may not be over yet
 			}
-			// It was in this very command; or it went out in the answer to an earlier report. The worker has one report in
-			// flight and sends the next only once that exchange is over. Either way it can no longer arrive.
+			// It was in this very command; or it went out in the answer to an earlier report. The
+			// worker has one report in flight and sends the next only once that exchange is over.
+			// Either way it can no longer arrive.
 			if direct == 0 && b.directID == 0 {
 				s.setVerified(m, false) // our answer did not reach it
 			}
@@ -159,7 +163,8 @@
 
 func attemptKeyOf(t *protocol.TaskStatus) attemptKey { return attemptKey{t.Task, t.Attempt} }
 
-// confirmStart notes that the worker has our start. Only where it was repeated can another copy still be on its way.
+// confirmStart notes that the worker has our start. Only where it was repeated can another copy
+// still be on its way.
 func (b *assignment) confirmStart() {
 	b.directID = 0
 	if !b.startRepeated {
@@ -276,8 +281,8 @@
 func (s *Scheduler) recordFailure(j *job, m *machine) {
 	j.failedMachines[m.name] = true
 	if len(j.failedMachines) >= limits.JobFaultMachines {
-		// It fails wherever it goes, with no success between. It waits longer and longer, and its failures
-		// condemn no machine.
+		// It fails wherever it goes, with no success between. It waits longer and longer, and its
+		// failures condemn no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
 		j.retryAt = s.now + j.backoff
 		for _, o := range s.sortedMachines {
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -11,8 +11,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestFourThousandMachines: more than four thousand machines come up within seconds and are registered in small values and transactions, by
-// far fewer changes than machines; a new leader reads them, hears of them all, and gangs and arrays are placed on them.
+// TestFourThousandMachines: more than four thousand machines come up within seconds and are
+// registered in small values and transactions, by far fewer changes than machines; a new leader
+// reads them, hears of them all, and gangs and arrays are placed on them.
 func TestFourThousandMachines(t *testing.T) {
 	const machines, gangs, perGang, valueKB, txnOps, writeRPS = 4200, 200, 8, 2, 4, 15
 	cfg := Config{Term: 3, Teams: []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}}, CloudRPS: 5,
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -7,7 +7,8 @@
 	"quillshunt/internal/limits"
 )
 
-// chooseVictims are the tasks to stop on the chosen machine: the cheapest set that makes room for the request.
+// chooseVictims are the tasks to stop on the chosen machine: the cheapest set that makes room for
+// the request.
 func (s *Scheduler) chooseVictims(j *job, c *candidate, planned *plannedView) ([]*assignment, bool) {
 	if c.scores[weightOvercommit] == 0 {
 		return nil, true
@@ -24,8 +25,9 @@
 	return out, true
 }
 
-// preemptionOptions are the tasks on a machine that may be stopped for a job. A gang counts once, with the room of all its tasks there and the loss
-// of all its tasks anywhere, as it is stopped as a whole.
+// preemptionOptions are the tasks on a machine that may be stopped for a job. A gang counts once,
+// with the room of all its tasks there and the loss of all its tasks anywhere, as it is stopped as
+// a whole.
 func (s *Scheduler) preemptionOptions(j *job, m *machine, planned *plannedView) []preemptionOption {
 	var out []preemptionOption
 	gangs := map[*job]int{}
@@ -47,16 +49,17 @@
 	return out
 }
 
-// mayPreemptNow tells whether waiting for room would break one of the job's times. Only then is room taken at somebody else's cost.
+// mayPreemptNow tells whether waiting for room would break one of the job's times. Only then is
+// room taken at somebody else's cost.
 func (s *Scheduler) mayPreemptNow(j *job) bool {
 	slack, late := s.slack(j)
 	return !late && slack < time.Duration(s.cfg.Options.Preemption.Slack)
 }
 
-// mayPreempt is the protocol's rule of who may be stopped for whom, narrowed so that it has no circles: borrowed work of high priority does
-// not
-// stop what another team's guarantee covers, as that could stop it in turn, and so on without end. Nor is work stopped of which too
-// little is done already.
+// mayPreempt is the protocol's rule of who may be stopped for whom, narrowed so that it has no
+// circles: borrowed work of high priority does not stop what another team's guarantee covers, as
+// that could stop it in turn, and so on without end. Nor is work stopped of which too little is
+// done already.
 func (s *Scheduler) mayPreempt(j *job, b *assignment) bool {
 	if b.stopping || b.state == stateUnsent || b.job == j || b.job.underserved {
 		return false
@@ -67,8 +70,9 @@
 	return b.job.team != j.team && j.guaranteed && !b.job.guaranteed && b.job.team.usesBorrowed()
 }
 
-// preemptionCost is what stopping a task would waste: its work since the last checkpoint, or its whole run time where it
-// has none, weighted by how often it was stopped before so that the cheapest do not starve.
+// preemptionCost is what stopping a task would waste: its work since the last checkpoint, or its
+// whole run time where it has none, weighted by how often it was stopped before so that the
+// cheapest do not starve.
 func (s *Scheduler) preemptionCost(b *assignment) float64 {
 	ran := 0.0
 	if b.state == stateRunning {
@@ -89,8 +93,9 @@
 	cost       float64
 }
 
-// cheapestVictims returns the indexes of the set of least loss that covers what is short in every resource, or nil. Up to a cutoff every set
-// is tried, else tasks are added by least loss per unit of room.
+// cheapestVictims returns the indexes of the set of least loss that covers what is short in every
+// resource, or nil. Up to a cutoff every set is tried, else tasks are added by least loss per unit
+// of room.
 func cheapestVictims(options []preemptionOption, short resources) []int {
 	covered := func(have resources) bool { return have.fits(short) }
 	if len(options) <= limits.VictimCutoff {
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestCheapestVictims compares the chosen set with every set: up to the cutoff it is the cheapest; beyond, it covers what is
-// short and has no task that is not needed.
+// TestCheapestVictims compares the chosen set with every set: up to the cutoff it is the cheapest;
+// beyond, it covers what is short and has no task that is not needed.
 func TestCheapestVictims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, limits.VictimCutoff+4).Draw(t, "n")
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestNoPreemptionCycles: where one task may be stopped for another, the other may not be stopped for it. Without this, borrowed work of high
-// priority
-// and guaranteed work of another team stopped each other for ever.
+// TestNoPreemptionCycles: where one task may be stopped for another, the other may not be stopped
+// for it. Without this, borrowed work of high priority and guaranteed work of another team stopped
+// each other for ever.
 func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Scheduler{}
@@ -99,8 +99,8 @@
 	})
 }
 
-// TestPreemptionSearchInterval: a job whose time is short and that finds nobody to stop takes free room at once when there is some, and looks for
-// tasks to stop again soon.
+// TestPreemptionSearchInterval: a job whose time is short and that finds nobody to stop takes free
+// room at once when there is some, and looks for tasks to stop again soon.
 func TestPreemptionSearchInterval(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
--- a/internal/coordination/scheduler/world_gang_test.go
+++ b/internal/coordination/scheduler/world_gang_test.go
@@ -9,8 +9,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// The world's workers run gangs as the protocol says: the tasks of one attempt find each other, start and complete together, notice
-// when one is gone, and save together or not at all.
+// The world's workers run gangs as the protocol says: the tasks of one attempt find each other,
+// start and complete together, notice when one is gone, and save together or not at all.
 
 // simulatedGang is one attempt of a gang.
 type simulatedGang struct {
@@ -194,7 +194,8 @@
 	}
 }
 
-// stopGang ends a gang that was told to stop: saved if all tasks were told in time, else by the time that they take to notice.
+// stopGang ends a gang that was told to stop: saved if all tasks were told in time, else by the
+// time that they take to notice.
 func (w *simulation) stopGang(gang *simulatedGang, members []member) {
 	told := 0
 	for _, m := range members {
--- a/internal/coordination/scheduler/world_test.go
+++ b/internal/coordination/scheduler/world_test.go
@@ -17,8 +17,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestMain fixes the seed, so that a run has the same verdict every time. Longer runs with other seeds are
-// made by hand: QUILLSHUNT_RANDOM=1 go test ./internal/coordination/scheduler -rapid.checks=2000
+// TestMain fixes the seed, so that a run has the same verdict every time. Longer runs with other
+// seeds are made by hand: QUILLSHUNT_RANDOM=1 go test ./internal/coordination/scheduler
+// -rapid.checks=2000
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if os.Getenv("QUILLSHUNT_RANDOM") == "" {
@@ -29,8 +30,9 @@
 	os.Exit(m.Run())
 }
 
-// simulation is a small stand-in for everything around the scheduler: workers, cloud, state service, and a network
-// that loses, delays and repeats. It checks the protocol's rules as they are seen from outside.
+// simulation is a small stand-in for everything around the scheduler: workers, cloud, state
+// service, and a network that loses, delays and repeats. It checks the protocol's rules as they are
+// seen from outside.
 type simulation struct {
 	t   interface{ Fatalf(string, ...any) }
 	r   *rand.Rand
@@ -160,7 +162,8 @@
 		State: config.State{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8}, ListLag: 3 * time.Second, Options: config.DefaultOptions()}
 }
 
-// takeOver elects a new leader. The one before is entitled no longer, but may go on for a while without knowing.
+// takeOver elects a new leader. The one before is entitled no longer, but may go on for a while
+// without knowing.
 func (w *simulation) takeOver() {
 	for _, c := range w.leaders {
 		if !c.dead {
@@ -886,7 +889,8 @@
 	return out
 }
 
-// TestRules plays days with faults of every kind against the protocol's rules, and then a calm end in which all work must get done.
+// TestRules plays days with faults of every kind against the protocol's rules, and then a calm end
+// in which all work must get done.
 func TestRules(t *testing.T) {
 	seen := &gangEvents{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// layer orders the packages; a package imports only from layers below its own. Inside coordination the order is that of the list.
+// layer orders the packages; a package imports only from layers below its own. Inside coordination
+// the order is that of the list.
 var layer = map[string]int{
 	"limits": 0, "config": 1, "transport": 2, "protocol": 3, "storage": 4,
 	"coordination/peer/peerpb": 5, "coordination/peer": 6, "coordination/election": 6, "coordination/scheduler": 6,
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -35,9 +35,8 @@
 	MaxRentalSize = 50
 	// MaxDeleteSize is the largest number of names in one deletion.
 	MaxDeleteSize = 100
-	// MinPoolRequests is how many rental requests may wait at least on one type, zone and kind. LikePrice: pools that cost up to so many times
-	// as much as the
-	// cheapest are asked beside it.
+	// MinPoolRequests is how many rental requests may wait at least on one type, zone and kind.
+	// LikePrice: pools that cost up to so many times as much as the cheapest are asked beside it.
 	MinPoolRequests   = 2
 	SimilarPriceRatio = 1.5
 	// CloudPageSize is the Limit asked for when the cloud's machines are listed.
@@ -82,42 +81,45 @@
 	SubmitTimeout = 4 * time.Second
 	// TaskCountsTimeout bounds the leader's answer on counts; they are for display only.
 	TaskCountsTimeout = 250 * time.Millisecond
-	// CancelConfirmTimeout bounds the leader's word that it knows of a cancellation, asked of itself and then through the others; both fit into
-	// UserAnswer.
+	// CancelConfirmTimeout bounds the leader's word that it knows of a cancellation, asked of
+	// itself and then through the others; both fit into UserAnswer.
 	CancelConfirmTimeout = 600 * time.Millisecond
 	// RetryMin and RetryMax bound the jittered pause between tries at the state service and the cloud.
 	RetryMin = 100 * time.Millisecond
 	RetryMax = 2 * time.Second
 	// RetryAfter is what an overloaded node tells a user, in whole seconds.
 	RetryAfter = 1
-	// RetryAfterStep: for each such span that the state service has been out of reach a user is sent away for one more second, up to
-	// RetryAfterMax. An outage that is old may last as long again, but the user should not miss its end by much.
+	// RetryAfterStep: for each such span that the state service has been out of reach a user is
+	// sent away for one more second, up to RetryAfterMax. An outage that is old may last as long
+	// again, but the user should not miss its end by much.
 	RetryAfterStep = 8 * time.Second
 	RetryAfterMax  = 4
 )
 
 // Memory and processor.
 const (
-	// HeapLimitShare is the part of the memory limit given to the Go runtime as its soft limit; the rest is
-	// for stacks of threads, the binary and buffers of the kernel.
+	// HeapLimitShare is the part of the memory limit given to the Go runtime as its soft limit; the
+	// rest is for stacks of threads, the binary and buffers of the kernel.
 	HeapLimitShare = 0.55
-	// MinMemoryMB is what a process needs to run at all: a follower without work holds 7 MB. MemoryScarceMB and CoreScarce are below what
-	// a leader of some tens of
-	// machines needs; on simulated machines such a one held 8 to 18 MB and used less than a hundredth of a core on average.
+	// MinMemoryMB is what a process needs to run at all: a follower without work holds 7 MB.
+	// MemoryScarceMB and CoreScarce are below what a leader of some tens of machines needs; on
+	// simulated machines such a one held 8 to 18 MB and used less than a hundredth of a core on
+	// average.
 	MinMemoryMB  = 8.0
 	LowMemoryMB  = 32.0
 	LowCoreShare = 0.01
-	// GCPercent is the garbage collector's target: the live heap is a tenth of the soft limit or less, so there is room to collect less
-	// often, which saves
-	// processor time; near the limit it collects as often as it must.
+	// GCPercent is the garbage collector's target: the live heap is a tenth of the soft limit or
+	// less, so there is room to collect less often, which saves processor time; near the limit it
+	// collects as often as it must.
 	GCPercent = 400
-	// MaxProcs is GOMAXPROCS. A controller has a part of one core, so a second thread that looks for work would only take from the first.
+	// MaxProcs is GOMAXPROCS. A controller has a part of one core, so a second thread that looks
+	// for work would only take from the first.
 	MaxProcs = 1
 )
 
-// SocketShares is how a controller's sockets are used. The state service, the cloud and the other controllers have theirs set aside; the rest
-// is shared by need
-// between connections that come in and those that are made to workers.
+// SocketShares is how a controller's sockets are used. The state service, the cloud and the other
+// controllers have theirs set aside; the rest is shared by need between connections that come in
+// and those that are made to workers.
 type SocketShares struct {
 	Total        int // inbound connections and those made to workers, together
 	Headroom     int // of these, what connections to workers leave free
@@ -142,11 +144,12 @@
 	return s
 }
 
-// MailboxSize is the size of the mailbox of the leader's scheduler: one report of each worker that can be connected, as each has one in flight.
+// MailboxSize is the size of the mailbox of the leader's scheduler: one report of each worker that
+// can be connected, as each has one in flight.
 func MailboxSize(s SocketShares) int { return max(MinMailboxSize, s.MachineConns) }
 
-// ProbeRate is how many probes a second a controller with such a share of a core sends at most; one whose share is not known is held to
-// have a core.
+// ProbeRate is how many probes a second a controller with such a share of a core sends at most; one
+// whose share is not known is held to have a core.
 func ProbeRate(coreShare float64) float64 {
 	if coreShare <= 0 {
 		coreShare = 1
@@ -159,14 +162,15 @@
 	return d + time.Duration(float64(d)*2*DriftShare) + LeaseMargin
 }
 
-// EntitledFor is how long, by our clock, a hold of life d is surely ours from the moment its touch was sent.
+// EntitledFor is how long, by our clock, a hold of life d is surely ours from the moment its touch
+// was sent.
 func EntitledFor(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*2*DriftShare) - LeaderLeaseMargin
 }
 
-// CancelAnswerUntil is how long after a cancellation a machine that still has the job's tasks may get an answer to a report: its lease then
-// ends within
-// cancelWithin, whatever becomes of its deletion. It is at least half of cancelWithin, for leases that are too long for any of this.
+// CancelAnswerUntil is how long after a cancellation a machine that still has the job's tasks may
+// get an answer to a report: its lease then ends within cancelWithin, whatever becomes of its
+// deletion. It is at least half of cancelWithin, for leases that are too long for any of this.
 func CancelAnswerUntil(cancelWithin, lease time.Duration) time.Duration {
 	return max(cancelWithin-LeaseSurelyOver(lease), cancelWithin/2)
 }
@@ -182,9 +186,8 @@
 // Seconds turns a protocol duration into a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// RetryAfterSeconds is what a user is told who can't be served now, in whole seconds: soon, and the later the longer the state service
-// has been
-// out of reach already.
+// RetryAfterSeconds is what a user is told who can't be served now, in whole seconds: soon, and the
+// later the longer the state service has been out of reach already.
 func RetryAfterSeconds(failing time.Duration) int {
 	return min(RetryAfter+int(failing/RetryAfterStep), RetryAfterMax)
 }
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -16,7 +16,8 @@
 	Revision  uint64     `cbor:"Ledger"`
 }
 
-// Condition is what a transaction requires of a key: that it has this version, 0 for a key that does not exist.
+// Condition is what a transaction requires of a key: that it has this version, 0 for a key that
+// does not exist.
 type Condition struct {
 	Key     string `cbor:"Path"`
 	Version uint64 `cbor:"Stamp"`
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestWireBytes pins every message to the bytes that other programs and other builds read: a rename in Go must not change them. The
-// bytes are those of commit 9ae7341, the version that the first rolling upgrade starts from.
+// TestWireBytes pins every message to the bytes that other programs and other builds read: a rename
+// in Go must not change them. The bytes are those of commit 9ae7341, the version that the first
+// rolling upgrade starts from.
 func TestWireBytes(t *testing.T) {
 	number, count := 1.5, 3
 	for _, c := range []struct {
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -9,8 +9,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// gang is one attempt of a job whose tasks run at the same time or not at all. Its tasks are on different workers and find each
-// other by the attempt number.
+// gang is one attempt of a job whose tasks run at the same time or not at all. Its tasks are on
+// different workers and find each other by the attempt number.
 type gang struct {
 	spec  protocol.Spec
 	times gangTimes
@@ -144,7 +144,8 @@
 
 func (g *gang) progress(until time.Time) time.Duration { return g.base + until.Sub(g.started) }
 
-// update starts a gang that is complete, and notes its end or the loss of a task; the caller has the lock.
+// update starts a gang that is complete, and notes its end or the loss of a task; the caller has
+// the lock.
 func (g *gang) update() {
 	now := time.Now()
 	switch {
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -22,7 +22,8 @@
 	Open Cut = iota
 	// Refuse refuses connections and resets open ones.
 	Refuse
-	// Hold keeps packets back and delivers them in order once it is over, also of connections given up meanwhile. A connection attempt hangs.
+	// Hold keeps packets back and delivers them in order once it is over, also of connections given
+	// up meanwhile. A connection attempt hangs.
 	Hold
 	// Lose drops packets for good.
 	Lose
@@ -30,7 +31,8 @@
 
 var errRefused = errors.New("connection refused")
 
-// Network is a network in memory, whose links can be cut one by one and in one direction. Addresses are host:port.
+// Network is a network in memory, whose links can be cut one by one and in one direction. Addresses
+// are host:port.
 type Network struct {
 	mu        sync.Mutex
 	latency   time.Duration
@@ -213,7 +215,8 @@
 	data []byte // nil: the sender has closed
 }
 
-// conn is one end of a connection. What comes to it lies in its queue until its time has come and the way is open.
+// conn is one end of a connection. What comes to it lies in its queue until its time has come and
+// the way is open.
 type conn struct {
 	n             *Network
 	local, remote string
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-ins of the services that quillshunt depends on, written from the published
-// protocol. The tests use them, and the quick start of the README.
+// Package standin holds small stand-ins of the services that quillshunt depends on, written from
+// the published protocol. The tests use them, and the quick start of the README.
 package standin
 
 import (
@@ -122,7 +122,8 @@
 	s.wake()
 }
 
-// SetLate sets whether a transaction gets no answer in time and is carried out so much later; nil: none does.
+// SetLate sets whether a transaction gets no answer in time and is carried out so much later; nil:
+// none does.
 func (s *State) SetLate(f func() (time.Duration, bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -290,7 +291,8 @@
 	}
 }
 
-// Changes returns what happened to keys with a prefix after a revision, and a channel that closes at the next change.
+// Changes returns what happened to keys with a prefix after a revision, and a channel that closes
+// at the next change.
 func (s *State) Changes(prefix string, since uint64) (protocol.WatchReply, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -26,7 +26,8 @@
 	gangPeerFor = 6 * time.Second
 )
 
-// worker is a machine of the stand-in cloud. Its tasks only wait for the time that their owner reckons with.
+// worker is a machine of the stand-in cloud. Its tasks only wait for the time that their owner
+// reckons with.
 type worker struct {
 	cloud  *Cloud
 	typ    *protocol.MachineType
@@ -130,7 +131,8 @@
 	return addr, nil
 }
 
-// awake waits while the machine hangs, and then looks at its lease before all else. It returns false once the machine is gone.
+// awake waits while the machine hangs, and then looks at its lease before all else. It returns
+// false once the machine is gone.
 func (w *worker) awake(ctx context.Context) bool {
 	for {
 		w.mu.Lock()
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -76,14 +76,16 @@
 	Term uint64 `cbor:"Term" json:"Term"`
 }
 
-// LeaderHeartbeat is written by a leader that too few others pledge to, and when it has heard of a new process of another.
+// LeaderHeartbeat is written by a leader that too few others pledge to, and when it has heard of a
+// new process of another.
 type LeaderHeartbeat struct {
 	Term             uint64 `cbor:"Term" json:"Term"`
 	Sequence         uint64 `cbor:"Seq" json:"Seq"`
 	ObservedRevision uint64 `cbor:"Seen" json:"Seen"` // the term has taken in all changes of open jobs up to this revision
 }
 
-// VoteWithdrawal is a controller's word that it pledges no more to a leader whose last heartbeat has that stamp, or an earlier one.
+// VoteWithdrawal is a controller's word that it pledges no more to a leader whose last heartbeat
+// has that stamp, or an earlier one.
 type VoteWithdrawal struct {
 	Heartbeat uint64 `cbor:"Beat" json:"Heartbeat"`
 }
@@ -96,8 +98,9 @@
 	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // time of day before which nobody was told that it is cancelled
 }
 
-// Shortened returns the record of a cancelled job so that it fits, if it was stored when values could be larger: nothing is placed
-// any more, so it can do without what only says where and when a task may start.
+// Shortened returns the record of a cancelled job so that it fits, if it was stored when values
+// could be larger: nothing is placed any more, so it can do without what only says where and when a
+// task may start.
 func (o OpenJob) Shortened(valueKB float64) OpenJob {
 	if !o.Cancelled || FitsValueLimit(o, valueKB) {
 		return o
@@ -121,14 +124,15 @@
 	Machines    []string `cbor:"Rigs" json:"Rigs"` // machines that are not gone
 }
 
-// MaxRentalMachines is how many machines a rental may be for, so that its record with their names stays below the value limit.
+// MaxRentalMachines is how many machines a rental may be for, so that its record with their names
+// stays below the value limit.
 func MaxRentalMachines(valueKB float64) int {
 	fit := (int(valueKB*1024) - limits.RentalOverhead) / limits.MachineNameBytes
 	return min(max(fit, 1), limits.MaxRentalSize)
 }
 
-// RegisteredMachine is a machine that reported. It is written before the machine gets its first task, so a new leader knows
-// where tasks of earlier terms can be, and where to ask.
+// RegisteredMachine is a machine that reported. It is written before the machine gets its first
+// task, so a new leader knows where tasks of earlier terms can be, and where to ask.
 type RegisteredMachine struct {
 	Machine string `cbor:"Rig" json:"Rig"`
 	Address string `cbor:"Address" json:"Address"`
@@ -139,8 +143,8 @@
 	Machines []RegisteredMachine `cbor:"Rigs" json:"Rigs"`
 }
 
-// MachineTypes caches the machine types, so that a node can check submissions after a restart. They are kept under KeyTypes, or, if that
-// would be too large a value, in parts under PrefixTypes.
+// MachineTypes caches the machine types, so that a node can check submissions after a restart. They
+// are kept under KeyTypes, or, if that would be too large a value, in parts under PrefixTypes.
 type MachineTypes struct {
 	MachineTypes []protocol.MachineType `cbor:"Rigkinds" json:"Rigkinds"`
 }
@@ -151,7 +155,8 @@
 	Parts        int                    `cbor:"Parts" json:"Parts"`
 }
 
-// SplitMachineTypes cuts machine types into parts that fit; a type that is too large by itself gets a part of its own.
+// SplitMachineTypes cuts machine types into parts that fit; a type that is too large by itself gets
+// a part of its own.
 func SplitMachineTypes(types []protocol.MachineType, valueKB float64) []MachineTypesPart {
 	var parts []MachineTypesPart
 	for _, t := range types {
@@ -170,7 +175,8 @@
 	return parts
 }
 
-// JoinMachineTypes puts parts together again. It returns false if some are missing, as while they are being written.
+// JoinMachineTypes puts parts together again. It returns false if some are missing, as while they
+// are being written.
 func JoinMachineTypes(parts []MachineTypesPart) ([]protocol.MachineType, bool) {
 	var types []protocol.MachineType
 	for _, p := range parts {
--- a/internal/storage/records_test.go
+++ b/internal/storage/records_test.go
@@ -8,7 +8,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestFinRoundTrip: chunks carry exactly the finished tasks, whatever the chunk size, and keep to the value limit.
+// TestFinRoundTrip: chunks carry exactly the finished tasks, whatever the chunk size, and keep to
+// the value limit.
 func TestFinRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := rapid.SampledFrom([]float64{0.25, 1, 4, 8}).Draw(t, "kb")
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -23,9 +23,11 @@
 
 // Outcomes of a call that are not answers.
 var (
-	// ErrNotExecuted: the service said that it did not carry the request out (429, 503), or nothing was sent.
+	// ErrNotExecuted: the service said that it did not carry the request out (429, 503), or nothing
+	// was sent.
 	ErrNotExecuted = errors.New("state service refused")
-	// ErrRateLimited: it was refused because more was asked than the service's rates allow. It is an ErrRefused as well.
+	// ErrRateLimited: it was refused because more was asked than the service's rates allow. It is
+	// an ErrRefused as well.
 	ErrRateLimited = errors.New("over the state service's rate")
 	// ErrOutcomeUnknown: there was no answer; the request may have been carried out, or may still be.
 	ErrOutcomeUnknown = errors.New("state service did not answer")
@@ -37,9 +39,8 @@
 	ErrBadRequest = errors.New("state service rejected the request")
 )
 
-// IsTimeout tells whether a call failed only because time went by without an answer. The service may then be out of reach, but a process
-// that gets too little of
-// its processor sees the same.
+// IsTimeout tells whether a call failed only because time went by without an answer. The service
+// may then be out of reach, but a process that gets too little of its processor sees the same.
 func IsTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
@@ -60,10 +61,10 @@
 	return false
 }
 
-// Store calls the state service. It is safe for concurrent use. A Store has its share of the service's rates. What users ask for has a
-// share of its
-// own (see ForUsers), which any controller may use up, as load lies now here, now there; if that is too much in sum, the service
-// says so with 429 and has executed nothing.
+// Store calls the state service. It is safe for concurrent use. A Store has its share of the
+// service's rates. What users ask for has a share of its own (see ForUsers), which any controller
+// may use up, as load lies now here, now there; if that is too much in sum, the service says so
+// with 429 and has executed nothing.
 type Store struct {
 	http        *transport.Client
 	watch       *transport.Client
@@ -82,7 +83,8 @@
 	refused      atomic.Int64 // calls answered 429 or 503
 }
 
-// New returns a Store for the work of the controllers themselves, of which only the leader's amounts to much.
+// New returns a Store for the work of the controllers themselves, of which only the leader's
+// amounts to much.
 func New(addr string, settings config.State) *Store {
 	return &Store{
 		http:     transport.NewClient(addr, limits.StateIdle, limits.MaxUpstreamBytes).WithDialTimeout(limits.LeaseRenewTimeout),
@@ -101,7 +103,8 @@
 	return s
 }
 
-// ForUsers returns a Store over the same connections with the users' share of the rates. It does not wait long for it.
+// ForUsers returns a Store over the same connections with the users' share of the rates. It does
+// not wait long for it.
 func (s *Store) ForUsers() *Store {
 	u := *s
 	u.requests = newLimiter(s.settings.RPS, limits.UserReadShare, 1)
@@ -151,8 +154,8 @@
 	return s.health.writes.Load(), s.health.refused.Load()
 }
 
-// Unavailable tells whether the service is known to be out of reach, so that one more call would only keep somebody waiting. Now and then
-// a call is let through to see whether it is over.
+// Unavailable tells whether the service is known to be out of reach, so that one more call would
+// only keep somebody waiting. Now and then a call is let through to see whether it is over.
 func (s *Store) Unavailable() bool {
 	return s.FailingFor() > limits.UnavailableAfter && time.Since(time.Unix(0, s.health.lastCallAt.Load())) < limits.UnavailableProbeInterval
 }
@@ -213,7 +216,8 @@
 	return p, nil
 }
 
-// List reads all keys with a prefix. The ledger returned is that of the first page, from which a watch misses nothing.
+// List reads all keys with a prefix. The ledger returned is that of the first page, from which a
+// watch misses nothing.
 func (s *Store) List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error) {
 	var ledger uint64
 	since, first := "", true
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -9,9 +9,9 @@
 	"quillshunt/internal/limits"
 )
 
-// TestDown: users are sent away without a call while the state service is known to be out of reach, but a call is let through often
-// enough that nobody
-// is left without an answer for long once it is back.
+// TestDown: users are sent away without a call while the state service is known to be out of reach,
+// but a call is let through often enough that nobody is left without an answer for long once it is
+// back.
 func TestDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		own := New("127.0.0.1:1", config.State{RPS: 100, WriteRPS: 10, TxnOps: 8})
--- a/internal/storage/types.go
+++ b/internal/storage/types.go
@@ -18,8 +18,8 @@
 	PartVersions        map[string]uint64 // versions of the records of parts, by key
 }
 
-// ReadMachineTypes reads the machine types. The parts count where they are complete; the one record may then be one of an earlier version of this
-// program, which knows no parts.
+// ReadMachineTypes reads the machine types. The parts count where they are complete; the one record
+// may then be one of an earlier version of this program, which knows no parts.
 func (s *Store) ReadMachineTypes(ctx context.Context) (StoredMachineTypes, error) {
 	stored := StoredMachineTypes{PartVersions: map[string]uint64{}}
 	var parts []MachineTypesPart
@@ -59,8 +59,8 @@
 	return stored, nil
 }
 
-// MachineTypesTransactions are the transactions that keep machine types in place of what is stored, each within the limits of the service. The guard is
-// that of the leader.
+// MachineTypesTransactions are the transactions that keep machine types in place of what is stored,
+// each within the limits of the service. The guard is that of the leader.
 func (s *Store) MachineTypesTransactions(stored StoredMachineTypes, types []protocol.MachineType, guard protocol.Condition) []protocol.Transaction {
 	var ops []protocol.Operation
 	conditions := map[string]uint64{}
--- a/internal/storage/types_test.go
+++ b/internal/storage/types_test.go
@@ -11,8 +11,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestTypesInParts: machine types of any number are written in values and transactions within the limits, and read back in their
-// order, also where they replace others; a set that is written in part only is not taken for a whole.
+// TestTypesInParts: machine types of any number are written in values and transactions within the
+// limits, and read back in their order, also where they replace others; a set that is written in
+// part only is not taken for a whole.
 func TestTypesInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := New("127.0.0.1:1", config.State{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 4})
--- a/internal/storage/wire_test.go
+++ b/internal/storage/wire_test.go
@@ -8,9 +8,10 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestRecordBytes pins every record to the bytes that other builds read, and to its size as the state service counts it: a rename in Go
-// must change neither. The bytes are those that commit 9ae7341 writes, the version that the first rolling upgrade starts from: what it has
-// stored is read as it was meant, and it reads what this version stores.
+// TestRecordBytes pins every record to the bytes that other builds read, and to its size as the
+// state service counts it: a rename in Go must change neither. The bytes are those that commit
+// 9ae7341 writes, the version that the first rolling upgrade starts from: what it has stored is
+// read as it was meant, and it reads what this version stores.
 func TestRecordBytes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -74,7 +74,8 @@
 	return c
 }
 
-// WithDialTimeout sets how long it waits for a connection instead of DialTimeout. It is called before the first use.
+// WithDialTimeout sets how long it waits for a connection instead of DialTimeout. It is called
+// before the first use.
 func (c *Client) WithDialTimeout(limit time.Duration) *Client {
 	c.dial = limit
 	return c
@@ -192,8 +193,9 @@
 	}
 }
 
-// converseOnSocket does the same with two system calls: the request is written after the poller has been told that this goroutine
-// will wait, and nothing is read before the poller says that there is something.
+// converseOnSocket does the same with two system calls: the request is written after the poller has
+// been told that this goroutine will wait, and nothing is read before the poller says that there is
+// something.
 func (o *outbound) converseOnSocket(req []byte) (m *Message, err error) {
 	sent := false
 	waitErr := o.raw.Read(func(fd uintptr) bool {
@@ -258,9 +260,9 @@
 	return m, nil
 }
 
-// arrived looks, after a deadline, whether the answer has come all the same: a process that gets less of its processor than it needs
-// may be late to read it. To take that for silence of the other side would make an overloaded leader give up its lease. late is the
-// error where nothing has come.
+// arrived looks, after a deadline, whether the answer has come all the same: a process that gets
+// less of its processor than it needs may be late to read it. To take that for silence of the other
+// side would make an overloaded leader give up its lease. late is the error where nothing has come.
 func (o *outbound) arrived(late error) (m *Message, err error) {
 	if o.raw == nil {
 		return nil, late
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -10,7 +10,8 @@
 	"quillshunt/internal/limits"
 )
 
-// TestAnswerBeforeDeadline: an answer that was there before the deadline is taken, although the process came to read it only after that.
+// TestAnswerBeforeDeadline: an answer that was there before the deadline is taken, although the
+// process came to read it only after that.
 func TestAnswerBeforeDeadline(t *testing.T) {
 	server := listening(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, []byte("held"), 0) }})
 	c := NewClient(server.Addr, 1, limits.MaxBodyBytes)
@@ -44,7 +45,8 @@
 	t.Fatal("the answer was not seen")
 }
 
-// TestLargeRequest: a request that the socket does not take at once is sent whole, and the connection can be used again.
+// TestLargeRequest: a request that the socket does not take at once is sent whole, and the
+// connection can be used again.
 func TestLargeRequest(t *testing.T) {
 	server := listening(t, &Server{MaxConns: 10, Handle: func(req *Message, r *Responder) { r.Respond(200, req.Body, 0) }})
 	c := NewClient(server.Addr, 1, limits.MaxBodyBytes)
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -18,8 +18,8 @@
 	used bool // guarded by c.mu
 }
 
-// inbound is what we keep for a connection. It is guarded by the server's turn, but for what its own mutex guards because
-// answers come from other goroutines.
+// inbound is what we keep for a connection. It is guarded by the server's turn, but for what its
+// own mutex guards because answers come from other goroutines.
 type inbound struct {
 	dec     *Decoder
 	status  int  // of the last answer on this connection, guarded by mu
@@ -35,12 +35,13 @@
 	end  bool // close after out
 }
 
-// refuse answers what is malformed. What is too long is answered 400 as well: any other status would make a user try again in vain.
+// refuse answers what is malformed. What is too long is answered 400 as well: any other status
+// would make a user try again in vain.
 func (c *inbound) refuse(err error) ([]byte, gnet.Action) {
 	out := AppendResponse(nil, 400, nil, 0, true)
 	if errors.Is(err, ErrTooLarge) {
-		// Closing now, with bytes still coming in, would reset the connection before the answer is read. The rest is thrown away until the
-		// sender closes, or for a while.
+		// Closing now, with bytes still coming in, would reset the connection before the answer is
+		// read. The rest is thrown away until the sender closes, or for a while.
 		c.refused = true
 		return out, gnet.None
 	}
@@ -68,15 +69,17 @@
 	return out, gnet.None
 }
 
-// PreviousStatus is the status of the answer before on the same connection, or 0. As nobody pipelines, the sender has got that answer.
+// PreviousStatus is the status of the answer before on the same connection, or 0. As nobody
+// pipelines, the sender has got that answer.
 func (r *Responder) PreviousStatus() int {
 	r.c.mu.Lock()
 	defer r.c.mu.Unlock()
 	return r.c.status
 }
 
-// FromMachine notes, while the handler runs, that the connection is of a machine of the fleet. It returns false, and the connection ends with
-// the answer, if there are as many of these as may be: users need the rest.
+// FromMachine notes, while the handler runs, that the connection is of a machine of the fleet. It
+// returns false, and the connection ends with the answer, if there are as many of these as may be:
+// users need the rest.
 func (r *Responder) FromMachine() bool {
 	if r.c.fleet {
 		return true
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -11,7 +11,8 @@
 	"quillshunt/internal/limits"
 )
 
-// events is what a server does on gnet's events. OnTick has a goroutine of its own, so each takes the server's turn.
+// events is what a server does on gnet's events. OnTick has a goroutine of its own, so each takes
+// the server's turn.
 type events struct {
 	gnet.BuiltinEventEngine
 	s   *Server
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -129,9 +129,8 @@
 	}
 }
 
-// step reads what the present phase needs. It returns a message once that is whole; else more tells whether the next phase can go on
-// with what
-// is there.
+// step reads what the present phase needs. It returns a message once that is whole; else more tells
+// whether the next phase can go on with what is there.
 func (d *Decoder) step() (m *Message, more bool, err error) {
 	switch d.phase {
 	case phaseHead:
@@ -152,8 +151,8 @@
 }
 
 func (d *Decoder) readHead() (m *Message, more bool, err error) {
-	// One empty line before a request is tolerated, as the standard asks. It is decided before anything else is
-	// looked at, so that it does not matter in which pieces it comes.
+	// One empty line before a request is tolerated, as the standard asks. It is decided before
+	// anything else is looked at, so that it does not matter in which pieces it comes.
 	if !d.response && !d.begun {
 		if len(d.buf) == 0 || (len(d.buf) == 1 && d.buf[0] == '\r') {
 			return nil, false, nil
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -92,7 +92,8 @@
 	return append(out, "0\r\nTrailer: x\r\n\r\n"...)
 }
 
-// TestSplitsParseAlike: any split of the same bytes gives the same messages, whether they are well formed or not.
+// TestSplitsParseAlike: any split of the same bytes gives the same messages, whether they are well
+// formed or not.
 func TestSplitsParseAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		response := rapid.Bool().Draw(t, "response")
@@ -196,8 +197,8 @@
 	})
 }
 
-// TestConnectionMemory: a connection that has had its answer holds little, so that all workers can be connected within a controller's
-// memory.
+// TestConnectionMemory: a connection that has had its answer holds little, so that all workers can
+// be connected within a controller's memory.
 func TestConnectionMemory(t *testing.T) {
 	const conns = 200
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -19,9 +19,10 @@
 
 // Server serves HTTP on one address by an event loop of gnet.
 //
-// gnet ends its loop when accept fails, so Run starts it again, and the number of connections is kept
-// below the socket limit, so that accept does not fail for want of sockets. It handles a request on a connection
-// only after the answer before is written, which bounds what a slow reader can hold to one answer.
+// gnet ends its loop when accept fails, so Run starts it again, and the number of connections is
+// kept below the socket limit, so that accept does not fail for want of sockets. It handles a
+// request on a connection only after the answer before is written, which bounds what a slow reader
+// can hold to one answer.
 type Server struct {
 	Addr        string
 	MaxConns    int
@@ -36,8 +37,8 @@
 	fleet int                    // how many connections are of machines
 }
 
-// ServeConn serves one connection until it ends, without the event loop: for networks in memory. The handler is called by one goroutine
-// at a time, as on the loop.
+// ServeConn serves one connection until it ends, without the event loop: for networks in memory.
+// The handler is called by one goroutine at a time, as on the loop.
 func (s *Server) ServeConn(conn net.Conn) {
 	defer conn.Close()
 	c := &inbound{dec: NewRequestDecoder(limits.MaxBodyBytes)}
@@ -111,7 +112,8 @@
 		return err
 	}
 	s.forgetAll()
-	// With a listener of its own the loop accepts connections itself; else that is a second loop, which wakes the first for each.
+	// With a listener of its own the loop accepts connections itself; else that is a second loop,
+	// which wakes the first for each.
 	return gnet.Run(&events{s: s, ctx: ctx}, "tcp://"+s.Addr, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
 		gnet.WithTicker(true), gnet.WithReadBufferCap(limits.ReadBytes), gnet.WithLogger(logger{s.Log}))
 }
@@ -154,7 +156,8 @@
 	}
 }
 
-// data handles, on the loop and with the turn, new bytes (in is nil on a wake): first an answer that is ready, then the next request.
+// data handles, on the loop and with the turn, new bytes (in is nil on a wake): first an answer
+// that is ready, then the next request.
 func (s *Server) data(ec gnet.Conn, c *inbound, in []byte) ([]byte, gnet.Action) {
 	if c.refused {
 		return nil, gnet.None
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -12,7 +12,8 @@
 	"quillshunt/internal/limits"
 )
 
-// TestUnreadAnswers: a connection that asks on without reading its answers is closed, so that they don't pile up.
+// TestUnreadAnswers: a connection that asks on without reading its answers is closed, so that they
+// don't pile up.
 func TestUnreadAnswers(t *testing.T) {
 	const enough = 2000 // answers that no socket holds
 	handled := make(chan struct{}, 1)
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -16,9 +16,9 @@
 	return sc.SyscallConn()
 }
 
-// readSocket and writeSocket make one call on a socket that never blocks, as all sockets of package net. The runtime is not told of
-// the call: it would wake its monitor thread for each, to look whether the call takes long, which costs a small controller more than
-// the call itself.
+// readSocket and writeSocket make one call on a socket that never blocks, as all sockets of package
+// net. The runtime is not told of the call: it would wake its monitor thread for each, to look
+// whether the call takes long, which costs a small controller more than the call itself.
 
 func readSocket(fd uintptr, p []byte) (int, syscall.Errno) {
 	return callSocket(syscall.SYS_READ, fd, p)
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// ErrNoSocket marks a call that was not tried because connections coming in need the sockets. It is an ErrNotSent.
+// ErrNoSocket marks a call that was not tried because connections coming in need the sockets. It is
+// an ErrNotSent.
 var ErrSocketBudget = fmt.Errorf("%w: no socket to spare", ErrNotSent)
 
-// SocketBudget shares a number of sockets by need between the connections that come in and those that are made to workers. What comes in goes
-// first: a
-// connection that is made may not take the last ones, and kept ones are given up for it (see Excess). Calls that must always get
-// through, as to the
-// state service, are not counted here and have sockets of their own.
+// SocketBudget shares a number of sockets by need between the connections that come in and those
+// that are made to workers. What comes in goes first: a connection that is made may not take the
+// last ones, and kept ones are given up for it (see Excess). Calls that must always get through, as
+// to the state service, are not counted here and have sockets of their own.
 type SocketBudget struct {
 	room     int64 // for both together
 	headroom int64 // kept free for what comes in, as giving up takes a moment
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -54,9 +54,8 @@
 	return m.Status, c
 }
 
-// TestPastItsSockets drives a server past its bounds: machines take no more than their share, users still get through, kept connections
-// to workers give way
-// to what comes in, and nothing ends.
+// TestPastItsSockets drives a server past its bounds: machines take no more than their share, users
+// still get through, kept connections to workers give way to what comes in, and nothing ends.
 func TestPastItsSockets(t *testing.T) {
 	const room, headroom, most, fleet = 60, 5, 50, 30
 	sockets := NewSocketBudget(room, headroom)
