--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -54,7 +54,7 @@
 
 // servedShare is the share of what is due to a job's group that it has got.
 func (s *Scheduler) servedShare(j *job) float64 {
-	x := s.groupProgress[j.group()]
+	x := s.queue.groupProgress[j.group()]
 	if x.due == 0 {
 		return 1
 	}
@@ -65,25 +65,25 @@
 // how badly their group is served, then by age, so that jobs are completed rather than all of them
 // begun.
 func (s *Scheduler) updateOverdue() {
-	clear(s.groupProgress)
-	maps.Copy(s.groupProgress, s.closedJobProgress)
-	for _, j := range s.queue {
+	clear(s.queue.groupProgress)
+	maps.Copy(s.queue.groupProgress, s.queue.closedProgress)
+	for _, j := range s.jobs.bySubmission {
 		if due := s.tasksDue(j); due > 0 {
-			x := s.groupProgress[j.group()]
+			x := s.queue.groupProgress[j.group()]
 			x.due += due
 			x.served += min(due, j.doneCount+len(j.assignments))
-			s.groupProgress[j.group()] = x
+			s.queue.groupProgress[j.group()] = x
 		}
 	}
-	s.overdue = s.overdue[:0]
-	for _, j := range s.queue {
+	s.queue.overdue = s.queue.overdue[:0]
+	for _, j := range s.jobs.bySubmission {
 		j.underserved = s.tasksDue(j) > 0 && s.servedShare(j) < limits.UnderservedShare
 		if s.overdueTasks(j) > 0 {
-			s.overdue = append(s.overdue, j)
+			s.queue.overdue = append(s.queue.overdue, j)
 		}
 	}
 	begun := func(j *job) int { return min(j.doneCount+len(j.assignments), 1) }
-	slices.SortStableFunc(s.overdue, func(a, b *job) int { // the queue is by age
+	slices.SortStableFunc(s.queue.overdue, func(a, b *job) int { // the queue is by age
 		return cmp.Or(cmp.Compare(begun(a), begun(b)), cmp.Compare(s.servedShare(a), s.servedShare(b)))
 	})
 }
@@ -93,7 +93,7 @@
 // in the pass before comes first: otherwise each one with as much room would take the place of
 // another, and none would ever have enough.
 func (s *Scheduler) reserveForJob(j *job) {
-	p := &s.pass
+	p := &s.placement.pass
 	n := min(s.overdueTasks(j), p.reservationsLeft)
 	if n <= 0 || !j.team.fits(j.demand) {
 		return
--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -87,5 +87,5 @@
 		m.allocated, m.releasing = resources{}, resources{} // no rounding is carried on
 		m.idleSince = s.now
 	}
-	s.placementNeeded, s.freeRoomChanged = true, true
+	s.placement.needed, s.gangs.freeRoomChanged = true, true
 }
--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -18,13 +18,13 @@
 	task := protocol.TaskStatus{Task: "job-1/0", Attempt: b.direct()[0].Commands[0].Attempt, State: protocol.Running}
 	b.report(0, task)
 	b.version++
-	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs["job-1"].spec}})
-	b.scheduler.machines[b.machine(0)].spotNotice, b.scheduler.machines[b.machine(0)].spotNoticeEnds = true, time.Hour
+	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
+	b.scheduler.inventory.byName[b.machine(0)].spotNotice, b.scheduler.inventory.byName[b.machine(0)].spotNoticeEnds = true, time.Hour
 	for end := b.now + 20*time.Second; b.now < end; b.now += time.Second {
 		b.report(0, task)
 		b.step(Tick{Entitled: true})
 	}
-	if !b.scheduler.machines[b.machine(0)].deleting {
+	if !b.scheduler.inventory.byName[b.machine(0)].deleting {
 		t.Error("its machine is kept")
 	}
 }
@@ -44,9 +44,9 @@
 			task = protocol.TaskStatus{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.Running}
 			b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: &protocol.Heartbeat{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence + 1, FencingToken: 3, Tasks: []protocol.TaskStatus{task}}})
 		}
-		held := b.scheduler.jobs["job-1"].assignments[0].machine.name
+		held := b.scheduler.jobs.byID["job-1"].assignments[0].machine.name
 		b.sequence++
-		b.step(JobChanged{JobID: "job-1", Version: 900, SinceCancellation: age, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs["job-1"].spec}})
+		b.step(JobChanged{JobID: "job-1", Version: 900, SinceCancellation: age, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
 		learned := b.now
 		told := b.now - age
 		if age >= 34*time.Second {
--- a/internal/coordination/scheduler/dispatch_test.go
+++ b/internal/coordination/scheduler/dispatch_test.go
@@ -14,7 +14,7 @@
 func TestDirectCommandsAreBounded(t *testing.T) {
 	const machines = 3 * limits.MaxDirectCommands
 	b := newSchedulerFixture(t, machines)
-	b.scheduler.teams["red"].cfg.CPUsMax = 8 * machines
+	b.scheduler.jobs.teams["red"].cfg.CPUsMax = 8 * machines
 	for range 2 { // the second proves that answers arrive
 		for i := range machines {
 			b.report(i)
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -72,7 +72,7 @@
 func TestDirectAnswerIsNoEvidence(t *testing.T) {
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
-	m := b.scheduler.machines[b.machine(0)]
+	m := b.scheduler.inventory.byName[b.machine(0)]
 	m.noDirectUntil = time.Hour // orders go with reports only
 	b.job("job-1", "red", "standard", 1, 1, 0)
 	if n := verbs(b.report(0), protocol.CommandStart); n != 1 {
@@ -113,7 +113,7 @@
 		}
 	}
 	count()
-	m := b.scheduler.machines[b.machine(0)]
+	m := b.scheduler.inventory.byName[b.machine(0)]
 	m.registration = registered
 	var try uint64
 	for _, x := range m.assignments {
@@ -149,7 +149,7 @@
 	if !deleted {
 		t.Error("not deleted")
 	}
-	if j := b.scheduler.jobs["job-1"]; j.doneCount != 1 {
+	if j := b.scheduler.jobs.byID["job-1"]; j.doneCount != 1 {
 		t.Errorf("%d results count", j.doneCount)
 	}
 }
@@ -173,7 +173,7 @@
 	for _, relayed := range []bool{false, true} {
 		answer(old, relayed)
 	}
-	if b.scheduler.machines["m-gone"] != nil {
+	if b.scheduler.inventory.byName["m-gone"] != nil {
 		t.Error("a copy raised a machine")
 	}
 	// Of an earlier term, of a machine that may hold tasks: not heard of, and no tasks taken from it.
@@ -183,7 +183,7 @@
 	if r := answer(known, false); !r.Accepted {
 		t.Error("a worker that waits for this answer gets none")
 	}
-	m := b.scheduler.machines[b.machine(0)]
+	m := b.scheduler.inventory.byName[b.machine(0)]
 	if m.hasReported || m.fenced || len(m.assignments) > 0 || b.scheduler.isSchedulable(m) {
 		t.Errorf("believed: seen %v fenced %v binds %d", m.hasReported, m.fenced, len(m.assignments))
 	}
@@ -198,7 +198,7 @@
 		t.Errorf("the original brings %+v", r.Commands)
 	}
 	b.version++
-	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs["job-1"].spec}})
+	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
 	if r := answer(first, false); !r.Accepted || verbs(r.Commands, protocol.CommandStart) != 0 {
 		t.Errorf("after the cancellation: %+v", r)
 	}
@@ -247,15 +247,15 @@
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	m := b.scheduler.machines[b.machine(0)]
+	m := b.scheduler.inventory.byName[b.machine(0)]
 	b.scheduler.returnMachine(m, "test")
 	b.step(Tick{Entitled: true})
 	b.step(DeletionDone{Machines: []string{m.name}})
-	if len(m.assignments) != 1 || b.scheduler.machines[m.name] == nil {
+	if len(m.assignments) != 1 || b.scheduler.inventory.byName[m.name] == nil {
 		t.Fatal("freed by a deletion that was not confirmed")
 	}
 	b.step(DeletionDone{Machines: []string{m.name}, OK: true})
-	if len(m.assignments) != 0 || b.scheduler.machines[m.name] != nil {
+	if len(m.assignments) != 0 || b.scheduler.inventory.byName[m.name] != nil {
 		t.Fatal("not freed")
 	}
 }
@@ -274,7 +274,7 @@
 			}
 		}
 	}
-	if m := b.scheduler.machines[b.machine(0)]; m.hasReported || m.leaseRenewedAt > 0 {
+	if m := b.scheduler.inventory.byName[b.machine(0)]; m.hasReported || m.leaseRenewedAt > 0 {
 		t.Errorf("counted as heard: %+v", m)
 	}
 }
@@ -307,8 +307,8 @@
 				}
 			}
 		}
-		if b.scheduler.recovered == c.waits || (len(deleted) == 0) != c.waits {
-			t.Errorf("%d silent: settled %v, deleted %v", c.silent, b.scheduler.recovered, deleted)
+		if b.scheduler.recovery.ended == c.waits || (len(deleted) == 0) != c.waits {
+			t.Errorf("%d silent: settled %v, deleted %v", c.silent, b.scheduler.recovery.ended, deleted)
 		}
 	}
 }
@@ -401,13 +401,13 @@
 		b.now += time.Second
 		if b.now < end {
 			b.report(0)
-			if b.scheduler.recovered || starts() > 0 {
+			if b.scheduler.recovery.ended || starts() > 0 {
 				t.Fatalf("placed at %v, the greeted machine's lease lasts until %v", b.now, end)
 			}
 		}
 	}
 	b.report(0)
-	if !b.scheduler.recovered {
+	if !b.scheduler.recovery.ended {
 		t.Errorf("not rebuilt although every lease is over")
 	}
 }
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -63,7 +63,7 @@
 
 // collectCandidates are the machines that pass the filters for a task of the job, with their scores.
 func (s *Scheduler) collectCandidates(j *job, pressing bool) *candidateGroups {
-	p := &s.pass
+	p := &s.placement.pass
 	p.groups.clear()
 	for _, m := range p.eligibleMachines(pressing) {
 		if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -16,9 +16,9 @@
 // finishedTasksLoaded takes a record of finished tasks, read at the start of the term.
 func (s *Scheduler) finishedTasksLoaded(e FinishedTasksLoaded) {
 	key := storage.FinishedTasksKey(e.JobID, e.Record.Base)
-	j := s.jobs[e.JobID]
+	j := s.jobs.byID[e.JobID]
 	if j == nil {
-		s.orphanedRecords = append(s.orphanedRecords, orphanedRecord{e.JobID, key})
+		s.recovery.orphanedRecords = append(s.recovery.orphanedRecords, orphanedRecord{e.JobID, key})
 		return
 	}
 	last := -1
@@ -32,13 +32,13 @@
 			j.doneCount++
 		}
 	})
-	n := e.Record.Base / s.tasksPerChunk
-	if e.Record.Base%s.tasksPerChunk != 0 || n >= len(j.chunks) {
+	n := e.Record.Base / s.finished.tasksPerChunk
+	if e.Record.Base%s.finished.tasksPerChunk != 0 || n >= len(j.chunks) {
 		j.otherRecordKeys = append(j.otherRecordKeys, key)
 		return
 	}
 	j.chunks[n].version = e.Version
-	for k := n + 1; k <= last/s.tasksPerChunk; k++ {
+	for k := n + 1; k <= last/s.finished.tasksPerChunk; k++ {
 		j.chunks[n].lastCoveredChunk = k
 		j.chunks[k].sequence++ // to be written before this record is replaced
 	}
@@ -60,7 +60,7 @@
 	keys := append([]string(nil), j.otherRecordKeys...)
 	for i := range j.chunks {
 		if j.chunks[i].version != 0 {
-			keys = append(keys, storage.FinishedTasksKey(j.id, i*s.tasksPerChunk))
+			keys = append(keys, storage.FinishedTasksKey(j.id, i*s.finished.tasksPerChunk))
 		}
 	}
 	return keys
@@ -71,10 +71,10 @@
 
 // removeOrphanedRecords removes records that earlier terms left behind of jobs that are over.
 func (s *Scheduler) removeOrphanedRecords() {
-	for _, o := range s.orphanedRecords {
+	for _, o := range s.recovery.orphanedRecords {
 		s.removeFinishedTasks(o.jobID, []string{o.key})
 	}
-	s.orphanedRecords = nil
+	s.recovery.orphanedRecords = nil
 }
 
 // removeFinishedTasks removes records of finished tasks of a job that is over, each by a write of
@@ -87,7 +87,7 @@
 
 // recordTaskDone notes a finished task. The worker is told to forget it only once this is durable.
 func (s *Scheduler) recordTaskDone(j *job, idx int) (n int, ver uint64) {
-	n = idx / s.tasksPerChunk
+	n = idx / s.finished.tasksPerChunk
 	if j.gang != nil {
 		for i := range j.spec.Tasks {
 			s.markDone(j, i) // they complete together
@@ -106,7 +106,7 @@
 	}
 	setBit(j.doneBits, idx)
 	j.doneCount++
-	j.chunks[idx/s.tasksPerChunk].sequence++
+	j.chunks[idx/s.finished.tasksPerChunk].sequence++
 }
 
 // writeFinishedTasks writes finished tasks down, those first that were not written for longest,
@@ -114,13 +114,13 @@
 // again only where one is lost. A job that is nearly over needs no record but its final one.
 func (s *Scheduler) writeFinishedTasks() {
 	rate := s.cfg.State.WriteRPS * limits.ChunkWriteShare
-	s.chunkWriteBudget = min(s.chunkWriteBudget+rate*limits.TickInterval.Seconds(), max(rate, 1))
+	s.finished.writeBudget = min(s.finished.writeBudget+rate*limits.TickInterval.Seconds(), max(rate, 1))
 	type part struct {
 		j *job
 		n int
 	}
 	var parts []part
-	for _, j := range s.queue {
+	for _, j := range s.jobs.bySubmission {
 		s.tryCloseJob(j)
 		if j.closing || j.cancelled {
 			continue
@@ -147,18 +147,18 @@
 		return x.writtenAt < y.writtenAt
 	})
 	for _, x := range parts {
-		if s.chunkWriteBudget < 1 {
+		if s.finished.writeBudget < 1 {
 			return
 		}
-		s.chunkWriteBudget--
+		s.finished.writeBudget--
 		j, c := x.j, &x.j.chunks[x.n]
 		c.writing, c.writtenAt, c.deferredSince, c.expedite = true, s.now, 0, false
-		key := storage.FinishedTasksKey(j.id, x.n*s.tasksPerChunk)
+		key := storage.FinishedTasksKey(j.id, x.n*s.finished.tasksPerChunk)
 		// Guarded by its own stamp as well: an earlier write of this chunk that was given up
 		// must not come late and undo this one.
 		s.write(pendingWrite{kind: writeChunk, job: j, count: x.n, sequence: c.sequence},
 			[]protocol.Condition{{Key: key, Version: c.version}},
-			[]protocol.Operation{{Put: key, Value: protocol.Encode(storage.EncodeFinishedTasks(j.doneBits, x.n*s.tasksPerChunk, s.tasksPerChunk))}})
+			[]protocol.Operation{{Put: key, Value: protocol.Encode(storage.EncodeFinishedTasks(j.doneBits, x.n*s.finished.tasksPerChunk, s.finished.tasksPerChunk))}})
 	}
 }
 
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -17,7 +17,7 @@
 
 func (s *Scheduler) rentalLoaded(e RentalLoaded) {
 	h := &rental{name: e.Name, record: e.Record, version: e.Version, requestedAt: s.now, state: rentalRequested, answerDurable: e.Record.Answered}
-	s.rentals[e.Name] = h
+	s.rentals.byName[e.Name] = h
 	if e.Record.Answered {
 		h.state = rentalAnswered
 	} else {
@@ -31,10 +31,10 @@
 // rentMachines starts a rental: its name is durable before the request leaves, so that a successor
 // can ask for the answer.
 func (s *Scheduler) rentMachines(p machinePool, n int) {
-	s.rentalSequence++
-	h := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentalSequence), state: rentalWriting, requestedAt: s.now,
-		record: storage.Rental{MachineType: p.typeName, Zone: p.zone, Spot: p.spot, Count: min(n, s.maxRentalMachines)}}
-	s.rentals[h.name] = h
+	s.rentals.sequence++
+	h := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentals.sequence), state: rentalWriting, requestedAt: s.now,
+		record: storage.Rental{MachineType: p.typeName, Zone: p.zone, Spot: p.spot, Count: min(n, s.rentals.maxMachines)}}
+	s.rentals.byName[h.name] = h
 	s.log(false, "renting", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot, "count", h.record.Count)
 	s.writeRental(h)
 }
@@ -52,7 +52,7 @@
 }
 
 func (s *Scheduler) rentalWritten(p pendingWrite, ok bool, rev uint64) {
-	h := s.rentals[p.rental]
+	h := s.rentals.byName[p.rental]
 	if h == nil {
 		return
 	}
@@ -66,7 +66,7 @@
 	if p.answered && !h.answerDurable {
 		h.answerDurable = true
 		for _, name := range h.record.Machines {
-			if m := s.machines[name]; m != nil && m.hasReported {
+			if m := s.inventory.byName[name]; m != nil && m.hasReported {
 				s.registerMachine(m) // it was up before its rental's record was written
 			}
 		}
@@ -101,17 +101,17 @@
 func (s *Scheduler) adoptMachine(m *machine) {
 	h := &rental{name: "found-" + m.name, state: rentalAnswered, requestedAt: s.now,
 		record: storage.Rental{MachineType: m.typeName, Zone: m.zone, Spot: m.spot, Answered: true, Machines: []string{m.name}}}
-	if s.rentals[h.name] != nil {
+	if s.rentals.byName[h.name] != nil {
 		return // its last record is just being removed; the next report tries again
 	}
 	s.log(true, "unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
 	m.rental = h.name
-	s.rentals[h.name] = h
+	s.rentals.byName[h.name] = h
 	s.writeRental(h)
 }
 
 func (s *Scheduler) rentalDone(e RentalDone) {
-	h := s.rentals[e.Name]
+	h := s.rentals.byName[e.Name]
 	if h == nil || h.state != rentalRequested {
 		return
 	}
@@ -119,7 +119,7 @@
 	switch {
 	case e.NoCapacity:
 		s.backOffPool(p)
-		s.nextPlanAt = 0
+		s.planner.nextPlanAt = 0
 		s.log(false, "no capacity", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot)
 		s.removeRental(h)
 		return
@@ -129,18 +129,18 @@
 	}
 	if len(e.Machines) < h.record.Count {
 		s.backOffPool(p)
-		s.nextPlanAt = 0 // the rest is asked for elsewhere at once
-	} else if st := s.pools[p]; st != nil {
+		s.planner.nextPlanAt = 0 // the rest is asked for elsewhere at once
+	} else if st := s.rentals.pools[p]; st != nil {
 		st.backoff = 0
 	}
 	s.log(false, "rented", "request", h.name, "machines", len(e.Machines))
 	h.state, h.dirty = rentalAnswered, true
 	h.record.Answered = true
 	for _, name := range e.Machines {
-		if s.deletedMachines[name] || slices.Contains(h.record.Machines, name) {
+		if s.inventory.deleted[name] || slices.Contains(h.record.Machines, name) {
 			continue
 		}
-		known := s.machines[name]
+		known := s.inventory.byName[name]
 		m := s.getOrAddMachine(name, p.typeName, p.zone, p.spot)
 		if known == nil {
 			m.createdAt = h.requestedAt
@@ -150,7 +150,7 @@
 			h.record.Machines = append(h.record.Machines, name)
 		}
 	}
-	s.placementNeeded = true
+	s.placement.needed = true
 	s.reconcileRental(h)
 }
 
@@ -162,49 +162,49 @@
 }
 
 func (s *Scheduler) poolState(p machinePool) *poolState {
-	st := s.pools[p]
+	st := s.rentals.pools[p]
 	if st == nil {
 		st = &poolState{}
-		s.pools[p] = st
+		s.rentals.pools[p] = st
 	}
 	return st
 }
 
 func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
 	if !e.OK {
-		s.nextTypesAt = s.now + limits.CloudRetryInterval
+		s.catalog.nextFetchAt = s.now + limits.CloudRetryInterval
 		return
 	}
-	s.nextTypesAt = s.now + limits.MachineTypesInterval
-	clear(s.machineTypes)
-	s.typeNames = s.typeNames[:0]
+	s.catalog.nextFetchAt = s.now + limits.MachineTypesInterval
+	clear(s.catalog.byName)
+	s.catalog.names = s.catalog.names[:0]
 	for i := range e.Types {
 		t := e.Types[i]
-		s.machineTypes[t.Name] = &t
-		s.typeNames = append(s.typeNames, t.Name)
+		s.catalog.byName[t.Name] = &t
+		s.catalog.names = append(s.catalog.names, t.Name)
 	}
-	sort.Strings(s.typeNames)
-	for _, m := range s.sortedMachines {
-		m.machineType = s.machineTypes[m.typeName]
+	sort.Strings(s.catalog.names)
+	for _, m := range s.inventory.sorted {
+		m.machineType = s.catalog.byName[m.typeName]
 	}
-	s.placementNeeded = true
+	s.placement.needed = true
 }
 
 func (s *Scheduler) machinesListed(e MachinesListed) {
-	s.listInFlight = false
+	s.cloudList.inFlight = false
 	if !e.OK {
-		s.nextListAt = s.now + limits.CloudRetryInterval
+		s.cloudList.nextAt = s.now + limits.CloudRetryInterval
 		return
 	}
-	s.nextListAt = s.now + limits.MachineListInterval
+	s.cloudList.nextAt = s.now + limits.MachineListInterval
 	in := make(map[string]bool, len(e.Machines))
 	for i := range e.Machines {
 		r := &e.Machines[i]
 		in[r.Name] = true
-		if s.deletedMachines[r.Name] {
+		if s.inventory.deleted[r.Name] {
 			continue
 		}
-		m := s.machines[r.Name]
+		m := s.inventory.byName[r.Name]
 		if m == nil {
 			if r.AgeS < (3 * s.cfg.ListLag).Seconds() {
 				continue // perhaps the answer to a rental of ours is on its way
@@ -227,8 +227,8 @@
 			s.returnMachine(m, "failed")
 		}
 	}
-	for _, m := range s.sortedMachines {
-		if !s.recovered && !m.hasReported && m.registration != unregistered && !in[m.name] {
+	for _, m := range s.inventory.sorted {
+		if !s.recovery.ended && !m.hasReported && m.registration != unregistered && !in[m.name] {
 			// It reported to an earlier leader, so it was listed once or is very new. Its deletion
 			// is the quickest evidence that nothing runs there.
 			s.returnMachine(m, "not listed after the take-over")
@@ -258,7 +258,7 @@
 
 func (s *Scheduler) deletionDone(e DeletionDone) {
 	for _, name := range e.Machines {
-		m := s.machines[name]
+		m := s.inventory.byName[name]
 		if m == nil {
 			continue
 		}
@@ -267,21 +267,21 @@
 			continue
 		}
 		// The machine and everything on it are gone.
-		s.deletedMachines[name] = true
+		s.inventory.deleted[name] = true
 		for _, b := range m.sortedAssignments() {
 			s.release(b)
 		}
 		s.forgetMachine(m)
 	}
-	s.placementNeeded = true
+	s.placement.needed = true
 	for _, h := range s.sortedRentals() {
 		s.reconcileRental(h)
 	}
 }
 
 func (s *Scheduler) sortedRentals() []*rental {
-	out := make([]*rental, 0, len(s.rentals))
-	for _, h := range s.rentals {
+	out := make([]*rental, 0, len(s.rentals.byName))
+	for _, h := range s.rentals.byName {
 		out = append(out, h)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].name < out[b].name })
@@ -290,12 +290,12 @@
 
 // manageFleet keeps the fleet in step with the work.
 func (s *Scheduler) manageFleet() {
-	if s.now >= s.nextTypesAt {
-		s.nextTypesAt = s.now + limits.CloudTimeout
+	if s.now >= s.catalog.nextFetchAt {
+		s.catalog.nextFetchAt = s.now + limits.CloudTimeout
 		s.emit(FetchMachineTypes{})
 	}
-	if s.now >= s.nextListAt && !s.listInFlight {
-		s.listInFlight = true
+	if s.now >= s.cloudList.nextAt && !s.cloudList.inFlight {
+		s.cloudList.inFlight = true
 		s.emit(ListMachines{})
 	}
 	if s.now >= s.nextSummaryAt {
@@ -304,14 +304,14 @@
 	}
 	s.writeRegistryPages()
 	s.removeFaultyMachines()
-	s.probes.refill(s.now)
+	s.prober.budget.refill(s.now)
 	s.probeMachines()
-	if s.now >= s.nextPlanAt && (s.recovered || s.now > s.termStartedAt+s.staleAfter()) && len(s.machineTypes) > 0 {
-		s.nextPlanAt = s.now + limits.PlanInterval
+	if s.now >= s.planner.nextPlanAt && (s.recovery.ended || s.now > s.termStartedAt+s.staleAfter()) && len(s.catalog.byName) > 0 {
+		s.planner.nextPlanAt = s.now + limits.PlanInterval
 		s.planCapacity()
 	}
 	var names []string
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		if m.deleting && s.now >= m.deleteRequestedAt+limits.CloudRetryInterval && len(names) < limits.MaxDeleteSize {
 			m.deleteRequestedAt = never / 2
 			names = append(names, m.name)
@@ -328,7 +328,7 @@
 // logSummary writes that line.
 func (s *Scheduler) logSummary() {
 	up, booting, doubted, total, used, waiting, bound := 0, 0, 0, 0.0, 0.0, 0, 0
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		if !m.hasReported {
 			booting++
 			continue
@@ -340,13 +340,13 @@
 		total += m.size().cpu
 		used += m.allocated.cpu
 	}
-	for _, j := range s.queue {
+	for _, j := range s.jobs.bySubmission {
 		if !j.cancelled {
 			waiting += j.waitingTasks()
 		}
 		bound += len(j.assignments)
 	}
-	s.log(false, SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.queue), "waiting", waiting, "bound", bound, "settled", s.recovered)
+	s.log(false, SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.jobs.bySubmission), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
 }
 
 // isCorrelated tells whether so many of all machines at once must have a common cause.
@@ -365,7 +365,7 @@
 		return max(m.lastHeartbeatAt, s.termStartedAt)
 	}
 	quiet := func(m *machine) bool { return m.hasReported && s.now > since(m)+limit }
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		switch {
 		case m.deleting:
 		case m.hasReported:
@@ -380,14 +380,14 @@
 			unheard++
 		}
 	}
-	s.manyUnverified = doubted > limits.CorrelatedMin && float64(doubted) > limits.CorrelatedUnverifiedShare*float64(up)
+	s.prober.manyUnverified = doubted > limits.CorrelatedMin && float64(doubted) > limits.CorrelatedUnverifiedShare*float64(up)
 	lost := isCorrelated(unheard, unheard+up)
-	s.fewUnreported = !s.recovered && float64(unheard) <= max(limits.CorrelatedMin, limits.FewUnreportedShare*float64(unheard+up))
+	s.recovery.fewUnreported = !s.recovery.ended && float64(unheard) <= max(limits.CorrelatedMin, limits.FewUnreportedShare*float64(unheard+up))
 	// Many machines falling silent together is a cut, not a series of deaths: they may come back,
 	// sooner than others would boot. Counted are those that have only just begun to be silent, as
 	// otherwise the first of a crowd would go one by one.
 	crowd := isCorrelated(silent, up)
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		if m.deleting {
 			continue
 		}
@@ -403,7 +403,7 @@
 			}
 			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer
 			// either costs less than the wait.
-			if s.now > s.termStartedAt+patience || (s.fewUnreported && m.missedProbes >= limits.UnreportedProbeMisses) {
+			if s.now > s.termStartedAt+patience || (s.recovery.fewUnreported && m.missedProbes >= limits.UnreportedProbeMisses) {
 				s.returnMachine(m, "not heard of since the take-over")
 			}
 		case !m.hasReported:
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -78,15 +78,15 @@
 func (s *Scheduler) markGangChanged(g *gang) {
 	if g != nil && !g.changed {
 		g.changed = true
-		s.changedGangs = append(s.changedGangs, g)
+		s.gangs.changed = append(s.gangs.changed, g)
 	}
 }
 
 // reconcileGangs looks at all gangs of which something has changed.
 func (s *Scheduler) reconcileGangs() {
-	for len(s.changedGangs) > 0 {
-		g := s.changedGangs[0]
-		s.changedGangs = s.changedGangs[1:]
+	for len(s.gangs.changed) > 0 {
+		g := s.gangs.changed[0]
+		s.gangs.changed = s.gangs.changed[1:]
 		g.changed = false
 		if !g.isOver() {
 			s.reconcileGang(g)
@@ -99,7 +99,7 @@
 	j := g.job
 	if len(j.assignments) == 0 {
 		*g = gang{job: j, lostMachines: map[string]bool{}, awaitsCommit: g.awaitsCommit}
-		s.placementNeeded = true
+		s.placement.needed = true
 		return
 	}
 	known := g.summarize()
@@ -119,7 +119,7 @@
 	if known.sent > 0 {
 		g.attempt = known.attempt
 	}
-	if !s.recovered {
+	if !s.recovery.ended {
 		return // its other tasks may not have been heard of yet
 	}
 	missing := j.spec.Tasks - len(j.assignments)
@@ -133,8 +133,8 @@
 	case missing > 0 && known.sent == 0:
 		s.releaseGang(g) // nobody knows of it yet, so it is placed anew as a whole
 	case missing > 0:
-		s.gangsToRefill = append(s.gangsToRefill, g)
-		s.placementNeeded = true
+		s.gangs.toRefill = append(s.gangs.toRefill, g)
+		s.placement.needed = true
 	}
 }
 
@@ -254,11 +254,11 @@
 // two gangs can't each hold what the other lacks. The room of a committed task is kept for it even
 // before its start is sent.
 func (s *Scheduler) commitGangs() {
-	if !s.freeRoomChanged {
+	if !s.gangs.freeRoomChanged {
 		return
 	}
-	s.freeRoomChanged = false
-	s.uncommittedGangs = slices.DeleteFunc(s.uncommittedGangs, func(g *gang) bool {
+	s.gangs.freeRoomChanged = false
+	s.gangs.uncommitted = slices.DeleteFunc(s.gangs.uncommitted, func(g *gang) bool {
 		waiting := g.uncommittedTasks()
 		if len(waiting) > 0 && !s.roomConfirmed(waiting) {
 			return false
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -61,7 +61,7 @@
 
 // placeGang places all missing tasks of a gang, or none.
 func (s *Scheduler) placeGang(j *job) bool {
-	p, g := &s.pass, j.gang
+	p, g := &s.placement.pass, j.gang
 	n := j.waitingTasks()
 	if n == 0 {
 		return true
@@ -114,7 +114,7 @@
 // gangZones are the zones that may have room for n tasks of a gang, by name.
 func (s *Scheduler) gangZones(j *job, n int, pressing bool) []string {
 	slotsIn := map[string]int{}
-	for _, m := range s.pass.eligibleMachines(pressing) {
+	for _, m := range s.placement.pass.eligibleMachines(pressing) {
 		if !s.passesHardFilters(j, m) || (m.reservedFor != nil && m.reservedFor != j) {
 			continue
 		}
@@ -254,14 +254,14 @@
 // was filled.
 func (a *gangPlacement) collectCandidates() {
 	a.groups.clear()
-	for _, m := range a.scheduler.pass.eligibleMachines(a.preempting) {
+	for _, m := range a.scheduler.placement.pass.eligibleMachines(a.preempting) {
 		a.offerMachine(m)
 	}
 }
 
 // applyGangPlacement binds the missing tasks of a gang to their seats and stops the victims.
 func (s *Scheduler) applyGangPlacement(g *gang, found *gangPlacement) {
-	j, p := g.job, &s.pass
+	j, p := g.job, &s.placement.pass
 	for _, x := range found.placements {
 		for _, v := range x.victims {
 			s.stopTask(v, "preempted for "+j.id)
@@ -282,23 +282,23 @@
 	p.clearUnplaceable()
 	if !g.awaitsCommit {
 		g.awaitsCommit = true
-		s.uncommittedGangs = append(s.uncommittedGangs, g)
+		s.gangs.uncommitted = append(s.gangs.uncommitted, g)
 	}
-	s.freeRoomChanged = true
+	s.gangs.freeRoomChanged = true
 }
 
 // addGangMachinesToPass notes that the machines of a gang that was stopped have got more free room.
 func (s *Scheduler) addGangMachinesToPass(j *job) {
 	for _, b := range j.sortedAssignments() {
-		s.pass.addFreedMachine(b.machine)
+		s.placement.pass.addFreedMachine(b.machine)
 	}
 }
 
 // refillGangs replaces tasks that gangs lost before their start. A gang that can't be complete in
 // time is stopped and waits again.
 func (s *Scheduler) refillGangs() {
-	refills := s.gangsToRefill
-	s.gangsToRefill = nil
+	refills := s.gangs.toRefill
+	s.gangs.toRefill = nil
 	for _, g := range refills {
 		if g.isOver() || g.state != gangGathering || g.missing() == 0 {
 			continue
@@ -314,7 +314,7 @@
 // reserveForWaitingGang keeps machines for a gang that waits for long and finds no room, all in one
 // zone if it must be: those with the most free room, and those that were kept before first.
 func (s *Scheduler) reserveForWaitingGang(j *job) {
-	p := &s.pass
+	p := &s.placement.pass
 	if j.waitingTasks() == 0 || p.reservationsLeft <= 0 || !j.withinTeamLimit() {
 		return
 	}
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -57,24 +57,24 @@
 // updateGangDemand works out what gangs ask for that room should be kept for.
 func (s *Scheduler) updateGangDemand() {
 	now := map[gangKind]float64{}
-	for _, j := range s.queue {
+	for _, j := range s.jobs.bySubmission {
 		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !s.needsReservation(j) {
 			continue
 		}
 		cpus := j.demandOf(j.spec.Tasks).cpu
 		kind := j.gangKind()
 		now[kind] += cpus
-		d := s.gangDemand[kind]
+		d := s.gangs.demand[kind]
 		if d == nil {
 			d = &gangDemand{}
-			s.gangDemand[kind] = d
+			s.gangs.demand[kind] = d
 		}
 		d.newestJob, d.seenAt = j, s.now
 		d.largestCPUs = max(d.largestCPUs, cpus)
 	}
-	for kind, d := range s.gangDemand {
+	for kind, d := range s.gangs.demand {
 		if s.now > d.seenAt+limits.GangDemandWindow {
-			delete(s.gangDemand, kind)
+			delete(s.gangs.demand, kind)
 			continue
 		}
 		d.recordPeak(s.now, now[kind])
@@ -95,12 +95,12 @@
 // reserveForGangs picks the machines that are kept for gangs, and adds to what is to be rented
 // where there are too few.
 func (s *Scheduler) reserveForGangs(fresh map[machinePool]float64, may func(machinePool) int) {
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
 	}
 	s.updateGangDemand()
-	kinds := make([]gangKind, 0, len(s.gangDemand))
-	for kind := range s.gangDemand {
+	kinds := make([]gangKind, 0, len(s.gangs.demand))
+	for kind := range s.gangs.demand {
 		kinds = append(kinds, kind)
 	}
 	slices.SortFunc(kinds, func(a, b gangKind) int {
@@ -110,7 +110,7 @@
 		)
 	})
 	for _, kind := range kinds {
-		s.reserveForGangKind(s.gangDemand[kind], fresh, may)
+		s.reserveForGangKind(s.gangs.demand[kind], fresh, may)
 	}
 }
 
@@ -131,7 +131,7 @@
 	}
 	var ms []*machine
 	total := 0.0
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		total += m.size().cpu
 		if !m.reservedForGangs && s.reservable(d, m) {
 			ms = append(ms, m)
@@ -181,7 +181,7 @@
 	kept, all := map[string]int{}, map[string]int{}
 	zone := d.zone
 	d.zone = ""
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		if s.reservable(d, m) {
 			all[m.zone]++
 			if m.wasReservedForGangs {
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -16,7 +16,7 @@
 func TestGangTogether(t *testing.T) {
 	b := newGangFixture(t, 2)
 	b.gang("job-1", 5, 4)
-	if got := commandsOf(b.effects, protocol.CommandStart); len(got) != 0 || len(b.scheduler.jobs["job-1"].assignments) != 0 {
+	if got := commandsOf(b.effects, protocol.CommandStart); len(got) != 0 || len(b.scheduler.jobs.byID["job-1"].assignments) != 0 {
 		t.Fatalf("a part of a gang that does not fit was started: %+v", got)
 	}
 	b.gang("job-2", 4, 4)
@@ -81,7 +81,7 @@
 	if again == lostOn || again == other || again < 0 || same != attempt {
 		t.Fatalf("replaced on %d by attempt %x; lost on %d, attempt %x", again, same, lostOn, attempt)
 	}
-	if stays, _ := b.where("job-1/1"); stays != other || b.scheduler.jobs["job-1"].assignments[1].stopping {
+	if stays, _ := b.where("job-1/1"); stays != other || b.scheduler.jobs.byID["job-1"].assignments[1].stopping {
 		t.Error("the task that waits was stopped")
 	}
 }
@@ -103,7 +103,7 @@
 	b.end(other, "job-1/1", protocol.ReasonStopped)
 	b.reportAll()
 	b.reportAll()
-	if j := b.scheduler.jobs["job-1"]; j.gang.attempt == attempt {
+	if j := b.scheduler.jobs.byID["job-1"]; j.gang.attempt == attempt {
 		t.Errorf("the same attempt again: %+v", j.gang)
 	}
 }
@@ -136,7 +136,7 @@
 	if i, again := b.where("job-1/0"); i < 0 || again <= attempt {
 		t.Errorf("next attempt: on %d, %x after %x", i, again, attempt)
 	}
-	if b.scheduler.machines[b.machine(other)].consecutiveFailures != 0 || len(b.scheduler.jobs["job-1"].failedMachines) != 0 {
+	if b.scheduler.inventory.byName[b.machine(other)].consecutiveFailures != 0 || len(b.scheduler.jobs.byID["job-1"].failedMachines) != 0 {
 		t.Error("counted as a failure of machine or job")
 	}
 }
@@ -147,7 +147,7 @@
 	b := startedGang(t, 3, 3)
 	b.all("job-1", protocol.Running)
 	b.reportAll()
-	b.scheduler.directCommandsInFlight = limits.MaxDirectCommands
+	b.scheduler.dispatcher.inFlight = limits.MaxDirectCommands
 	left := 2.0
 	b.sequence++
 	out := b.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: &protocol.Heartbeat{Machine: b.machine(1), Address: "x:1", MachineType: "s8", Zone: "a",
@@ -171,7 +171,7 @@
 	b.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.Running})
 	b.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.Saving})
 	stops := commandsOf(b.effects, protocol.CommandStop)
-	if len(stops) != 2 || b.scheduler.recovered {
+	if len(stops) != 2 || b.scheduler.recovery.ended {
 		t.Fatalf("stops: %+v", stops)
 	}
 }
@@ -217,8 +217,8 @@
 	if !final {
 		t.Fatalf("no final record: %+v", b.effects)
 	}
-	if b.scheduler.teams["red"].allocated.cpu != 8 {
-		t.Errorf("the other task counts no more: %+v", b.scheduler.teams["red"].allocated)
+	if b.scheduler.jobs.teams["red"].allocated.cpu != 8 {
+		t.Errorf("the other task counts no more: %+v", b.scheduler.jobs.teams["red"].allocated)
 	}
 	b.gang("job-2", 2, 8)
 	if starts := commandsOf(b.effects, protocol.CommandStart); len(starts) != 0 {
@@ -246,7 +246,7 @@
 	if at, again := b.where("job-1/0"); at < 0 || again <= attempt {
 		t.Errorf("not started again: %d %x", at, again)
 	}
-	if b.scheduler.machines[b.machine(i)].consecutiveFailures != 0 || len(b.scheduler.jobs["job-1"].failedMachines) != 0 {
+	if b.scheduler.inventory.byName[b.machine(i)].consecutiveFailures != 0 || len(b.scheduler.jobs.byID["job-1"].failedMachines) != 0 {
 		t.Error("counted as a failure")
 	}
 }
@@ -263,10 +263,10 @@
 		b.now += time.Second
 		b.reportAll()
 	}
-	m := b.scheduler.machines[b.machine(0)]
+	m := b.scheduler.inventory.byName[b.machine(0)]
 	b.job("job-2", "red", "high", 1, 8, 0)
-	options := b.scheduler.preemptionOptions(b.scheduler.jobs["job-2"], m, nil)
-	one := b.scheduler.preemptionCost(b.scheduler.jobs["job-1"].assignments[0])
+	options := b.scheduler.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
+	one := b.scheduler.preemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
 	if len(options) != 1 || options[0].resources.cpu != 8 || options[0].cost < 3.9*one {
 		t.Fatalf("victims: %+v, a task's loss %v", options, one)
 	}
@@ -274,7 +274,7 @@
 	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 4 {
 		t.Errorf("stops: %+v", stops)
 	}
-	if bound := len(b.scheduler.jobs["job-3"].assignments); bound != 2 {
+	if bound := len(b.scheduler.jobs.byID["job-3"].assignments); bound != 2 {
 		t.Errorf("%d of 2 tasks have got the room that the gang leaves", bound)
 	}
 }
@@ -286,7 +286,7 @@
 		b.all("job-1", state)
 		b.reportAll()
 		b.version++
-		b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs["job-1"].spec}})
+		b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
 		stops := commandsOf(b.effects, protocol.CommandStop)
 		if len(stops) != 2 || *stops[0].GraceS != 0 {
 			t.Errorf("%s: stops %+v", state, stops)
@@ -331,14 +331,14 @@
 	b.report(0)
 	b.job("job-1", "red", "low", 1, 4, 0)
 	b.job("job-2", "red", "high", 1, 64, 0) // fits no machine; bound by hand below
-	s, m := b.scheduler, b.scheduler.machines[b.machine(0)]
+	s, m := b.scheduler, b.scheduler.inventory.byName[b.machine(0)]
 	b.gang("job-3", 2, 8) // does not fit
-	leaving := s.jobs["job-1"].assignments[0]
+	leaving := s.jobs.byID["job-1"].assignments[0]
 	leaving.state = stateRunning
 	s.stopAssignment(leaving, "for job-2")
-	s.jobs["job-2"].demand.cpu = 4
-	s.assign(s.jobs["job-2"], 0, m, 20, stateUnsent)
-	gang := s.jobs["job-3"]
+	s.jobs.byID["job-2"].demand.cpu = 4
+	s.assign(s.jobs.byID["job-2"], 0, m, 20, stateUnsent)
+	gang := s.jobs.byID["job-3"]
 	gang.demand.cpu = 4
 	s.assign(gang, 0, m, 21, stateUnsent).committed = true
 	starts := commandsOf([]Effect{HeartbeatReply{Commands: s.buildCommands(m, 1, nil)}}, protocol.CommandStart)
@@ -353,7 +353,7 @@
 	b := startedGang(t, 2, 2)
 	b.all("job-1", protocol.Running)
 	b.reportAll()
-	m := b.scheduler.machines[b.machine(0)]
+	m := b.scheduler.inventory.byName[b.machine(0)]
 	m.consecutiveFailures, m.failedJobs = limits.FaultyFailures, map[string]bool{"job-9": true}
 	b.step(Tick{Entitled: true})
 	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 2 || m.deleting {
@@ -383,7 +383,7 @@
 	b.reportAll()
 	b.step(Tick{Entitled: true})
 	kept := 0
-	for _, m := range b.scheduler.sortedMachines {
+	for _, m := range b.scheduler.inventory.sorted {
 		if m.reservedForGangs {
 			kept++
 		}
@@ -394,7 +394,7 @@
 	b.job("job-2", "red", "standard", 16, 1, 0)
 	b.deliver(b.effects)
 	free := 0.0
-	for _, m := range b.scheduler.sortedMachines {
+	for _, m := range b.scheduler.inventory.sorted {
 		if m.reservedForGangs {
 			free += m.freeRoom().cpu
 		}
@@ -407,7 +407,7 @@
 		b.step(Tick{Entitled: true})
 		b.deliver(b.effects)
 	}
-	if n := len(b.scheduler.jobs["job-2"].assignments); n < 12 {
+	if n := len(b.scheduler.jobs.byID["job-2"].assignments); n < 12 {
 		t.Errorf("still kept from who has waited for long: %d tasks bound", n)
 	}
 }
@@ -456,7 +456,7 @@
 		b.now += limits.PlanInterval
 		b.reportAll()
 		b.step(Tick{Entitled: true})
-		if m := b.scheduler.machines[b.machine(0)]; m.neededByPlan != c.kept {
+		if m := b.scheduler.inventory.byName[b.machine(0)]; m.neededByPlan != c.kept {
 			t.Errorf("after %v: its machine is kept: %v", c.age, m.neededByPlan)
 		}
 	}
@@ -476,18 +476,18 @@
 	if starts := commandsOf(b.effects, protocol.CommandStart); len(starts) != 1 || starts[0].Attempt != 7 {
 		t.Fatalf("starts: %+v", b.effects)
 	}
-	if m := b.scheduler.jobs["job-1"].assignments[0].machine; m.name != b.machine(2) {
+	if m := b.scheduler.jobs.byID["job-1"].assignments[0].machine; m.name != b.machine(2) {
 		t.Errorf("replaced on %s", m.name)
 	}
 	b = newSchedulerFixture(t, 2)
 	b.gang("job-1", 2, 8)
 	b.report(0, ended)
 	b.report(1, waits)
-	if b.scheduler.jobs["job-1"].assignments[0] == nil {
-		b.scheduler.assign(b.scheduler.jobs["job-1"], 0, b.scheduler.machines[b.machine(0)], 7, stateSent)
+	if b.scheduler.jobs.byID["job-1"].assignments[0] == nil {
+		b.scheduler.assign(b.scheduler.jobs.byID["job-1"], 0, b.scheduler.inventory.byName[b.machine(0)], 7, stateSent)
 	}
 	b.report(0, ended)
-	if bound := b.scheduler.jobs["job-1"].assignments[0]; bound != nil {
+	if bound := b.scheduler.jobs.byID["job-1"].assignments[0]; bound != nil {
 		t.Errorf("still bound: %+v", bound)
 	}
 }
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -12,7 +12,7 @@
 // heartbeatReceived takes a worker's report, and answers it if we may.
 func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
 	r := e.Heartbeat
-	if !e.Entitled || !r.Valid() || r.FencingToken > s.cfg.Term || s.deletedMachines[r.Machine] {
+	if !e.Entitled || !r.Valid() || r.FencingToken > s.cfg.Term || s.inventory.deleted[r.Machine] {
 		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
@@ -76,7 +76,7 @@
 // worker that hears the answer lives on. If it does, its next report shows our term, which no copy
 // can.
 func (s *Scheduler) answerUnfencedHeartbeat(e HeartbeatReceived) {
-	m := s.machines[e.Heartbeat.Machine]
+	m := s.inventory.byName[e.Heartbeat.Machine]
 	switch {
 	case m == nil:
 		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: !e.Relayed, Redirect: e.Relayed})
@@ -114,7 +114,7 @@
 // new tasks: reports may arrive from a machine that hears nothing.
 func (s *Scheduler) setVerified(m *machine, ok bool) {
 	if ok && !m.verified {
-		s.placementNeeded = true
+		s.placement.needed = true
 	}
 	if !ok && (m.verified || m.unverifiedSince == 0) {
 		m.unverifiedSince = s.now
@@ -160,14 +160,14 @@
 	}
 	if !m.hasReported || r.Incarnation > m.incarnation {
 		m.sequence, m.heartbeatSequence = 0, 0
-		s.placementNeeded = true
+		s.placement.needed = true
 	}
 	if !m.hasReported {
 		m.firstReportAt, m.idleSince = s.now, s.now
 	}
 	m.hasReported, m.incarnation = true, r.Incarnation
 	if r.FencingToken == s.cfg.Term && !m.fenced {
-		m.fenced, s.placementNeeded = true, true
+		m.fenced, s.placement.needed = true, true
 		m.leaseRenewedAt = max(m.leaseRenewedAt, s.now)
 	}
 }
@@ -176,14 +176,14 @@
 // was made after the worker had seen it, so no order of an earlier leader can add to it. It renews
 // no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
-	m := s.machines[e.Machine]
+	m := s.inventory.byName[e.Machine]
 	r := e.Heartbeat
 	if r != nil || e.NotSent {
-		s.probes.observe(s.now, e.NotSent || e.Took > limits.SlowHeartbeatWait)
+		s.prober.budget.observe(s.now, e.NotSent || e.Took > limits.SlowHeartbeatWait)
 	}
 	if m != nil && r == nil && !e.NotSent {
 		m.missedProbes++
-		if s.fewUnreported && !m.hasReported && m.missedProbes < limits.UnreportedProbeMisses {
+		if s.recovery.fewUnreported && !m.hasReported && m.missedProbes < limits.UnreportedProbeMisses {
 			m.nextProbeAt = s.now // all placement waits for it
 			s.probeMachine(m)
 		}
@@ -195,8 +195,8 @@
 	s.setVerified(m, true)
 	// Like a direct command's answer it says nothing of starts that went out another way and may
 	// still arrive.
-	s.directSequence++
-	s.sendCorrections(m, s.reconcileTasks(m, r, s.directSequence))
+	s.dispatcher.sequence++
+	s.sendCorrections(m, s.reconcileTasks(m, r, s.dispatcher.sequence))
 }
 
 // isOutdated tells whether a message is no newer than one of the machine with that tally, or of a
@@ -207,8 +207,8 @@
 
 // directCommandsDone takes the answer to a direct command.
 func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
-	s.directCommandsInFlight--
-	m := s.machines[e.Machine]
+	s.dispatcher.inFlight--
+	m := s.inventory.byName[e.Machine]
 	if m == nil || m.directID != e.ID {
 		return
 	}
@@ -249,7 +249,7 @@
 		return
 	}
 	s.queueDispatch(m)
-	s.gangDispatchQueue = append(s.gangDispatchQueue, m)
+	s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, m)
 }
 
 // markStartsUnconfirmed notes that we cannot tell whether the starts of a direct command have arrived.
@@ -276,9 +276,9 @@
 }
 
 func (s *Scheduler) sendDirectly(m *machine, orders []protocol.Command) {
-	s.directSequence++
-	m.directID = s.directSequence
-	s.directCommandsInFlight++
+	s.dispatcher.sequence++
+	m.directID = s.dispatcher.sequence
+	s.dispatcher.inFlight++
 	s.emit(SendDirectCommands{ID: m.directID, Machine: m.name, Address: m.address, Incarnation: m.incarnation, Commands: orders})
 }
 
@@ -286,7 +286,7 @@
 func (s *Scheduler) queueDispatch(m *machine) {
 	if !m.dispatchQueued {
 		m.dispatchQueued = true
-		s.dispatchQueue = append(s.dispatchQueue, m)
+		s.dispatcher.queue = append(s.dispatcher.queue, m)
 	}
 }
 
@@ -296,16 +296,16 @@
 // reports.
 func (s *Scheduler) dispatch() {
 	s.dispatchGangStops()
-	if len(s.dispatchQueue) == 0 || s.directCommandsInFlight >= limits.MaxDirectCommands {
+	if len(s.dispatcher.queue) == 0 || s.dispatcher.inFlight >= limits.MaxDirectCommands {
 		return
 	}
-	todo := s.dispatchQueue
-	slices.SortFunc(todo[s.deferredMachines:], byName)
-	s.dispatchQueue, s.deferredMachines = nil, 0
+	todo := s.dispatcher.queue
+	slices.SortFunc(todo[s.dispatcher.deferred:], byName)
+	s.dispatcher.queue, s.dispatcher.deferred = nil, 0
 	for i, m := range todo {
-		if s.directCommandsInFlight >= limits.MaxDirectCommands {
-			s.dispatchQueue = todo[i:]
-			s.deferredMachines = len(s.dispatchQueue)
+		if s.dispatcher.inFlight >= limits.MaxDirectCommands {
+			s.dispatcher.queue = todo[i:]
+			s.dispatcher.deferred = len(s.dispatcher.queue)
 			return
 		}
 		if !m.dispatchQueued {
@@ -326,8 +326,8 @@
 // direct command now is told in the answer to its next report, or once the command that is on its
 // way is answered.
 func (s *Scheduler) dispatchGangStops() {
-	urgent := s.gangDispatchQueue
-	s.gangDispatchQueue = nil
+	urgent := s.dispatcher.gangQueue
+	s.dispatcher.gangQueue = nil
 	for _, m := range urgent {
 		if m.hasUnsentGangStop() && s.canSendDirectly(m) {
 			s.sendDirectly(m, s.buildCommands(m, 0, nil))
@@ -419,7 +419,7 @@
 		}
 		b.state, b.assignedAt = stateSent, s.now
 		if tally == 0 {
-			b.directID = s.directSequence + 1 // see send
+			b.directID = s.dispatcher.sequence + 1 // see send
 		}
 		orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.taskName, Attempt: b.attempt})
 		if len(orders) >= limits.MaxCommands {
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -153,10 +153,10 @@
 }
 
 func (s *Scheduler) class(name string) *jobClass {
-	c := s.classes[name]
+	c := s.jobs.classes[name]
 	if c == nil {
 		c = &jobClass{estimateRatio: 1}
-		s.classes[name] = c
+		s.jobs.classes[name] = c
 	}
 	return c
 }
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -10,12 +10,12 @@
 )
 
 func (s *Scheduler) jobChanged(e JobChanged) {
-	j := s.jobs[e.JobID]
+	j := s.jobs.byID[e.JobID]
 	if j == nil {
-		if s.closedJobs[e.JobID] {
+		if s.jobs.closed[e.JobID] {
 			return
 		}
-		t := s.teams[e.Record.Spec.Team]
+		t := s.jobs.teams[e.Record.Spec.Team]
 		if t == nil {
 			return // a team that the settings no longer know; its jobs stay as they are
 		}
@@ -26,17 +26,17 @@
 			demand:      resources{e.Record.Spec.CPUs, e.Record.Spec.Accelerators, e.Record.Spec.MemoryGB},
 			submittedAt: s.now - e.SinceSubmission, doneBits: make([]uint64, words), assignedBits: make([]uint64, words),
 			assignments: map[int]*assignment{}, stopCounts: map[int]int{}, failedMachines: map[string]bool{},
-			chunks: make([]finishedChunk, (e.Record.Spec.Tasks+s.tasksPerChunk-1)/s.tasksPerChunk),
+			chunks: make([]finishedChunk, (e.Record.Spec.Tasks+s.finished.tasksPerChunk-1)/s.finished.tasksPerChunk),
 		}
 		j.gang = newGang(j)
 		j.deadlines = s.deadlines(j)
-		s.jobs[e.JobID] = j
-		at := sort.Search(len(s.queue), func(i int) bool {
-			q := s.queue[i]
+		s.jobs.byID[e.JobID] = j
+		at := sort.Search(len(s.jobs.bySubmission), func(i int) bool {
+			q := s.jobs.bySubmission[i]
 			return q.submittedAt > j.submittedAt || (q.submittedAt == j.submittedAt && q.id > j.id)
 		})
-		s.queue = slices.Insert(s.queue, at, j)
-		s.orderedQueue = nil
+		s.jobs.bySubmission = slices.Insert(s.jobs.bySubmission, at, j)
+		s.queue.ordered = nil
 	}
 	if e.Version < j.version {
 		return
@@ -56,7 +56,7 @@
 		s.stopJob(j)
 		s.tryCloseJob(j)
 	}
-	s.placementNeeded = true
+	s.placement.needed = true
 }
 
 // deadlines are the times by which the job should be complete, from its own deadline and from the
@@ -101,7 +101,7 @@
 	b.stopping, b.stopReason = true, why
 	s.queueDispatch(b.machine)
 	if b.job.gang != nil {
-		s.gangDispatchQueue = append(s.gangDispatchQueue, b.machine)
+		s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, b.machine)
 	}
 	b.machine.releasing = b.machine.releasing.plus(b.job.demand)
 	s.log(false, "stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
@@ -115,7 +115,7 @@
 	if len(j.assignments) > 0 && (j.gang == nil || j.cancelled) {
 		return // of a gang that is done, tasks that were not heard of yet have completed as well
 	}
-	if j.cancelled && !s.recovered {
+	if j.cancelled && !s.recovery.ended {
 		return // tasks of it that we have not heard of yet still count against its team's limit
 	}
 	standing := protocol.Done
@@ -153,21 +153,21 @@
 		}
 	}
 	if !j.cancelled {
-		x := s.closedJobProgress[j.group()]
-		s.closedJobProgress[j.group()] = groupServed{x.due + j.spec.Tasks, x.served + j.spec.Tasks}
+		x := s.queue.closedProgress[j.group()]
+		s.queue.closedProgress[j.group()] = groupServed{x.due + j.spec.Tasks, x.served + j.spec.Tasks}
 	}
-	delete(s.jobs, j.id)
-	s.closedJobs[j.id], s.orderedQueue = true, nil
-	for i, x := range s.queue {
+	delete(s.jobs.byID, j.id)
+	s.jobs.closed[j.id], s.queue.ordered = true, nil
+	for i, x := range s.jobs.bySubmission {
 		if x == j {
-			s.queue = append(s.queue[:i], s.queue[i+1:]...)
+			s.jobs.bySubmission = append(s.jobs.bySubmission[:i], s.jobs.bySubmission[i+1:]...)
 			break
 		}
 	}
 }
 
 func (s *Scheduler) answerTaskCounts(e TaskCountsRequested) {
-	j := s.jobs[e.ID]
+	j := s.jobs.byID[e.ID]
 	if j == nil {
 		s.emit(TaskCounts{ReplyTo: e.ReplyTo})
 		return
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -107,19 +107,19 @@
 
 // getOrAddMachine returns the machine of a name, new if need be.
 func (s *Scheduler) getOrAddMachine(name, kind, yard string, spot bool) *machine {
-	m := s.machines[name]
+	m := s.inventory.byName[name]
 	if m == nil {
 		m = &machine{name: name, createdAt: s.now, leaseRenewedAt: s.termStartedAt, idleSince: s.now, lastHeartbeatAt: -never / 2,
 			assignments: map[string]*assignment{}, endedTasks: map[attemptKey]endedTask{}, cachedImages: map[string]time.Duration{}, failedJobs: map[string]bool{}}
-		s.machines[name] = m
-		i := sort.Search(len(s.sortedMachines), func(i int) bool { return s.sortedMachines[i].name >= name })
-		s.sortedMachines = append(s.sortedMachines, nil)
-		copy(s.sortedMachines[i+1:], s.sortedMachines[i:])
-		s.sortedMachines[i] = m
+		s.inventory.byName[name] = m
+		i := sort.Search(len(s.inventory.sorted), func(i int) bool { return s.inventory.sorted[i].name >= name })
+		s.inventory.sorted = append(s.inventory.sorted, nil)
+		copy(s.inventory.sorted[i+1:], s.inventory.sorted[i:])
+		s.inventory.sorted[i] = m
 	}
 	if kind != "" {
 		m.typeName, m.zone, m.spot = kind, yard, spot
-		m.machineType = s.machineTypes[kind]
+		m.machineType = s.catalog.byName[kind]
 	}
 	return m
 }
@@ -132,15 +132,15 @@
 	}
 	s.log(false, "machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().cpu, "life", life, "boot", boot,
 		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
-	delete(s.machines, m.name)
+	delete(s.inventory.byName, m.name)
 	s.unregister(m)
-	for i, x := range s.sortedMachines {
+	for i, x := range s.inventory.sorted {
 		if x == m {
-			s.sortedMachines = append(s.sortedMachines[:i], s.sortedMachines[i+1:]...)
+			s.inventory.sorted = append(s.inventory.sorted[:i], s.inventory.sorted[i+1:]...)
 			break
 		}
 	}
-	if h := s.rentals[m.rental]; h != nil {
+	if h := s.rentals.byName[m.rental]; h != nil {
 		h.record.Machines = slices.DeleteFunc(h.record.Machines, func(n string) bool { return n == m.name })
 		h.dirty = true
 	}
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -20,7 +20,7 @@
 func (s *Scheduler) placeTasksNaively() {
 	order := s.queueOrder()
 	s.beginPass() // for what is held; the list of machines is not used
-	for _, j := range s.overdue {
+	for _, j := range s.queue.overdue {
 		if n := s.overdueTasks(j); n > 0 && j.team.fits(j.demand) && s.now >= j.retryAt {
 			s.placeJobNaively(j, n)
 			s.reserveForJob(j)
@@ -37,7 +37,7 @@
 	pressing := s.mayPreemptNow(j)
 	for ; n > 0 && j.team.fits(j.demand); n-- {
 		var cs []candidate
-		for _, m := range s.sortedMachines {
+		for _, m := range s.inventory.sorted {
 			if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 				continue
 			}
@@ -95,7 +95,7 @@
 		s.Step(JobChanged{JobID: sp.ID, Version: uint64(100 + i), Record: storage.OpenJob{Spec: sp}, SinceSubmission: time.Duration(r.IntN(30)+r.IntN(2)*r.IntN(200)) * time.Second}, now)
 		for t := range min(sp.Tasks, r.IntN(8)) { // some of its tasks run already
 			g := rigs[r.IntN(len(rigs))]
-			if size := s.machineTypes[g.MachineType].CPUs; used[g.Machine]+sp.CPUs <= size {
+			if size := s.catalog.byName[g.MachineType].CPUs; used[g.Machine]+sp.CPUs <= size {
 				used[g.Machine] += sp.CPUs
 				g.Tasks = append(g.Tasks, protocol.TaskStatus{Task: protocol.TaskName(sp.ID, t), Attempt: 1, State: protocol.Running})
 			}
@@ -106,13 +106,13 @@
 		s.Step(HeartbeatReceived{Heartbeat: g, Entitled: true}, now)
 	}
 	s.now = time.Duration(r.IntN(6)) * time.Second
-	s.loaded, s.recovered, s.orderedQueue = true, true, nil
+	s.recovery.loaded, s.recovery.ended, s.queue.ordered = true, true, nil
 	return s
 }
 
 func bindings(s *Scheduler) []string {
 	var out []string
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		for _, b := range m.sortedAssignments() {
 			out = append(out, fmt.Sprintf("%s %s try %d phase %d stop %v %s", m.name, b.taskName, b.attempt, b.state, b.stopping, b.stopReason))
 		}
@@ -128,7 +128,7 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		quick, plain := crowdedState(seed), crowdedState(seed)
 		before := len(bindings(quick))
-		quick.placementNeeded = true
+		quick.placement.needed = true
 		quick.placeTasks()
 		plain.placeTasksNaively()
 		got, want := bindings(quick), bindings(plain)
@@ -136,7 +136,7 @@
 			t.Fatalf("quick:\n%v\nplain:\n%v", got, want)
 		}
 		placed += len(got) - before
-		for _, m := range quick.sortedMachines {
+		for _, m := range quick.inventory.sorted {
 			for _, b := range m.assignments {
 				if b.stopping {
 					stopped++
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -41,11 +41,11 @@
 // algorithm, request by request. The tasks of one job ask the same question, so filter and scores
 // are worked out once for them and kept up to date for the machine that was chosen.
 func (s *Scheduler) placeTasks() {
-	if !s.placementNeeded || !s.recovered {
+	if !s.placement.needed || !s.recovery.ended {
 		return
 	}
-	s.placementNeeded = false
-	p := &s.pass
+	s.placement.needed = false
+	p := &s.placement.pass
 	p.jobs = p.jobs[:0]
 	for _, j := range s.queueOrder() {
 		if j.waitingTasks() == 0 || j.cancelled || j.closed || s.now < j.retryAt || !j.withinTeamLimit() {
@@ -57,12 +57,12 @@
 		p.minDemand = p.minDemand.min(j.demand)
 		p.jobs = append(p.jobs, j)
 	}
-	if len(p.jobs) == 0 && len(s.gangsToRefill) == 0 {
+	if len(p.jobs) == 0 && len(s.gangs.toRefill) == 0 {
 		return
 	}
 	s.beginPass()
 	s.refillGangs()
-	for _, j := range s.overdue {
+	for _, j := range s.queue.overdue {
 		n := s.overdueTasks(j)
 		if n <= 0 || !j.withinTeamLimit() || s.now < j.retryAt {
 			continue
@@ -86,10 +86,10 @@
 
 // beginPass collects the machines that may get tasks.
 func (s *Scheduler) beginPass() {
-	p := &s.pass
+	p := &s.placement.pass
 	p.machines, p.withFreeRoom, p.maxFreeRoom = p.machines[:0], p.withFreeRoom[:0], resources{}
 	p.clearUnplaceable()
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		m.wasReserved, m.reservedFor = m.reservedFor != nil, nil
 		if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 			continue
@@ -124,10 +124,10 @@
 
 // placeJob places up to n of a job's tasks.
 func (s *Scheduler) placeJob(j *job, n int) {
-	p := &s.pass
+	p := &s.placement.pass
 	ask := placementRequest{j.demand, j.team, j.priority, j.guaranteed, j.spec.Spot, s.mayPreemptNow(j), j.mayUseGangReservation}
 	common := j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && !j.spec.SameZone && !j.spec.SpreadZones && len(j.failedMachines) == 0
-	if ask.preempting && (s.now < j.nextPreemptionSearch || (common && s.now < s.nextPreemptionSearch[ask])) {
+	if ask.preempting && (s.now < j.nextPreemptionSearch || (common && s.now < s.placement.nextPreemptionSearch[ask])) {
 		ask.preempting = false
 	}
 	pressing := ask.preempting
@@ -143,7 +143,7 @@
 			}
 			switch {
 			case pressing && common:
-				s.nextPreemptionSearch[ask] = s.now + limits.PreemptionSearchInterval
+				s.placement.nextPreemptionSearch[ask] = s.now + limits.PreemptionSearchInterval
 			case pressing:
 				j.nextPreemptionSearch = s.now + limits.PreemptionSearchInterval
 			}
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -28,12 +28,12 @@
 func (s *Scheduler) planCapacity() {
 	var offers []*capacity
 	total := 0
-	clear(s.machinesInZone)
-	for _, m := range s.sortedMachines {
+	clear(s.planner.machinesInZone)
+	for _, m := range s.inventory.sorted {
 		total++
 		m.neededByPlan, m.neededByGang = false, false
 		if !m.deleting {
-			s.machinesInZone[m.zone]++
+			s.planner.machinesInZone[m.zone]++
 		}
 		if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() {
 			continue
@@ -63,7 +63,7 @@
 	}
 	calls := max(1, int(s.cfg.CloudRPS*limits.PlanInterval.Seconds())) // rental requests that the cloud takes until the next plan
 	asked := map[machinePool]int{}
-	for _, h := range s.rentals {
+	for _, h := range s.rentals.byName {
 		if h.isPending() {
 			total += h.record.Count
 			calls--
@@ -76,10 +76,10 @@
 	each := max(limits.MinPoolRequests, calls/max(s.countCheapPools(), 1))
 	may := func(p machinePool) int {
 		most := each
-		if st := s.pools[p]; st != nil && st.backoff > 0 {
+		if st := s.rentals.pools[p]; st != nil && st.backoff > 0 {
 			most = 1
 		}
-		return max(most-asked[p], 0) * s.maxRentalMachines
+		return max(most-asked[p], 0) * s.rentals.maxMachines
 	}
 	offers = append(offers, s.pendingCapacity()...)
 	fresh := map[machinePool]float64{}
@@ -94,7 +94,7 @@
 		s.planJob(j, fresh, may, &offers)
 	}
 	s.reserveForGangs(fresh, may)
-	s.placementNeeded = s.placementNeeded || len(s.gangDemand) > 0 // who waits may use what is kept after a while, or what is kept no more
+	s.placement.needed = s.placement.needed || len(s.gangs.demand) > 0 // who waits may use what is kept after a while, or what is kept no more
 	pools := make([]machinePool, 0, len(fresh))
 	for p := range fresh {
 		pools = append(pools, p)
@@ -107,19 +107,19 @@
 		if n == 0 && total == 0 {
 			n = 1
 		}
-		if n > s.maxMachines()-total && s.now >= s.nextLimitNoteAt {
-			s.nextLimitNoteAt = s.now + limits.SummaryInterval
+		if n > s.maxMachines()-total && s.now >= s.planner.nextLimitNoteAt {
+			s.planner.nextLimitNoteAt = s.now + limits.SummaryInterval
 			s.log(true, "fleet at its bound", "machines", total, "wanted", n)
 		}
-		for n = min(n, s.maxMachines()-total); n > 0 && calls > 0; n -= s.maxRentalMachines {
-			total += min(n, s.maxRentalMachines)
+		for n = min(n, s.maxMachines()-total); n > 0 && calls > 0; n -= s.rentals.maxMachines {
+			total += min(n, s.rentals.maxMachines)
 			calls--
 			s.rentMachines(p, n)
 		}
 	}
 	s.updateDraining()
-	for _, m := range s.sortedMachines {
-		if !s.recovered || m.deleting || !m.hasReported || m.neededByPlan || len(m.assignments) > 0 || m.rental == "" {
+	for _, m := range s.inventory.sorted {
+		if !s.recovery.ended || m.deleting || !m.hasReported || m.neededByPlan || len(m.assignments) > 0 || m.rental == "" {
 			continue
 		}
 		if !s.resultsDurable(m) {
@@ -141,7 +141,7 @@
 
 // pricePerCPU is what a CPU of a pool costs an hour.
 func (s *Scheduler) pricePerCPU(p machinePool) float64 {
-	t := s.machineTypes[p.typeName]
+	t := s.catalog.byName[p.typeName]
 	return priceOf(t, p.spot) / max(t.CPUs, 1)
 }
 
@@ -149,7 +149,7 @@
 func (s *Scheduler) countCheapPools() int {
 	low, n := math.Inf(1), 0
 	var costs []float64
-	for _, t := range s.machineTypes {
+	for _, t := range s.catalog.byName {
 		for range t.Zones {
 			costs = append(costs, s.pricePerCPU(machinePool{typeName: t.Name, spot: true}), s.pricePerCPU(machinePool{typeName: t.Name}))
 		}
@@ -179,7 +179,7 @@
 func (s *Scheduler) updateDraining() {
 	var total, used, waiting float64
 	var ms []*machine
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		m.draining = false
 		if !s.isSchedulable(m) || m.neededByGang || m.reservedForGangs { // what a gang waits for can't be made up for by room elsewhere
 			continue
@@ -188,7 +188,7 @@
 		used += m.allocated.cpu
 		ms = append(ms, m)
 	}
-	for _, j := range s.queue {
+	for _, j := range s.jobs.bySubmission {
 		if !j.cancelled {
 			waiting += float64(j.waitingTasks()) * j.demand.cpu
 		}
@@ -213,7 +213,7 @@
 func (s *Scheduler) pendingCapacity() []*capacity {
 	var out []*capacity
 	for _, h := range s.sortedRentals() {
-		t := s.machineTypes[h.record.MachineType]
+		t := s.catalog.byName[h.record.MachineType]
 		if t == nil || !h.isPending() {
 			continue
 		}
@@ -236,7 +236,7 @@
 // quickestBoot is how long the quickest machine that the job may use takes until it is up.
 func (s *Scheduler) quickestBoot(j *job) float64 {
 	least := math.Inf(1)
-	for _, t := range s.machineTypes {
+	for _, t := range s.catalog.byName {
 		if typeResources(t).fits(j.demand) && typeAllowed(&j.spec, t.Name) {
 			least = min(least, t.BootS*limits.BootEstimateFactor)
 		}
@@ -301,7 +301,7 @@
 		if got == 0 {
 			return n
 		}
-		s.machinesInZone[p.zone]++
+		s.planner.machinesInZone[p.zone]++
 		whole := tasksThatFit(typeResources(t), j.demand)
 		fresh[p] += float64(got) / float64(whole)
 		if j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionPatience {
@@ -399,8 +399,8 @@
 	var best machinePool
 	var typ *protocol.MachineType
 	low, floor, busy := math.Inf(1), math.Inf(1), math.Inf(1)
-	for _, k := range s.typeNames {
-		t := s.machineTypes[k]
+	for _, k := range s.catalog.names {
+		t := s.catalog.byName[k]
 		size := typeResources(t)
 		per := tasksThatFit(size, j.demand)
 		if per == 0 {
@@ -413,9 +413,9 @@
 					continue
 				}
 				// Spread over zones where all else is equal.
-				cost := priceOf(t, spot) / float64(per) * (1 + limits.ZoneSpreadPenalty*float64(s.machinesInZone[y]))
+				cost := priceOf(t, spot) / float64(per) * (1 + limits.ZoneSpreadPenalty*float64(s.planner.machinesInZone[y]))
 				floor = min(floor, cost)
-				st := s.pools[p]
+				st := s.rentals.pools[p]
 				if st != nil && s.now < st.notBefore {
 					continue
 				}
--- a/internal/coordination/scheduler/plan_test.go
+++ b/internal/coordination/scheduler/plan_test.go
@@ -18,35 +18,35 @@
 	}
 	b.job("job-1", "red", "standard", 1, 1, 0)
 	b.job("job-2", "red", "standard", 1, 1, 0)
-	j := b.scheduler.jobs["job-1"]
-	m := b.scheduler.machines[b.machine(0)]
+	j := b.scheduler.jobs.byID["job-1"]
+	m := b.scheduler.inventory.byName[b.machine(0)]
 	b.scheduler.recordFailure(j, m)
-	b.scheduler.recordFailure(b.scheduler.jobs["job-2"], m)
+	b.scheduler.recordFailure(b.scheduler.jobs.byID["job-2"], m)
 	if !m.isFaulty() {
 		t.Error("not sick after failing two jobs")
 	}
 	for i := 1; i < 5; i++ {
-		b.scheduler.recordFailure(j, b.scheduler.machines[b.machine(i)])
+		b.scheduler.recordFailure(j, b.scheduler.inventory.byName[b.machine(i)])
 	}
 	for i := 1; i < 5; i++ {
-		if b.scheduler.machines[b.machine(i)].isFaulty() {
+		if b.scheduler.inventory.byName[b.machine(i)].isFaulty() {
 			t.Errorf("machine %d condemned by a job that fails everywhere", i)
 		}
 	}
 	first := j.backoff
-	b.scheduler.recordFailure(j, b.scheduler.machines[b.machine(1)])
+	b.scheduler.recordFailure(j, b.scheduler.inventory.byName[b.machine(1)])
 	if first < limits.JobBackoffMin || j.backoff <= first || j.retryAt <= b.scheduler.now {
 		t.Errorf("delays %v, then %v", first, j.backoff)
 	}
-	slow := b.scheduler.machines[b.machine(2)]
-	other := b.scheduler.jobs["job-2"]
+	slow := b.scheduler.inventory.byName[b.machine(2)]
+	other := b.scheduler.jobs.byID["job-2"]
 	for range 6 {
-		b.scheduler.learnRunTime(other, b.scheduler.machines[b.machine(3)], 10)
+		b.scheduler.learnRunTime(other, b.scheduler.inventory.byName[b.machine(3)], 10)
 	}
 	for range limits.SlowMachineTasks {
 		b.scheduler.learnRunTime(other, slow, 60)
 	}
-	if !slow.isSlow() || b.scheduler.machines[b.machine(3)].isSlow() {
+	if !slow.isSlow() || b.scheduler.inventory.byName[b.machine(3)].isSlow() {
 		t.Error("slow machine not told from the others")
 	}
 }
@@ -76,11 +76,11 @@
 	b.scheduler.cfg.CloudRPS = 4
 	b.step(JobChanged{JobID: "job-1", Version: 100, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-1", Class: "c", Team: "red", Shape: "sweep",
 		Priority: "high", Tasks: 5000, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true}}})
-	b.scheduler.teams["red"].cfg.CPUsMax = 1e6
+	b.scheduler.jobs.teams["red"].cfg.CPUsMax = 1e6
 	rented := func() (spot, dear int) {
 		for b.now += time.Second; ; b.now += time.Second {
 			b.step(Tick{Entitled: true})
-			for _, h := range b.scheduler.rentals {
+			for _, h := range b.scheduler.rentals.byName {
 				if h.isPending() && h.record.Spot {
 					spot++
 				} else if h.isPending() {
@@ -122,10 +122,10 @@
 	}
 	b.job("job-2", "blue", "high", 8, 8, 20)
 	wanted := func() int {
-		b.scheduler.nextPlanAt = 0
+		b.scheduler.planner.nextPlanAt = 0
 		b.step(Tick{Entitled: true})
 		n := 0
-		for _, h := range b.scheduler.rentals {
+		for _, h := range b.scheduler.rentals.byName {
 			if h.isPending() {
 				n += h.record.Count
 			}
--- a/internal/coordination/scheduler/plan_zones.go
+++ b/internal/coordination/scheduler/plan_zones.go
@@ -121,7 +121,7 @@
 		return true
 	}
 	zones := map[string]bool{}
-	for _, t := range s.machineTypes {
+	for _, t := range s.catalog.byName {
 		if !typeResources(t).fits(j.demand) || !typeAllowed(&j.spec, t.Name) {
 			continue
 		}
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -54,8 +54,8 @@
 // longest.
 func (s *Scheduler) probeMachines() {
 	var due []*machine
-	for _, m := range s.sortedMachines {
-		if (!s.recovered && !m.fenced && m.registration != unregistered) || (m.hasReported && !m.verified) {
+	for _, m := range s.inventory.sorted {
+		if (!s.recovery.ended && !m.fenced && m.registration != unregistered) || (m.hasReported && !m.verified) {
 			due = append(due, m)
 		}
 	}
@@ -70,10 +70,10 @@
 // reports on their new connections prove most of them for nothing: there a machine is asked only
 // once its next report is overdue as a proof.
 func (s *Scheduler) probeMachine(m *machine) {
-	if m.hasReported && m.fenced && s.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedGraceReports*float64(s.heartbeatInterval)) {
+	if m.hasReported && m.fenced && s.prober.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedGraceReports*float64(s.heartbeatInterval)) {
 		return
 	}
-	if m.address == "" || m.deleting || s.now < m.nextProbeAt || !s.probes.take() {
+	if m.address == "" || m.deleting || s.now < m.nextProbeAt || !s.prober.budget.take() {
 		return
 	}
 	m.nextProbeAt = s.now + limits.ProbeInterval
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -11,11 +11,11 @@
 // updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits
 // in together with the team's earlier unfinished jobs. The queue is in order of submission.
 func (s *Scheduler) updateGuarantees() {
-	for _, t := range s.teams {
+	for _, t := range s.jobs.teams {
 		t.claimed = resources{}
 	}
 	const eps = limits.Epsilon
-	for _, j := range s.queue {
+	for _, j := range s.jobs.bySubmission {
 		n := float64(j.spec.Tasks - j.doneCount)
 		if j.cancelled {
 			n = 0
@@ -41,14 +41,14 @@
 // The order is kept for a short while, as slacks change slowly; a new job makes it anew. It holds
 // jobs that want nothing just now as well.
 func (s *Scheduler) queueOrder() []*job {
-	if s.now < s.orderedAt+limits.QueueOrderTTL && s.orderedQueue != nil {
-		return s.orderedQueue
+	if s.now < s.queue.orderedAt+limits.QueueOrderTTL && s.queue.ordered != nil {
+		return s.queue.ordered
 	}
-	s.orderedAt = s.now
-	maps.DeleteFunc(s.nextPreemptionSearch, func(_ placementRequest, t time.Duration) bool { return t <= s.now })
+	s.queue.orderedAt = s.now
+	maps.DeleteFunc(s.placement.nextPreemptionSearch, func(_ placementRequest, t time.Duration) bool { return t <= s.now })
 	s.updateGuarantees()
-	cs := s.queueEntries[:0]
-	for _, j := range s.queue {
+	cs := s.queue.entries[:0]
+	for _, j := range s.jobs.bySubmission {
 		if j.cancelled || j.closed {
 			continue
 		}
@@ -77,12 +77,12 @@
 		}
 		return x.job.id < y.job.id
 	})
-	s.queueEntries, s.orderedQueue = cs, s.orderedQueue[:0]
+	s.queue.entries, s.queue.ordered = cs, s.queue.ordered[:0]
 	for i := range cs {
-		s.orderedQueue = append(s.orderedQueue, cs[i].job)
+		s.queue.ordered = append(s.queue.ordered, cs[i].job)
 	}
 	s.updateOverdue()
-	return s.orderedQueue
+	return s.queue.ordered
 }
 
 // slack is how long a job can still wait and meet the next of its times, and whether all of them
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -21,7 +21,7 @@
 		if !ok {
 			continue
 		}
-		j := s.jobs[jobID]
+		j := s.jobs.byID[jobID]
 		if j != nil && index >= j.spec.Tasks {
 			j = nil
 		}
@@ -104,7 +104,7 @@
 			s.release(o)
 		}
 		s.updateProgress(s.assign(j, index, m, t.Attempt, stateSent), t)
-		if s.recovered && !j.cancelled {
+		if s.recovery.ended && !j.cancelled {
 			s.log(true, "unexpected task adopted", "job", j.id, "task", index, "attempt", t.Attempt, "machine", m.name)
 		}
 	case b != nil && b.state != stateUnsent:
@@ -285,7 +285,7 @@
 		// failures condemn no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
 		j.retryAt = s.now + j.backoff
-		for _, o := range s.sortedMachines {
+		for _, o := range s.inventory.sorted {
 			delete(o.failedJobs, j.id)
 		}
 		return
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -8,7 +8,7 @@
 
 // expireLeases frees the tasks of sessions that are surely over.
 func (s *Scheduler) expireLeases() {
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		if m.endedIncarnation >= max(m.incarnation, 1) || s.now < m.leaseRenewedAt+limits.LeaseSurelyOver(s.workerLease) {
 			if s.now > m.lastHeartbeatAt+s.staleAfter() {
 				s.releaseUnsent(m)
@@ -51,14 +51,14 @@
 // although it has shown us no tasks yet. A leader that is too busy to take its next reports must
 // not forget that.
 func (s *Scheduler) tryEndRecovery() {
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		if !m.fenced && m.registration != unregistered && s.now < max(s.termStartedAt, m.leaseRenewedAt)+limits.LeaseSurelyOver(s.workerLease) {
 			return
 		}
 	}
-	s.recovered, s.placementNeeded = true, true
-	for _, j := range s.queue {
+	s.recovery.ended, s.placement.needed = true, true
+	for _, j := range s.jobs.bySubmission {
 		s.markGangChanged(j.gang)
 	}
-	s.log(false, "rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.sortedMachines), "jobs", len(s.jobs))
+	s.log(false, "rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
 }
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -41,40 +41,40 @@
 	}
 	// The rental's record must name the machine first: a successor ignores a mark that no rental
 	// accounts for.
-	h := s.rentals[m.rental]
+	h := s.rentals.byName[m.rental]
 	if h == nil || !h.answerDurable || m.registration != unregistered {
 		return
 	}
 	m.registration = registering
 	u := storage.RegisteredMachine{Machine: m.name, Address: m.address}
 	size := storage.EncodedSize(u) + limits.RegistryEntryOverhead
-	if full := s.currentPage; full == nil || float64(full.encodedSize+size) > s.cfg.State.ValueKB*1024 {
-		s.pageSequence++
-		s.currentPage = &registryPage{name: fmt.Sprintf("%d-%d", s.cfg.Term, s.pageSequence), encodedSize: limits.RegistryEntryOverhead}
-		s.registryPages = append(s.registryPages, s.currentPage)
+	if full := s.registry.current; full == nil || float64(full.encodedSize+size) > s.cfg.State.ValueKB*1024 {
+		s.registry.sequence++
+		s.registry.current = &registryPage{name: fmt.Sprintf("%d-%d", s.cfg.Term, s.registry.sequence), encodedSize: limits.RegistryEntryOverhead}
+		s.registry.pages = append(s.registry.pages, s.registry.current)
 		if full != nil {
 			s.removeEmptyPage(full)
 		}
 	}
-	s.currentPage.encodedSize += size
-	m.registryPage = s.currentPage
+	s.registry.current.encodedSize += size
+	m.registryPage = s.registry.current
 	m.registryPage.record.Machines = append(m.registryPage.record.Machines, u)
 	m.registryPage.liveMachines++
 	m.registryPage.dirty = true
-	s.registryDirty = true
+	s.registry.dirty = true
 	s.writeRegistryPages()
 }
 
 // writeRegistryPages writes the pages with new machines, at most one write every RegisterEvery; the
 // next tick or the answer to the last write goes on with it.
 func (s *Scheduler) writeRegistryPages() {
-	if !s.registryDirty || s.now < s.registryWrittenAt+limits.RegistryWriteInterval {
+	if !s.registry.dirty || s.now < s.registry.writtenAt+limits.RegistryWriteInterval {
 		return
 	}
-	s.registryDirty, s.registryWrittenAt = false, s.now
-	for _, x := range s.registryPages {
+	s.registry.dirty, s.registry.writtenAt = false, s.now
+	for _, x := range s.registry.pages {
 		if !x.dirty || x.writing {
-			s.registryDirty = s.registryDirty || x.dirty
+			s.registry.dirty = s.registry.dirty || x.dirty
 			continue
 		}
 		x.dirty, x.writing = false, true
@@ -94,9 +94,9 @@
 	}
 	x.version = rev
 	for _, u := range x.record.Machines[:p.count] {
-		if m := s.machines[u.Machine]; m != nil && m.registration == registering {
+		if m := s.inventory.byName[u.Machine]; m != nil && m.registration == registering {
 			m.registration = registered
-			s.freeRoomChanged = true
+			s.gangs.freeRoomChanged = true
 			s.queueDispatch(m)
 		}
 	}
@@ -113,22 +113,22 @@
 }
 
 func (s *Scheduler) removeEmptyPage(x *registryPage) {
-	if x.liveMachines > 0 || x.writing || x.dirty || x == s.currentPage {
+	if x.liveMachines > 0 || x.writing || x.dirty || x == s.registry.current {
 		return
 	}
 	if x.version != 0 {
 		key := storage.RegistryPageKey(x.name)
 		s.write(pendingWrite{kind: writeRegistrationRemove, registryPage: x}, []protocol.Condition{{Key: key, Version: x.version}}, []protocol.Operation{{Delete: key}})
 	}
-	s.registryPages = slices.DeleteFunc(s.registryPages, func(y *registryPage) bool { return y == x })
+	s.registry.pages = slices.DeleteFunc(s.registry.pages, func(y *registryPage) bool { return y == x })
 }
 
 // registryPageLoaded takes a page of an earlier term, after all rentals.
 func (s *Scheduler) registryPageLoaded(e RegistryPageLoaded) {
 	x := &registryPage{name: e.Name, record: e.Record, version: e.Version}
-	s.registryPages = append(s.registryPages, x)
+	s.registry.pages = append(s.registry.pages, x)
 	for _, u := range e.Record.Machines {
-		if m := s.machines[u.Machine]; m != nil && m.registryPage == nil {
+		if m := s.inventory.byName[u.Machine]; m != nil && m.registryPage == nil {
 			m.registration, m.address, m.registryPage = registered, u.Address, x
 			x.liveMachines++
 		}
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -58,7 +58,7 @@
 		}
 		b.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: h})
 	}
-	b.scheduler.rentals["h-2-3"].answerDurable = false // its answer is being written
+	b.scheduler.rentals.byName["h-2-3"].answerDurable = false // its answer is being written
 	var writes []WriteRecords
 	for i := range rentals * each {
 		b.report(i)
@@ -77,7 +77,7 @@
 	}
 	next := newSchedulerFixture(t, 0)
 	for i := range rentals {
-		next.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: b.scheduler.rentals[fmt.Sprintf("h-2-%d", i)].record})
+		next.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: b.scheduler.rentals.byName[fmt.Sprintf("h-2-%d", i)].record})
 	}
 	last := map[string]WriteRecords{}
 	for _, w := range writes {
@@ -95,15 +95,15 @@
 	}
 	for i := range rentals * each {
 		known := i < (rentals-1)*each
-		if got := b.scheduler.machines[b.machine(i)].registration == registered; got != known {
+		if got := b.scheduler.inventory.byName[b.machine(i)].registration == registered; got != known {
 			t.Fatalf("machine %d marked: %v, its rental's record written: %v", i, got, known)
 		}
-		if m := next.scheduler.machines[b.machine(i)]; (m.registration == registered && m.address != "") != known {
+		if m := next.scheduler.inventory.byName[b.machine(i)]; (m.registration == registered && m.address != "") != known {
 			t.Fatalf("machine %d at the successor: mark %v, address %q", i, m.registration, m.address)
 		}
 	}
 	// Once the record is written the others are registered too.
-	h := b.scheduler.rentals["h-2-3"]
+	h := b.scheduler.rentals.byName["h-2-3"]
 	h.writing = true
 	b.scheduler.pendingWrites[9999] = pendingWrite{kind: writeRental, rental: h.name, answered: true}
 	b.now += limits.RegistryWriteInterval
--- a/internal/coordination/scheduler/simulation_test.go
+++ b/internal/coordination/scheduler/simulation_test.go
@@ -872,17 +872,17 @@
 func (w *simulation) explain(id string) string {
 	s := w.leaders[len(w.leaders)-1].scheduler
 	out := fmt.Sprintf("spec %+v\n", w.jobs[id].spec)
-	if j := s.jobs[id]; j != nil {
+	if j := s.jobs.byID[id]; j != nil {
 		out += fmt.Sprintf("free %d done %d resume %v now %v fails %v cancelled %v finishing %v settled %v\n",
-			j.waitingTasks(), j.doneCount, j.retryAt, s.now, j.failedMachines, j.cancelled, j.closing, s.recovered)
+			j.waitingTasks(), j.doneCount, j.retryAt, s.now, j.failedMachines, j.cancelled, j.closing, s.recovery.ended)
 		for _, b := range j.sortedAssignments() {
 			out += fmt.Sprintf("bound %d on %s phase %d direct %d unclear %v stop %v\n", b.index, b.machine.name, b.state, b.directID, b.startUnconfirmed, b.stopping)
 		}
 	}
 	for _, t := range w.teams {
-		out += fmt.Sprintf("team %s used %+v\n", t.Name, s.teams[t.Name].allocated)
+		out += fmt.Sprintf("team %s used %+v\n", t.Name, s.jobs.teams[t.Name].allocated)
 	}
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		out += fmt.Sprintf("%s %s %s spot %v seen %v fenced %v mark %d usable %v deleting %v sick %v heard %v shift %d dead %d binds %d used %+v free %+v\n", m.name, m.typeName, m.zone, m.spot,
 			m.hasReported, m.fenced, m.registration, s.isSchedulable(m), m.deleting, m.isFaulty(), m.lastHeartbeatAt, m.incarnation, m.endedIncarnation, len(m.assignments), m.allocated, m.freeRoom())
 	}
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -49,15 +49,15 @@
 }
 
 func (s *Scheduler) takeSnapshot(e SnapshotRequested) {
-	v := Snapshot{Term: s.cfg.Term, Recovered: s.recovered}
-	for _, m := range s.sortedMachines {
+	v := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.ended}
+	for _, m := range s.inventory.sorted {
 		v.Machines = append(v.Machines, MachineView{Name: m.name, Type: m.typeName, Zone: m.zone, Spot: m.spot, State: s.machineState(m),
 			CPUs: m.size().cpu, UsedCPUs: m.allocated.cpu, Tasks: len(m.assignments), SilentFor: s.now - max(m.lastHeartbeatAt, s.termStartedAt)})
 	}
 	for _, t := range s.cfg.Teams {
-		tv := TeamView{Name: t.Name, UsedCPUs: s.teams[t.Name].allocated.cpu, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
-		for _, j := range s.queue {
-			if j.team == s.teams[t.Name] && !j.cancelled {
+		tv := TeamView{Name: t.Name, UsedCPUs: s.jobs.teams[t.Name].allocated.cpu, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
+		for _, j := range s.jobs.bySubmission {
+			if j.team == s.jobs.teams[t.Name] && !j.cancelled {
 				tv.Jobs++
 				tv.AssignedTasks += len(j.assignments)
 				tv.WaitingTasks += j.waitingTasks()
@@ -95,7 +95,7 @@
 
 // explainWaiting says what a job's tasks are doing and what the waiting ones wait for.
 func (s *Scheduler) explainWaiting(id string) []string {
-	j := s.jobs[id]
+	j := s.jobs.byID[id]
 	if j == nil {
 		return []string{"not among the open jobs of this term"}
 	}
@@ -111,7 +111,7 @@
 	if j.waitingTasks() == 0 {
 		return out
 	}
-	if !s.recovered {
+	if !s.recovery.ended {
 		add("the new leader does not know yet what runs where")
 	}
 	if s.now < j.retryAt {
@@ -121,7 +121,7 @@
 		add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.cpu, j.team.cfg.CPUsMax)
 	}
 	usable, allowed, room := 0, 0, 0
-	for _, m := range s.sortedMachines {
+	for _, m := range s.inventory.sorted {
 		if !s.isSchedulable(m) {
 			continue
 		}
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -40,7 +40,7 @@
 	case JobChanged:
 		s.jobChanged(e)
 	case JobRemoved:
-		if j := s.jobs[e.JobID]; j != nil && !j.closing && e.Version > j.version {
+		if j := s.jobs.byID[e.JobID]; j != nil && !j.closing && e.Version > j.version {
 			s.closeJob(j) // somebody else removed it: not in the protocol of our nodes, but then it is over
 		}
 	case FinishedTasksLoaded:
@@ -50,8 +50,8 @@
 	case RegistryPageLoaded:
 		s.registryPageLoaded(e)
 	case StateLoaded:
-		s.log(false, "rebuilding", "jobs", len(s.jobs), "machines", len(s.machines), "hires", len(s.rentals))
-		s.loaded, s.nextTypesAt, s.nextListAt = true, 0, 0
+		s.log(false, "rebuilding", "jobs", len(s.jobs.byID), "machines", len(s.inventory.byName), "hires", len(s.rentals.byName))
+		s.recovery.loaded, s.catalog.nextFetchAt, s.cloudList.nextAt = true, 0, 0
 		s.removeOrphanedRecords()
 		s.tick(true)
 	case HeartbeatReceived:
@@ -77,7 +77,7 @@
 	case Tick:
 		s.tick(e.Entitled)
 	}
-	if s.loaded && !s.recovered {
+	if s.recovery.loaded && !s.recovery.ended {
 		s.tryEndRecovery()
 	}
 	s.decide()
@@ -138,8 +138,8 @@
 		s.registryPageWritten(p, e.OK, e.Version)
 	case writeRentalRemove:
 		if e.OK {
-			delete(s.rentals, p.rental)
-		} else if h := s.rentals[p.rental]; h != nil {
+			delete(s.rentals.byName, p.rental)
+		} else if h := s.rentals.byName[p.rental]; h != nil {
 			h.state = rentalAnswered
 		}
 	}
@@ -148,7 +148,7 @@
 // tick looks at everything that only time changes.
 func (s *Scheduler) tick(entitled bool) {
 	s.expireLeases()
-	s.freeRoomChanged = true // a machine may be usable again
+	s.gangs.freeRoomChanged = true // a machine may be usable again
 	if !entitled {
 		return
 	}
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -100,14 +100,14 @@
 	}
 	second.Step(StateLoaded{}, now)
 	hear(second, 4)
-	if !second.recovered {
+	if !second.recovery.ended {
 		t.Fatal("not recovered although all machines were heard of")
 	}
-	if bound := len(second.jobs["job-9999"].assignments); bound != machines-gangs*perGang {
+	if bound := len(second.jobs.byID["job-9999"].assignments); bound != machines-gangs*perGang {
 		t.Errorf("%d tasks of the array placed beside the gangs, want %d", bound, machines-gangs*perGang)
 	}
 	for i := range gangs {
-		if n := len(second.jobs[fmt.Sprintf("job-%d", i)].assignments); n != perGang {
+		if n := len(second.jobs.byID[fmt.Sprintf("job-%d", i)].assignments); n != perGang {
 			t.Fatalf("gang %d: %d of %d placed", i, n, perGang)
 		}
 	}
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -110,28 +110,28 @@
 	b.sequence += 10
 	b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: &protocol.Heartbeat{Machine: d.Machine, Incarnation: 1, Sequence: b.sequence, FencingToken: 3, Tasks: []protocol.TaskStatus{first}}})
 	b.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
-	j := b.scheduler.jobs["job-2"]
-	if len(j.assignments) != 0 || len(b.scheduler.nextPreemptionSearch) == 0 {
-		t.Fatalf("%d tasks bound beside one that may not be stopped; %d requests remembered", len(j.assignments), len(b.scheduler.nextPreemptionSearch))
+	j := b.scheduler.jobs.byID["job-2"]
+	if len(j.assignments) != 0 || len(b.scheduler.placement.nextPreemptionSearch) == 0 {
+		t.Fatalf("%d tasks bound beside one that may not be stopped; %d requests remembered", len(j.assignments), len(b.scheduler.placement.nextPreemptionSearch))
 	}
 	// Now the task on the machine may be stopped, but it is too soon to look.
-	b.scheduler.jobs["job-1"].priority = protocol.Low
+	b.scheduler.jobs.byID["job-1"].priority = protocol.Low
 	b.report(0, first)
-	if b.scheduler.machines[d.Machine].assignments[first.Task].stopping {
+	if b.scheduler.inventory.byName[d.Machine].assignments[first.Task].stopping {
 		t.Error("stopped at once")
 	}
 	b.now += limits.PreemptionSearchInterval
-	b.scheduler.placementNeeded = true
+	b.scheduler.placement.needed = true
 	b.report(0, first)
-	if !b.scheduler.machines[d.Machine].assignments[first.Task].stopping {
+	if !b.scheduler.inventory.byName[d.Machine].assignments[first.Task].stopping {
 		t.Error("not stopped after the pause")
 	}
 	// Free room needs no look.
 	b = newSchedulerFixture(t, 1)
 	b.report(0)
-	b.scheduler.nextPreemptionSearch[placementRequest{demand: resources{cpu: 4, memory: 1}, team: b.scheduler.teams["red"], priority: protocol.High, guaranteed: true, preempting: true}] = time.Hour
+	b.scheduler.placement.nextPreemptionSearch[placementRequest{demand: resources{cpu: 4, memory: 1}, team: b.scheduler.jobs.teams["red"], priority: protocol.High, guaranteed: true, preempting: true}] = time.Hour
 	b.job("job-2", "red", "high", 1, 4, 13)
-	if len(b.scheduler.jobs["job-2"].assignments) != 1 {
+	if len(b.scheduler.jobs.byID["job-2"].assignments) != 1 {
 		t.Error("not placed where there is room")
 	}
 }
