--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -43,6 +43,7 @@
 // rentalTable holds the rental requests of this and earlier terms, and the pools of machines that
 // they are made to.
 type rentalTable struct {
+	*environment
 	byName      map[string]*rental
 	pools       map[machinePool]*poolState
 	sequence    uint64 // of the names of this term's rentals
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -28,7 +28,7 @@
 
 // Scheduler is the state of one term. Each part owns its fields.
 type Scheduler struct {
-	environment
+	*environment
 
 	jobs       jobTable
 	queue      jobQueue
@@ -69,6 +69,7 @@
 
 // jobTable holds the jobs that are not over, with their teams and classes.
 type jobTable struct {
+	*environment
 	byID         map[string]*job
 	closed       map[string]bool // jobs over in this term; a late record of one must not open it again
 	bySubmission []*job
@@ -78,6 +79,7 @@
 
 // jobQueue is the order in which jobs get room.
 type jobQueue struct {
+	*environment
 	entries        []queueEntry // kept for its memory
 	ordered        []*job       // see queueOrder
 	orderedAt      time.Duration
@@ -88,6 +90,7 @@
 
 // machineInventory holds the machines that are known.
 type machineInventory struct {
+	*environment
 	byName  map[string]*machine
 	sorted  []*machine      // by name
 	deleted map[string]bool // machines whose deletion was confirmed; late lists and heartbeats may still name them
@@ -95,6 +98,7 @@
 
 // typeCatalog holds the machine types that the cloud offers.
 type typeCatalog struct {
+	*environment
 	byName      map[string]*protocol.MachineType
 	names       []string // sorted
 	nextFetchAt time.Duration
@@ -102,12 +106,14 @@
 
 // machineListReader reads the cloud's list of machines from time to time.
 type machineListReader struct {
+	*environment
 	nextAt   time.Duration
 	inFlight bool
 }
 
 // machineRegistry is the durable record of the machines that may hold tasks.
 type machineRegistry struct {
+	*environment
 	pages     []*registryPage // in the order in which they were made
 	current   *registryPage   // that new machines go on
 	sequence  uint64          // of the names of this term's pages
@@ -117,6 +123,7 @@
 
 // commandDispatcher sends commands to workers without waiting for their heartbeats.
 type commandDispatcher struct {
+	*environment
 	sequence  uint64     // of direct commands
 	inFlight  int        // direct commands that are not answered yet
 	queue     []*machine // with commands that did not go out yet
@@ -126,6 +133,7 @@
 
 // placer runs the scheduling passes.
 type placer struct {
+	*environment
 	pass   placementPass
 	needed bool // something changed that placement looks at
 	// nextPreemptionSearch is when requests that found no tasks to stop may look for them again:
@@ -136,6 +144,7 @@
 
 // gangTable holds the gangs about which something is to be decided, and what gangs asked for lately.
 type gangTable struct {
+	*environment
 	changed         []*gang // to be looked at by reconcileGangs
 	uncommitted     []*gang // with tasks whose starts wait for commitGangs
 	toRefill        []*gang // that lost a task before their start
@@ -145,6 +154,7 @@
 
 // recoveryState tells how far a new term knows what runs where.
 type recoveryState struct {
+	*environment
 	loaded          bool // all that earlier terms wrote down is known
 	ended           bool // and all that may run; see tryEndRecovery
 	fewUnreported   bool // of the machines that may hold tasks of earlier terms only a few have not reported
@@ -153,18 +163,21 @@
 
 // machineProber asks machines for their tasks.
 type machineProber struct {
+	*environment
 	budget         probeBudget
 	manyUnverified bool // so many machines are unverified that there must be a common cause
 }
 
 // finishedTaskWriter writes down which tasks are done.
 type finishedTaskWriter struct {
+	*environment
 	tasksPerChunk int
 	writeBudget   float64 // chunk writes that may go out now
 }
 
 // capacityPlanner decides which machines are rented and returned.
 type capacityPlanner struct {
+	*environment
 	nextPlanAt      time.Duration
 	nextLimitNoteAt time.Duration  // when to say again that the fleet is at its limit
 	machinesInZone  map[string]int // at the last plan
@@ -172,39 +185,43 @@
 
 // New returns the scheduler of a term that begins now.
 func New(cfg Config, now time.Duration) *Scheduler {
+	env := &environment{
+		cfg: cfg, now: now, termStartedAt: now,
+		workerLease:       limits.Seconds(cfg.Workers.LeaseS),
+		heartbeatInterval: limits.Seconds(cfg.Workers.ReportS),
+		outbox:            outbox{pendingWrites: map[uint64]pendingWrite{}},
+	}
 	s := &Scheduler{
-		environment: environment{
-			cfg: cfg, now: now, termStartedAt: now,
-			workerLease:       limits.Seconds(cfg.Workers.LeaseS),
-			heartbeatInterval: limits.Seconds(cfg.Workers.ReportS),
-			outbox:            outbox{pendingWrites: map[uint64]pendingWrite{}},
-		},
-		jobs: jobTable{
+		environment: env,
+		jobs: jobTable{environment: env,
 			byID: map[string]*job{}, closed: map[string]bool{},
 			teams: map[string]*team{}, classes: map[string]*jobClass{},
 		},
-		queue: jobQueue{
+		queue: jobQueue{environment: env,
 			groupProgress:  map[jobGroup]groupServed{},
 			closedProgress: map[jobGroup]groupServed{},
 		},
-		inventory: machineInventory{byName: map[string]*machine{}, deleted: map[string]bool{}},
-		catalog:   typeCatalog{byName: map[string]*protocol.MachineType{}},
-		registry:  machineRegistry{writtenAt: now - limits.RegistryWriteInterval},
-		rentals: rentalTable{
+		inventory: machineInventory{environment: env, byName: map[string]*machine{}, deleted: map[string]bool{}},
+		catalog:   typeCatalog{environment: env, byName: map[string]*protocol.MachineType{}},
+		registry:  machineRegistry{environment: env, writtenAt: now - limits.RegistryWriteInterval},
+		rentals: rentalTable{environment: env,
 			byName: map[string]*rental{}, pools: map[machinePool]*poolState{},
 			maxMachines: storage.MaxRentalMachines(cfg.State.ValueKB),
 		},
-		placement: placer{
+		placement: placer{environment: env,
 			pass: placementPass{
 				unplaceable:      map[placementRequest]bool{},
 				unplaceableGangs: map[gangRequest]bool{},
 			},
 			nextPreemptionSearch: map[placementRequest]time.Duration{},
 		},
-		gangs:    gangTable{demand: map[gangKind]*gangDemand{}},
-		prober:   machineProber{budget: newProbeBudget(cfg.CoreShare)},
-		finished: finishedTaskWriter{tasksPerChunk: storage.TasksPerChunk(cfg.State.ValueKB)},
-		planner:  capacityPlanner{machinesInZone: map[string]int{}},
+		gangs:      gangTable{environment: env, demand: map[gangKind]*gangDemand{}},
+		prober:     machineProber{environment: env, budget: newProbeBudget(cfg.CoreShare)},
+		finished:   finishedTaskWriter{environment: env, tasksPerChunk: storage.TasksPerChunk(cfg.State.ValueKB)},
+		recovery:   recoveryState{environment: env},
+		dispatcher: commandDispatcher{environment: env},
+		cloudList:  machineListReader{environment: env},
+		planner:    capacityPlanner{environment: env, machinesInZone: map[string]int{}},
 	}
 	for _, t := range cfg.Teams {
 		s.jobs.teams[t.Name] = &team{cfg: t}
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -86,7 +86,7 @@
 // each other for ever.
 func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Scheduler{}
+		s := &Scheduler{environment: &environment{}}
 		teams := []*team{{cfg: config.Team{CPUs: 1}, allocated: resources{cpu: 5}}, {cfg: config.Team{CPUs: 9}, allocated: resources{cpu: 5}}}
 		draw := func(name string) *assignment {
 			return &assignment{state: stateRunning, job: &job{team: teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
