--- a/cmd/quillshunt/status.go
+++ b/cmd/quillshunt/status.go
@@ -46,17 +46,17 @@
 		return fmt.Errorf("leader %s does not answer", r.GetLeader())
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "leader\t%s\nterm\t%d\nentitled\t%v\nrebuilt\t%v\n", r.GetLeader(), r.GetTerm(), r.GetEntitled(), r.GetRebuilt())
+	fmt.Fprintf(w, "leader\t%s\nterm\t%d\nentitled\t%v\nrebuilt\t%v\n", r.GetLeader(), r.GetTerm(), r.GetEntitled(), r.GetRecovered())
 	if job != "" {
 		fmt.Fprintf(w, "\n%s\n", job)
-		for _, why := range r.GetWhy() {
+		for _, why := range r.GetExplanation() {
 			fmt.Fprintf(w, "  %s\n", why)
 		}
 		return w.Flush()
 	}
 	fmt.Fprintln(w, "\nteam\tcpus\tguaranteed\tmost\tjobs\ttasks on machines\twaiting")
 	for _, t := range r.GetTeams() {
-		fmt.Fprintf(w, "%s\t%.6g\t%.6g\t%.6g\t%d\t%d\t%d\n", t.GetName(), t.GetUsed(), t.GetGuaranteed(), t.GetMost(), t.GetJobs(), t.GetBound(), t.GetWaiting())
+		fmt.Fprintf(w, "%s\t%.6g\t%.6g\t%.6g\t%d\t%d\t%d\n", t.GetName(), t.GetUsedCpus(), t.GetGuaranteedCpus(), t.GetMaxCpus(), t.GetJobs(), t.GetAssignedTasks(), t.GetWaitingTasks())
 	}
 	fmt.Fprintln(w, "\nmachine\ttype\tzone\tkind\tcpus\tused\ttasks\tstate")
 	for _, m := range r.GetMachines() {
@@ -64,7 +64,7 @@
 		if m.GetSpot() {
 			kind = "spot"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.6g\t%.6g\t%d\t%s\n", m.GetName(), m.GetType(), m.GetZone(), kind, m.GetCpus(), m.GetUsed(), m.GetTasks(), m.GetState())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.6g\t%.6g\t%d\t%s\n", m.GetName(), m.GetType(), m.GetZone(), kind, m.GetCpus(), m.GetUsedCpus(), m.GetTasks(), m.GetState())
 	}
 	return w.Flush()
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -87,7 +87,7 @@
 	Size() int
 	// RequestVotes asks all for their pledge; nonces are the processes that they are taken for. Who
 	// does not answer in time is missing.
-	RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply
+	RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.VoteReply
 }
 
 // Elector takes part in elections. Lead is called with each leadership and must return soon after
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -200,8 +200,8 @@
 
 func (n *node) Size() int { return len(*n.others) - 1 }
 
-func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
-	out := map[string]*peerpb.PledgeReply{}
+func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.VoteReply {
+	out := map[string]*peerpb.VoteReply{}
 	for _, o := range *n.others {
 		if e := n.reach(o); e != nil {
 			a := e.Vote(heartbeat, nonces[o.name])
@@ -599,8 +599,8 @@
 
 func (loyalPeers) Size() int                            { return 4 }
 func (loyalPeers) FindConnected(context.Context) string { return "" }
-func (loyalPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
-	return map[string]*peerpb.PledgeReply{"a": {Granted: nonces["a"] == 1, Nonce: 1}, "b": {Granted: nonces["b"] == 1, Nonce: 1}}
+func (loyalPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]*peerpb.VoteReply {
+	return map[string]*peerpb.VoteReply{"a": {Granted: nonces["a"] == 1, ProcessNonce: 1}, "b": {Granted: nonces["b"] == 1, ProcessNonce: 1}}
 }
 
 // TestOwnVote: a leader's own pledge counts like any other. While it does, it does not let go of
@@ -655,7 +655,7 @@
 		if p.vote(10, 6).Granted || p.vote(10, 0).Granted {
 			t.Error("pledged to a leader that takes it for another process")
 		}
-		if a := p.vote(10, 7); !a.Granted || a.Nonce != 7 {
+		if a := p.vote(10, 7); !a.Granted || a.ProcessNonce != 7 {
 			t.Errorf("not pledged: %+v", a)
 		}
 		time.Sleep(limits.VoteLeaseMin)
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -34,15 +34,15 @@
 	withdrawnUpTo uint64    // heartbeats up to this one get no pledge any more
 }
 
-func (p *voter) vote(heartbeat, nonce uint64) *peerpb.PledgeReply {
+func (p *voter) vote(heartbeat, nonce uint64) *peerpb.VoteReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requestedAt = time.Now()
 	if nonce != p.nonce || heartbeat <= p.withdrawnUpTo {
-		return &peerpb.PledgeReply{Nonce: p.nonce}
+		return &peerpb.VoteReply{ProcessNonce: p.nonce}
 	}
 	p.votedAt = p.requestedAt
-	return &peerpb.PledgeReply{Granted: true, Nonce: p.nonce}
+	return &peerpb.VoteReply{Granted: true, ProcessNonce: p.nonce}
 }
 
 // withdraw lets go of the leader with that heartbeat, if no pledge of this controller can be live.
@@ -69,7 +69,7 @@
 
 // Vote is asked by a leader for this controller's pledge; nonce is that of the process that the
 // leader takes this one for.
-func (e *Elector) Vote(heartbeat, nonce uint64) *peerpb.PledgeReply {
+func (e *Elector) Vote(heartbeat, nonce uint64) *peerpb.VoteReply {
 	return e.voter.vote(heartbeat, nonce)
 }
 
@@ -98,8 +98,8 @@
 			if a.Granted {
 				granted++
 			}
-			if a.Nonce != 0 && a.Nonce != covered[name] {
-				known[name], news = a.Nonce, true
+			if a.ProcessNonce != 0 && a.ProcessNonce != covered[name] {
+				known[name], news = a.ProcessNonce, true
 			}
 		}
 		if granted >= e.quorum() {
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -201,14 +201,14 @@
 	if !ok {
 		return nil, false
 	}
-	r := &peerpb.StatusReply{Leader: d.settings.NodeName, Term: v.Term, Entitled: t.leadership.Entitled(), Rebuilt: v.Recovered, Why: v.Explanation}
+	r := &peerpb.StatusReply{Leader: d.settings.NodeName, Term: v.Term, Entitled: t.leadership.Entitled(), Recovered: v.Recovered, Explanation: v.Explanation}
 	for _, m := range v.Machines {
 		r.Machines = append(r.Machines, &peerpb.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: m.State,
-			Cpus: m.CPUs, Used: m.UsedCPUs, Tasks: int64(m.Tasks), SilentS: m.SilentFor.Seconds()})
+			Cpus: m.CPUs, UsedCpus: m.UsedCPUs, Tasks: int64(m.Tasks), HeartbeatAgeS: m.SilentFor.Seconds()})
 	}
 	for _, tv := range v.Teams {
-		r.Teams = append(r.Teams, &peerpb.Team{Name: tv.Name, Used: tv.UsedCPUs, Guaranteed: tv.GuaranteedCPUs, Most: tv.MaxCPUs,
-			Jobs: int64(tv.Jobs), Bound: int64(tv.AssignedTasks), Waiting: int64(tv.WaitingTasks)})
+		r.Teams = append(r.Teams, &peerpb.Team{Name: tv.Name, UsedCpus: tv.UsedCPUs, GuaranteedCpus: tv.GuaranteedCPUs, MaxCpus: tv.MaxCPUs,
+			Jobs: int64(tv.Jobs), AssignedTasks: int64(tv.AssignedTasks), WaitingTasks: int64(tv.WaitingTasks)})
 	}
 	return r, true
 }
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -44,7 +44,7 @@
 	// Leader is the name of the leader as far as known, or "".
 	Leader() string
 	// Vote is asked by the leader.
-	Vote(heartbeat, nonce uint64) *peerpb.PledgeReply
+	Vote(heartbeat, nonce uint64) *peerpb.VoteReply
 }
 
 // Server answers other controllers.
@@ -89,41 +89,41 @@
 }
 
 // Counts implements the service.
-func (s *Server) Counts(ctx context.Context, r *peerpb.CountsRequest) (*peerpb.CountsReply, error) {
+func (s *Server) Counts(ctx context.Context, r *peerpb.TaskCountsRequest) (*peerpb.TaskCountsReply, error) {
 	c, ok := s.leader.TaskCounts(ctx, r.GetJob())
-	return &peerpb.CountsReply{Known: ok, Done: int64(c.Done), Running: int64(c.Running)}, nil
+	return &peerpb.TaskCountsReply{Known: ok, Done: int64(c.Done), Running: int64(c.Running)}, nil
 }
 
 // Relay implements the service.
-func (s *Server) Relay(ctx context.Context, r *peerpb.RelayRequest) (*peerpb.RelayReply, error) {
-	status, body := s.leader.RelayedHeartbeat(ctx, r.GetReport(), r.GetStayed())
-	return &peerpb.RelayReply{Status: int32(status), Body: body}, nil
+func (s *Server) Relay(ctx context.Context, r *peerpb.RelayHeartbeatRequest) (*peerpb.RelayHeartbeatReply, error) {
+	status, body := s.leader.RelayedHeartbeat(ctx, r.GetHeartbeat(), r.GetSameConnection())
+	return &peerpb.RelayHeartbeatReply{Status: int32(status), Body: body}, nil
 }
 
 // Able implements the service.
-func (s *Server) Able(ctx context.Context, _ *peerpb.AbleRequest) (*peerpb.AbleReply, error) {
-	return &peerpb.AbleReply{Able: s.elector.StateReachable(ctx)}, nil
+func (s *Server) Able(ctx context.Context, _ *peerpb.ConnectivityRequest) (*peerpb.ConnectivityReply, error) {
+	return &peerpb.ConnectivityReply{Connected: s.elector.StateReachable(ctx)}, nil
 }
 
 // Take implements the service.
-func (s *Server) Take(_ context.Context, r *peerpb.TakeRequest) (*peerpb.TakeReply, error) {
-	s.elector.AcceptOffer(r.GetTerm(), r.GetStamp())
-	return &peerpb.TakeReply{}, nil
+func (s *Server) Take(_ context.Context, r *peerpb.LeadershipOffer) (*peerpb.LeadershipOfferReply, error) {
+	s.elector.AcceptOffer(r.GetTerm(), r.GetKeyVersion())
+	return &peerpb.LeadershipOfferReply{}, nil
 }
 
 // Pledge implements the service.
-func (s *Server) Pledge(_ context.Context, r *peerpb.PledgeRequest) (*peerpb.PledgeReply, error) {
-	return s.elector.Vote(r.GetHeartbeat(), r.GetNonce()), nil
+func (s *Server) Pledge(_ context.Context, r *peerpb.VoteRequest) (*peerpb.VoteReply, error) {
+	return s.elector.Vote(r.GetHeartbeatVersion(), r.GetProcessNonce()), nil
 }
 
 // Confirm implements the service. A controller that does not lead passes the request on once: the
 // sender may not reach the leader itself.
-func (s *Server) Confirm(ctx context.Context, r *peerpb.ConfirmRequest) (*peerpb.ConfirmReply, error) {
-	known := s.leader.ConfirmCancellation(ctx, r.GetJob(), r.GetStamp(), r.GetRecord())
-	if !known && !r.GetPassedOn() {
-		known = s.peers.confirmCancellationAt(ctx, s.elector.Leader(), &peerpb.ConfirmRequest{Job: r.GetJob(), Stamp: r.GetStamp(), Record: r.GetRecord(), PassedOn: true})
+func (s *Server) Confirm(ctx context.Context, r *peerpb.ConfirmCancellationRequest) (*peerpb.ConfirmCancellationReply, error) {
+	known := s.leader.ConfirmCancellation(ctx, r.GetJob(), r.GetKeyVersion(), r.GetRecord())
+	if !known && !r.GetForwarded() {
+		known = s.peers.confirmCancellationAt(ctx, s.elector.Leader(), &peerpb.ConfirmCancellationRequest{Job: r.GetJob(), KeyVersion: r.GetKeyVersion(), Record: r.GetRecord(), Forwarded: true})
 	}
-	return &peerpb.ConfirmReply{Known: known}, nil
+	return &peerpb.ConfirmCancellationReply{Known: known}, nil
 }
 
 // Status implements the operators' service.
@@ -133,10 +133,10 @@
 	}
 	leader := s.elector.Leader()
 	conn := s.peers.conns[leader]
-	if r.GetPassedOn() || conn == nil {
+	if r.GetForwarded() || conn == nil {
 		return &peerpb.StatusReply{}, nil
 	}
-	v, err := peerpb.NewOperatorClient(conn).Status(ctx, &peerpb.StatusRequest{Job: r.GetJob(), PassedOn: true})
+	v, err := peerpb.NewOperatorClient(conn).Status(ctx, &peerpb.StatusRequest{Job: r.GetJob(), Forwarded: true})
 	if err != nil {
 		return &peerpb.StatusReply{Leader: leader}, nil // known, but it does not answer
 	}
@@ -196,8 +196,8 @@
 
 // TaskCounts asks a controller for a job's counts.
 func (p *Peers) TaskCounts(ctx context.Context, node, job string) (TaskCounts, bool) {
-	r, err := callPeer(ctx, p, node, limits.TaskCountsTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.CountsReply, error) {
-		return c.Counts(ctx, &peerpb.CountsRequest{Job: job})
+	r, err := callPeer(ctx, p, node, limits.TaskCountsTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.TaskCountsReply, error) {
+		return c.Counts(ctx, &peerpb.TaskCountsRequest{Job: job})
 	})
 	if err != nil || !r.GetKnown() {
 		return TaskCounts{}, false
@@ -207,8 +207,8 @@
 
 // RelayHeartbeat hands a worker's report to the leading controller.
 func (p *Peers) RelayHeartbeat(ctx context.Context, node string, report []byte, stayed bool) (status int, body []byte, err error) {
-	r, err := callPeer(ctx, p, node, limits.RelayTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.RelayReply, error) {
-		return c.Relay(ctx, &peerpb.RelayRequest{Report: report, Stayed: stayed})
+	r, err := callPeer(ctx, p, node, limits.RelayTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.RelayHeartbeatReply, error) {
+		return c.Relay(ctx, &peerpb.RelayHeartbeatRequest{Heartbeat: report, SameConnection: stayed})
 	})
 	if err != nil {
 		return 0, nil, fmt.Errorf("relay: %w", err)
@@ -240,8 +240,8 @@
 // FindConnected returns the name of a controller that reaches the state service, or "".
 func (p *Peers) FindConnected(ctx context.Context) string {
 	able := callAll(ctx, p, limits.ConnectivityTimeout, func(ctx context.Context, name string, c peerpb.PeerClient) (string, error) {
-		r, err := c.Able(ctx, &peerpb.AbleRequest{})
-		if err != nil || !r.GetAble() {
+		r, err := c.Able(ctx, &peerpb.ConnectivityRequest{})
+		if err != nil || !r.GetConnected() {
 			return "", err
 		}
 		return name, nil
@@ -265,16 +265,16 @@
 func (p *Peers) Size() int { return len(p.conns) }
 
 // RequestVotes asks all controllers for their pledge to the leader here.
-func (p *Peers) RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.PledgeReply {
+func (p *Peers) RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.VoteReply {
 	type answer struct {
 		name  string
-		reply *peerpb.PledgeReply
+		reply *peerpb.VoteReply
 	}
 	got := callAll(ctx, p, limits.VoteTimeout, func(ctx context.Context, name string, c peerpb.PeerClient) (answer, error) {
-		r, err := c.Pledge(ctx, &peerpb.PledgeRequest{Heartbeat: heartbeat, Nonce: nonces[name]})
+		r, err := c.Pledge(ctx, &peerpb.VoteRequest{HeartbeatVersion: heartbeat, ProcessNonce: nonces[name]})
 		return answer{name, r}, err
 	})
-	out := map[string]*peerpb.PledgeReply{}
+	out := map[string]*peerpb.VoteReply{}
 	for a := range got {
 		out[a.name] = a.reply
 	}
@@ -284,11 +284,11 @@
 // ConfirmCancellation tells whether the leader knows of a cancellation now. It is asked itself, and
 // through the others if it does not answer.
 func (p *Peers) ConfirmCancellation(ctx context.Context, leader, job string, stamp uint64, record []byte) bool {
-	if p.confirmCancellationAt(ctx, leader, &peerpb.ConfirmRequest{Job: job, Stamp: stamp, Record: record, PassedOn: true}) {
+	if p.confirmCancellationAt(ctx, leader, &peerpb.ConfirmCancellationRequest{Job: job, KeyVersion: stamp, Record: record, Forwarded: true}) {
 		return true
 	}
 	known := callAll(ctx, p, limits.CancelConfirmTimeout, func(ctx context.Context, _ string, c peerpb.PeerClient) (bool, error) {
-		r, err := c.Confirm(ctx, &peerpb.ConfirmRequest{Job: job, Stamp: stamp, Record: record})
+		r, err := c.Confirm(ctx, &peerpb.ConfirmCancellationRequest{Job: job, KeyVersion: stamp, Record: record})
 		return r.GetKnown(), err
 	})
 	for k := range known {
@@ -299,8 +299,8 @@
 	return false
 }
 
-func (p *Peers) confirmCancellationAt(ctx context.Context, node string, r *peerpb.ConfirmRequest) bool {
-	a, err := callPeer(ctx, p, node, limits.CancelConfirmTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.ConfirmReply, error) {
+func (p *Peers) confirmCancellationAt(ctx context.Context, node string, r *peerpb.ConfirmCancellationRequest) bool {
+	a, err := callPeer(ctx, p, node, limits.CancelConfirmTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.ConfirmCancellationReply, error) {
 		return c.Confirm(ctx, r)
 	})
 	return err == nil && a.GetKnown()
@@ -308,8 +308,8 @@
 
 // OfferLeadership tells a controller that the term of a leader key is over.
 func (p *Peers) OfferLeadership(ctx context.Context, node string, term, stamp uint64) error {
-	_, err := callPeer(ctx, p, node, limits.ConnectivityTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.TakeReply, error) {
-		return c.Take(ctx, &peerpb.TakeRequest{Term: term, Stamp: stamp})
+	_, err := callPeer(ctx, p, node, limits.ConnectivityTimeout, func(ctx context.Context, c peerpb.PeerClient) (*peerpb.LeadershipOfferReply, error) {
+		return c.Take(ctx, &peerpb.LeadershipOffer{Term: term, KeyVersion: stamp})
 	})
 	if err != nil {
 		return fmt.Errorf("hand over: %w", err)
