--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -60,8 +60,8 @@
 	s.queueDispatch(m)
 	setBit(j.assignedBits, idx)
 	m.assignments[b.taskName] = b
-	m.allocated = m.allocated.plus(j.demand)
-	j.team.allocated = j.team.allocated.plus(j.demand)
+	m.allocated = m.allocated.Plus(j.demand)
+	j.team.allocated = j.team.allocated.Plus(j.demand)
 	return b
 }
 
@@ -78,10 +78,10 @@
 	clearBit(j.assignedBits, b.index)
 	j.nextFreeHint = min(j.nextFreeHint, b.index)
 	delete(m.assignments, b.taskName)
-	m.allocated = m.allocated.minus(j.demand)
-	j.team.allocated = j.team.allocated.minus(j.demand)
+	m.allocated = m.allocated.Minus(j.demand)
+	j.team.allocated = j.team.allocated.Minus(j.demand)
 	if b.stopping {
-		m.releasing = m.releasing.minus(j.demand)
+		m.releasing = m.releasing.Minus(j.demand)
 	}
 	if len(m.assignments) == 0 {
 		m.allocated, m.releasing = resources{}, resources{} // no rounding is carried on
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -16,7 +16,7 @@
 
 // passesHardFilters are the filters that no stopping of tasks can change.
 func (s *Scheduler) passesHardFilters(j *job, m *machine) bool {
-	return s.placementAllowed(j, m.typeName, m.zone, m.spot) && m.size().fits(j.demand) && !j.avoids(m)
+	return s.placementAllowed(j, m.typeName, m.zone, m.spot) && m.size().Fits(j.demand) && !j.avoids(m)
 }
 
 // avoids tells whether a job goes elsewhere because the machine has failed it. Once it fails
@@ -80,7 +80,7 @@
 	if planned != nil {
 		tasks += planned.tasks
 	}
-	over := !free.fits(j.demand)
+	over := !free.Fits(j.demand)
 	if m.reservedForGangs && !j.mayUseGangReservation {
 		return c, false
 	}
@@ -93,10 +93,10 @@
 		view := free
 		for _, b := range m.assignments {
 			if !planned.isStopped(b) && s.mayPreempt(j, b) {
-				view = view.plus(b.job.demand)
+				view = view.Plus(b.job.demand)
 			}
 		}
-		if !view.fits(j.demand) {
+		if !view.Fits(j.demand) {
 			return c, false
 		}
 		c.scores[weightOvercommit] = -1
@@ -107,8 +107,8 @@
 	if _, ok := m.cachedImages[j.spec.Image]; !ok {
 		c.scores[weightImage] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.MinImageFetchRate)
 	}
-	left := free.minus(j.demand)
-	c.scores[weightPacking] = -left.cpu
+	left := free.Minus(j.demand)
+	c.scores[weightPacking] = -left.CPUs
 	c.scores[weightPrice] = -m.pricePerCPU()
 	if j.gang != nil && m.reservedForGangs {
 		c.scores[weightGangReservation] = 1
@@ -139,7 +139,7 @@
 			}
 			ok = ok && in
 		}
-		if ok && typeResources(t).fits(need) {
+		if ok && typeResources(t).Fits(need) {
 			return true
 		}
 	}
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -337,8 +337,8 @@
 		if !m.verified {
 			doubted++
 		}
-		total += m.size().cpu
-		used += m.allocated.cpu
+		total += m.size().CPUs
+		used += m.allocated.CPUs
 	}
 	for _, j := range s.jobs.bySubmission {
 		if !j.cancelled {
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -291,10 +291,10 @@
 func (s *Scheduler) roomConfirmed(tasks []*assignment) bool {
 	need := map[*machine]resources{}
 	for _, b := range tasks {
-		need[b.machine] = need[b.machine].plus(b.job.demand)
+		need[b.machine] = need[b.machine].Plus(b.job.demand)
 	}
 	for m, r := range need {
-		if m.registration != registered || !s.isSchedulable(m) || !m.size().fits(m.committedRoom().plus(r)) {
+		if m.registration != registered || !s.isSchedulable(m) || !m.size().Fits(m.committedRoom().Plus(r)) {
 			return false
 		}
 	}
@@ -307,7 +307,7 @@
 	var held resources
 	for _, b := range m.assignments {
 		if b.state != stateUnsent || b.committed {
-			held = held.plus(b.job.demand)
+			held = held.Plus(b.job.demand)
 		}
 	}
 	return held
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -40,7 +40,7 @@
 	if v == nil {
 		return m.freeRoom()
 	}
-	return m.freeRoom().minus(v.takenRoom).plus(v.freedRoom)
+	return m.freeRoom().Minus(v.takenRoom).Plus(v.freedRoom)
 }
 
 // isStopped tells whether a task is to be stopped already.
@@ -78,7 +78,7 @@
 	if s.now < j.nextPreemptionSearch {
 		ask.preempting = false
 	}
-	if (common && p.unplaceableGangs[ask]) || (!ask.preempting && !p.maxFreeRoom.fits(j.demand)) {
+	if (common && p.unplaceableGangs[ask]) || (!ask.preempting && !p.maxFreeRoom.Fits(j.demand)) {
 		return false
 	}
 	best := s.bestGangPlacement(j, n, ask.preempting)
@@ -206,7 +206,7 @@
 	}
 	a.groups.takeFirst(shelf)
 	view := a.viewOf(c.machine)
-	view.takenRoom, view.tasks = view.takenRoom.plus(a.job.demand), view.tasks+1
+	view.takenRoom, view.tasks = view.takenRoom.Plus(a.job.demand), view.tasks+1
 	a.tasksInZone[c.machine.zone]++
 	a.placements = append(a.placements, taskPlacement{c.machine, victims})
 	for _, v := range victims {
@@ -236,7 +236,7 @@
 		}
 		if !view.stopped[x] && !x.stopping {
 			view.stopped[x] = true
-			view.freedRoom = view.freedRoom.plus(x.job.demand)
+			view.freedRoom = view.freedRoom.Plus(x.job.demand)
 		}
 	}
 }
@@ -352,7 +352,7 @@
 			break
 		}
 		found += tasksThatFit(m.size(), j.demand)
-		free += m.freeRoom().cpu
+		free += m.freeRoom().CPUs
 		kept = append(kept, m)
 	}
 	if found < j.waitingTasks() {
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -61,7 +61,7 @@
 		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !s.needsReservation(j) {
 			continue
 		}
-		cpus := j.demandOf(j.spec.Tasks).cpu
+		cpus := j.demandOf(j.spec.Tasks).CPUs
 		kind := j.gangKind()
 		now[kind] += cpus
 		d := s.gangs.demand[kind]
@@ -132,7 +132,7 @@
 	var ms []*machine
 	total := 0.0
 	for _, m := range s.inventory.sorted {
-		total += m.size().cpu
+		total += m.size().CPUs
 		if !m.reservedForGangs && s.reservable(d, m) {
 			ms = append(ms, m)
 		}
@@ -142,14 +142,14 @@
 		return cmp.Or(
 			compareBool(b.wasReservedForGangs, a.wasReservedForGangs),
 			compareBool(b.hasGangTask(), a.hasGangTask()),
-			cmp.Compare(b.freeRoom().cpu, a.freeRoom().cpu),
+			cmp.Compare(b.freeRoom().CPUs, a.freeRoom().CPUs),
 		)
 	})
 	for _, m := range ms {
 		if want <= 0 {
 			return
 		}
-		size := m.size().cpu
+		size := m.size().CPUs
 		want -= size
 		m.neededByPlan = true
 		if spare >= size { // else it is not returned, but everybody may use it
@@ -172,7 +172,7 @@
 		return false
 	}
 	spec := &d.newestJob.spec
-	return (spec.Spot || !m.spot) && (spec.Zone == "" || spec.Zone == m.zone) && typeAllowed(spec, m.typeName) && m.size().fits(d.newestJob.demand)
+	return (spec.Spot || !m.spot) && (spec.Zone == "" || spec.Zone == m.zone) && typeAllowed(spec, m.typeName) && m.size().Fits(d.newestJob.demand)
 }
 
 // chooseReservationZone is the zone in which room is kept: where it is already, or where most
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -217,7 +217,7 @@
 	if !final {
 		t.Fatalf("no final record: %+v", b.effects)
 	}
-	if b.scheduler.jobs.teams["red"].allocated.cpu != 8 {
+	if b.scheduler.jobs.teams["red"].allocated.CPUs != 8 {
 		t.Errorf("the other task counts no more: %+v", b.scheduler.jobs.teams["red"].allocated)
 	}
 	b.gang("job-2", 2, 8)
@@ -267,7 +267,7 @@
 	b.job("job-2", "red", "high", 1, 8, 0)
 	options := b.scheduler.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
 	one := b.scheduler.preemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
-	if len(options) != 1 || options[0].resources.cpu != 8 || options[0].cost < 3.9*one {
+	if len(options) != 1 || options[0].resources.CPUs != 8 || options[0].cost < 3.9*one {
 		t.Fatalf("victims: %+v, a task's loss %v", options, one)
 	}
 	b.job("job-3", "red", "high", 2, 8, 12)
@@ -336,10 +336,10 @@
 	leaving := s.jobs.byID["job-1"].assignments[0]
 	leaving.state = stateRunning
 	s.stopAssignment(leaving, "for job-2")
-	s.jobs.byID["job-2"].demand.cpu = 4
+	s.jobs.byID["job-2"].demand.CPUs = 4
 	s.assign(s.jobs.byID["job-2"], 0, m, 20, stateUnsent)
 	gang := s.jobs.byID["job-3"]
-	gang.demand.cpu = 4
+	gang.demand.CPUs = 4
 	s.assign(gang, 0, m, 21, stateUnsent).committed = true
 	starts := commandsOf([]Effect{HeartbeatReply{Commands: s.buildCommands(m, 1, nil)}}, protocol.CommandStart)
 	if len(starts) != 1 || starts[0].Task != "job-3/0" {
@@ -396,7 +396,7 @@
 	free := 0.0
 	for _, m := range b.scheduler.inventory.sorted {
 		if m.reservedForGangs {
-			free += m.freeRoom().cpu
+			free += m.freeRoom().CPUs
 		}
 	}
 	if free < 4 {
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -412,10 +412,10 @@
 		}
 		switch {
 		case b.committed: // its room is kept, see commitGangs
-		case b.job.gang != nil || !size.fits(held.plus(b.job.demand)):
+		case b.job.gang != nil || !size.Fits(held.Plus(b.job.demand)):
 			continue // its room is not confirmed yet
 		default:
-			held = held.plus(b.job.demand)
+			held = held.Plus(b.job.demand)
 		}
 		b.state, b.assignedAt = stateSent, s.now
 		if tally == 0 {
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -80,7 +80,7 @@
 // demandOf is what n of its tasks take.
 func (j *job) demandOf(n int) resources {
 	k := float64(n)
-	return resources{k * j.demand.cpu, k * j.demand.gpu, k * j.demand.memory}
+	return resources{k * j.demand.CPUs, k * j.demand.Accelerators, k * j.demand.MemoryGB}
 }
 
 // withinTeamLimit tells whether its team's limit lets a task of it start now; of a gang, all that
@@ -143,13 +143,13 @@
 // fits tells whether the team may use that much more.
 func (t *team) fits(r resources) bool {
 	const eps = limits.Epsilon
-	return t.allocated.cpu+r.cpu <= t.cfg.CPUsMax+eps && t.allocated.gpu+r.gpu <= t.cfg.GPUsMax+eps
+	return t.allocated.CPUs+r.CPUs <= t.cfg.CPUsMax+eps && t.allocated.Accelerators+r.Accelerators <= t.cfg.GPUsMax+eps
 }
 
 // usesBorrowed tells whether the team uses more than its guarantee.
 func (t *team) usesBorrowed() bool {
 	const eps = limits.Epsilon
-	return t.allocated.cpu > t.cfg.CPUs+eps || t.allocated.gpu > t.cfg.GPUs+eps
+	return t.allocated.CPUs > t.cfg.CPUs+eps || t.allocated.Accelerators > t.cfg.GPUs+eps
 }
 
 func (s *Scheduler) class(name string) *jobClass {
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -103,7 +103,7 @@
 	if b.job.gang != nil {
 		s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, b.machine)
 	}
-	b.machine.releasing = b.machine.releasing.plus(b.job.demand)
+	b.machine.releasing = b.machine.releasing.Plus(b.job.demand)
 	s.log(false, "stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
 }
 
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -84,7 +84,7 @@
 
 // freeRoom is what may be promised: what is free, and what tasks that were told to stop will leave.
 // A start is sent only once the room is confirmed (see orders).
-func (m *machine) freeRoom() resources { return m.size().minus(m.allocated).plus(m.releasing) }
+func (m *machine) freeRoom() resources { return m.size().Minus(m.allocated).Plus(m.releasing) }
 
 // price is what the machine costs an hour.
 func (m *machine) price() float64 {
@@ -95,7 +95,7 @@
 }
 
 // pricePerCPU is the same for each of its CPUs.
-func (m *machine) pricePerCPU() float64 { return m.price() / max(m.size().cpu, 1) }
+func (m *machine) pricePerCPU() float64 { return m.price() / max(m.size().CPUs, 1) }
 
 // priceOf is what a machine of a type costs an hour.
 func priceOf(t *protocol.MachineType, spot bool) float64 {
@@ -130,7 +130,7 @@
 	if m.hasReported && m.firstReportAt > m.createdAt {
 		boot = (m.firstReportAt - m.createdAt).Seconds()
 	}
-	s.log(false, "machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().cpu, "life", life, "boot", boot,
+	s.log(false, "machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().CPUs, "life", life, "boot", boot,
 		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
 	delete(s.inventory.byName, m.name)
 	s.unregister(m)
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -54,7 +54,7 @@
 		if len(p.jobs) == 0 {
 			p.minDemand = j.demand
 		}
-		p.minDemand = p.minDemand.min(j.demand)
+		p.minDemand = p.minDemand.Min(j.demand)
 		p.jobs = append(p.jobs, j)
 	}
 	if len(p.jobs) == 0 && len(s.gangs.toRefill) == 0 {
@@ -95,9 +95,9 @@
 			continue
 		}
 		p.machines = append(p.machines, m)
-		if free := m.freeRoom(); free.fits(p.minDemand) {
+		if free := m.freeRoom(); free.Fits(p.minDemand) {
 			p.withFreeRoom = append(p.withFreeRoom, m)
-			p.maxFreeRoom = p.maxFreeRoom.max(free)
+			p.maxFreeRoom = p.maxFreeRoom.Max(free)
 		}
 	}
 	p.reservationsLeft = (len(p.machines) + limits.ReservedMachinesRatio - 1) / limits.ReservedMachinesRatio
@@ -114,7 +114,7 @@
 	if _, usable := slices.BinarySearchFunc(p.machines, m, byName); !usable {
 		return
 	}
-	p.maxFreeRoom = p.maxFreeRoom.max(m.freeRoom())
+	p.maxFreeRoom = p.maxFreeRoom.Max(m.freeRoom())
 	if i, ok := slices.BinarySearchFunc(p.withFreeRoom, m, byName); !ok {
 		p.withFreeRoom = slices.Insert(p.withFreeRoom, i, m)
 	}
@@ -131,7 +131,7 @@
 		ask.preempting = false
 	}
 	pressing := ask.preempting
-	if (common && p.unplaceable[ask]) || (!pressing && !p.maxFreeRoom.fits(j.demand)) {
+	if (common && p.unplaceable[ask]) || (!pressing && !p.maxFreeRoom.Fits(j.demand)) {
 		return
 	}
 	sh := s.collectCandidates(j, pressing)
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -56,8 +56,8 @@
 				left = b.job.estimate()
 				left = max(left-(s.now-b.runningSince).Seconds(), limits.MinRemainingShare*left)
 			}
-			o.usedCPUs += b.job.demand.cpu
-			o.busyCPUSeconds += left * b.job.demand.cpu
+			o.usedCPUs += b.job.demand.CPUs
+			o.busyCPUSeconds += left * b.job.demand.CPUs
 		}
 		offers = append(offers, o)
 	}
@@ -184,13 +184,13 @@
 		if !s.isSchedulable(m) || m.neededByGang || m.reservedForGangs { // what a gang waits for can't be made up for by room elsewhere
 			continue
 		}
-		total += m.size().cpu
-		used += m.allocated.cpu
+		total += m.size().CPUs
+		used += m.allocated.CPUs
 		ms = append(ms, m)
 	}
 	for _, j := range s.jobs.bySubmission {
 		if !j.cancelled {
-			waiting += float64(j.waitingTasks()) * j.demand.cpu
+			waiting += float64(j.waitingTasks()) * j.demand.CPUs
 		}
 	}
 	surplus := total - (used+waiting)*(1+s.cfg.Options.Fleet.Headroom)
@@ -199,12 +199,12 @@
 		if px, py := x.pricePerCPU(), y.pricePerCPU(); px != py {
 			return px > py
 		}
-		return x.allocated.cpu/max(x.size().cpu, 1) < y.allocated.cpu/max(y.size().cpu, 1)
+		return x.allocated.CPUs/max(x.size().CPUs, 1) < y.allocated.CPUs/max(y.size().CPUs, 1)
 	})
 	for _, m := range ms {
-		if free := m.freeRoom().cpu; free > 0 && m.size().cpu <= surplus && s.now > m.createdAt+limits.DrainAge {
+		if free := m.freeRoom().CPUs; free > 0 && m.size().CPUs <= surplus && s.now > m.createdAt+limits.DrainAge {
 			m.draining = true
-			surplus -= m.size().cpu
+			surplus -= m.size().CPUs
 		}
 	}
 }
@@ -237,7 +237,7 @@
 func (s *Scheduler) quickestBoot(j *job) float64 {
 	least := math.Inf(1)
 	for _, t := range s.catalog.byName {
-		if typeResources(t).fits(j.demand) && typeAllowed(&j.spec, t.Name) {
+		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
 			least = min(least, t.BootS*limits.BootEstimateFactor)
 		}
 	}
@@ -248,7 +248,7 @@
 	if o.machine != nil && (j.avoids(o.machine) || (o.machine.reservedForGangs && !j.mayUseGangReservation)) {
 		return false
 	}
-	return typeResources(o.machineType).fits(j.demand) && s.placementAllowed(j, o.pool.typeName, o.pool.zone, o.pool.spot)
+	return typeResources(o.machineType).Fits(j.demand) && s.placementAllowed(j, o.pool.typeName, o.pool.zone, o.pool.spot)
 }
 
 // planJob promises a job's waiting tasks to offers that can start them in time, and adds machines
@@ -256,8 +256,8 @@
 func (s *Scheduler) planJob(j *job, fresh map[machinePool]float64, may func(machinePool) int, all *[]*capacity) (left int) {
 	est, n := j.occupancy(), j.waitingTasks()
 	// What the team's limit keeps out needs no machine now.
-	if j.demand.cpu > 0 {
-		n = min(n, int((j.team.cfg.CPUsMax-j.team.allocated.cpu)/j.demand.cpu+limits.Epsilon))
+	if j.demand.CPUs > 0 {
+		n = min(n, int((j.team.cfg.CPUsMax-j.team.allocated.CPUs)/j.demand.CPUs+limits.Epsilon))
 	}
 	if n <= 0 || n < j.gangTasksToPlace() {
 		return 0
@@ -361,16 +361,16 @@
 
 // cpusPerTask is what a task is counted with where a machine holds so many of them.
 func (o *capacity) cpusPerTask(j *job, per int) float64 {
-	if j.demand.cpu > 0 {
-		return j.demand.cpu
+	if j.demand.CPUs > 0 {
+		return j.demand.CPUs
 	}
-	return typeResources(o.machineType).cpu / float64(per)
+	return typeResources(o.machineType).CPUs / float64(per)
 }
 
 // startableTasks is how many tasks of a job the offer can start within a time, of the number that
 // it holds; a fraction where tasks in use will be over by then.
 func (o *capacity) startableTasks(j *job, per int, within float64) float64 {
-	free := typeResources(o.machineType).cpu - o.usedCPUs
+	free := typeResources(o.machineType).CPUs - o.usedCPUs
 	if w := within - o.readyInS; w > 0 && o.busyCPUSeconds > 0 {
 		free += o.usedCPUs * min(1, w*o.usedCPUs/(2*o.busyCPUSeconds))
 	}
@@ -380,14 +380,14 @@
 // tasksThatFit is how many tasks fit at once.
 func tasksThatFit(size, need resources) int {
 	n := math.Inf(1)
-	if need.cpu > 0 {
-		n = min(n, size.cpu/need.cpu)
+	if need.CPUs > 0 {
+		n = min(n, size.CPUs/need.CPUs)
 	}
-	if need.gpu > 0 {
-		n = min(n, size.gpu/need.gpu)
+	if need.Accelerators > 0 {
+		n = min(n, size.Accelerators/need.Accelerators)
 	}
-	if need.memory > 0 {
-		n = min(n, size.memory/need.memory)
+	if need.MemoryGB > 0 {
+		n = min(n, size.MemoryGB/need.MemoryGB)
 	}
 	return int(min(n+limits.Epsilon, limits.MaxTasksPerMachine))
 }
--- a/internal/coordination/scheduler/plan_zones.go
+++ b/internal/coordination/scheduler/plan_zones.go
@@ -122,7 +122,7 @@
 	}
 	zones := map[string]bool{}
 	for _, t := range s.catalog.byName {
-		if !typeResources(t).fits(j.demand) || !typeAllowed(&j.spec, t.Name) {
+		if !typeResources(t).Fits(j.demand) || !typeAllowed(&j.spec, t.Name) {
 			continue
 		}
 		for _, zone := range t.Zones {
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -20,8 +20,8 @@
 		if j.cancelled {
 			n = 0
 		}
-		c := j.team.claimed.plus(resources{cpu: n * j.demand.cpu, gpu: n * j.demand.gpu})
-		j.guaranteed = c.cpu <= j.team.cfg.CPUs+eps && c.gpu <= j.team.cfg.GPUs+eps
+		c := j.team.claimed.Plus(resources{CPUs: n * j.demand.CPUs, Accelerators: n * j.demand.Accelerators})
+		j.guaranteed = c.CPUs <= j.team.cfg.CPUs+eps && c.Accelerators <= j.team.cfg.GPUs+eps
 		j.team.claimed = c
 	}
 }
@@ -55,7 +55,7 @@
 		c := queueEntry{job: j}
 		j.mayUseGangReservation = s.mayUseGangReservation(j) // all of its tasks, until the order is made anew
 		c.slack, c.late = s.slack(j)
-		c.work = float64(j.waitingTasks()) * j.estimate() * j.demand.cpu *
+		c.work = float64(j.waitingTasks()) * j.estimate() * j.demand.CPUs *
 			(min(c.slack, limits.SlackCap) + limits.SlackBase).Seconds()
 		cs = append(cs, c)
 	}
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -210,7 +210,7 @@
 	c := b.job.class
 	c.fetchSamples++
 	c.fetchSeconds += max(1/float64(c.fetchSamples), limits.LearnWeight) * ((s.now - b.assignedAt).Seconds() - c.fetchSeconds)
-	b.machine.fetchCPUSeconds += (s.now - b.assignedAt).Seconds() * b.job.demand.cpu
+	b.machine.fetchCPUSeconds += (s.now - b.assignedAt).Seconds() * b.job.demand.CPUs
 	b.machine.cachedImages[b.job.spec.Image] = s.now
 }
 
@@ -228,7 +228,7 @@
 	case protocol.ReasonDone:
 		m.cachedImages[j.spec.Image] = s.now
 		m.consecutiveFailures, m.failedJobs = 0, map[string]bool{}
-		m.usefulCPUSeconds += ran * j.demand.cpu
+		m.usefulCPUSeconds += ran * j.demand.CPUs
 		if !j.cancelled {
 			x.job = j
 			known := j.gang != nil && getBit(j.doneBits, idx)
@@ -238,15 +238,15 @@
 			}
 		}
 	case protocol.ReasonError:
-		m.wastedCPUSeconds += ran * j.demand.cpu
+		m.wastedCPUSeconds += ran * j.demand.CPUs
 		s.log(true, "task failed", "job", j.id, "task", idx, "attempt", t.Attempt, "machine", m.name)
 		s.recordFailure(j, m)
 	case protocol.ReasonPeers, protocol.ReasonIncomplete:
 		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
-		m.wastedCPUSeconds += ran * j.demand.cpu
+		m.wastedCPUSeconds += ran * j.demand.CPUs
 		s.log(false, "gang's task ended", "job", j.id, "task", idx, "attempt", t.Attempt, "machine", m.name, "reason", t.Reason)
 	case protocol.ReasonStopped:
-		m.wastedCPUSeconds += ran * j.demand.cpu
+		m.wastedCPUSeconds += ran * j.demand.CPUs
 		if b.stopping && b.stopReason != "cancelled" {
 			j.stopCounts[idx]++
 		}
--- a/internal/coordination/scheduler/resources.go
+++ b/internal/coordination/scheduler/resources.go
@@ -3,27 +3,27 @@
 import "quillshunt/internal/limits"
 
 // resources is an amount of what machines have and tasks take.
-type resources struct{ cpu, gpu, memory float64 }
+type resources struct{ CPUs, Accelerators, MemoryGB float64 }
 
-func (a resources) plus(b resources) resources {
-	return resources{a.cpu + b.cpu, a.gpu + b.gpu, a.memory + b.memory}
+func (a resources) Plus(b resources) resources {
+	return resources{a.CPUs + b.CPUs, a.Accelerators + b.Accelerators, a.MemoryGB + b.MemoryGB}
 }
-func (a resources) minus(b resources) resources {
-	return resources{a.cpu - b.cpu, a.gpu - b.gpu, a.memory - b.memory}
+func (a resources) Minus(b resources) resources {
+	return resources{a.CPUs - b.CPUs, a.Accelerators - b.Accelerators, a.MemoryGB - b.MemoryGB}
 }
 
-// max is the larger of both in each resource.
-func (a resources) max(b resources) resources {
-	return resources{max(a.cpu, b.cpu), max(a.gpu, b.gpu), max(a.memory, b.memory)}
+// Max is the larger of both in each resource.
+func (a resources) Max(b resources) resources {
+	return resources{max(a.CPUs, b.CPUs), max(a.Accelerators, b.Accelerators), max(a.MemoryGB, b.MemoryGB)}
 }
 
-// min is the smaller of both in each resource.
-func (a resources) min(b resources) resources {
-	return resources{min(a.cpu, b.cpu), min(a.gpu, b.gpu), min(a.memory, b.memory)}
+// Min is the smaller of both in each resource.
+func (a resources) Min(b resources) resources {
+	return resources{min(a.CPUs, b.CPUs), min(a.Accelerators, b.Accelerators), min(a.MemoryGB, b.MemoryGB)}
 }
 
-// fits tells whether b fits into a, but for rounding.
-func (a resources) fits(b resources) bool {
+// Fits tells whether b fits into a, but for rounding.
+func (a resources) Fits(b resources) bool {
 	const eps = limits.Epsilon
-	return b.cpu <= a.cpu+eps && b.gpu <= a.gpu+eps && b.memory <= a.memory+eps
+	return b.CPUs <= a.CPUs+eps && b.Accelerators <= a.Accelerators+eps && b.MemoryGB <= a.MemoryGB+eps
 }
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -52,10 +52,10 @@
 	v := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.ended}
 	for _, m := range s.inventory.sorted {
 		v.Machines = append(v.Machines, MachineView{Name: m.name, Type: m.typeName, Zone: m.zone, Spot: m.spot, State: s.machineState(m),
-			CPUs: m.size().cpu, UsedCPUs: m.allocated.cpu, Tasks: len(m.assignments), SilentFor: s.now - max(m.lastHeartbeatAt, s.termStartedAt)})
+			CPUs: m.size().CPUs, UsedCPUs: m.allocated.CPUs, Tasks: len(m.assignments), SilentFor: s.now - max(m.lastHeartbeatAt, s.termStartedAt)})
 	}
 	for _, t := range s.cfg.Teams {
-		tv := TeamView{Name: t.Name, UsedCPUs: s.jobs.teams[t.Name].allocated.cpu, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
+		tv := TeamView{Name: t.Name, UsedCPUs: s.jobs.teams[t.Name].allocated.CPUs, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
 		for _, j := range s.jobs.bySubmission {
 			if j.team == s.jobs.teams[t.Name] && !j.cancelled {
 				tv.Jobs++
@@ -118,7 +118,7 @@
 		add("failed on %d machines with no success between; tried again in %v", len(j.failedMachines), (j.retryAt - s.now).Round(time.Second))
 	}
 	if !j.withinTeamLimit() {
-		add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.cpu, j.team.cfg.CPUsMax)
+		add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.CPUs, j.team.cfg.CPUsMax)
 	}
 	usable, allowed, room := 0, 0, 0
 	for _, m := range s.inventory.sorted {
@@ -130,7 +130,7 @@
 			continue
 		}
 		allowed++
-		if m.freeRoom().fits(j.demand) {
+		if m.freeRoom().Fits(j.demand) {
 			room++
 		}
 	}
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -14,7 +14,7 @@
 		return nil, true
 	}
 	options := s.preemptionOptions(j, c.machine, planned)
-	set := cheapestVictims(options, j.demand.minus(planned.freeRoom(c.machine)))
+	set := cheapestVictims(options, j.demand.Minus(planned.freeRoom(c.machine)))
 	if set == nil {
 		return nil, false
 	}
@@ -40,7 +40,7 @@
 			continue
 		}
 		if i, seen := gangs[b.job]; seen {
-			out[i].resources = out[i].resources.plus(b.job.demand)
+			out[i].resources = out[i].resources.Plus(b.job.demand)
 			continue
 		}
 		gangs[b.job] = len(out)
@@ -83,7 +83,7 @@
 			ran -= b.job.spec.CheckpointS
 		}
 	}
-	return (ran + 1) * b.job.demand.cpu * (1 + s.cfg.Options.Preemption.RestartWeight*float64(b.job.stopCounts[b.index]))
+	return (ran + 1) * b.job.demand.CPUs * (1 + s.cfg.Options.Preemption.RestartWeight*float64(b.job.stopCounts[b.index]))
 }
 
 // preemptionOption is a task that may be stopped.
@@ -97,7 +97,7 @@
 // resource, or nil. Up to a cutoff every set is tried, else tasks are added by least loss per unit
 // of room.
 func cheapestVictims(options []preemptionOption, short resources) []int {
-	covered := func(have resources) bool { return have.fits(short) }
+	covered := func(have resources) bool { return have.Fits(short) }
 	if len(options) <= limits.VictimCutoff {
 		bestLoss, best := 0.0, -1
 		for set := 1; set < 1<<len(options); set++ {
@@ -105,7 +105,7 @@
 			loss := 0.0
 			for i := range options {
 				if set>>i&1 != 0 {
-					have = have.plus(options[i].resources)
+					have = have.Plus(options[i].resources)
 					loss += options[i].cost
 				}
 			}
@@ -126,14 +126,14 @@
 	}
 	unit := func(v *preemptionOption) float64 {
 		u := 0.0
-		if short.cpu > 0 {
-			u += min(v.resources.cpu, short.cpu) / short.cpu
+		if short.CPUs > 0 {
+			u += min(v.resources.CPUs, short.CPUs) / short.CPUs
 		}
-		if short.gpu > 0 {
-			u += min(v.resources.gpu, short.gpu) / short.gpu
+		if short.Accelerators > 0 {
+			u += min(v.resources.Accelerators, short.Accelerators) / short.Accelerators
 		}
-		if short.memory > 0 {
-			u += min(v.resources.memory, short.memory) / short.memory
+		if short.MemoryGB > 0 {
+			u += min(v.resources.MemoryGB, short.MemoryGB) / short.MemoryGB
 		}
 		return max(u, limits.Epsilon)
 	}
@@ -151,7 +151,7 @@
 		if covered(have) {
 			break
 		}
-		have = have.plus(options[i].resources)
+		have = have.Plus(options[i].resources)
 		out = append(out, i)
 	}
 	if !covered(have) {
@@ -159,7 +159,7 @@
 	}
 	// Drop what turned out not to be needed, the dearest first.
 	for k := len(out) - 1; k >= 0; k-- {
-		if less := have.minus(options[out[k]].resources); covered(less) {
+		if less := have.Minus(options[out[k]].resources); covered(less) {
 			have = less
 			out = append(out[:k], out[k+1:]...)
 		}
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -26,7 +26,7 @@
 			var r resources
 			loss := 0.0
 			for _, i := range set {
-				r, loss = r.plus(options[i].resources), loss+options[i].cost
+				r, loss = r.Plus(options[i].resources), loss+options[i].cost
 			}
 			return r, loss
 		}
@@ -38,7 +38,7 @@
 					set = append(set, i)
 				}
 			}
-			if r, loss := sum(set); r.fits(short) && (best < 0 || loss < best) {
+			if r, loss := sum(set); r.Fits(short) && (best < 0 || loss < best) {
 				best = loss
 			}
 		}
@@ -50,12 +50,12 @@
 			return
 		}
 		r, loss := sum(got)
-		if !r.fits(short) || (n <= limits.VictimCutoff && loss > best) {
+		if !r.Fits(short) || (n <= limits.VictimCutoff && loss > best) {
 			t.Fatalf("got %v: %+v loss %v, best %v, short %+v", got, r, loss, best, short)
 		}
 		for k := range got {
 			rest := append(append([]int(nil), got[:k]...), got[k+1:]...)
-			if r, _ := sum(rest); n > limits.VictimCutoff && r.fits(short) {
+			if r, _ := sum(rest); n > limits.VictimCutoff && r.Fits(short) {
 				t.Fatalf("task %d of %v is not needed", got[k], got)
 			}
 		}
@@ -87,7 +87,7 @@
 func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Scheduler{environment: &environment{}}
-		teams := []*team{{cfg: config.Team{CPUs: 1}, allocated: resources{cpu: 5}}, {cfg: config.Team{CPUs: 9}, allocated: resources{cpu: 5}}}
+		teams := []*team{{cfg: config.Team{CPUs: 1}, allocated: resources{CPUs: 5}}, {cfg: config.Team{CPUs: 9}, allocated: resources{CPUs: 5}}}
 		draw := func(name string) *assignment {
 			return &assignment{state: stateRunning, job: &job{team: teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
 				priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, name+" urgency")), guaranteed: rapid.Bool().Draw(t, name+" guaranteed")}}
@@ -129,7 +129,7 @@
 	// Free room needs no look.
 	b = newSchedulerFixture(t, 1)
 	b.report(0)
-	b.scheduler.placement.nextPreemptionSearch[placementRequest{demand: resources{cpu: 4, memory: 1}, team: b.scheduler.jobs.teams["red"], priority: protocol.High, guaranteed: true, preempting: true}] = time.Hour
+	b.scheduler.placement.nextPreemptionSearch[placementRequest{demand: resources{CPUs: 4, MemoryGB: 1}, team: b.scheduler.jobs.teams["red"], priority: protocol.High, guaranteed: true, preempting: true}] = time.Hour
 	b.job("job-2", "red", "high", 1, 4, 13)
 	if len(b.scheduler.jobs.byID["job-2"].assignments) != 1 {
 		t.Error("not placed where there is room")
