--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -89,7 +89,7 @@
 			rsp.Respond(405, nil, 0)
 			return
 		}
-		if !rsp.FromMachine() {
+		if !rsp.ClaimMachineSlot() {
 			rsp.Respond(503, nil, 0)
 			return
 		}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -21,10 +21,10 @@
 
 // Dial makes a connection, within DialTimeout.
 func (d Dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	return d.dialWithin(ctx, addr, limits.DialTimeout)
+	return d.dialTimeout(ctx, addr, limits.DialTimeout)
 }
 
-func (d Dialer) dialWithin(ctx context.Context, addr string, limit time.Duration) (net.Conn, error) {
+func (d Dialer) dialTimeout(ctx context.Context, addr string, limit time.Duration) (net.Conn, error) {
 	if d == nil {
 		tcp := net.Dialer{Timeout: limit, KeepAlive: -1}
 		return tcp.DialContext(ctx, "tcp", addr)
@@ -36,30 +36,30 @@
 
 // Client calls one HTTP server over a small set of kept connections.
 type Client struct {
-	addr    string
-	maxBody int
-	idle    chan *outbound
-	sockets *SocketBudget // or nil
-	dialer  Dialer
-	dial    time.Duration // longest wait for a connection
+	addr        string
+	maxBody     int
+	idle        chan *clientConn
+	sockets     *SocketBudget // or nil
+	dialer      Dialer
+	dialTimeout time.Duration // longest wait for a connection
 }
 
-type outbound struct {
+type clientConn struct {
 	conn    net.Conn
 	raw     syscall.RawConn
-	dec     *Decoder
-	buf     []byte
+	decoder *Decoder
+	buffer  []byte
 	sockets *SocketBudget
 }
 
-func (o *outbound) close() {
+func (o *clientConn) close() {
 	_ = o.conn.Close()
-	o.sockets.released()
+	o.sockets.releaseOutbound()
 }
 
 // NewClient returns a client that keeps up to keep idle connections.
 func NewClient(addr string, keep, maxBody int) *Client {
-	return &Client{addr: addr, maxBody: maxBody, idle: make(chan *outbound, keep), dial: limits.DialTimeout}
+	return &Client{addr: addr, maxBody: maxBody, idle: make(chan *clientConn, keep), dialTimeout: limits.DialTimeout}
 }
 
 // WithSockets makes the client's connections count among the sockets. It is called before the first use.
@@ -77,7 +77,7 @@
 // WithDialTimeout sets how long it waits for a connection instead of DialTimeout. It is called
 // before the first use.
 func (c *Client) WithDialTimeout(limit time.Duration) *Client {
-	c.dial = limit
+	c.dialTimeout = limit
 	return c
 }
 
@@ -89,7 +89,7 @@
 // means that the request may have been carried out, or may still be.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Message, error) {
 	req := AppendRequest(nil, method, target, c.addr, body)
-	o, err := c.take(ctx)
+	o, err := c.acquire(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 		o.close()
 		return nil, fmt.Errorf("%s %s%s: %w", method, c.addr, target, err)
 	}
-	if m.Close || o.dec.Buffered() > 0 {
+	if m.Close || o.decoder.Buffered() > 0 {
 		o.close()
 		return m, nil
 	}
@@ -110,12 +110,12 @@
 	return m, nil
 }
 
-// take returns a kept connection that is still open, or a new one.
-func (c *Client) take(ctx context.Context) (*outbound, error) {
+// acquire returns a kept connection that is still open, or a new one.
+func (c *Client) acquire(ctx context.Context) (*clientConn, error) {
 	for {
 		select {
 		case o := <-c.idle:
-			if o.alive() {
+			if o.isOpen() {
 				return o, nil
 			}
 			o.close()
@@ -124,15 +124,15 @@
 		}
 		break
 	}
-	if !c.sockets.make() {
+	if !c.sockets.acquireOutbound() {
 		return nil, fmt.Errorf("dial %s: %w", c.addr, ErrSocketBudget)
 	}
-	conn, err := c.dialer.dialWithin(ctx, c.addr, c.dial)
+	conn, err := c.dialer.dialTimeout(ctx, c.addr, c.dialTimeout)
 	if err != nil {
-		c.sockets.released()
+		c.sockets.releaseOutbound()
 		return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
 	}
-	o := &outbound{conn: conn, dec: NewResponseDecoder(c.maxBody), buf: make([]byte, limits.ReadBytes), sockets: c.sockets}
+	o := &clientConn{conn: conn, decoder: NewResponseDecoder(c.maxBody), buffer: make([]byte, limits.ReadBytes), sockets: c.sockets}
 	if o.raw, err = rawConn(conn); err != nil {
 		o.close()
 		return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
@@ -140,22 +140,22 @@
 	return o, nil
 }
 
-// alive looks whether the other side has closed a kept connection meanwhile, so that a request is
+// isOpen looks whether the other side has closed a kept connection meanwhile, so that a request is
 // not lost on it. An idle connection has nothing to read; bytes on it are as bad as its end.
-func (o *outbound) alive() bool {
+func (o *clientConn) isOpen() bool {
 	if o.raw == nil {
 		return true
 	}
 	open := false
 	err := o.raw.Read(func(fd uintptr) bool {
-		_, errno := readSocket(fd, o.buf[:1])
+		_, errno := readSocket(fd, o.buffer[:1])
 		open = errno == syscall.EAGAIN
 		return true
 	})
 	return err == nil && open
 }
 
-func (o *outbound) exchange(ctx context.Context, req []byte) (*Message, error) {
+func (o *clientConn) exchange(ctx context.Context, req []byte) (*Message, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(limits.CloudTimeout)
@@ -166,24 +166,24 @@
 	// A cancelled context ends the wait at once.
 	stop := context.AfterFunc(ctx, func() { _ = o.conn.SetDeadline(time.Now().Add(-time.Second)) })
 	defer stop()
-	m, err := o.converse(req)
+	m, err := o.roundTrip(req)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return o.arrived(err)
+		return o.answerAfterDeadline(err)
 	}
 	return m, err
 }
 
-// converse sends a request and reads the answer.
-func (o *outbound) converse(req []byte) (*Message, error) {
+// roundTrip sends a request and reads the answer.
+func (o *clientConn) roundTrip(req []byte) (*Message, error) {
 	if o.raw != nil {
-		return o.converseOnSocket(req)
+		return o.roundTripOnSocket(req)
 	}
 	if _, err := o.conn.Write(req); err != nil {
 		return nil, fmt.Errorf("write: %w", err)
 	}
 	for {
-		n, err := o.conn.Read(o.buf)
-		m, derr := o.decode(n, err == io.EOF)
+		n, err := o.conn.Read(o.buffer)
+		m, derr := o.feed(n, err == io.EOF)
 		if m != nil || derr != nil {
 			return m, derr
 		}
@@ -193,10 +193,10 @@
 	}
 }
 
-// converseOnSocket does the same with two system calls: the request is written after the poller has
+// roundTripOnSocket does the same with two system calls: the request is written after the poller has
 // been told that this goroutine will wait, and nothing is read before the poller says that there is
 // something.
-func (o *outbound) converseOnSocket(req []byte) (m *Message, err error) {
+func (o *clientConn) roundTripOnSocket(req []byte) (m *Message, err error) {
 	sent := false
 	waitErr := o.raw.Read(func(fd uintptr) bool {
 		if !sent {
@@ -213,7 +213,7 @@
 	return m, err
 }
 
-func (o *outbound) sendOnSocket(fd uintptr, req []byte) error {
+func (o *clientConn) sendOnSocket(fd uintptr, req []byte) error {
 	n, errno := writeSocket(fd, req)
 	if errno != 0 && errno != syscall.EAGAIN {
 		return fmt.Errorf("write: %w", errno)
@@ -226,44 +226,44 @@
 }
 
 // receiveOnSocket takes what has arrived. It returns neither a message nor an error if more has to come.
-func (o *outbound) receiveOnSocket(fd uintptr) (*Message, error) {
+func (o *clientConn) receiveOnSocket(fd uintptr) (*Message, error) {
 	for {
-		n, errno := readSocket(fd, o.buf)
+		n, errno := readSocket(fd, o.buffer)
 		switch {
 		case errno == syscall.EAGAIN:
 			return nil, nil
 		case errno != 0:
 			return nil, fmt.Errorf("read: %w", errno)
 		}
-		m, err := o.decode(n, n == 0)
-		if m != nil || err != nil || n < len(o.buf) {
+		m, err := o.feed(n, n == 0)
+		if m != nil || err != nil || n < len(o.buffer) {
 			return m, err
 		}
 	}
 }
 
-// decode hands the first n bytes of the buffer to the decoder, or the end of the stream.
-func (o *outbound) decode(n int, end bool) (*Message, error) {
+// feed hands the first n bytes of the buffer to the decoder, or the end of the stream.
+func (o *clientConn) feed(n int, end bool) (*Message, error) {
 	if n > 0 {
-		o.dec.Feed(o.buf[:n])
-		if m, err := o.dec.Next(); m != nil || err != nil {
+		o.decoder.Feed(o.buffer[:n])
+		if m, err := o.decoder.Next(); m != nil || err != nil {
 			return m, err
 		}
 	}
 	if !end {
 		return nil, nil
 	}
-	m, err := o.dec.EOF()
+	m, err := o.decoder.EOF()
 	if err != nil {
 		return nil, fmt.Errorf("read: %w", io.ErrUnexpectedEOF)
 	}
 	return m, nil
 }
 
-// arrived looks, after a deadline, whether the answer has come all the same: a process that gets
+// answerAfterDeadline looks, after a deadline, whether the answer has come all the same: a process that gets
 // less of its processor than it needs may be late to read it. To take that for silence of the other
 // side would make an overloaded leader give up its lease. late is the error where nothing has come.
-func (o *outbound) arrived(late error) (m *Message, err error) {
+func (o *clientConn) answerAfterDeadline(late error) (m *Message, err error) {
 	if o.raw == nil {
 		return nil, late
 	}
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -13,24 +13,24 @@
 // TestAnswerBeforeDeadline: an answer that was there before the deadline is taken, although the
 // process came to read it only after that.
 func TestAnswerBeforeDeadline(t *testing.T) {
-	server := listening(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, []byte("held"), 0) }})
+	server := startServer(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, []byte("held"), 0) }})
 	c := NewClient(server.Addr, 1, limits.MaxBodyBytes)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	o, err := c.take(ctx)
+	o, err := c.acquire(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer o.close()
 	late := os.ErrDeadlineExceeded
-	if m, err := o.arrived(late); m != nil || !errors.Is(err, late) {
+	if m, err := o.answerAfterDeadline(late); m != nil || !errors.Is(err, late) {
 		t.Fatalf("nothing was asked: %v, %v", m, err)
 	}
 	if _, err := o.conn.Write(AppendRequest(nil, "GET", "/", server.Addr, nil)); err != nil {
 		t.Fatal(err)
 	}
 	for ctx.Err() == nil {
-		m, err := o.arrived(late)
+		m, err := o.answerAfterDeadline(late)
 		if m != nil {
 			if string(m.Body) != "held" || !m.Close {
 				t.Errorf("answer %q, connection ends: %v", m.Body, m.Close)
@@ -48,7 +48,7 @@
 // TestLargeRequest: a request that the socket does not take at once is sent whole, and the
 // connection can be used again.
 func TestLargeRequest(t *testing.T) {
-	server := listening(t, &Server{MaxConns: 10, Handle: func(req *Message, r *Responder) { r.Respond(200, req.Body, 0) }})
+	server := startServer(t, &Server{MaxConns: 10, Handle: func(req *Message, r *Responder) { r.Respond(200, req.Body, 0) }})
 	c := NewClient(server.Addr, 1, limits.MaxBodyBytes)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -11,54 +11,54 @@
 	"quillshunt/internal/limits"
 )
 
-// events is what a server does on gnet's events. OnTick has a goroutine of its own, so each takes
+// eventHandler is what a server does on gnet's events. OnTick has a goroutine of its own, so each takes
 // the server's turn.
-type events struct {
+type eventHandler struct {
 	gnet.BuiltinEventEngine
-	s   *Server
-	ctx context.Context
+	server *Server
+	ctx    context.Context
 }
 
 // OnBoot ends the loop with the context.
-func (e *events) OnBoot(engine gnet.Engine) gnet.Action {
+func (e *eventHandler) OnBoot(engine gnet.Engine) gnet.Action {
 	context.AfterFunc(e.ctx, func() { _ = engine.Stop(context.Background()) })
 	return gnet.None
 }
 
 // OnOpen takes a connection, or closes it if there are too many.
-func (e *events) OnOpen(ec gnet.Conn) ([]byte, gnet.Action) {
-	s := e.s
-	s.turn.Lock()
-	defer s.turn.Unlock()
-	if len(s.conns) >= s.MaxConns || !s.Sockets.admit() {
+func (e *eventHandler) OnOpen(ec gnet.Conn) ([]byte, gnet.Action) {
+	s := e.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.conns) >= s.MaxConns || !s.Sockets.acquireInbound() {
 		return nil, gnet.Close
 	}
-	c := &inbound{dec: NewRequestDecoder(limits.MaxBodyBytes), last: time.Now()}
+	c := &serverConn{decoder: NewRequestDecoder(limits.MaxBodyBytes), lastActive: time.Now()}
 	ec.SetContext(c)
 	s.conns[ec] = c
 	return nil, gnet.None
 }
 
 // OnClose forgets a connection.
-func (e *events) OnClose(ec gnet.Conn, _ error) gnet.Action {
-	s := e.s
-	s.turn.Lock()
-	defer s.turn.Unlock()
+func (e *eventHandler) OnClose(ec gnet.Conn, _ error) gnet.Action {
+	s := e.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if c := s.conns[ec]; c != nil {
 		delete(s.conns, ec)
-		s.Sockets.leave()
-		if c.fleet {
-			s.fleet--
+		s.Sockets.releaseInbound()
+		if c.fromMachine {
+			s.machineConns--
 		}
 	}
 	return gnet.None
 }
 
 // OnTraffic takes what has arrived on a connection, or writes an answer for which the loop was woken.
-func (e *events) OnTraffic(ec gnet.Conn) gnet.Action {
-	e.s.turn.Lock()
-	defer e.s.turn.Unlock()
-	c, ok := ec.Context().(*inbound)
+func (e *eventHandler) OnTraffic(ec gnet.Conn) gnet.Action {
+	e.server.mu.Lock()
+	defer e.server.mu.Unlock()
+	c, ok := ec.Context().(*serverConn)
 	if !ok || c.closing {
 		return gnet.Close
 	}
@@ -69,7 +69,7 @@
 	if len(in) > 0 && ec.OutboundBuffered() > 0 {
 		return gnet.Close // it asks on and does not read its answers, which must not pile up here
 	}
-	out, action := e.s.data(ec, c, in)
+	out, action := e.server.handleBytes(ec, c, in)
 	if len(out) == 0 {
 		return action
 	}
@@ -80,18 +80,18 @@
 }
 
 // OnTick sweeps.
-func (e *events) OnTick() (time.Duration, gnet.Action) {
-	e.s.turn.Lock()
-	defer e.s.turn.Unlock()
-	e.s.sweep()
+func (e *eventHandler) OnTick() (time.Duration, gnet.Action) {
+	e.server.mu.Lock()
+	defer e.server.mu.Unlock()
+	e.server.closeIdle()
 	return limits.ConnSweepInterval, gnet.None
 }
 
-// logger hands gnet's log lines on.
-type logger struct{ log *slog.Logger }
+// gnetLogger hands gnet's log lines on.
+type gnetLogger struct{ logger *slog.Logger }
 
-func (l logger) Debugf(format string, args ...any) { l.log.Debug(fmt.Sprintf(format, args...)) }
-func (l logger) Infof(format string, args ...any)  { l.log.Debug(fmt.Sprintf(format, args...)) }
-func (l logger) Warnf(format string, args ...any)  { l.log.Warn(fmt.Sprintf(format, args...)) }
-func (l logger) Errorf(format string, args ...any) { l.log.Warn(fmt.Sprintf(format, args...)) }
-func (l logger) Fatalf(format string, args ...any) { l.log.Error(fmt.Sprintf(format, args...)) }
+func (l gnetLogger) Debugf(format string, args ...any) { l.logger.Debug(fmt.Sprintf(format, args...)) }
+func (l gnetLogger) Infof(format string, args ...any)  { l.logger.Debug(fmt.Sprintf(format, args...)) }
+func (l gnetLogger) Warnf(format string, args ...any)  { l.logger.Warn(fmt.Sprintf(format, args...)) }
+func (l gnetLogger) Errorf(format string, args ...any) { l.logger.Warn(fmt.Sprintf(format, args...)) }
+func (l gnetLogger) Fatalf(format string, args ...any) { l.logger.Error(fmt.Sprintf(format, args...)) }
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -45,16 +45,16 @@
 
 // Decoder reads messages from a byte stream in pieces of any size.
 type Decoder struct {
-	response bool
-	maxBody  int
-	buf      []byte
-	begun    bool // the line before a request was dealt with
-	scanned  int  // bytes of buf already searched for the end of the head
-	phase    phase
-	msg      *Message
-	need     int // bytes still to come in this body or chunk
-	trailer  int
-	err      error
+	response           bool
+	maxBody            int
+	buffer             []byte
+	leadingLineSkipped bool // the line before a request was dealt with
+	scanned            int  // bytes of buf already searched for the end of the head
+	phase              phase
+	message            *Message
+	remaining          int // bytes still to come in this body or chunk
+	trailerBytes       int
+	err                error
 }
 
 // NewRequestDecoder reads requests.
@@ -64,13 +64,13 @@
 func NewResponseDecoder(maxBody int) *Decoder { return &Decoder{response: true, maxBody: maxBody} }
 
 // Feed adds bytes from the stream.
-func (d *Decoder) Feed(p []byte) { d.buf = append(d.buf, p...) }
+func (d *Decoder) Feed(p []byte) { d.buffer = append(d.buffer, p...) }
 
 // Buffered is how many bytes wait to be parsed.
-func (d *Decoder) Buffered() int { return len(d.buf) }
+func (d *Decoder) Buffered() int { return len(d.buffer) }
 
 // Started reports whether part of a message has arrived.
-func (d *Decoder) Started() bool { return len(d.buf) > 0 || d.phase != phaseHead }
+func (d *Decoder) Started() bool { return len(d.buffer) > 0 || d.phase != phaseHead }
 
 // Next returns the next whole message, or nil if more bytes are needed. After
 // an error the stream is of no further use.
@@ -81,11 +81,11 @@
 	m, err := d.next()
 	if err != nil {
 		d.err = err
-		d.buf = nil
+		d.buffer = nil
 		return nil, err
 	}
-	if m != nil && len(d.buf) == 0 {
-		d.buf = nil // do not keep a large buffer for an idle connection
+	if m != nil && len(d.buffer) == 0 {
+		d.buffer = nil // do not keep a large buffer for an idle connection
 	}
 	return m, nil
 }
@@ -97,9 +97,9 @@
 		return nil, d.err
 	}
 	if d.phase == phaseUntilClose {
-		m := d.msg
+		m := d.message
 		m.Close = true
-		m.Body = append(m.Body, d.buf...)
+		m.Body = append(m.Body, d.buffer...)
 		if len(m.Body) > d.maxBody {
 			return nil, ErrTooLarge
 		}
@@ -110,11 +110,11 @@
 }
 
 func (d *Decoder) reset() {
-	d.phase, d.msg, d.need, d.scanned, d.trailer, d.begun = phaseHead, nil, 0, 0, 0, false
+	d.phase, d.message, d.remaining, d.scanned, d.trailerBytes, d.leadingLineSkipped = phaseHead, nil, 0, 0, 0, false
 }
 
 func (d *Decoder) finish() *Message {
-	m := d.msg
+	m := d.message
 	d.reset()
 	return m
 }
@@ -153,18 +153,18 @@
 func (d *Decoder) readHead() (m *Message, more bool, err error) {
 	// One empty line before a request is tolerated, as the standard asks. It is decided before
 	// anything else is looked at, so that it does not matter in which pieces it comes.
-	if !d.response && !d.begun {
-		if len(d.buf) == 0 || (len(d.buf) == 1 && d.buf[0] == '\r') {
+	if !d.response && !d.leadingLineSkipped {
+		if len(d.buffer) == 0 || (len(d.buffer) == 1 && d.buffer[0] == '\r') {
 			return nil, false, nil
 		}
-		d.buf = bytes.TrimPrefix(d.buf, []byte("\r\n"))
-		d.begun = true
+		d.buffer = bytes.TrimPrefix(d.buffer, []byte("\r\n"))
+		d.leadingLineSkipped = true
 	}
 	from := max(0, d.scanned-3)
-	i := bytes.Index(d.buf[from:], []byte("\r\n\r\n"))
+	i := bytes.Index(d.buffer[from:], []byte("\r\n\r\n"))
 	if i < 0 {
-		d.scanned = len(d.buf)
-		if len(d.buf) > limits.MaxHeadBytes {
+		d.scanned = len(d.buffer)
+		if len(d.buffer) > limits.MaxHeadBytes {
 			return nil, false, ErrTooLarge
 		}
 		return nil, false, nil
@@ -173,10 +173,10 @@
 	if end > limits.MaxHeadBytes {
 		return nil, false, ErrTooLarge
 	}
-	if err := d.head(d.buf[:end]); err != nil {
+	if err := d.parseHead(d.buffer[:end]); err != nil {
 		return nil, false, err
 	}
-	d.buf = d.buf[end+4:]
+	d.buffer = d.buffer[end+4:]
 	d.scanned = 0
 	if d.phase == phaseHead { // no body
 		return d.finish(), false, nil
@@ -185,75 +185,75 @@
 }
 
 func (d *Decoder) readLength() (m *Message, more bool, err error) {
-	if len(d.buf) < d.need {
+	if len(d.buffer) < d.remaining {
 		return nil, false, nil
 	}
-	d.msg.Body = append([]byte(nil), d.buf[:d.need]...)
-	d.buf = d.buf[d.need:]
+	d.message.Body = append([]byte(nil), d.buffer[:d.remaining]...)
+	d.buffer = d.buffer[d.remaining:]
 	return d.finish(), false, nil
 }
 
 func (d *Decoder) readChunkSize() (m *Message, more bool, err error) {
-	i := bytes.Index(d.buf, []byte("\r\n"))
-	if i > limits.MaxChunkLine || (i < 0 && len(d.buf) > limits.MaxChunkLine) {
+	i := bytes.Index(d.buffer, []byte("\r\n"))
+	if i > limits.MaxChunkLine || (i < 0 && len(d.buffer) > limits.MaxChunkLine) {
 		return nil, false, ErrMalformed
 	}
 	if i < 0 {
 		return nil, false, nil
 	}
-	n, err := chunkSize(d.buf[:i])
+	n, err := parseChunkSize(d.buffer[:i])
 	if err != nil {
 		return nil, false, err
 	}
-	d.buf = d.buf[i+2:]
+	d.buffer = d.buffer[i+2:]
 	if n == 0 {
 		d.phase = phaseTrailer
 		return nil, true, nil
 	}
-	if n > d.maxBody || len(d.msg.Body)+n > d.maxBody {
+	if n > d.maxBody || len(d.message.Body)+n > d.maxBody {
 		return nil, false, ErrTooLarge
 	}
-	d.need, d.phase = n, phaseChunkData
+	d.remaining, d.phase = n, phaseChunkData
 	return nil, true, nil
 }
 
 func (d *Decoder) readChunkData() (m *Message, more bool, err error) {
-	if len(d.buf) == 0 {
+	if len(d.buffer) == 0 {
 		return nil, false, nil
 	}
-	n := min(d.need, len(d.buf))
-	d.msg.Body = append(d.msg.Body, d.buf[:n]...)
-	d.buf = d.buf[n:]
-	if d.need -= n; d.need == 0 {
+	n := min(d.remaining, len(d.buffer))
+	d.message.Body = append(d.message.Body, d.buffer[:n]...)
+	d.buffer = d.buffer[n:]
+	if d.remaining -= n; d.remaining == 0 {
 		d.phase = phaseChunkEnd
 	}
 	return nil, true, nil
 }
 
 func (d *Decoder) readChunkEnd() (m *Message, more bool, err error) {
-	if len(d.buf) < 2 {
+	if len(d.buffer) < 2 {
 		return nil, false, nil
 	}
-	if d.buf[0] != '\r' || d.buf[1] != '\n' {
+	if d.buffer[0] != '\r' || d.buffer[1] != '\n' {
 		return nil, false, ErrMalformed
 	}
-	d.buf = d.buf[2:]
+	d.buffer = d.buffer[2:]
 	d.phase = phaseChunkSize
 	return nil, true, nil
 }
 
 func (d *Decoder) readTrailer() (m *Message, more bool, err error) {
-	i := bytes.Index(d.buf, []byte("\r\n"))
+	i := bytes.Index(d.buffer, []byte("\r\n"))
 	if i < 0 {
-		if len(d.buf) > limits.MaxHeadBytes {
+		if len(d.buffer) > limits.MaxHeadBytes {
 			return nil, false, ErrTooLarge
 		}
 		return nil, false, nil
 	}
-	if d.trailer += i; d.trailer > limits.MaxHeadBytes {
+	if d.trailerBytes += i; d.trailerBytes > limits.MaxHeadBytes {
 		return nil, false, ErrTooLarge
 	}
-	d.buf = d.buf[i+2:]
+	d.buffer = d.buffer[i+2:]
 	if i == 0 {
 		return d.finish(), false, nil
 	}
@@ -261,15 +261,15 @@
 }
 
 func (d *Decoder) readUntilClose() (m *Message, more bool, err error) {
-	if len(d.msg.Body)+len(d.buf) > d.maxBody {
+	if len(d.message.Body)+len(d.buffer) > d.maxBody {
 		return nil, false, ErrTooLarge
 	}
-	d.msg.Body = append(d.msg.Body, d.buf...)
-	d.buf = nil
+	d.message.Body = append(d.message.Body, d.buffer...)
+	d.buffer = nil
 	return nil, false, nil
 }
 
-func chunkSize(line []byte) (int, error) {
+func parseChunkSize(line []byte) (int, error) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		line = bytes.TrimRight(line[:i], " \t")
 	}
@@ -292,16 +292,16 @@
 	return n, nil
 }
 
-// head parses the start line and headers, and sets the phase for the body.
-func (d *Decoder) head(b []byte) error {
+// parseHead parses the start line and headers, and sets the phase for the body.
+func (d *Decoder) parseHead(b []byte) error {
 	line, rest, _ := bytes.Cut(b, []byte("\r\n"))
 	m := &Message{}
 	var minor byte
 	var err error
 	if d.response {
-		minor, err = statusLine(line, m)
+		minor, err = parseStatusLine(line, m)
 	} else {
-		minor, err = requestLine(line, m)
+		minor, err = parseRequestLine(line, m)
 	}
 	if err != nil {
 		return err
@@ -320,7 +320,7 @@
 		v := strings.Trim(string(value), " \t")
 		switch {
 		case equalFold(name, "content-length"):
-			n, err := parseLength(v)
+			n, err := parseContentLength(v)
 			if err != nil {
 				return err
 			}
@@ -355,7 +355,7 @@
 	if length > d.maxBody {
 		return ErrTooLarge
 	}
-	d.msg = m
+	d.message = m
 	switch {
 	case d.response && (m.Status/100 == 1 || m.Status == 204 || m.Status == 304):
 		if m.Status/100 == 1 {
@@ -364,14 +364,14 @@
 	case chunked:
 		d.phase = phaseChunkSize
 	case length > 0:
-		d.phase, d.need = phaseLength, length
+		d.phase, d.remaining = phaseLength, length
 	case length < 0 && d.response:
 		d.phase = phaseUntilClose
 	}
 	return nil
 }
 
-func requestLine(line []byte, m *Message) (byte, error) {
+func parseRequestLine(line []byte, m *Message) (byte, error) {
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	if !ok || !isToken(method) || len(method) > 16 {
 		return 0, ErrMalformed
@@ -385,7 +385,7 @@
 			return 0, ErrMalformed
 		}
 	}
-	minor, err := httpVersion(version)
+	minor, err := parseVersion(version)
 	if err != nil {
 		return 0, err
 	}
@@ -394,12 +394,12 @@
 	return minor, nil
 }
 
-func statusLine(line []byte, m *Message) (byte, error) {
+func parseStatusLine(line []byte, m *Message) (byte, error) {
 	version, rest, ok := bytes.Cut(line, []byte(" "))
 	if !ok || len(rest) < 3 || (len(rest) > 3 && rest[3] != ' ') {
 		return 0, ErrMalformed
 	}
-	minor, err := httpVersion(version)
+	minor, err := parseVersion(version)
 	if err != nil {
 		return 0, err
 	}
@@ -415,14 +415,14 @@
 	return minor, nil
 }
 
-func httpVersion(v []byte) (byte, error) {
+func parseVersion(v []byte) (byte, error) {
 	if len(v) != 8 || string(v[:7]) != "HTTP/1." || (v[7] != '0' && v[7] != '1') {
 		return 0, fmt.Errorf("%w: version", ErrMalformed)
 	}
 	return v[7], nil
 }
 
-func parseLength(v string) (int, error) {
+func parseContentLength(v string) (int, error) {
 	if v == "" || len(v) > 10 {
 		return 0, ErrMalformed
 	}
@@ -461,7 +461,7 @@
 	return len(b) == len(lower) && strings.EqualFold(string(b), lower)
 }
 
-var statusText = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	409: "Conflict", 421: "Misdirected Request", 422: "Unprocessable Content",
 	429: "Too Many Requests", 500: "Internal Server Error", 503: "Service Unavailable",
@@ -490,7 +490,7 @@
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, statusText[status]...)
+	dst = append(dst, reasonPhrases[status]...)
 	if len(body) > 0 {
 		dst = append(dst, "\r\nContent-Type: application/cbor"...)
 	}
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -43,7 +43,7 @@
 	return out, nil
 }
 
-func split(t *rapid.T, b []byte) [][]byte {
+func splitRandomly(t *rapid.T, b []byte) [][]byte {
 	var out [][]byte
 	for len(b) > 0 {
 		n := rapid.IntRange(1, min(len(b), rapid.SampledFrom([]int{1, 2, 3, 7, 64, 5000}).Draw(t, "most"))).Draw(t, "n")
@@ -53,7 +53,7 @@
 	return out
 }
 
-func equal(a, b []Message) bool {
+func sameMessages(a, b []Message) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -67,7 +67,7 @@
 	return true
 }
 
-func chunked(t *rapid.T, head string, body []byte) []byte {
+func chunkedMessage(t *rapid.T, head string, body []byte) []byte {
 	out := []byte(head + "Transfer-Encoding: chunked\r\n\r\n")
 	for len(body) > 0 {
 		n := rapid.IntRange(1, len(body)).Draw(t, "chunk")
@@ -106,7 +106,7 @@
 				if response {
 					head = "HTTP/1.1 200 OK\r\n"
 				}
-				stream = append(stream, chunked(t, head, body)...)
+				stream = append(stream, chunkedMessage(t, head, body)...)
 			case response:
 				stream = AppendResponse(stream, rapid.SampledFrom([]int{200, 404, 503}).Draw(t, "status"), body, rapid.IntRange(0, 30).Draw(t, "after"), false)
 			default:
@@ -118,8 +118,8 @@
 			stream[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		}
 		whole, werr := parseAll(response, [][]byte{append([]byte(nil), stream...)})
-		parts, perr := parseAll(response, split(t, stream))
-		if (werr == nil) != (perr == nil) || !equal(whole, parts) {
+		parts, perr := parseAll(response, splitRandomly(t, stream))
+		if (werr == nil) != (perr == nil) || !sameMessages(whole, parts) {
 			t.Fatalf("whole: %v %v\nparts: %v %v", whole, werr, parts, perr)
 		}
 	})
@@ -140,8 +140,8 @@
 	})
 }
 
-// TestRefused: what could be read in two ways, or has no end, costs the connection.
-func TestRefused(t *testing.T) {
+// TestMalformedMessages: what could be read in two ways, or has no end, costs the connection.
+func TestMalformedMessages(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), limits.MaxHeadBytes+10)
 	for name, c := range map[string]struct {
 		in   string
@@ -190,7 +190,7 @@
 				rest = rest[n:]
 			}
 			parts, perr := parseAll(response, pieces)
-			if (werr == nil) != (perr == nil) || !equal(whole, parts) {
+			if (werr == nil) != (perr == nil) || !sameMessages(whole, parts) {
 				t.Fatalf("whole %v %v, parts %v %v", whole, werr, parts, perr)
 			}
 		}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -32,26 +32,26 @@
 	Handle      Handler
 	Log         *slog.Logger
 
-	turn  sync.Mutex             // held by whoever serves a connection; guards what follows
-	conns map[gnet.Conn]*inbound // of the loop
-	fleet int                    // how many connections are of machines
+	mu           sync.Mutex                // held by whoever serves a connection; guards what follows
+	conns        map[gnet.Conn]*serverConn // of the loop
+	machineConns int                       // how many connections are of machines
 }
 
 // ServeConn serves one connection until it ends, without the event loop: for networks in memory.
 // The handler is called by one goroutine at a time, as on the loop.
 func (s *Server) ServeConn(conn net.Conn) {
 	defer conn.Close()
-	c := &inbound{dec: NewRequestDecoder(limits.MaxBodyBytes)}
+	c := &serverConn{decoder: NewRequestDecoder(limits.MaxBodyBytes)}
 	defer func() {
-		s.turn.Lock()
-		defer s.turn.Unlock()
-		if c.fleet {
-			s.fleet--
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if c.fromMachine {
+			s.machineConns--
 		}
 	}()
 	buf := make([]byte, limits.ReadBytes)
 	for {
-		req, err := c.dec.Next()
+		req, err := c.decoder.Next()
 		if err != nil {
 			_, _ = conn.Write(AppendResponse(nil, 400, nil, 0, true))
 			return
@@ -61,19 +61,19 @@
 			if err != nil {
 				return
 			}
-			c.dec.Feed(buf[:n])
+			c.decoder.Feed(buf[:n])
 			continue
 		}
 		answered := make(chan struct{})
-		r := &Responder{c: c, wake: func() { close(answered) }, s: s}
-		s.turn.Lock()
-		c.end = req.Close
+		r := &Responder{conn: c, wake: func() { close(answered) }, server: s}
+		s.mu.Lock()
+		c.closeAfter = req.Close
 		s.Handle(req, r)
-		s.turn.Unlock()
+		s.mu.Unlock()
 		<-answered
 		c.mu.Lock()
-		out, end := c.out, c.end
-		c.out, c.done = nil, false
+		out, end := c.answer, c.closeAfter
+		c.answer, c.answerReady = nil, false
 		c.mu.Unlock()
 		if _, err := conn.Write(out); err != nil || end {
 			return
@@ -86,7 +86,7 @@
 	failures := 0
 	for {
 		started := time.Now()
-		err := s.serve(ctx)
+		err := s.runLoop(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -107,29 +107,29 @@
 	}
 }
 
-func (s *Server) serve(ctx context.Context) error {
-	if err := s.claim(ctx); err != nil {
+func (s *Server) runLoop(ctx context.Context) error {
+	if err := s.checkAddressFree(ctx); err != nil {
 		return err
 	}
-	s.forgetAll()
+	s.resetConns()
 	// With a listener of its own the loop accepts connections itself; else that is a second loop,
 	// which wakes the first for each.
-	return gnet.Run(&events{s: s, ctx: ctx}, "tcp://"+s.Addr, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
-		gnet.WithTicker(true), gnet.WithReadBufferCap(limits.ReadBytes), gnet.WithLogger(logger{s.Log}))
+	return gnet.Run(&eventHandler{server: s, ctx: ctx}, "tcp://"+s.Addr, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
+		gnet.WithTicker(true), gnet.WithReadBufferCap(limits.ReadBytes), gnet.WithLogger(gnetLogger{s.Log}))
 }
 
-// forgetAll forgets the connections of a loop that ended.
-func (s *Server) forgetAll() {
-	s.turn.Lock()
-	defer s.turn.Unlock()
+// resetConns forgets the connections of a loop that ended.
+func (s *Server) resetConns() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for range s.conns {
-		s.Sockets.leave()
+		s.Sockets.releaseInbound()
 	}
-	s.conns, s.fleet = make(map[gnet.Conn]*inbound), 0
+	s.conns, s.machineConns = make(map[gnet.Conn]*serverConn), 0
 }
 
-// claim fails if another process listens on the address: a listener of the loop's kind would share it.
-func (s *Server) claim(ctx context.Context) error {
+// checkAddressFree fails if another process listens on the address: a listener of the loop's kind would share it.
+func (s *Server) checkAddressFree(ctx context.Context) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", s.Addr)
 	if err != nil {
@@ -138,61 +138,61 @@
 	return listener.Close()
 }
 
-// sweep closes connections that are idle or whose request does not end. The caller has the turn.
-func (s *Server) sweep() {
+// closeIdle closes connections that are idle or whose request does not end. The caller has the turn.
+func (s *Server) closeIdle() {
 	now := time.Now()
 	for ec, c := range s.conns {
 		limit := limits.ConnIdleTimeout
-		if c.fleet && s.MachineIdle > 0 {
+		if c.fromMachine && s.MachineIdle > 0 {
 			limit = min(limit, s.MachineIdle)
 		}
-		if c.refused || (!c.busy && c.dec.Started()) {
+		if c.draining || (!c.handling && c.decoder.Started()) {
 			limit = limits.RequestReadTimeout
 		}
-		if now.Sub(c.last) > limit {
+		if now.Sub(c.lastActive) > limit {
 			c.closing = true
 			_ = ec.Wake(nil)
 		}
 	}
 }
 
-// data handles, on the loop and with the turn, new bytes (in is nil on a wake): first an answer
+// handleBytes handles, on the loop and with the turn, new bytes (in is nil on a wake): first an answer
 // that is ready, then the next request.
-func (s *Server) data(ec gnet.Conn, c *inbound, in []byte) ([]byte, gnet.Action) {
-	if c.refused {
+func (s *Server) handleBytes(ec gnet.Conn, c *serverConn, in []byte) ([]byte, gnet.Action) {
+	if c.draining {
 		return nil, gnet.None
 	}
 	if len(in) > 0 {
-		if !c.dec.Started() {
-			c.last = time.Now()
+		if !c.decoder.Started() {
+			c.lastActive = time.Now()
 		}
-		c.dec.Feed(in)
-		if c.busy && c.dec.Buffered() > limits.MaxHeadBytes+limits.MaxBodyBytes {
+		c.decoder.Feed(in)
+		if c.handling && c.decoder.Buffered() > limits.MaxHeadBytes+limits.MaxBodyBytes {
 			return nil, gnet.Close
 		}
 	}
-	if !c.busy {
-		req, err := c.dec.Next()
+	if !c.handling {
+		req, err := c.decoder.Next()
 		if err != nil {
-			return c.refuse(err)
+			return c.rejectMalformed(err)
 		}
 		if req == nil {
 			return nil, gnet.None
 		}
-		s.begin(ec, c, req)
+		s.handle(ec, c, req)
 	}
-	return c.answer()
+	return c.takeAnswer()
 }
 
-// begin hands a request to the handler.
-func (s *Server) begin(ec gnet.Conn, c *inbound, req *Message) {
-	c.busy = true
-	r := &Responder{c: c, wake: func() { _ = ec.Wake(nil) }, s: s, sync: true}
+// handle hands a request to the handler.
+func (s *Server) handle(ec gnet.Conn, c *serverConn, req *Message) {
+	c.handling = true
+	r := &Responder{conn: c, wake: func() { _ = ec.Wake(nil) }, server: s, inline: true}
 	c.mu.Lock()
-	c.end = req.Close
+	c.closeAfter = req.Close
 	c.mu.Unlock()
 	s.Handle(req, r)
 	c.mu.Lock()
-	r.sync = false
+	r.inline = false
 	c.mu.Unlock()
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -17,7 +17,7 @@
 func TestUnreadAnswers(t *testing.T) {
 	const enough = 2000 // answers that no socket holds
 	handled := make(chan struct{}, 1)
-	server := listening(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) {
+	server := startServer(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) {
 		r.Respond(200, make([]byte, limits.MaxBodyBytes), 0)
 		handled <- struct{}{}
 	}})
@@ -45,11 +45,11 @@
 	t.Fatalf("%d answers were taken for a connection that reads none", enough)
 }
 
-// TestAddressTaken: a second server on an address fails instead of sharing it.
-func TestAddressTaken(t *testing.T) {
-	server := listening(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, nil, 0) }})
+// TestAddressInUse: a second server on an address fails instead of sharing it.
+func TestAddressInUse(t *testing.T) {
+	server := startServer(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, nil, 0) }})
 	second := &Server{Addr: server.Addr, Log: server.Log}
-	if err := second.claim(t.Context()); !errors.Is(err, syscall.EADDRINUSE) {
+	if err := second.checkAddressFree(t.Context()); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Errorf("second server: %v", err)
 	}
 }
@@ -57,7 +57,7 @@
 // TestServerStops: a server whose context ends closes its connections, and its address is free again.
 func TestServerStops(t *testing.T) {
 	server := &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, nil, 0) }}
-	stop := listenUntil(t, server)
+	stop := startStoppableServer(t, server)
 	conn, err := net.Dial("tcp", server.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a connection of a server that ended: %v", err)
 	}
-	if err := server.claim(t.Context()); err != nil {
+	if err := server.checkAddressFree(t.Context()); err != nil {
 		t.Errorf("address: %v", err)
 	}
 }
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -14,36 +14,40 @@
 // last ones, and kept ones are given up for it (see Excess). Calls that must always get through, as
 // to the state service, are not counted here and have sockets of their own.
 type SocketBudget struct {
-	room     int64 // for both together
+	total    int64 // for both together
 	headroom int64 // kept free for what comes in, as giving up takes a moment
 	inbound  atomic.Int64
-	made     atomic.Int64
+	outbound atomic.Int64
 }
 
 // NewSocketBudget returns Sockets of which some are kept free for what comes in.
 func NewSocketBudget(room, headroom int) *SocketBudget {
-	return &SocketBudget{room: int64(room), headroom: int64(headroom)}
+	return &SocketBudget{total: int64(room), headroom: int64(headroom)}
 }
 
-// admit takes a socket that is open already for a connection that came in, if there is room for it.
-func (s *SocketBudget) admit() bool { return s == nil || take(&s.inbound, &s.made, s.room) }
+// acquireInbound takes a socket that is open already for a connection that came in, if there is room for it.
+func (s *SocketBudget) acquireInbound() bool {
+	return s == nil || tryAcquire(&s.inbound, &s.outbound, s.total)
+}
 
-func (s *SocketBudget) leave() {
+func (s *SocketBudget) releaseInbound() {
 	if s != nil {
 		s.inbound.Add(-1)
 	}
 }
 
-// make takes a socket for a connection to a worker.
-func (s *SocketBudget) make() bool { return s == nil || take(&s.made, &s.inbound, s.room-s.headroom) }
+// acquireOutbound takes a socket for a connection to a worker.
+func (s *SocketBudget) acquireOutbound() bool {
+	return s == nil || tryAcquire(&s.outbound, &s.inbound, s.total-s.headroom)
+}
 
-func (s *SocketBudget) released() {
+func (s *SocketBudget) releaseOutbound() {
 	if s != nil {
-		s.made.Add(-1)
+		s.outbound.Add(-1)
 	}
 }
 
-func take(mine, others *atomic.Int64, room int64) bool {
+func tryAcquire(mine, others *atomic.Int64, room int64) bool {
 	if mine.Add(1)+others.Load() > room {
 		mine.Add(-1)
 		return false
@@ -56,5 +60,5 @@
 	if s == nil {
 		return 0
 	}
-	return int(max(min(s.inbound.Load()+s.made.Load()-(s.room-s.headroom), s.made.Load()), 0))
+	return int(max(min(s.inbound.Load()+s.outbound.Load()-(s.total-s.headroom), s.outbound.Load()), 0))
 }
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -11,15 +11,15 @@
 	"quillshunt/internal/limits"
 )
 
-// listening runs a server on a free address for as long as the test lasts.
-func listening(t *testing.T, s *Server) *Server {
+// startServer runs a server on a free address for as long as the test lasts.
+func startServer(t *testing.T, s *Server) *Server {
 	t.Helper()
-	listenUntil(t, s)
+	startStoppableServer(t, s)
 	return s
 }
 
-// listenUntil does the same until stop is called, which returns what Run returned.
-func listenUntil(t *testing.T, s *Server) (stop func() error) {
+// startStoppableServer does the same until stop is called, which returns what Run returned.
+func startStoppableServer(t *testing.T, s *Server) (stop func() error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func asked(addr, path string) (int, *Client) {
+func getStatus(addr, path string) (int, *Client) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	c := NewClient(addr, 1, limits.MaxBodyBytes)
@@ -54,19 +54,19 @@
 	return m.Status, c
 }
 
-// TestPastItsSockets drives a server past its bounds: machines take no more than their share, users
+// TestSocketBudgetExhausted drives a server past its bounds: machines take no more than their share, users
 // still get through, kept connections to workers give way to what comes in, and nothing ends.
-func TestPastItsSockets(t *testing.T) {
+func TestSocketBudgetExhausted(t *testing.T) {
 	const room, headroom, most, fleet = 60, 5, 50, 30
 	sockets := NewSocketBudget(room, headroom)
-	front := listening(t, &Server{MaxConns: most, MaxMachines: fleet, Sockets: sockets, Handle: func(req *Message, rsp *Responder) {
-		if req.Path == "/v1/report" && !rsp.FromMachine() {
+	front := startServer(t, &Server{MaxConns: most, MaxMachines: fleet, Sockets: sockets, Handle: func(req *Message, rsp *Responder) {
+		if req.Path == "/v1/report" && !rsp.ClaimMachineSlot() {
 			rsp.Respond(503, nil, 0)
 			return
 		}
 		rsp.Respond(200, nil, 0)
 	}})
-	worker := listening(t, &Server{MaxConns: 2 * room, Handle: func(_ *Message, rsp *Responder) { rsp.Respond(200, nil, 0) }})
+	worker := startServer(t, &Server{MaxConns: 2 * room, Handle: func(_ *Message, rsp *Responder) { rsp.Respond(200, nil, 0) }})
 
 	// Direct connections take what is free, but for the headroom, and then fail before anything is sent.
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -89,7 +89,7 @@
 	// What comes in and finds no room is closed and comes again, while kept connections are given up.
 	come := func(path string) (int, *Client) {
 		for {
-			if status, c := asked(front.Addr, path); status != 0 {
+			if status, c := getStatus(front.Addr, path); status != 0 {
 				return status, c
 			}
 			n := sockets.Excess()
@@ -123,7 +123,7 @@
 	// What machines give back other machines may take.
 	kept[0].Close()
 	for status := 0; status != 200; {
-		status, _ = asked(front.Addr, "/v1/report")
+		status, _ = getStatus(front.Addr, "/v1/report")
 	}
 	for _, c := range append(kept, direct...) {
 		c.Close()
