--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -47,40 +47,40 @@
 }
 
 // isDurable tells whether the result, if there is one, is written down.
-func (x endedTask) isDurable() bool {
-	return x.job == nil || x.job.closed || x.job.chunks[x.chunk].durableSequence >= x.sequence
+func (e endedTask) isDurable() bool {
+	return e.job == nil || e.job.closed || e.job.chunks[e.chunk].durableSequence >= e.sequence
 }
 
 // assign ties a task to a machine's present session.
-func (s *Scheduler) assign(j *job, idx int, m *machine, try uint64, ph assignmentState) *assignment {
-	b := &assignment{job: j, index: idx, taskName: protocol.TaskName(j.id, idx), attempt: try, machine: m, state: ph, assignedAt: s.now}
-	j.assignments[idx] = b
+func (s *Scheduler) assign(j *job, index int, m *machine, attempt uint64, state assignmentState) *assignment {
+	a := &assignment{job: j, index: index, taskName: protocol.TaskName(j.id, index), attempt: attempt, machine: m, state: state, assignedAt: s.now}
+	j.assignments[index] = a
 	j.lastAssignedAt = s.now
 	s.markGangChanged(j.gang)
 	s.queueDispatch(m)
-	setBit(j.assignedBits, idx)
-	m.assignments[b.taskName] = b
+	setBit(j.assignedBits, index)
+	m.assignments[a.taskName] = a
 	m.allocated = m.allocated.Plus(j.demand)
 	j.team.allocated = j.team.allocated.Plus(j.demand)
-	return b
+	return a
 }
 
 // release takes a task off its machine. The caller has the evidence that it is not there and cannot
 // come there: no start of this attempt is on its way, or the session is over, or the machine is
 // gone.
-func (s *Scheduler) release(b *assignment) {
-	j, m := b.job, b.machine
-	if m.assignments[b.taskName] != b {
+func (s *Scheduler) release(a *assignment) {
+	j, m := a.job, a.machine
+	if m.assignments[a.taskName] != a {
 		return // with its gang, by an earlier step of the same loop
 	}
-	s.gangTaskLost(b)
-	delete(j.assignments, b.index)
-	clearBit(j.assignedBits, b.index)
-	j.nextFreeHint = min(j.nextFreeHint, b.index)
-	delete(m.assignments, b.taskName)
+	s.gangTaskLost(a)
+	delete(j.assignments, a.index)
+	clearBit(j.assignedBits, a.index)
+	j.nextFreeHint = min(j.nextFreeHint, a.index)
+	delete(m.assignments, a.taskName)
 	m.allocated = m.allocated.Minus(j.demand)
 	j.team.allocated = j.team.allocated.Minus(j.demand)
-	if b.stopping {
+	if a.stopping {
 		m.releasing = m.releasing.Minus(j.demand)
 	}
 	if len(m.assignments) == 0 {
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -11,54 +11,54 @@
 
 // TestForgetAfterDurable: a result is forgotten by its worker only once it is written down.
 func TestForgetAfterDurable(t *testing.T) {
-	b := newSchedulerFixture(t, 1)
-	b.report(0)
-	b.job("job-1", "red", "standard", 20, 1, 0)
-	d := b.direct()
-	if len(d) != 1 || verbs(d[0].Commands, protocol.CommandStart) != 8 {
-		t.Fatalf("starts: %+v", b.effects)
-	}
-	done := protocol.TaskStatus{Task: "job-1/0", Attempt: d[0].Commands[0].Attempt, State: protocol.Ended, Reason: protocol.ReasonDone}
-	other := protocol.TaskStatus{Task: "job-1/1", Attempt: d[0].Commands[1].Attempt, State: protocol.Running}
-	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 0 {
-		t.Fatalf("forgotten at once: %+v", orders)
-	}
-	b.now += 5 * time.Second
+	f := newSchedulerFixture(t, 1)
+	f.report(0)
+	f.job("job-1", "red", "standard", 20, 1, 0)
+	direct := f.direct()
+	if len(direct) != 1 || verbs(direct[0].Commands, protocol.CommandStart) != 8 {
+		t.Fatalf("starts: %+v", f.effects)
+	}
+	done := protocol.TaskStatus{Task: "job-1/0", Attempt: direct[0].Commands[0].Attempt, State: protocol.Ended, Reason: protocol.ReasonDone}
+	other := protocol.TaskStatus{Task: "job-1/1", Attempt: direct[0].Commands[1].Attempt, State: protocol.Running}
+	if commands := f.report(0, done, other); verbs(commands, protocol.CommandForget) != 0 {
+		t.Fatalf("forgotten at once: %+v", commands)
+	}
+	f.now += 5 * time.Second
 	var w *WriteRecords
-	for _, e := range b.step(Tick{Entitled: true}) {
+	for _, e := range f.step(Tick{Entitled: true}) {
 		if x, ok := e.(WriteRecords); ok && x.Operations[0].Put == storage.FinishedTasksKey("job-1", 0) {
 			w = &x
 		}
 	}
 	if w == nil {
-		t.Fatalf("result not written: %+v", b.effects)
+		t.Fatalf("result not written: %+v", f.effects)
 	}
-	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 0 {
-		t.Fatalf("forgotten while the write is under way: %+v", orders)
+	if commands := f.report(0, done, other); verbs(commands, protocol.CommandForget) != 0 {
+		t.Fatalf("forgotten while the write is under way: %+v", commands)
 	}
-	b.step(WriteCompleted{ID: w.ID, OK: true, Version: 500})
-	if orders := b.report(0, done, other); verbs(orders, protocol.CommandForget) != 1 {
-		t.Fatalf("not forgotten: %+v", orders)
+	f.step(WriteCompleted{ID: w.ID, OK: true, Version: 500})
+	if commands := f.report(0, done, other); verbs(commands, protocol.CommandForget) != 1 {
+		t.Fatalf("not forgotten: %+v", commands)
 	}
 }
 
 // TestFewRegistryWrites: a job that is nearly over is not written down task by task, as its final
 // record says it all; one that drags on is.
 func TestFewRegistryWrites(t *testing.T) {
-	b := newSchedulerFixture(t, 1)
-	b.report(0)
-	b.job("job-1", "red", "standard", 2, 1, 0)
+	f := newSchedulerFixture(t, 1)
+	f.report(0)
+	f.job("job-1", "red", "standard", 2, 1, 0)
 	var tasks []protocol.TaskStatus
-	for _, o := range b.direct()[0].Commands {
-		tasks = append(tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+	for _, command := range f.direct()[0].Commands {
+		tasks = append(tasks, protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.Running})
 	}
 	tasks[0].State, tasks[0].Reason = protocol.Ended, protocol.ReasonDone
 	written := time.Duration(0)
-	for began := b.now; b.now < began+2*limits.ChunkWritePatience && written == 0; b.now += time.Second {
-		b.report(0, tasks...)
-		for _, e := range b.step(Tick{Entitled: true}) {
+	for began := f.now; f.now < began+2*limits.ChunkWritePatience && written == 0; f.now += time.Second {
+		f.report(0, tasks...)
+		for _, e := range f.step(Tick{Entitled: true}) {
 			if w, ok := e.(WriteRecords); ok && w.Bulk {
-				written = b.now - began
+				written = f.now - began
 			}
 		}
 	}
@@ -70,30 +70,30 @@
 // TestDirectAnswerIsNoEvidence: a start that went out in the answer to a report may still be on its
 // way when a direct command is answered; only the next report shows that it is lost.
 func TestDirectAnswerIsNoEvidence(t *testing.T) {
-	b := newSchedulerFixture(t, 1)
-	b.report(0)
-	m := b.scheduler.inventory.byName[b.machine(0)]
+	f := newSchedulerFixture(t, 1)
+	f.report(0)
+	m := f.scheduler.inventory.byName[f.machine(0)]
 	m.noDirectUntil = time.Hour // orders go with reports only
-	b.job("job-1", "red", "standard", 1, 1, 0)
-	if n := verbs(b.report(0), protocol.CommandStart); n != 1 {
+	f.job("job-1", "red", "standard", 1, 1, 0)
+	if n := verbs(f.report(0), protocol.CommandStart); n != 1 {
 		t.Fatalf("%d starts", n)
 	}
 	m.noDirectUntil, m.directID = 0, 77
-	b.sequence++
-	b.step(DirectCommandsDone{ID: 77, Machine: m.name, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}})
+	f.sequence++
+	f.step(DirectCommandsDone{ID: 77, Machine: m.name, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: f.sequence, FencingToken: 3}})
 	if len(m.assignments) != 1 {
 		t.Fatal("freed by the answer to a direct command")
 	}
-	b.sequence++
-	b.step(ProbeDone{Machine: m.name, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}})
+	f.sequence++
+	f.step(ProbeDone{Machine: m.name, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: f.sequence, FencingToken: 3}})
 	if len(m.assignments) != 1 {
 		t.Fatal("freed by the answer to a probe")
 	}
 	m.noDirectUntil = time.Hour
-	if n := verbs(b.report(0), protocol.CommandStart); n != 0 || len(m.assignments) != 0 {
+	if n := verbs(f.report(0), protocol.CommandStart); n != 0 || len(m.assignments) != 0 {
 		t.Fatalf("after a report without it: %d starts, %d bound", n, len(m.assignments)) // its answer was lost, so the machine is in doubt
 	}
-	if n := verbs(b.report(0), protocol.CommandStart); n != 1 || len(m.assignments) != 1 {
+	if n := verbs(f.report(0), protocol.CommandStart); n != 1 || len(m.assignments) != 1 {
 		t.Fatalf("not placed again: %d starts", n)
 	}
 }
@@ -102,39 +102,39 @@
 // one start at most, gets no other until a round trip is seen, and is deleted in time; what it
 // finishes counts.
 func TestDeafMachine(t *testing.T) {
-	b := newSchedulerFixture(t, 2)
-	b.report(0)
-	b.job("job-1", "red", "standard", 2, 8, 0)
+	f := newSchedulerFixture(t, 2)
+	f.report(0)
+	f.job("job-1", "red", "standard", 2, 8, 0)
 	starts := 0
 	count := func() {
-		for _, d := range b.direct() {
-			starts += verbs(d.Commands, protocol.CommandStart)
-			b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine}) // no answer
+		for _, direct := range f.direct() {
+			starts += verbs(direct.Commands, protocol.CommandStart)
+			f.step(DirectCommandsDone{ID: direct.ID, Machine: direct.Machine}) // no answer
 		}
 	}
 	count()
-	m := b.scheduler.inventory.byName[b.machine(0)]
+	m := f.scheduler.inventory.byName[f.machine(0)]
 	m.registration = registered
-	var try uint64
+	var attempt uint64
 	for _, x := range m.assignments {
-		try = x.attempt
+		attempt = x.attempt
 	}
 	// It hears nothing: its next reports come on other connections. One task that it had got all
 	// the same is done.
 	deleted := false
-	tally := b.sequence
+	sequence := f.sequence
 	for range 20 {
-		b.now += time.Second
-		tally++
-		b.sequence = tally
-		for _, e := range b.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: tally, FencingToken: 3,
-			Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: max(try, 1), State: protocol.Ended, Reason: protocol.ReasonDone}}}}) {
+		f.now += time.Second
+		sequence++
+		f.sequence = sequence
+		for _, e := range f.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: sequence, FencingToken: 3,
+			Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: max(attempt, 1), State: protocol.Ended, Reason: protocol.ReasonDone}}}}) {
 			if r, ok := e.(HeartbeatReply); ok {
 				starts += verbs(r.Commands, protocol.CommandStart)
 			}
 		}
 		count()
-		for _, e := range b.step(Tick{Entitled: true}) {
+		for _, e := range f.step(Tick{Entitled: true}) {
 			if d, ok := e.(DeleteMachines); ok {
 				for _, name := range d.Machines {
 					deleted = deleted || name == m.name
@@ -149,7 +149,7 @@
 	if !deleted {
 		t.Error("not deleted")
 	}
-	if j := b.scheduler.jobs.byID["job-1"]; j.doneCount != 1 {
+	if j := f.scheduler.jobs.byID["job-1"]; j.doneCount != 1 {
 		t.Errorf("%d results count", j.doneCount)
 	}
 }
@@ -158,9 +158,9 @@
 // fresh by them, no lease is extended, and a leader with no memory of a machine that is gone does
 // not raise it.
 func TestLateCopies(t *testing.T) {
-	b := newSchedulerFixture(t, 1)
+	f := newSchedulerFixture(t, 1)
 	answer := func(r protocol.Heartbeat, relayed bool) HeartbeatReply {
-		for _, e := range b.step(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &r}) {
+		for _, e := range f.step(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &r}) {
 			if r, ok := e.(HeartbeatReply); ok {
 				return r
 			}
@@ -173,48 +173,48 @@
 	for _, relayed := range []bool{false, true} {
 		answer(old, relayed)
 	}
-	if b.scheduler.inventory.byName["m-gone"] != nil {
+	if f.scheduler.inventory.byName["m-gone"] != nil {
 		t.Error("a copy raised a machine")
 	}
 	// Of an earlier term, of a machine that may hold tasks: not heard of, and no tasks taken from it.
-	known := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 2,
+	known := protocol.Heartbeat{Machine: f.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 2,
 		Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 1, State: protocol.Running}}}
-	b.job("job-1", "red", "standard", 1, 1, 0)
+	f.job("job-1", "red", "standard", 1, 1, 0)
 	if r := answer(known, false); !r.Accepted {
 		t.Error("a worker that waits for this answer gets none")
 	}
-	m := b.scheduler.inventory.byName[b.machine(0)]
-	if m.hasReported || m.fenced || len(m.assignments) > 0 || b.scheduler.isSchedulable(m) {
+	m := f.scheduler.inventory.byName[f.machine(0)]
+	if m.hasReported || m.fenced || len(m.assignments) > 0 || f.scheduler.isSchedulable(m) {
 		t.Errorf("believed: seen %v fenced %v binds %d", m.hasReported, m.fenced, len(m.assignments))
 	}
 	// A copy overtakes its original, and the start in its answer gets lost. The original's answer
 	// brings it again, but not once the job is cancelled.
 	m.noDirectUntil = time.Hour
-	b.report(0)
-	b.report(0)
-	first := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}
+	f.report(0)
+	f.report(0)
+	first := protocol.Heartbeat{Machine: f.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: f.sequence, FencingToken: 3}
 	m.registration = registered
 	if r := answer(first, false); verbs(r.Commands, protocol.CommandStart) != 1 {
 		t.Errorf("the original brings %+v", r.Commands)
 	}
-	b.version++
-	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
+	f.version++
+	f.step(JobChanged{JobID: "job-1", Version: 100 + f.version, Record: storage.OpenJob{Cancelled: true, Spec: f.scheduler.jobs.byID["job-1"].spec}})
 	if r := answer(first, false); !r.Accepted || verbs(r.Commands, protocol.CommandStart) != 0 {
 		t.Errorf("after the cancellation: %+v", r)
 	}
 	// Of our term: the copy is answered like the original within the time that the worker waits,
 	// and does not keep the machine alive.
-	b.sequence = 60
-	b.report(0)
+	f.sequence = 60
+	f.report(0)
 	heard, base := m.lastHeartbeatAt, m.leaseRenewedAt
-	now := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}
+	now := protocol.Heartbeat{Machine: f.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: f.sequence, FencingToken: 3}
 	if r := answer(now, false); !r.Accepted {
 		t.Error("the original behind a copy is not answered")
 	}
-	if before := answer(protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 40, FencingToken: 3}, true); before.Accepted {
+	if before := answer(protocol.Heartbeat{Machine: f.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 40, FencingToken: 3}, true); before.Accepted {
 		t.Error("an older one is answered")
 	}
-	b.now += 30 * time.Second
+	f.now += 30 * time.Second
 	if r := answer(now, true); r.Accepted {
 		t.Error("a copy that comes after a lease is answered")
 	}
@@ -226,17 +226,17 @@
 	}
 	// A report that we had not seen and that comes after a silence may be late as well: no tasks
 	// until the machine answers.
-	b.sequence++
-	late := protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 2, Sequence: b.sequence, FencingToken: 3}
-	b.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: &late})
-	if b.scheduler.isSchedulable(m) {
+	f.sequence++
+	late := protocol.Heartbeat{Machine: f.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 2, Sequence: f.sequence, FencingToken: 3}
+	f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: &late})
+	if f.scheduler.isSchedulable(m) {
 		t.Error("usable by a late report")
 	}
-	b.sequence++
+	f.sequence++
 	probed := late
-	probed.Sequence = b.sequence
-	b.step(ProbeDone{Machine: m.name, Heartbeat: &probed})
-	if !b.scheduler.isSchedulable(m) {
+	probed.Sequence = f.sequence
+	f.step(ProbeDone{Machine: m.name, Heartbeat: &probed})
+	if !f.scheduler.isSchedulable(m) {
 		t.Error("not usable after a round trip")
 	}
 }
@@ -244,18 +244,18 @@
 // TestDeletionConfirmed: tasks of a machine that is being returned stay bound until the cloud
 // confirms it.
 func TestDeletionConfirmed(t *testing.T) {
-	b := newSchedulerFixture(t, 1)
-	b.report(0)
-	b.job("job-1", "red", "standard", 1, 1, 0)
-	m := b.scheduler.inventory.byName[b.machine(0)]
-	b.scheduler.returnMachine(m, "test")
-	b.step(Tick{Entitled: true})
-	b.step(DeletionDone{Machines: []string{m.name}})
-	if len(m.assignments) != 1 || b.scheduler.inventory.byName[m.name] == nil {
+	f := newSchedulerFixture(t, 1)
+	f.report(0)
+	f.job("job-1", "red", "standard", 1, 1, 0)
+	m := f.scheduler.inventory.byName[f.machine(0)]
+	f.scheduler.returnMachine(m, "test")
+	f.step(Tick{Entitled: true})
+	f.step(DeletionDone{Machines: []string{m.name}})
+	if len(m.assignments) != 1 || f.scheduler.inventory.byName[m.name] == nil {
 		t.Fatal("freed by a deletion that was not confirmed")
 	}
-	b.step(DeletionDone{Machines: []string{m.name}, OK: true})
-	if len(m.assignments) != 0 || b.scheduler.inventory.byName[m.name] != nil {
+	f.step(DeletionDone{Machines: []string{m.name}, OK: true})
+	if len(m.assignments) != 0 || f.scheduler.inventory.byName[m.name] != nil {
 		t.Fatal("not freed")
 	}
 }
@@ -263,18 +263,18 @@
 // TestNotEntitled: who may not act answers no report with 200, and takes nothing from it that would
 // count as a renewed lease; so with a worker that has seen a later leader.
 func TestNotEntitled(t *testing.T) {
-	b := newSchedulerFixture(t, 1)
-	r := &protocol.Heartbeat{Machine: b.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 3}
-	later := *r
+	f := newSchedulerFixture(t, 1)
+	heartbeat := &protocol.Heartbeat{Machine: f.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 3}
+	later := *heartbeat
 	later.FencingToken = 4
-	for _, e := range []HeartbeatReceived{{Heartbeat: r}, {Heartbeat: &later, Entitled: true}} {
-		for _, eff := range b.step(e) {
+	for _, e := range []HeartbeatReceived{{Heartbeat: heartbeat}, {Heartbeat: &later, Entitled: true}} {
+		for _, eff := range f.step(e) {
 			if x, ok := eff.(HeartbeatReply); ok && x.Accepted {
 				t.Errorf("answered: %+v", e)
 			}
 		}
 	}
-	if m := b.scheduler.inventory.byName[b.machine(0)]; m.hasReported || m.leaseRenewedAt > 0 {
+	if m := f.scheduler.inventory.byName[f.machine(0)]; m.hasReported || m.leaseRenewedAt > 0 {
 		t.Errorf("counted as heard: %+v", m)
 	}
 }
@@ -287,28 +287,28 @@
 		silent int
 		waits  bool
 	}{{1, false}, {20, true}} {
-		b := newSchedulerFixture(t, 40)
+		f := newSchedulerFixture(t, 40)
 		for i := c.silent; i < 40; i++ {
-			b.report(i)
+			f.report(i)
 		}
-		b.job("job-1", "red", "standard", 1, 1, 0)
+		f.job("job-1", "red", "standard", 1, 1, 0)
 		deleted := map[string]bool{}
-		for b.now < 5*time.Second {
-			b.now += 500 * time.Millisecond
-			for _, e := range b.step(Tick{Entitled: true}) {
+		for f.now < 5*time.Second {
+			f.now += 500 * time.Millisecond
+			for _, e := range f.step(Tick{Entitled: true}) {
 				switch e := e.(type) {
 				case ProbeMachine:
-					b.step(ProbeDone{Machine: e.Machine})
+					f.step(ProbeDone{Machine: e.Machine})
 				case DeleteMachines:
 					for _, name := range e.Machines {
 						deleted[name] = true
 					}
-					b.step(DeletionDone{Machines: e.Machines, OK: true})
+					f.step(DeletionDone{Machines: e.Machines, OK: true})
 				}
 			}
 		}
-		if b.scheduler.recovery.ended == c.waits || (len(deleted) == 0) != c.waits {
-			t.Errorf("%d silent: settled %v, deleted %v", c.silent, b.scheduler.recovery.ended, deleted)
+		if f.scheduler.recovery.ended == c.waits || (len(deleted) == 0) != c.waits {
+			t.Errorf("%d silent: settled %v, deleted %v", c.silent, f.scheduler.recovery.ended, deleted)
 		}
 	}
 }
@@ -319,16 +319,16 @@
 // minutes.
 func TestUnverifiedTogether(t *testing.T) {
 	for _, n := range []int{1, 40} {
-		b := newSchedulerFixture(t, 40)
+		f := newSchedulerFixture(t, 40)
 		for range 2 {
 			for i := range 40 {
-				b.report(i)
+				f.report(i)
 			}
-			b.now += 2 * time.Second // the probes of the take-over are long over
+			f.now += 2 * time.Second // the probes of the take-over are long over
 		}
 		moved := func(i int) (probes int) { // a report on another connection
-			b.sequence++
-			for _, e := range b.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: b.machine(i), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}}) {
+			f.sequence++
+			for _, e := range f.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: f.machine(i), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: f.sequence, FencingToken: 3}}) {
 				if _, ok := e.(ProbeMachine); ok {
 					probes++
 				}
@@ -336,8 +336,8 @@
 			return probes
 		}
 		tick := func(after time.Duration) (probes int) {
-			b.now += after
-			for _, e := range b.step(Tick{Entitled: true}) {
+			f.now += after
+			for _, e := range f.step(Tick{Entitled: true}) {
 				if _, ok := e.(ProbeMachine); ok {
 					probes++
 				}
@@ -359,7 +359,7 @@
 		}
 		// The others prove themselves; one stays unverified and is asked.
 		for i := range n - 1 {
-			b.report(i)
+			f.report(i)
 		}
 		late := 0
 		for range 4 {
@@ -376,19 +376,19 @@
 // end before that, or a task of it would be started elsewhere: seen on controllers too busy to take
 // reports in time.
 func TestAnsweredMachineKeepsItsLease(t *testing.T) {
-	b := newSchedulerFixture(t, 2)
-	b.report(0)
-	b.job("job-1", "red", "standard", 4, 4, 0)
+	f := newSchedulerFixture(t, 2)
+	f.report(0)
+	f.job("job-1", "red", "standard", 4, 4, 0)
 	lease := limits.LeaseSurelyOver(14 * time.Second)
 	starts := func() (n int) {
-		for _, d := range b.direct() {
-			n += verbs(d.Commands, protocol.CommandStart)
+		for _, direct := range f.direct() {
+			n += verbs(direct.Commands, protocol.CommandStart)
 		}
 		return n
 	}
-	b.now = 13 * time.Second
+	f.now = 13 * time.Second
 	greeted := false
-	for _, e := range b.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: b.machine(1), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 2,
+	for _, e := range f.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: f.machine(1), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 2,
 		Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 7, State: protocol.Running}}}}) {
 		if r, ok := e.(HeartbeatReply); ok {
 			greeted = r.Accepted
@@ -397,17 +397,17 @@
 	if !greeted {
 		t.Fatal("not greeted")
 	}
-	for end := b.now + lease; b.now < end; {
-		b.now += time.Second
-		if b.now < end {
-			b.report(0)
-			if b.scheduler.recovery.ended || starts() > 0 {
-				t.Fatalf("placed at %v, the greeted machine's lease lasts until %v", b.now, end)
+	for end := f.now + lease; f.now < end; {
+		f.now += time.Second
+		if f.now < end {
+			f.report(0)
+			if f.scheduler.recovery.ended || starts() > 0 {
+				t.Fatalf("placed at %v, the greeted machine's lease lasts until %v", f.now, end)
 			}
 		}
 	}
-	b.report(0)
-	if !b.scheduler.recovery.ended {
+	f.report(0)
+	if !f.scheduler.recovery.ended {
 		t.Errorf("not rebuilt although every lease is over")
 	}
 }
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -11,163 +11,163 @@
 	"quillshunt/internal/storage"
 )
 
-func (h *rental) request() protocol.RentalRequest {
-	return protocol.RentalRequest{Name: h.name, MachineType: h.record.MachineType, Zone: h.record.Zone, Spot: h.record.Spot, Count: h.record.Count}
+func (r *rental) request() protocol.RentalRequest {
+	return protocol.RentalRequest{Name: r.name, MachineType: r.record.MachineType, Zone: r.record.Zone, Spot: r.record.Spot, Count: r.record.Count}
 }
 
 func (s *Scheduler) rentalLoaded(e RentalLoaded) {
-	h := &rental{name: e.Name, record: e.Record, version: e.Version, requestedAt: s.now, state: rentalRequested, answerDurable: e.Record.Answered}
-	s.rentals.byName[e.Name] = h
+	r := &rental{name: e.Name, record: e.Record, version: e.Version, requestedAt: s.now, state: rentalRequested, answerDurable: e.Record.Answered}
+	s.rentals.byName[e.Name] = r
 	if e.Record.Answered {
-		h.state = rentalAnswered
+		r.state = rentalAnswered
 	} else {
-		s.emit(RentMachines{Request: h.request()}) // repeated: the same answer, or the machines for the first time
+		s.emit(RentMachines{Request: r.request()}) // repeated: the same answer, or the machines for the first time
 	}
 	for _, name := range e.Record.Machines {
-		s.getOrAddMachine(name, e.Record.MachineType, e.Record.Zone, e.Record.Spot).rental = h.name
+		s.getOrAddMachine(name, e.Record.MachineType, e.Record.Zone, e.Record.Spot).rental = r.name
 	}
 }
 
 // rentMachines starts a rental: its name is durable before the request leaves, so that a successor
 // can ask for the answer.
-func (s *Scheduler) rentMachines(p machinePool, n int) {
+func (s *Scheduler) rentMachines(pool machinePool, count int) {
 	s.rentals.sequence++
-	h := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentals.sequence), state: rentalWriting, requestedAt: s.now,
-		record: storage.Rental{MachineType: p.typeName, Zone: p.zone, Spot: p.spot, Count: min(n, s.rentals.maxMachines)}}
-	s.rentals.byName[h.name] = h
-	s.log(false, "renting", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot, "count", h.record.Count)
-	s.writeRental(h)
+	r := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentals.sequence), state: rentalWriting, requestedAt: s.now,
+		record: storage.Rental{MachineType: pool.typeName, Zone: pool.zone, Spot: pool.spot, Count: min(count, s.rentals.maxMachines)}}
+	s.rentals.byName[r.name] = r
+	s.log(false, "renting", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot, "count", r.record.Count)
+	s.writeRental(r)
 }
 
 // writeRental writes a rental's record; one write of a record is under way at a time.
-func (s *Scheduler) writeRental(h *rental) {
-	if h.writing {
-		h.dirty = true
+func (s *Scheduler) writeRental(r *rental) {
+	if r.writing {
+		r.dirty = true
 		return
 	}
-	h.writing, h.dirty = true, false
-	key := storage.RentalKey(h.name)
-	s.write(pendingWrite{kind: writeRental, rental: h.name, answered: h.record.Answered}, []protocol.Condition{{Key: key, Version: h.version}},
-		[]protocol.Operation{{Put: key, Value: protocol.Encode(h.record)}})
+	r.writing, r.dirty = true, false
+	key := storage.RentalKey(r.name)
+	s.write(pendingWrite{kind: writeRental, rental: r.name, answered: r.record.Answered}, []protocol.Condition{{Key: key, Version: r.version}},
+		[]protocol.Operation{{Put: key, Value: protocol.Encode(r.record)}})
 }
 
-func (s *Scheduler) rentalWritten(p pendingWrite, ok bool, rev uint64) {
-	h := s.rentals.byName[p.rental]
-	if h == nil {
+func (s *Scheduler) rentalWritten(write pendingWrite, ok bool, version uint64) {
+	r := s.rentals.byName[write.rental]
+	if r == nil {
 		return
 	}
-	h.writing = false
+	r.writing = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
-		s.log(true, "rental record refused", "request", h.name)
+		s.log(true, "rental record refused", "request", r.name)
 		return
 	}
-	h.version = rev
-	if p.answered && !h.answerDurable {
-		h.answerDurable = true
-		for _, name := range h.record.Machines {
+	r.version = version
+	if write.answered && !r.answerDurable {
+		r.answerDurable = true
+		for _, name := range r.record.Machines {
 			if m := s.inventory.byName[name]; m != nil && m.hasReported {
 				s.registerMachine(m) // it was up before its rental's record was written
 			}
 		}
 	}
-	if h.state == rentalWriting {
-		h.state = rentalRequested
-		s.emit(RentMachines{Request: h.request()})
+	if r.state == rentalWriting {
+		r.state = rentalRequested
+		s.emit(RentMachines{Request: r.request()})
 	}
-	s.reconcileRental(h)
+	s.reconcileRental(r)
 }
 
 // reconcileRental brings a rental's record in line with what is known: it goes once all its
 // machines are gone.
-func (s *Scheduler) reconcileRental(h *rental) {
+func (s *Scheduler) reconcileRental(r *rental) {
 	switch {
-	case h.writing || h.version == 0:
-	case h.state == rentalAnswered && len(h.record.Machines) == 0:
-		s.removeRental(h)
-	case h.dirty && h.state != rentalRemoving:
-		s.writeRental(h)
+	case r.writing || r.version == 0:
+	case r.state == rentalAnswered && len(r.record.Machines) == 0:
+		s.removeRental(r)
+	case r.dirty && r.state != rentalRemoving:
+		s.writeRental(r)
 	}
 }
 
-func (s *Scheduler) removeRental(h *rental) {
-	h.state = rentalRemoving
-	key := storage.RentalKey(h.name)
-	s.write(pendingWrite{kind: writeRentalRemove, rental: h.name}, []protocol.Condition{{Key: key, Version: h.version}},
+func (s *Scheduler) removeRental(r *rental) {
+	r.state = rentalRemoving
+	key := storage.RentalKey(r.name)
+	s.write(pendingWrite{kind: writeRentalRemove, rental: r.name}, []protocol.Condition{{Key: key, Version: r.version}},
 		[]protocol.Operation{{Delete: key}})
 }
 
 // adoptMachine makes a record for a machine that no rental of ours accounts for.
 func (s *Scheduler) adoptMachine(m *machine) {
-	h := &rental{name: "found-" + m.name, state: rentalAnswered, requestedAt: s.now,
+	r := &rental{name: "found-" + m.name, state: rentalAnswered, requestedAt: s.now,
 		record: storage.Rental{MachineType: m.typeName, Zone: m.zone, Spot: m.spot, Answered: true, Machines: []string{m.name}}}
-	if s.rentals.byName[h.name] != nil {
+	if s.rentals.byName[r.name] != nil {
 		return // its last record is just being removed; the next report tries again
 	}
 	s.log(true, "unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
-	m.rental = h.name
-	s.rentals.byName[h.name] = h
-	s.writeRental(h)
+	m.rental = r.name
+	s.rentals.byName[r.name] = r
+	s.writeRental(r)
 }
 
 func (s *Scheduler) rentalDone(e RentalDone) {
-	h := s.rentals.byName[e.Name]
-	if h == nil || h.state != rentalRequested {
+	r := s.rentals.byName[e.Name]
+	if r == nil || r.state != rentalRequested {
 		return
 	}
-	p := machinePool{h.record.MachineType, h.record.Zone, h.record.Spot}
+	pool := machinePool{r.record.MachineType, r.record.Zone, r.record.Spot}
 	switch {
 	case e.NoCapacity:
-		s.backOffPool(p)
+		s.backOffPool(pool)
 		s.planner.nextPlanAt = 0
-		s.log(false, "no capacity", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot)
-		s.removeRental(h)
+		s.log(false, "no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
+		s.removeRental(r)
 		return
 	case !e.OK:
-		s.emit(RentMachines{Request: h.request()})
+		s.emit(RentMachines{Request: r.request()})
 		return
 	}
-	if len(e.Machines) < h.record.Count {
-		s.backOffPool(p)
+	if len(e.Machines) < r.record.Count {
+		s.backOffPool(pool)
 		s.planner.nextPlanAt = 0 // the rest is asked for elsewhere at once
-	} else if st := s.rentals.pools[p]; st != nil {
-		st.backoff = 0
+	} else if state := s.rentals.pools[pool]; state != nil {
+		state.backoff = 0
 	}
-	s.log(false, "rented", "request", h.name, "machines", len(e.Machines))
-	h.state, h.dirty = rentalAnswered, true
-	h.record.Answered = true
+	s.log(false, "rented", "request", r.name, "machines", len(e.Machines))
+	r.state, r.dirty = rentalAnswered, true
+	r.record.Answered = true
 	for _, name := range e.Machines {
-		if s.inventory.deleted[name] || slices.Contains(h.record.Machines, name) {
+		if s.inventory.deleted[name] || slices.Contains(r.record.Machines, name) {
 			continue
 		}
 		known := s.inventory.byName[name]
-		m := s.getOrAddMachine(name, p.typeName, p.zone, p.spot)
+		m := s.getOrAddMachine(name, pool.typeName, pool.zone, pool.spot)
 		if known == nil {
-			m.createdAt = h.requestedAt
+			m.createdAt = r.requestedAt
 		}
 		if m.rental == "" {
-			m.rental = h.name
-			h.record.Machines = append(h.record.Machines, name)
+			m.rental = r.name
+			r.record.Machines = append(r.record.Machines, name)
 		}
 	}
 	s.placement.needed = true
-	s.reconcileRental(h)
+	s.reconcileRental(r)
 }
 
 // backOffPool makes a pool wait before it is asked again.
-func (s *Scheduler) backOffPool(p machinePool) {
-	st := s.poolState(p)
-	st.backoff = min(max(2*st.backoff, limits.CapacityBackoffMin), limits.CapacityBackoffMax)
-	st.notBefore = s.now + st.backoff
+func (s *Scheduler) backOffPool(pool machinePool) {
+	state := s.poolState(pool)
+	state.backoff = min(max(2*state.backoff, limits.CapacityBackoffMin), limits.CapacityBackoffMax)
+	state.notBefore = s.now + state.backoff
 }
 
-func (s *Scheduler) poolState(p machinePool) *poolState {
-	st := s.rentals.pools[p]
-	if st == nil {
-		st = &poolState{}
-		s.rentals.pools[p] = st
+func (s *Scheduler) poolState(pool machinePool) *poolState {
+	state := s.rentals.pools[pool]
+	if state == nil {
+		state = &poolState{}
+		s.rentals.pools[pool] = state
 	}
-	return st
+	return state
 }
 
 func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
@@ -197,44 +197,44 @@
 		return
 	}
 	s.cloudList.nextAt = s.now + limits.MachineListInterval
-	in := make(map[string]bool, len(e.Machines))
+	listed := make(map[string]bool, len(e.Machines))
 	for i := range e.Machines {
-		r := &e.Machines[i]
-		in[r.Name] = true
-		if s.inventory.deleted[r.Name] {
+		entry := &e.Machines[i]
+		listed[entry.Name] = true
+		if s.inventory.deleted[entry.Name] {
 			continue
 		}
-		m := s.inventory.byName[r.Name]
+		m := s.inventory.byName[entry.Name]
 		if m == nil {
-			if r.AgeS < (3 * s.cfg.ListLag).Seconds() {
+			if entry.AgeS < (3 * s.cfg.ListLag).Seconds() {
 				continue // perhaps the answer to a rental of ours is on its way
 			}
-			if s.now >= s.termStartedAt+limits.LeaseSurelyOver(s.workerLease) && r.State != protocol.MachineRunning {
+			if s.now >= s.termStartedAt+limits.LeaseSurelyOver(s.workerLease) && entry.State != protocol.MachineRunning {
 				continue
 			}
-			m = s.getOrAddMachine(r.Name, r.MachineType, r.Zone, r.Spot)
-			m.createdAt = s.now - limits.Seconds(r.AgeS)
+			m = s.getOrAddMachine(entry.Name, entry.MachineType, entry.Zone, entry.Spot)
+			m.createdAt = s.now - limits.Seconds(entry.AgeS)
 			s.adoptMachine(m)
 		}
 		if !m.listed {
-			m.createdAt = min(m.createdAt, s.now-limits.Seconds(r.AgeS))
+			m.createdAt = min(m.createdAt, s.now-limits.Seconds(entry.AgeS))
 		}
 		m.listed = true
 		if m.address == "" {
-			m.address = r.Address
+			m.address = entry.Address
 		}
-		if r.State == protocol.MachineFailed {
+		if entry.State == protocol.MachineFailed {
 			s.returnMachine(m, "failed")
 		}
 	}
 	for _, m := range s.inventory.sorted {
-		if !s.recovery.ended && !m.hasReported && m.registration != unregistered && !in[m.name] {
+		if !s.recovery.ended && !m.hasReported && m.registration != unregistered && !listed[m.name] {
 			// It reported to an earlier leader, so it was listed once or is very new. Its deletion
 			// is the quickest evidence that nothing runs there.
 			s.returnMachine(m, "not listed after the take-over")
 			continue
 		}
-		if in[m.name] || !m.listed {
+		if listed[m.name] || !m.listed {
 			m.missingLists = 0
 			continue
 		}
@@ -247,12 +247,12 @@
 
 // returnMachine returns a machine to the cloud. Once asked, there is no way back, as the request
 // may be carried out at any time.
-func (s *Scheduler) returnMachine(m *machine, why string) {
+func (s *Scheduler) returnMachine(m *machine, reason string) {
 	if m.deleting {
 		return
 	}
-	m.deleting, m.deleteReason, m.deleteRequestedAt = true, why, -never/2
-	s.log(false, "returning", "machine", m.name, "reason", why, "tasks", len(m.assignments))
+	m.deleting, m.deleteReason, m.deleteRequestedAt = true, reason, -never/2
+	s.log(false, "returning", "machine", m.name, "reason", reason, "tasks", len(m.assignments))
 	s.releaseUnsent(m)
 }
 
@@ -268,24 +268,24 @@
 		}
 		// The machine and everything on it are gone.
 		s.inventory.deleted[name] = true
-		for _, b := range m.sortedAssignments() {
-			s.release(b)
+		for _, a := range m.sortedAssignments() {
+			s.release(a)
 		}
 		s.forgetMachine(m)
 	}
 	s.placement.needed = true
-	for _, h := range s.sortedRentals() {
-		s.reconcileRental(h)
+	for _, r := range s.sortedRentals() {
+		s.reconcileRental(r)
 	}
 }
 
 func (s *Scheduler) sortedRentals() []*rental {
-	out := make([]*rental, 0, len(s.rentals.byName))
-	for _, h := range s.rentals.byName {
-		out = append(out, h)
+	rentals := make([]*rental, 0, len(s.rentals.byName))
+	for _, r := range s.rentals.byName {
+		rentals = append(rentals, r)
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].name < out[b].name })
-	return out
+	sort.Slice(rentals, func(a, b int) bool { return rentals[a].name < rentals[b].name })
+	return rentals
 }
 
 // manageFleet keeps the fleet in step with the work.
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -11,23 +11,23 @@
 
 // heartbeatReceived takes a worker's report, and answers it if we may.
 func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
-	r := e.Heartbeat
-	if !e.Entitled || !r.Valid() || r.FencingToken > s.cfg.Term || s.inventory.deleted[r.Machine] {
+	heartbeat := e.Heartbeat
+	if !e.Entitled || !heartbeat.Valid() || heartbeat.FencingToken > s.cfg.Term || s.inventory.deleted[heartbeat.Machine] {
 		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	if r.FencingToken < s.cfg.Term {
+	if heartbeat.FencingToken < s.cfg.Term {
 		s.answerUnfencedHeartbeat(e)
 		return
 	}
-	m := s.getOrAddMachine(r.Machine, r.MachineType, r.Zone, r.Spot)
-	if m.isOutdated(r, m.heartbeatSequence) {
+	m := s.getOrAddMachine(heartbeat.Machine, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot)
+	if m.isOutdated(heartbeat, m.heartbeatSequence) {
 		// Late or repeated: the worker waits for no answer to it, and its task list is old. But if
 		// it is the newest one and has only just been answered, that may have been a copy that
 		// overtook it, and the worker waits for this answer.
-		copied := r.Incarnation == m.incarnation && r.Sequence == m.heartbeatSequence && r.Incarnation > m.endedIncarnation && s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout && !s.holdsCancelledTask(m, s.cancelAnswerUntil)
-		reply := HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: copied}
-		if copied {
+		answerAgain := heartbeat.Incarnation == m.incarnation && heartbeat.Sequence == m.heartbeatSequence && heartbeat.Incarnation > m.endedIncarnation && s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout && !s.holdsCancelledTask(m, s.cancelAnswerUntil)
+		reply := HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: answerAgain}
+		if answerAgain {
 			reply.Commands = m.repeatableCommands()
 		}
 		s.emit(reply)
@@ -39,19 +39,19 @@
 	}
 	// After a silence a report may be a late one, even on its old connection.
 	s.setVerified(m, !m.fenced || (e.SameConnection && s.now <= m.lastHeartbeatAt+s.staleAfter()))
-	s.observeIncarnation(m, r)
-	m.heartbeatSequence, m.address = r.Sequence, r.Address
+	s.observeIncarnation(m, heartbeat)
+	m.heartbeatSequence, m.address = heartbeat.Sequence, heartbeat.Address
 	m.lastHeartbeatAt = s.now
 	s.registerMachine(m)
-	if r.SpotNoticeS != nil && !m.spotNotice {
+	if heartbeat.SpotNoticeS != nil && !m.spotNotice {
 		m.spotNotice = true
-		m.spotNoticeEnds = s.now + limits.Seconds(*r.SpotNoticeS)
-		s.log(false, "spot notice", "machine", m.name, "seconds", *r.SpotNoticeS, "tasks", len(m.assignments))
+		m.spotNoticeEnds = s.now + limits.Seconds(*heartbeat.SpotNoticeS)
+		s.log(false, "spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
 		s.releaseUnsent(m)
 	}
-	var orders []protocol.Command
-	if r.Sequence > m.sequence { // else a direct command's answer has overtaken it
-		orders = s.reconcileTasks(m, r, 0)
+	var commands []protocol.Command
+	if heartbeat.Sequence > m.sequence { // else a direct command's answer has overtaken it
+		commands = s.reconcileTasks(m, heartbeat, 0)
 	}
 	if s.holdsCancelledTask(m, s.cancelAnswerUntil) {
 		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
@@ -66,9 +66,9 @@
 		s.probeMachine(m)
 	}
 	s.decide()
-	orders = s.buildCommands(m, r.Sequence, orders)
-	m.dispatchQueued, m.lastCommands = false, orders
-	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: orders})
+	commands = s.buildCommands(m, heartbeat.Sequence, commands)
+	m.dispatchQueued, m.lastCommands = false, commands
+	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
 }
 
 // answerUnfencedHeartbeat answers a report that has not seen our term. It may be a late copy of one
@@ -97,29 +97,29 @@
 // again are the orders of the last answer, without the starts that are not wanted any more or have
 // arrived since.
 func (m *machine) repeatableCommands() []protocol.Command {
-	var out []protocol.Command
-	for _, o := range m.lastCommands {
-		if o.Verb == protocol.CommandStart {
-			b := m.assignments[o.Task]
-			if b == nil || b.attempt != o.Attempt || b.state != stateSent || b.stopping || b.job.cancelled || b.job.closed {
+	var commands []protocol.Command
+	for _, command := range m.lastCommands {
+		if command.Verb == protocol.CommandStart {
+			a := m.assignments[command.Task]
+			if a == nil || a.attempt != command.Attempt || a.state != stateSent || a.stopping || a.job.cancelled || a.job.closed {
 				continue
 			}
 		}
-		out = append(out, o)
+		commands = append(commands, command)
 	}
-	return out
+	return commands
 }
 
 // setVerified notes whether answers are known to reach a machine. While they are not, it gets no
 // new tasks: reports may arrive from a machine that hears nothing.
-func (s *Scheduler) setVerified(m *machine, ok bool) {
-	if ok && !m.verified {
+func (s *Scheduler) setVerified(m *machine, verified bool) {
+	if verified && !m.verified {
 		s.placement.needed = true
 	}
-	if !ok && (m.verified || m.unverifiedSince == 0) {
+	if !verified && (m.verified || m.unverifiedSince == 0) {
 		m.unverifiedSince = s.now
 	}
-	m.verified = ok
+	m.verified = verified
 }
 
 // acceptsRelayed tells whether a report is answered the way it came. A worker that comes through
@@ -147,26 +147,26 @@
 
 // observeIncarnation takes the session of a message that is not old. The tasks of earlier sessions
 // were killed.
-func (s *Scheduler) observeIncarnation(m *machine, r *protocol.Heartbeat) {
-	if m.hasReported && r.Incarnation > m.incarnation {
-		for _, b := range m.sortedAssignments() {
-			if b.state != stateUnsent {
-				s.log(true, "session lost", "machine", m.name, "job", b.job.id, "task", b.index, "attempt", b.attempt)
+func (s *Scheduler) observeIncarnation(m *machine, heartbeat *protocol.Heartbeat) {
+	if m.hasReported && heartbeat.Incarnation > m.incarnation {
+		for _, a := range m.sortedAssignments() {
+			if a.state != stateUnsent {
+				s.log(true, "session lost", "machine", m.name, "job", a.job.id, "task", a.index, "attempt", a.attempt)
 			}
-			s.release(b)
+			s.release(a)
 		}
 		m.endedTasks = map[attemptKey]endedTask{}
 		m.cachedImages = map[string]time.Duration{}
 	}
-	if !m.hasReported || r.Incarnation > m.incarnation {
+	if !m.hasReported || heartbeat.Incarnation > m.incarnation {
 		m.sequence, m.heartbeatSequence = 0, 0
 		s.placement.needed = true
 	}
 	if !m.hasReported {
 		m.firstReportAt, m.idleSince = s.now, s.now
 	}
-	m.hasReported, m.incarnation = true, r.Incarnation
-	if r.FencingToken == s.cfg.Term && !m.fenced {
+	m.hasReported, m.incarnation = true, heartbeat.Incarnation
+	if heartbeat.FencingToken == s.cfg.Term && !m.fenced {
 		m.fenced, s.placement.needed = true, true
 		m.leaseRenewedAt = max(m.leaseRenewedAt, s.now)
 	}
@@ -177,32 +177,32 @@
 // no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
 	m := s.inventory.byName[e.Machine]
-	r := e.Heartbeat
-	if r != nil || e.NotSent {
+	heartbeat := e.Heartbeat
+	if heartbeat != nil || e.NotSent {
 		s.prober.budget.observe(s.now, e.NotSent || e.Took > limits.SlowHeartbeatWait)
 	}
-	if m != nil && r == nil && !e.NotSent {
+	if m != nil && heartbeat == nil && !e.NotSent {
 		m.missedProbes++
 		if s.recovery.fewUnreported && !m.hasReported && m.missedProbes < limits.UnreportedProbeMisses {
 			m.nextProbeAt = s.now // all placement waits for it
 			s.probeMachine(m)
 		}
 	}
-	if m == nil || r == nil || r.Machine != e.Machine || !r.Valid() || r.FencingToken != s.cfg.Term || m.isOutdated(r, m.sequence) {
+	if m == nil || heartbeat == nil || heartbeat.Machine != e.Machine || !heartbeat.Valid() || heartbeat.FencingToken != s.cfg.Term || m.isOutdated(heartbeat, m.sequence) {
 		return
 	}
-	s.observeIncarnation(m, r)
+	s.observeIncarnation(m, heartbeat)
 	s.setVerified(m, true)
 	// Like a direct command's answer it says nothing of starts that went out another way and may
 	// still arrive.
 	s.dispatcher.sequence++
-	s.sendCorrections(m, s.reconcileTasks(m, r, s.dispatcher.sequence))
+	s.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.sequence))
 }
 
 // isOutdated tells whether a message is no newer than one of the machine with that tally, or of a
 // session that is over.
-func (m *machine) isOutdated(r *protocol.Heartbeat, tally uint64) bool {
-	return m.hasReported && (r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Sequence <= tally)) || r.Incarnation <= m.endedIncarnation
+func (m *machine) isOutdated(heartbeat *protocol.Heartbeat, newest uint64) bool {
+	return m.hasReported && (heartbeat.Incarnation < m.incarnation || (heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= newest)) || heartbeat.Incarnation <= m.endedIncarnation
 }
 
 // directCommandsDone takes the answer to a direct command.
@@ -214,31 +214,31 @@
 	}
 	m.directID = 0
 	defer s.queueGangDispatch(m)
-	r := e.Heartbeat
+	heartbeat := e.Heartbeat
 	switch {
 	case e.NotExecuted:
 		// Nothing reached the worker, or it executed nothing: these starts cannot arrive any more.
 		m.noDirectUntil = s.now + limits.DirectCommandPause
-		for _, b := range m.sortedAssignments() {
-			if b.directID == e.ID && b.state == stateSent {
-				s.release(b)
+		for _, a := range m.sortedAssignments() {
+			if a.directID == e.ID && a.state == stateSent {
+				s.release(a)
 			}
 		}
-	case r == nil:
+	case heartbeat == nil:
 		// It may be carried out at any time while the session and the term last. The next answers
 		// to reports repeat the starts, which is harmless, and the tasks stay bound until they show
 		// up or the session ends.
 		m.noDirectUntil = s.now + limits.DirectCommandPause
 		m.markStartsUnconfirmed(e.ID)
-	case r.Machine != e.Machine || !r.Valid():
-	case m.isOutdated(r, m.sequence):
+	case heartbeat.Machine != e.Machine || !heartbeat.Valid():
+	case m.isOutdated(heartbeat, m.sequence):
 		// A later message was here first and has told what became of the tasks, but for one that it
 		// was too early for.
 		m.markStartsUnconfirmed(e.ID)
 	default:
-		s.observeIncarnation(m, r)
+		s.observeIncarnation(m, heartbeat)
 		s.setVerified(m, true)
-		s.sendCorrections(m, s.reconcileTasks(m, r, e.ID))
+		s.sendCorrections(m, s.reconcileTasks(m, heartbeat, e.ID))
 	}
 }
 
@@ -254,32 +254,32 @@
 
 // markStartsUnconfirmed notes that we cannot tell whether the starts of a direct command have arrived.
 func (m *machine) markStartsUnconfirmed(id uint64) {
-	for _, b := range m.assignments {
-		if b.directID == id {
-			b.directID, b.startUnconfirmed = 0, true
+	for _, a := range m.assignments {
+		if a.directID == id {
+			a.directID, a.startUnconfirmed = 0, true
 		}
 	}
 }
 
 // sendCorrections sends orders about tasks that should not be on a machine; if it is not possible
 // now, its next report brings them up again.
-func (s *Scheduler) sendCorrections(m *machine, orders []protocol.Command) {
-	if len(orders) > 0 && s.canSendDirectly(m) {
-		s.sendDirectly(m, orders)
+func (s *Scheduler) sendCorrections(m *machine, commands []protocol.Command) {
+	if len(commands) > 0 && s.canSendDirectly(m) {
+		s.sendDirectly(m, commands)
 	}
 }
 
 func (s *Scheduler) canSendDirectly(m *machine) bool {
-	known := m.address != "" && m.hasReported && m.fenced && m.incarnation > m.endedIncarnation
+	reachable := m.address != "" && m.hasReported && m.fenced && m.incarnation > m.endedIncarnation
 	fresh := s.now >= m.noDirectUntil && s.now <= m.lastHeartbeatAt+s.staleAfter()
-	return known && fresh && m.directID == 0 && !m.relayed && !m.deleting
+	return reachable && fresh && m.directID == 0 && !m.relayed && !m.deleting
 }
 
-func (s *Scheduler) sendDirectly(m *machine, orders []protocol.Command) {
+func (s *Scheduler) sendDirectly(m *machine, commands []protocol.Command) {
 	s.dispatcher.sequence++
 	m.directID = s.dispatcher.sequence
 	s.dispatcher.inFlight++
-	s.emit(SendDirectCommands{ID: m.directID, Machine: m.name, Address: m.address, Incarnation: m.incarnation, Commands: orders})
+	s.emit(SendDirectCommands{ID: m.directID, Machine: m.name, Address: m.address, Incarnation: m.incarnation, Commands: commands})
 }
 
 // queueDispatch notes that a machine has orders that did not go out yet.
@@ -299,12 +299,12 @@
 	if len(s.dispatcher.queue) == 0 || s.dispatcher.inFlight >= limits.MaxDirectCommands {
 		return
 	}
-	todo := s.dispatcher.queue
-	slices.SortFunc(todo[s.dispatcher.deferred:], byName)
+	queued := s.dispatcher.queue
+	slices.SortFunc(queued[s.dispatcher.deferred:], byName)
 	s.dispatcher.queue, s.dispatcher.deferred = nil, 0
-	for i, m := range todo {
+	for i, m := range queued {
 		if s.dispatcher.inFlight >= limits.MaxDirectCommands {
-			s.dispatcher.queue = todo[i:]
+			s.dispatcher.queue = queued[i:]
 			s.dispatcher.deferred = len(s.dispatcher.queue)
 			return
 		}
@@ -315,8 +315,8 @@
 		if !s.canSendDirectly(m) {
 			continue
 		}
-		if orders := s.buildCommands(m, 0, nil); len(orders) > 0 {
-			s.sendDirectly(m, orders)
+		if commands := s.buildCommands(m, 0, nil); len(commands) > 0 {
+			s.sendDirectly(m, commands)
 		}
 	}
 }
@@ -326,9 +326,9 @@
 // direct command now is told in the answer to its next report, or once the command that is on its
 // way is answered.
 func (s *Scheduler) dispatchGangStops() {
-	urgent := s.dispatcher.gangQueue
+	queued := s.dispatcher.gangQueue
 	s.dispatcher.gangQueue = nil
-	for _, m := range urgent {
+	for _, m := range queued {
 		if m.hasUnsentGangStop() && s.canSendDirectly(m) {
 			s.sendDirectly(m, s.buildCommands(m, 0, nil))
 		}
@@ -349,21 +349,21 @@
 // stopForSpotNotice stops tasks on a machine that the cloud takes away: in time to save, or at once
 // if they cannot be done before.
 func (s *Scheduler) stopForSpotNotice(m *machine) {
-	left := (m.spotNoticeEnds - s.now).Seconds()
-	for _, b := range m.sortedAssignments() {
-		if m.assignments[b.taskName] != b || b.stopping || b.state == stateUnsent {
+	remaining := (m.spotNoticeEnds - s.now).Seconds()
+	for _, a := range m.sortedAssignments() {
+		if m.assignments[a.taskName] != a || a.stopping || a.state == stateUnsent {
 			continue
 		}
-		need := b.job.estimate()
-		if b.state == stateRunning {
-			need -= (s.now - b.runningSince).Seconds()
+		needed := a.job.estimate()
+		if a.state == stateRunning {
+			needed -= (s.now - a.runningSince).Seconds()
 		}
-		if b.job.spec.CheckpointS > 0 {
-			if left < b.job.spec.SaveS+limits.SpotNoticeSaveIntervals*s.heartbeatInterval.Seconds() {
-				s.stopTask(b, "spot notice")
+		if a.job.spec.CheckpointS > 0 {
+			if remaining < a.job.spec.SaveS+limits.SpotNoticeSaveIntervals*s.heartbeatInterval.Seconds() {
+				s.stopTask(a, "spot notice")
 			}
-		} else if need > left {
-			s.stopTask(b, "spot notice")
+		} else if needed > remaining {
+			s.stopTask(a, "spot notice")
 		}
 	}
 }
@@ -372,61 +372,61 @@
 // is surely free.
 //
 // tally is that of the report that is answered, or 0 for a direct command.
-func (s *Scheduler) buildCommands(m *machine, tally uint64, orders []protocol.Command) []protocol.Command {
-	zero := 0.0
-	held := m.committedRoom()
-	binds := m.sortedAssignments()
-	for _, b := range binds {
-		if b.state == stateUnsent {
+func (s *Scheduler) buildCommands(m *machine, answered uint64, commands []protocol.Command) []protocol.Command {
+	noGrace := 0.0
+	committed := m.committedRoom()
+	assignments := m.sortedAssignments()
+	for _, a := range assignments {
+		if a.state == stateUnsent {
 			continue
 		}
-		if b.state == stateSent && b.startUnconfirmed && !b.job.cancelled && !b.job.closed && tally != 0 {
+		if a.state == stateSent && a.startUnconfirmed && !a.job.cancelled && !a.job.closed && answered != 0 {
 			// The same attempt again: without effect if the first start has arrived, or arrives
 			// later. With a stop behind it, it only makes the worker know the attempt. A cancelled
 			// job's task is not started even so; removeBroken sees to its machine.
-			b.startRepeated = true
-			orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.taskName, Attempt: b.attempt})
+			a.startRepeated = true
+			commands = append(commands, protocol.Command{Verb: protocol.CommandStart, Task: a.taskName, Attempt: a.attempt})
 		}
-		if b.stopping && (tally != 0 || !b.stopSent) {
-			b.stopSent = true
-			o := protocol.Command{Verb: protocol.CommandStop, Task: b.taskName, Attempt: b.attempt, GraceS: &zero}
-			if b.job.spec.CheckpointS > 0 && !b.job.cancelled && !b.withoutSaving && b.stopReason != "done elsewhere" {
-				grace := b.job.spec.SaveS + limits.SaveMargin.Seconds()
-				o.GraceS = &grace
+		if a.stopping && (answered != 0 || !a.stopSent) {
+			a.stopSent = true
+			stop := protocol.Command{Verb: protocol.CommandStop, Task: a.taskName, Attempt: a.attempt, GraceS: &noGrace}
+			if a.job.spec.CheckpointS > 0 && !a.job.cancelled && !a.withoutSaving && a.stopReason != "done elsewhere" {
+				grace := a.job.spec.SaveS + limits.SaveMargin.Seconds()
+				stop.GraceS = &grace
 			}
-			orders = append(orders, o)
+			commands = append(commands, stop)
 		}
 	}
-	sort.SliceStable(binds, func(a, b int) bool { return binds[a].job.priority > binds[b].job.priority })
+	sort.SliceStable(assignments, func(a, b int) bool { return assignments[a].job.priority > assignments[b].job.priority })
 	size := m.size()
-	for _, b := range binds {
-		if b.state != stateUnsent {
+	for _, a := range assignments {
+		if a.state != stateUnsent {
 			continue
 		}
-		if m.spotNotice || m.deleting || b.job.cancelled {
-			s.release(b)
+		if m.spotNotice || m.deleting || a.job.cancelled {
+			s.release(a)
 			continue
 		}
 		if m.registration != registered {
 			continue // a successor would not know that tasks can be here
 		}
 		switch {
-		case b.committed: // its room is kept, see commitGangs
-		case b.job.gang != nil || !size.Fits(held.Plus(b.job.demand)):
+		case a.committed: // its room is kept, see commitGangs
+		case a.job.gang != nil || !size.Fits(committed.Plus(a.job.demand)):
 			continue // its room is not confirmed yet
 		default:
-			held = held.Plus(b.job.demand)
+			committed = committed.Plus(a.job.demand)
 		}
-		b.state, b.assignedAt = stateSent, s.now
-		if tally == 0 {
-			b.directID = s.dispatcher.sequence + 1 // see send
+		a.state, a.assignedAt = stateSent, s.now
+		if answered == 0 {
+			a.directID = s.dispatcher.sequence + 1 // see send
 		}
-		orders = append(orders, protocol.Command{Verb: protocol.CommandStart, Task: b.taskName, Attempt: b.attempt})
-		if len(orders) >= limits.MaxCommands {
+		commands = append(commands, protocol.Command{Verb: protocol.CommandStart, Task: a.taskName, Attempt: a.attempt})
+		if len(commands) >= limits.MaxCommands {
 			break
 		}
 	}
-	return orders
+	return commands
 }
 
 // nextAttempt returns the next attempt number; attempts rise across leaders because the term is
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -106,7 +106,7 @@
 }
 
 // getOrAddMachine returns the machine of a name, new if need be.
-func (s *Scheduler) getOrAddMachine(name, kind, yard string, spot bool) *machine {
+func (s *Scheduler) getOrAddMachine(name, typeName, zone string, spot bool) *machine {
 	m := s.inventory.byName[name]
 	if m == nil {
 		m = &machine{name: name, createdAt: s.now, leaseRenewedAt: s.termStartedAt, idleSince: s.now, lastHeartbeatAt: -never / 2,
@@ -117,20 +117,20 @@
 		copy(s.inventory.sorted[i+1:], s.inventory.sorted[i:])
 		s.inventory.sorted[i] = m
 	}
-	if kind != "" {
-		m.typeName, m.zone, m.spot = kind, yard, spot
-		m.machineType = s.catalog.byName[kind]
+	if typeName != "" {
+		m.typeName, m.zone, m.spot = typeName, zone, spot
+		m.machineType = s.catalog.byName[typeName]
 	}
 	return m
 }
 
 func (s *Scheduler) forgetMachine(m *machine) {
-	life := (s.now - m.createdAt).Seconds()
-	boot := life
+	lifetime := (s.now - m.createdAt).Seconds()
+	bootTime := lifetime
 	if m.hasReported && m.firstReportAt > m.createdAt {
-		boot = (m.firstReportAt - m.createdAt).Seconds()
+		bootTime = (m.firstReportAt - m.createdAt).Seconds()
 	}
-	s.log(false, "machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().CPUs, "life", life, "boot", boot,
+	s.log(false, "machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().CPUs, "life", lifetime, "boot", bootTime,
 		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
 	delete(s.inventory.byName, m.name)
 	s.unregister(m)
@@ -140,17 +140,17 @@
 			break
 		}
 	}
-	if h := s.rentals.byName[m.rental]; h != nil {
-		h.record.Machines = slices.DeleteFunc(h.record.Machines, func(n string) bool { return n == m.name })
-		h.dirty = true
+	if r := s.rentals.byName[m.rental]; r != nil {
+		r.record.Machines = slices.DeleteFunc(r.record.Machines, func(n string) bool { return n == m.name })
+		r.dirty = true
 	}
 }
 
 // sortedAssignments returns a machine's bindings in a fixed order.
 func (m *machine) sortedAssignments() []*assignment {
 	out := make([]*assignment, 0, len(m.assignments))
-	for _, b := range m.assignments {
-		out = append(out, b)
+	for _, a := range m.assignments {
+		out = append(out, a)
 	}
 	sort.Slice(out, func(i, k int) bool {
 		if out[i].job.id != out[k].job.id {
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -74,14 +74,14 @@
 // unheard, as behind a cut, their probes keep to their pace.
 func TestLastUnreportedProbedAgain(t *testing.T) {
 	for _, c := range []struct{ silent, again int }{{1, 1}, {20, 0}} {
-		b := newSchedulerFixture(t, 40)
+		f := newSchedulerFixture(t, 40)
 		for i := c.silent; i < 40; i++ {
-			b.report(i)
+			f.report(i)
 		}
-		b.step(Tick{Entitled: true})
+		f.step(Tick{Entitled: true})
 		again := 0
-		for _, e := range b.step(ProbeDone{Machine: b.machine(0)}) {
-			if p, ok := e.(ProbeMachine); ok && p.Machine == b.machine(0) {
+		for _, e := range f.step(ProbeDone{Machine: f.machine(0)}) {
+			if p, ok := e.(ProbeMachine); ok && p.Machine == f.machine(0) {
 				again++
 			}
 		}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -20,8 +20,8 @@
 		if len(m.assignments) > 0 {
 			s.log(true, "session lapsed", "machine", m.name, "tasks", len(m.assignments))
 		}
-		for _, b := range m.sortedAssignments() {
-			s.release(b)
+		for _, a := range m.sortedAssignments() {
+			s.release(a)
 		}
 		m.endedTasks = map[attemptKey]endedTask{}
 		m.endedIncarnation = max(m.incarnation, 1)
@@ -38,9 +38,9 @@
 
 // releaseUnsent takes back tasks that no order has left for.
 func (s *Scheduler) releaseUnsent(m *machine) {
-	for _, b := range m.sortedAssignments() {
-		if b.state == stateUnsent {
-			s.release(b)
+	for _, a := range m.sortedAssignments() {
+		if a.state == stateUnsent {
+			s.release(a)
 		}
 	}
 }
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -41,24 +41,24 @@
 	}
 	// The rental's record must name the machine first: a successor ignores a mark that no rental
 	// accounts for.
-	h := s.rentals.byName[m.rental]
-	if h == nil || !h.answerDurable || m.registration != unregistered {
+	r := s.rentals.byName[m.rental]
+	if r == nil || !r.answerDurable || m.registration != unregistered {
 		return
 	}
 	m.registration = registering
-	u := storage.RegisteredMachine{Machine: m.name, Address: m.address}
-	size := storage.EncodedSize(u) + limits.RegistryEntryOverhead
-	if full := s.registry.current; full == nil || float64(full.encodedSize+size) > s.cfg.State.ValueKB*1024 {
+	entry := storage.RegisteredMachine{Machine: m.name, Address: m.address}
+	size := storage.EncodedSize(entry) + limits.RegistryEntryOverhead
+	if current := s.registry.current; current == nil || float64(current.encodedSize+size) > s.cfg.State.ValueKB*1024 {
 		s.registry.sequence++
 		s.registry.current = &registryPage{name: fmt.Sprintf("%d-%d", s.cfg.Term, s.registry.sequence), encodedSize: limits.RegistryEntryOverhead}
 		s.registry.pages = append(s.registry.pages, s.registry.current)
-		if full != nil {
-			s.removeEmptyPage(full)
+		if current != nil {
+			s.removeEmptyPage(current)
 		}
 	}
 	s.registry.current.encodedSize += size
 	m.registryPage = s.registry.current
-	m.registryPage.record.Machines = append(m.registryPage.record.Machines, u)
+	m.registryPage.record.Machines = append(m.registryPage.record.Machines, entry)
 	m.registryPage.liveMachines++
 	m.registryPage.dirty = true
 	s.registry.dirty = true
@@ -72,66 +72,66 @@
 		return
 	}
 	s.registry.dirty, s.registry.writtenAt = false, s.now
-	for _, x := range s.registry.pages {
-		if !x.dirty || x.writing {
-			s.registry.dirty = s.registry.dirty || x.dirty
+	for _, page := range s.registry.pages {
+		if !page.dirty || page.writing {
+			s.registry.dirty = s.registry.dirty || page.dirty
 			continue
 		}
-		x.dirty, x.writing = false, true
-		key := storage.RegistryPageKey(x.name)
-		s.write(pendingWrite{kind: writeRegistration, registryPage: x, count: len(x.record.Machines)}, []protocol.Condition{{Key: key, Version: x.version}},
-			[]protocol.Operation{{Put: key, Value: protocol.Encode(x.record)}})
+		page.dirty, page.writing = false, true
+		key := storage.RegistryPageKey(page.name)
+		s.write(pendingWrite{kind: writeRegistration, registryPage: page, count: len(page.record.Machines)}, []protocol.Condition{{Key: key, Version: page.version}},
+			[]protocol.Operation{{Put: key, Value: protocol.Encode(page.record)}})
 	}
 }
 
-func (s *Scheduler) registryPageWritten(p pendingWrite, ok bool, rev uint64) {
-	x := p.registryPage
-	x.writing = false
+func (s *Scheduler) registryPageWritten(write pendingWrite, ok bool, version uint64) {
+	page := write.registryPage
+	page.writing = false
 	if !ok {
 		// Only we write pages of our term, so this cannot be; without a mark the machines get no tasks.
-		s.log(true, "marks refused", "sheet", x.name)
+		s.log(true, "marks refused", "sheet", page.name)
 		return
 	}
-	x.version = rev
-	for _, u := range x.record.Machines[:p.count] {
-		if m := s.inventory.byName[u.Machine]; m != nil && m.registration == registering {
+	page.version = version
+	for _, entry := range page.record.Machines[:write.count] {
+		if m := s.inventory.byName[entry.Machine]; m != nil && m.registration == registering {
 			m.registration = registered
 			s.gangs.freeRoomChanged = true
 			s.queueDispatch(m)
 		}
 	}
 	s.writeRegistryPages()
-	s.removeEmptyPage(x)
+	s.removeEmptyPage(page)
 }
 
 // unregister takes a machine that is gone off its page, and removes a page of which nothing is left.
 func (s *Scheduler) unregister(m *machine) {
-	if x := m.registryPage; x != nil {
-		x.liveMachines--
-		s.removeEmptyPage(x)
+	if page := m.registryPage; page != nil {
+		page.liveMachines--
+		s.removeEmptyPage(page)
 	}
 }
 
-func (s *Scheduler) removeEmptyPage(x *registryPage) {
-	if x.liveMachines > 0 || x.writing || x.dirty || x == s.registry.current {
+func (s *Scheduler) removeEmptyPage(page *registryPage) {
+	if page.liveMachines > 0 || page.writing || page.dirty || page == s.registry.current {
 		return
 	}
-	if x.version != 0 {
-		key := storage.RegistryPageKey(x.name)
-		s.write(pendingWrite{kind: writeRegistrationRemove, registryPage: x}, []protocol.Condition{{Key: key, Version: x.version}}, []protocol.Operation{{Delete: key}})
+	if page.version != 0 {
+		key := storage.RegistryPageKey(page.name)
+		s.write(pendingWrite{kind: writeRegistrationRemove, registryPage: page}, []protocol.Condition{{Key: key, Version: page.version}}, []protocol.Operation{{Delete: key}})
 	}
-	s.registry.pages = slices.DeleteFunc(s.registry.pages, func(y *registryPage) bool { return y == x })
+	s.registry.pages = slices.DeleteFunc(s.registry.pages, func(other *registryPage) bool { return other == page })
 }
 
 // registryPageLoaded takes a page of an earlier term, after all rentals.
 func (s *Scheduler) registryPageLoaded(e RegistryPageLoaded) {
-	x := &registryPage{name: e.Name, record: e.Record, version: e.Version}
-	s.registry.pages = append(s.registry.pages, x)
-	for _, u := range e.Record.Machines {
-		if m := s.inventory.byName[u.Machine]; m != nil && m.registryPage == nil {
-			m.registration, m.address, m.registryPage = registered, u.Address, x
-			x.liveMachines++
+	page := &registryPage{name: e.Name, record: e.Record, version: e.Version}
+	s.registry.pages = append(s.registry.pages, page)
+	for _, entry := range e.Record.Machines {
+		if m := s.inventory.byName[entry.Machine]; m != nil && m.registryPage == nil {
+			m.registration, m.address, m.registryPage = registered, entry.Address, page
+			page.liveMachines++
 		}
 	}
-	s.removeEmptyPage(x)
+	s.removeEmptyPage(page)
 }
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -16,7 +16,7 @@
 )
 
 // isPending tells whether the cloud has not answered yet.
-func (h *rental) isPending() bool { return h.state == rentalWriting || h.state == rentalRequested }
+func (r *rental) isPending() bool { return r.state == rentalWriting || r.state == rentalRequested }
 
 type rental struct {
 	name          string
