--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -22,7 +22,7 @@
 	Peers   *peer.Server
 
 	settings *config.Settings
-	leader   *leader.Runner
+	leader   *leader.Dispatcher
 	peers    *peer.Peers
 	elector  *election.Elector
 	gateway  *gateway.Gateway
@@ -34,7 +34,7 @@
 	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
 	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS).WithDialer(dialer)
-	desk := leader.NewRunner(s, options, store, cloud, sockets, log).WithDialer(dialer)
+	desk := leader.NewDispatcher(s, options, store, cloud, sockets, log).WithDialer(dialer)
 	elector := election.New(s.NodeName, store, time.Duration(options.Leadership.LeaderLease), limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)), desk.RunTerm, log)
 	desk.OnTermLost(elector.TermLost)
 	peers, err := peer.Dial(s.Members, dialer)
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	elector.Peers = peers
-	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Runner: desk, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
+	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	return &Controller{
 		Clients: &transport.Server{
 			Addr:        s.ClientListen,
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -25,14 +25,14 @@
 // Gateway handles requests. Handle runs on the server's loop and never blocks; users' requests
 // are worked on in a stage of bounded size.
 type Gateway struct {
-	Node      string
-	Store     *storage.Store
-	Runner    *leader.Runner
-	Peers     *peer.Peers
-	Leader    func() string // name of the leading node, or ""
-	Settings  *config.Settings
-	UserSlots int // most users' requests worked on at once
-	Log       *slog.Logger
+	Node       string
+	Store      *storage.Store
+	Dispatcher *leader.Dispatcher
+	Peers      *peer.Peers
+	Leader     func() string // name of the leading node, or ""
+	Settings   *config.Settings
+	UserSlots  int // most users' requests worked on at once
+	Log        *slog.Logger
 
 	ctx          context.Context
 	userSlots    chan struct{}
@@ -50,7 +50,7 @@
 	g.ctx = ctx
 	g.userSlots = make(chan struct{}, g.UserSlots)
 	g.relaySlots = make(chan struct{}, limits.RelaySlots)
-	g.finalStates.m = map[string]string{}
+	g.finalStates.states = map[string]string{}
 	go g.followMachineTypes(ctx)
 }
 
@@ -246,7 +246,7 @@
 // handleHeartbeat hands a worker's report to the leader here, or sends the worker to where the
 // leader is.
 func (g *Gateway) handleHeartbeat(req *transport.Message, rsp *transport.Responder) {
-	if !g.Runner.IsLeader() {
+	if !g.Dispatcher.IsLeader() {
 		name := g.Leader()
 		if name == g.Node {
 			name = ""
@@ -264,7 +264,7 @@
 		}
 		return
 	}
-	g.Runner.Heartbeat(req.Body, rsp.PreviousStatus() == 200, func(status int, body []byte) { rsp.Respond(status, body, 0) })
+	g.Dispatcher.Heartbeat(req.Body, rsp.PreviousStatus() == 200, func(status int, body []byte) { rsp.Respond(status, body, 0) })
 }
 
 // relayHeartbeat asks the leader about a worker that came here. Mostly the leader wants it to come
@@ -442,8 +442,8 @@
 }
 
 func (g *Gateway) taskCounts(ctx context.Context, id string) (peer.TaskCounts, bool) {
-	if g.Runner.IsLeader() {
-		return g.Runner.TaskCounts(ctx, id)
+	if g.Dispatcher.IsLeader() {
+		return g.Dispatcher.TaskCounts(ctx, id)
 	}
 	return g.Peers.TaskCounts(ctx, g.Leader(), id)
 }
@@ -459,7 +459,7 @@
 //   - the leader has written a heartbeat that covers the record. Such a write succeeds only while no later term has begun;
 //   - there is no leader key. Its hold is over, so no leader is entitled, and the next one reads the record.
 func (g *Gateway) confirmCancellation(ctx context.Context, id string, p protocol.KeyValue) bool {
-	known := g.Runner.ConfirmCancellation(ctx, id, p.Version, p.Value) || g.Peers.ConfirmCancellation(ctx, g.Leader(), id, p.Version, p.Value) || g.coveredByHeartbeat(ctx, p.Version)
+	known := g.Dispatcher.ConfirmCancellation(ctx, id, p.Version, p.Value) || g.Peers.ConfirmCancellation(ctx, g.Leader(), id, p.Version, p.Value) || g.coveredByHeartbeat(ctx, p.Version)
 	if known {
 		g.finalStates.put(id, protocol.Aborted) // it stays so, whatever leader comes
 	}
@@ -539,31 +539,31 @@
 
 // finalStateCache caches final states, which never change.
 type finalStateCache struct {
-	mu   sync.Mutex
-	m    map[string]string
-	ring []string
-	next int
+	mu     sync.Mutex
+	states map[string]string
+	ring   []string
+	next   int
 }
 
 func (f *finalStateCache) get(id string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s, ok := f.m[id]
+	s, ok := f.states[id]
 	return s, ok
 }
 
 func (f *finalStateCache) put(id, standing string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, ok := f.m[id]; ok {
+	if _, ok := f.states[id]; ok {
 		return
 	}
-	f.m[id] = standing
+	f.states[id] = standing
 	if len(f.ring) < limits.FinalCache {
 		f.ring = append(f.ring, id)
 		return
 	}
-	delete(f.m, f.ring[f.next])
+	delete(f.states, f.ring[f.next])
 	f.ring[f.next] = id
 	f.next = (f.next + 1) % limits.FinalCache
 }
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -18,12 +18,12 @@
 	"quillshunt/internal/transport"
 )
 
-// front is a gateway without a leader, on real sockets, with a stand-in of the state service behind it.
-type front struct {
-	t     *testing.T
-	state *standin.State
-	addr  string
-	call  *transport.Client
+// gatewayFixture is a gateway without a leader, on real sockets, with a stand-in of the state service behind it.
+type gatewayFixture struct {
+	t      *testing.T
+	state  *standin.State
+	addr   string
+	client *transport.Client
 }
 
 func freePort(t *testing.T) string {
@@ -49,10 +49,10 @@
 	}
 }
 
-// newFront starts a gateway, with settings changed before it begins.
-func newFront(t *testing.T, change ...func(*config.Settings)) *front {
+// newGatewayFixture starts a gateway, with settings changed before it begins.
+func newGatewayFixture(t *testing.T, change ...func(*config.Settings)) *gatewayFixture {
 	log := slog.New(slog.DiscardHandler)
-	f := &front{t: t, state: standin.NewState(), addr: freePort(t)}
+	f := &gatewayFixture{t: t, state: standin.NewState(), addr: freePort(t)}
 	types := storage.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g8", CPUs: 16, Accelerators: 2, MemoryGB: 128, Zones: []string{"a"}}}}
 	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: protocol.Encode(types)}}})
 	back := freePort(t)
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &Gateway{Node: "rig-0", Store: store, Runner: leader.NewRunner(s, config.DefaultOptions(), store, nil, nil, log), Peers: peers,
+	g := &Gateway{Node: "rig-0", Store: store, Dispatcher: leader.NewDispatcher(s, config.DefaultOptions(), store, nil, nil, log), Peers: peers,
 		Leader: func() string { return "" }, Settings: s, UserSlots: limits.UserSlots, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -77,11 +77,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	serve(t, &transport.Server{Addr: f.addr, MaxConns: 20, Handle: g.Handle, Log: log})
-	f.call = transport.NewClient(f.addr, 1, limits.MaxBodyBytes)
+	f.client = transport.NewClient(f.addr, 1, limits.MaxBodyBytes)
 	return f
 }
 
-func (f *front) do(method, target string, body any) (int, string, *transport.Message) {
+func (f *gatewayFixture) do(method, target string, body any) (int, string, *transport.Message) {
 	f.t.Helper()
 	var b []byte
 	if raw, ok := body.([]byte); ok {
@@ -91,7 +91,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	m, err := f.call.Do(ctx, method, target, b)
+	m, err := f.client.Do(ctx, method, target, b)
 	if err != nil {
 		f.t.Fatalf("%s %s: %v", method, target, err)
 	}
@@ -104,7 +104,7 @@
 	return m.Status, st.State, m
 }
 
-func run(id string, change map[string]any) map[string]any {
+func submission(id string, change map[string]any) map[string]any {
 	r := map[string]any{"NameId": id, "Docket": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "high", "Pieces": 2,
 		"Vcpus": 8.0, "Accelerators": 1, "RamGb": 64.0, "Bundle": "img", "SizeGb": 6.2, "Together": false, "Scatter": false,
 		"Lendable": true, "ReckonS": 240.0, "BookmarkS": 0, "StashS": 0}
@@ -115,7 +115,7 @@
 }
 
 func TestUsersAPI(t *testing.T) {
-	f := newFront(t, func(s *config.Settings) {
+	f := newGatewayFixture(t, func(s *config.Settings) {
 		s.Facts.Workers.GangWaitS, s.Facts.Workers.GangPeerS = new(float64), new(float64)
 	})
 	many := make([]string, limits.MaxMachineTypes)
@@ -144,23 +144,23 @@
 		{"cancel of an unknown run", "POST", "/v2/runs/job-1/cancel", nil, 404, ""},
 		{"not CBOR", "POST", "/v2/runs", []byte("{}x"), 400, ""},
 		{"body over the limit", "POST", "/v2/runs", make([]byte, 40*limits.MaxBodyBytes), 400, ""},
-		{"record over the value limit", "POST", "/v2/runs", run("job-1", map[string]any{"Rigkinds": many}), 400, ""},
-		{"unknown team", "POST", "/v2/runs", run("job-1", map[string]any{"Crew": "nobody"}), 422, ""},
-		{"over the team's limit", "POST", "/v2/runs", run("job-1", map[string]any{"Crew": "tiny"}), 422, ""},
-		{"unknown shape", "POST", "/v2/runs", run("job-1", map[string]any{"Shape": "service"}), 400, ""},
-		{"gang over the team's limit as a whole", "POST", "/v2/runs", run("job-5", map[string]any{"Shape": "ensemble", "Pieces": 5}), 422, ""},
-		{"gang", "POST", "/v2/runs", run("job-5", map[string]any{"Shape": "ensemble", "Pieces": 4}), 201, protocol.Pending},
-		{"fits no type", "POST", "/v2/runs", run("job-1", map[string]any{"Vcpus": 17}), 422, ""},
-		{"unknown type", "POST", "/v2/runs", run("job-1", map[string]any{"Rigkinds": []string{"x"}}), 422, ""},
-		{"zone without such a type", "POST", "/v2/runs", run("job-1", map[string]any{"Yard": "b"}), 422, ""},
-		{"good", "POST", "/v2/runs", run("job-1", nil), 201, protocol.Pending},
-		{"again", "POST", "/v2/runs", run("job-1", nil), 200, protocol.Pending},
-		{"again, as something that cannot run", "POST", "/v2/runs", run("job-1", map[string]any{"Vcpus": 17}), 200, protocol.Pending},
+		{"record over the value limit", "POST", "/v2/runs", submission("job-1", map[string]any{"Rigkinds": many}), 400, ""},
+		{"unknown team", "POST", "/v2/runs", submission("job-1", map[string]any{"Crew": "nobody"}), 422, ""},
+		{"over the team's limit", "POST", "/v2/runs", submission("job-1", map[string]any{"Crew": "tiny"}), 422, ""},
+		{"unknown shape", "POST", "/v2/runs", submission("job-1", map[string]any{"Shape": "service"}), 400, ""},
+		{"gang over the team's limit as a whole", "POST", "/v2/runs", submission("job-5", map[string]any{"Shape": "ensemble", "Pieces": 5}), 422, ""},
+		{"gang", "POST", "/v2/runs", submission("job-5", map[string]any{"Shape": "ensemble", "Pieces": 4}), 201, protocol.Pending},
+		{"fits no type", "POST", "/v2/runs", submission("job-1", map[string]any{"Vcpus": 17}), 422, ""},
+		{"unknown type", "POST", "/v2/runs", submission("job-1", map[string]any{"Rigkinds": []string{"x"}}), 422, ""},
+		{"zone without such a type", "POST", "/v2/runs", submission("job-1", map[string]any{"Yard": "b"}), 422, ""},
+		{"good", "POST", "/v2/runs", submission("job-1", nil), 201, protocol.Pending},
+		{"again", "POST", "/v2/runs", submission("job-1", nil), 200, protocol.Pending},
+		{"again, as something that cannot run", "POST", "/v2/runs", submission("job-1", map[string]any{"Vcpus": 17}), 200, protocol.Pending},
 		{"show", "GET", "/v2/runs/job-1", nil, 200, protocol.Pending},
 		{"cancel", "POST", "/v2/runs/job-1/cancel", nil, 200, protocol.Aborted},
 		{"cancel again", "POST", "/v2/runs/job-1/cancel", nil, 200, protocol.Aborted},
 		{"show cancelled", "GET", "/v2/runs/job-1", nil, 200, protocol.Aborted},
-		{"submit cancelled", "POST", "/v2/runs", run("job-1", nil), 200, protocol.Aborted},
+		{"submit cancelled", "POST", "/v2/runs", submission("job-1", nil), 200, protocol.Aborted},
 	} {
 		if status, standing, _ := f.do(c.method, c.target, c.body); status != c.status || standing != c.standing {
 			t.Errorf("%s: %d %q, want %d %q", c.what, status, standing, c.status, c.standing)
@@ -170,14 +170,14 @@
 	// A job that is over stays what it is, also for repeats and cancellations.
 	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.FinalJobKey("job-2"), Value: protocol.Encode(storage.FinalJob{State: protocol.Done})}}})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
-		if status, standing, _ := f.do("POST", target, run("job-2", nil)); status != 200 || standing != protocol.Done {
+		if status, standing, _ := f.do("POST", target, submission("job-2", nil)); status != 200 || standing != protocol.Done {
 			t.Errorf("%s of a done job: %d %q", target, status, standing)
 		}
 	}
 
 	// Without the state service nobody is told anything but when to come back; final states are
 	// known for good.
-	if status, _, _ := f.do("POST", "/v2/runs", run("job-4", nil)); status != 201 {
+	if status, _, _ := f.do("POST", "/v2/runs", submission("job-4", nil)); status != 201 {
 		t.Errorf("submitted: %d", status)
 	}
 	f.state.SetDown(true)
@@ -194,7 +194,7 @@
 	// What can't be taken is answered at once, not held until the user has no time left to ask again.
 	began := time.Now()
 	for _, target := range []string{"/v2/runs", "/v2/runs/job-4/cancel"} {
-		if status, _, m := f.do("POST", target, run("job-3", nil)); status != 503 || m.RetryAfter == 0 {
+		if status, _, m := f.do("POST", target, submission("job-3", nil)); status != 503 || m.RetryAfter == 0 {
 			t.Errorf("%s in an outage: %d, retry after %d", target, status, m.RetryAfter)
 		}
 	}
@@ -202,17 +202,17 @@
 		t.Errorf("two refusals took %v", took)
 	}
 	f.state.SetDown(false)
-	if status, standing, _ := f.do("POST", "/v2/runs", run("job-3", nil)); status != 201 || standing != protocol.Pending {
+	if status, standing, _ := f.do("POST", "/v2/runs", submission("job-3", nil)); status != 201 || standing != protocol.Pending {
 		t.Errorf("after the outage: %d %q", status, standing)
 	}
 }
 
-// TestUnconfirmed: nobody is told that a job is cancelled while a leader may be entitled that does
+// TestUnconfirmedCancellation: nobody is told that a job is cancelled while a leader may be entitled that does
 // not know: not by the cancellation, nor by a poll or a repeated submission. It is told once the
 // leader's heartbeat covers the record, or there is no leader.
-func TestUnconfirmed(t *testing.T) {
+func TestUnconfirmedCancellation(t *testing.T) {
 	for _, how := range []string{"beat", "no leader"} {
-		f := newFront(t)
+		f := newGatewayFixture(t)
 		hold := f.state.CreateLease(time.Hour)
 		f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{
 			{Put: storage.KeyLeader, Lease: hold, Value: protocol.Encode(storage.LeaderRecord{Node: "rig-9", Term: 1})},
@@ -220,7 +220,7 @@
 		requests := []struct {
 			method, target string
 			body           any
-		}{{"POST", "/v2/runs/job-1/cancel", nil}, {"GET", "/v2/runs/job-1", nil}, {"POST", "/v2/runs", run("job-1", nil)}, {"POST", "/v2/runs/job-1/cancel", nil}}
+		}{{"POST", "/v2/runs/job-1/cancel", nil}, {"GET", "/v2/runs/job-1", nil}, {"POST", "/v2/runs", submission("job-1", nil)}, {"POST", "/v2/runs/job-1/cancel", nil}}
 		ask := func(want int, standing string) {
 			t.Helper()
 			for _, q := range requests {
@@ -229,7 +229,7 @@
 				}
 			}
 		}
-		if status, _, _ := f.do("POST", "/v2/runs", run("job-1", nil)); status != 201 {
+		if status, _, _ := f.do("POST", "/v2/runs", submission("job-1", nil)); status != 201 {
 			t.Fatalf("submitted: %d", status)
 		}
 		ask(503, "")
@@ -252,7 +252,7 @@
 // TestMalformedCostsItsConnection: what cannot be parsed is answered and closed, and others are
 // served on.
 func TestMalformedCostsItsConnection(t *testing.T) {
-	f := newFront(t)
+	f := newGatewayFixture(t)
 	for _, raw := range []string{
 		"GET / HTTP/9\r\n\r\n", "POST /v2/runs HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx",
 		"GET /healthz HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\n\r\n", // pipelined: one answer
@@ -278,9 +278,9 @@
 	}
 }
 
-// TestComeBack: the longer the state service is away, the later a user is told to come back, within
+// TestRetryAfterGrows: the longer the state service is away, the later a user is told to come back, within
 // what the user waits at most.
-func TestComeBack(t *testing.T) {
+func TestRetryAfterGrows(t *testing.T) {
 	last := 0
 	for d := time.Duration(0); d < 5*time.Minute; d += time.Second {
 		n := limits.RetryAfterSeconds(d)
@@ -291,13 +291,13 @@
 	}
 }
 
-// TestFullStage: beyond its stage the front door answers at once when to come back.
-func TestFullStage(t *testing.T) {
+// TestFullUserSlots: beyond its stage the front door answers at once when to come back.
+func TestFullUserSlots(t *testing.T) {
 	g := &Gateway{userSlots: make(chan struct{})}
 	srv := &transport.Server{Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler)}
 	serve(t, srv)
-	f := &front{t: t, call: transport.NewClient(srv.Addr, 1, limits.MaxBodyBytes)}
-	if status, _, m := f.do("POST", "/v2/runs", run("job-1", nil)); status != 503 || m.RetryAfter == 0 {
+	f := &gatewayFixture{t: t, client: transport.NewClient(srv.Addr, 1, limits.MaxBodyBytes)}
+	if status, _, m := f.do("POST", "/v2/runs", submission("job-1", nil)); status != 503 || m.RetryAfter == 0 {
 		t.Fatalf("%d, retry after %d", status, m.RetryAfter)
 	}
 	// What can never be taken is said so, instead of making the user come again.
@@ -306,7 +306,7 @@
 		body         any
 		want         int
 	}{
-		{"POST", "/v2/runs", run("job-1", map[string]any{"Pieces": 0}), 400},
+		{"POST", "/v2/runs", submission("job-1", map[string]any{"Pieces": 0}), 400},
 		{"GET", "/v2/runs/none", nil, 404},
 		{"POST", "/v2/runs/none/cancel", nil, 404},
 		{"GET", "/v2/other", nil, 404},
@@ -318,11 +318,11 @@
 	}
 }
 
-// TestNoGangs: where the settings name no times of gangs, the workers know none, and a gang is
+// TestGangsNotSupported: where the settings name no times of gangs, the workers know none, and a gang is
 // malformed; also with a full stage.
-func TestNoGangs(t *testing.T) {
-	f := newFront(t)
-	if status, _, _ := f.do("POST", "/v2/runs", run("job-1", map[string]any{"Shape": "ensemble"})); status != 400 {
+func TestGangsNotSupported(t *testing.T) {
+	f := newGatewayFixture(t)
+	if status, _, _ := f.do("POST", "/v2/runs", submission("job-1", map[string]any{"Shape": "ensemble"})); status != 400 {
 		t.Errorf("status %d", status)
 	}
 }
@@ -330,13 +330,13 @@
 // TestLargeRecord: a job that was stored when values could be larger can still be cancelled, and a
 // repeated submission of it is known.
 func TestLargeRecord(t *testing.T) {
-	f := newFront(t, func(s *config.Settings) { s.Facts.State.ValueKB = 0.5 })
+	f := newGatewayFixture(t, func(s *config.Settings) { s.Facts.State.ValueKB = 0.5 })
 	spec := protocol.Spec{ID: "job-1", Class: "train", Team: "vision", Shape: protocol.ShapeArray, Priority: "high", Tasks: 2, CPUs: 8, Image: "img"}
 	for range 20 {
 		spec.MachineTypes = append(spec.MachineTypes, "g8-with-a-rather-long-name")
 	}
 	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey("job-1"), Value: protocol.Encode(storage.OpenJob{Spec: spec})}}})
-	again := run("job-1", map[string]any{"Rigkinds": append([]string{"g8"}, spec.MachineTypes...)})
+	again := submission("job-1", map[string]any{"Rigkinds": append([]string{"g8"}, spec.MachineTypes...)})
 	if status, standing, _ := f.do("POST", "/v2/runs", again); status != 200 || standing != protocol.Pending {
 		t.Errorf("repeated: %d %q", status, standing)
 	}
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -27,28 +27,28 @@
 	"quillshunt/internal/transport"
 )
 
-// caller is a worker's side of a connection: it sends a report and reads the answer later, so that
+// simulatedWorker is a worker's side of a connection: it sends a report and reads the answer later, so that
 // thousands of them wait at once.
-type caller struct {
-	conn  net.Conn
-	dec   *transport.Decoder
-	rig   string
-	tally uint64
-	baton uint64
-	tasks []protocol.TaskStatus
+type simulatedWorker struct {
+	conn         net.Conn
+	decoder      *transport.Decoder
+	machine      string
+	sequence     uint64
+	fencingToken uint64
+	tasks        []protocol.TaskStatus
 }
 
-func (c *caller) send(addr string) error {
-	c.tally++
-	body := protocol.Encode(protocol.Heartbeat{Machine: c.rig, Address: "127.0.0.1:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: c.tally, FencingToken: c.baton, Tasks: c.tasks})
+func (c *simulatedWorker) send(addr string) error {
+	c.sequence++
+	body := protocol.Encode(protocol.Heartbeat{Machine: c.machine, Address: "127.0.0.1:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: c.sequence, FencingToken: c.fencingToken, Tasks: c.tasks})
 	_, err := c.conn.Write(transport.AppendRequest(nil, "POST", "/v1/report", addr, body))
 	return err
 }
 
 // receive reads the answer and does what it orders.
-func (c *caller) receive(buf []byte) (int, error) {
+func (c *simulatedWorker) receive(buf []byte) (int, error) {
 	for {
-		m, err := c.dec.Next()
+		m, err := c.decoder.Next()
 		if err != nil {
 			return 0, err
 		}
@@ -57,7 +57,7 @@
 			if err != nil {
 				return 0, err
 			}
-			c.dec.Feed(buf[:n])
+			c.decoder.Feed(buf[:n])
 			continue
 		}
 		if m.Status != 200 {
@@ -67,7 +67,7 @@
 		if err := protocol.Decode(m.Body, &r); err != nil {
 			return 0, err
 		}
-		c.baton = r.FencingToken
+		c.fencingToken = r.FencingToken
 		for _, o := range r.Commands {
 			if o.Verb == protocol.CommandStart {
 				c.tasks = append(c.tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
@@ -77,17 +77,17 @@
 	}
 }
 
-// held is what the runtime holds of memory.
-func held() uint64 {
+// runtimeMemoryBytes is what the runtime holds of memory.
+func runtimeMemoryBytes() uint64 {
 	s := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(s)
 	return s[0].Value.Uint64() - s[1].Value.Uint64()
 }
 
-// TestThousands: two thousand workers at one controller with a backlog of tens of thousands of
+// TestThousandsOfWorkers: two thousand workers at one controller with a backlog of tens of thousands of
 // tasks, all of them coming back at once after a crash of all controllers. Memory, goroutines and
 // threads stay bounded, and all are served.
-func TestThousands(t *testing.T) {
+func TestThousandsOfWorkers(t *testing.T) {
 	const machines, each, jobs, pieces, cpus = 2000, 50, 300, 150, 8
 	const floodUsers, floodEach = 200, 100
 	// Half of what controllers with as many sockets have so far.
@@ -158,8 +158,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk := leader.NewRunner(s, config.DefaultOptions(), store, leader.NewCloud(cloudAddr, 100), sockets, log)
-	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Runner: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, UserSlots: shares.UserSlots, Log: log}
+	desk := leader.NewDispatcher(s, config.DefaultOptions(), store, leader.NewCloud(cloudAddr, 100), sockets, log)
+	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	g.Start(ctx)
@@ -176,16 +176,16 @@
 		}()
 		return func() { over(); <-done }
 	}
-	dial := func(c *caller) {
+	dial := func(c *simulatedWorker) {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.conn, c.dec = conn, transport.NewResponseDecoder(limits.MaxBodyBytes)
+		c.conn, c.decoder = conn, transport.NewResponseDecoder(limits.MaxBodyBytes)
 	}
-	callers := make([]*caller, machines)
+	callers := make([]*simulatedWorker, machines)
 	for i := range callers {
-		callers[i] = &caller{rig: name(i)}
+		callers[i] = &simulatedWorker{machine: name(i)}
 		dial(callers[i])
 	}
 	t.Cleanup(func() {
@@ -255,7 +255,7 @@
 			call := transport.NewClient(addr, 1, limits.MaxBodyBytes)
 			defer call.Close()
 			for i := 0; flooded.Err() == nil && i < floodEach; i++ {
-				body := protocol.Encode(run(fmt.Sprintf("job-%d", 100_000+u*floodEach+i), map[string]any{"Crew": "red", "Vcpus": 1, "Accelerators": 0, "RamGb": 1, "Rigkinds": nil}))
+				body := protocol.Encode(submission(fmt.Sprintf("job-%d", 100_000+u*floodEach+i), map[string]any{"Crew": "red", "Vcpus": 1, "Accelerators": 0, "RamGb": 1, "Rigkinds": nil}))
 				cctx, cancel := context.WithTimeout(ctx, limits.SubmitTimeout+time.Second)
 				m, err := call.Do(cctx, "POST", "/v2/runs", body)
 				cancel()
@@ -268,7 +268,7 @@
 				default:
 					t.Errorf("flood: %d, retry after %d", m.Status, m.RetryAfter)
 				}
-				peak.Store(max(peak.Load(), held()))
+				peak.Store(max(peak.Load(), runtimeMemoryBytes()))
 			}
 		})
 	}
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -19,23 +19,23 @@
 // Cloud calls the cloud within its rate. Only the leader rents; two terms may overlap for a moment,
 // so we stay a little below the limit.
 type Cloud struct {
-	http  *transport.Client
-	rate  *rate.Limiter
-	slots chan struct{} // under way
+	client  *transport.Client
+	limiter *rate.Limiter
+	slots   chan struct{} // under way
 }
 
 // NewCloud returns a Cloud.
 func NewCloud(addr string, rps float64) *Cloud {
 	return &Cloud{
-		http:  transport.NewClient(addr, 2, limits.MaxUpstreamBytes),
-		rate:  rate.NewLimiter(rate.Limit(rps*limits.CloudRateShare), max(1, int(rps))),
-		slots: make(chan struct{}, limits.MaxCloudCalls),
+		client:  transport.NewClient(addr, 2, limits.MaxUpstreamBytes),
+		limiter: rate.NewLimiter(rate.Limit(rps*limits.CloudRateShare), max(1, int(rps))),
+		slots:   make(chan struct{}, limits.MaxCloudCalls),
 	}
 }
 
 // WithDialer makes it dial another way. It is called before the first use.
 func (c *Cloud) WithDialer(d transport.Dialer) *Cloud {
-	c.http.WithDialer(d)
+	c.client.WithDialer(d)
 	return c
 }
 
@@ -43,7 +43,7 @@
 
 // call sends one request. Statuses other than 200 come as errors unless they are in pass.
 func (c *Cloud) call(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
-	if err := c.rate.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("%w: rate: %w", errCloud, err)
 	}
 	select {
@@ -54,11 +54,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.CloudTimeout)
 	defer cancel()
-	return c.http.Do(ctx, method, target, body)
+	return c.client.Do(ctx, method, target, body)
 }
 
-// Types reads the machine types.
-func (c *Cloud) Types(ctx context.Context) ([]protocol.MachineType, error) {
+// MachineTypes reads the machine types.
+func (c *Cloud) MachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
 	m, err := c.call(ctx, "GET", "/machine_types", nil)
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	body := protocol.Encode(req)
 	for {
 		if t.leadership.Entitled() {
-			m, err := t.runner.cloud.call(ctx, "POST", "/rentals", body)
+			m, err := t.dispatcher.cloud.call(ctx, "POST", "/rentals", body)
 			switch {
 			case err == nil && m.Status == 200:
 				var r protocol.RentalReply
@@ -118,7 +118,7 @@
 func (t *term) executeDeletion(ctx context.Context, rigs []string) {
 	done := scheduler.DeletionDone{Machines: rigs}
 	if t.leadership.Entitled() {
-		m, err := t.runner.cloud.call(ctx, "POST", "/rentals/delete", protocol.Encode(protocol.DeleteRequest{Machines: rigs}))
+		m, err := t.dispatcher.cloud.call(ctx, "POST", "/rentals/delete", protocol.Encode(protocol.DeleteRequest{Machines: rigs}))
 		if err == nil && m.Status != 200 {
 			err = fmt.Errorf("%w: delete: status %d", errCloud, m.Status)
 		}
@@ -138,7 +138,7 @@
 		if since != "" {
 			target += "&Since=" + url.QueryEscape(since)
 		}
-		m, err := t.runner.cloud.call(ctx, "GET", target, nil)
+		m, err := t.dispatcher.cloud.call(ctx, "GET", target, nil)
 		if err == nil && m.Status != 200 {
 			err = fmt.Errorf("%w: list: status %d", errCloud, m.Status)
 		}
@@ -162,7 +162,7 @@
 
 // refreshMachineTypes reads the machine types, and keeps them in the state service for all nodes.
 func (t *term) refreshMachineTypes(ctx context.Context) {
-	list, err := t.runner.cloud.Types(ctx)
+	list, err := t.dispatcher.cloud.MachineTypes(ctx)
 	if err != nil {
 		t.log.Info("no machine types", "err", err)
 		t.send(ctx, scheduler.MachineTypesFetched{})
@@ -171,7 +171,7 @@
 	t.send(ctx, scheduler.MachineTypesFetched{Types: list, OK: true})
 	var back storage.Backoff
 	for {
-		err := t.storeMachineTypes(ctx, list)
+		err := t.writeMachineTypes(ctx, list)
 		if err == nil {
 			return
 		}
@@ -182,19 +182,19 @@
 	}
 }
 
-func (t *term) storeMachineTypes(ctx context.Context, list []protocol.MachineType) error {
-	stored, err := t.runner.store.ReadMachineTypes(ctx)
+func (t *term) writeMachineTypes(ctx context.Context, list []protocol.MachineType) error {
+	stored, err := t.dispatcher.store.ReadMachineTypes(ctx)
 	if err != nil && !errors.Is(err, storage.ErrNoMachineTypes) {
 		return err
 	}
 	if err == nil && equalExceptPrices(stored.Types, list) {
 		return nil
 	}
-	for _, txn := range t.runner.store.MachineTypesTransactions(stored, list, t.leadership.Guard()) {
-		_, err = t.runner.store.CompareAndSwap(ctx, txn)
+	for _, txn := range t.dispatcher.store.MachineTypesTransactions(stored, list, t.leadership.Guard()) {
+		_, err = t.dispatcher.store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
-			t.runner.termLost(t.leadership.Term)
+			t.dispatcher.termLost(t.leadership.Term)
 			return nil
 		}
 		if err != nil {
--- a/internal/coordination/leader/leader.go
+++ b/internal/coordination/leader/leader.go
@@ -22,11 +22,11 @@
 	"quillshunt/internal/transport"
 )
 
-// HeartbeatReply answers a worker's report: 200 with a body, or another status.
-type HeartbeatReply func(status int, body []byte)
+// HeartbeatResponder answers a worker's report: 200 with a body, or another status.
+type HeartbeatResponder func(status int, body []byte)
 
-// Runner is where messages for the present term are left. It outlives terms.
-type Runner struct {
+// Dispatcher is where messages for the present term are left. It outlives terms.
+type Dispatcher struct {
 	settings *config.Settings
 	options  config.Options
 	store    *storage.Store
@@ -38,42 +38,42 @@
 	term     atomic.Pointer[term]
 }
 
-// NewRunner returns a Runner.
-func NewRunner(settings *config.Settings, options config.Options, store *storage.Store, cloud *Cloud, sockets *transport.SocketBudget, log *slog.Logger) *Runner {
-	return &Runner{settings: settings, options: options, store: store, cloud: cloud, sockets: sockets, log: log, termLost: func(uint64) {}}
+// NewDispatcher returns a Dispatcher.
+func NewDispatcher(settings *config.Settings, options config.Options, store *storage.Store, cloud *Cloud, sockets *transport.SocketBudget, log *slog.Logger) *Dispatcher {
+	return &Dispatcher{settings: settings, options: options, store: store, cloud: cloud, sockets: sockets, log: log, termLost: func(uint64) {}}
 }
 
 // WithDialer makes it dial workers another way. It is called before the first use.
-func (d *Runner) WithDialer(dialer transport.Dialer) *Runner {
+func (d *Dispatcher) WithDialer(dialer transport.Dialer) *Dispatcher {
 	d.dialer = dialer
 	return d
 }
 
 // OnTermLost sets who is told that a term was found to be over.
-func (d *Runner) OnTermLost(f func(term uint64)) { d.termLost = f }
+func (d *Dispatcher) OnTermLost(f func(term uint64)) { d.termLost = f }
 
 // term is one term's actor.
 type term struct {
-	runner            *Runner
-	leadership        *election.Leadership
-	mailbox           chan any
-	start             time.Time
-	scheduler         *scheduler.Scheduler
-	writes            chan scheduler.WriteRecords
-	log               *slog.Logger
-	urgentWrites      []scheduler.WriteRecords
-	bulkWrites        []scheduler.WriteRecords     // those that can wait for all others
-	workerClients     map[string]*transport.Client // by address
-	maxWorkerClients  int                          // most of these
-	probeSlots        chan struct{}                // probes under way; a take-over asks all machines at once
-	longestWait       time.Duration                // longest wait of a report in the mailbox since the last summary
-	lastSlowHeartbeat atomic.Int64                 // when a report was last taken that had waited for longer than BusyWait, in nanoseconds of the term
-	lastCounters      resourceCounters
+	dispatcher          *Dispatcher
+	leadership          *election.Leadership
+	mailbox             chan any
+	startedAt           time.Time
+	scheduler           *scheduler.Scheduler
+	writes              chan scheduler.WriteRecords
+	log                 *slog.Logger
+	urgentWrites        []scheduler.WriteRecords
+	bulkWrites          []scheduler.WriteRecords     // those that can wait for all others
+	workerClients       map[string]*transport.Client // by address
+	maxWorkerClients    int                          // most of these
+	probeSlots          chan struct{}                // probes under way; a take-over asks all machines at once
+	longestWait         time.Duration                // longest wait of a report in the mailbox since the last summary
+	lastSlowHeartbeatAt atomic.Int64                 // when a report was last taken that had waited for longer than BusyWait, in nanoseconds of the term
+	lastCounters        resourceCounters
 }
 
 type heartbeatMessage struct {
 	body           []byte // as it came: the actor decodes all reports, those relayed included
-	reply          HeartbeatReply
+	reply          HeartbeatResponder
 	arrived        time.Time
 	relayed        bool
 	sameConnection bool
@@ -88,8 +88,8 @@
 }
 
 type cancellationMessage struct {
-	seen  scheduler.JobChanged
-	reply chan bool
+	change scheduler.JobChanged
+	reply  chan bool
 }
 
 type inspectMessage struct {
@@ -98,22 +98,22 @@
 }
 
 // IsLeader tells whether this process leads.
-func (d *Runner) IsLeader() bool { return d.term.Load() != nil }
+func (d *Dispatcher) IsLeader() bool { return d.term.Load() != nil }
 
 // Entitled tells whether it is surely the leader at this moment.
-func (d *Runner) Entitled() bool {
+func (d *Dispatcher) Entitled() bool {
 	t := d.term.Load()
 	return t != nil && t.leadership.Entitled()
 }
 
 // Heartbeat hands a report to the term; stayed tells that the worker got a 200 before on its
 // connection. It is answered 503 at once if nobody leads here or the mailbox is full.
-func (d *Runner) Heartbeat(body []byte, stayed bool, reply HeartbeatReply) {
+func (d *Dispatcher) Heartbeat(body []byte, stayed bool, reply HeartbeatResponder) {
 	d.enqueue(heartbeatMessage{body: body, reply: reply, sameConnection: stayed})
 }
 
 // RelayedHeartbeat takes a report that came through another controller.
-func (d *Runner) RelayedHeartbeat(ctx context.Context, body []byte, stayed bool) (int, []byte) {
+func (d *Dispatcher) RelayedHeartbeat(ctx context.Context, body []byte, stayed bool) (int, []byte) {
 	type answer struct {
 		status int
 		body   []byte
@@ -128,7 +128,7 @@
 	}
 }
 
-func (d *Runner) enqueue(msg heartbeatMessage) {
+func (d *Dispatcher) enqueue(msg heartbeatMessage) {
 	t := d.term.Load()
 	if t == nil {
 		msg.reply(503, nil)
@@ -158,7 +158,7 @@
 }
 
 // TaskCounts returns a job's counts if this process leads.
-func (d *Runner) TaskCounts(ctx context.Context, job string) (peer.TaskCounts, bool) {
+func (d *Dispatcher) TaskCounts(ctx context.Context, job string) (peer.TaskCounts, bool) {
 	t := d.term.Load()
 	if t == nil {
 		return peer.TaskCounts{}, false
@@ -174,24 +174,24 @@
 // the user. It tells whether we were entitled after the scheduler had taken it: then no other
 // controller was, and whoever leads later reads it in the state service. Our own watch may be
 // silent long after, when the state service refuses us or everybody.
-func (d *Runner) ConfirmCancellation(ctx context.Context, job string, stamp uint64, record []byte) bool {
+func (d *Dispatcher) ConfirmCancellation(ctx context.Context, job string, stamp uint64, record []byte) bool {
 	t := d.term.Load()
 	if t == nil {
 		return false
 	}
-	seen, err := t.jobSeen(storage.OpenJobKey(job), record, stamp)
+	seen, err := t.decodeOpenJob(storage.OpenJobKey(job), record, stamp)
 	if err != nil || !seen.Record.Cancelled {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.CancelConfirmTimeout)
 	defer cancel()
 	reply := make(chan bool, 1)
-	known, ok := request(ctx, t, cancellationMessage{seen: seen, reply: reply}, reply)
+	known, ok := request(ctx, t, cancellationMessage{change: seen, reply: reply}, reply)
 	return ok && known
 }
 
 // Inspect returns how the term stands if this process leads, and why a job waits if one is named.
-func (d *Runner) Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
+func (d *Dispatcher) Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
 	t := d.term.Load()
 	if t == nil {
 		return nil, false
@@ -214,14 +214,14 @@
 }
 
 // RunTerm runs a term until its context ends.
-func (d *Runner) RunTerm(ctx context.Context, m *election.Leadership) {
+func (d *Dispatcher) RunTerm(ctx context.Context, m *election.Leadership) {
 	f := &d.settings.Facts
 	shares := limits.DivideSockets(f.Machine.MaxSockets, len(d.settings.Members))
 	t := &term{
-		runner: d, leadership: m,
-		mailbox: make(chan any, limits.MailboxSize(shares)),
-		start:   time.Now(),
-		writes:  make(chan scheduler.WriteRecords),
+		dispatcher: d, leadership: m,
+		mailbox:   make(chan any, limits.MailboxSize(shares)),
+		startedAt: time.Now(),
+		writes:    make(chan scheduler.WriteRecords),
 
 		workerClients:    map[string]*transport.Client{},
 		maxWorkerClients: shares.MaxMachines,
@@ -247,7 +247,7 @@
 	if !ok {
 		return
 	}
-	w := &writer{t: t}
+	w := &writer{term: t}
 	go w.run(ctx)
 	go t.watchOpenJobs(ctx, ledger)
 	t.run(ctx)
@@ -267,7 +267,7 @@
 	}
 }
 
-func (t *term) now() time.Duration { return time.Since(t.start) }
+func (t *term) now() time.Duration { return time.Since(t.startedAt) }
 
 // load reads what earlier terms left behind: open jobs, their finished tasks, rentals.
 func (t *term) load(ctx context.Context) (uint64, bool) {
@@ -294,7 +294,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.runner.store, storage.PrefixFinishedTasks, func(p protocol.KeyValue, f storage.FinishedTasks) {
+	err = listRecords(ctx, t.dispatcher.store, storage.PrefixFinishedTasks, func(p protocol.KeyValue, f storage.FinishedTasks) {
 		if id, _, ok := storage.ParseFinishedTasksKey(p.Key); ok {
 			evs = append(evs, scheduler.FinishedTasksLoaded{JobID: id, Version: p.Version, Record: f})
 		}
@@ -302,13 +302,13 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.runner.store, storage.PrefixRental, func(p protocol.KeyValue, h storage.Rental) {
+	err = listRecords(ctx, t.dispatcher.store, storage.PrefixRental, func(p protocol.KeyValue, h storage.Rental) {
 		evs = append(evs, scheduler.RentalLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRental), Version: p.Version, Record: h})
 	})
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.runner.store, storage.PrefixRegistryPage, func(p protocol.KeyValue, u storage.RegistryPage) {
+	err = listRecords(ctx, t.dispatcher.store, storage.PrefixRegistryPage, func(p protocol.KeyValue, u storage.RegistryPage) {
 		evs = append(evs, scheduler.RegistryPageLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRegistryPage), Version: p.Version, Record: u})
 	})
 	return ledger, evs, err
@@ -329,8 +329,8 @@
 
 func (t *term) readOpenJobs(ctx context.Context) (uint64, []scheduler.Event, error) {
 	var evs []scheduler.Event
-	ledger, err := t.runner.store.List(ctx, storage.PrefixOpenJob, func(p protocol.KeyValue) error {
-		e, err := t.jobSeen(p.Key, p.Value, p.Version)
+	ledger, err := t.dispatcher.store.List(ctx, storage.PrefixOpenJob, func(p protocol.KeyValue) error {
+		e, err := t.decodeOpenJob(p.Key, p.Value, p.Version)
 		if err != nil {
 			return err
 		}
@@ -340,7 +340,7 @@
 	return ledger, evs, err
 }
 
-func (t *term) jobSeen(path string, data protocol.Raw, stamp uint64) (scheduler.JobChanged, error) {
+func (t *term) decodeOpenJob(path string, data protocol.Raw, stamp uint64) (scheduler.JobChanged, error) {
 	var o storage.OpenJob
 	if err := protocol.Decode(data, &o); err != nil {
 		return scheduler.JobChanged{}, fmt.Errorf("%s: %w", path, err)
@@ -348,7 +348,7 @@
 	e := scheduler.JobChanged{JobID: strings.TrimPrefix(path, storage.PrefixOpenJob), Version: stamp, Record: o, SinceSubmission: max(age(o.SubmittedAtMs), 0)}
 	if o.CancelledAtMs != 0 {
 		// The clock that it was noted by and ours may differ by the bound of both.
-		e.SinceCancellation = max(age(o.CancelledAtMs)+2*limits.Seconds(t.runner.settings.Facts.SkewMs/1000), 0)
+		e.SinceCancellation = max(age(o.CancelledAtMs)+2*limits.Seconds(t.dispatcher.settings.Facts.SkewMs/1000), 0)
 	}
 	return e, nil
 }
@@ -360,7 +360,7 @@
 func (t *term) watchOpenJobs(ctx context.Context, since uint64) {
 	var back storage.Backoff
 	for ctx.Err() == nil {
-		r, err := t.runner.store.Watch(ctx, storage.PrefixOpenJob, since)
+		r, err := t.dispatcher.store.Watch(ctx, storage.PrefixOpenJob, since)
 		switch {
 		case errors.Is(err, storage.ErrCompacted):
 			ledger, evs, rerr := t.readOpenJobs(ctx)
@@ -387,7 +387,7 @@
 				t.send(ctx, scheduler.JobRemoved{JobID: strings.TrimPrefix(c.Delete, storage.PrefixOpenJob), Version: c.Version})
 				continue
 			}
-			e, err := t.jobSeen(c.Put, c.Value, c.Version)
+			e, err := t.decodeOpenJob(c.Put, c.Value, c.Version)
 			if err != nil {
 				t.log.Error("bad job record", "err", err)
 				continue
@@ -436,7 +436,7 @@
 			case taskCountsMessage:
 				t.step(ctx, scheduler.TaskCountsRequested{ID: msg.job, ReplyTo: msg.reply})
 			case cancellationMessage:
-				t.step(ctx, msg.seen)
+				t.step(ctx, msg.change)
 				msg.reply <- t.leadership.Entitled()
 			case observedRevisionMessage:
 				t.leadership.Observe(uint64(msg))
@@ -454,7 +454,7 @@
 	wait := time.Since(msg.arrived)
 	t.longestWait = max(t.longestWait, wait)
 	if wait > limits.SlowHeartbeatWait {
-		t.lastSlowHeartbeat.Store(int64(t.now()))
+		t.lastSlowHeartbeatAt.Store(int64(t.now()))
 	}
 	var r protocol.Heartbeat
 	if err := protocol.Decode(msg.body, &r); err != nil || !r.Valid() {
@@ -462,7 +462,7 @@
 		return
 	}
 	if r.FencingToken > t.leadership.Term {
-		t.runner.termLost(t.leadership.Term) // the worker has seen a later leader
+		t.dispatcher.termLost(t.leadership.Term) // the worker has seen a later leader
 	}
 	entitled := wait < limits.HeartbeatAnswerTimeout && t.leadership.Entitled()
 	t.step(ctx, scheduler.HeartbeatReceived{Heartbeat: &r, ReplyTo: msg.reply, Entitled: entitled, Relayed: msg.relayed, SameConnection: msg.sameConnection})
@@ -473,9 +473,9 @@
 	for _, eff := range t.scheduler.Step(e, t.now()) {
 		switch eff := eff.(type) {
 		case scheduler.HeartbeatReply:
-			reply := eff.ReplyTo.(HeartbeatReply)
+			reply := eff.ReplyTo.(HeartbeatResponder)
 			if eff.Redirect {
-				reply(421, protocol.Encode(protocol.Redirect{Leader: t.runner.settings.NodeName}))
+				reply(421, protocol.Encode(protocol.Redirect{Leader: t.dispatcher.settings.NodeName}))
 				continue
 			}
 			if !eff.Accepted || !t.leadership.Entitled() {
--- a/internal/coordination/leader/usage.go
+++ b/internal/coordination/leader/usage.go
@@ -20,7 +20,7 @@
 func (t *term) resourceUsage() []any {
 	last := t.lastCounters
 	t.lastCounters = resourceCounters{at: time.Now()}
-	t.lastCounters.writes, t.lastCounters.refused = t.runner.store.Counters()
+	t.lastCounters.writes, t.lastCounters.refused = t.dispatcher.store.Counters()
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(heap)
 	args := []any{"mailbox", len(t.mailbox), "longest_wait", t.longestWait.Round(time.Millisecond), "heap_mb", heap[0].Value.Uint64() >> 20,
--- a/internal/coordination/leader/workers.go
+++ b/internal/coordination/leader/workers.go
@@ -42,7 +42,7 @@
 	case <-ctx.Done():
 		return
 	}
-	if late := t.lastSlowHeartbeat.Load(); late != 0 && t.now()-time.Duration(late) < limits.SlowHeartbeatMemory {
+	if late := t.lastSlowHeartbeatAt.Load(); late != 0 && t.now()-time.Duration(late) < limits.SlowHeartbeatMemory {
 		// Reports wait. They prove as much, and what waits is late for its worker's lease; a probe
 		// can come later.
 		t.send(ctx, scheduler.ProbeDone{Machine: p.Machine, NotSent: true})
@@ -50,7 +50,7 @@
 	}
 	pctx, cancel := context.WithTimeout(ctx, limits.ProbeTimeout)
 	defer cancel()
-	c := transport.NewClient(p.Address, 1, limits.MaxBodyBytes).WithSockets(t.runner.sockets).WithDialer(t.runner.dialer)
+	c := transport.NewClient(p.Address, 1, limits.MaxBodyBytes).WithSockets(t.dispatcher.sockets).WithDialer(t.dispatcher.dialer)
 	defer c.Close()
 	began := time.Now()
 	r, err := t.probeWorker(pctx, c)
@@ -93,14 +93,14 @@
 		if len(t.workerClients) >= t.maxWorkerClients {
 			t.closeWorkerClients(1)
 		}
-		c = transport.NewClient(addr, 1, limits.MaxBodyBytes).WithSockets(t.runner.sockets).WithDialer(t.runner.dialer)
+		c = transport.NewClient(addr, 1, limits.MaxBodyBytes).WithSockets(t.dispatcher.sockets).WithDialer(t.dispatcher.dialer)
 		t.workerClients[addr] = c
 	}
 	return c
 }
 
 // releaseSockets gives up connections to workers where what comes in needs the sockets.
-func (t *term) releaseSockets() { t.closeWorkerClients(t.runner.sockets.Excess()) }
+func (t *term) releaseSockets() { t.closeWorkerClients(t.dispatcher.sockets.Excess()) }
 
 // closeWorkerClients drops at least n kept connections to workers, any ones; a connection is cheap
 // to make again.
@@ -136,7 +136,7 @@
 	case status == 409:
 		done.NotExecuted = true
 		if r.FencingToken > t.leadership.Term {
-			t.runner.termLost(t.leadership.Term)
+			t.dispatcher.termLost(t.leadership.Term)
 		}
 	default:
 		done.Heartbeat = r
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -13,7 +13,7 @@
 
 // writer carries out the term's writes, several in one transaction, each under the leader's guard.
 // A write without a clear outcome is repeated as it was until there is one.
-type writer struct{ t *term }
+type writer struct{ term *term }
 
 func (w *writer) run(ctx context.Context) {
 	var held *scheduler.WriteRecords
@@ -26,15 +26,15 @@
 			select {
 			case <-ctx.Done():
 				return
-			case o := <-w.t.writes:
+			case o := <-w.term.writes:
 				batch, ops, guards = append(batch, o), len(o.Operations), 1+len(o.Conditions)
 			}
 		}
-		most := w.t.runner.store.Settings().TxnOps
+		most := w.term.dispatcher.store.Settings().TxnOps
 	fill:
 		for ops < most {
 			select {
-			case o := <-w.t.writes:
+			case o := <-w.term.writes:
 				if ops+len(o.Operations) > most || guards+len(o.Conditions) > most*limits.ConditionsPerOperation {
 					held = &o
 					break fill
@@ -53,23 +53,23 @@
 // execute writes a batch; it returns false when the term is over.
 func (w *writer) execute(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	var back storage.Backoff
-	txn := protocol.Transaction{Conditions: []protocol.Condition{w.t.leadership.Guard()}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{w.term.leadership.Guard()}}
 	for _, o := range batch {
 		txn.Conditions = append(txn.Conditions, o.Conditions...)
 		txn.Operations = append(txn.Operations, o.Operations...)
 	}
 	for {
-		rev, err := w.t.runner.store.CompareAndSwap(ctx, txn)
+		rev, err := w.term.dispatcher.store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		switch {
 		case err == nil:
 			for _, o := range batch {
-				w.t.send(ctx, scheduler.WriteCompleted{ID: o.ID, OK: true, Version: rev})
+				w.term.send(ctx, scheduler.WriteCompleted{ID: o.ID, OK: true, Version: rev})
 			}
 			return true
 		case errors.As(err, &conflict):
 			if conflict.Has(storage.KeyLeader) {
-				w.t.runner.termLost(w.t.leadership.Term)
+				w.term.dispatcher.termLost(w.term.leadership.Term)
 				return false
 			}
 			if len(batch) > 1 {
@@ -83,14 +83,14 @@
 			// Perhaps an earlier try of this same write, whose answer was lost, was carried out.
 			ok, rev, verr := w.alreadyApplied(ctx, batch[0])
 			if verr == nil {
-				w.t.send(ctx, scheduler.WriteCompleted{ID: batch[0].ID, OK: ok, Version: rev})
+				w.term.send(ctx, scheduler.WriteCompleted{ID: batch[0].ID, OK: ok, Version: rev})
 				return true
 			}
 			err = verr
 		case errors.Is(err, storage.ErrBadRequest):
-			w.t.log.Error("write rejected", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
+			w.term.log.Error("write rejected", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
 			if len(batch) == 1 {
-				w.t.send(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
+				w.term.send(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
 				return true
 			}
 			for _, o := range batch {
@@ -111,10 +111,10 @@
 // ours should keep to it.
 func (w *writer) logRetry(err error, txn protocol.Transaction) {
 	if errors.Is(err, storage.ErrRateLimited) {
-		w.t.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
+		w.term.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
 		return
 	}
-	w.t.log.Debug("write", "err", err, "key", firstKey(txn))
+	w.term.log.Debug("write", "err", err, "key", firstKey(txn))
 }
 
 // firstKey names a transaction in the log.
@@ -133,7 +133,7 @@
 		if key == "" {
 			key = op.Delete
 		}
-		p, err := w.t.runner.store.Get(ctx, key)
+		p, err := w.term.dispatcher.store.Get(ctx, key)
 		if err != nil {
 			return false, 0, err
 		}
@@ -157,10 +157,10 @@
 	if protocol.Decode(a, &x) != nil || protocol.Decode(b, &y) != nil {
 		return false
 	}
-	return reflect.DeepEqual(decodeGeneric(x), decodeGeneric(y))
+	return reflect.DeepEqual(normalizeNumbers(x), normalizeNumbers(y))
 }
 
-func decodeGeneric(v any) any {
+func normalizeNumbers(v any) any {
 	switch v := v.(type) {
 	case uint64:
 		return float64(v)
@@ -169,13 +169,13 @@
 	case []any:
 		out := make([]any, len(v))
 		for i := range v {
-			out[i] = decodeGeneric(v[i])
+			out[i] = normalizeNumbers(v[i])
 		}
 		return out
 	case map[any]any:
 		out := make(map[any]any, len(v))
 		for k, e := range v {
-			out[k] = decodeGeneric(e)
+			out[k] = normalizeNumbers(e)
 		}
 		return out
 	}
