--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -18,7 +18,7 @@
 // beside its hold, a majority of the controllers has lately pledged to it, or it has lately written
 // its heartbeat. Another controller may replace it before its hold ends if a majority has let go of
 // it, each on record in the state service, and the heartbeat has not changed for the life of a
-// pledge, by which its election is guarded. docs/design.md has the proof.
+// pledge, by which its election is guarded. docs/design/leadership.md has the proof.
 
 // voter is what this process has promised. A process that has just come back does not know what the
 // one before it had promised: it sits the longest pledge out before it lets go of a leader, and
