--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -8,6 +8,18 @@
 	"quillshunt/internal/storage"
 )
 
+// finishedTaskWriter writes down which tasks are done.
+type finishedTaskWriter struct {
+	*environment
+	tasksPerChunk int
+	writeBudget   float64 // chunk writes that may go out now
+}
+
+// newFinishedTaskWriter returns a writer whose chunks fit into a value of the state service.
+func newFinishedTaskWriter(env *environment) *finishedTaskWriter {
+	return &finishedTaskWriter{environment: env, tasksPerChunk: storage.TasksPerChunk(env.cfg.State.ValueKB)}
+}
+
 // Records of finished tasks may be of another size than the chunks of this term: earlier versions
 // and other limits of the state service cut them differently. All of them are read as their union.
 // A record that begins where a chunk of ours does is replaced by it, once what it tells of later
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -8,6 +8,21 @@
 	"quillshunt/internal/protocol"
 )
 
+// gangTable holds the gangs about which something is to be decided, and what gangs asked for lately.
+type gangTable struct {
+	*environment
+	changed         []*gang // to be looked at by reconcileGangs
+	uncommitted     []*gang // with tasks whose starts wait for commitGangs
+	toRefill        []*gang // that lost a task before their start
+	freeRoomChanged bool    // since the last commitGangs
+	demand          map[gangKind]*gangDemand
+}
+
+// newGangTable returns a table without gangs.
+func newGangTable(env *environment) *gangTable {
+	return &gangTable{environment: env, demand: map[gangKind]*gangDemand{}}
+}
+
 // gangState is where a gang stands: a job whose tasks run at the same time or not at all.
 type gangState uint8
 
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -9,6 +9,31 @@
 	"quillshunt/internal/storage"
 )
 
+// jobTable holds the jobs that are not over, with their teams and classes.
+type jobTable struct {
+	*environment
+	byID         map[string]*job
+	closed       map[string]bool // jobs over in this term; a late record of one must not open it again
+	bySubmission []*job
+	teams        map[string]*team
+	classes      map[string]*jobClass
+}
+
+// newJobTable returns a table without jobs, with the teams of the settings.
+func newJobTable(env *environment) *jobTable {
+	t := &jobTable{
+		environment: env,
+		byID:        map[string]*job{},
+		closed:      map[string]bool{},
+		teams:       map[string]*team{},
+		classes:     map[string]*jobClass{},
+	}
+	for _, settings := range env.cfg.Teams {
+		t.teams[settings.Name] = &team{cfg: settings}
+	}
+	return t
+}
+
 func (s *Scheduler) jobChanged(e JobChanged) {
 	j := s.jobs.byID[e.JobID]
 	if j == nil {
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -8,6 +8,19 @@
 	"quillshunt/internal/protocol"
 )
 
+// machineInventory holds the machines that are known.
+type machineInventory struct {
+	*environment
+	byName  map[string]*machine
+	sorted  []*machine      // by name
+	deleted map[string]bool // machines whose deletion was confirmed; late lists and heartbeats may still name them
+}
+
+// newMachineInventory returns an inventory without machines.
+func newMachineInventory(env *environment) *machineInventory {
+	return &machineInventory{environment: env, byName: map[string]*machine{}, deleted: map[string]bool{}}
+}
+
 type machine struct {
 	name, address, typeName, zone string
 	spot                          bool
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -3,11 +3,35 @@
 import (
 	"slices"
 	"strings"
+	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
+// placer runs the scheduling passes.
+type placer struct {
+	*environment
+	pass   placementPass
+	needed bool // something changed that placement looks at
+	// nextPreemptionSearch is when requests that found no tasks to stop may look for them again:
+	// the search goes through all tasks of all machines, and in an overload many jobs search at
+	// every event. Until then they take free room like others.
+	nextPreemptionSearch map[placementRequest]time.Duration
+}
+
+// newPlacer returns a placer for the first pass of a term.
+func newPlacer(env *environment) *placer {
+	return &placer{
+		environment: env,
+		pass: placementPass{
+			unplaceable:      map[placementRequest]bool{},
+			unplaceableGangs: map[gangRequest]bool{},
+		},
+		nextPreemptionSearch: map[placementRequest]time.Duration{},
+	}
+}
+
 // placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
 // backlog: each request decides as if it looked at every machine anew (see TestPassIsPlain).
 type placementPass struct {
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -12,6 +12,19 @@
 	"quillshunt/internal/protocol"
 )
 
+// capacityPlanner decides which machines are rented and returned.
+type capacityPlanner struct {
+	*environment
+	nextPlanAt      time.Duration
+	nextLimitNoteAt time.Duration  // when to say again that the fleet is at its limit
+	machinesInZone  map[string]int // at the last plan
+}
+
+// newCapacityPlanner returns a planner that has made no plan yet.
+func newCapacityPlanner(env *environment) *capacityPlanner {
+	return &capacityPlanner{environment: env, machinesInZone: map[string]int{}}
+}
+
 // capacity is room in time that the plan may use: of a machine that is up, is booting, or would be
 // rented.
 type capacity struct {
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -7,6 +7,18 @@
 	"quillshunt/internal/limits"
 )
 
+// machineProber asks machines for their tasks.
+type machineProber struct {
+	*environment
+	budget         probeBudget
+	manyUnverified bool // so many machines are unverified that there must be a common cause
+}
+
+// newMachineProber returns a prober whose rate fits the share of a core that this controller has.
+func newMachineProber(env *environment) *machineProber {
+	return &machineProber{environment: env, budget: newProbeBudget(env.cfg.CoreShare)}
+}
+
 // probeBudget bounds how many probes a second go out. A take-over may have to learn of thousands of
 // machines at once; most of them report by themselves within seconds, and a controller that probes
 // them all meanwhile has no processor left for these reports, for its lease and for its votes. How
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -8,6 +8,26 @@
 	"quillshunt/internal/limits"
 )
 
+// jobQueue is the order in which jobs get room.
+type jobQueue struct {
+	*environment
+	entries        []queueEntry // kept for its memory
+	ordered        []*job       // see queueOrder
+	orderedAt      time.Duration
+	overdue        []*job // those of them that are behind; see updateOverdue
+	groupProgress  map[jobGroup]groupServed
+	closedProgress map[jobGroup]groupServed // of the jobs that are over
+}
+
+// newJobQueue returns an empty queue.
+func newJobQueue(env *environment) *jobQueue {
+	return &jobQueue{
+		environment:    env,
+		groupProgress:  map[jobGroup]groupServed{},
+		closedProgress: map[jobGroup]groupServed{},
+	}
+}
+
 // updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits
 // in together with the team's earlier unfinished jobs. The queue is in order of submission.
 func (s *Scheduler) updateGuarantees() {
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -6,6 +6,20 @@
 	"quillshunt/internal/limits"
 )
 
+// recoveryState tells how far a new term knows what runs where.
+type recoveryState struct {
+	*environment
+	loaded          bool // all that earlier terms wrote down is known
+	ended           bool // and all that may run; see tryEndRecovery
+	fewUnreported   bool // of the machines that may hold tasks of earlier terms only a few have not reported
+	orphanedRecords []orphanedRecord
+}
+
+// newRecoveryState returns the state of a term that knows nothing yet.
+func newRecoveryState(env *environment) *recoveryState {
+	return &recoveryState{environment: env}
+}
+
 // expireLeases frees the tasks of sessions that are surely over.
 func (s *Scheduler) expireLeases() {
 	for _, m := range s.inventory.sorted {
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -3,12 +3,28 @@
 import (
 	"fmt"
 	"slices"
+	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
+// machineRegistry is the durable record of the machines that may hold tasks.
+type machineRegistry struct {
+	*environment
+	pages     []*registryPage // in the order in which they were made
+	current   *registryPage   // that new machines go on
+	sequence  uint64          // of the names of this term's pages
+	dirty     bool            // some page has machines that are not written yet
+	writtenAt time.Duration
+}
+
+// newMachineRegistry returns a registry without pages.
+func newMachineRegistry(env *environment) *machineRegistry {
+	return &machineRegistry{environment: env, writtenAt: env.now - limits.RegistryWriteInterval}
+}
+
 // mark tells whether the state service knows that a machine may hold tasks. A machine gets none
 // before, so that a successor knows where to look.
 type registration uint8
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -49,3 +49,13 @@
 	sequence    uint64 // of the names of this term's rentals
 	maxMachines int    // of one rental, so that its record fits
 }
+
+// newRentalTable returns a table without rentals.
+func newRentalTable(env *environment) *rentalTable {
+	return &rentalTable{
+		environment: env,
+		byName:      map[string]*rental{},
+		pools:       map[machinePool]*poolState{},
+		maxMachines: storage.MaxRentalMachines(env.cfg.State.ValueKB),
+	}
+}
