--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -35,7 +35,7 @@
 	h := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentals.sequence), state: rentalWriting, requestedAt: s.now,
 		record: storage.Rental{MachineType: p.typeName, Zone: p.zone, Spot: p.spot, Count: min(n, s.rentals.maxMachines)}}
 	s.rentals.byName[h.name] = h
-	s.log(false, "renting", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot, "count", h.record.Count)
+	s.logInfo("renting", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot, "count", h.record.Count)
 	s.writeRental(h)
 }
 
@@ -59,7 +59,7 @@
 	h.writing = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
-		s.log(true, "rental record refused", "request", h.name)
+		s.logWarn("rental record refused", "request", h.name)
 		return
 	}
 	h.version = rev
@@ -104,7 +104,7 @@
 	if s.rentals.byName[h.name] != nil {
 		return // its last record is just being removed; the next report tries again
 	}
-	s.log(true, "unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
+	s.logWarn("unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
 	m.rental = h.name
 	s.rentals.byName[h.name] = h
 	s.writeRental(h)
@@ -120,7 +120,7 @@
 	case e.NoCapacity:
 		s.backOffPool(p)
 		s.planner.nextPlanAt = 0
-		s.log(false, "no capacity", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot)
+		s.logInfo("no capacity", "request", h.name, "type", p.typeName, "zone", p.zone, "spot", p.spot)
 		s.removeRental(h)
 		return
 	case !e.OK:
@@ -133,7 +133,7 @@
 	} else if st := s.rentals.pools[p]; st != nil {
 		st.backoff = 0
 	}
-	s.log(false, "rented", "request", h.name, "machines", len(e.Machines))
+	s.logInfo("rented", "request", h.name, "machines", len(e.Machines))
 	h.state, h.dirty = rentalAnswered, true
 	h.record.Answered = true
 	for _, name := range e.Machines {
@@ -252,7 +252,7 @@
 		return
 	}
 	m.deleting, m.deleteReason, m.deleteRequestedAt = true, why, -never/2
-	s.log(false, "returning", "machine", m.name, "reason", why, "tasks", len(m.assignments))
+	s.logInfo("returning", "machine", m.name, "reason", why, "tasks", len(m.assignments))
 	s.releaseUnsent(m)
 }
 
@@ -346,7 +346,7 @@
 		}
 		bound += len(j.assignments)
 	}
-	s.log(false, SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.jobs.bySubmission), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
+	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.jobs.bySubmission), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
 }
 
 // isCorrelated tells whether so many of all machines at once must have a common cause.
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -199,7 +199,7 @@
 	for _, b := range g.job.assignments {
 		b.withoutSaving = true
 	}
-	s.log(true, "gang lost a task", "job", g.job.id, "attempt", g.attempt, "left", len(g.job.assignments))
+	s.logWarn("gang lost a task", "job", g.job.id, "attempt", g.attempt, "left", len(g.job.assignments))
 	s.stopGang(g, "another task of the gang is gone")
 }
 
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -46,7 +46,7 @@
 	if r.SpotNoticeS != nil && !m.spotNotice {
 		m.spotNotice = true
 		m.spotNoticeEnds = s.now + limits.Seconds(*r.SpotNoticeS)
-		s.log(false, "spot notice", "machine", m.name, "seconds", *r.SpotNoticeS, "tasks", len(m.assignments))
+		s.logInfo("spot notice", "machine", m.name, "seconds", *r.SpotNoticeS, "tasks", len(m.assignments))
 		s.releaseUnsent(m)
 	}
 	var orders []protocol.Command
@@ -140,7 +140,7 @@
 	}
 	if !m.relayed {
 		m.relayed, m.relayedSince = true, s.now
-		s.log(true, "reports relayed", "machine", m.name)
+		s.logWarn("reports relayed", "machine", m.name)
 	}
 	return true
 }
@@ -151,7 +151,7 @@
 	if m.hasReported && r.Incarnation > m.incarnation {
 		for _, b := range m.sortedAssignments() {
 			if b.state != stateUnsent {
-				s.log(true, "session lost", "machine", m.name, "job", b.job.id, "task", b.index, "attempt", b.attempt)
+				s.logWarn("session lost", "machine", m.name, "job", b.job.id, "task", b.index, "attempt", b.attempt)
 			}
 			s.release(b)
 		}
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -75,7 +75,7 @@
 		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
 			j.cancelledAt -= e.SinceCancellation
 		}
-		s.log(false, "job cancelled", "job", j.id, "bound", len(j.assignments))
+		s.logInfo("job cancelled", "job", j.id, "bound", len(j.assignments))
 	}
 	if j.cancelled {
 		s.stopJob(j)
@@ -129,7 +129,7 @@
 		s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, b.machine)
 	}
 	b.machine.releasing = b.machine.releasing.Plus(b.job.demand)
-	s.log(false, "stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
+	s.logInfo("stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
 }
 
 // tryCloseJob writes a job's final record once nothing of it is left to do.
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -143,7 +143,7 @@
 	if m.hasReported && m.firstReportAt > m.createdAt {
 		boot = (m.firstReportAt - m.createdAt).Seconds()
 	}
-	s.log(false, "machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().CPUs, "life", life, "boot", boot,
+	s.logInfo("machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().CPUs, "life", life, "boot", boot,
 		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
 	delete(s.inventory.byName, m.name)
 	s.unregister(m)
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -122,7 +122,7 @@
 		}
 		if n > s.maxMachines()-total && s.now >= s.planner.nextLimitNoteAt {
 			s.planner.nextLimitNoteAt = s.now + limits.SummaryInterval
-			s.log(true, "fleet at its bound", "machines", total, "wanted", n)
+			s.logWarn("fleet at its bound", "machines", total, "wanted", n)
 		}
 		for n = min(n, s.maxMachines()-total); n > 0 && calls > 0; n -= s.rentals.maxMachines {
 			total += min(n, s.rentals.maxMachines)
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -105,14 +105,14 @@
 		}
 		s.updateProgress(s.assign(j, index, m, t.Attempt, stateSent), t)
 		if s.recovery.ended && !j.cancelled {
-			s.log(true, "unexpected task adopted", "job", j.id, "task", index, "attempt", t.Attempt, "machine", m.name)
+			s.logWarn("unexpected task adopted", "job", j.id, "task", index, "attempt", t.Attempt, "machine", m.name)
 		}
 	case b != nil && b.state != stateUnsent:
 		// An older attempt is still here; our start is refused as busy. Keep the one that is here.
 		newer := b.attempt
 		s.release(b)
 		s.updateProgress(s.assign(j, index, m, t.Attempt, stateSent), t)
-		s.log(true, "older attempt still there", "job", j.id, "task", index, "attempt", t.Attempt, "newer", newer, "machine", m.name)
+		s.logWarn("older attempt still there", "job", j.id, "task", index, "attempt", t.Attempt, "newer", newer, "machine", m.name)
 	default:
 		return false
 	}
@@ -122,7 +122,7 @@
 // stopUnexpectedTask ends a task that should not be on a machine.
 func (s *Scheduler) stopUnexpectedTask(m *machine, j *job, t *protocol.TaskStatus) protocol.Command {
 	if j == nil || !j.cancelled {
-		s.log(true, "stray task", "piece", t.Task, "attempt", t.Attempt, "machine", m.name)
+		s.logWarn("stray task", "piece", t.Task, "attempt", t.Attempt, "machine", m.name)
 	}
 	zero := 0.0
 	return protocol.Command{Verb: protocol.CommandStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero}
@@ -149,7 +149,7 @@
 				s.setVerified(m, false) // our answer did not reach it
 			}
 		} else {
-			s.log(true, "task vanished", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", m.name)
+			s.logWarn("task vanished", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", m.name)
 		}
 		s.release(b)
 	}
@@ -239,12 +239,12 @@
 		}
 	case protocol.ReasonError:
 		m.wastedCPUSeconds += ran * j.demand.CPUs
-		s.log(true, "task failed", "job", j.id, "task", idx, "attempt", t.Attempt, "machine", m.name)
+		s.logWarn("task failed", "job", j.id, "task", idx, "attempt", t.Attempt, "machine", m.name)
 		s.recordFailure(j, m)
 	case protocol.ReasonPeers, protocol.ReasonIncomplete:
 		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
 		m.wastedCPUSeconds += ran * j.demand.CPUs
-		s.log(false, "gang's task ended", "job", j.id, "task", idx, "attempt", t.Attempt, "machine", m.name, "reason", t.Reason)
+		s.logInfo("gang's task ended", "job", j.id, "task", idx, "attempt", t.Attempt, "machine", m.name, "reason", t.Reason)
 	case protocol.ReasonStopped:
 		m.wastedCPUSeconds += ran * j.demand.CPUs
 		if b.stopping && b.stopReason != "cancelled" {
@@ -253,9 +253,9 @@
 	case protocol.ReasonUnknownTask:
 		// The job's description cannot be had; try again, but not at once.
 		j.retryAt = s.now + limits.JobBackoffMin
-		s.log(true, "start refused", "job", j.id, "task", idx, "machine", m.name, "reason", t.Reason)
+		s.logWarn("start refused", "job", j.id, "task", idx, "machine", m.name, "reason", t.Reason)
 	default:
-		s.log(false, "start refused", "job", j.id, "task", idx, "machine", m.name, "reason", t.Reason)
+		s.logInfo("start refused", "job", j.id, "task", idx, "machine", m.name, "reason", t.Reason)
 	}
 	s.tryCloseJob(j)
 	return x
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -32,7 +32,7 @@
 		// The worker sent the last report that we answered before it arrived here, so by its own clock
 		// and ours its lease is over and it has killed its tasks.
 		if len(m.assignments) > 0 {
-			s.log(true, "session lapsed", "machine", m.name, "tasks", len(m.assignments))
+			s.logWarn("session lapsed", "machine", m.name, "tasks", len(m.assignments))
 		}
 		for _, b := range m.sortedAssignments() {
 			s.release(b)
@@ -74,5 +74,5 @@
 	for _, j := range s.jobs.bySubmission {
 		s.markGangChanged(j.gang)
 	}
-	s.log(false, "rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
+	s.logInfo("rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
 }
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -105,7 +105,7 @@
 	x.writing = false
 	if !ok {
 		// Only we write pages of our term, so this cannot be; without a mark the machines get no tasks.
-		s.log(true, "marks refused", "sheet", x.name)
+		s.logWarn("marks refused", "sheet", x.name)
 		return
 	}
 	x.version = rev
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -47,31 +47,13 @@
 	nextSummaryAt   time.Duration // when the summary line is due
 }
 
-// environment is what all parts of the scheduler share: the settings, the time of the event at hand
-// and the outbox.
-type environment struct {
-	cfg               Config
-	now               time.Duration // of the event at hand
-	termStartedAt     time.Duration
-	workerLease       time.Duration
-	heartbeatInterval time.Duration
-	outbox
-}
-
-// outbox collects the effects of the event at hand and remembers what each write was for.
-type outbox struct {
-	effects       []Effect
-	pendingWrites map[uint64]pendingWrite
-	writeSequence uint64
-}
-
 // New returns the scheduler of a term that begins now.
 func New(cfg Config, now time.Duration) *Scheduler {
 	env := &environment{
 		cfg: cfg, now: now, termStartedAt: now,
 		workerLease:       limits.Seconds(cfg.Workers.LeaseS),
 		heartbeatInterval: limits.Seconds(cfg.Workers.ReportS),
-		outbox:            outbox{pendingWrites: map[uint64]pendingWrite{}},
+		outbox:            newOutbox(),
 	}
 	return &Scheduler{
 		environment: env,
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -1,34 +1,6 @@
 package scheduler
 
-import (
-	"log/slog"
-	"time"
-
-	"quillshunt/internal/protocol"
-)
-
-type writeKind uint8
-
-const (
-	writeChunk writeKind = iota
-	writeFinal
-	writeRental
-	writeRentalRemove
-	writeRegistration
-	writeRegistrationRemove
-	writeCleanup
-)
-
-// pendingWrite is what a WriteOut was for.
-type pendingWrite struct {
-	kind         writeKind
-	job          *job
-	count        int    // chunk; of a page, how many machines of it this write makes durable
-	sequence     uint64 // chunk version
-	rental       string
-	answered     bool // this write makes a rental's machines durable
-	registryPage *registryPage
-}
+import "time"
 
 // Step takes one event. The effects are to be carried out in order.
 func (s *Scheduler) Step(e Event, now time.Duration) []Effect {
@@ -50,7 +22,7 @@
 	case RegistryPageLoaded:
 		s.registryPageLoaded(e)
 	case StateLoaded:
-		s.log(false, "rebuilding", "jobs", len(s.jobs.byID), "machines", len(s.inventory.byName), "hires", len(s.rentals.byName))
+		s.logInfo("rebuilding", "jobs", len(s.jobs.byID), "machines", len(s.inventory.byName), "hires", len(s.rentals.byName))
 		s.recovery.loaded, s.catalog.nextFetchAt, s.cloudList.nextAt = true, 0, 0
 		s.removeOrphanedRecords()
 		s.tick(true)
@@ -94,22 +66,6 @@
 	s.commitGangs()
 }
 
-func (s *Scheduler) emit(e Effect) { s.effects = append(s.effects, e) }
-
-func (s *Scheduler) log(warn bool, msg string, args ...any) {
-	level := slog.LevelInfo
-	if warn {
-		level = slog.LevelWarn
-	}
-	s.emit(LogEntry{Level: level, Message: msg, Args: args})
-}
-
-func (s *Scheduler) write(p pendingWrite, guards []protocol.Condition, ops []protocol.Operation) {
-	s.writeSequence++
-	s.pendingWrites[s.writeSequence] = p
-	s.emit(WriteRecords{ID: s.writeSequence, Bulk: p.kind == writeChunk || p.kind == writeCleanup, Conditions: guards, Operations: ops})
-}
-
 func (s *Scheduler) writeDone(e WriteCompleted) {
 	p, ok := s.pendingWrites[e.ID]
 	if !ok {
@@ -127,7 +83,7 @@
 	case writeFinal:
 		p.job.closing = false
 		if e.OK {
-			s.log(false, "job over", "job", p.job.id, "cancelled", p.job.cancelled, "tasks", p.job.spec.Tasks)
+			s.logInfo("job over", "job", p.job.id, "cancelled", p.job.cancelled, "tasks", p.job.spec.Tasks)
 			s.closeJob(p.job)
 			s.removeFinishedTasks(p.job.id, p.job.remainingRecordKeys)
 		}
