--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -46,7 +46,7 @@
 	if heartbeat.SpotNoticeS != nil && !m.spotNotice {
 		m.spotNotice = true
 		m.spotNoticeEnds = s.now + limits.Seconds(*heartbeat.SpotNoticeS)
-		s.log(false, "spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
+		s.logInfo("spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
 		s.releaseUnsent(m)
 	}
 	var commands []protocol.Command
@@ -140,7 +140,7 @@
 	}
 	if !m.relayed {
 		m.relayed, m.relayedSince = true, s.now
-		s.log(true, "reports relayed", "machine", m.name)
+		s.logWarn("reports relayed", "machine", m.name)
 	}
 	return true
 }
@@ -151,7 +151,7 @@
 	if m.hasReported && heartbeat.Incarnation > m.incarnation {
 		for _, a := range m.sortedAssignments() {
 			if a.state != stateUnsent {
-				s.log(true, "session lost", "machine", m.name, "job", a.job.id, "task", a.index, "attempt", a.attempt)
+				s.logWarn("session lost", "machine", m.name, "job", a.job.id, "task", a.index, "attempt", a.attempt)
 			}
 			s.release(a)
 		}
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -8,6 +8,19 @@
 	"quillshunt/internal/protocol"
 )
 
+// machineInventory holds the machines that are known.
+type machineInventory struct {
+	*environment
+	byName  map[string]*machine
+	sorted  []*machine      // by name
+	deleted map[string]bool // machines whose deletion was confirmed; late lists and heartbeats may still name them
+}
+
+// newMachineInventory returns an inventory without machines.
+func newMachineInventory(env *environment) *machineInventory {
+	return &machineInventory{environment: env, byName: map[string]*machine{}, deleted: map[string]bool{}}
+}
+
 type machine struct {
 	name, address, typeName, zone string
 	spot                          bool
@@ -130,7 +143,7 @@
 	if m.hasReported && m.firstReportAt > m.createdAt {
 		bootTime = (m.firstReportAt - m.createdAt).Seconds()
 	}
-	s.log(false, "machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().CPUs, "life", lifetime, "boot", bootTime,
+	s.logInfo("machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().CPUs, "life", lifetime, "boot", bootTime,
 		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
 	delete(s.inventory.byName, m.name)
 	s.unregister(m)
