--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -9,6 +9,31 @@
 	"quillshunt/internal/storage"
 )
 
+// jobTable holds the jobs that are not over, with their teams and classes.
+type jobTable struct {
+	*environment
+	byID         map[string]*job
+	closed       map[string]bool // jobs over in this term; a late record of one must not open it again
+	bySubmission []*job
+	teams        map[string]*team
+	classes      map[string]*jobClass
+}
+
+// newJobTable returns a table without jobs, with the teams of the settings.
+func newJobTable(env *environment) *jobTable {
+	t := &jobTable{
+		environment: env,
+		byID:        map[string]*job{},
+		closed:      map[string]bool{},
+		teams:       map[string]*team{},
+		classes:     map[string]*jobClass{},
+	}
+	for _, settings := range env.cfg.Teams {
+		t.teams[settings.Name] = &team{cfg: settings}
+	}
+	return t
+}
+
 func (s *Scheduler) jobChanged(e JobChanged) {
 	j := s.jobs.byID[e.JobID]
 	if j == nil {
@@ -50,7 +75,7 @@
 		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
 			j.cancelledAt -= e.SinceCancellation
 		}
-		s.log(false, "job cancelled", "job", j.id, "bound", len(j.assignments))
+		s.logInfo("job cancelled", "job", j.id, "bound", len(j.assignments))
 	}
 	if j.cancelled {
 		s.stopJob(j)
@@ -104,7 +129,7 @@
 		s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, b.machine)
 	}
 	b.machine.releasing = b.machine.releasing.Plus(b.job.demand)
-	s.log(false, "stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
+	s.logInfo("stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
 }
 
 // tryCloseJob writes a job's final record once nothing of it is left to do.
