--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -10,7 +10,6 @@
 	"sync/atomic"
 	"time"
 
-	"quillshunt/internal/coordination/peer/peerpb"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
@@ -33,9 +32,16 @@
 	OfferLeadership(ctx context.Context, node string, term, stamp uint64) error
 	// Size is how many other controllers there are.
 	Size() int
-	// RequestVotes asks all for their pledge; nonces are the processes that they are taken for. Who
-	// does not answer in time is missing.
-	RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.VoteReply
+	// RequestVotes asks all other controllers for their votes, under the leader's heartbeat with
+	// that key version. The nonces are those of the processes that the caller believes to run on
+	// the nodes. The result has no entry for a controller that does not answer in time.
+	RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote
+}
+
+// Vote is a controller's answer to a request for its vote.
+type Vote struct {
+	Granted      bool
+	ProcessNonce uint64 // of the process that answers; 0 is unknown
 }
 
 // Elector takes part in elections. Lead is called with each leadership and must return soon after
@@ -103,7 +109,7 @@
 
 // Vote is asked by a leader for this controller's pledge; nonce is that of the process that the
 // leader takes this one for.
-func (e *Elector) Vote(heartbeat, nonce uint64) *peerpb.VoteReply {
+func (e *Elector) Vote(heartbeat, nonce uint64) Vote {
 	return e.voter.vote(heartbeat, nonce)
 }
 
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -13,7 +13,6 @@
 	"testing/synctest"
 	"time"
 
-	"quillshunt/internal/coordination/peer/peerpb"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/standin"
@@ -200,8 +199,8 @@
 
 func (n *node) Size() int { return len(*n.others) - 1 }
 
-func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.VoteReply {
-	out := map[string]*peerpb.VoteReply{}
+func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote {
+	out := map[string]Vote{}
 	for _, o := range *n.others {
 		if e := n.reach(o); e != nil {
 			a := e.Vote(heartbeat, nonces[o.name])
@@ -599,8 +598,8 @@
 
 func (loyalPeers) Size() int                            { return 4 }
 func (loyalPeers) FindConnected(context.Context) string { return "" }
-func (loyalPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]*peerpb.VoteReply {
-	return map[string]*peerpb.VoteReply{"a": {Granted: nonces["a"] == 1, ProcessNonce: 1}, "b": {Granted: nonces["b"] == 1, ProcessNonce: 1}}
+func (loyalPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]Vote {
+	return map[string]Vote{"a": {Granted: nonces["a"] == 1, ProcessNonce: 1}, "b": {Granted: nonces["b"] == 1, ProcessNonce: 1}}
 }
 
 // TestOwnVote: a leader's own pledge counts like any other. While it does, it does not let go of
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -4,7 +4,6 @@
 	"sync"
 	"time"
 
-	"quillshunt/internal/coordination/peer/peerpb"
 	"quillshunt/internal/limits"
 )
 
@@ -29,15 +28,15 @@
 	withdrawnUpTo uint64    // heartbeats up to this one get no pledge any more
 }
 
-func (p *voter) vote(heartbeat, nonce uint64) *peerpb.VoteReply {
+func (p *voter) vote(heartbeat, nonce uint64) Vote {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requestedAt = time.Now()
 	if nonce != p.nonce || heartbeat <= p.withdrawnUpTo {
-		return &peerpb.VoteReply{ProcessNonce: p.nonce}
+		return Vote{ProcessNonce: p.nonce}
 	}
 	p.votedAt = p.requestedAt
-	return &peerpb.VoteReply{Granted: true, ProcessNonce: p.nonce}
+	return Vote{Granted: true, ProcessNonce: p.nonce}
 }
 
 // withdraw lets go of the leader with that heartbeat, if no pledge of this controller can be live.
--- a/internal/coordination/peer/client.go
+++ b/internal/coordination/peer/client.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 
+	"quillshunt/internal/coordination/election"
 	"quillshunt/internal/coordination/peer/peerpb"
 	"quillshunt/internal/limits"
 )
@@ -51,18 +52,18 @@
 func (p *Peers) Size() int { return len(p.conns) }
 
 // RequestVotes asks all controllers for their pledge to the leader here.
-func (p *Peers) RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]*peerpb.VoteReply {
+func (p *Peers) RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]election.Vote {
 	type answer struct {
-		name  string
-		reply *peerpb.VoteReply
+		name string
+		vote election.Vote
 	}
 	got := callAll(ctx, p, limits.VoteTimeout, func(ctx context.Context, name string, c peerpb.PeerClient) (answer, error) {
 		r, err := c.Pledge(ctx, &peerpb.VoteRequest{HeartbeatVersion: heartbeat, ProcessNonce: nonces[name]})
-		return answer{name, r}, err
+		return answer{name, election.Vote{Granted: r.GetGranted(), ProcessNonce: r.GetProcessNonce()}}, err
 	})
-	out := map[string]*peerpb.VoteReply{}
+	out := map[string]election.Vote{}
 	for a := range got {
-		out[a.name] = a.reply
+		out[a.name] = a.vote
 	}
 	return out
 }
--- a/internal/coordination/peer/peer.go
+++ b/internal/coordination/peer/peer.go
@@ -4,6 +4,7 @@
 import (
 	"context"
 
+	"quillshunt/internal/coordination/election"
 	"quillshunt/internal/coordination/peer/peerpb"
 )
 
@@ -32,5 +33,5 @@
 	// Leader is the name of the leader as far as known, or "".
 	Leader() string
 	// Vote is asked by the leader.
-	Vote(heartbeat, nonce uint64) *peerpb.VoteReply
+	Vote(heartbeat, nonce uint64) election.Vote
 }
--- a/internal/coordination/peer/server.go
+++ b/internal/coordination/peer/server.go
@@ -78,7 +78,8 @@
 
 // Pledge implements the service.
 func (s *Server) Pledge(_ context.Context, r *peerpb.VoteRequest) (*peerpb.VoteReply, error) {
-	return s.elector.Vote(r.GetHeartbeatVersion(), r.GetProcessNonce()), nil
+	v := s.elector.Vote(r.GetHeartbeatVersion(), r.GetProcessNonce())
+	return &peerpb.VoteReply{Granted: v.Granted, ProcessNonce: v.ProcessNonce}, nil
 }
 
 // Confirm implements the service. A controller that does not lead passes the request on once: the
