--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -35,7 +35,7 @@
 	r := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentals.sequence), state: rentalWriting, requestedAt: s.now,
 		record: storage.Rental{MachineType: pool.typeName, Zone: pool.zone, Spot: pool.spot, Count: min(count, s.rentals.maxMachines)}}
 	s.rentals.byName[r.name] = r
-	s.log(false, "renting", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot, "count", r.record.Count)
+	s.logInfo("renting", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot, "count", r.record.Count)
 	s.writeRental(r)
 }
 
@@ -59,7 +59,7 @@
 	r.writing = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
-		s.log(true, "rental record refused", "request", r.name)
+		s.logWarn("rental record refused", "request", r.name)
 		return
 	}
 	r.version = version
@@ -104,7 +104,7 @@
 	if s.rentals.byName[r.name] != nil {
 		return // its last record is just being removed; the next report tries again
 	}
-	s.log(true, "unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
+	s.logWarn("unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
 	m.rental = r.name
 	s.rentals.byName[r.name] = r
 	s.writeRental(r)
@@ -120,7 +120,7 @@
 	case e.NoCapacity:
 		s.backOffPool(pool)
 		s.planner.nextPlanAt = 0
-		s.log(false, "no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
+		s.logInfo("no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
 		s.removeRental(r)
 		return
 	case !e.OK:
@@ -133,7 +133,7 @@
 	} else if state := s.rentals.pools[pool]; state != nil {
 		state.backoff = 0
 	}
-	s.log(false, "rented", "request", r.name, "machines", len(e.Machines))
+	s.logInfo("rented", "request", r.name, "machines", len(e.Machines))
 	r.state, r.dirty = rentalAnswered, true
 	r.record.Answered = true
 	for _, name := range e.Machines {
@@ -252,7 +252,7 @@
 		return
 	}
 	m.deleting, m.deleteReason, m.deleteRequestedAt = true, reason, -never/2
-	s.log(false, "returning", "machine", m.name, "reason", reason, "tasks", len(m.assignments))
+	s.logInfo("returning", "machine", m.name, "reason", reason, "tasks", len(m.assignments))
 	s.releaseUnsent(m)
 }
 
@@ -346,7 +346,7 @@
 		}
 		bound += len(j.assignments)
 	}
-	s.log(false, SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.jobs.bySubmission), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
+	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.jobs.bySubmission), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
 }
 
 // isCorrelated tells whether so many of all machines at once must have a common cause.
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -105,14 +105,14 @@
 		}
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
 		if s.recovery.ended && !j.cancelled {
-			s.log(true, "unexpected task adopted", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
+			s.logWarn("unexpected task adopted", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
 		}
 	case a != nil && a.state != stateUnsent:
 		// An older attempt is still here; our start is refused as busy. Keep the one that is here.
 		newer := a.attempt
 		s.release(a)
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
-		s.log(true, "older attempt still there", "job", j.id, "task", index, "attempt", status.Attempt, "newer", newer, "machine", m.name)
+		s.logWarn("older attempt still there", "job", j.id, "task", index, "attempt", status.Attempt, "newer", newer, "machine", m.name)
 	default:
 		return false
 	}
@@ -122,7 +122,7 @@
 // stopUnexpectedTask ends a task that should not be on a machine.
 func (s *Scheduler) stopUnexpectedTask(m *machine, j *job, status *protocol.TaskStatus) protocol.Command {
 	if j == nil || !j.cancelled {
-		s.log(true, "stray task", "piece", status.Task, "attempt", status.Attempt, "machine", m.name)
+		s.logWarn("stray task", "piece", status.Task, "attempt", status.Attempt, "machine", m.name)
 	}
 	noGrace := 0.0
 	return protocol.Command{Verb: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: &noGrace}
@@ -149,7 +149,7 @@
 				s.setVerified(m, false) // our answer did not reach it
 			}
 		} else {
-			s.log(true, "task vanished", "job", a.job.id, "task", a.index, "attempt", a.attempt, "machine", m.name)
+			s.logWarn("task vanished", "job", a.job.id, "task", a.index, "attempt", a.attempt, "machine", m.name)
 		}
 		s.release(a)
 	}
@@ -241,12 +241,12 @@
 		}
 	case protocol.ReasonError:
 		m.wastedCPUSeconds += ran * j.demand.CPUs
-		s.log(true, "task failed", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
+		s.logWarn("task failed", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
 		s.recordFailure(j, m)
 	case protocol.ReasonPeers, protocol.ReasonIncomplete:
 		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
 		m.wastedCPUSeconds += ran * j.demand.CPUs
-		s.log(false, "gang's task ended", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name, "reason", status.Reason)
+		s.logInfo("gang's task ended", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name, "reason", status.Reason)
 	case protocol.ReasonStopped:
 		m.wastedCPUSeconds += ran * j.demand.CPUs
 		if a.stopping && a.stopReason != "cancelled" {
@@ -255,9 +255,9 @@
 	case protocol.ReasonUnknownTask:
 		// The job's description cannot be had; try again, but not at once.
 		j.retryAt = s.now + limits.JobBackoffMin
-		s.log(true, "start refused", "job", j.id, "task", index, "machine", m.name, "reason", status.Reason)
+		s.logWarn("start refused", "job", j.id, "task", index, "machine", m.name, "reason", status.Reason)
 	default:
-		s.log(false, "start refused", "job", j.id, "task", index, "machine", m.name, "reason", status.Reason)
+		s.logInfo("start refused", "job", j.id, "task", index, "machine", m.name, "reason", status.Reason)
 	}
 	s.tryCloseJob(j)
 	return ended
