--- a/internal/storage/types.go
+++ b/internal/storage/machine_types.go
@@ -4,11 +4,67 @@
 	"context"
 	"errors"
 	"fmt"
+	"slices"
 
+	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
-// ErrNoTypes means that the machine types are not kept yet, or are just being replaced.
+// Keys of the machine types.
+const (
+	KeyMachineTypes        = "types"
+	PrefixMachineTypesPart = "type/"
+)
+
+// MachineTypesPartKey is where a part of the machine types is kept.
+func MachineTypesPartKey(part int) string { return fmt.Sprintf("%s%03d", PrefixMachineTypesPart, part) }
+
+// MachineTypes caches the machine types, so that a node can check submissions after a restart. They
+// are kept under KeyTypes, or, if that would be too large a value, in parts under PrefixTypes.
+type MachineTypes struct {
+	MachineTypes []protocol.MachineType `cbor:"Rigkinds" json:"Rigkinds"`
+}
+
+// MachineTypesPart is one of several records that hold the machine types together.
+type MachineTypesPart struct {
+	MachineTypes []protocol.MachineType `cbor:"Rigkinds" json:"Rigkinds"`
+	Parts        int                    `cbor:"Parts" json:"Parts"`
+}
+
+// SplitMachineTypes cuts machine types into parts that fit; a type that is too large by itself gets
+// a part of its own.
+func SplitMachineTypes(types []protocol.MachineType, valueKB float64) []MachineTypesPart {
+	var parts []MachineTypesPart
+	for _, t := range types {
+		if last := len(parts) - 1; last >= 0 {
+			grown := MachineTypesPart{MachineTypes: append(slices.Clone(parts[last].MachineTypes), t), Parts: limits.MaxMachineTypes}
+			if FitsValueLimit(grown, valueKB) {
+				parts[last] = grown
+				continue
+			}
+		}
+		parts = append(parts, MachineTypesPart{MachineTypes: []protocol.MachineType{t}})
+	}
+	for i := range parts {
+		parts[i].Parts = len(parts)
+	}
+	return parts
+}
+
+// JoinMachineTypes puts parts together again. It returns false if some are missing, as while they
+// are being written.
+func JoinMachineTypes(parts []MachineTypesPart) ([]protocol.MachineType, bool) {
+	var types []protocol.MachineType
+	for _, p := range parts {
+		if p.Parts != len(parts) {
+			return nil, false
+		}
+		types = append(types, p.MachineTypes...)
+	}
+	return types, len(parts) > 0
+}
+
+// ErrNoMachineTypes means that the machine types are not kept yet, or are just being replaced.
 var ErrNoMachineTypes = errors.New("machine types not kept yet")
 
 // StoredMachineTypes are the machine types as they are kept, with the versions of their records.
