--- a/internal/limits/connections.go
+++ b/internal/limits/connections.go
@@ -57,6 +57,9 @@
 	// use, since a controller that is behind can't make one in time.
 	StateConns = 8
 	StateIdle  = StateConns + UserSlots
+	// WatchIdle is how many connections of watches are kept: the one of the leader's key and, as
+	// leader, the one of the open jobs.
+	WatchIdle = 2
 	// PeerStreams is how many calls of one other controller are served at once.
 	PeerStreams = 64
 	// PeerIdle is how long a connection to another controller is kept unused.
--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -8,7 +8,8 @@
 	"quillshunt/internal/limits"
 )
 
-// Backoff is a jittered, growing pause.
+// Backoff is a jittered pause between tries that grows from limits.RetryMin to limits.RetryMax. Its
+// zero value is ready for use.
 type Backoff struct{ next time.Duration }
 
 // Wait sleeps and reports whether the context is still alive.
@@ -16,9 +17,9 @@
 	if b.next == 0 {
 		b.next = limits.RetryMin
 	}
-	d := b.next/2 + rand.N(b.next)
+	pause := b.next/2 + rand.N(b.next)
 	b.next = min(b.next*2, limits.RetryMax)
-	return Sleep(ctx, d)
+	return Sleep(ctx, pause)
 }
 
 // Reset starts over with short pauses.
@@ -26,12 +27,12 @@
 
 // Sleep waits and reports whether the context is still alive.
 func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -4,44 +4,53 @@
 	"errors"
 	"fmt"
 	"net"
+	"slices"
 )
 
-// Outcomes of a call that are not answers.
+// The errors of a Store wrap one of these, or are a *ConflictError, unless an answer could not be
+// decoded or the caller's own function failed. Each says what the caller may conclude.
 var (
-	// ErrNotExecuted: the service said that it did not carry the request out (429, 503), or nothing
-	// was sent.
-	ErrNotExecuted = errors.New("state service refused")
-	// ErrRateLimited: it was refused because more was asked than the service's rates allow. It is
-	// an ErrRefused as well.
-	ErrRateLimited = errors.New("over the state service's rate")
-	// ErrOutcomeUnknown: there was no answer; the request may have been carried out, or may still be.
+	// ErrNotExecuted means: the request was not executed and never will be. The service refused it (429
+	// or 503), nothing was sent, or the wait for a share of the rate took too long. It may be
+	// repeated.
+	ErrNotExecuted = errors.New("state service did not execute the request")
+	// ErrRateLimited means: the service refused the request because its rate was used up (429). An error
+	// that wraps it wraps ErrNotExecuted as well.
+	ErrRateLimited = errors.New("rate limit of the state service exceeded")
+	// ErrOutcomeUnknown means: no usable answer came. The request may have been executed, or may still
+	// be; only reading the keys can show it.
 	ErrOutcomeUnknown = errors.New("state service did not answer")
-	// ErrLeaseExpired: the hold is over.
-	ErrLeaseExpired = errors.New("no such hold")
-	// ErrCompacted: the watch began too long ago; the keys must be read again.
-	ErrCompacted = errors.New("changes no longer kept")
-	// ErrBadRequest: the service held the request to be malformed.
+	// ErrLeaseExpired means: the lease does not exist any more, and neither do the keys attached to it. A
+	// transaction that fails with it was not executed.
+	ErrLeaseExpired = errors.New("lease expired or unknown")
+	// ErrCompacted means: the changes since the given revision are no longer available. The keys must be
+	// listed again.
+	ErrCompacted = errors.New("changes are compacted")
+	// ErrBadRequest means: the service answered with a status that the call does not provide for, as 400
+	// for a malformed or too large request. It was not executed, and repeating it does not help.
 	ErrBadRequest = errors.New("state service rejected the request")
+	// ErrNoMachineTypes means: no machine types are stored yet, or they are just being replaced.
+	ErrNoMachineTypes = errors.New("machine types are not stored yet")
 )
 
-// IsTimeout tells whether a call failed only because time went by without an answer. The service
-// may then be out of reach, but a process that gets too little of its processor sees the same.
-func IsTimeout(err error) bool {
-	var netErr net.Error
-	return errors.As(err, &netErr) && netErr.Timeout()
+// ConflictError means that a transaction was not executed because some of its conditions did not
+// hold. The keys can be read again to see why. If an earlier try of the same transaction ended with
+// ErrOutcomeUnknown, that one may have been executed.
+type ConflictError struct {
+	FailedKeys []string // keys of the conditions that did not hold
 }
 
-// ConflictError reports the keys whose guards failed.
-type ConflictError struct{ FailedKeys []string }
+// Error implements error.
+func (c *ConflictError) Error() string {
+	return fmt.Sprintf("conditions failed for keys %v", c.FailedKeys)
+}
 
-func (c *ConflictError) Error() string { return fmt.Sprintf("guards failed: %v", c.FailedKeys) }
+// Has reports whether the condition on a key is among those that did not hold.
+func (c *ConflictError) Has(key string) bool { return slices.Contains(c.FailedKeys, key) }
 
-// Has tells whether a key is among those that failed.
-func (c *ConflictError) Has(key string) bool {
-	for _, k := range c.FailedKeys {
-		if k == key {
-			return true
-		}
-	}
-	return false
+// IsTimeout reports whether a call failed only because time went by without an answer. The service
+// may then be unreachable, but a process that gets too little of its processor sees the same.
+func IsTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/internal/storage/finished_tasks.go
+++ b/internal/storage/finished_tasks.go
@@ -9,49 +9,55 @@
 	"quillshunt/internal/limits"
 )
 
-// PrefixFinishedTasks is the prefix of the keys of finished tasks.
+// PrefixFinishedTasks is the prefix of the keys of finished tasks; the job's ID and the first task
+// of the chunk follow.
 const PrefixFinishedTasks = "fin/"
 
-// FinishedTasksKey is where a chunk of a job's finished tasks is kept.
+// wordBits is the size of the words of a bitmap of tasks; chunks begin and end between words.
+const wordBits = 64
+
+// FinishedTasks is a chunk of a job's finished tasks.
+type FinishedTasks struct {
+	Base int    `cbor:"Base" json:"Base"` // first task of the chunk
+	Bits string `cbor:"Bits" json:"Bits"` // bitmap in base64: bit i is task Base+i; zero bytes at the end are left out
+}
+
+// FinishedTasksKey returns the key of a chunk of a job's finished tasks.
 func FinishedTasksKey(id string, base int) string {
 	return fmt.Sprintf("%s%s/%d", PrefixFinishedTasks, id, base)
 }
 
-// ParseFinishedTasksKey splits such a key.
+// ParseFinishedTasksKey splits a key that FinishedTasksKey returned, and reports whether it is one.
 func ParseFinishedTasksKey(key string) (id string, base int, ok bool) {
 	rest, ok := strings.CutPrefix(key, PrefixFinishedTasks)
 	if !ok {
 		return "", 0, false
 	}
-	id, num, ok := strings.Cut(rest, "/")
+	id, number, ok := strings.Cut(rest, "/")
 	if !ok {
 		return "", 0, false
 	}
-	base, err := strconv.Atoi(num)
+	base, err := strconv.Atoi(number)
 	return id, base, err == nil
 }
 
-// FinishedTasks is a chunk of a job's finished tasks: bit i of Bits is task Base+i.
-type FinishedTasks struct {
-	Base int    `cbor:"Base" json:"Base"`
-	Bits string `cbor:"Bits" json:"Bits"`
-}
-
-// TasksPerChunk is how many tasks a chunk holds so that its record stays below the value limit.
+// TasksPerChunk returns how many tasks a chunk holds so that its record stays below the value limit.
+// It is a multiple of 64.
 func TasksPerChunk(valueKB float64) int {
 	chars := int(valueKB*1024) - limits.FinishedTasksOverhead
-	n := chars / 4 * 3 * 8 // base64 carries three bytes in four characters
-	return max(n/64*64, 64)
+	tasks := chars / 4 * 3 * 8 // base64 carries three bytes in four characters
+	return max(tasks/wordBits*wordBits, wordBits)
 }
 
-// EncodeFinishedTasks writes the chunk that starts at base from a bitmap of all tasks.
+// EncodeFinishedTasks returns the chunk of size tasks that starts at task base, from a bitmap of all
+// tasks of the job. Both base and size are multiples of 64.
 func EncodeFinishedTasks(bits []uint64, base, size int) FinishedTasks {
-	lo := base / 64
-	hi := min(lo+size/64, len(bits))
-	b := make([]byte, 0, (hi-lo)*8)
-	for _, w := range bits[lo:hi] {
+	first := base / wordBits
+	last := min(first+size/wordBits, len(bits))
+	b := make([]byte, 0, (last-first)*8)
+	for _, word := range bits[first:last] {
 		for k := range 8 {
-			b = append(b, byte(w>>(8*k)))
+			b = append(b, byte(word>>(8*k)))
 		}
 	}
 	for len(b) > 0 && b[len(b)-1] == 0 {
@@ -60,11 +66,12 @@
 	return FinishedTasks{Base: base, Bits: base64.RawStdEncoding.EncodeToString(b)}
 }
 
-// Decode calls set for each finished task of a chunk.
+// Decode calls set for each finished task of a chunk. The error says that the bitmap is not base64;
+// then set was not called.
 func (f FinishedTasks) Decode(set func(task int)) error {
 	b, err := base64.RawStdEncoding.DecodeString(f.Bits)
 	if err != nil {
-		return fmt.Errorf("finished tasks: %w", err)
+		return fmt.Errorf("decode finished tasks: %w", err)
 	}
 	for i, x := range b {
 		for k := range 8 {
--- a/internal/storage/finished_tasks_test.go
+++ b/internal/storage/finished_tasks_test.go
@@ -8,9 +8,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestFinRoundTrip: chunks carry exactly the finished tasks, whatever the chunk size, and keep to
-// the value limit.
-func TestFinRoundTrip(t *testing.T) {
+// TestFinishedTasksRoundTrip: chunks hold exactly the finished tasks, whatever the chunk size, and
+// keep to the value limit.
+func TestFinishedTasksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := rapid.SampledFrom([]float64{0.25, 1, 4, 8}).Draw(t, "kb")
 		size := TasksPerChunk(kb)
@@ -30,20 +30,20 @@
 		}
 		got := map[int]bool{}
 		for base := 0; base < tasks; base += size {
-			f := EncodeFinishedTasks(bits, base, size)
-			if !FitsValueLimit(f, kb) {
+			chunk := EncodeFinishedTasks(bits, base, size)
+			if !FitsValueLimit(chunk, kb) {
 				t.Fatalf("chunk of %d tasks does not fit %v KiB", size, kb)
 			}
-			var back FinishedTasks
-			if err := protocol.Decode(protocol.Encode(f), &back); err != nil {
+			var decoded FinishedTasks
+			if err := protocol.Decode(protocol.Encode(chunk), &decoded); err != nil {
 				t.Fatal(err)
 			}
-			if err := back.Decode(func(i int) { got[i] = true }); err != nil {
+			if err := decoded.Decode(func(i int) { got[i] = true }); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if len(got) != len(want) {
-			t.Fatalf("%d of %d", len(got), len(want))
+			t.Fatalf("decoded %d finished tasks, want %d", len(got), len(want))
 		}
 		for i := range want {
 			if !got[i] {
@@ -53,13 +53,13 @@
 	})
 }
 
-func TestFinKey(t *testing.T) {
+func TestFinishedTasksKey(t *testing.T) {
 	if id, base, ok := ParseFinishedTasksKey(FinishedTasksKey("job-7", 4096)); !ok || id != "job-7" || base != 4096 {
-		t.Fatal(id, base, ok)
+		t.Fatalf("parsed as job %q, base %d, %v", id, base, ok)
 	}
-	for _, k := range []string{"open/job-7", "fin/job-7", "fin/job-7/x"} {
-		if _, _, ok := ParseFinishedTasksKey(k); ok {
-			t.Errorf("%q parsed", k)
+	for _, key := range []string{"open/job-7", "fin/job-7", "fin/job-7/x"} {
+		if _, _, ok := ParseFinishedTasksKey(key); ok {
+			t.Errorf("%q parsed", key)
 		}
 	}
 }
--- a/internal/storage/health.go
+++ b/internal/storage/health.go
@@ -1,21 +1,43 @@
 package storage
 
 import (
+	"net/http"
 	"sync/atomic"
 	"time"
 
 	"quillshunt/internal/limits"
+	"quillshunt/internal/transport"
 )
 
-// serviceHealth is what the last calls tell of the service. All times are Unix nanoseconds.
+// serviceHealth is what the last calls show of the service. Times are Unix nanoseconds.
 type serviceHealth struct {
 	failingSince atomic.Int64 // since when no call succeeded; 0 if the last one did
 	lastCallAt   atomic.Int64 // when the last call began
-	writes       atomic.Int64 // changes sent
+	writes       atomic.Int64 // operations sent in transactions
 	refused      atomic.Int64 // calls answered 429 or 503
 }
 
-// FailingFor is for how long no call succeeded.
+func (h *serviceHealth) callBegan(at time.Time) { h.lastCallAt.Store(at.UnixNano()) }
+
+// callEnded notes the outcome of a call. A 429 is an answer of a service that works.
+func (h *serviceHealth) callEnded(began time.Time, reply *transport.Message, err error) {
+	if err != nil {
+		h.failingSince.CompareAndSwap(0, began.UnixNano())
+		return
+	}
+	switch reply.Status {
+	case http.StatusServiceUnavailable:
+		h.failingSince.CompareAndSwap(0, began.UnixNano())
+		h.refused.Add(1)
+	case http.StatusTooManyRequests:
+		h.failingSince.Store(0)
+		h.refused.Add(1)
+	default:
+		h.failingSince.Store(0)
+	}
+}
+
+// FailingFor returns for how long no call succeeded, or 0 if the last one did.
 func (s *Store) FailingFor() time.Duration {
 	if since := s.health.failingSince.Load(); since != 0 {
 		return time.Since(time.Unix(0, since))
@@ -23,13 +45,16 @@
 	return 0
 }
 
-// Counters is how many changes were sent and how many calls were refused so far, for the log.
+// Counters returns how many operations were sent and how many calls were refused so far, for the
+// log.
 func (s *Store) Counters() (writes, refused int64) {
 	return s.health.writes.Load(), s.health.refused.Load()
 }
 
-// Unavailable tells whether the service is known to be out of reach, so that one more call would
-// only keep somebody waiting. Now and then a call is let through to see whether it is over.
+// Unavailable reports whether the service is known to be unreachable, so that one more call would
+// only keep somebody waiting. Now and then it returns false all the same, so that a call shows
+// whether the outage is over.
 func (s *Store) Unavailable() bool {
-	return s.FailingFor() > limits.UnavailableAfter && time.Since(time.Unix(0, s.health.lastCallAt.Load())) < limits.UnavailableProbeInterval
+	sinceLastCall := time.Since(time.Unix(0, s.health.lastCallAt.Load()))
+	return s.FailingFor() > limits.UnavailableAfter && sinceLastCall < limits.UnavailableProbeInterval
 }
--- a/internal/storage/health_test.go
+++ b/internal/storage/health_test.go
@@ -9,43 +9,42 @@
 	"quillshunt/internal/limits"
 )
 
-// TestDown: users are sent away without a call while the state service is known to be out of reach,
-// but a call is let through often enough that nobody is left without an answer for long once it is
-// back.
-func TestDown(t *testing.T) {
+// TestUnavailable: users' calls fail at once while the state service is known to be unreachable, but
+// one is allowed often enough that nobody waits long for an answer once it is back.
+func TestUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		own := New("127.0.0.1:1", config.State{RPS: 100, WriteRPS: 10, TxnOps: 8})
-		s := own.ForUsers()
-		failed := func() { // as call notes it
-			s.health.lastCallAt.Store(time.Now().UnixNano())
-			s.health.failingSince.CompareAndSwap(0, time.Now().UnixNano())
+		controllers := New("127.0.0.1:1", config.State{RPS: 100, WriteRPS: 10, TxnOps: 8})
+		users := controllers.ForUsers()
+		failed := func() { // as a failed call records it
+			users.health.lastCallAt.Store(time.Now().UnixNano())
+			users.health.failingSince.CompareAndSwap(0, time.Now().UnixNano())
 		}
 		failed()
-		if s.Unavailable() {
-			t.Error("down after one failure")
+		if users.Unavailable() {
+			t.Error("unavailable after one failure")
 		}
 		time.Sleep(2 * limits.UnavailableAfter)
 		failed()
-		if !s.Unavailable() || s.waitForRate(t.Context(), 0) == nil {
-			t.Error("not down after a while of failures")
+		if !users.Unavailable() || users.waitForRate(t.Context(), 0) == nil {
+			t.Error("still available after a while of failures")
 		}
-		if own.waitForRate(t.Context(), 0) != nil {
-			t.Error("the controllers' own calls are held back")
+		if controllers.waitForRate(t.Context(), 0) != nil {
+			t.Error("the controllers' own calls fail too")
 		}
-		let := 0
-		for range 75 { // the users' bound on being without an answer, in seconds
+		allowed := 0
+		for range 75 { // the longest a user may be without an answer, in seconds
 			time.Sleep(time.Second)
-			if s.waitForRate(t.Context(), 0) == nil {
-				let++
+			if users.waitForRate(t.Context(), 0) == nil {
+				allowed++
 				failed()
 			}
 		}
-		if let < 37 {
-			t.Errorf("%d of 75 tries let through", let)
+		if allowed < 37 {
+			t.Errorf("%d of 75 calls allowed", allowed)
 		}
-		s.health.failingSince.Store(0)
-		if s.Unavailable() {
-			t.Error("down after a success")
+		users.health.failingSince.Store(0)
+		if users.Unavailable() {
+			t.Error("unavailable after a success")
 		}
 	})
 }
--- a/internal/storage/jobs.go
+++ b/internal/storage/jobs.go
@@ -2,26 +2,29 @@
 
 import "quillshunt/internal/protocol"
 
-// PrefixOpenJob is the prefix of the keys of jobs that are not over.
+// PrefixOpenJob is the prefix of the keys of jobs that are not over; the job's ID follows.
 const PrefixOpenJob = "open/"
 
-// OpenJobKey is where a job that is not over is kept.
+// prefixFinalJob is the prefix of the keys of jobs that are over; the job's ID follows.
+const prefixFinalJob = "final/"
+
+// OpenJobKey returns the key of a job while it is not over.
 func OpenJobKey(id string) string { return PrefixOpenJob + id }
 
-// FinalJobKey is where a job that is over is kept for good.
-func FinalJobKey(id string) string { return "final/" + id }
+// FinalJobKey returns the key of a job once it is over.
+func FinalJobKey(id string) string { return prefixFinalJob + id }
 
-// OpenJob is a job that is not over.
+// OpenJob is a job that is not over. Times are Unix milliseconds of the controller that wrote them.
 type OpenJob struct {
 	Spec          protocol.Spec `cbor:"Spec" json:"Spec"`
 	Cancelled     bool          `cbor:"Cancelled" json:"Cancelled"`
-	SubmittedAtMs int64         `cbor:"AtMs" json:"AtMs"`         // time of day of the submission
-	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // time of day before which nobody was told that it is cancelled
+	SubmittedAtMs int64         `cbor:"AtMs" json:"AtMs"`
+	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // nobody was told of the cancellation before this
 }
 
-// Shortened returns the record of a cancelled job so that it fits, if it was stored when values
-// could be larger: nothing is placed any more, so it can do without what only says where and when a
-// task may start.
+// Shortened returns a cancelled job's record in a form that fits the value limit, should it have
+// been stored when values could be larger. No task of it will start again, so what only says where
+// and when a task may start can go. Other records are returned as they are.
 func (o OpenJob) Shortened(valueKB float64) OpenJob {
 	if !o.Cancelled || FitsValueLimit(o, valueKB) {
 		return o
--- a/internal/storage/leadership.go
+++ b/internal/storage/leadership.go
@@ -5,17 +5,17 @@
 	KeyLeader            = "leader"
 	KeyTerm              = "term"
 	KeyLeaderHeartbeat   = "beat"
-	PrefixVoteWithdrawal = "let/"
+	PrefixVoteWithdrawal = "let/" // followed by the name of a controller
 )
 
-// VoteWithdrawalKey is where a controller notes that it has let go of a leader.
+// VoteWithdrawalKey returns the key under which a controller withdraws its vote from a leader.
 func VoteWithdrawalKey(node string) string { return PrefixVoteWithdrawal + node }
 
-// LeaderRecord names the leading controller.
+// LeaderRecord names the leading controller. Its key is attached to the leader's lease.
 type LeaderRecord struct {
 	Node  string `cbor:"Node" json:"Node"`
 	Term  uint64 `cbor:"Term" json:"Term"`
-	Nonce uint64 `cbor:"Nonce" json:"Nonce"` // tells one process of a node from the next
+	Nonce uint64 `cbor:"Nonce" json:"Nonce"` // differs from one process of a node to the next
 }
 
 // TermRecord is the highest term so far.
@@ -23,16 +23,16 @@
 	Term uint64 `cbor:"Term" json:"Term"`
 }
 
-// LeaderHeartbeat is written by a leader that too few others pledge to, and when it has heard of a
-// new process of another.
+// LeaderHeartbeat is written with each election, and then by a leader that has too few votes of the
+// other controllers, or that has learned of a new process of one of them.
 type LeaderHeartbeat struct {
 	Term             uint64 `cbor:"Term" json:"Term"`
 	Sequence         uint64 `cbor:"Seq" json:"Seq"`
-	ObservedRevision uint64 `cbor:"Seen" json:"Seen"` // the term has taken in all changes of open jobs up to this revision
+	ObservedRevision uint64 `cbor:"Seen" json:"Seen"` // the leader knows all changes of open jobs up to this revision
 }
 
-// VoteWithdrawal is a controller's word that it pledges no more to a leader whose last heartbeat
-// has that stamp, or an earlier one.
+// VoteWithdrawal means that a controller no longer votes for a leader whose last heartbeat has this
+// version or an earlier one.
 type VoteWithdrawal struct {
 	Heartbeat uint64 `cbor:"Beat" json:"Heartbeat"`
 }
--- a/internal/storage/lease.go
+++ b/internal/storage/lease.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"strconv"
 	"time"
 
@@ -10,39 +11,62 @@
 	"quillshunt/internal/protocol"
 )
 
-// CreateLease makes a hold. Holds and their renewals do not wait for the shared rate.
-func (s *Store) CreateLease(ctx context.Context, life time.Duration) (uint64, error) {
-	m, err := s.call(ctx, "POST", "/holds", protocol.Encode(protocol.LeaseRequest{LifeMs: life.Milliseconds()}))
+// The calls on leases do not wait for the shared rate: they are few, and a late renewal costs the
+// leadership.
+
+// leasePath is the path of a lease. The service calls leases holds.
+func leasePath(id uint64) string { return "/holds/" + strconv.FormatUint(id, 10) }
+
+// CreateLease creates a lease and returns its ID. Unless it is renewed, it expires after the given
+// duration, by the service's clock, and the keys attached to it are removed.
+func (s *Store) CreateLease(ctx context.Context, duration time.Duration) (uint64, error) {
+	id, err := s.createLease(ctx, duration)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("create lease: %w", err)
 	}
-	var r protocol.LeaseReply
-	if m.Status != 200 {
-		return 0, fmt.Errorf("%w: hold: status %d", ErrBadRequest, m.Status)
+	return id, nil
+}
+
+func (s *Store) createLease(ctx context.Context, duration time.Duration) (uint64, error) {
+	request := protocol.LeaseRequest{LifeMs: duration.Milliseconds()}
+	reply, err := s.call(ctx, http.MethodPost, "/holds", protocol.Encode(request))
+	if err != nil {
+		return 0, err
 	}
-	if err := protocol.Decode(m.Body, &r); err != nil {
-		return 0, fmt.Errorf("hold: %w", err)
+	if reply.Status != http.StatusOK {
+		return 0, unexpectedStatus(reply.Status)
 	}
-	return r.Lease, nil
+	lease, err := decodeReply[protocol.LeaseReply](reply)
+	return lease.Lease, err
 }
 
-// RenewLease renews a hold.
-func (s *Store) RenewLease(ctx context.Context, tenure uint64) error {
-	m, err := s.callWithin(ctx, limits.LeaseRenewTimeout, "POST", "/holds/"+strconv.FormatUint(tenure, 10)+"/touch", nil)
+// RenewLease lets a lease start over. The error wraps ErrLeaseExpired if the lease is over.
+func (s *Store) RenewLease(ctx context.Context, id uint64) error {
+	reply, err := s.callWithTimeout(ctx, limits.LeaseRenewTimeout, http.MethodPost, leasePath(id)+"/touch", nil)
+	if err == nil {
+		err = checkRenewal(reply.Status)
+	}
 	if err != nil {
-		return err
+		return fmt.Errorf("renew lease %d: %w", id, err)
 	}
-	switch m.Status {
-	case 200:
+	return nil
+}
+
+func checkRenewal(status int) error {
+	switch status {
+	case http.StatusOK:
 		return nil
-	case 404:
+	case http.StatusNotFound:
 		return ErrLeaseExpired
 	}
-	return fmt.Errorf("%w: touch: status %d", ErrBadRequest, m.Status)
+	return unexpectedStatus(status)
 }
 
-// RevokeLease ends a hold at once, which removes the keys attached to it.
-func (s *Store) RevokeLease(ctx context.Context, tenure uint64) error {
-	_, err := s.call(ctx, "DELETE", "/holds/"+strconv.FormatUint(tenure, 10), nil)
-	return err
+// RevokeLease ends a lease at once, which removes the keys attached to it. A lease that is over
+// already is no error.
+func (s *Store) RevokeLease(ctx context.Context, id uint64) error {
+	if _, err := s.call(ctx, http.MethodDelete, leasePath(id), nil); err != nil {
+		return fmt.Errorf("revoke lease %d: %w", id, err)
+	}
+	return nil
 }
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"slices"
 
@@ -10,34 +9,37 @@
 	"quillshunt/internal/protocol"
 )
 
-// Keys of the machine types.
+// Keys of the machine types: one record, or several parts if one record would be too large.
 const (
 	KeyMachineTypes        = "types"
-	PrefixMachineTypesPart = "type/"
+	PrefixMachineTypesPart = "type/" // followed by the part's number
 )
 
-// MachineTypesPartKey is where a part of the machine types is kept.
+// MachineTypesPartKey returns the key of a part of the machine types.
 func MachineTypesPartKey(part int) string { return fmt.Sprintf("%s%03d", PrefixMachineTypesPart, part) }
 
-// MachineTypes caches the machine types, so that a node can check submissions after a restart. They
-// are kept under KeyTypes, or, if that would be too large a value, in parts under PrefixTypes.
+// MachineTypes is a copy of the cloud's machine types, so that a controller can check submissions
+// after a restart.
 type MachineTypes struct {
 	MachineTypes []protocol.MachineType `cbor:"Rigkinds" json:"Rigkinds"`
 }
 
-// MachineTypesPart is one of several records that hold the machine types together.
+// MachineTypesPart is one of several records that together replace a MachineTypes that is too large.
 type MachineTypesPart struct {
 	MachineTypes []protocol.MachineType `cbor:"Rigkinds" json:"Rigkinds"`
-	Parts        int                    `cbor:"Parts" json:"Parts"`
+	Parts        int                    `cbor:"Parts" json:"Parts"` // how many parts there are
 }
 
-// SplitMachineTypes cuts machine types into parts that fit; a type that is too large by itself gets
-// a part of its own.
+// SplitMachineTypes cuts machine types into parts that fit the value limit. A type that is too large
+// by itself gets a part of its own.
 func SplitMachineTypes(types []protocol.MachineType, valueKB float64) []MachineTypesPart {
 	var parts []MachineTypesPart
 	for _, t := range types {
 		if last := len(parts) - 1; last >= 0 {
-			grown := MachineTypesPart{MachineTypes: append(slices.Clone(parts[last].MachineTypes), t), Parts: limits.MaxMachineTypes}
+			grown := MachineTypesPart{
+				MachineTypes: append(slices.Clone(parts[last].MachineTypes), t),
+				Parts:        limits.MaxMachineTypes, // the widest number that can stand here
+			}
 			if FitsValueLimit(grown, valueKB) {
 				parts[last] = grown
 				continue
@@ -55,98 +57,120 @@
 // are being written.
 func JoinMachineTypes(parts []MachineTypesPart) ([]protocol.MachineType, bool) {
 	var types []protocol.MachineType
-	for _, p := range parts {
-		if p.Parts != len(parts) {
+	for _, part := range parts {
+		if part.Parts != len(parts) {
 			return nil, false
 		}
-		types = append(types, p.MachineTypes...)
+		types = append(types, part.MachineTypes...)
 	}
 	return types, len(parts) > 0
 }
 
-// ErrNoMachineTypes means that the machine types are not kept yet, or are just being replaced.
-var ErrNoMachineTypes = errors.New("machine types not kept yet")
-
-// StoredMachineTypes are the machine types as they are kept, with the versions of their records.
+// StoredMachineTypes are the machine types as they are stored, with the versions of their records.
 type StoredMachineTypes struct {
 	Types               []protocol.MachineType
-	SingleRecordVersion uint64            // version of the one record; 0: there is none
+	SingleRecordVersion uint64            // version of the record at KeyMachineTypes; 0: there is none
 	PartVersions        map[string]uint64 // versions of the records of parts, by key
 }
 
-// ReadMachineTypes reads the machine types. The parts count where they are complete; the one record
-// may then be one of an earlier version of this program, which knows no parts.
+// ReadMachineTypes reads the machine types. If there are no complete ones, the error wraps
+// ErrNoMachineTypes, and the versions of the records are returned all the same. Parts count before
+// the single record: that one may come from an earlier version of this program, which knows no
+// parts.
 func (s *Store) ReadMachineTypes(ctx context.Context) (StoredMachineTypes, error) {
 	stored := StoredMachineTypes{PartVersions: map[string]uint64{}}
 	var parts []MachineTypesPart
-	_, err := s.List(ctx, PrefixMachineTypesPart, func(p protocol.KeyValue) error {
+	_, err := s.List(ctx, PrefixMachineTypesPart, func(kv protocol.KeyValue) error {
 		var part MachineTypesPart
-		if err := protocol.Decode(p.Value, &part); err != nil {
-			return fmt.Errorf("%s: %w", p.Key, err)
+		if err := protocol.Decode(kv.Value, &part); err != nil {
+			return fmt.Errorf("decode %s: %w", kv.Key, err)
 		}
 		parts = append(parts, part)
-		stored.PartVersions[p.Key] = p.Version
+		stored.PartVersions[kv.Key] = kv.Version
 		return nil
 	})
 	if err != nil {
-		return stored, err
+		return stored, fmt.Errorf("read machine types: %w", err)
 	}
-	p, err := s.Get(ctx, KeyMachineTypes)
+	single, err := s.Get(ctx, KeyMachineTypes)
 	if err != nil {
-		return stored, err
+		return stored, fmt.Errorf("read machine types: %w", err)
 	}
-	stored.SingleRecordVersion = p.Version
+	stored.SingleRecordVersion = single.Version
+	if stored.Types, err = chooseMachineTypes(parts, single); err != nil {
+		return stored, fmt.Errorf("read machine types: %w", err)
+	}
+	return stored, nil
+}
+
+// chooseMachineTypes returns the machine types of the parts, or those of the single record if there
+// are no parts.
+func chooseMachineTypes(parts []MachineTypesPart, single protocol.KeyValue) ([]protocol.MachineType, error) {
 	if len(parts) > 0 {
 		types, complete := JoinMachineTypes(parts)
 		if !complete {
-			return stored, ErrNoMachineTypes
+			return nil, ErrNoMachineTypes
 		}
-		stored.Types = types
-		return stored, nil
+		return types, nil
 	}
-	var whole MachineTypes
-	if p.Version == 0 {
-		return stored, ErrNoMachineTypes
+	if single.Version == 0 {
+		return nil, ErrNoMachineTypes
 	}
-	if err := protocol.Decode(p.Value, &whole); err != nil {
-		return stored, fmt.Errorf("%s: %w", KeyMachineTypes, err)
+	var record MachineTypes
+	if err := protocol.Decode(single.Value, &record); err != nil {
+		return nil, fmt.Errorf("decode %s: %w", KeyMachineTypes, err)
 	}
-	stored.Types = whole.MachineTypes
-	return stored, nil
+	return record.MachineTypes, nil
 }
 
-// MachineTypesTransactions are the transactions that keep machine types in place of what is stored,
-// each within the limits of the service. The guard is that of the leader.
-func (s *Store) MachineTypesTransactions(stored StoredMachineTypes, types []protocol.MachineType, guard protocol.Condition) []protocol.Transaction {
-	var ops []protocol.Operation
-	conditions := map[string]uint64{}
-	whole := MachineTypes{MachineTypes: types}
-	keep := map[string]bool{}
-	if FitsValueLimit(whole, s.settings.ValueKB) {
-		ops = append(ops, protocol.Operation{Put: KeyMachineTypes, Value: protocol.Encode(whole)})
-		conditions[KeyMachineTypes] = stored.SingleRecordVersion
+// MachineTypesTransactions returns the transactions that replace the stored machine types by others,
+// each within the limits of the service. Each has the leader's guard as its first condition.
+func (s *Store) MachineTypesTransactions(
+	stored StoredMachineTypes, types []protocol.MachineType, guard protocol.Condition,
+) []protocol.Transaction {
+	operations := s.machineTypesOperations(stored, types)
+	var transactions []protocol.Transaction
+	for batch := range slices.Chunk(operations, s.settings.TxnOps) {
+		t := protocol.Transaction{Conditions: []protocol.Condition{guard}, Operations: batch}
+		for _, op := range batch {
+			key := op.Put + op.Delete // one of them is empty
+			t.Conditions = append(t.Conditions, protocol.Condition{Key: key, Version: stored.version(key)})
+		}
+		transactions = append(transactions, t)
+	}
+	return transactions
+}
+
+// machineTypesOperations returns the operations that write machine types, in one record if that
+// fits, and remove the stored parts that are not needed any more.
+func (s *Store) machineTypesOperations(
+	stored StoredMachineTypes, types []protocol.MachineType,
+) []protocol.Operation {
+	var operations []protocol.Operation
+	written := map[string]bool{}
+	put := func(key string, record any) {
+		operations = append(operations, protocol.Operation{Put: key, Value: protocol.Encode(record)})
+		written[key] = true
+	}
+	if single := (MachineTypes{MachineTypes: types}); FitsValueLimit(single, s.settings.ValueKB) {
+		put(KeyMachineTypes, single)
 	} else {
 		for i, part := range SplitMachineTypes(types, s.settings.ValueKB) {
-			key := MachineTypesPartKey(i)
-			ops = append(ops, protocol.Operation{Put: key, Value: protocol.Encode(part)})
-			conditions[key], keep[key] = stored.PartVersions[key], true
+			put(MachineTypesPartKey(i), part)
 		}
 	}
-	for key, version := range stored.PartVersions {
-		if !keep[key] {
-			ops = append(ops, protocol.Operation{Delete: key})
-			conditions[key] = version
+	for key := range stored.PartVersions {
+		if !written[key] {
+			operations = append(operations, protocol.Operation{Delete: key})
 		}
 	}
-	var txns []protocol.Transaction
-	for len(ops) > 0 {
-		n := min(len(ops), s.settings.TxnOps)
-		t := protocol.Transaction{Conditions: []protocol.Condition{guard}, Operations: ops[:n]}
-		for _, op := range t.Operations {
-			key := op.Put + op.Delete
-			t.Conditions = append(t.Conditions, protocol.Condition{Key: key, Version: conditions[key]})
-		}
-		txns, ops = append(txns, t), ops[n:]
+	return operations
+}
+
+// version returns the version of one of the records, or 0 if it does not exist.
+func (s StoredMachineTypes) version(key string) uint64 {
+	if key == KeyMachineTypes {
+		return s.SingleRecordVersion
 	}
-	return txns
+	return s.PartVersions[key]
 }
--- a/internal/storage/machine_types_test.go
+++ b/internal/storage/machine_types_test.go
@@ -11,67 +11,74 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestTypesInParts: machine types of any number are written in values and transactions within the
-// limits, and read back in their order, also where they replace others; a set that is written in
-// part only is not taken for a whole.
-func TestTypesInParts(t *testing.T) {
+// TestMachineTypesInParts: any number of machine types is written in values and transactions within
+// the limits, and read back in order, also where they replace others; a set of which parts are
+// missing is not accepted as complete.
+func TestMachineTypesInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := New("127.0.0.1:1", config.State{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 4})
-		kept := map[string]protocol.Raw{}
+		records := map[string]protocol.Raw{}
 		for range 2 {
 			var types []protocol.MachineType
 			for i := range rapid.IntRange(1, 40).Draw(t, "types") {
-				types = append(types, protocol.MachineType{Name: fmt.Sprintf("type-%d", i), CPUs: float64(i), Zones: []string{"a", "b"}})
+				types = append(types, protocol.MachineType{
+					Name: fmt.Sprintf("type-%d", i), CPUs: float64(i), Zones: []string{"a", "b"},
+				})
 			}
 			stored := StoredMachineTypes{PartVersions: map[string]uint64{}}
-			for key := range kept {
+			for key := range records {
 				if key != KeyMachineTypes {
 					stored.PartVersions[key] = 1
 				}
 			}
-			txns := store.MachineTypesTransactions(stored, types, protocol.Condition{Key: KeyLeader, Version: 1})
-			for _, txn := range txns {
+			guard := protocol.Condition{Key: KeyLeader, Version: 1}
+			for _, txn := range store.MachineTypesTransactions(stored, types, guard) {
 				if len(txn.Operations) > 4 || len(txn.Conditions) != len(txn.Operations)+1 {
-					t.Fatalf("transaction: %d changes, %d conditions", len(txn.Operations), len(txn.Conditions))
+					t.Fatalf("transaction: %d operations, %d conditions", len(txn.Operations), len(txn.Conditions))
 				}
 				for _, op := range txn.Operations {
-					delete(kept, op.Delete)
+					delete(records, op.Delete)
 					if op.Put != "" {
-						kept[op.Put] = op.Value
+						records[op.Put] = op.Value
 					}
 				}
 			}
-			if got := readTypes(t, kept); !reflect.DeepEqual(got, types) {
+			if got := readTypes(t, records); !reflect.DeepEqual(got, types) {
 				t.Fatalf("read %d types, wrote %d", len(got), len(types))
 			}
 		}
-		parts := SplitMachineTypes([]protocol.MachineType{{Name: "a", Zones: make([]string, 60)}, {Name: "b", Zones: make([]string, 60)}, {Name: "c", Zones: make([]string, 60)}}, 0.5)
-		if _, whole := JoinMachineTypes(parts[1:]); whole || len(parts) != 3 {
-			t.Fatalf("%d parts of 3 taken for all", len(parts)-1)
+		parts := SplitMachineTypes([]protocol.MachineType{
+			{Name: "a", Zones: make([]string, 60)},
+			{Name: "b", Zones: make([]string, 60)},
+			{Name: "c", Zones: make([]string, 60)},
+		}, 0.5)
+		if _, complete := JoinMachineTypes(parts[1:]); complete || len(parts) != 3 {
+			t.Fatalf("%d parts of 3 accepted as complete", len(parts)-1)
 		}
 	})
 }
 
-// readTypes reads records as ReadTypes does.
-func readTypes(t *rapid.T, kept map[string]protocol.Raw) []protocol.MachineType {
+// readTypes reads records as ReadMachineTypes does.
+func readTypes(t *rapid.T, records map[string]protocol.Raw) []protocol.MachineType {
+	t.Helper()
 	var parts []MachineTypesPart
-	for i := 0; kept[MachineTypesPartKey(i)] != nil; i++ {
+	for i := 0; records[MachineTypesPartKey(i)] != nil; i++ {
 		var part MachineTypesPart
-		if err := protocol.Decode(kept[MachineTypesPartKey(i)], &part); err != nil || !FitsValueLimit(part, 0.5) {
+		if err := protocol.Decode(records[MachineTypesPartKey(i)], &part); err != nil || !FitsValueLimit(part, 0.5) {
 			t.Fatalf("part %d: %v, size %d", i, err, EncodedSize(part))
 		}
 		parts = append(parts, part)
 	}
 	if len(parts) > 0 {
-		types, whole := JoinMachineTypes(parts)
-		if !whole {
-			t.Fatalf("%d parts are not whole", len(parts))
+		types, complete := JoinMachineTypes(parts)
+		if !complete {
+			t.Fatalf("%d parts are not complete", len(parts))
 		}
 		return types
 	}
-	var whole MachineTypes
-	if err := protocol.Decode(kept[KeyMachineTypes], &whole); err != nil {
+	var single MachineTypes
+	if err := protocol.Decode(records[KeyMachineTypes], &single); err != nil {
 		t.Fatal(err)
 	}
-	return whole.MachineTypes
+	return single.MachineTypes
 }
--- a/internal/storage/rate.go
+++ b/internal/storage/rate.go
@@ -7,26 +7,31 @@
 	"golang.org/x/time/rate"
 )
 
-func newLimiter(rps, share float64, least int) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(rps*share), max(least, int(rps*share)))
+// newLimiter returns a limiter for a share of a rate that lets bursts of a second through, and of
+// minBurst at least.
+func newLimiter(rps, share float64, minBurst int) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(rps*share), max(minBurst, int(rps*share)))
 }
 
+// waitForRate waits for the share of the rates that a request with some writes needs. Its errors
+// wrap ErrNotExecuted.
 func (s *Store) waitForRate(ctx context.Context, writes int) error {
 	if s.maxRateWait > 0 {
 		if s.Unavailable() {
-			return fmt.Errorf("%w: known to be out of reach", ErrNotExecuted)
+			return fmt.Errorf("%w: known to be unreachable", ErrNotExecuted)
 		}
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, s.maxRateWait)
 		defer cancel()
 	}
 	if err := s.requests.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: rate: %w", ErrNotExecuted, err)
+		return fmt.Errorf("%w: wait for request rate: %w", ErrNotExecuted, err)
 	}
-	if writes > 0 {
-		if err := s.writes.WaitN(ctx, writes); err != nil {
-			return fmt.Errorf("%w: write rate: %w", ErrNotExecuted, err)
-		}
+	if writes == 0 {
+		return nil
+	}
+	if err := s.writes.WaitN(ctx, writes); err != nil {
+		return fmt.Errorf("%w: wait for write rate: %w", ErrNotExecuted, err)
 	}
 	return nil
 }
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 
@@ -10,63 +11,79 @@
 	"quillshunt/internal/protocol"
 )
 
-// Get reads a key. An absent key is a Pair with Stamp 0.
+// Get reads a key. An absent key has Version 0 and no Value, and the Revision at which it was
+// absent.
 func (s *Store) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
-	var p protocol.KeyValue
+	kv, err := s.get(ctx, key)
+	if err != nil {
+		return kv, fmt.Errorf("get %s: %w", key, err)
+	}
+	return kv, nil
+}
+
+func (s *Store) get(ctx context.Context, key string) (protocol.KeyValue, error) {
+	var kv protocol.KeyValue
 	if err := s.waitForRate(ctx, 0); err != nil {
-		return p, err
+		return kv, err
 	}
-	m, err := s.call(ctx, "GET", "/kv/"+key, nil)
+	reply, err := s.call(ctx, http.MethodGet, "/kv/"+key, nil)
 	if err != nil {
-		return p, err
+		return kv, err
 	}
-	if m.Status != 200 && m.Status != 404 {
-		return p, fmt.Errorf("%w: get %s: status %d", ErrBadRequest, key, m.Status)
+	if reply.Status != http.StatusOK && reply.Status != http.StatusNotFound {
+		return kv, unexpectedStatus(reply.Status)
 	}
-	if err := protocol.Decode(m.Body, &p); err != nil {
-		return p, fmt.Errorf("get %s: %w", key, err)
+	if kv, err = decodeReply[protocol.KeyValue](reply); err != nil {
+		return kv, err
 	}
-	if m.Status == 404 {
-		p.Version, p.Value = 0, nil
+	if reply.Status == http.StatusNotFound {
+		kv.Version, kv.Value = 0, nil
 	}
-	return p, nil
+	return kv, nil
 }
 
-// List reads all keys with a prefix. The ledger returned is that of the first page, from which a
-// watch misses nothing.
+// List calls each for all keys with a prefix, in the order of the keys. An error of each ends it and
+// is returned as it is. The revision returned is that of the first page, from which a Watch misses
+// nothing.
 func (s *Store) List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error) {
-	var ledger uint64
-	since, first := "", true
+	var revision uint64
+	after, first := "", true
 	for {
-		if err := s.waitForRate(ctx, 0); err != nil {
-			return 0, err
-		}
-		target := "/kv?Starts=" + url.QueryEscape(prefix) + "&Limit=" + strconv.Itoa(limits.StatePageSize)
-		if since != "" {
-			target += "&Since=" + url.QueryEscape(since)
-		}
-		m, err := s.call(ctx, "GET", target, nil)
+		page, err := s.listPage(ctx, prefix, after)
 		if err != nil {
-			return 0, err
-		}
-		if m.Status != 200 {
-			return 0, fmt.Errorf("%w: list %s: status %d", ErrBadRequest, prefix, m.Status)
-		}
-		var l protocol.KeyPage
-		if err := protocol.Decode(m.Body, &l); err != nil {
 			return 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		if first {
-			ledger, first = l.Revision, false
+			revision, first = page.Revision, false
 		}
-		for _, p := range l.Items {
-			if err := each(p); err != nil {
+		for _, kv := range page.Items {
+			if err := each(kv); err != nil {
 				return 0, err
 			}
-			since = p.Key
+			after = kv.Key
 		}
-		if !l.Truncated || len(l.Items) == 0 {
-			return ledger, nil
+		if !page.Truncated || len(page.Items) == 0 {
+			return revision, nil
 		}
 	}
 }
+
+// listPage reads one page of the keys with a prefix, after a key unless that is empty.
+func (s *Store) listPage(ctx context.Context, prefix, after string) (protocol.KeyPage, error) {
+	var page protocol.KeyPage
+	if err := s.waitForRate(ctx, 0); err != nil {
+		return page, err
+	}
+	target := "/kv?Starts=" + url.QueryEscape(prefix) + "&Limit=" + strconv.Itoa(limits.StatePageSize)
+	if after != "" {
+		target += "&Since=" + url.QueryEscape(after)
+	}
+	reply, err := s.call(ctx, http.MethodGet, target, nil)
+	if err != nil {
+		return page, err
+	}
+	if reply.Status != http.StatusOK {
+		return page, unexpectedStatus(reply.Status)
+	}
+	return decodeReply[protocol.KeyPage](reply)
+}
--- a/internal/storage/rentals_test.go
+++ b/internal/storage/rentals_test.go
@@ -5,10 +5,14 @@
 	"testing"
 )
 
-// TestRentalFits: the record of a rental with as many machines as it may be for fits.
+// TestRentalFits: the record of a rental with the most machines that one may be for keeps to the
+// value limit.
 func TestRentalFits(t *testing.T) {
 	for _, kb := range []float64{0.5, 1, 2, 4} {
-		r := Rental{MachineType: "a-type-with-a-rather-long-name", Zone: "a-zone-with-a-rather-long-name", Count: 50, Answered: true}
+		r := Rental{
+			MachineType: "a-type-with-a-rather-long-name", Zone: "a-zone-with-a-rather-long-name",
+			Count: 50, Answered: true,
+		}
 		for i := range MaxRentalMachines(kb) {
 			r.Machines = append(r.Machines, fmt.Sprintf("machine-of-the-cloud-%06d", i))
 		}
--- a/internal/storage/size.go
+++ b/internal/storage/size.go
@@ -5,14 +5,17 @@
 	"math"
 )
 
-// EncodedSize is the size of a value as the service counts it, in JSON.
-func EncodedSize(v any) int {
-	b, err := json.Marshal(v)
+// EncodedSize returns the size of a record in bytes as the service counts it, which is that of its
+// JSON.
+func EncodedSize(record any) int {
+	b, err := json.Marshal(record)
 	if err != nil {
-		return math.MaxInt // no record of ours
+		return math.MaxInt // not one of the records of this package
 	}
 	return len(b)
 }
 
-// FitsValueLimit tells whether a value keeps to the service's size limit.
-func FitsValueLimit(v any, valueKB float64) bool { return float64(EncodedSize(v)) <= valueKB*1024 }
+// FitsValueLimit reports whether a record keeps to the service's value limit, in KiB.
+func FitsValueLimit(record any, valueKB float64) bool {
+	return float64(EncodedSize(record)) <= valueKB*1024
+}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -4,93 +4,109 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"time"
 
 	"golang.org/x/time/rate"
 
 	"quillshunt/internal/config"
 	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
 	"quillshunt/internal/transport"
 )
 
-// Store calls the state service. It is safe for concurrent use. A Store has its share of the
-// service's rates. What users ask for has a share of its own (see ForUsers), which any controller
-// may use up, as load lies now here, now there; if that is too much in sum, the service says so
-// with 429 and has executed nothing.
+// Store calls the state service within a share of its rates. It is safe for concurrent use.
+//
+// The store from New is for the controllers' own work. Users' requests go through one from ForUsers,
+// which has a share of its own. Any controller may use that share up, as users load now this one and
+// now that one; should the sum exceed the service's rate, the service answers 429 and executes
+// nothing.
 type Store struct {
-	http        *transport.Client
-	watch       *transport.Client
+	client      *transport.Client
+	watchClient *transport.Client // apart, as a watch keeps its connection for long
 	requests    *rate.Limiter
 	writes      *rate.Limiter
-	maxRateWait time.Duration // longest wait for a share of the rates, or 0
+	maxRateWait time.Duration // longest wait for a share of the rates; 0: as long as the context lives
 	settings    config.State
 	health      *serviceHealth
 }
 
-// New returns a Store for the work of the controllers themselves, of which only the leader's
-// amounts to much.
-func New(addr string, settings config.State) *Store {
+// New returns a Store for the work of the controllers themselves, of which only the leader's amounts
+// to much.
+func New(address string, settings config.State) *Store {
+	client := transport.NewClient(address, limits.StateIdle, limits.MaxUpstreamBytes)
 	return &Store{
-		http:     transport.NewClient(addr, limits.StateIdle, limits.MaxUpstreamBytes).WithDialTimeout(limits.LeaseRenewTimeout),
-		watch:    transport.NewClient(addr, 2, limits.MaxUpstreamBytes),
-		requests: newLimiter(settings.RPS, limits.ControllerReadShare, 1),
-		writes:   newLimiter(settings.WriteRPS, limits.ControllerWriteShare, settings.TxnOps),
-		settings: settings,
-		health:   &serviceHealth{},
+		client:      client.WithDialTimeout(limits.LeaseRenewTimeout),
+		watchClient: transport.NewClient(address, limits.WatchIdle, limits.MaxUpstreamBytes),
+		requests:    newLimiter(settings.RPS, limits.ControllerReadShare, 1),
+		writes:      newLimiter(settings.WriteRPS, limits.ControllerWriteShare, settings.TxnOps),
+		settings:    settings,
+		health:      &serviceHealth{},
 	}
 }
 
-// WithDialer makes the store dial another way. It is called before the first use.
+// WithDialer makes the store dial another way, and returns it. It must be called before the first
+// use.
 func (s *Store) WithDialer(d transport.Dialer) *Store {
-	s.http.WithDialer(d)
-	s.watch.WithDialer(d)
+	s.client.WithDialer(d)
+	s.watchClient.WithDialer(d)
 	return s
 }
 
-// ForUsers returns a Store over the same connections with the users' share of the rates. It does
-// not wait long for it.
+// ForUsers returns a Store over the same connections with the users' share of the rates. Its calls
+// fail with ErrNotExecuted if they would have to wait long for that share, or while the service is
+// known to be unreachable.
 func (s *Store) ForUsers() *Store {
-	u := *s
-	u.requests = newLimiter(s.settings.RPS, limits.UserReadShare, 1)
-	u.writes = newLimiter(s.settings.WriteRPS, limits.UserWriteShare, s.settings.TxnOps)
-	u.maxRateWait = limits.UserRateWait
-	return &u
+	users := *s
+	users.requests = newLimiter(s.settings.RPS, limits.UserReadShare, 1)
+	users.writes = newLimiter(s.settings.WriteRPS, limits.UserWriteShare, s.settings.TxnOps)
+	users.maxRateWait = limits.UserRateWait
+	return &users
 }
 
-// Settings are the limits of the service.
+// Settings returns the limits of the service.
 func (s *Store) Settings() config.State { return s.settings }
 
+// call makes a call with the usual timeout.
 func (s *Store) call(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
-	return s.callWithin(ctx, limits.StateTimeout, method, target, body)
+	return s.callWithTimeout(ctx, limits.StateTimeout, method, target, body)
 }
 
-func (s *Store) callWithin(ctx context.Context, limit time.Duration, method, target string, body []byte) (*transport.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// callWithTimeout makes a call and notes its outcome in the service's health.
+func (s *Store) callWithTimeout(
+	ctx context.Context, timeout time.Duration, method, target string, body []byte,
+) (*transport.Message, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := time.Now().UnixNano()
-	s.health.lastCallAt.Store(began)
-	m, err := s.http.Do(ctx, method, target, body)
-	if err == nil && m.Status != 503 {
-		s.health.failingSince.Store(0)
-	} else {
-		s.health.failingSince.CompareAndSwap(0, began)
-	}
-	if err == nil && (m.Status == 429 || m.Status == 503) {
-		s.health.refused.Add(1)
-	}
-	return checkReply(m, err)
+	began := time.Now()
+	s.health.callBegan(began)
+	reply, err := s.client.Do(ctx, method, target, body)
+	s.health.callEnded(began, reply, err)
+	return checkReply(reply, err)
 }
 
-func checkReply(m *transport.Message, err error) (*transport.Message, error) {
+// checkReply turns a failed call, and an answer that says that nothing was executed, into an error
+// that wraps ErrNotExecuted or ErrOutcomeUnknown.
+func checkReply(reply *transport.Message, err error) (*transport.Message, error) {
 	switch {
 	case errors.Is(err, transport.ErrNotSent):
 		return nil, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
-	case m.Status == 429:
+	case reply.Status == http.StatusTooManyRequests:
 		return nil, fmt.Errorf("%w: %w", ErrNotExecuted, ErrRateLimited)
-	case m.Status == 503:
-		return nil, fmt.Errorf("%w: status %d", ErrNotExecuted, m.Status)
+	case reply.Status == http.StatusServiceUnavailable:
+		return nil, fmt.Errorf("%w: status %d", ErrNotExecuted, reply.Status)
 	}
-	return m, nil
+	return reply, nil
+}
+
+// unexpectedStatus returns the error for a status that a call does not provide for.
+func unexpectedStatus(status int) error { return fmt.Errorf("%w: status %d", ErrBadRequest, status) }
+
+// decodeReply decodes the body of an answer.
+func decodeReply[T any](reply *transport.Message) (T, error) {
+	var v T
+	err := protocol.Decode(reply.Body, &v)
+	return v, err
 }
--- a/internal/storage/transaction.go
+++ b/internal/storage/transaction.go
@@ -3,37 +3,56 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 
 	"quillshunt/internal/protocol"
 )
 
-// CompareAndSwap carries out a transaction and returns its revision.
+// CompareAndSwap executes a transaction, all of it or nothing, and returns its revision, which is
+// the new version of the keys that it puts. If a condition does not hold, the error is a
+// *ConflictError; if the lease of an operation is over, it wraps ErrLeaseExpired.
 func (s *Store) CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
+	revision, err := s.compareAndSwap(ctx, t)
+	if err != nil {
+		return 0, fmt.Errorf("transaction: %w", err)
+	}
+	return revision, nil
+}
+
+func (s *Store) compareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
 	if err := s.waitForRate(ctx, len(t.Operations)); err != nil {
 		return 0, err
 	}
 	s.health.writes.Add(int64(len(t.Operations)))
-	m, err := s.call(ctx, "POST", "/txn", protocol.Encode(t))
+	reply, err := s.call(ctx, http.MethodPost, "/txn", protocol.Encode(t))
 	if err != nil {
 		return 0, err
 	}
-	var r protocol.TransactionReply
-	switch m.Status {
-	case 200, 409:
-		if err := protocol.Decode(m.Body, &r); err != nil {
-			return 0, fmt.Errorf("%w: txn: %w", ErrOutcomeUnknown, err)
+	switch reply.Status {
+	case http.StatusOK, http.StatusConflict:
+		result, err := decodeReply[protocol.TransactionReply](reply)
+		if err != nil {
+			return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
-		if m.Status == 409 {
-			return 0, &ConflictError{FailedKeys: r.FailedKeys}
+		if reply.Status == http.StatusConflict {
+			return 0, &ConflictError{FailedKeys: result.FailedKeys}
 		}
-		return r.Revision, nil
-	case 400:
-		// The one well-formed transaction that is rejected is one whose hold is over.
-		for _, op := range t.Operations {
-			if op.Lease != 0 {
-				return 0, fmt.Errorf("txn: %w", ErrLeaseExpired)
-			}
+		return result.Revision, nil
+	case http.StatusBadRequest:
+		// The only well-formed transaction that is rejected is one whose lease is over.
+		if hasLease(t) {
+			return 0, ErrLeaseExpired
+		}
+	}
+	return 0, unexpectedStatus(reply.Status)
+}
+
+// hasLease reports whether an operation of a transaction attaches its key to a lease.
+func hasLease(t protocol.Transaction) bool {
+	for _, op := range t.Operations {
+		if op.Lease != 0 {
+			return true
 		}
 	}
-	return 0, fmt.Errorf("%w: txn: status %d", ErrBadRequest, m.Status)
+	return false
 }
--- a/internal/storage/watch.go
+++ b/internal/storage/watch.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 
@@ -12,31 +13,39 @@
 	"quillshunt/internal/transport"
 )
 
-// Watch waits for changes of keys with a prefix after a revision.
+// Watch waits for changes of keys with a prefix after a revision, for limits.WatchDuration at most;
+// then it returns no changes. The error wraps ErrCompacted if those changes are no longer available,
+// or are too many for one answer.
 func (s *Store) Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
-	var r protocol.WatchReply
+	changes, err := s.watch(ctx, prefix, since)
+	if err != nil {
+		return changes, fmt.Errorf("watch %s: %w", prefix, err)
+	}
+	return changes, nil
+}
+
+// watch does not touch the service's health: a watch stays open without an answer in an outage.
+func (s *Store) watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
+	var none protocol.WatchReply
 	if err := s.waitForRate(ctx, 0); err != nil {
-		return r, err
+		return none, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.WatchDuration+limits.WatchGrace)
 	defer cancel()
 	target := "/watch?Starts=" + url.QueryEscape(prefix) + "&Since=" + strconv.FormatUint(since, 10) +
 		"&HoldMs=" + strconv.FormatInt(limits.WatchDuration.Milliseconds(), 10)
-	m, err := s.watch.Do(ctx, "GET", target, nil)
+	reply, err := s.watchClient.Do(ctx, http.MethodGet, target, nil)
 	if errors.Is(err, transport.ErrTooLarge) {
-		return r, ErrCompacted
+		return none, fmt.Errorf("%w: %w", ErrCompacted, err)
 	}
-	if m, err = checkReply(m, err); err != nil {
-		return r, err
+	if reply, err = checkReply(reply, err); err != nil {
+		return none, err
 	}
-	switch m.Status {
-	case 200:
-		if err := protocol.Decode(m.Body, &r); err != nil {
-			return r, fmt.Errorf("watch: %w", err)
-		}
-		return r, nil
-	case 410:
-		return r, ErrCompacted
+	switch reply.Status {
+	case http.StatusOK:
+		return decodeReply[protocol.WatchReply](reply)
+	case http.StatusGone:
+		return none, ErrCompacted
 	}
-	return r, fmt.Errorf("%w: watch: status %d", ErrBadRequest, m.Status)
+	return none, unexpectedStatus(reply.Status)
 }
