--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -8,6 +8,21 @@
 	"quillshunt/internal/protocol"
 )
 
+// gangTable holds the gangs about which something is to be decided, and what gangs asked for lately.
+type gangTable struct {
+	*environment
+	changed         []*gang // to be looked at by reconcileGangs
+	uncommitted     []*gang // with tasks whose starts wait for commitGangs
+	toRefill        []*gang // that lost a task before their start
+	freeRoomChanged bool    // since the last commitGangs
+	demand          map[gangKind]*gangDemand
+}
+
+// newGangTable returns a table without gangs.
+func newGangTable(env *environment) *gangTable {
+	return &gangTable{environment: env, demand: map[gangKind]*gangDemand{}}
+}
+
 // gangState is where a gang stands: a job whose tasks run at the same time or not at all.
 type gangState uint8
 
@@ -184,7 +199,7 @@
 	for _, b := range g.job.assignments {
 		b.withoutSaving = true
 	}
-	s.log(true, "gang lost a task", "job", g.job.id, "attempt", g.attempt, "left", len(g.job.assignments))
+	s.logWarn("gang lost a task", "job", g.job.id, "attempt", g.attempt, "left", len(g.job.assignments))
 	s.stopGang(g, "another task of the gang is gone")
 }
 
