--- /dev/null
+++ b/internal/storage/transaction.go
@@ -0,0 +1,58 @@
+package storage
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+
+	"quillshunt/internal/protocol"
+)
+
+// CompareAndSwap executes a transaction, all of it or nothing, and returns its revision, which is
+// the new version of the keys that it puts. If a condition does not hold, the error is a
+// *ConflictError; if the lease of an operation is over, it wraps ErrLeaseExpired.
+func (s *Store) CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
+	revision, err := s.compareAndSwap(ctx, t)
+	if err != nil {
+		return 0, fmt.Errorf("transaction: %w", err)
+	}
+	return revision, nil
+}
+
+func (s *Store) compareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
+	if err := s.waitForRate(ctx, len(t.Operations)); err != nil {
+		return 0, err
+	}
+	s.health.writes.Add(int64(len(t.Operations)))
+	reply, err := s.call(ctx, http.MethodPost, "/txn", protocol.Encode(t))
+	if err != nil {
+		return 0, err
+	}
+	switch reply.Status {
+	case http.StatusOK, http.StatusConflict:
+		result, err := decodeReply[protocol.TransactionReply](reply)
+		if err != nil {
+			return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+		}
+		if reply.Status == http.StatusConflict {
+			return 0, &ConflictError{FailedKeys: result.FailedKeys}
+		}
+		return result.Revision, nil
+	case http.StatusBadRequest:
+		// The only well-formed transaction that is rejected is one whose lease is over.
+		if hasLease(t) {
+			return 0, ErrLeaseExpired
+		}
+	}
+	return 0, unexpectedStatus(reply.Status)
+}
+
+// hasLease reports whether an operation of a transaction attaches its key to a lease.
+func hasLease(t protocol.Transaction) bool {
+	for _, op := range t.Operations {
+		if op.Lease != 0 {
+			return true
+		}
+	}
+	return false
+}
