--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -24,15 +24,15 @@
 		}
 	}
 	sent := time.Now()
-	tenure, err := e.Store.CreateLease(ctx, e.LeaseDuration)
+	leaseID, err := e.Store.CreateLease(ctx, e.LeaseDuration)
 	if err != nil {
-		return fmt.Errorf("create hold: %w", err)
+		return fmt.Errorf("create lease: %w", err)
 	}
 	me := storage.LeaderRecord{Node: e.Node, Term: last.Term + 1, Nonce: e.voter.nonce}
 	rev, err := e.Store.CompareAndSwap(ctx, protocol.Transaction{
 		Conditions: append(guards, protocol.Condition{Key: storage.KeyTerm, Version: tp.Version}),
 		Operations: []protocol.Operation{
-			{Put: storage.KeyLeader, Value: protocol.Encode(me), Lease: tenure},
+			{Put: storage.KeyLeader, Value: protocol.Encode(me), Lease: leaseID},
 			{Put: storage.KeyTerm, Value: protocol.Encode(storage.TermRecord{Term: me.Term})},
 			{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(storage.LeaderHeartbeat{Term: me.Term})},
 		},
@@ -47,20 +47,20 @@
 		// out once somebody else has won, and a later round of ours finds it under our own name.
 		p, gerr := e.Store.Get(ctx, storage.KeyLeader)
 		if gerr != nil {
-			return fmt.Errorf("read leader after unclear election: %w", gerr)
+			return fmt.Errorf("read leader after an election with unknown outcome: %w", gerr)
 		}
 		var l storage.LeaderRecord
-		if p.Version == 0 || protocol.Decode(p.Value, &l) != nil || l != me || p.Lease != tenure {
+		if p.Version == 0 || protocol.Decode(p.Value, &l) != nil || l != me || p.Lease != leaseID {
 			return fmt.Errorf("campaign: %w", err)
 		}
 		rev = p.Version
 	case err != nil:
 		return fmt.Errorf("campaign: %w", err)
 	}
-	m := NewLeadership(me.Term, rev, sent.Add(limits.EntitledFor(e.LeaseDuration)))
+	l := NewLeadership(me.Term, rev, sent.Add(limits.EntitledFor(e.LeaseDuration)))
 	if e.needsVotes() {
-		m.quorumUntil.Store(int64(sent.Add(limits.EntitledFor(e.voter.lease)).Sub(m.startedAt)))
+		l.requireQuorum(sent.Add(limits.EntitledFor(e.voter.lease)))
 	}
-	e.lead(ctx, m, tenure)
+	e.lead(ctx, l, leaseID)
 	return nil
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -38,12 +38,6 @@
 	RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote
 }
 
-// Vote is a controller's answer to a request for its vote.
-type Vote struct {
-	Granted      bool
-	ProcessNonce uint64 // of the process that answers; 0 is unknown
-}
-
 // Elector takes part in elections. Lead is called with each leadership and must return soon after
 // its context ends.
 type Elector struct {
@@ -96,7 +90,7 @@
 // more. We may lead at once, without waiting for the end of its hold: the guard on the key's stamp
 // sees to it that only that term is replaced.
 func (e *Elector) AcceptOffer(term, stamp uint64) {
-	e.Log.Info("offered the lead", "term", term)
+	e.Log.Info("leadership offered", "term", term)
 	select {
 	case <-e.offers: // a newer offer replaces an older one
 	default:
@@ -125,7 +119,7 @@
 			back.Reset()
 			continue
 		}
-		e.Log.Debug("election", "err", err)
+		e.Log.Debug("election round failed", "err", err)
 		if !back.Wait(ctx) {
 			return
 		}
--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -39,7 +39,7 @@
 				continue
 			}
 			if e.mayReplaceLeader(ctx, d) {
-				e.Log.Warn("leader not heard of, replacing it", "leader", e.Leader())
+				e.Log.Warn("leader sends no heartbeats, replacing it", "leader", e.Leader())
 				return win(protocol.Condition{Key: storage.KeyLeader, Version: stamp}, protocol.Condition{Key: storage.KeyLeaderHeartbeat, Version: d.heartbeat})
 			}
 		case err := <-changed:
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -20,7 +20,7 @@
 	if behind <= limits.DelayMax {
 		return true
 	}
-	e.Log.Warn("too busy to tell whether the state service is out of reach", "behind", behind.Round(time.Millisecond))
+	e.Log.Warn("process delayed, cannot tell whether the state service is unreachable", "delay", behind.Round(time.Millisecond))
 	return false
 }
 
@@ -33,19 +33,19 @@
 
 // handOver gives the term up if another controller reaches the state service while we do not. The
 // order matters: the leadership ends for good before the successor hears of it.
-func (e *Elector) handOver(ctx context.Context, m *Leadership) bool {
+func (e *Elector) handOver(ctx context.Context, l *Leadership) bool {
 	node := e.Peers.FindConnected(ctx)
 	if node == "" {
 		return false // an outage for all: go on for the rest of the hold
 	}
-	m.resigned.Store(true)
-	e.Log.Warn("alone without the state service, handing over", "term", m.Term, "successor", node)
+	l.resigned.Store(true)
+	e.Log.Warn("isolated from the state service, handing over the leadership", "term", l.Term, "successor", node)
 	for range limits.OfferTries {
-		err := e.Peers.OfferLeadership(ctx, node, m.Term, m.KeyVersion)
+		err := e.Peers.OfferLeadership(ctx, node, l.Term, l.KeyVersion)
 		if err == nil {
 			break
 		}
-		e.Log.Info("successor not told", "term", m.Term, "err", err)
+		e.Log.Info("leadership offer failed", "term", l.Term, "err", err)
 	}
 	return true
 }
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -9,51 +9,63 @@
 	"quillshunt/internal/storage"
 )
 
-// Leadership is one term of leadership. Its entitlement is read by other goroutines.
+// Leadership is one term of leadership. The elector extends its entitlement; any goroutine may read
+// it.
 type Leadership struct {
-	Term             uint64
-	KeyVersion       uint64 // of the leader key; guards every write of the term
+	Term       uint64 // the fencing token; no two terms have the same
+	KeyVersion uint64 // of the leader key; guards every write of the term
+
 	startedAt        time.Time
-	leaseUntil       atomic.Int64  // nanoseconds after start, by the hold
-	quorumUntil      atomic.Int64  // the same, by pledges and heartbeats
-	resigned         atomic.Bool   // given up; whatever a late touch says
-	observedRevision atomic.Uint64 // the term has taken in all changes of open jobs up to this revision
+	leaseUntil       atomic.Int64  // end of the entitlement by the lease, in nanoseconds after startedAt
+	quorumUntil      atomic.Int64  // the same by the quorum lease and heartbeat records
+	resigned         atomic.Bool   // handed over; a late renewal does not change that
+	observedRevision atomic.Uint64 // the term has processed all changes of open jobs up to this revision
+}
+
+// NewLeadership returns a leadership of a single controller, which needs no votes. It is entitled
+// until the given time, unless its lease is extended.
+func NewLeadership(term, keyVersion uint64, until time.Time) *Leadership {
+	l := &Leadership{Term: term, KeyVersion: keyVersion, startedAt: time.Now()}
+	l.quorumUntil.Store(math.MaxInt64)
+	l.extendLease(until)
+	return l
 }
 
-// NewLeadership returns a leadership that is entitled until the given time.
-func NewLeadership(term, stamp uint64, until time.Time) *Leadership {
-	m := &Leadership{Term: term, KeyVersion: stamp, startedAt: time.Now()}
-	m.quorumUntil.Store(math.MaxInt64)
-	m.extendLease(until)
-	return m
+// requireQuorum makes the entitlement end at the given time, unless the quorum lease is extended.
+func (l *Leadership) requireQuorum(until time.Time) {
+	l.quorumUntil.Store(int64(until.Sub(l.startedAt)))
 }
 
-func (m *Leadership) extendLease(until time.Time) {
-	raise(&m.leaseUntil, int64(until.Sub(m.startedAt)))
+func (l *Leadership) extendLease(until time.Time) {
+	raise(&l.leaseUntil, int64(until.Sub(l.startedAt)))
 }
 
-func (m *Leadership) extendQuorum(until time.Time) {
-	raise(&m.quorumUntil, int64(until.Sub(m.startedAt)))
+func (l *Leadership) extendQuorum(until time.Time) {
+	raise(&l.quorumUntil, int64(until.Sub(l.startedAt)))
 }
 
-func raise(a *atomic.Int64, to int64) {
-	if to > a.Load() {
-		a.Store(to)
+// raise sets a value that never falls; it has one writer.
+func raise(value *atomic.Int64, to int64) {
+	if to > value.Load() {
+		value.Store(to)
 	}
 }
 
-// Entitled tells whether we are surely the leader at this moment. The process may lose its core
-// right after, so whatever follows is also fenced by the term, the stamp, or a name that is never
-// used again.
-func (m *Leadership) Entitled() bool {
-	return !m.resigned.Load() && int64(time.Since(m.startedAt)) < min(m.leaseUntil.Load(), m.quorumUntil.Load())
+// Entitled reports whether this process is certainly the leader at this moment. The process may be
+// descheduled right after, so whatever follows is also fenced: by the term, by the version of the
+// leader key, or by a name that is never used again.
+func (l *Leadership) Entitled() bool {
+	if l.resigned.Load() {
+		return false
+	}
+	return int64(time.Since(l.startedAt)) < min(l.leaseUntil.Load(), l.quorumUntil.Load())
 }
 
-// Observe notes that the term has taken in all changes of open jobs up to a revision; the next
-// heartbeat says so.
-func (m *Leadership) Observe(rev uint64) { m.observedRevision.Store(rev) }
+// Observe records that the term has processed all changes of open jobs up to a revision. The next
+// heartbeat record says so.
+func (l *Leadership) Observe(revision uint64) { l.observedRevision.Store(revision) }
 
-// Guard makes a write fail once there is another leader.
-func (m *Leadership) Guard() protocol.Condition {
-	return protocol.Condition{Key: storage.KeyLeader, Version: m.KeyVersion}
+// Guard returns the condition that makes a write fail once there is another leader.
+func (l *Leadership) Guard() protocol.Condition {
+	return protocol.Condition{Key: storage.KeyLeader, Version: l.KeyVersion}
 }
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -13,11 +13,11 @@
 
 // keepQuorum renews the entitlement of a term by pledges, and by heartbeats where these don't do,
 // until the term is over.
-func (e *Elector) keepQuorum(ctx context.Context, m *Leadership) {
+func (e *Elector) keepQuorum(ctx context.Context, l *Leadership) {
 	life := e.voter.lease
 	tick := time.NewTicker(time.Duration(float64(life) * limits.VoteRenewShare))
 	defer tick.Stop()
-	heartbeat, seq := m.KeyVersion, uint64(0) // the campaign wrote both keys in one transaction
+	heartbeat, seq := l.KeyVersion, uint64(0) // the campaign wrote both keys in one transaction
 	known, covered := map[string]uint64{}, map[string]uint64{}
 	renewed := time.Now()
 	for {
@@ -35,7 +35,7 @@
 			}
 		}
 		if granted >= e.quorum() {
-			m.extendQuorum(sent.Add(limits.EntitledFor(life)))
+			l.extendQuorum(sent.Add(limits.EntitledFor(life)))
 			renewed = sent
 		}
 		if news || time.Since(renewed) > time.Duration(float64(life)*limits.VoteRenewShare) {
@@ -44,16 +44,16 @@
 			sent = time.Now()
 			seq++
 			rev, err := e.Store.CompareAndSwap(ctx, protocol.Transaction{
-				Conditions: []protocol.Condition{m.Guard(), {Key: storage.KeyLeaderHeartbeat, Version: heartbeat}},
-				Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(storage.LeaderHeartbeat{Term: m.Term, Sequence: seq, ObservedRevision: m.observedRevision.Load()})}},
+				Conditions: []protocol.Condition{l.Guard(), {Key: storage.KeyLeaderHeartbeat, Version: heartbeat}},
+				Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(storage.LeaderHeartbeat{Term: l.Term, Sequence: seq, ObservedRevision: l.observedRevision.Load()})}},
 			})
 			var conflict *storage.ConflictError
 			switch {
 			case err == nil:
 				heartbeat, covered, renewed = rev, snapshot, sent
-				m.extendQuorum(sent.Add(limits.EntitledFor(life)))
+				l.extendQuorum(sent.Add(limits.EntitledFor(life)))
 			case errors.As(err, &conflict) && conflict.Has(storage.KeyLeader):
-				e.TermLost(m.Term)
+				e.TermLost(l.Term)
 				return
 			case errors.As(err, &conflict):
 				// An earlier heartbeat of ours that had no answer. It was sent after what is
@@ -62,7 +62,7 @@
 					heartbeat = p.Version
 				}
 			default:
-				e.Log.Debug("beat", "term", m.Term, "err", err)
+				e.Log.Debug("writing the heartbeat record failed", "term", l.Term, "err", err)
 			}
 		}
 		select {
--- a/internal/coordination/election/suspicion.go
+++ b/internal/coordination/election/suspicion.go
@@ -22,7 +22,7 @@
 // mayReplaceLeader goes on with a doubt, or begins one. It tells whether the leader may be
 // replaced, guarded by the heartbeat.
 func (e *Elector) mayReplaceLeader(ctx context.Context, d *suspicion) bool {
-	if !e.voter.leaderSilent(d.followedAt) {
+	if !e.voter.requestOverdue(d.followedAt) {
 		d.since = time.Time{}
 		return false
 	}
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -7,56 +7,60 @@
 	"quillshunt/internal/limits"
 )
 
-// The hold has to outlast an outage of the state service, so it is long, and a leader that is cut
-// off would keep the lead that long. Pledges make that time short: a leader is entitled only while,
-// beside its hold, a majority of the controllers has lately pledged to it, or it has lately written
-// its heartbeat. Another controller may replace it before its hold ends if a majority has let go of
-// it, each on record in the state service, and the heartbeat has not changed for the life of a
-// pledge, by which its election is guarded. docs/design/leadership.md has the proof.
-
-// voter is what this process has promised. A process that has just come back does not know what the
-// one before it had promised: it sits the longest pledge out before it lets go of a leader, and
-// pledges only to one that has written a heartbeat since it heard of this process.
+// Vote is a controller's answer to a request for its vote.
+type Vote struct {
+	Granted      bool
+	ProcessNonce uint64 // of the process that answers; 0 is unknown
+}
+
+// voter is the votes that this process has granted and withdrawn. A process that has just started
+// does not know the votes of the one before it. So it waits for the longest vote lease before it
+// withdraws a vote, and grants votes only to a leader that has written a heartbeat since it learned
+// of this process.
 type voter struct {
 	lease     time.Duration
-	nonce     uint64 // tells this process from the next of its node; never 0
+	nonce     uint64 // differs between the processes of a node; never 0
 	startedAt time.Time
 
 	mu            sync.Mutex
-	votedAt       time.Time // last pledge to anybody
+	grantedAt     time.Time // last vote granted to anybody
 	requestedAt   time.Time // last request, granted or not
-	withdrawnUpTo uint64    // heartbeats up to this one get no pledge any more
+	withdrawnUpTo uint64    // no more votes under heartbeats up to this version
 }
 
-func (p *voter) vote(heartbeat, nonce uint64) Vote {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.requestedAt = time.Now()
-	if nonce != p.nonce || heartbeat <= p.withdrawnUpTo {
-		return Vote{ProcessNonce: p.nonce}
+// vote answers a leader's request under the heartbeat with that version. The nonce is that of the
+// process that the leader believes to ask.
+func (v *voter) vote(heartbeat, nonce uint64) Vote {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.requestedAt = time.Now()
+	if nonce != v.nonce || heartbeat <= v.withdrawnUpTo {
+		return Vote{ProcessNonce: v.nonce}
 	}
-	p.votedAt = p.requestedAt
-	return Vote{Granted: true, ProcessNonce: p.nonce}
+	v.grantedAt = v.requestedAt
+	return Vote{Granted: true, ProcessNonce: v.nonce}
 }
 
-// withdraw lets go of the leader with that heartbeat, if no pledge of this controller can be live.
-func (p *voter) withdraw(heartbeat uint64) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	wait := limits.LeaseSurelyOver(p.lease)
-	if time.Since(p.startedAt) <= wait || time.Since(p.votedAt) <= wait {
+// withdraw refuses all further votes under heartbeats up to that version. It reports false and
+// changes nothing while a vote of this controller may be live.
+func (v *voter) withdraw(heartbeat uint64) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	wait := limits.LeaseSurelyOver(v.lease)
+	if time.Since(v.startedAt) <= wait || time.Since(v.grantedAt) <= wait {
 		return false
 	}
-	p.withdrawnUpTo = max(p.withdrawnUpTo, heartbeat)
+	v.withdrawnUpTo = max(v.withdrawnUpTo, heartbeat)
 	return true
 }
 
-// leaderSilent tells whether nobody has asked for a pledge for a while.
-func (p *voter) leaderSilent(since time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.requestedAt.After(since) {
-		since = p.requestedAt
+// requestOverdue reports whether no leader has asked for a vote for a while, counted from the given
+// time at the earliest.
+func (v *voter) requestOverdue(since time.Time) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.requestedAt.After(since) {
+		since = v.requestedAt
 	}
-	return time.Since(since) > time.Duration(float64(p.lease)*limits.SuspicionShare)
+	return time.Since(since) > time.Duration(float64(v.lease)*limits.SuspicionShare)
 }
