--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -35,13 +35,20 @@
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
 	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS).WithDialer(dialer)
 	desk := leader.NewDispatcher(s, options, store, cloud, sockets, log).WithDialer(dialer)
-	elector := election.New(s.NodeName, store, time.Duration(options.Leadership.LeaderLease), limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)), desk.RunTerm, log)
-	desk.OnTermLost(elector.TermLost)
 	peers, err := peer.Dial(s.Members, dialer)
 	if err != nil {
 		return nil, err
 	}
-	elector.Peers = peers
+	elector := election.New(election.Options{
+		Node:          s.NodeName,
+		Store:         store,
+		Peers:         peers,
+		LeaseDuration: time.Duration(options.Leadership.LeaderLease),
+		VoteLease:     limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)),
+		Lead:          desk.RunTerm,
+		Log:           log,
+	})
+	desk.OnTermLost(elector.TermLost)
 	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	return &Controller{
 		Clients: &transport.Server{
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -1,5 +1,33 @@
-// Package election chooses the leading controller: a key attached to a hold in
-// the state service, and a term that is never used twice.
+// Package election chooses the leader among the controllers.
+//
+// At most one controller is entitled to act as the leader at any moment. Each term of leadership
+// has a number that is never used twice, the fencing token of everything that is done in it.
+//
+// The protocol has five parts:
+//
+//   - Lease. The leader key in the state service is attached to a lease that the leader renews. A
+//     controller may write the key when it is absent, when it has that controller's own name (only
+//     one process of a name lives), or in one of the two cases below. Every write of a term has the
+//     condition that the leader key is unchanged, so a leader that was replaced can write nothing.
+//   - Votes. The lease has to outlast an outage of the state service, so it is long. A leader that
+//     is cut off would keep the leadership for that long. Therefore a leader is entitled only while
+//     it has two things: the lease and a short quorum lease. A majority of the controllers renews
+//     the quorum lease by its votes. A single controller needs no votes.
+//   - Heartbeat record. Where the votes of a majority are missing, the leader extends the quorum
+//     lease by writing its heartbeat record to the state service instead.
+//   - Withdrawal. A follower that gets no requests for its vote suspects the leader. If the
+//     heartbeat record stays the same for longer than a quorum lease, the follower withdraws its
+//     vote from that heartbeat and all earlier ones, on record in the state service. Once a
+//     majority has withdrawn, a follower campaigns under the condition that the leader key and the
+//     heartbeat record are unchanged. No vote of the majority is live then, and a heartbeat that
+//     the leader writes in the meantime makes the campaign fail.
+//   - Handover. A leader that alone cannot reach the state service resigns and offers the
+//     leadership to a controller that can. That controller replaces the leader key at once.
+//
+// A process that was just started has no memory of the votes that its predecessor on the node has
+// granted or withdrawn. It waits for the longest possible vote before it withdraws its own, and
+// grants votes only to a leader that has written a heartbeat since it learned of this process, by
+// its nonce. docs/design/leadership.md has the proof.
 package election
 
 import (
@@ -14,55 +42,74 @@
 	"quillshunt/internal/storage"
 )
 
-// Store is what the election needs of the state service.
+// Store is what the election needs of the state service. A storage.Store has all of it.
 type Store interface {
 	Get(ctx context.Context, key string) (protocol.KeyValue, error)
 	CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error)
-	CreateLease(ctx context.Context, life time.Duration) (uint64, error)
-	RenewLease(ctx context.Context, tenure uint64) error
+	CreateLease(ctx context.Context, duration time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, leaseID uint64) error
 	Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error)
 	List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error)
 }
 
 // Peers are the other controllers, as far as elections go.
 type Peers interface {
-	// FindConnected returns the name of a controller that reaches the state service, or "".
-	FindConnected(ctx context.Context) string
-	// OfferLeadership tells that controller that a term is over.
-	OfferLeadership(ctx context.Context, node string, term, stamp uint64) error
-	// Size is how many other controllers there are.
+	// Size returns the number of other controllers. It does not change.
 	Size() int
 	// RequestVotes asks all other controllers for their votes, under the leader's heartbeat with
 	// that key version. The nonces are those of the processes that the caller believes to run on
 	// the nodes. The result has no entry for a controller that does not answer in time.
 	RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote
+	// FindConnected returns the name of a controller that reaches the state service, or "".
+	FindConnected(ctx context.Context) string
+	// OfferLeadership tells that controller that a term is over. The key version is that of the
+	// term's leader key.
+	OfferLeadership(ctx context.Context, node string, term, keyVersion uint64) error
 }
 
-// Elector takes part in elections. Lead is called with each leadership and must return soon after
-// its context ends.
-type Elector struct {
-	Node          string
+// Options configure an Elector. All fields are required unless they say otherwise.
+type Options struct {
+	Node          string // the controller's own name
 	Store         Store
-	LeaseDuration time.Duration
-	Lead          func(ctx context.Context, m *Leadership)
-	Peers         Peers // or nil
+	Peers         Peers                                    // nil: a single controller, which needs no votes
+	LeaseDuration time.Duration                            // of the lease of the leader key
+	VoteLease     time.Duration                            // how long a vote is live; 0: leadership needs no votes
+	Lead          func(ctx context.Context, l *Leadership) // runs a term; returns soon after its context ends
 	Log           *slog.Logger
-	Delay         func(ctx context.Context) time.Duration // how far this process is behind; see lag
 
+	// Delay measures how far this process is behind because its processor is busy. Nil: by a short
+	// sleep, schedulingDelay.
+	Delay func(ctx context.Context) time.Duration
+}
+
+// Elector takes part in elections. Its methods may be called by any goroutine.
+type Elector struct {
+	options   Options
 	voter     voter
-	suspicion suspicion // about the leader that is followed
-	leader    atomic.Pointer[string]
-	lostTerms chan uint64
-	offers    chan uint64 // stamp of a leader key whose term its leader has given up
+	suspicion suspicion              // of the leader that is followed; belongs to Run
+	leader    atomic.Pointer[string] // name of the leader as far as known
+	lostTerms chan uint64            // terms that are over, of TermLost
+	offers    chan uint64            // key versions of leader keys whose leader has resigned, of AcceptOffer
 }
 
-// New returns an Elector with holds and pledges of these lives.
-func New(node string, store Store, life, pledge time.Duration, lead func(context.Context, *Leadership), log *slog.Logger) *Elector {
-	return &Elector{Node: node, Store: store, LeaseDuration: life, Lead: lead, Log: log, Delay: schedulingDelay,
-		voter: voter{lease: pledge, nonce: rand.Uint64()>>1 | 1, startedAt: time.Now()}, lostTerms: make(chan uint64, 1), offers: make(chan uint64, 1)}
+// New returns an Elector. It takes part in elections once Run is called; it grants votes from now
+// on.
+func New(options Options) *Elector {
+	if options.Delay == nil {
+		options.Delay = schedulingDelay
+	}
+	return &Elector{
+		options:   options,
+		voter:     voter{lease: options.VoteLease, nonce: newNonce(), startedAt: time.Now()},
+		lostTerms: make(chan uint64, 1),
+		offers:    make(chan uint64, 1),
+	}
 }
 
-// Leader is the name of the leader as far as we know, or "".
+// newNonce returns a random number that is never 0 and fits an int64.
+func newNonce() uint64 { return rand.Uint64()>>1 | 1 }
+
+// Leader returns the name of the leader as far as known, or "".
 func (e *Elector) Leader() string {
 	if p := e.leader.Load(); p != nil {
 		return *p
@@ -72,7 +119,15 @@
 
 func (e *Elector) setLeader(name string) { e.leader.Store(&name) }
 
-// TermLost tells the elector that a write or a worker showed that the term is over.
+// StateReachable reports whether the state service answers this process right now. It takes as long
+// as a read of one key may.
+func (e *Elector) StateReachable(ctx context.Context) bool {
+	_, err := e.options.Store.Get(ctx, storage.KeyLeader)
+	return err == nil
+}
+
+// TermLost tells the elector that a write or a worker showed that the term is over. It does not
+// block.
 func (e *Elector) TermLost(term uint64) {
 	select {
 	case e.lostTerms <- term:
@@ -80,77 +135,80 @@
 	}
 }
 
-// StateReachable tells whether we reach the state service right now.
-func (e *Elector) StateReachable(ctx context.Context) bool {
-	_, err := e.Store.Get(ctx, storage.KeyLeader)
-	return err == nil
-}
-
-// AcceptOffer is told by the leader of a term that it has given it up and does nothing in it any
-// more. We may lead at once, without waiting for the end of its hold: the guard on the key's stamp
-// sees to it that only that term is replaced.
-func (e *Elector) AcceptOffer(term, stamp uint64) {
-	e.Log.Info("leadership offered", "term", term)
+// AcceptOffer is called for the leader of a term that has resigned and does nothing more in it.
+// This process may campaign at once instead of waiting for the lease to expire: the condition on
+// the version of the leader key makes sure that only that term is replaced. It does not block; a
+// newer offer replaces an older one.
+func (e *Elector) AcceptOffer(term, keyVersion uint64) {
+	e.options.Log.Info("leadership offered", "term", term)
 	select {
-	case <-e.offers: // a newer offer replaces an older one
+	case <-e.offers:
 	default:
 	}
 	select {
-	case e.offers <- stamp:
+	case e.offers <- keyVersion:
 	default:
 	}
 }
 
-// Vote is asked by a leader for this controller's pledge; nonce is that of the process that the
-// leader takes this one for.
+// Vote answers a leader's request for this controller's vote, under the heartbeat with that key
+// version. The nonce is that of the process that the leader believes to ask.
 func (e *Elector) Vote(heartbeat, nonce uint64) Vote {
 	return e.voter.vote(heartbeat, nonce)
 }
 
-// Run takes part until the context ends.
+// Run takes part in elections until the context ends, and leads the terms that it wins. It returns
+// when everything it started has ended.
 func (e *Elector) Run(ctx context.Context) {
-	var back storage.Backoff
+	var backoff storage.Backoff
 	for ctx.Err() == nil {
 		err := e.round(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			back.Reset()
+			backoff.Reset()
 			continue
 		}
-		e.Log.Debug("election round failed", "err", err)
-		if !back.Wait(ctx) {
+		e.options.Log.Debug("election round failed", "err", err)
+		if !backoff.Wait(ctx) {
 			return
 		}
 	}
 }
 
-// round looks at the leader key once: it waits for a change of a living leader, or campaigns.
+// round reads the leader key once. It follows another leader, or campaigns and leads.
 func (e *Elector) round(ctx context.Context) error {
-	p, err := e.Store.Get(ctx, storage.KeyLeader)
+	key, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	if err != nil {
 		return fmt.Errorf("read leader: %w", err)
 	}
-	if p.Version != 0 {
-		var l storage.LeaderRecord
-		if err := protocol.Decode(p.Value, &l); err != nil {
+	if key.Version != 0 {
+		var leader storage.LeaderRecord
+		if err := protocol.Decode(key.Value, &leader); err != nil {
 			return fmt.Errorf("read leader: %w", err)
 		}
-		if l.Node != e.Node {
-			e.setLeader(l.Node)
-			return e.follow(ctx, p.Version)
+		if leader.Node != e.options.Node {
+			e.setLeader(leader.Node)
+			return e.follow(ctx, key.Version)
 		}
-		// The key carries our own name. Only one process of a name lives, so the one that wrote it
-		// is over (or it is this one, and its term was given up); the guard on its stamp makes the
-		// replacement safe.
+		// The key has our own name. Only one process of a name lives, so the one that wrote it has
+		// ended (or it is this one, which has resigned). The condition on the key's version makes
+		// the replacement safe.
 	}
 	e.setLeader("")
-	return e.campaign(ctx, protocol.Condition{Key: storage.KeyLeader, Version: p.Version})
+	return e.campaign(ctx, unchanged(storage.KeyLeader, key.Version))
 }
 
-// needsVotes tells whether leadership depends on pledges here: a single controller needs none.
-func (e *Elector) needsVotes() bool { return e.Peers != nil && e.Peers.Size() > 0 && e.voter.lease > 0 }
+// unchanged returns the condition that a key still has a version; version 0 means that it is absent.
+func unchanged(key string, version uint64) protocol.Condition {
+	return protocol.Condition{Key: key, Version: version}
+}
+
+// needsVotes reports whether leadership depends on votes: a single controller needs none.
+func (e *Elector) needsVotes() bool {
+	return e.options.Peers != nil && e.options.Peers.Size() > 0 && e.voter.lease > 0
+}
 
-// quorum is a majority of all controllers, this one included.
-func (e *Elector) quorum() int { return (e.Peers.Size()+1)/2 + 1 }
+// quorum returns the majority of all controllers, this one included.
+func (e *Elector) quorum() int { return (e.options.Peers.Size()+1)/2 + 1 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -168,6 +168,7 @@
 	e      *Elector
 	others *[]*node
 	life   time.Duration
+	busy   bool      // its process is behind
 	mute   bool      // leads without the others, and all nodes do
 	cut    time.Time // speaks with nobody until then
 }
@@ -179,6 +180,23 @@
 	return limits.VoteLeaseMin
 }
 
+// delay is how far the node's process is behind: a second while it is busy, else what it measures.
+func (n *node) delay(ctx context.Context) time.Duration {
+	n.mu.Lock()
+	busy := n.busy
+	n.mu.Unlock()
+	if busy {
+		return time.Second
+	}
+	return schedulingDelay(ctx)
+}
+
+func (n *node) setBusy() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.busy = true
+}
+
 func (n *node) isCut() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -249,18 +267,22 @@
 func (n *node) start(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel, n.done = cancel, make(chan struct{})
-	e := New(n.name, n.store, n.life, n.pledge(), func(ctx context.Context, m *Leadership) {
-		n.mu.Lock()
-		n.leads = m
-		n.mu.Unlock()
-		<-ctx.Done()
-		n.mu.Lock()
-		n.leads = nil
-		n.mu.Unlock()
-	}, slog.New(slog.DiscardHandler))
+	options := Options{Node: n.name, Store: n.store, LeaseDuration: n.life, VoteLease: n.pledge(), Delay: n.delay,
+		Lead: func(ctx context.Context, m *Leadership) {
+			n.mu.Lock()
+			n.leads = m
+			n.mu.Unlock()
+			<-ctx.Done()
+			n.mu.Lock()
+			n.leads = nil
+			n.mu.Unlock()
+		},
+		Log: slog.New(slog.DiscardHandler),
+	}
 	if !n.mute {
-		e.Peers = n
+		options.Peers = n
 	}
+	e := New(options)
 	n.mu.Lock()
 	n.e = e
 	n.mu.Unlock()
@@ -490,7 +512,7 @@
 				time.Sleep(3 * time.Second)
 			}
 			if busy {
-				nodes[0].up().Delay = func(context.Context) time.Duration { return time.Second }
+				nodes[0].setBusy()
 			}
 			nodes[0].silence(time.Now().Add(15 * time.Second))
 			time.Sleep(20 * time.Second)
@@ -609,11 +631,13 @@
 		s := standin.NewState()
 		var lead atomic.Pointer[Leadership]
 		n := &unreliableStore{s: s, r: rand.New(rand.NewPCG(5, 1))}
-		e := New("rig-0", n, limits.LeaderLease, limits.VoteLeaseMin, func(ctx context.Context, given *Leadership) {
-			lead.Store(given)
-			<-ctx.Done()
-		}, slog.New(slog.DiscardHandler))
-		e.Peers = loyalPeers{}
+		e := New(Options{Node: "rig-0", Store: n, Peers: loyalPeers{}, LeaseDuration: limits.LeaderLease, VoteLease: limits.VoteLeaseMin,
+			Lead: func(ctx context.Context, given *Leadership) {
+				lead.Store(given)
+				<-ctx.Done()
+			},
+			Log: slog.New(slog.DiscardHandler),
+		})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -8,44 +8,54 @@
 	"quillshunt/internal/storage"
 )
 
-// blamesStateService tells whether a failed renewal speaks against our way to the state service.
-// Where no answer came and this process is far behind, it may be only that: a hand-over would then
-// cost a rebuild, which a controller that is as busy has to make. If it is cut off all the same,
-// its votes and heartbeats end the term.
+// isolated reports whether this leader may be cut off from the state service, so that it should look
+// for a controller that is not: the lease was renewed too long ago, and the last renewal failed for
+// a reason that is not in this process.
+func (e *Elector) isolated(ctx context.Context, sinceRenewal time.Duration, err error) bool {
+	return e.options.Peers != nil && sinceRenewal > limits.IsolatedAfter && e.blamesStateService(ctx, err)
+}
+
+// blamesStateService reports whether a failed renewal is evidence that the state service is
+// unreachable. Where no answer came and this process is far behind, it may only have missed the
+// answer. A handover would then cost a recovery of the scheduler's state, on a controller that is
+// as busy. If this one is cut off all the same, missing votes and heartbeats end the term.
 func (e *Elector) blamesStateService(ctx context.Context, err error) bool {
 	if !storage.IsTimeout(err) {
 		return true
 	}
-	behind := e.Delay(ctx)
-	if behind <= limits.DelayMax {
+	delay := e.options.Delay(ctx)
+	if delay <= limits.DelayMax {
 		return true
 	}
-	e.Log.Warn("process delayed, cannot tell whether the state service is unreachable", "delay", behind.Round(time.Millisecond))
+	e.options.Log.Warn("process delayed, cannot tell whether the state service is unreachable",
+		"delay", delay.Round(time.Millisecond))
 	return false
 }
 
-// schedulingDelay tells how much too late this process wakes from a short sleep.
+// schedulingDelay returns how much later than it should this process wakes from a short sleep.
 func schedulingDelay(ctx context.Context) time.Duration {
 	began := time.Now()
 	storage.Sleep(ctx, limits.DelaySample)
 	return time.Since(began) - limits.DelaySample
 }
 
-// handOver gives the term up if another controller reaches the state service while we do not. The
-// order matters: the leadership ends for good before the successor hears of it.
+// handOver resigns if another controller reaches the state service, and reports whether it did. The
+// order matters: the leadership ends for good before the successor hears of it. If all offers are
+// lost, the successor campaigns once the lease expires or a majority has withdrawn its votes.
 func (e *Elector) handOver(ctx context.Context, l *Leadership) bool {
-	node := e.Peers.FindConnected(ctx)
-	if node == "" {
-		return false // an outage for all: go on for the rest of the hold
+	successor := e.options.Peers.FindConnected(ctx)
+	if successor == "" {
+		return false // an outage for all: the term goes on while the lease lasts
 	}
 	l.resigned.Store(true)
-	e.Log.Warn("isolated from the state service, handing over the leadership", "term", l.Term, "successor", node)
+	e.options.Log.Warn("isolated from the state service, handing over the leadership",
+		"term", l.Term, "successor", successor)
 	for range limits.OfferTries {
-		err := e.Peers.OfferLeadership(ctx, node, l.Term, l.KeyVersion)
+		err := e.options.Peers.OfferLeadership(ctx, successor, l.Term, l.KeyVersion)
 		if err == nil {
 			break
 		}
-		e.Log.Info("leadership offer failed", "term", l.Term, "err", err)
+		e.options.Log.Info("leadership offer failed", "term", l.Term, "err", err)
 	}
 	return true
 }
--- a/internal/coordination/election/lead.go
+++ b/internal/coordination/election/lead.go
@@ -3,67 +3,79 @@
 import (
 	"context"
 	"errors"
+	"sync"
 	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/storage"
 )
 
-// lead runs a term: it renews the hold until the hold or the term is over.
+// lead runs a term until it is over. Beside the term itself run the renewals of the lease and of
+// the quorum lease; all of them have ended when it returns.
 func (e *Elector) lead(ctx context.Context, l *Leadership, leaseID uint64) {
-	e.Log.Info("leading", "term", l.Term, "key_version", l.KeyVersion)
-	e.setLeader(e.Node)
+	e.options.Log.Info("leading", "term", l.Term, "key_version", l.KeyVersion)
+	e.setLeader(e.options.Node)
 	ctx, cancel := context.WithCancel(ctx)
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		e.Lead(ctx, l)
-	}()
-	kept := make(chan struct{})
-	go func() {
-		defer close(kept)
-		if e.needsVotes() {
-			e.keepQuorum(ctx, l)
-		}
-	}()
+	var running sync.WaitGroup
 	defer func() {
 		cancel()
-		<-done
-		<-kept
+		running.Wait()
 		e.setLeader("")
-		e.Log.Info("term ended", "term", l.Term)
+		e.options.Log.Info("term ended", "term", l.Term)
 	}()
+	termDone := make(chan struct{})
+	running.Go(func() {
+		defer close(termDone)
+		e.options.Lead(ctx, l)
+	})
+	if e.needsVotes() {
+		running.Go(func() { e.keepQuorum(ctx, l) })
+	}
+	e.keepLease(ctx, l, leaseID, termDone)
+}
+
+// keepLease renews the lease until the lease or the term is over, or the leadership was handed
+// over.
+func (e *Elector) keepLease(ctx context.Context, l *Leadership, leaseID uint64, termDone <-chan struct{}) {
 	tick := time.NewTicker(limits.LeaseRenewInterval)
 	defer tick.Stop()
-	renewed := time.Now()
+	renewedAt := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-done:
+		case <-termDone:
 			return
 		case term := <-e.lostTerms:
 			if term == l.Term {
-				e.Log.Warn("superseded by another leader", "term", l.Term)
+				e.options.Log.Warn("superseded by another leader", "term", l.Term)
 				return
 			}
 		case <-tick.C:
-			sent := time.Now()
-			err := e.Store.RenewLease(ctx, leaseID)
+			err := e.renewLease(ctx, l, leaseID)
 			switch {
 			case err == nil:
-				// After an outage this may come long after we stopped being entitled. As the hold
-				// has lived all the while, nobody else can have led, and the term goes on.
-				l.extendLease(sent.Add(limits.EntitledFor(e.LeaseDuration)))
-				renewed = time.Now()
+				renewedAt = time.Now()
 			case errors.Is(err, storage.ErrLeaseExpired):
 				return
 			default:
-				e.Log.Debug("renewing the lease failed", "term", l.Term, "err", err)
-				if e.Peers != nil && time.Since(renewed) > limits.IsolatedAfter && e.blamesStateService(ctx, err) && e.handOver(ctx, l) {
+				e.options.Log.Debug("renewing the lease failed", "term", l.Term, "err", err)
+				if e.isolated(ctx, time.Since(renewedAt), err) && e.handOver(ctx, l) {
 					return
 				}
 			}
 		}
 	}
 }
+
+// renewLease renews the lease once and extends the entitlement. After an outage this may come long
+// after the leader stopped being entitled. As the lease did not expire in that time, nobody else
+// can have led, and the term goes on.
+func (e *Elector) renewLease(ctx context.Context, l *Leadership, leaseID uint64) error {
+	sentAt := time.Now()
+	if err := e.options.Store.RenewLease(ctx, leaseID); err != nil {
+		return err
+	}
+	l.extendLease(sentAt.Add(limits.EntitledFor(e.options.LeaseDuration)))
+	return nil
+}
--- a/internal/coordination/election/suspicion.go
+++ b/internal/coordination/election/suspicion.go
@@ -1,62 +1,41 @@
 package election
 
-import (
-	"context"
-	"time"
+import "time"
 
-	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
-	"quillshunt/internal/storage"
-)
-
-// suspicion is what speaks against the leader that is followed: when it was first followed, its
-// heartbeat, when that was read, and whether we have let go of it on record.
+// suspicion is a follower's evidence that the leader is unreachable. It begins with a heartbeat
+// record, and lasts while the record has the same version and the leader asks for no votes.
 type suspicion struct {
-	leaderVersion uint64 // of the leader key
-	followedAt    time.Time
-	heartbeat     uint64
-	since         time.Time // zero: it is not doubted
-	withdrawn     bool
+	leaderVersion uint64    // key version of the leader that is followed
+	followedAt    time.Time // since when
+	heartbeat     uint64    // key version of the heartbeat record when the suspicion began
+	beganAt       time.Time // zero: the leader is not suspected
+	withdrawn     bool      // the withdrawal of our vote under the heartbeat is on record
 }
 
-// mayReplaceLeader goes on with a doubt, or begins one. It tells whether the leader may be
-// replaced, guarded by the heartbeat.
-func (e *Elector) mayReplaceLeader(ctx context.Context, d *suspicion) bool {
-	if !e.voter.requestOverdue(d.followedAt) {
-		d.since = time.Time{}
-		return false
-	}
-	if !d.since.IsZero() && time.Since(d.since) <= limits.LeaseSurelyOver(e.voter.lease) {
-		return false
-	}
-	p, err := e.Store.Get(ctx, storage.KeyLeaderHeartbeat)
-	if err != nil {
-		return false
-	}
-	if d.since.IsZero() || p.Version != d.heartbeat {
-		d.heartbeat, d.since, d.withdrawn = p.Version, time.Now(), false
-		return false
+// follow starts anew with another leader. For the same leader the suspicion goes on: then only the
+// watch of the leader key has ended by itself.
+func (s *suspicion) follow(leaderVersion uint64) {
+	if s.leaderVersion != leaderVersion {
+		*s = suspicion{leaderVersion: leaderVersion, followedAt: time.Now()}
 	}
-	if !e.voter.withdraw(d.heartbeat) {
-		return false
-	}
-	if !d.withdrawn {
-		_, err := e.Store.CompareAndSwap(ctx, protocol.Transaction{Operations: []protocol.Operation{{Put: storage.VoteWithdrawalKey(e.Node), Value: protocol.Encode(storage.VoteWithdrawal{Heartbeat: d.heartbeat})}}})
-		if err != nil {
-			return false
-		}
-		d.withdrawn = true
-	}
-	let := 0
-	_, err = e.Store.List(ctx, storage.PrefixVoteWithdrawal, func(p protocol.KeyValue) error {
-		var l storage.VoteWithdrawal
-		if err := protocol.Decode(p.Value, &l); err != nil {
-			return err
-		}
-		if l.Heartbeat >= d.heartbeat {
-			let++
-		}
-		return nil
-	})
-	return err == nil && let >= e.quorum()
+}
+
+// clear ends the suspicion, as the leader has asked for a vote.
+func (s *suspicion) clear() { s.beganAt = time.Time{} }
+
+// begin starts the suspicion, or starts it again because the leader has written a new heartbeat.
+func (s *suspicion) begin(heartbeat uint64) {
+	s.heartbeat, s.beganAt, s.withdrawn = heartbeat, time.Now(), false
+}
+
+// suspected reports whether the suspicion has begun.
+func (s *suspicion) suspected() bool { return !s.beganAt.IsZero() }
+
+// lastedFor reports whether the suspicion began longer ago than that.
+func (s *suspicion) lastedFor(d time.Duration) bool { return time.Since(s.beganAt) > d }
+
+// confirmedBy reports whether the heartbeat record still has the version that it had when the
+// suspicion began.
+func (s *suspicion) confirmedBy(heartbeat uint64) bool {
+	return s.suspected() && heartbeat == s.heartbeat
 }
