--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -3,11 +3,35 @@
 import (
 	"slices"
 	"strings"
+	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
+// placer runs the scheduling passes.
+type placer struct {
+	*environment
+	pass   placementPass
+	needed bool // something changed that placement looks at
+	// nextPreemptionSearch is when requests that found no tasks to stop may look for them again:
+	// the search goes through all tasks of all machines, and in an overload many jobs search at
+	// every event. Until then they take free room like others.
+	nextPreemptionSearch map[placementRequest]time.Duration
+}
+
+// newPlacer returns a placer for the first pass of a term.
+func newPlacer(env *environment) *placer {
+	return &placer{
+		environment: env,
+		pass: placementPass{
+			unplaceable:      map[placementRequest]bool{},
+			unplaceableGangs: map[gangRequest]bool{},
+		},
+		nextPreemptionSearch: map[placementRequest]time.Duration{},
+	}
+}
+
 // placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
 // backlog: each request decides as if it looked at every machine anew (see TestPassIsPlain).
 type placementPass struct {
@@ -54,7 +78,7 @@
 		if len(p.jobs) == 0 {
 			p.minDemand = j.demand
 		}
-		p.minDemand = p.minDemand.min(j.demand)
+		p.minDemand = p.minDemand.Min(j.demand)
 		p.jobs = append(p.jobs, j)
 	}
 	if len(p.jobs) == 0 && len(s.gangs.toRefill) == 0 {
@@ -95,9 +119,9 @@
 			continue
 		}
 		p.machines = append(p.machines, m)
-		if free := m.freeRoom(); free.fits(p.minDemand) {
+		if free := m.freeRoom(); free.Fits(p.minDemand) {
 			p.withFreeRoom = append(p.withFreeRoom, m)
-			p.maxFreeRoom = p.maxFreeRoom.max(free)
+			p.maxFreeRoom = p.maxFreeRoom.Max(free)
 		}
 	}
 	p.reservationsLeft = (len(p.machines) + limits.ReservedMachinesRatio - 1) / limits.ReservedMachinesRatio
@@ -114,7 +138,7 @@
 	if _, usable := slices.BinarySearchFunc(p.machines, m, byName); !usable {
 		return
 	}
-	p.maxFreeRoom = p.maxFreeRoom.max(m.freeRoom())
+	p.maxFreeRoom = p.maxFreeRoom.Max(m.freeRoom())
 	if i, ok := slices.BinarySearchFunc(p.withFreeRoom, m, byName); !ok {
 		p.withFreeRoom = slices.Insert(p.withFreeRoom, i, m)
 	}
@@ -131,7 +155,7 @@
 		ask.preempting = false
 	}
 	pressing := ask.preempting
-	if (common && p.unplaceable[ask]) || (!pressing && !p.maxFreeRoom.fits(j.demand)) {
+	if (common && p.unplaceable[ask]) || (!pressing && !p.maxFreeRoom.Fits(j.demand)) {
 		return
 	}
 	sh := s.collectCandidates(j, pressing)
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -6,6 +6,20 @@
 	"quillshunt/internal/limits"
 )
 
+// recoveryState tells how far a new term knows what runs where.
+type recoveryState struct {
+	*environment
+	loaded          bool // all that earlier terms wrote down is known
+	ended           bool // and all that may run; see tryEndRecovery
+	fewUnreported   bool // of the machines that may hold tasks of earlier terms only a few have not reported
+	orphanedRecords []orphanedRecord
+}
+
+// newRecoveryState returns the state of a term that knows nothing yet.
+func newRecoveryState(env *environment) *recoveryState {
+	return &recoveryState{environment: env}
+}
+
 // expireLeases frees the tasks of sessions that are surely over.
 func (s *Scheduler) expireLeases() {
 	for _, m := range s.inventory.sorted {
@@ -18,10 +32,10 @@
 		// The worker sent the last report that we answered before it arrived here, so by its own clock
 		// and ours its lease is over and it has killed its tasks.
 		if len(m.assignments) > 0 {
-			s.log(true, "session lapsed", "machine", m.name, "tasks", len(m.assignments))
+			s.logWarn("session lapsed", "machine", m.name, "tasks", len(m.assignments))
 		}
-		for _, b := range m.sortedAssignments() {
-			s.release(b)
+		for _, a := range m.sortedAssignments() {
+			s.release(a)
 		}
 		m.endedTasks = map[attemptKey]endedTask{}
 		m.endedIncarnation = max(m.incarnation, 1)
@@ -38,9 +52,9 @@
 
 // releaseUnsent takes back tasks that no order has left for.
 func (s *Scheduler) releaseUnsent(m *machine) {
-	for _, b := range m.sortedAssignments() {
-		if b.state == stateUnsent {
-			s.release(b)
+	for _, a := range m.sortedAssignments() {
+		if a.state == stateUnsent {
+			s.release(a)
 		}
 	}
 }
@@ -60,5 +74,5 @@
 	for _, j := range s.jobs.bySubmission {
 		s.markGangChanged(j.gang)
 	}
-	s.log(false, "rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
+	s.logInfo("rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
 }
