--- /dev/null
+++ b/internal/coordination/resource/resource_test.go
@@ -0,0 +1,66 @@
+package resource
+
+import (
+	"testing"
+
+	"quillshunt/internal/limits"
+)
+
+func TestArithmetic(t *testing.T) {
+	machine := Vector{CPUs: 8, Accelerators: 1, MemoryGB: 32}
+	demand := Vector{CPUs: 2, Accelerators: 2, MemoryGB: 4}
+	for _, c := range []struct {
+		name      string
+		got, want Vector
+	}{
+		{"plus", machine.Plus(demand), Vector{CPUs: 10, Accelerators: 3, MemoryGB: 36}},
+		{"minus", machine.Minus(demand), Vector{CPUs: 6, Accelerators: -1, MemoryGB: 28}},
+		{"times", demand.Times(3), Vector{CPUs: 6, Accelerators: 6, MemoryGB: 12}},
+		{"max", machine.Max(demand), Vector{CPUs: 8, Accelerators: 2, MemoryGB: 32}},
+		{"min", machine.Min(demand), Vector{CPUs: 2, Accelerators: 1, MemoryGB: 4}},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: got %+v, want %+v", c.name, c.got, c.want)
+		}
+	}
+}
+
+func TestFits(t *testing.T) {
+	free := Vector{CPUs: 4, Accelerators: 1, MemoryGB: 8}
+	for _, c := range []struct {
+		name   string
+		demand Vector
+		want   bool
+	}{
+		{"all of it", free, true},
+		{"nothing", Vector{}, true},
+		{"more by rounding only", Vector{CPUs: 4 + limits.Epsilon/2}, true},
+		{"too many CPUs", Vector{CPUs: 4.5}, false},
+		{"too many accelerators", Vector{Accelerators: 2}, false},
+		{"too much memory", Vector{MemoryGB: 9}, false},
+	} {
+		if got := free.Fits(c.demand); got != c.want {
+			t.Errorf("%s: %+v fits into %+v: %v", c.name, c.demand, free, got)
+		}
+	}
+}
+
+func TestTasksThatFit(t *testing.T) {
+	size := Vector{CPUs: 8, Accelerators: 2, MemoryGB: 32}
+	for _, c := range []struct {
+		name   string
+		demand Vector
+		want   int
+	}{
+		{"CPUs are short", Vector{CPUs: 3, Accelerators: 0.5, MemoryGB: 4}, 2},
+		{"accelerators are short", Vector{CPUs: 1, Accelerators: 2, MemoryGB: 4}, 1},
+		{"memory is short", Vector{CPUs: 1, MemoryGB: 10}, 3},
+		{"a share that rounding makes too small", Vector{CPUs: 8.0 / 3}, 3},
+		{"too large", Vector{CPUs: 9}, 0},
+		{"needs nothing", Vector{}, limits.MaxTasksPerMachine},
+	} {
+		if got := size.TasksThatFit(c.demand); got != c.want {
+			t.Errorf("%s: %d tasks fit, want %d", c.name, got, c.want)
+		}
+	}
+}
--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/protocol"
 )
 
@@ -84,7 +85,7 @@
 		m.releasing = m.releasing.Minus(j.demand)
 	}
 	if len(m.assignments) == 0 {
-		m.allocated, m.releasing = resources{}, resources{} // no rounding is carried on
+		m.allocated, m.releasing = resource.Vector{}, resource.Vector{} // no rounding is carried on
 		m.idleSince = s.now
 	}
 	s.placement.needed, s.gangs.freeRoomChanged = true, true
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -126,9 +127,14 @@
 	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, kind)
 }
 
+// taskDemand returns what a task of a job needs.
+func taskDemand(spec *protocol.Spec) resource.Vector {
+	return resource.Vector{CPUs: spec.CPUs, Accelerators: spec.Accelerators, MemoryGB: spec.MemoryGB}
+}
+
 // fitsSomeType tells whether some allowed type can hold a task of the job.
 func fitsSomeType(spec *protocol.Spec, types []protocol.MachineType) bool {
-	need := resources{spec.CPUs, spec.Accelerators, spec.MemoryGB}
+	demand := taskDemand(spec)
 	for i := range types {
 		t := &types[i]
 		ok := typeAllowed(spec, t.Name)
@@ -139,7 +145,7 @@
 			}
 			ok = ok && in
 		}
-		if ok && typeResources(t).Fits(need) {
+		if ok && typeResources(t).Fits(demand) {
 			return true
 		}
 	}
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -289,7 +290,7 @@
 
 // roomConfirmed tells whether every machine of the tasks surely has room for them now.
 func (s *Scheduler) roomConfirmed(tasks []*assignment) bool {
-	need := map[*machine]resources{}
+	need := map[*machine]resource.Vector{}
 	for _, b := range tasks {
 		need[b.machine] = need[b.machine].Plus(b.job.demand)
 	}
@@ -303,8 +304,8 @@
 
 // committedRoom is the room of tasks that are on the machine or on their way, and of those that
 // were committed to it.
-func (m *machine) committedRoom() resources {
-	var held resources
+func (m *machine) committedRoom() resource.Vector {
+	var held resource.Vector
 	for _, b := range m.assignments {
 		if b.state != stateUnsent || b.committed {
 			held = held.Plus(b.job.demand)
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -29,14 +30,14 @@
 
 // plannedView is how a machine would stand with the seats that were chosen so far.
 type plannedView struct {
-	takenRoom resources
-	freedRoom resources
+	takenRoom resource.Vector
+	freedRoom resource.Vector
 	tasks     int
 	stopped   map[*assignment]bool
 }
 
 // freeRoom is what may still be promised on the machine.
-func (v *plannedView) freeRoom(m *machine) resources {
+func (v *plannedView) freeRoom(m *machine) resource.Vector {
 	if v == nil {
 		return m.freeRoom()
 	}
@@ -119,9 +120,9 @@
 			continue
 		}
 		if pressing {
-			slotsIn[m.zone] += tasksThatFit(m.size(), j.demand)
+			slotsIn[m.zone] += m.size().TasksThatFit(j.demand)
 		} else {
-			slotsIn[m.zone] += tasksThatFit(m.freeRoom(), j.demand)
+			slotsIn[m.zone] += m.freeRoom().TasksThatFit(j.demand)
 		}
 	}
 	var zones []string
@@ -351,7 +352,7 @@
 		if found >= j.waitingTasks() {
 			break
 		}
-		found += tasksThatFit(m.size(), j.demand)
+		found += m.size().TasksThatFit(j.demand)
 		free += m.freeRoom().CPUs
 		kept = append(kept, m)
 	}
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"quillshunt/internal/config"
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -35,7 +36,7 @@
 	priority     protocol.Priority
 	team         *team
 	class        *jobClass
-	demand       resources
+	demand       resource.Vector
 	version      uint64
 	cancelled    bool
 	cancelledAt  time.Duration // when its user may first have been told
@@ -78,9 +79,8 @@
 }
 
 // demandOf is what n of its tasks take.
-func (j *job) demandOf(n int) resources {
-	k := float64(n)
-	return resources{k * j.demand.CPUs, k * j.demand.Accelerators, k * j.demand.MemoryGB}
+func (j *job) demandOf(n int) resource.Vector {
+	return j.demand.Times(float64(n))
 }
 
 // withinTeamLimit tells whether its team's limit lets a task of it start now; of a gang, all that
@@ -136,12 +136,12 @@
 
 type team struct {
 	cfg       config.Team
-	allocated resources
-	claimed   resources // by its unfinished jobs; see guarantees
+	allocated resource.Vector
+	claimed   resource.Vector // by its unfinished jobs; see guarantees
 }
 
 // fits tells whether the team may use that much more.
-func (t *team) fits(r resources) bool {
+func (t *team) fits(r resource.Vector) bool {
 	const eps = limits.Epsilon
 	return t.allocated.CPUs+r.CPUs <= t.cfg.CPUsMax+eps && t.allocated.Accelerators+r.Accelerators <= t.cfg.GPUsMax+eps
 }
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -23,7 +23,7 @@
 		words := (e.Record.Spec.Tasks + 63) / 64
 		j = &job{
 			id: e.JobID, spec: e.Record.Spec, priority: u, team: t, class: s.class(e.Record.Spec.Class),
-			demand:      resources{e.Record.Spec.CPUs, e.Record.Spec.Accelerators, e.Record.Spec.MemoryGB},
+			demand:      taskDemand(&e.Record.Spec),
 			submittedAt: s.now - e.SinceSubmission, doneBits: make([]uint64, words), assignedBits: make([]uint64, words),
 			assignments: map[int]*assignment{}, stopCounts: map[int]int{}, failedMachines: map[string]bool{},
 			chunks: make([]finishedChunk, (e.Record.Spec.Tasks+s.finished.tasksPerChunk-1)/s.finished.tasksPerChunk),
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/protocol"
 )
 
@@ -36,9 +37,9 @@
 
 	assignments map[string]*assignment
 	endedTasks  map[attemptKey]endedTask
-	allocated   resources
+	allocated   resource.Vector
 	// releasing is the part of used that tasks take that were told to stop.
-	releasing    resources
+	releasing    resource.Vector
 	cachedImages map[string]time.Duration
 
 	rental              string
@@ -71,20 +72,20 @@
 }
 
 // typeResources is what a machine of a type has.
-func typeResources(t *protocol.MachineType) resources {
-	return resources{t.CPUs, t.Accelerators, t.MemoryGB}
+func typeResources(t *protocol.MachineType) resource.Vector {
+	return resource.Vector{CPUs: t.CPUs, Accelerators: t.Accelerators, MemoryGB: t.MemoryGB}
 }
 
-func (m *machine) size() resources {
+func (m *machine) size() resource.Vector {
 	if m.machineType == nil {
-		return resources{}
+		return resource.Vector{}
 	}
 	return typeResources(m.machineType)
 }
 
 // freeRoom is what may be promised: what is free, and what tasks that were told to stop will leave.
 // A start is sent only once the room is confirmed (see orders).
-func (m *machine) freeRoom() resources { return m.size().Minus(m.allocated).Plus(m.releasing) }
+func (m *machine) freeRoom() resource.Vector { return m.size().Minus(m.allocated).Plus(m.releasing) }
 
 // price is what the machine costs an hour.
 func (m *machine) price() float64 {
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -4,6 +4,7 @@
 	"slices"
 	"strings"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -14,8 +15,8 @@
 	machines     []*machine                // that may get tasks, by name
 	withFreeRoom []*machine                // those of them with free room for any of the jobs
 	jobs         []*job                    // that want room, in order of claim
-	minDemand    resources                 // none of them needs less of any resource
-	maxFreeRoom  resources                 // no machine has more free room of any resource
+	minDemand    resource.Vector           // none of them needs less of any resource
+	maxFreeRoom  resource.Vector           // no machine has more free room of any resource
 	unplaceable  map[placementRequest]bool // requests for which no machine was found in this pass
 	// unplaceableGangs are the same of gangs.
 	unplaceableGangs      map[gangRequest]bool
@@ -27,7 +28,7 @@
 // placementRequest is what decides where a task of a job may go, for jobs that ask for nothing
 // particular.
 type placementRequest struct {
-	demand          resources
+	demand          resource.Vector
 	team            *team
 	priority        protocol.Priority
 	guaranteed      bool
@@ -87,7 +88,7 @@
 // beginPass collects the machines that may get tasks.
 func (s *Scheduler) beginPass() {
 	p := &s.placement.pass
-	p.machines, p.withFreeRoom, p.maxFreeRoom = p.machines[:0], p.withFreeRoom[:0], resources{}
+	p.machines, p.withFreeRoom, p.maxFreeRoom = p.machines[:0], p.withFreeRoom[:0], resource.Vector{}
 	p.clearUnplaceable()
 	for _, m := range s.inventory.sorted {
 		m.wasReserved, m.reservedFor = m.reservedFor != nil, nil
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -302,7 +302,7 @@
 			return n
 		}
 		s.planner.machinesInZone[p.zone]++
-		whole := tasksThatFit(typeResources(t), j.demand)
+		whole := typeResources(t).TasksThatFit(j.demand)
 		fresh[p] += float64(got) / float64(whole)
 		if j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionPatience {
 			roundUpMachines(fresh, p)
@@ -331,7 +331,7 @@
 // tasks end one after the other. The fraction of a task that is left over is carried to the next
 // offer.
 func (o *capacity) takeTasks(j *job, n int, est, within float64, carry *float64) int {
-	per := tasksThatFit(typeResources(o.machineType), j.demand)
+	per := typeResources(o.machineType).TasksThatFit(j.demand)
 	if per == 0 {
 		return 0
 	}
@@ -377,21 +377,6 @@
 	return min(max(free/o.cpusPerTask(j, per), 0), float64(per))
 }
 
-// tasksThatFit is how many tasks fit at once.
-func tasksThatFit(size, need resources) int {
-	n := math.Inf(1)
-	if need.CPUs > 0 {
-		n = min(n, size.CPUs/need.CPUs)
-	}
-	if need.Accelerators > 0 {
-		n = min(n, size.Accelerators/need.Accelerators)
-	}
-	if need.MemoryGB > 0 {
-		n = min(n, size.MemoryGB/need.MemoryGB)
-	}
-	return int(min(n+limits.Epsilon, limits.MaxTasksPerMachine))
-}
-
 // cheapestPool is where a machine for the job costs least for each task it holds, among the pools
 // that are not known to be empty. A pool that has only been asked for as much as may be now is left
 // for a dearer one of like price, else it is asked again with the next plan.
@@ -402,7 +387,7 @@
 	for _, k := range s.catalog.names {
 		t := s.catalog.byName[k]
 		size := typeResources(t)
-		per := tasksThatFit(size, j.demand)
+		per := size.TasksThatFit(j.demand)
 		if per == 0 {
 			continue
 		}
--- a/internal/coordination/scheduler/plan_zones.go
+++ b/internal/coordination/scheduler/plan_zones.go
@@ -60,7 +60,7 @@
 	}
 	startable := map[string]float64{}
 	for _, o := range offers {
-		if per := tasksThatFit(typeResources(o.machineType), j.demand); per > 0 && s.capacityAllowed(j, o) {
+		if per := typeResources(o.machineType).TasksThatFit(j.demand); per > 0 && s.capacityAllowed(j, o) {
 			startable[o.pool.zone] += math.Floor(o.startableTasks(j, per, within))
 		}
 	}
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 )
 
@@ -12,7 +13,7 @@
 // in together with the team's earlier unfinished jobs. The queue is in order of submission.
 func (s *Scheduler) updateGuarantees() {
 	for _, t := range s.jobs.teams {
-		t.claimed = resources{}
+		t.claimed = resource.Vector{}
 	}
 	const eps = limits.Epsilon
 	for _, j := range s.jobs.bySubmission {
@@ -20,7 +21,7 @@
 		if j.cancelled {
 			n = 0
 		}
-		c := j.team.claimed.Plus(resources{CPUs: n * j.demand.CPUs, Accelerators: n * j.demand.Accelerators})
+		c := j.team.claimed.Plus(resource.Vector{CPUs: n * j.demand.CPUs, Accelerators: n * j.demand.Accelerators})
 		j.guaranteed = c.CPUs <= j.team.cfg.CPUs+eps && c.Accelerators <= j.team.cfg.GPUs+eps
 		j.team.claimed = c
 	}
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -4,6 +4,7 @@
 	"sort"
 	"time"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 )
 
@@ -89,19 +90,19 @@
 // preemptionOption is a task that may be stopped.
 type preemptionOption struct {
 	assignment *assignment
-	resources  resources
+	resources  resource.Vector
 	cost       float64
 }
 
 // cheapestVictims returns the indexes of the set of least loss that covers what is short in every
 // resource, or nil. Up to a cutoff every set is tried, else tasks are added by least loss per unit
 // of room.
-func cheapestVictims(options []preemptionOption, short resources) []int {
-	covered := func(have resources) bool { return have.Fits(short) }
+func cheapestVictims(options []preemptionOption, short resource.Vector) []int {
+	covered := func(have resource.Vector) bool { return have.Fits(short) }
 	if len(options) <= limits.VictimCutoff {
 		bestLoss, best := 0.0, -1
 		for set := 1; set < 1<<len(options); set++ {
-			var have resources
+			var have resource.Vector
 			loss := 0.0
 			for i := range options {
 				if set>>i&1 != 0 {
@@ -145,7 +146,7 @@
 		x, y := &options[order[a]], &options[order[b]]
 		return x.cost/unit(x) < y.cost/unit(y)
 	})
-	var have resources
+	var have resource.Vector
 	var out []int
 	for _, i := range order {
 		if covered(have) {
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 
 	"quillshunt/internal/config"
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -18,12 +19,18 @@
 		n := rapid.IntRange(0, limits.VictimCutoff+4).Draw(t, "n")
 		options := make([]preemptionOption, n)
 		for i := range options {
-			options[i].resources = resources{float64(rapid.IntRange(0, 4).Draw(t, "cpu")), 0, float64(rapid.IntRange(0, 4).Draw(t, "ram"))}
+			options[i].resources = resource.Vector{
+				CPUs:     float64(rapid.IntRange(0, 4).Draw(t, "cpus")),
+				MemoryGB: float64(rapid.IntRange(0, 4).Draw(t, "memory")),
+			}
 			options[i].cost = float64(rapid.IntRange(0, 50).Draw(t, "loss"))
 		}
-		short := resources{float64(rapid.IntRange(-1, 8).Draw(t, "short")), 0, float64(rapid.IntRange(1, 8).Draw(t, "shortRam"))}
-		sum := func(set []int) (resources, float64) {
-			var r resources
+		short := resource.Vector{
+			CPUs:     float64(rapid.IntRange(-1, 8).Draw(t, "short CPUs")),
+			MemoryGB: float64(rapid.IntRange(1, 8).Draw(t, "short memory")),
+		}
+		sum := func(set []int) (resource.Vector, float64) {
+			var r resource.Vector
 			loss := 0.0
 			for _, i := range set {
 				r, loss = r.Plus(options[i].resources), loss+options[i].cost
@@ -87,7 +94,7 @@
 func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Scheduler{environment: &environment{}}
-		teams := []*team{{cfg: config.Team{CPUs: 1}, allocated: resources{CPUs: 5}}, {cfg: config.Team{CPUs: 9}, allocated: resources{CPUs: 5}}}
+		teams := []*team{{cfg: config.Team{CPUs: 1}, allocated: resource.Vector{CPUs: 5}}, {cfg: config.Team{CPUs: 9}, allocated: resource.Vector{CPUs: 5}}}
 		draw := func(name string) *assignment {
 			return &assignment{state: stateRunning, job: &job{team: teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
 				priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, name+" urgency")), guaranteed: rapid.Bool().Draw(t, name+" guaranteed")}}
@@ -129,7 +136,7 @@
 	// Free room needs no look.
 	b = newSchedulerFixture(t, 1)
 	b.report(0)
-	b.scheduler.placement.nextPreemptionSearch[placementRequest{demand: resources{CPUs: 4, MemoryGB: 1}, team: b.scheduler.jobs.teams["red"], priority: protocol.High, guaranteed: true, preempting: true}] = time.Hour
+	b.scheduler.placement.nextPreemptionSearch[placementRequest{demand: resource.Vector{CPUs: 4, MemoryGB: 1}, team: b.scheduler.jobs.teams["red"], priority: protocol.High, guaranteed: true, preempting: true}] = time.Hour
 	b.job("job-2", "red", "high", 1, 4, 13)
 	if len(b.scheduler.jobs.byID["job-2"].assignments) != 1 {
 		t.Error("not placed where there is room")
