--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -33,13 +33,13 @@
 
 // FleetOptions are about renting and returning machines.
 type FleetOptions struct {
-	MaxMachines int      `toml:"max_machines"`
-	LongestWait Duration `toml:"longest_wait"`
-	SlackShare  float64  `toml:"slack_share"`
-	IdleReturn  Duration `toml:"idle_return"`
-	Headroom    float64  `toml:"headroom"`
-	DearRatio   float64  `toml:"dear_ratio"`
-	DearSlack   Duration `toml:"dear_slack"`
+	MaxMachines           int      `toml:"max_machines"`
+	MaxPlannedWait        Duration `toml:"longest_wait"`
+	PlannedWaitSlackRatio float64  `toml:"slack_share"`
+	IdleTimeout           Duration `toml:"idle_return"`
+	Headroom              float64  `toml:"headroom"`
+	ExpensivePoolRatio    float64  `toml:"dear_ratio"`
+	ExpensivePoolSlack    Duration `toml:"dear_slack"`
 }
 
 // Duration is written as text like "25s".
@@ -61,9 +61,9 @@
 		Leadership: LeadershipOptions{LeaderLease: Duration(limits.LeaderLease)},
 		Preemption: PreemptionOptions{Slack: Duration(limits.PreemptSlack), RestartWeight: limits.RestartWeight},
 		Fleet: FleetOptions{
-			LongestWait: Duration(limits.MaxPlannedWait), SlackShare: limits.SlackShare,
-			IdleReturn: Duration(limits.IdleReturnAfter), Headroom: limits.DrainHeadroom,
-			DearRatio: limits.ExpensiveRatio, DearSlack: Duration(limits.ExpensiveSlack),
+			MaxPlannedWait: Duration(limits.MaxPlannedWait), PlannedWaitSlackRatio: limits.PlannedWaitSlackRatio,
+			IdleTimeout: Duration(limits.IdleTimeout), Headroom: limits.DrainHeadroom,
+			ExpensivePoolRatio: limits.ExpensivePoolRatio, ExpensivePoolSlack: Duration(limits.ExpensivePoolSlack),
 		},
 	}
 }
@@ -123,11 +123,11 @@
 		span("preemption.slack", o.Preemption.Slack, 0, time.Hour),
 		between("preemption.restart_weight", o.Preemption.RestartWeight, 0, 1000),
 		between("fleet.max_machines", float64(o.Fleet.MaxMachines), 0, 100_000),
-		span("fleet.longest_wait", o.Fleet.LongestWait, 0, time.Hour),
-		between("fleet.slack_share", o.Fleet.SlackShare, 0, 1),
-		span("fleet.idle_return", o.Fleet.IdleReturn, 0, 24*time.Hour),
+		span("fleet.longest_wait", o.Fleet.MaxPlannedWait, 0, time.Hour),
+		between("fleet.slack_share", o.Fleet.PlannedWaitSlackRatio, 0, 1),
+		span("fleet.idle_return", o.Fleet.IdleTimeout, 0, 24*time.Hour),
 		between("fleet.headroom", o.Fleet.Headroom, 0, 100),
-		between("fleet.dear_ratio", o.Fleet.DearRatio, 1, 1e6),
-		span("fleet.dear_slack", o.Fleet.DearSlack, 0, 24*time.Hour),
+		between("fleet.dear_ratio", o.Fleet.ExpensivePoolRatio, 1, 1e6),
+		span("fleet.dear_slack", o.Fleet.ExpensivePoolSlack, 0, 24*time.Hour),
 	)
 }
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -9,7 +9,7 @@
 
 func TestOptions(t *testing.T) {
 	o, err := ParseOptions([]byte("[fleet]\nmax_machines = 12\nidle_return = \"40s\"\n"))
-	if err != nil || o.Fleet.MaxMachines != 12 || time.Duration(o.Fleet.IdleReturn) != 40*time.Second ||
+	if err != nil || o.Fleet.MaxMachines != 12 || time.Duration(o.Fleet.IdleTimeout) != 40*time.Second ||
 		o.Leadership != DefaultOptions().Leadership {
 		t.Fatalf("%+v %v", o, err)
 	}
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -142,9 +142,9 @@
 		if s.now > m.lastHeartbeatAt+s.staleAfter() {
 			continue // silent, not idle: when a cut leader hears its machines again, they are still good
 		}
-		idle := time.Duration(s.cfg.Options.Fleet.IdleReturn)
+		idle := time.Duration(s.cfg.Options.Fleet.IdleTimeout)
 		if m.draining {
-			idle = limits.DrainedReturnAfter
+			idle = limits.DrainedIdleTimeout
 		}
 		if s.now > m.idleSince+idle && s.now > m.createdAt+limits.MinChargedTime {
 			s.returnMachine(m, "idle")
@@ -239,9 +239,9 @@
 
 // maxPlannedWait is how long a job's tasks are planned to wait for room: a share of what it can wait.
 func (s *Scheduler) maxPlannedWait(j *job) float64 {
-	wait := time.Duration(s.cfg.Options.Fleet.LongestWait).Seconds()
+	wait := time.Duration(s.cfg.Options.Fleet.MaxPlannedWait).Seconds()
 	if slack, late := s.slack(j); !late && slack != never {
-		wait = min(wait, max(slack.Seconds(), 0)*s.cfg.Options.Fleet.SlackShare)
+		wait = min(wait, max(slack.Seconds(), 0)*s.cfg.Options.Fleet.PlannedWaitSlackRatio)
 	}
 	return wait
 }
@@ -447,7 +447,7 @@
 	if typ == nil || low > limits.SimilarPriceRatio*busy {
 		return best, nil
 	}
-	if slack, late := s.slack(j); low > s.cfg.Options.Fleet.DearRatio*floor && (late || slack > time.Duration(s.cfg.Options.Fleet.DearSlack)) {
+	if slack, late := s.slack(j); low > s.cfg.Options.Fleet.ExpensivePoolRatio*floor && (late || slack > time.Duration(s.cfg.Options.Fleet.ExpensivePoolSlack)) {
 		return best, nil // it can wait for cheaper ones
 	}
 	return best, typ
--- a/internal/limits/fleet.go
+++ b/internal/limits/fleet.go
@@ -12,18 +12,18 @@
 	MachineTypesInterval = 120 * time.Second
 	// MinChargedTime is the least time that a machine is charged for.
 	MinChargedTime = 60 * time.Second
-	// IdleReturnAfter is how long a machine stays idle before it goes back.
-	IdleReturnAfter = 15 * time.Second
-	// DrainedReturnAfter is the same for a machine that is not needed.
-	DrainedReturnAfter = 3 * time.Second
+	// IdleTimeout is how long a machine stays idle before it goes back.
+	IdleTimeout = 15 * time.Second
+	// DrainedIdleTimeout is the same for a machine that is not needed.
+	DrainedIdleTimeout = 3 * time.Second
 	// DrainHeadroom is the share of the work at hand that is kept free for what comes before
 	// machines are emptied.
 	DrainHeadroom = 0.4
 	// MaxPlannedWait is the longest that a job is planned to wait for room, however much time it has.
 	MaxPlannedWait = 15 * time.Second
-	// SlackShare is the share of a job's slack that it is planned to wait; the rest is for what
-	// goes wrong.
-	SlackShare = 0.25
+	// PlannedWaitSlackRatio is the share of a job's slack that it is planned to wait; the rest is
+	// for what goes wrong.
+	PlannedWaitSlackRatio = 0.25
 	// BootPatience is how many nominal boot times a machine gets before it is given up.
 	BootPatience = 3.0
 	// MinBootPatience is the least patience with a boot.
@@ -49,10 +49,10 @@
 	// CorrelatedSilenceShare is the share of machines silent at once above which the network is to
 	// blame, and nobody is deleted.
 	CorrelatedSilenceShare = 0.25
-	// ExpensiveRatio and DearSlack: a pool that costs this many times the cheapest is used only for
-	// jobs with less slack than this.
-	ExpensiveRatio = 2.5
-	ExpensiveSlack = 60 * time.Second
+	// ExpensivePoolRatio and ExpensivePoolSlack: a pool that costs this many times the cheapest is
+	// used only for jobs with less slack than this.
+	ExpensivePoolRatio = 2.5
+	ExpensivePoolSlack = 60 * time.Second
 	// RentalFraction is the part of a machine that must be wanted before one more is rented while
 	// others run.
 	RentalFraction = 0.3
