--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
@@ -89,3 +90,19 @@
 	}
 	s.placement.needed, s.gangs.freeRoomChanged = true, true
 }
+
+// nextAttempt returns the next attempt number; attempts rise across leaders because the term is
+// their high part.
+func (s *Scheduler) nextAttempt() uint64 {
+	s.attemptSequence++
+	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
+}
+
+// releaseUnsent takes back tasks that no order has left for.
+func (s *Scheduler) releaseUnsent(m *machine) {
+	for _, a := range m.sortedAssignments() {
+		if a.state == stateUnsent {
+			s.release(a)
+		}
+	}
+}
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -79,3 +79,30 @@
 	m.nextProbeAt = s.now + limits.ProbeInterval
 	s.emit(ProbeMachine{Machine: m.name, Address: m.address})
 }
+
+// probeDone takes the task list of a machine that has not shown us that it saw our term. The list
+// was made after the worker had seen it, so no order of an earlier leader can add to it. It renews
+// no lease.
+func (s *Scheduler) probeDone(e ProbeDone) {
+	m := s.inventory.byName[e.Machine]
+	heartbeat := e.Heartbeat
+	if heartbeat != nil || e.NotSent {
+		s.prober.budget.observe(s.now, e.NotSent || e.Took > limits.SlowHeartbeatWait)
+	}
+	if m != nil && heartbeat == nil && !e.NotSent {
+		m.missedProbes++
+		if s.recovery.fewUnreported && !m.hasReported && m.missedProbes < limits.UnreportedProbeMisses {
+			m.nextProbeAt = s.now // all placement waits for it
+			s.probeMachine(m)
+		}
+	}
+	if m == nil || heartbeat == nil || heartbeat.Machine != e.Machine || !heartbeat.Valid() || heartbeat.FencingToken != s.cfg.Term || m.isOutdated(heartbeat, m.sequence) {
+		return
+	}
+	s.observeIncarnation(m, heartbeat)
+	s.setVerified(m, true)
+	// Like a direct command's answer it says nothing of starts that went out another way and may
+	// still arrive.
+	s.dispatcher.sequence++
+	s.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.sequence))
+}
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -207,15 +207,6 @@
 	}
 }
 
-// learnFetchTime takes the time that a task waited for its image into the estimates.
-func (s *Scheduler) learnFetchTime(a *assignment) {
-	class := a.job.class
-	class.fetchSamples++
-	class.fetchSeconds += max(1/float64(class.fetchSamples), limits.LearnWeight) * ((s.now - a.assignedAt).Seconds() - class.fetchSeconds)
-	a.machine.fetchCPUSeconds += (s.now - a.assignedAt).Seconds() * a.job.demand.CPUs
-	a.machine.cachedImages[a.job.spec.Image] = s.now
-}
-
 // taskEnded takes the end of one of our tasks.
 func (s *Scheduler) taskEnded(a *assignment, status *protocol.TaskStatus) endedTask {
 	j, m, index := a.job, a.machine, a.index
@@ -262,36 +253,3 @@
 	s.tryCloseJob(j)
 	return ended
 }
-
-// learnRunTime takes a task's run time into the estimates.
-func (s *Scheduler) learnRunTime(j *job, m *machine, ran float64) {
-	if j.spec.EstimateS > 0 {
-		class := j.class
-		class.runSamples++
-		weight := max(1/float64(class.runSamples), limits.LearnWeight)
-		class.estimateRatio += weight * (ran/j.spec.EstimateS - class.estimateRatio)
-	}
-	if j.runCount >= 3 && j.gang == nil { // a gang runs at the speed of its slowest machine
-		m.speedCount++
-		m.speedSum += ran / (j.runSum / float64(j.runCount))
-	}
-	j.runSum += ran
-	j.runCount++
-}
-
-// recordFailure weighs who is to blame for a failure: the machine, or the job.
-func (s *Scheduler) recordFailure(j *job, m *machine) {
-	j.failedMachines[m.name] = true
-	if len(j.failedMachines) >= limits.JobFaultMachines {
-		// It fails wherever it goes, with no success between. It waits longer and longer, and its
-		// failures condemn no machine.
-		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
-		j.retryAt = s.now + j.backoff
-		for _, other := range s.inventory.sorted {
-			delete(other.failedJobs, j.id)
-		}
-		return
-	}
-	m.consecutiveFailures++
-	m.failedJobs[j.id] = true
-}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -1,50 +1,9 @@
 package scheduler
 
 import (
-	"time"
-
 	"quillshunt/internal/limits"
 )
 
-// expireLeases frees the tasks of sessions that are surely over.
-func (s *Scheduler) expireLeases() {
-	for _, m := range s.inventory.sorted {
-		if m.endedIncarnation >= max(m.incarnation, 1) || s.now < m.leaseRenewedAt+limits.LeaseSurelyOver(s.workerLease) {
-			if s.now > m.lastHeartbeatAt+s.staleAfter() {
-				s.releaseUnsent(m)
-			}
-			continue
-		}
-		// The worker sent the last report that we answered before it arrived here, so by its own clock
-		// and ours its lease is over and it has killed its tasks.
-		if len(m.assignments) > 0 {
-			s.log(true, "session lapsed", "machine", m.name, "tasks", len(m.assignments))
-		}
-		for _, a := range m.sortedAssignments() {
-			s.release(a)
-		}
-		m.endedTasks = map[attemptKey]endedTask{}
-		m.endedIncarnation = max(m.incarnation, 1)
-		if !m.hasReported {
-			m.endedIncarnation = 0 // we do not know which session it was in; see endRecovery
-		}
-	}
-}
-
-// staleAfter is how long a machine may be silent and still get tasks.
-func (s *Scheduler) staleAfter() time.Duration {
-	return time.Duration(float64(s.heartbeatInterval) * limits.FreshHeartbeatIntervals)
-}
-
-// releaseUnsent takes back tasks that no order has left for.
-func (s *Scheduler) releaseUnsent(m *machine) {
-	for _, a := range m.sortedAssignments() {
-		if a.state == stateUnsent {
-			s.release(a)
-		}
-	}
-}
-
 // tryEndRecovery ends the time after a take-over in which tasks may run that we have not heard of:
 // each machine that may hold some has reported to us or is gone, or its lease from before is over.
 // A machine that we have greeted has had its lease renewed by that: it has the whole of it again,
