--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -2,10 +2,25 @@
 
 import (
 	"sort"
+	"time"
 
 	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
 )
 
+// typeCatalog holds the machine types that the cloud offers.
+type typeCatalog struct {
+	*environment
+	byName      map[string]*protocol.MachineType
+	names       []string // sorted
+	nextFetchAt time.Duration
+}
+
+// newTypeCatalog returns a catalog without types.
+func newTypeCatalog(env *environment) *typeCatalog {
+	return &typeCatalog{environment: env, byName: map[string]*protocol.MachineType{}}
+}
+
 func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
 	if !e.OK {
 		s.catalog.nextFetchAt = s.now + limits.CloudRetryInterval
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -64,7 +64,7 @@
 		}
 		bound += len(j.assignments)
 	}
-	s.log(false, SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.jobs.bySubmission), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
+	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.jobs.bySubmission), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
 }
 
 // isCorrelated tells whether so many of all machines at once must have a common cause.
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"time"
+
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -59,3 +61,15 @@
 		}
 	}
 }
+
+// machineListReader reads the cloud's list of machines from time to time.
+type machineListReader struct {
+	*environment
+	nextAt   time.Duration
+	inFlight bool
+}
+
+// newMachineListReader returns a reader that has not read a list yet.
+func newMachineListReader(env *environment) *machineListReader {
+	return &machineListReader{environment: env}
+}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -4,6 +4,20 @@
 	"quillshunt/internal/limits"
 )
 
+// recoveryState tells how far a new term knows what runs where.
+type recoveryState struct {
+	*environment
+	loaded          bool // all that earlier terms wrote down is known
+	ended           bool // and all that may run; see tryEndRecovery
+	fewUnreported   bool // of the machines that may hold tasks of earlier terms only a few have not reported
+	orphanedRecords []orphanedRecord
+}
+
+// newRecoveryState returns the state of a term that knows nothing yet.
+func newRecoveryState(env *environment) *recoveryState {
+	return &recoveryState{environment: env}
+}
+
 // tryEndRecovery ends the time after a take-over in which tasks may run that we have not heard of:
 // each machine that may hold some has reported to us or is gone, or its lease from before is over.
 // A machine that we have greeted has had its lease renewed by that: it has the whole of it again,
@@ -19,5 +33,5 @@
 	for _, j := range s.jobs.bySubmission {
 		s.markGangChanged(j.gang)
 	}
-	s.log(false, "rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
+	s.logInfo("rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
 }
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -55,6 +55,16 @@
 	maxMachines int    // of one rental, so that its record fits
 }
 
+// newRentalTable returns a table without rentals.
+func newRentalTable(env *environment) *rentalTable {
+	return &rentalTable{
+		environment: env,
+		byName:      map[string]*rental{},
+		pools:       map[machinePool]*poolState{},
+		maxMachines: storage.MaxRentalMachines(env.cfg.State.ValueKB),
+	}
+}
+
 func (r *rental) request() protocol.RentalRequest {
 	return protocol.RentalRequest{Name: r.name, MachineType: r.record.MachineType, Zone: r.record.Zone, Spot: r.record.Spot, Count: r.record.Count}
 }
@@ -79,7 +89,7 @@
 	r := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentals.sequence), state: rentalWriting, requestedAt: s.now,
 		record: storage.Rental{MachineType: pool.typeName, Zone: pool.zone, Spot: pool.spot, Count: min(count, s.rentals.maxMachines)}}
 	s.rentals.byName[r.name] = r
-	s.log(false, "renting", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot, "count", r.record.Count)
+	s.logInfo("renting", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot, "count", r.record.Count)
 	s.writeRental(r)
 }
 
@@ -103,7 +113,7 @@
 	r.writing = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
-		s.log(true, "rental record refused", "request", r.name)
+		s.logWarn("rental record refused", "request", r.name)
 		return
 	}
 	r.version = version
@@ -148,7 +158,7 @@
 	if s.rentals.byName[r.name] != nil {
 		return // its last record is just being removed; the next report tries again
 	}
-	s.log(true, "unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
+	s.logWarn("unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
 	m.rental = r.name
 	s.rentals.byName[r.name] = r
 	s.writeRental(r)
@@ -164,7 +174,7 @@
 	case e.NoCapacity:
 		s.backOffPool(pool)
 		s.planner.nextPlanAt = 0
-		s.log(false, "no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
+		s.logInfo("no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
 		s.removeRental(r)
 		return
 	case !e.OK:
@@ -177,7 +187,7 @@
 	} else if state := s.rentals.pools[pool]; state != nil {
 		state.backoff = 0
 	}
-	s.log(false, "rented", "request", r.name, "machines", len(e.Machines))
+	s.logInfo("rented", "request", r.name, "machines", len(e.Machines))
 	r.state, r.dirty = rentalAnswered, true
 	r.record.Answered = true
 	for _, name := range e.Machines {
