--- /dev/null
+++ b/internal/storage/read.go
@@ -0,0 +1,89 @@
+package storage
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+)
+
+// Get reads a key. An absent key has Version 0 and no Value, and the Revision at which it was
+// absent.
+func (s *Store) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
+	kv, err := s.get(ctx, key)
+	if err != nil {
+		return kv, fmt.Errorf("get %s: %w", key, err)
+	}
+	return kv, nil
+}
+
+func (s *Store) get(ctx context.Context, key string) (protocol.KeyValue, error) {
+	var kv protocol.KeyValue
+	if err := s.waitForRate(ctx, 0); err != nil {
+		return kv, err
+	}
+	reply, err := s.call(ctx, http.MethodGet, "/kv/"+key, nil)
+	if err != nil {
+		return kv, err
+	}
+	if reply.Status != http.StatusOK && reply.Status != http.StatusNotFound {
+		return kv, unexpectedStatus(reply.Status)
+	}
+	if kv, err = decodeReply[protocol.KeyValue](reply); err != nil {
+		return kv, err
+	}
+	if reply.Status == http.StatusNotFound {
+		kv.Version, kv.Value = 0, nil
+	}
+	return kv, nil
+}
+
+// List calls each for all keys with a prefix, in the order of the keys. An error of each ends it and
+// is returned as it is. The revision returned is that of the first page, from which a Watch misses
+// nothing.
+func (s *Store) List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error) {
+	var revision uint64
+	after, first := "", true
+	for {
+		page, err := s.listPage(ctx, prefix, after)
+		if err != nil {
+			return 0, fmt.Errorf("list %s: %w", prefix, err)
+		}
+		if first {
+			revision, first = page.Revision, false
+		}
+		for _, kv := range page.Items {
+			if err := each(kv); err != nil {
+				return 0, err
+			}
+			after = kv.Key
+		}
+		if !page.Truncated || len(page.Items) == 0 {
+			return revision, nil
+		}
+	}
+}
+
+// listPage reads one page of the keys with a prefix, after a key unless that is empty.
+func (s *Store) listPage(ctx context.Context, prefix, after string) (protocol.KeyPage, error) {
+	var page protocol.KeyPage
+	if err := s.waitForRate(ctx, 0); err != nil {
+		return page, err
+	}
+	target := "/kv?Starts=" + url.QueryEscape(prefix) + "&Limit=" + strconv.Itoa(limits.StatePageSize)
+	if after != "" {
+		target += "&Since=" + url.QueryEscape(after)
+	}
+	reply, err := s.call(ctx, http.MethodGet, target, nil)
+	if err != nil {
+		return page, err
+	}
+	if reply.Status != http.StatusOK {
+		return page, unexpectedStatus(reply.Status)
+	}
+	return decodeReply[protocol.KeyPage](reply)
+}
