--- /dev/null
+++ b/internal/transport/encode.go
@@ -0,0 +1,62 @@
+package transport
+
+import (
+	"net/http"
+	"strconv"
+)
+
+// reasonPhrases are the texts of the statuses that are sent.
+var reasonPhrases = map[int]string{
+	http.StatusOK:                  "OK",
+	http.StatusCreated:             "Created",
+	http.StatusBadRequest:          "Bad Request",
+	http.StatusNotFound:            "Not Found",
+	http.StatusMethodNotAllowed:    "Method Not Allowed",
+	http.StatusConflict:            "Conflict",
+	http.StatusMisdirectedRequest:  "Misdirected Request",
+	http.StatusUnprocessableEntity: "Unprocessable Content",
+	http.StatusTooManyRequests:     "Too Many Requests",
+	http.StatusInternalServerError: "Internal Server Error",
+	http.StatusServiceUnavailable:  "Service Unavailable",
+}
+
+// AppendRequest appends a request to dst. A body is sent as CBOR.
+func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
+	dst = append(dst, method...)
+	dst = append(dst, ' ')
+	dst = append(dst, target...)
+	dst = append(dst, " HTTP/1.1\r\nHost: "...)
+	dst = append(dst, host...)
+	if body != nil || method != http.MethodGet {
+		if len(body) > 0 {
+			dst = append(dst, "\r\nContent-Type: application/cbor"...)
+		}
+		dst = append(dst, "\r\nContent-Length: "...)
+		dst = strconv.AppendInt(dst, int64(len(body)), 10)
+	}
+	dst = append(dst, "\r\n\r\n"...)
+	return append(dst, body...)
+}
+
+// AppendResponse appends a response to dst. A retryAfter above 0, in seconds, becomes a Retry-After
+// header; closing announces that the connection ends with the response.
+func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
+	dst = append(dst, "HTTP/1.1 "...)
+	dst = strconv.AppendInt(dst, int64(status), 10)
+	dst = append(dst, ' ')
+	dst = append(dst, reasonPhrases[status]...)
+	if len(body) > 0 {
+		dst = append(dst, "\r\nContent-Type: application/cbor"...)
+	}
+	dst = append(dst, "\r\nContent-Length: "...)
+	dst = strconv.AppendInt(dst, int64(len(body)), 10)
+	if retryAfter > 0 {
+		dst = append(dst, "\r\nRetry-After: "...)
+		dst = strconv.AppendInt(dst, int64(retryAfter), 10)
+	}
+	if closing {
+		dst = append(dst, "\r\nConnection: close"...)
+	}
+	dst = append(dst, "\r\n\r\n"...)
+	return append(dst, body...)
+}
--- /dev/null
+++ b/internal/transport/head.go
@@ -0,0 +1,219 @@
+package transport
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"quillshunt/internal/limits"
+)
+
+// head is what a start line and its headers say.
+type head struct {
+	message *Message
+	minor   byte // minor version of HTTP/1, a digit
+	length  int  // of the body; -1: not given
+	chunked bool
+}
+
+// parseHead parses the start line and headers, and sets the phase for the body.
+func (d *Decoder) parseHead(b []byte) error {
+	line, rest, _ := bytes.Cut(b, []byte("\r\n"))
+	h := head{message: &Message{}, length: -1}
+	var err error
+	if d.response {
+		h.minor, err = parseStatusLine(line, h.message)
+	} else {
+		h.minor, err = parseRequestLine(line, h.message)
+	}
+	if err != nil {
+		return err
+	}
+	h.message.Close = h.minor == '0'
+	if err := h.parseHeaders(rest); err != nil {
+		return err
+	}
+	if h.chunked && (h.length >= 0 || h.minor == '0') {
+		// Two ways to tell the length are how requests are smuggled.
+		return fmt.Errorf("%w: both a length and a transfer coding", ErrMalformed)
+	}
+	if h.length > d.maxBody {
+		return ErrTooLarge
+	}
+	d.message = h.message
+	return d.beginBody(&h)
+}
+
+// beginBody sets the phase in which the body is read; without a body the phase stays phaseHead.
+func (d *Decoder) beginBody(h *head) error {
+	status := h.message.Status
+	switch {
+	case d.response && status/100 == 1:
+		return fmt.Errorf("%w: interim response", ErrMalformed)
+	case d.response && (status == http.StatusNoContent || status == http.StatusNotModified):
+	case h.chunked:
+		d.phase = phaseChunkSize
+	case h.length > 0:
+		d.phase, d.remaining = phaseLength, h.length
+	case h.length < 0 && d.response:
+		d.phase = phaseUntilClose
+	}
+	return nil
+}
+
+// parseHeaders parses the lines after the start line.
+func (h *head) parseHeaders(lines []byte) error {
+	var line []byte
+	for count := 1; len(lines) > 0; count++ {
+		line, lines, _ = bytes.Cut(lines, []byte("\r\n"))
+		if count > limits.MaxHeaders {
+			return ErrTooLarge
+		}
+		name, value, ok := bytes.Cut(line, []byte(":"))
+		if !ok || !isToken(name) || !isFieldValue(value) {
+			return ErrMalformed // also folded lines and a space before the colon
+		}
+		if err := h.setHeader(name, strings.Trim(string(value), " \t")); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// setHeader notes a header that matters here; the others are ignored.
+func (h *head) setHeader(name []byte, value string) error {
+	switch {
+	case equalFold(name, "content-length"):
+		length, err := parseContentLength(value)
+		if err != nil {
+			return err
+		}
+		if h.length >= 0 && h.length != length {
+			return fmt.Errorf("%w: conflicting lengths", ErrMalformed)
+		}
+		h.length = length
+	case equalFold(name, "transfer-encoding"):
+		if h.chunked || !strings.EqualFold(value, "chunked") {
+			return fmt.Errorf("%w: transfer coding", ErrMalformed)
+		}
+		h.chunked = true
+	case equalFold(name, "connection"):
+		h.setConnection(value)
+	case equalFold(name, "retry-after"):
+		if seconds, err := strconv.Atoi(value); err == nil && seconds > 0 {
+			h.message.RetryAfter = seconds
+		}
+	}
+	return nil
+}
+
+// setConnection takes the options of a Connection header.
+func (h *head) setConnection(value string) {
+	for option := range strings.SplitSeq(value, ",") {
+		switch option = strings.TrimSpace(option); {
+		case strings.EqualFold(option, "close"):
+			h.message.Close = true
+		case strings.EqualFold(option, "keep-alive") && h.minor == '0':
+			h.message.Close = false
+		}
+	}
+}
+
+// parseRequestLine parses the first line of a request and returns the minor version.
+func parseRequestLine(line []byte, m *Message) (byte, error) {
+	method, rest, ok := bytes.Cut(line, []byte(" "))
+	if !ok || !isToken(method) || len(method) > 16 {
+		return 0, ErrMalformed
+	}
+	target, version, ok := bytes.Cut(rest, []byte(" "))
+	if !ok || len(target) == 0 || target[0] != '/' {
+		return 0, ErrMalformed
+	}
+	for _, c := range target {
+		if c <= ' ' || c >= 0x7f {
+			return 0, ErrMalformed
+		}
+	}
+	minor, err := parseVersion(version)
+	if err != nil {
+		return 0, err
+	}
+	m.Method = string(method)
+	m.Path, m.Query, _ = strings.Cut(string(target), "?")
+	return minor, nil
+}
+
+// parseStatusLine parses the first line of a response and returns the minor version.
+func parseStatusLine(line []byte, m *Message) (byte, error) {
+	version, rest, ok := bytes.Cut(line, []byte(" "))
+	if !ok || len(rest) < 3 || (len(rest) > 3 && rest[3] != ' ') {
+		return 0, ErrMalformed
+	}
+	minor, err := parseVersion(version)
+	if err != nil {
+		return 0, err
+	}
+	for _, c := range rest[:3] {
+		if c < '0' || c > '9' {
+			return 0, ErrMalformed
+		}
+		m.Status = m.Status*10 + int(c-'0')
+	}
+	if m.Status < 100 {
+		return 0, ErrMalformed
+	}
+	return minor, nil
+}
+
+// parseVersion returns the minor version of HTTP/1.0 or HTTP/1.1, as a digit.
+func parseVersion(v []byte) (byte, error) {
+	if len(v) != 8 || string(v[:7]) != "HTTP/1." || (v[7] != '0' && v[7] != '1') {
+		return 0, fmt.Errorf("%w: version", ErrMalformed)
+	}
+	return v[7], nil
+}
+
+// parseContentLength parses a length of digits only, as signs and lists are read differently by others.
+func parseContentLength(v string) (int, error) {
+	if v == "" || len(v) > 10 {
+		return 0, ErrMalformed
+	}
+	n := 0
+	for i := range len(v) {
+		if v[i] < '0' || v[i] > '9' {
+			return 0, ErrMalformed
+		}
+		n = n*10 + int(v[i]-'0')
+	}
+	return n, nil
+}
+
+// isToken reports whether b has the form of a method or a header name.
+func isToken(b []byte) bool {
+	if len(b) == 0 {
+		return false
+	}
+	for _, c := range b {
+		if c <= ' ' || c >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// isFieldValue reports whether b has no control characters but tabs.
+func isFieldValue(b []byte) bool {
+	for _, c := range b {
+		if (c < ' ' && c != '\t') || c == 0x7f {
+			return false
+		}
+	}
+	return true
+}
+
+// equalFold compares a header name, in any case, with a lower-case one.
+func equalFold(b []byte, lower string) bool {
+	return len(b) == len(lower) && strings.EqualFold(string(b), lower)
+}
