--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -16,7 +16,7 @@
 )
 
 // isPending tells whether the cloud has not answered yet.
-func (h *rental) isPending() bool { return h.state == rentalWriting || h.state == rentalRequested }
+func (r *rental) isPending() bool { return r.state == rentalWriting || r.state == rentalRequested }
 
 type rental struct {
 	name          string
@@ -49,3 +49,13 @@
 	sequence    uint64 // of the names of this term's rentals
 	maxMachines int    // of one rental, so that its record fits
 }
+
+// newRentalTable returns a table without rentals.
+func newRentalTable(env *environment) *rentalTable {
+	return &rentalTable{
+		environment: env,
+		byName:      map[string]*rental{},
+		pools:       map[machinePool]*poolState{},
+		maxMachines: storage.MaxRentalMachines(env.cfg.State.ValueKB),
+	}
+}
