--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -44,7 +44,7 @@
 	elector.Peers = peers
 	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	return &Controller{
-		Clients: &transport.Server{
+		Clients: transport.NewServer(transport.ServerOptions{
 			Addr:        s.ClientListen,
 			MaxConns:    shares.Inbound,
 			MaxMachines: shares.MachineConns,
@@ -52,7 +52,7 @@
 			Sockets:     sockets,
 			Handle:      front.Handle,
 			Log:         log,
-		},
+		}),
 		Peers:    peer.NewServer(desk, elector, peers),
 		settings: s,
 		leader:   desk,
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -76,7 +76,7 @@
 	for g.machineTypes.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	serve(t, &transport.Server{Addr: f.addr, MaxConns: 20, Handle: g.Handle, Log: log})
+	serve(t, transport.NewServer(transport.ServerOptions{Addr: f.addr, MaxConns: 20, Handle: g.Handle, Log: log}))
 	f.client = transport.NewClient(f.addr, 1, limits.MaxBodyBytes)
 	return f
 }
@@ -294,7 +294,7 @@
 // TestFullUserSlots: beyond its stage the front door answers at once when to come back.
 func TestFullUserSlots(t *testing.T) {
 	g := &Gateway{userSlots: make(chan struct{})}
-	srv := &transport.Server{Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler)}
+	srv := transport.NewServer(transport.ServerOptions{Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler)})
 	serve(t, srv)
 	f := &gatewayFixture{t: t, client: transport.NewClient(srv.Addr, 1, limits.MaxBodyBytes)}
 	if status, _, m := f.do("POST", "/v2/runs", submission("job-1", nil)); status != 503 || m.RetryAfter == 0 {
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -123,7 +123,7 @@
 	}
 	stateAddr, cloudAddr := freePort(t), freePort(t)
 	serve(t, state.Server(stateAddr, log))
-	serve(t, &transport.Server{Addr: cloudAddr, MaxConns: 100, Log: log, Handle: func(req *transport.Message, rsp *transport.Responder) {
+	serve(t, transport.NewServer(transport.ServerOptions{Addr: cloudAddr, MaxConns: 100, Log: log, Handle: func(req *transport.Message, rsp *transport.Responder) {
 		switch {
 		case req.Path == "/machine_types":
 			rsp.Respond(200, protocol.Encode(protocol.MachineTypeList{Types: []protocol.MachineType{typ}}), 0)
@@ -142,7 +142,7 @@
 		default:
 			rsp.Respond(503, protocol.Encode(map[string]string{"error": "no capacity"}), 0)
 		}
-	}})
+	}}))
 
 	s := &config.Settings{NodeName: "rig-0", Facts: config.Facts{
 		Teams: []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}}, Workers: config.Workers{ReportS: 5, LeaseS: 27, CancelS: 47},
@@ -164,7 +164,7 @@
 	t.Cleanup(cancel)
 	g.Start(ctx)
 	addr := freePort(t)
-	serve(t, &transport.Server{Addr: addr, MaxConns: shares.Inbound, MaxMachines: shares.MachineConns, Sockets: sockets, Handle: g.Handle, Log: log})
+	serve(t, transport.NewServer(transport.ServerOptions{Addr: addr, MaxConns: shares.Inbound, MaxMachines: shares.MachineConns, Sockets: sockets, Handle: g.Handle, Log: log}))
 
 	lead := func(term uint64) (end func()) {
 		stamp := write(storage.KeyLeader, storage.LeaderRecord{Node: "rig-0", Term: term})
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -148,7 +148,7 @@
 
 // Server serves the cloud on an address.
 func (c *Cloud) Server(addr string) *transport.Server {
-	return &transport.Server{Addr: addr, MaxConns: 100, Handle: c.handle, Log: c.Log}
+	return transport.NewServer(transport.ServerOptions{Addr: addr, MaxConns: 100, Handle: c.handle, Log: c.Log})
 }
 
 func (c *Cloud) handle(req *transport.Message, rsp *transport.Responder) {
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -322,8 +322,8 @@
 
 // ServerFor serves one caller, who can be refused alone.
 func (s *State) ServerFor(caller, addr string, log *slog.Logger) *transport.Server {
-	return &transport.Server{Addr: addr, MaxConns: 1000, Log: log,
-		Handle: func(req *transport.Message, rsp *transport.Responder) { s.handle(caller, req, rsp) }}
+	return transport.NewServer(transport.ServerOptions{Addr: addr, MaxConns: 1000, Log: log,
+		Handle: func(req *transport.Message, rsp *transport.Responder) { s.handle(caller, req, rsp) }})
 }
 
 func (s *State) handle(caller string, req *transport.Message, rsp *transport.Responder) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -112,7 +112,7 @@
 
 // listen serves direct commands.
 func (w *worker) listen(ctx context.Context) (string, error) {
-	server := &transport.Server{MaxConns: 20, Handle: w.handle, Log: w.cloud.Log}
+	server := transport.NewServer(transport.ServerOptions{MaxConns: 20, Handle: w.handle, Log: w.cloud.Log})
 	if w.cloud.Net != nil {
 		addr := w.rig.Name + ":9000"
 		go Serve(w.cloud.Net.Listen(addr), server)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -13,17 +13,18 @@
 	"quillshunt/internal/limits"
 )
 
-// ErrNotSent marks a call of which nothing reached the other side: the connection could not be made.
+// ErrNotSent means that nothing of a call reached the other side: no connection could be made.
 var ErrNotSent = errors.New("not sent")
 
-// Dialer makes a connection to an address. A nil one dials TCP.
+// Dialer opens a connection to an address. A nil one dials TCP.
 type Dialer func(ctx context.Context, addr string) (net.Conn, error)
 
-// Dial makes a connection, within DialTimeout.
+// Dial opens a connection within limits.DialTimeout.
 func (d Dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	return d.dialTimeout(ctx, addr, limits.DialTimeout)
 }
 
+// dialTimeout opens a connection within a time limit.
 func (d Dialer) dialTimeout(ctx context.Context, addr string, limit time.Duration) (net.Conn, error) {
 	if d == nil {
 		tcp := net.Dialer{Timeout: limit, KeepAlive: -1}
@@ -34,7 +35,7 @@
 	return d(ctx, addr)
 }
 
-// Client calls one HTTP server over a small set of kept connections.
+// Client calls one HTTP server and keeps some idle connections to it. It is safe for concurrent use.
 type Client struct {
 	addr        string
 	maxBody     int
@@ -44,86 +45,97 @@
 	dialTimeout time.Duration // longest wait for a connection
 }
 
+// clientConn is an outbound connection; one call at a time uses it.
 type clientConn struct {
 	conn    net.Conn
-	raw     syscall.RawConn
+	raw     syscall.RawConn // nil if the connection has no socket
 	decoder *Decoder
 	buffer  []byte
 	sockets *SocketBudget
 }
 
-func (o *clientConn) close() {
-	_ = o.conn.Close()
-	o.sockets.releaseOutbound()
+func (c *clientConn) close() {
+	_ = c.conn.Close()
+	c.sockets.releaseOutbound()
 }
 
-// NewClient returns a client that keeps up to keep idle connections.
-func NewClient(addr string, keep, maxBody int) *Client {
-	return &Client{addr: addr, maxBody: maxBody, idle: make(chan *clientConn, keep), dialTimeout: limits.DialTimeout}
+// NewClient returns a client that keeps up to maxIdle idle connections and accepts bodies of up to
+// maxBody bytes.
+func NewClient(addr string, maxIdle, maxBody int) *Client {
+	return &Client{
+		addr:        addr,
+		maxBody:     maxBody,
+		idle:        make(chan *clientConn, maxIdle),
+		dialTimeout: limits.DialTimeout,
+	}
 }
 
-// WithSockets makes the client's connections count among the sockets. It is called before the first use.
+// WithSockets makes the client's connections count against a budget. It must be called before the
+// first call.
 func (c *Client) WithSockets(s *SocketBudget) *Client {
 	c.sockets = s
 	return c
 }
 
-// WithDialer makes the client dial another way. It is called before the first use.
+// WithDialer sets how the client opens connections. It must be called before the first call.
 func (c *Client) WithDialer(d Dialer) *Client {
 	c.dialer = d
 	return c
 }
 
-// WithDialTimeout sets how long it waits for a connection instead of DialTimeout. It is called
-// before the first use.
+// WithDialTimeout sets how long the client waits for a connection, instead of limits.DialTimeout. It
+// must be called before the first call.
 func (c *Client) WithDialTimeout(limit time.Duration) *Client {
 	c.dialTimeout = limit
 	return c
 }
 
-// Addr is the server's address.
+// Addr returns the server's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Do sends a request and waits for the answer until the context's deadline.
-// An error that wraps ErrNotSent means that the other side saw nothing; any other error
-// means that the request may have been carried out, or may still be.
+// Do sends a request and waits for the answer until the context's deadline, or for
+// limits.CloudTimeout if it has none. An error that wraps ErrNotSent means that the other side saw
+// nothing; any other error means that the request may have been executed, or may still be.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Message, error) {
 	req := AppendRequest(nil, method, target, c.addr, body)
-	o, err := c.acquire(ctx)
+	conn, err := c.acquire(ctx)
 	if err != nil {
 		return nil, err
 	}
-	m, err := o.exchange(ctx, req)
+	m, err := conn.exchange(ctx, req)
 	if err != nil {
-		o.close()
+		conn.close()
 		return nil, fmt.Errorf("%s %s%s: %w", method, c.addr, target, err)
 	}
-	if m.Close || o.decoder.Buffered() > 0 {
-		o.close()
+	if m.Close || conn.decoder.Buffered() > 0 {
+		conn.close()
 		return m, nil
 	}
 	select {
-	case c.idle <- o:
+	case c.idle <- conn:
 	default:
-		o.close()
+		conn.close()
 	}
 	return m, nil
 }
 
-// acquire returns a kept connection that is still open, or a new one.
+// acquire returns an idle connection that is still open, or a new one.
 func (c *Client) acquire(ctx context.Context) (*clientConn, error) {
 	for {
 		select {
-		case o := <-c.idle:
-			if o.isOpen() {
-				return o, nil
+		case conn := <-c.idle:
+			if conn.isOpen() {
+				return conn, nil
 			}
-			o.close()
-			continue
+			conn.close()
 		default:
+			return c.connect(ctx)
 		}
-		break
 	}
+}
+
+// connect opens a connection.
+func (c *Client) connect(ctx context.Context) (*clientConn, error) {
 	if !c.sockets.acquireOutbound() {
 		return nil, fmt.Errorf("dial %s: %w", c.addr, ErrSocketBudget)
 	}
@@ -132,60 +144,66 @@
 		c.sockets.releaseOutbound()
 		return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
 	}
-	o := &clientConn{conn: conn, decoder: NewResponseDecoder(c.maxBody), buffer: make([]byte, limits.ReadBytes), sockets: c.sockets}
-	if o.raw, err = rawConn(conn); err != nil {
-		o.close()
+	outbound := &clientConn{
+		conn:    conn,
+		decoder: NewResponseDecoder(c.maxBody),
+		buffer:  make([]byte, limits.ReadBytes),
+		sockets: c.sockets,
+	}
+	if outbound.raw, err = rawConn(conn); err != nil {
+		outbound.close()
 		return nil, fmt.Errorf("dial %s: %w: %w", c.addr, ErrNotSent, err)
 	}
-	return o, nil
+	return outbound, nil
 }
 
-// isOpen looks whether the other side has closed a kept connection meanwhile, so that a request is
-// not lost on it. An idle connection has nothing to read; bytes on it are as bad as its end.
-func (o *clientConn) isOpen() bool {
-	if o.raw == nil {
+// isOpen reports whether an idle connection is still usable, so that a request is not lost on one
+// that the other side has closed. There must be nothing to read; stray bytes are as bad as its end.
+func (c *clientConn) isOpen() bool {
+	if c.raw == nil {
 		return true
 	}
 	open := false
-	err := o.raw.Read(func(fd uintptr) bool {
-		_, errno := readSocket(fd, o.buffer[:1])
+	err := c.raw.Read(func(fd uintptr) bool {
+		_, errno := readSocket(fd, c.buffer[:1])
 		open = errno == syscall.EAGAIN
 		return true
 	})
 	return err == nil && open
 }
 
-func (o *clientConn) exchange(ctx context.Context, req []byte) (*Message, error) {
+// exchange sends a request and reads the answer within the deadline of the context.
+func (c *clientConn) exchange(ctx context.Context, req []byte) (*Message, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(limits.CloudTimeout)
 	}
-	if err := o.conn.SetDeadline(deadline); err != nil { // also lifts what ended an earlier call
+	if err := c.conn.SetDeadline(deadline); err != nil { // also lifts what ended an earlier call
 		return nil, fmt.Errorf("set deadline: %w", err)
 	}
 	// A cancelled context ends the wait at once.
-	stop := context.AfterFunc(ctx, func() { _ = o.conn.SetDeadline(time.Now().Add(-time.Second)) })
+	stop := context.AfterFunc(ctx, func() { _ = c.conn.SetDeadline(time.Now().Add(-time.Second)) })
 	defer stop()
-	m, err := o.roundTrip(req)
+	m, err := c.roundTrip(req)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return o.answerAfterDeadline(err)
+		return c.answerAfterDeadline(err)
 	}
 	return m, err
 }
 
-// roundTrip sends a request and reads the answer.
-func (o *clientConn) roundTrip(req []byte) (*Message, error) {
-	if o.raw != nil {
-		return o.roundTripOnSocket(req)
+// roundTrip sends a request and reads the answer; deadlines are set already.
+func (c *clientConn) roundTrip(req []byte) (*Message, error) {
+	if c.raw != nil {
+		return c.roundTripOnSocket(req)
 	}
-	if _, err := o.conn.Write(req); err != nil {
+	if _, err := c.conn.Write(req); err != nil {
 		return nil, fmt.Errorf("write: %w", err)
 	}
 	for {
-		n, err := o.conn.Read(o.buffer)
-		m, derr := o.feed(n, err == io.EOF)
-		if m != nil || derr != nil {
-			return m, derr
+		n, err := c.conn.Read(c.buffer)
+		m, decodeErr := c.feed(n, errors.Is(err, io.EOF))
+		if m != nil || decodeErr != nil {
+			return m, decodeErr
 		}
 		if err != nil {
 			return nil, fmt.Errorf("read: %w", err)
@@ -196,15 +214,15 @@
 // roundTripOnSocket does the same with two system calls: the request is written after the poller has
 // been told that this goroutine will wait, and nothing is read before the poller says that there is
 // something.
-func (o *clientConn) roundTripOnSocket(req []byte) (m *Message, err error) {
+func (c *clientConn) roundTripOnSocket(req []byte) (m *Message, err error) {
 	sent := false
-	waitErr := o.raw.Read(func(fd uintptr) bool {
+	waitErr := c.raw.Read(func(fd uintptr) bool {
 		if !sent {
 			sent = true
-			err = o.sendOnSocket(fd, req)
+			err = c.sendOnSocket(fd, req)
 			return err != nil
 		}
-		m, err = o.receiveOnSocket(fd)
+		m, err = c.receiveOnSocket(fd)
 		return m != nil || err != nil
 	})
 	if err == nil && waitErr != nil {
@@ -213,7 +231,7 @@
 	return m, err
 }
 
-func (o *clientConn) sendOnSocket(fd uintptr, req []byte) error {
+func (c *clientConn) sendOnSocket(fd uintptr, req []byte) error {
 	n, errno := writeSocket(fd, req)
 	if errno != 0 && errno != syscall.EAGAIN {
 		return fmt.Errorf("write: %w", errno)
@@ -221,57 +239,58 @@
 	if n == len(req) {
 		return nil
 	}
-	_, err := writeAll(o.raw, req[n:]) // a full socket: wait until it takes the rest
+	_, err := writeAll(c.raw, req[n:]) // a full socket: wait until it takes the rest
 	return err
 }
 
-// receiveOnSocket takes what has arrived. It returns neither a message nor an error if more has to come.
-func (o *clientConn) receiveOnSocket(fd uintptr) (*Message, error) {
+// receiveOnSocket reads what has arrived. It returns neither a message nor an error if more bytes are
+// needed.
+func (c *clientConn) receiveOnSocket(fd uintptr) (*Message, error) {
 	for {
-		n, errno := readSocket(fd, o.buffer)
+		n, errno := readSocket(fd, c.buffer)
 		switch {
 		case errno == syscall.EAGAIN:
 			return nil, nil
 		case errno != 0:
 			return nil, fmt.Errorf("read: %w", errno)
 		}
-		m, err := o.feed(n, n == 0)
-		if m != nil || err != nil || n < len(o.buffer) {
+		m, err := c.feed(n, n == 0)
+		if m != nil || err != nil || n < len(c.buffer) {
 			return m, err
 		}
 	}
 }
 
 // feed hands the first n bytes of the buffer to the decoder, or the end of the stream.
-func (o *clientConn) feed(n int, end bool) (*Message, error) {
+func (c *clientConn) feed(n int, end bool) (*Message, error) {
 	if n > 0 {
-		o.decoder.Feed(o.buffer[:n])
-		if m, err := o.decoder.Next(); m != nil || err != nil {
+		c.decoder.Feed(c.buffer[:n])
+		if m, err := c.decoder.Next(); m != nil || err != nil {
 			return m, err
 		}
 	}
 	if !end {
 		return nil, nil
 	}
-	m, err := o.decoder.EOF()
+	m, err := c.decoder.EOF()
 	if err != nil {
 		return nil, fmt.Errorf("read: %w", io.ErrUnexpectedEOF)
 	}
 	return m, nil
 }
 
-// answerAfterDeadline looks, after a deadline, whether the answer has come all the same: a process that gets
-// less of its processor than it needs may be late to read it. To take that for silence of the other
-// side would make an overloaded leader give up its lease. late is the error where nothing has come.
-func (o *clientConn) answerAfterDeadline(late error) (m *Message, err error) {
-	if o.raw == nil {
-		return nil, late
+// answerAfterDeadline returns an answer that had arrived although the deadline passed before it was
+// read, as happens to a process that gets too little of its processor. If that counted as no answer,
+// an overloaded leader would give up its lease. It returns the timeout error if nothing has arrived.
+func (c *clientConn) answerAfterDeadline(timeout error) (m *Message, err error) {
+	if c.raw == nil {
+		return nil, timeout
 	}
-	if cerr := o.raw.Control(func(fd uintptr) { m, err = o.receiveOnSocket(fd) }); cerr != nil {
-		return nil, late
+	if controlErr := c.raw.Control(func(fd uintptr) { m, err = c.receiveOnSocket(fd) }); controlErr != nil {
+		return nil, timeout
 	}
 	if m == nil && err == nil {
-		return nil, late
+		return nil, timeout
 	}
 	if m != nil {
 		m.Close = true // whoever ended the wait may still set a deadline on this connection
@@ -279,12 +298,12 @@
 	return m, err
 }
 
-// Close drops the kept connections and returns how many there were. The client can be used again.
+// Close closes the idle connections and returns how many there were. The client can be used again.
 func (c *Client) Close() int {
 	for n := 0; ; n++ {
 		select {
-		case o := <-c.idle:
-			o.close()
+		case conn := <-c.idle:
+			conn.close()
 		default:
 			return n
 		}
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"os"
 	"testing"
 	"time"
@@ -13,31 +14,34 @@
 // TestAnswerBeforeDeadline: an answer that was there before the deadline is taken, although the
 // process came to read it only after that.
 func TestAnswerBeforeDeadline(t *testing.T) {
-	server := startServer(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, []byte("held"), 0) }})
-	c := NewClient(server.Addr, 1, limits.MaxBodyBytes)
+	server := startServer(t, ServerOptions{
+		MaxConns: 10,
+		Handle:   func(_ *Message, rsp *Responder) { rsp.Respond(http.StatusOK, []byte("held"), 0) },
+	})
+	c := NewClient(server.Addr(), 1, limits.MaxBodyBytes)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	o, err := c.acquire(ctx)
+	conn, err := c.acquire(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer o.close()
-	late := os.ErrDeadlineExceeded
-	if m, err := o.answerAfterDeadline(late); m != nil || !errors.Is(err, late) {
+	defer conn.close()
+	timeout := os.ErrDeadlineExceeded
+	if m, err := conn.answerAfterDeadline(timeout); m != nil || !errors.Is(err, timeout) {
 		t.Fatalf("nothing was asked: %v, %v", m, err)
 	}
-	if _, err := o.conn.Write(AppendRequest(nil, "GET", "/", server.Addr, nil)); err != nil {
+	if _, err := conn.conn.Write(AppendRequest(nil, "GET", "/", server.Addr(), nil)); err != nil {
 		t.Fatal(err)
 	}
 	for ctx.Err() == nil {
-		m, err := o.answerAfterDeadline(late)
+		m, err := conn.answerAfterDeadline(timeout)
 		if m != nil {
 			if string(m.Body) != "held" || !m.Close {
 				t.Errorf("answer %q, connection ends: %v", m.Body, m.Close)
 			}
 			return
 		}
-		if !errors.Is(err, late) {
+		if !errors.Is(err, timeout) {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Millisecond)
@@ -48,8 +52,11 @@
 // TestLargeRequest: a request that the socket does not take at once is sent whole, and the
 // connection can be used again.
 func TestLargeRequest(t *testing.T) {
-	server := startServer(t, &Server{MaxConns: 10, Handle: func(req *Message, r *Responder) { r.Respond(200, req.Body, 0) }})
-	c := NewClient(server.Addr, 1, limits.MaxBodyBytes)
+	server := startServer(t, ServerOptions{
+		MaxConns: 10,
+		Handle:   func(req *Message, rsp *Responder) { rsp.Respond(http.StatusOK, req.Body, 0) },
+	})
+	c := NewClient(server.Addr(), 1, limits.MaxBodyBytes)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
--- a/internal/transport/http_test.go
+++ b/internal/transport/decoder_test.go
@@ -2,13 +2,9 @@
 
 import (
 	"bytes"
-	"context"
 	"errors"
-	"log/slog"
-	"net"
-	"runtime"
+	"strings"
 	"testing"
-	"time"
 
 	"pgregory.net/rapid"
 
@@ -108,7 +104,8 @@
 				}
 				stream = append(stream, chunkedMessage(t, head, body)...)
 			case response:
-				stream = AppendResponse(stream, rapid.SampledFrom([]int{200, 404, 503}).Draw(t, "status"), body, rapid.IntRange(0, 30).Draw(t, "after"), false)
+				status := rapid.SampledFrom([]int{200, 404, 503}).Draw(t, "status")
+				stream = AppendResponse(stream, status, body, rapid.IntRange(0, 30).Draw(t, "after"), false)
 			default:
 				stream = AppendRequest(stream, "POST", "/v2/runs/job-1/cancel?x=1", "h:1", body)
 			}
@@ -117,10 +114,10 @@
 			i := rapid.IntRange(0, len(stream)-1).Draw(t, "where")
 			stream[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		}
-		whole, werr := parseAll(response, [][]byte{append([]byte(nil), stream...)})
-		parts, perr := parseAll(response, splitRandomly(t, stream))
-		if (werr == nil) != (perr == nil) || !sameMessages(whole, parts) {
-			t.Fatalf("whole: %v %v\nparts: %v %v", whole, werr, parts, perr)
+		whole, wholeErr := parseAll(response, [][]byte{append([]byte(nil), stream...)})
+		parts, partsErr := parseAll(response, splitRandomly(t, stream))
+		if (wholeErr == nil) != (partsErr == nil) || !sameMessages(whole, parts) {
+			t.Fatalf("whole: %v %v\nparts: %v %v", whole, wholeErr, parts, partsErr)
 		}
 	})
 }
@@ -130,28 +127,34 @@
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
 		target := "/kv/" + rapid.StringMatching(`[a-z0-9/._-]{1,40}`).Draw(t, "key")
 		got, err := parseAll(false, [][]byte{AppendRequest(nil, "POST", target, "h", body)})
-		if err != nil || len(got) != 1 || got[0].Method != "POST" || got[0].Path != target || !bytes.Equal(got[0].Body, body) {
+		request := Message{Method: "POST", Path: target, Body: body}
+		if err != nil || !sameMessages(got, []Message{request}) {
 			t.Fatalf("request: %v %v", got, err)
 		}
 		got, err = parseAll(true, [][]byte{AppendResponse(nil, 503, body, 7, true)})
-		if err != nil || len(got) != 1 || got[0].Status != 503 || got[0].RetryAfter != 7 || !got[0].Close || !bytes.Equal(got[0].Body, body) {
+		response := Message{Status: 503, RetryAfter: 7, Close: true, Body: body}
+		if err != nil || !sameMessages(got, []Message{response}) {
 			t.Fatalf("response: %v %v", got, err)
 		}
 	})
 }
 
-// TestMalformedMessages: what could be read in two ways, or has no end, costs the connection.
+// TestMalformedMessages: what could be read in two ways, or has no end, is an error.
 func TestMalformedMessages(t *testing.T) {
-	long := bytes.Repeat([]byte("x"), limits.MaxHeadBytes+10)
-	for name, c := range map[string]struct {
-		in   string
-		want error
+	const (
+		postHead    = "POST / HTTP/1.1\r\n"
+		chunkedHead = postHead + "Transfer-Encoding: chunked\r\n\r\n"
+	)
+	long := strings.Repeat("x", limits.MaxHeadBytes+10)
+	tests := map[string]struct {
+		input string
+		want  error
 	}{
-		"conflicting lengths":  {"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", ErrMalformed},
-		"length and chunked":   {"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
-		"list of lengths":      {"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\na", ErrMalformed},
-		"signed length":        {"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\na", ErrMalformed},
-		"other coding":         {"POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
+		"conflicting lengths":  {postHead + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", ErrMalformed},
+		"length and chunked":   {postHead + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
+		"list of lengths":      {postHead + "Content-Length: 1, 1\r\n\r\na", ErrMalformed},
+		"signed length":        {postHead + "Content-Length: +1\r\n\r\na", ErrMalformed},
+		"other coding":         {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
 		"chunked in 1.0":       {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
 		"space before colon":   {"GET / HTTP/1.1\r\nContent-Length : 1\r\n\r\n", ErrMalformed},
 		"folded header":        {"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", ErrMalformed},
@@ -160,97 +163,43 @@
 		"version":              {"GET / HTTP/2.0\r\n\r\n", ErrMalformed},
 		"absolute target":      {"GET http://a/ HTTP/1.1\r\n\r\n", ErrMalformed},
 		"no target":            {"GET HTTP/1.1\r\n\r\n", ErrMalformed},
-		"chunk size":           {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", ErrMalformed},
-		"chunk end":            {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc", ErrMalformed},
-		"huge chunk":           {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n", ErrTooLarge},
+		"chunk size":           {chunkedHead + "xyz\r\n", ErrMalformed},
+		"chunk end":            {chunkedHead + "1\r\nabc", ErrMalformed},
+		"huge chunk":           {chunkedHead + "fffffff\r\n", ErrTooLarge},
 		"body over the limit":  {"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", ErrTooLarge},
-		"head without end":     {"GET /" + string(long), ErrTooLarge},
-		"too many headers":     {"GET / HTTP/1.1\r\n" + string(bytes.Repeat([]byte("A: b\r\n"), limits.MaxHeaders+1)) + "\r\n", ErrTooLarge},
-		"trailer without end":  {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n" + string(long), ErrTooLarge},
-		"endless size line":    {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + string(bytes.Repeat([]byte("0"), limits.MaxChunkLine+1)), ErrMalformed},
-		"length beyond digits": {"POST / HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n", ErrMalformed},
-	} {
-		if _, err := parseAll(false, [][]byte{[]byte(c.in)}); !errors.Is(err, c.want) {
-			t.Errorf("%s: got %v, want %v", name, err, c.want)
-		}
+		"head without end":     {"GET /" + long, ErrTooLarge},
+		"too many headers":     {postHead + strings.Repeat("A: b\r\n", limits.MaxHeaders+1) + "\r\n", ErrTooLarge},
+		"trailer without end":  {chunkedHead + "0\r\n" + long, ErrTooLarge},
+		"endless size line":    {chunkedHead + strings.Repeat("0", limits.MaxChunkLine+1), ErrMalformed},
+		"length beyond digits": {postHead + "Content-Length: 99999999999\r\n\r\n", ErrMalformed},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			if _, err := parseAll(false, [][]byte{[]byte(test.input)}); !errors.Is(err, test.want) {
+				t.Errorf("got %v, want %v", err, test.want)
+			}
+		})
 	}
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"), uint8(3))
+	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"+
+		"3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"), uint8(3))
 	f.Add([]byte("\r\nGET / HTTP/1.1\r\n\r\n\r\n"), uint8(0))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"), uint8(1))
 	f.Fuzz(func(t *testing.T, b []byte, step uint8) {
 		for _, response := range []bool{false, true} {
-			whole, werr := parseAll(response, [][]byte{append([]byte(nil), b...)})
+			whole, wholeErr := parseAll(response, [][]byte{append([]byte(nil), b...)})
 			var pieces [][]byte
 			for rest := b; len(rest) > 0; {
 				n := min(int(step%16)+1, len(rest))
 				pieces = append(pieces, append([]byte(nil), rest[:n]...))
 				rest = rest[n:]
 			}
-			parts, perr := parseAll(response, pieces)
-			if (werr == nil) != (perr == nil) || !sameMessages(whole, parts) {
-				t.Fatalf("whole %v %v, parts %v %v", whole, werr, parts, perr)
+			parts, partsErr := parseAll(response, pieces)
+			if (wholeErr == nil) != (partsErr == nil) || !sameMessages(whole, parts) {
+				t.Fatalf("whole %v %v, parts %v %v", whole, wholeErr, parts, partsErr)
 			}
 		}
 	})
 }
-
-// TestConnectionMemory: a connection that has had its answer holds little, so that all workers can
-// be connected within a controller's memory.
-func TestConnectionMemory(t *testing.T) {
-	const conns = 200
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := ln.Addr().String()
-	ln.Close()
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	s := &Server{Addr: addr, MaxConns: conns + 1, Log: slog.New(slog.DiscardHandler),
-		Handle: func(_ *Message, rsp *Responder) { rsp.Respond(200, make([]byte, 2000), 0) }}
-	go s.Run(ctx)
-	req := AppendRequest(nil, "POST", "/v1/report", addr, make([]byte, 20_000))
-	heap := func() uint64 {
-		var m runtime.MemStats
-		runtime.GC()
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
-	}
-	answer := make([]byte, 8192)
-	open := func() net.Conn {
-		for {
-			c, err := net.Dial("tcp", addr)
-			if err != nil {
-				time.Sleep(time.Millisecond) // the server has not begun
-				continue
-			}
-			if _, err := c.Write(req); err != nil {
-				t.Fatal(err)
-			}
-			d := NewResponseDecoder(limits.MaxBodyBytes)
-			for {
-				n, err := c.Read(answer)
-				if err != nil {
-					t.Fatal(err)
-				}
-				d.Feed(answer[:n])
-				if m, err := d.Next(); err != nil {
-					t.Fatal(err)
-				} else if m != nil {
-					return c
-				}
-			}
-		}
-	}
-	defer open().Close()
-	before := heap()
-	for range conns {
-		defer open().Close()
-	}
-	if after := heap(); after > before+conns*limits.ConnBytes {
-		t.Errorf("%d bytes of heap for each connection", (after-before)/conns)
-	}
-}
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/limits"
 )
 
-// eventHandler is what a server does on gnet's events. OnTick has a goroutine of its own, so each takes
-// the server's turn.
+// eventHandler handles gnet's events for a server. OnTick has a goroutine of its own, so each event
+// takes the server's mutex.
 type eventHandler struct {
 	gnet.BuiltinEventEngine
 	server *Server
@@ -25,28 +25,28 @@
 	return gnet.None
 }
 
-// OnOpen takes a connection, or closes it if there are too many.
-func (e *eventHandler) OnOpen(ec gnet.Conn) ([]byte, gnet.Action) {
+// OnOpen accepts a connection, or closes it if there are too many.
+func (e *eventHandler) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
 	s := e.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= s.MaxConns || !s.Sockets.acquireInbound() {
+	if len(s.conns) >= s.options.MaxConns || !s.options.Sockets.acquireInbound() {
 		return nil, gnet.Close
 	}
 	c := &serverConn{decoder: NewRequestDecoder(limits.MaxBodyBytes), lastActive: time.Now()}
-	ec.SetContext(c)
-	s.conns[ec] = c
+	conn.SetContext(c)
+	s.conns[conn] = c
 	return nil, gnet.None
 }
 
 // OnClose forgets a connection.
-func (e *eventHandler) OnClose(ec gnet.Conn, _ error) gnet.Action {
+func (e *eventHandler) OnClose(conn gnet.Conn, _ error) gnet.Action {
 	s := e.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c := s.conns[ec]; c != nil {
-		delete(s.conns, ec)
-		s.Sockets.releaseInbound()
+	if c := s.conns[conn]; c != nil {
+		delete(s.conns, conn)
+		s.options.Sockets.releaseInbound()
 		if c.fromMachine {
 			s.machineConns--
 		}
@@ -54,32 +54,32 @@
 	return gnet.None
 }
 
-// OnTraffic takes what has arrived on a connection, or writes an answer for which the loop was woken.
-func (e *eventHandler) OnTraffic(ec gnet.Conn) gnet.Action {
+// OnTraffic handles bytes that have arrived, or writes an answer for which the loop was woken.
+func (e *eventHandler) OnTraffic(conn gnet.Conn) gnet.Action {
 	e.server.mu.Lock()
 	defer e.server.mu.Unlock()
-	c, ok := ec.Context().(*serverConn)
+	c, ok := conn.Context().(*serverConn)
 	if !ok || c.closing {
 		return gnet.Close
 	}
-	in, err := ec.Next(-1)
+	in, err := conn.Next(-1)
 	if err != nil {
 		return gnet.Close
 	}
-	if len(in) > 0 && ec.OutboundBuffered() > 0 {
-		return gnet.Close // it asks on and does not read its answers, which must not pile up here
+	if len(in) > 0 && conn.OutboundBuffered() > 0 {
+		return gnet.Close // it keeps asking without reading its answers, which must not pile up here
 	}
-	out, action := e.server.handleBytes(ec, c, in)
+	out, action := e.server.handleBytes(conn, c, in)
 	if len(out) == 0 {
 		return action
 	}
-	if _, err := ec.Write(out); err != nil { // what the socket does not take at once is written later
+	if _, err := conn.Write(out); err != nil { // gnet writes later what the socket does not take at once
 		return gnet.Close
 	}
 	return action
 }
 
-// OnTick sweeps.
+// OnTick closes idle connections.
 func (e *eventHandler) OnTick() (time.Duration, gnet.Action) {
 	e.server.mu.Lock()
 	defer e.server.mu.Unlock()
@@ -87,7 +87,7 @@
 	return limits.ConnSweepInterval, gnet.None
 }
 
-// gnetLogger hands gnet's log lines on.
+// gnetLogger writes gnet's log lines to the server's log.
 type gnetLogger struct{ logger *slog.Logger }
 
 func (l gnetLogger) Debugf(format string, args ...any) { l.logger.Debug(fmt.Sprintf(format, args...)) }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -13,30 +14,41 @@
 	"quillshunt/internal/limits"
 )
 
-// Handler takes a request on the server's loop. It must not block; the answer may
-// come later from any goroutine.
+// Handler handles a request on the server's loop. It must not block; the answer may come later from
+// any goroutine.
 type Handler func(req *Message, rsp *Responder)
 
+// ServerOptions configure a Server.
+type ServerOptions struct {
+	Addr        string        // to listen on
+	MaxConns    int           // connections at once
+	MaxMachines int           // of these, connections of machines; 0: all
+	MachineIdle time.Duration // closes a silent machine's connection, if less than ConnIdleTimeout; 0: no limit of its own
+	Sockets     *SocketBudget // which connections count against; nil: none
+	Handle      Handler
+	Log         *slog.Logger
+}
+
 // Server serves HTTP on one address by an event loop of gnet.
 //
 // gnet ends its loop when accept fails, so Run starts it again, and the number of connections is
-// kept below the socket limit, so that accept does not fail for want of sockets. It handles a
-// request on a connection only after the answer before is written, which bounds what a slow reader
+// kept below the socket limit, so that accept does not fail for want of sockets. A request on a
+// connection is handled only after the answer before is written, which bounds what a slow reader
 // can hold to one answer.
 type Server struct {
-	Addr        string
-	MaxConns    int
-	MaxMachines int           // of these, connections of machines; 0: all
-	MachineIdle time.Duration // closes a machine's connection that has been silent this long, if less than IdleConn
-	Sockets     *SocketBudget // or nil
-	Handle      Handler
-	Log         *slog.Logger
+	options ServerOptions
 
 	mu           sync.Mutex                // held by whoever serves a connection; guards what follows
 	conns        map[gnet.Conn]*serverConn // of the loop
 	machineConns int                       // how many connections are of machines
 }
 
+// NewServer returns a server that does not listen yet.
+func NewServer(options ServerOptions) *Server { return &Server{options: options} }
+
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() string { return s.options.Addr }
+
 // ServeConn serves one connection until it ends, without the event loop: for networks in memory.
 // The handler is called by one goroutine at a time, as on the loop.
 func (s *Server) ServeConn(conn net.Conn) {
@@ -53,7 +65,7 @@
 	for {
 		req, err := c.decoder.Next()
 		if err != nil {
-			_, _ = conn.Write(AppendResponse(nil, 400, nil, 0, true))
+			_, _ = conn.Write(AppendResponse(nil, http.StatusBadRequest, nil, 0, true))
 			return
 		}
 		if req == nil {
@@ -64,24 +76,32 @@
 			c.decoder.Feed(buf[:n])
 			continue
 		}
-		answered := make(chan struct{})
-		r := &Responder{conn: c, wake: func() { close(answered) }, server: s}
-		s.mu.Lock()
-		c.closeAfter = req.Close
-		s.Handle(req, r)
-		s.mu.Unlock()
-		<-answered
-		c.mu.Lock()
-		out, end := c.answer, c.closeAfter
-		c.answer, c.answerReady = nil, false
-		c.mu.Unlock()
-		if _, err := conn.Write(out); err != nil || end {
+		answer, closing := s.handleAndWait(c, req)
+		if _, err := conn.Write(answer); err != nil || closing {
 			return
 		}
 	}
 }
 
-// Run serves until the context ends.
+// handleAndWait hands a request to the handler and waits for the answer. It reports whether the
+// connection ends with it.
+func (s *Server) handleAndWait(c *serverConn, req *Message) (answer []byte, closing bool) {
+	answered := make(chan struct{})
+	r := &Responder{conn: c, wake: func() { close(answered) }, server: s}
+	s.mu.Lock()
+	c.closeAfter = req.Close
+	s.options.Handle(req, r)
+	s.mu.Unlock()
+	<-answered
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	answer, closing = c.answer, c.closeAfter
+	c.answer, c.answerReady = nil, false
+	return answer, closing
+}
+
+// Run serves until the context ends, and then returns nil. It returns an error if the address can't
+// be listened on, again and again.
 func (s *Server) Run(ctx context.Context) error {
 	failures := 0
 	for {
@@ -96,9 +116,9 @@
 			failures = 0
 		}
 		if failures > limits.LoopFailures {
-			return fmt.Errorf("listen on %s: %w", s.Addr, err)
+			return fmt.Errorf("listen on %s: %w", s.options.Addr, err)
 		}
-		s.Log.Warn("server loop ended, starting again", "addr", s.Addr, "err", err)
+		s.options.Log.Warn("server loop ended, starting again", "addr", s.options.Addr, "err", err)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -107,6 +127,7 @@
 	}
 }
 
+// runLoop runs gnet's loop once.
 func (s *Server) runLoop(ctx context.Context) error {
 	if err := s.checkAddressFree(ctx); err != nil {
 		return err
@@ -114,8 +135,9 @@
 	s.resetConns()
 	// With a listener of its own the loop accepts connections itself; else that is a second loop,
 	// which wakes the first for each.
-	return gnet.Run(&eventHandler{server: s, ctx: ctx}, "tcp://"+s.Addr, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
-		gnet.WithTicker(true), gnet.WithReadBufferCap(limits.ReadBytes), gnet.WithLogger(gnetLogger{s.Log}))
+	return gnet.Run(&eventHandler{server: s, ctx: ctx}, "tcp://"+s.options.Addr,
+		gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true), gnet.WithTicker(true),
+		gnet.WithReadBufferCap(limits.ReadBytes), gnet.WithLogger(gnetLogger{s.options.Log}))
 }
 
 // resetConns forgets the connections of a loop that ended.
@@ -123,42 +145,43 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range s.conns {
-		s.Sockets.releaseInbound()
+		s.options.Sockets.releaseInbound()
 	}
 	s.conns, s.machineConns = make(map[gnet.Conn]*serverConn), 0
 }
 
-// checkAddressFree fails if another process listens on the address: a listener of the loop's kind would share it.
+// checkAddressFree fails if another process listens on the address: a listener of the loop's kind
+// would share it.
 func (s *Server) checkAddressFree(ctx context.Context) error {
 	var config net.ListenConfig
-	listener, err := config.Listen(ctx, "tcp", s.Addr)
+	listener, err := config.Listen(ctx, "tcp", s.options.Addr)
 	if err != nil {
 		return err
 	}
 	return listener.Close()
 }
 
-// closeIdle closes connections that are idle or whose request does not end. The caller has the turn.
+// closeIdle closes connections that are idle or whose request does not end. The caller holds mu.
 func (s *Server) closeIdle() {
 	now := time.Now()
-	for ec, c := range s.conns {
+	for conn, c := range s.conns {
 		limit := limits.ConnIdleTimeout
-		if c.fromMachine && s.MachineIdle > 0 {
-			limit = min(limit, s.MachineIdle)
+		if c.fromMachine && s.options.MachineIdle > 0 {
+			limit = min(limit, s.options.MachineIdle)
 		}
 		if c.draining || (!c.handling && c.decoder.Started()) {
 			limit = limits.RequestReadTimeout
 		}
 		if now.Sub(c.lastActive) > limit {
 			c.closing = true
-			_ = ec.Wake(nil)
+			_ = conn.Wake(nil)
 		}
 	}
 }
 
-// handleBytes handles, on the loop and with the turn, new bytes (in is nil on a wake): first an answer
-// that is ready, then the next request.
-func (s *Server) handleBytes(ec gnet.Conn, c *serverConn, in []byte) ([]byte, gnet.Action) {
+// handleBytes handles new bytes of a connection (in is nil when the loop was woken): first an answer
+// that is ready, then the next request. It runs on the loop; the caller holds mu.
+func (s *Server) handleBytes(conn gnet.Conn, c *serverConn, in []byte) ([]byte, gnet.Action) {
 	if c.draining {
 		return nil, gnet.None
 	}
@@ -179,19 +202,19 @@
 		if req == nil {
 			return nil, gnet.None
 		}
-		s.handle(ec, c, req)
+		s.handle(conn, c, req)
 	}
 	return c.takeAnswer()
 }
 
-// handle hands a request to the handler.
-func (s *Server) handle(ec gnet.Conn, c *serverConn, req *Message) {
+// handle calls the handler with a request. Its answer may be ready already when it returns.
+func (s *Server) handle(conn gnet.Conn, c *serverConn, req *Message) {
 	c.handling = true
-	r := &Responder{conn: c, wake: func() { _ = ec.Wake(nil) }, server: s, inline: true}
+	r := &Responder{conn: c, wake: func() { _ = conn.Wake(nil) }, server: s, inline: true}
 	c.mu.Lock()
 	c.closeAfter = req.Close
 	c.mu.Unlock()
-	s.Handle(req, r)
+	s.options.Handle(req, r)
 	c.mu.Lock()
 	r.inline = false
 	c.mu.Unlock()
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -4,7 +4,9 @@
 	"errors"
 	"io"
 	"net"
+	"net/http"
 	"os"
+	"runtime"
 	"syscall"
 	"testing"
 	"time"
@@ -17,11 +19,11 @@
 func TestUnreadAnswers(t *testing.T) {
 	const enough = 2000 // answers that no socket holds
 	handled := make(chan struct{}, 1)
-	server := startServer(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) {
+	server := startServer(t, ServerOptions{MaxConns: 10, Handle: func(_ *Message, r *Responder) {
 		r.Respond(200, make([]byte, limits.MaxBodyBytes), 0)
 		handled <- struct{}{}
 	}})
-	conn, err := net.Dial("tcp", server.Addr)
+	conn, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +31,7 @@
 	if err := conn.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	req := AppendRequest(nil, "GET", "/", server.Addr, nil)
+	req := AppendRequest(nil, "GET", "/", server.Addr(), nil)
 	for range enough {
 		if _, err := conn.Write(req); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -47,8 +49,8 @@
 
 // TestAddressInUse: a second server on an address fails instead of sharing it.
 func TestAddressInUse(t *testing.T) {
-	server := startServer(t, &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, nil, 0) }})
-	second := &Server{Addr: server.Addr, Log: server.Log}
+	server := startServer(t, ServerOptions{MaxConns: 10, Handle: respondOK})
+	second := NewServer(ServerOptions{Addr: server.Addr(), Log: server.options.Log})
 	if err := second.checkAddressFree(t.Context()); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Errorf("second server: %v", err)
 	}
@@ -56,9 +58,8 @@
 
 // TestServerStops: a server whose context ends closes its connections, and its address is free again.
 func TestServerStops(t *testing.T) {
-	server := &Server{MaxConns: 10, Handle: func(_ *Message, r *Responder) { r.Respond(200, nil, 0) }}
-	stop := startStoppableServer(t, server)
-	conn, err := net.Dial("tcp", server.Addr)
+	server, stop := startStoppableServer(t, ServerOptions{MaxConns: 10, Handle: respondOK})
+	conn, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,3 +77,68 @@
 		t.Errorf("address: %v", err)
 	}
 }
+
+// respondOK answers every request with 200.
+func respondOK(_ *Message, rsp *Responder) { rsp.Respond(http.StatusOK, nil, 0) }
+
+// TestConnectionMemory: a connection that has had its answer holds little memory, so that all workers
+// can be connected within a controller's limit.
+func TestConnectionMemory(t *testing.T) {
+	const conns = 200
+	server := startServer(t, ServerOptions{
+		MaxConns: conns + 1,
+		Handle:   func(_ *Message, rsp *Responder) { rsp.Respond(http.StatusOK, make([]byte, 2000), 0) },
+	})
+	req := AppendRequest(nil, "POST", "/v1/report", server.Addr(), make([]byte, 20_000))
+	buffer := make([]byte, 8192)
+	defer openAnswered(t, server.Addr(), req, buffer).Close()
+	before := heapBytes()
+	for range conns {
+		defer openAnswered(t, server.Addr(), req, buffer).Close()
+	}
+	if after := heapBytes(); after > before+conns*limits.ConnBytes {
+		t.Errorf("%d bytes of heap for each connection", (after-before)/conns)
+	}
+}
+
+// heapBytes returns the size of the live heap.
+func heapBytes() uint64 {
+	var m runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&m)
+	return m.HeapAlloc
+}
+
+// openAnswered opens a connection, sends a request on it and reads the answer through the buffer.
+func openAnswered(t *testing.T, addr string, req, buffer []byte) net.Conn {
+	t.Helper()
+	conn := dialUntilAccepted(addr)
+	if _, err := conn.Write(req); err != nil {
+		t.Fatal(err)
+	}
+	decoder := NewResponseDecoder(limits.MaxBodyBytes)
+	for {
+		n, err := conn.Read(buffer)
+		if err != nil {
+			t.Fatal(err)
+		}
+		decoder.Feed(buffer[:n])
+		m, err := decoder.Next()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if m != nil {
+			return conn
+		}
+	}
+}
+
+// dialUntilAccepted dials until the server accepts, as its loop may not have begun.
+func dialUntilAccepted(addr string) net.Conn {
+	for {
+		if conn, err := net.Dial("tcp", addr); err == nil {
+			return conn
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"log/slog"
 	"net"
+	"net/http"
 	"testing"
 	"time"
 
@@ -12,29 +13,30 @@
 )
 
 // startServer runs a server on a free address for as long as the test lasts.
-func startServer(t *testing.T, s *Server) *Server {
+func startServer(t *testing.T, options ServerOptions) *Server {
 	t.Helper()
-	startStoppableServer(t, s)
-	return s
+	server, _ := startStoppableServer(t, options)
+	return server
 }
 
 // startStoppableServer does the same until stop is called, which returns what Run returned.
-func startStoppableServer(t *testing.T, s *Server) (stop func() error) {
+func startStoppableServer(t *testing.T, options ServerOptions) (server *Server, stop func() error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Addr, s.Log = ln.Addr().String(), slog.New(slog.DiscardHandler)
+	options.Addr, options.Log = ln.Addr().String(), slog.New(slog.DiscardHandler)
 	ln.Close()
+	server = NewServer(options)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	ended := make(chan error, 1)
-	go func() { ended <- s.Run(ctx) }()
+	go func() { ended <- server.Run(ctx) }()
 	for {
-		if c, err := net.Dial("tcp", s.Addr); err == nil {
+		if c, err := net.Dial("tcp", server.Addr()); err == nil {
 			c.Close()
-			return func() error {
+			return server, func() error {
 				cancel()
 				return <-ended
 			}
@@ -43,6 +45,7 @@
 	}
 }
 
+// getStatus asks for a path on a connection of its own and returns the status, or 0 without an answer.
 func getStatus(addr, path string) (int, *Client) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -54,42 +57,36 @@
 	return m.Status, c
 }
 
-// TestSocketBudgetExhausted drives a server past its bounds: machines take no more than their share, users
-// still get through, kept connections to workers give way to what comes in, and nothing ends.
+// TestSocketBudgetExhausted drives a server past its socket budget: machines take no more than their
+// share, users still get through, idle connections to workers make room for inbound ones, and nothing
+// ends.
 func TestSocketBudgetExhausted(t *testing.T) {
-	const room, headroom, most, fleet = 60, 5, 50, 30
-	sockets := NewSocketBudget(room, headroom)
-	front := startServer(t, &Server{MaxConns: most, MaxMachines: fleet, Sockets: sockets, Handle: func(req *Message, rsp *Responder) {
-		if req.Path == "/v1/report" && !rsp.ClaimMachineSlot() {
-			rsp.Respond(503, nil, 0)
-			return
-		}
-		rsp.Respond(200, nil, 0)
-	}})
-	worker := startServer(t, &Server{MaxConns: 2 * room, Handle: func(_ *Message, rsp *Responder) { rsp.Respond(200, nil, 0) }})
-
-	// Direct connections take what is free, but for the headroom, and then fail before anything is sent.
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	defer cancel()
-	var direct []*Client
-	for {
-		c := NewClient(worker.Addr, 1, limits.MaxBodyBytes).WithSockets(sockets)
-		if _, err := c.Do(ctx, "GET", "/status", nil); err != nil {
-			if !errors.Is(err, ErrSocketBudget) || !errors.Is(err, ErrNotSent) {
-				t.Fatalf("past the sockets: %v", err)
+	const total, headroom, maxConns, maxMachines = 60, 5, 50, 30
+	sockets := NewSocketBudget(total, headroom)
+	front := startServer(t, ServerOptions{
+		MaxConns: maxConns, MaxMachines: maxMachines, Sockets: sockets,
+		Handle: func(req *Message, rsp *Responder) {
+			if req.Path == "/v1/report" && !rsp.ClaimMachineSlot() {
+				rsp.Respond(http.StatusServiceUnavailable, nil, 0)
+				return
 			}
-			break
-		}
-		direct = append(direct, c)
-	}
-	if n := len(direct); n < room-headroom-1 || n > room-headroom {
-		t.Fatalf("%d direct connections, of a room of %d with %d kept free", n, room, headroom)
+			rsp.Respond(http.StatusOK, nil, 0)
+		},
+	})
+	worker := startServer(t, ServerOptions{MaxConns: 2 * total, Handle: respondOK})
+
+	// Connections to workers take what is free, but for the headroom, and then fail before anything
+	// is sent.
+	direct := connectUntilExhausted(t, worker.Addr(), sockets)
+	if n := len(direct); n < total-headroom-1 || n > total-headroom {
+		t.Fatalf("%d connections to workers, of %d sockets with %d kept free", n, total, headroom)
 	}
 
-	// What comes in and finds no room is closed and comes again, while kept connections are given up.
-	come := func(path string) (int, *Client) {
+	// An inbound connection that finds no room is closed and comes again, while idle connections to
+	// workers are closed.
+	connect := func(path string) (int, *Client) {
 		for {
-			if status, c := getStatus(front.Addr, path); status != 0 {
+			if status, c := getStatus(front.Addr(), path); status != 0 {
 				return status, c
 			}
 			n := sockets.Excess()
@@ -104,28 +101,46 @@
 	}
 	var kept []*Client
 	served := 0
-	for range 2 * fleet {
-		if status, c := come("/v1/report"); status == 200 {
+	for range 2 * maxMachines {
+		if status, c := connect("/v1/report"); status == http.StatusOK {
 			served++
 			kept = append(kept, c)
 		}
 	}
-	if served != fleet {
-		t.Errorf("%d machines served, of %d", served, fleet)
+	if served != maxMachines {
+		t.Errorf("%d machines served, want %d", served, maxMachines)
 	}
-	for range most - fleet - 1 {
-		status, c := come("/v2/runs/job-1")
-		if status != 200 {
+	for range maxConns - maxMachines - 1 {
+		status, c := connect("/v2/runs/job-1")
+		if status != http.StatusOK {
 			t.Fatalf("a user got %d", status)
 		}
 		kept = append(kept, c)
 	}
-	// What machines give back other machines may take.
+	// Other machines may use what machines give back.
 	kept[0].Close()
-	for status := 0; status != 200; {
-		status, _ = getStatus(front.Addr, "/v1/report")
+	for status := 0; status != http.StatusOK; {
+		status, _ = getStatus(front.Addr(), "/v1/report")
 	}
 	for _, c := range append(kept, direct...) {
 		c.Close()
 	}
 }
+
+// connectUntilExhausted opens connections to a worker until the budget refuses one.
+func connectUntilExhausted(t *testing.T, addr string, sockets *SocketBudget) []*Client {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	var clients []*Client
+	for {
+		c := NewClient(addr, 1, limits.MaxBodyBytes).WithSockets(sockets)
+		if _, err := c.Do(ctx, "GET", "/status", nil); err != nil {
+			if !errors.Is(err, ErrSocketBudget) || !errors.Is(err, ErrNotSent) {
+				t.Fatalf("past the budget: %v", err)
+			}
+			return clients
+		}
+		clients = append(clients, c)
+	}
+}
