--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(cancel)
 	go s.Run(ctx)
 	for {
-		conn, err := net.Dial("tcp", s.Addr)
+		conn, err := net.Dial("tcp", s.Addr())
 		if err == nil {
 			conn.Close()
 			return
@@ -296,7 +296,7 @@
 	g := &Gateway{userSlots: make(chan struct{})}
 	srv := transport.NewServer(transport.ServerOptions{Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler)})
 	serve(t, srv)
-	f := &gatewayFixture{t: t, client: transport.NewClient(srv.Addr, 1, limits.MaxBodyBytes)}
+	f := &gatewayFixture{t: t, client: transport.NewClient(srv.Addr(), 1, limits.MaxBodyBytes)}
 	if status, _, m := f.do("POST", "/v2/runs", submission("job-1", nil)); status != 503 || m.RetryAfter == 0 {
 		t.Fatalf("%d, retry after %d", status, m.RetryAfter)
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -112,19 +112,19 @@
 
 // listen serves direct commands.
 func (w *worker) listen(ctx context.Context) (string, error) {
-	server := transport.NewServer(transport.ServerOptions{MaxConns: 20, Handle: w.handle, Log: w.cloud.Log})
+	options := transport.ServerOptions{MaxConns: 20, Handle: w.handle, Log: w.cloud.Log}
 	if w.cloud.Net != nil {
 		addr := w.rig.Name + ":9000"
-		go Serve(w.cloud.Net.Listen(addr), server)
+		go Serve(w.cloud.Net.Listen(addr), transport.NewServer(options))
 		return addr, nil
 	}
 	addr, err := freeAddress()
 	if err != nil {
 		return "", err
 	}
-	server.Addr = addr
+	options.Addr = addr
 	go func() {
-		if err := server.Run(ctx); err != nil {
+		if err := transport.NewServer(options).Run(ctx); err != nil {
 			w.cloud.Log.Error("worker", "machine", w.rig.Name, "err", err)
 		}
 	}()
