--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -142,9 +142,9 @@
 		if s.now > m.lastHeartbeatAt+s.staleAfter() {
 			continue // silent, not idle: when a cut leader hears its machines again, they are still good
 		}
-		idle := time.Duration(s.cfg.Options.Fleet.IdleReturn)
+		idle := time.Duration(s.cfg.Options.Fleet.IdleTimeout)
 		if m.draining {
-			idle = limits.DrainedReturnAfter
+			idle = limits.DrainedIdleTimeout
 		}
 		if s.now > m.idleSince+idle && s.now > m.createdAt+limits.MinChargedTime {
 			s.returnMachine(m, "idle")
@@ -239,9 +239,9 @@
 
 // maxPlannedWait is how long a job's tasks are planned to wait for room: a share of what it can wait.
 func (s *Scheduler) maxPlannedWait(j *job) float64 {
-	wait := time.Duration(s.cfg.Options.Fleet.LongestWait).Seconds()
+	wait := time.Duration(s.cfg.Options.Fleet.MaxPlannedWait).Seconds()
 	if slack, late := s.slack(j); !late && slack != never {
-		wait = min(wait, max(slack.Seconds(), 0)*s.cfg.Options.Fleet.SlackShare)
+		wait = min(wait, max(slack.Seconds(), 0)*s.cfg.Options.Fleet.PlannedWaitSlackRatio)
 	}
 	return wait
 }
@@ -315,7 +315,7 @@
 			return n
 		}
 		s.planner.machinesInZone[p.zone]++
-		whole := tasksThatFit(typeResources(t), j.demand)
+		whole := typeResources(t).TasksThatFit(j.demand)
 		fresh[p] += float64(got) / float64(whole)
 		if j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionPatience {
 			roundUpMachines(fresh, p)
@@ -344,7 +344,7 @@
 // tasks end one after the other. The fraction of a task that is left over is carried to the next
 // offer.
 func (o *capacity) takeTasks(j *job, n int, est, within float64, carry *float64) int {
-	per := tasksThatFit(typeResources(o.machineType), j.demand)
+	per := typeResources(o.machineType).TasksThatFit(j.demand)
 	if per == 0 {
 		return 0
 	}
@@ -390,21 +390,6 @@
 	return min(max(free/o.cpusPerTask(j, per), 0), float64(per))
 }
 
-// tasksThatFit is how many tasks fit at once.
-func tasksThatFit(size, need resources) int {
-	n := math.Inf(1)
-	if need.CPUs > 0 {
-		n = min(n, size.CPUs/need.CPUs)
-	}
-	if need.Accelerators > 0 {
-		n = min(n, size.Accelerators/need.Accelerators)
-	}
-	if need.MemoryGB > 0 {
-		n = min(n, size.MemoryGB/need.MemoryGB)
-	}
-	return int(min(n+limits.Epsilon, limits.MaxTasksPerMachine))
-}
-
 // cheapestPool is where a machine for the job costs least for each task it holds, among the pools
 // that are not known to be empty. A pool that has only been asked for as much as may be now is left
 // for a dearer one of like price, else it is asked again with the next plan.
@@ -415,7 +400,7 @@
 	for _, k := range s.catalog.names {
 		t := s.catalog.byName[k]
 		size := typeResources(t)
-		per := tasksThatFit(size, j.demand)
+		per := size.TasksThatFit(j.demand)
 		if per == 0 {
 			continue
 		}
@@ -447,7 +432,7 @@
 	if typ == nil || low > limits.SimilarPriceRatio*busy {
 		return best, nil
 	}
-	if slack, late := s.slack(j); low > s.cfg.Options.Fleet.DearRatio*floor && (late || slack > time.Duration(s.cfg.Options.Fleet.DearSlack)) {
+	if slack, late := s.slack(j); low > s.cfg.Options.Fleet.ExpensivePoolRatio*floor && (late || slack > time.Duration(s.cfg.Options.Fleet.ExpensivePoolSlack)) {
 		return best, nil // it can wait for cheaper ones
 	}
 	return best, typ
