--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -48,7 +48,7 @@
 	if err := writeSettings(dir, addr); err != nil {
 		return err
 	}
-	state := standin.NewState()
+	state := standin.NewStateService()
 	cloud := &standin.Cloud{State: state, Controllers: controllers, Log: log, Types: []protocol.MachineType{{
 		Name: "c4", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{"a"}}}}
 	cloud.Start(ctx)
--- a/internal/coordination/controller/meetings_gang_test.go
+++ b/internal/coordination/controller/meetings_gang_test.go
@@ -36,7 +36,7 @@
 	s.jobs[j.spec.ID] = j
 	s.mu.Unlock()
 	record := protocol.Encode(storage.OpenJob{Spec: j.spec, SubmittedAtMs: time.Now().UnixMilli()})
-	s.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey(j.spec.ID), Value: record}}})
+	s.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey(j.spec.ID), Value: record}}})
 	return j
 }
 
@@ -47,14 +47,14 @@
 		s.warm(4, long)
 		lead, before := s.leader(), s.term()
 		held := s.cloud.Machines()[0]
-		s.net.Set(lead, held, standin.Hold)
-		s.net.Set(held, lead, standin.Hold)
+		s.net.SetLink(lead, held, standin.Delay)
+		s.net.SetLink(held, lead, standin.Delay)
 		gangs := []*job{s.submit(asGang), s.submit(asGang), s.submit(asGang)}
 		time.Sleep(3 * time.Second)
 		s.stop(lead)
 		s.takenOver(before)
-		s.net.Set(lead, held, standin.Open)
-		s.net.Set(held, lead, standin.Open)
+		s.net.SetLink(lead, held, standin.Open)
+		s.net.SetLink(held, lead, standin.Open)
 		for _, g := range gangs {
 			s.met(s.seen(g, 4), "a gang that runs under the new leader")
 		}
@@ -82,7 +82,7 @@
 		g := s.submit(asGang)
 		s.met(s.seen(g, 4), "a gang that runs")
 		lost := s.machines(g)[:1]
-		s.reach(lost, standin.Hold, standin.Hold)
+		s.reach(lost, standin.Delay, standin.Delay)
 		time.Sleep(2 * time.Second)
 		before := s.term()
 		s.restart(s.leader(), 3*time.Second)
@@ -108,21 +108,21 @@
 		s.warm(4, long)
 		all := s.cloud.Machines()
 		for _, m := range all[:len(all)/2] {
-			s.net.Set(s.leader(), m, standin.Hold)
+			s.net.SetLink(s.leader(), m, standin.Delay)
 		}
 		g := s.submit(asGang)
 		time.Sleep(2 * time.Second)
 		s.met(s.cancel(g), "a cancellation")
 		time.Sleep(4 * time.Second)
 		for _, m := range all {
-			s.net.Set(s.leader(), m, standin.Open)
+			s.net.SetLink(s.leader(), m, standin.Open)
 		}
 		time.Sleep(limits.Seconds(cancelS))
 		s.met(s.on(g) == 0, "nothing of the gang")
 	}},
 	{"old reports of gangs arrive after newer ones, with leaders that change", func(s *service) {
 		s.warm(2, nil)
-		s.cloud.SetCopies(func(string) (time.Duration, bool) {
+		s.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return time.Duration(2000+s.r.IntN(30000)) * time.Millisecond, s.r.Float64() < 0.4
@@ -134,7 +134,7 @@
 			time.Sleep(4 * time.Second)
 			s.restart(s.leader(), 500*time.Millisecond)
 		}
-		s.cloud.SetCopies(nil)
+		s.cloud.SetRepeatedHeartbeats(nil)
 	}},
 	{"two gangs each need the room that the other may have, and the team's limit holds one", func(s *service) {
 		s.warm(1, nil)
@@ -160,15 +160,15 @@
 		}
 		s.met(s.cancel(large), "a cancellation")
 		time.Sleep(20 * time.Second)
-		s.met(s.state.OverLimits() == 0, "no transaction over the limits: %d", s.state.OverLimits())
+		s.met(s.state.OversizedTransactions() == 0, "no transaction over the limits: %d", s.state.OversizedTransactions())
 	}},
 	{"the state service is down while gangs run, lose a machine and start again", func(s *service) {
 		s.warm(2, nil)
 		g := s.submit(asGang)
 		s.met(s.seen(g, 4), "a gang that runs")
-		s.state.SetDown(true)
+		s.state.SetUnavailable(true)
 		s.cloud.Kill(s.machines(g)[0])
 		time.Sleep(25 * time.Second)
-		s.state.SetDown(false)
+		s.state.SetUnavailable(false)
 	}},
 }
--- a/internal/coordination/controller/meetings_test.go
+++ b/internal/coordination/controller/meetings_test.go
@@ -43,14 +43,14 @@
 		s.warm(6, long)
 		lead := s.leader()
 		jobs := s.pick(4)
-		s.state.SetRefused(lead, true)
+		s.state.SetRejectedCaller(lead, true)
 		time.Sleep(500 * time.Millisecond)
 		for _, j := range jobs {
 			s.users.Go(func() { s.cancel(j) })
 		}
 		time.Sleep(time.Second)
 		s.met(s.told(jobs) > 0 && s.nodes[lead].c.Entitled(), "confirmed cancellations while the leader is refused: %d", s.told(jobs))
-		s.state.SetDown(true)
+		s.state.SetUnavailable(true)
 		for range 10 {
 			time.Sleep(5 * time.Second)
 			for _, j := range jobs {
@@ -58,14 +58,14 @@
 			}
 		}
 		s.met(s.term() == 1, "the same leader all the while")
-		s.state.SetDown(false)
-		s.state.SetRefused(lead, false)
+		s.state.SetUnavailable(false)
+		s.state.SetRejectedCaller(lead, false)
 	}},
 	{"the same with a silent watch in place of a refusal, and answers to the leader that come late", func(s *service) {
 		s.warm(6, long)
 		lead := s.leader()
 		jobs := s.pick(4)
-		s.net.Both(lead, "state-"+lead, standin.Hold)
+		s.net.SetLinkBothWays(lead, "state-"+lead, standin.Delay)
 		time.Sleep(500 * time.Millisecond)
 		for _, j := range jobs {
 			s.users.Go(func() {
@@ -74,27 +74,27 @@
 			})
 		}
 		time.Sleep(1500 * time.Millisecond)
-		s.state.SetDown(true)
+		s.state.SetUnavailable(true)
 		time.Sleep(time.Second)
-		s.net.Both(lead, "state-"+lead, standin.Open)
+		s.net.SetLinkBothWays(lead, "state-"+lead, standin.Open)
 		time.Sleep(50 * time.Second)
 		s.met(s.told(jobs) > 0, "confirmed cancellations")
-		s.state.SetDown(false)
+		s.state.SetUnavailable(false)
 	}},
 	{"jobs are cancelled at the moment of the refusal, the leader is killed in the outage and returns", func(s *service) {
 		s.warm(6, long)
 		lead := s.leader()
 		jobs := s.pick(4)
 		s.together(jobs)
-		s.state.SetRefused(lead, true)
+		s.state.SetRejectedCaller(lead, true)
 		time.Sleep(time.Second)
-		s.state.SetDown(true)
+		s.state.SetUnavailable(true)
 		time.Sleep(5 * time.Second)
 		s.restart(lead, 3*time.Second)
 		time.Sleep(45 * time.Second)
 		s.met(s.told(jobs) > 0, "confirmed cancellations")
-		s.state.SetDown(false)
-		s.state.SetRefused(lead, false)
+		s.state.SetUnavailable(false)
+		s.state.SetRejectedCaller(lead, false)
 	}},
 	{"controllers refuse each other and the state service the leader; cancellations are confirmed by the beat", func(s *service) {
 		s.warm(6, long)
@@ -110,32 +110,32 @@
 		})
 		time.Sleep(15 * time.Second)
 		s.met(s.told(jobs[:1]) == 1 && s.term() == before, "confirmed in the same term")
-		s.state.SetRefused(lead, true)
+		s.state.SetRejectedCaller(lead, true)
 		s.together(jobs[1:4])
 		s.takenOver(before)
 		s.outage(45 * time.Second)
 		for _, n := range s.names {
 			s.apart(n, standin.Open)
 		}
-		s.state.SetRefused(lead, false)
+		s.state.SetRejectedCaller(lead, false)
 	}},
 	{"a start is held up for longer than a report, its job is cancelled, and the machine goes on", func(s *service) {
 		s.warm(4, long)
 		all := s.cloud.Machines()
 		// What goes to the machines directly is held; their reports and the answers to them as well.
 		for _, m := range all {
-			s.net.Set(s.leader(), m, standin.Hold)
+			s.net.SetLink(s.leader(), m, standin.Delay)
 		}
 		j := s.submit(func(sp *protocol.Spec) { sp.Tasks, sp.Priority = 4, "production" })
 		time.Sleep(time.Second)
 		s.met(s.cancel(j), "a cancellation")
 		time.Sleep(2 * time.Second)
 		for _, m := range all[:len(all)/2] {
-			s.net.Set(s.leader(), m, standin.Open)
+			s.net.SetLink(s.leader(), m, standin.Open)
 		}
 		time.Sleep(9 * time.Second)
 		for _, m := range all {
-			s.net.Set(s.leader(), m, standin.Open)
+			s.net.SetLink(s.leader(), m, standin.Open)
 		}
 		time.Sleep(45 * time.Second)
 		s.met(s.on(j) == 0, "nothing of the job")
@@ -157,8 +157,8 @@
 		s.warm(6, long)
 		lead, before := s.leader(), s.term()
 		held := s.some(2)
-		s.reach(held, standin.Hold, standin.Hold)
-		s.cloud.SetCopies(func(rig string) (time.Duration, bool) { return 20 * time.Second, slices.Contains(held, rig) })
+		s.reach(held, standin.Delay, standin.Delay)
+		s.cloud.SetRepeatedHeartbeats(func(rig string) (time.Duration, bool) { return 20 * time.Second, slices.Contains(held, rig) })
 		time.Sleep(3 * time.Second)
 		s.stop(lead)
 		next := s.takenOver(before)
@@ -171,7 +171,7 @@
 	{"transactions get no answer and are carried out late, after newer ones, while jobs end and are cancelled and leaders change", func(s *service) {
 		s.warm(4, nil)
 		late := 0
-		s.state.SetLate(func() (time.Duration, bool) {
+		s.state.SetDelayedTransactions(func() (time.Duration, bool) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if s.r.Float64() > 0.25 {
@@ -188,7 +188,7 @@
 			}
 			s.restart(s.leader(), 500*time.Millisecond)
 		}
-		s.state.SetLate(nil)
+		s.state.SetDelayedTransactions(nil)
 		s.mu.Lock()
 		s.met(late > 5, "late transactions: %d", late)
 		s.mu.Unlock()
@@ -197,7 +197,7 @@
 	{"old reports arrive after newer ones, also from an earlier session or attempt", func(s *service) {
 		s.warm(4, nil)
 		n := 0
-		s.cloud.SetCopies(func(string) (time.Duration, bool) {
+		s.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			n++
@@ -206,7 +206,7 @@
 		s.crowd(70*time.Second, 5*time.Second, nil)
 		for i := range 3 {
 			some := s.some(2)
-			s.reach(some, standin.Lose, standin.Lose)
+			s.reach(some, standin.Drop, standin.Drop)
 			time.Sleep(limits.Seconds(leaseS + 2))
 			s.reach(some, standin.Open, standin.Open)
 			if i == 1 {
@@ -214,7 +214,7 @@
 			}
 			time.Sleep(5 * time.Second)
 		}
-		s.cloud.SetCopies(nil)
+		s.cloud.SetRepeatedHeartbeats(nil)
 		s.mu.Lock()
 		s.met(n > 50, "copies")
 		s.mu.Unlock()
@@ -223,8 +223,8 @@
 		s.warm(6, long)
 		lead, before := s.leader(), s.term()
 		jobs := s.pick(4)
-		s.net.Both(lead, "state-"+lead, standin.Refuse)
-		s.apart(lead, standin.Hold)
+		s.net.SetLinkBothWays(lead, "state-"+lead, standin.Refuse)
+		s.apart(lead, standin.Delay)
 		for i, node := range []string{lead, s.other(lead)} {
 			s.users.Go(func() {
 				s.met(!s.ask(jobs[i], node), "a cancellation that can't be confirmed")
@@ -241,7 +241,7 @@
 		s.together(jobs[2:])
 		time.Sleep(50 * time.Second)
 		s.met(s.told(jobs) == 4, "all four cancelled: %d", s.told(jobs))
-		s.net.Both(lead, "state-"+lead, standin.Open)
+		s.net.SetLinkBothWays(lead, "state-"+lead, standin.Open)
 		s.apart(lead, standin.Open)
 	}},
 	{"all controllers are away for longer than lease_s", func(s *service) {
@@ -274,16 +274,16 @@
 		lead, before := s.leader(), s.term()
 		all := s.cloud.Machines()
 		for _, m := range all {
-			s.net.Unlisten(m + ":9000") // so that they can't be asked
+			s.net.StopListening(m + ":9000") // so that they can't be asked
 		}
 		s.stop(lead)
-		s.reach(all, standin.Hold, standin.Hold)
+		s.reach(all, standin.Delay, standin.Delay)
 		s.noDeletions(true)
 		s.takenOver(before)
 		time.Sleep(4 * time.Second)
 		s.reach(all, standin.Open, standin.Open)
 		time.Sleep(1900 * time.Millisecond) // they find the leader, but their next reports are held
-		s.reach(all, standin.Hold, standin.Hold)
+		s.reach(all, standin.Delay, standin.Delay)
 		time.Sleep(limits.Seconds(leaseS - 3))
 		s.reach(all, standin.Open, standin.Open)
 		s.noDeletions(false)
@@ -296,19 +296,19 @@
 			// A report and its answer take 1.6 to 4.8 s together; a worker waits for 4 s, a
 			// controller takes a report for fresh for 3 s.
 			for _, m := range s.cloud.Machines() {
-				s.net.SetSlow(m, time.Duration(800+s.r.IntN(1600))*time.Millisecond)
+				s.net.SetExtraLatency(m, time.Duration(800+s.r.IntN(1600))*time.Millisecond)
 			}
 			if i%2 == 1 {
 				s.restart(s.leader(), 300*time.Millisecond)
 			}
 			time.Sleep(time.Duration(6+s.r.IntN(8)) * time.Second)
 			for _, m := range s.cloud.Machines() {
-				s.net.SetSlow(m, time.Duration(s.r.IntN(300))*time.Millisecond)
+				s.net.SetExtraLatency(m, time.Duration(s.r.IntN(300))*time.Millisecond)
 			}
 			time.Sleep(time.Duration(1+s.r.IntN(6)) * time.Second)
 		}
 		for _, m := range s.cloud.Machines() {
-			s.net.SetSlow(m, 0)
+			s.net.SetExtraLatency(m, 0)
 		}
 		s.met(s.term() > first, "changes of the leader")
 	}},
@@ -318,10 +318,10 @@
 		s.crowd(100*time.Second, 10*time.Second, nil)
 		for i := range 10 {
 			if i == 5 {
-				s.state.SetDown(true)
+				s.state.SetUnavailable(true)
 			}
 			if i == 7 {
-				s.state.SetDown(false)
+				s.state.SetUnavailable(false)
 			}
 			if jobs := s.running(); len(jobs) > 0 {
 				s.together(jobs[:1])
@@ -348,7 +348,7 @@
 		more := s.submit(func(sp *protocol.Spec) { sp.Team, sp.Tasks, sp.Priority = "red", 8, "production" })
 		j := s.pick(1)[0]
 		some := s.machines(j)[:1]
-		s.reach(some, standin.Hold, standin.Hold)
+		s.reach(some, standin.Delay, standin.Delay)
 		before := s.term()
 		s.restart(s.leader(), 200*time.Millisecond)
 		s.together([]*job{j})
@@ -387,15 +387,15 @@
 			}
 		}
 		jobs := s.pick(4)
-		s.apart(lead, standin.Hold)
-		s.net.Both(lead, "state-"+lead, standin.Hold)
+		s.apart(lead, standin.Delay)
+		s.net.SetLinkBothWays(lead, "state-"+lead, standin.Delay)
 		for _, m := range out {
-			s.net.Both(lead, m, standin.Hold)
+			s.net.SetLinkBothWays(lead, m, standin.Delay)
 		}
 		for _, m := range in {
 			for _, n := range s.names {
 				if n != lead {
-					s.net.Both(n, m, standin.Hold)
+					s.net.SetLinkBothWays(n, m, standin.Delay)
 				}
 			}
 		}
@@ -404,10 +404,10 @@
 		s.takenOver(before)
 		time.Sleep(limits.Seconds(leaseS + 10))
 		s.apart(lead, standin.Open)
-		s.net.Both(lead, "state-"+lead, standin.Open)
+		s.net.SetLinkBothWays(lead, "state-"+lead, standin.Open)
 		for _, m := range append(in, out...) {
 			for _, n := range s.names {
-				s.net.Both(n, m, standin.Open)
+				s.net.SetLinkBothWays(n, m, standin.Open)
 			}
 		}
 	}},
@@ -443,8 +443,8 @@
 		s.warm(8, long)
 		lead, before := s.leader(), s.term()
 		ms := s.machines(nil)
-		s.reach(ms[:1], standin.Hold, standin.Hold)  // can't be reached
-		s.reach(ms[1:2], standin.Lose, standin.Open) // doesn't hear
+		s.reach(ms[:1], standin.Delay, standin.Delay) // can't be reached
+		s.reach(ms[1:2], standin.Drop, standin.Open)  // doesn't hear
 		jobs := s.pick(3)
 		s.stop(lead)
 		s.together(jobs)
@@ -460,9 +460,9 @@
 		first := s.term()
 		for range 2 {
 			lead, before := s.leader(), s.term()
-			s.state.SetRefused(lead, true)
+			s.state.SetRejectedCaller(lead, true)
 			s.takenOver(before)
-			s.state.SetRefused(lead, false)
+			s.state.SetRejectedCaller(lead, false)
 		}
 		s.met(s.term() >= first+2, "handed over and back")
 		jobs := s.pick(2)
@@ -483,7 +483,7 @@
 		ms = ms[:len(ms)/2]
 		for _, m := range ms {
 			for _, n := range s.names {
-				s.net.Set(m, n, standin.Refuse)
+				s.net.SetLink(m, n, standin.Refuse)
 			}
 		}
 		jobs := s.pick(3)
@@ -530,11 +530,11 @@
 				m := submission(s.t, good)
 				m[what] = v
 				// Whether it was accepted before cannot be told in an outage.
-				if status, _ := s.call(s.names[1], "POST", "/v2/runs", protocol.Encode(m), 5*time.Second); status != 422 && !(s.state.Down() && status == 503) {
+				if status, _ := s.call(s.names[1], "POST", "/v2/runs", protocol.Encode(m), 5*time.Second); status != 422 && !(s.state.Unavailable() && status == 503) {
 					s.t.Errorf("%s %v: %d", what, v, status)
 				}
 			}
-			if status, _ := s.call(s.names[2], "GET", "/v2/runs/job-900000", nil, 2*time.Second); status != 404 && !(s.state.Down() && status == 503) {
+			if status, _ := s.call(s.names[2], "GET", "/v2/runs/job-900000", nil, 2*time.Second); status != 404 && !(s.state.Unavailable() && status == 503) {
 				s.t.Errorf("a job that nobody submitted: %d", status)
 			}
 		}
@@ -546,10 +546,10 @@
 		for _, j := range s.known() {
 			s.cancel(j)
 		}
-		s.state.SetDown(true)
+		s.state.SetUnavailable(true)
 		time.Sleep(2 * time.Second)
 		odd()
-		s.state.SetDown(false)
+		s.state.SetUnavailable(false)
 	}},
 }
 
--- a/internal/coordination/controller/service_test.go
+++ b/internal/coordination/controller/service_test.go
@@ -30,7 +30,7 @@
 	ctx   context.Context
 	begun time.Time
 	net   *standin.Network
-	state *standin.State
+	state *standin.StateService
 	cloud *standin.Cloud
 	nodes map[string]*process
 	names []string
@@ -87,7 +87,7 @@
 func play(t *testing.T, seed uint64, day func(s *service)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := &service{t: t, r: rand.New(rand.NewPCG(seed, 11)), ctx: ctx, begun: time.Now(), net: standin.NewNetwork(time.Millisecond), state: standin.NewState(),
+		s := &service{t: t, r: rand.New(rand.NewPCG(seed, 11)), ctx: ctx, begun: time.Now(), net: standin.NewNetwork(time.Millisecond), state: standin.NewStateService(),
 			nodes: map[string]*process{}, jobs: map[string]*job{}, runs: map[string]string{}, zones: []string{"a", "b", "c"}}
 		s.log = slog.New(slog.NewTextHandler(logTo(), &slog.HandlerOptions{Level: slog.LevelDebug}))
 		controllers := map[string]string{}
@@ -95,13 +95,13 @@
 			name := fmt.Sprintf("rig-%d", i)
 			s.names = append(s.names, name)
 			controllers[name] = name + ":8080"
-			go standin.Serve(s.net.Listen("state-"+name+":1"), s.state.ServerFor(name, "", s.log))
+			go standin.ServeListener(s.net.Listen("state-"+name+":1"), s.state.ServerFor(name, "", s.log))
 		}
-		s.cloud = &standin.Cloud{State: s.state, Controllers: controllers, Log: s.log, Net: s.net, Spec: s.spec, Watch: s.watch, Trouble: s.trouble,
-			Times: workers,
-			Types: []protocol.MachineType{{Name: "c8", CPUs: capacity, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 4, Zones: s.zones}}}
+		s.cloud = &standin.Cloud{State: s.state, Controllers: controllers, Log: s.log, Network: s.net, Spec: s.spec, OnTaskChange: s.watch, InjectFault: s.trouble,
+			WorkerTimes: workers,
+			Types:       []protocol.MachineType{{Name: "c8", CPUs: capacity, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 4, Zones: s.zones}}}
 		s.cloud.Start(ctx)
-		go standin.Serve(s.net.Listen("cloud:1"), s.cloud.Server(""))
+		go standin.ServeListener(s.net.Listen("cloud:1"), s.cloud.Server(""))
 		for _, name := range s.names {
 			s.start(name)
 		}
@@ -125,8 +125,8 @@
 			s.cloud.Kill(name)
 		}
 		for _, h := range append([]string{"cloud", "users", "copies"}, s.names...) {
-			s.net.Down(h)
-			s.net.Down("state-" + h)
+			s.net.RemoveHost(h)
+			s.net.RemoveHost("state-" + h)
 		}
 		time.Sleep(2 * time.Minute) // whatever still waits for an answer gives up
 	})
@@ -175,7 +175,7 @@
 	p := &process{cancel: cancel, c: c}
 	s.nodes[name] = p
 	c.Start(ctx)
-	go standin.Serve(s.net.Listen(name+":8080"), c.Clients)
+	go standin.ServeListener(s.net.Listen(name+":8080"), c.Clients)
 	ln := s.net.Listen(name + ":8081")
 	p.done.Go(func() { _ = c.Peers.Serve(ctx, ln) })
 }
@@ -186,7 +186,7 @@
 	if p == nil {
 		return
 	}
-	s.net.Down(name)
+	s.net.RemoveHost(name)
 	p.cancel()
 	p.done.Wait()
 	p.c.Close()
@@ -332,7 +332,7 @@
 		}
 		s.mu.Unlock()
 		for piece, rig := range late {
-			if !s.cloud.Lapsed(rig) {
+			if !s.cloud.LeaseExpired(rig) {
 				s.mu.Lock()
 				s.fault("ran_cancelled: %s is on %s longer than cancel_s after the word to the user", piece, rig)
 				delete(s.runs, piece)
@@ -407,7 +407,7 @@
 		if j.said == "" {
 			j.said = standing // told stays zero: only cancelled jobs have a time to be gone by
 			for i := range j.spec.Tasks {
-				if !s.cloud.Done(fmt.Sprintf("%s/%d", id, i)) {
+				if !s.cloud.TaskDone(fmt.Sprintf("%s/%d", id, i)) {
 					s.fault("not_done: %s/%d", id, i)
 				}
 			}
@@ -702,27 +702,27 @@
 }
 
 // reach cuts the ways between controllers and machines, in one direction each.
-func (s *service) reach(machines []string, to, from standin.Cut) {
+func (s *service) reach(machines []string, to, from standin.LinkState) {
 	for _, m := range machines {
 		for _, n := range s.names {
-			s.net.Set(n, m, to)
-			s.net.Set(m, n, from)
+			s.net.SetLink(n, m, to)
+			s.net.SetLink(m, n, from)
 		}
 	}
 }
 
 // outage is one of the state service, for all.
 func (s *service) outage(d time.Duration) {
-	s.state.SetDown(true)
+	s.state.SetUnavailable(true)
 	time.Sleep(d)
-	s.state.SetDown(false)
+	s.state.SetUnavailable(false)
 }
 
 // apart cuts a controller from the others, both ways.
-func (s *service) apart(node string, cut standin.Cut) {
+func (s *service) apart(node string, cut standin.LinkState) {
 	for _, n := range s.names {
 		if n != node {
-			s.net.Both(n, node, cut)
+			s.net.SetLinkBothWays(n, node, cut)
 		}
 	}
 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -22,7 +22,7 @@
 // unreliableStore is a node's view of the state service: it delays, refuses, and loses answers of
 // requests that were, or later are, carried out.
 type unreliableStore struct {
-	s     *standin.State
+	s     *standin.StateService
 	r     *rand.Rand
 	mu    sync.Mutex
 	alone time.Time              // refused until then
@@ -49,7 +49,7 @@
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, ctx.Err())
 	}
-	if refused || f.s.Down() {
+	if refused || f.s.Unavailable() {
 		return storage.ErrNotExecuted
 	}
 	return nil
@@ -93,11 +93,11 @@
 			f.mu.Lock()
 			d := time.Duration(f.r.IntN(40)) * time.Second
 			f.mu.Unlock()
-			time.AfterFunc(d, func() { f.s.Txn(t) })
+			time.AfterFunc(d, func() { f.s.CompareAndSwap(t) })
 		}
 		return 0, storage.ErrOutcomeUnknown
 	}
-	status, r := f.s.Txn(t)
+	status, r := f.s.CompareAndSwap(t)
 	switch {
 	case status == 400:
 		return 0, storage.ErrLeaseExpired
@@ -134,7 +134,7 @@
 	if err := f.enter(ctx); err != nil {
 		return err
 	}
-	if !f.s.Touch(id) {
+	if !f.s.RenewLease(id) {
 		return storage.ErrLeaseExpired
 	}
 	return nil
@@ -144,7 +144,7 @@
 	end := time.After(limits.WatchDuration)
 	for {
 		r, _ := f.s.Changes(prefix, since)
-		if len(r.Changes) > 0 && !f.s.Down() {
+		if len(r.Changes) > 0 && !f.s.Unavailable() {
 			return r, nil
 		}
 		select {
@@ -289,7 +289,7 @@
 
 // newNodes are controllers of one state service that neither crash nor lose anything by themselves;
 // they are not started.
-func newNodes(s *standin.State, size int, seed uint64) []*node {
+func newNodes(s *standin.StateService, size int, seed uint64) []*node {
 	nodes := make([]*node, size)
 	for i := range nodes {
 		nodes[i] = &node{name: fmt.Sprintf("rig-%d", i), store: &unreliableStore{s: s, r: rand.New(rand.NewPCG(seed, uint64(i)))}, others: &nodes, life: limits.LeaderLease}
@@ -329,7 +329,7 @@
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 1))
-			s := standin.NewState()
+			s := standin.NewStateService()
 			var nodes []*node
 			size := 3 + int(seed/2)%2*2
 			for i := range size {
@@ -394,9 +394,9 @@
 				case 6: // the others don't hear of it
 					n.sever(time.Now().Add(d))
 				case 1:
-					s.SetDown(true)
+					s.SetUnavailable(true)
 					run(time.Duration(r.IntN(50)) * time.Second)
-					s.SetDown(false)
+					s.SetUnavailable(false)
 				case 2:
 					n.refuse(time.Now().Add(time.Duration(r.IntN(60)) * time.Second))
 				}
@@ -428,7 +428,7 @@
 // hold to end.
 func TestRestartTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := standin.NewState()
+		s := standin.NewStateService()
 		n := &node{name: "rig-0", store: &unreliableStore{s: s, r: rand.New(rand.NewPCG(1, 1))}, others: &[]*node{}, life: limits.LeaderLease}
 		n.start(t)
 		time.Sleep(3 * time.Second)
@@ -450,18 +450,18 @@
 // hold ends, and one that is refused like all others is not.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := standin.NewState()
+		s := standin.NewStateService()
 		nodes := newNodes(s, 2, 2)
 		nodes[0].start(t)
 		time.Sleep(3 * time.Second)
 		nodes[1].start(t)
 		time.Sleep(3 * time.Second)
-		s.SetDown(true)
+		s.SetUnavailable(true)
 		time.Sleep(limits.LeaderLease / 2)
 		if nodes[0].entitled() == nil {
 			t.Fatal("gave up in an outage for all")
 		}
-		s.SetDown(false)
+		s.SetUnavailable(false)
 		time.Sleep(5 * time.Second)
 		nodes[0].refuse(time.Now().Add(time.Hour))
 		old := nodes[0].entitled()
@@ -483,7 +483,7 @@
 func TestBusyLeader(t *testing.T) {
 	for _, busy := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			s := standin.NewState()
+			s := standin.NewStateService()
 			nodes := newNodes(s, 2, 2)
 			for _, n := range nodes {
 				n.start(t)
@@ -511,7 +511,7 @@
 	for i := range 12 {
 		alone, phase := i%2 == 0, time.Duration(i/2)*limits.WatchDuration/6 // wherever the others' watches of the leader key end by themselves
 		synctest.Test(t, func(t *testing.T) {
-			s := standin.NewState()
+			s := standin.NewStateService()
 			nodes := newNodes(s, 5, 3)
 			for _, n := range nodes {
 				n.start(t)
@@ -546,7 +546,7 @@
 // leader is heard of again and entitled. It fails.
 func TestLateReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := standin.NewState()
+		s := standin.NewStateService()
 		nodes := newNodes(s, 5, 4)
 		for _, n := range nodes {
 			n.start(t)
@@ -577,7 +577,7 @@
 			n.store.mu.Lock()
 			for _, x := range n.store.kept {
 				late++
-				if status, _ := s.Txn(x); status == 200 {
+				if status, _ := s.CompareAndSwap(x); status == 200 {
 					t.Error("a late campaign replaced an entitled leader")
 				}
 			}
@@ -606,7 +606,7 @@
 // itself, and once it has let go, it does not count.
 func TestOwnVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := standin.NewState()
+		s := standin.NewStateService()
 		var lead atomic.Pointer[Leadership]
 		n := &unreliableStore{s: s, r: rand.New(rand.NewPCG(5, 1))}
 		e := New("rig-0", n, limits.LeaderLease, limits.VoteLeaseMin, func(ctx context.Context, given *Leadership) {
@@ -621,7 +621,7 @@
 			e.Run(ctx)
 		}()
 		time.Sleep(5 * time.Second)
-		s.SetDown(true) // pledges alone count
+		s.SetUnavailable(true) // pledges alone count
 		time.Sleep(2 * limits.VoteLeaseMin)
 		m := lead.Load()
 		if m == nil || !m.Entitled() {
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -21,7 +21,7 @@
 // gatewayFixture is a gateway without a leader, on real sockets, with a stand-in of the state service behind it.
 type gatewayFixture struct {
 	t      *testing.T
-	state  *standin.State
+	state  *standin.StateService
 	addr   string
 	client *transport.Client
 }
@@ -52,9 +52,9 @@
 // newGatewayFixture starts a gateway, with settings changed before it begins.
 func newGatewayFixture(t *testing.T, change ...func(*config.Settings)) *gatewayFixture {
 	log := slog.New(slog.DiscardHandler)
-	f := &gatewayFixture{t: t, state: standin.NewState(), addr: freePort(t)}
+	f := &gatewayFixture{t: t, state: standin.NewStateService(), addr: freePort(t)}
 	types := storage.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g8", CPUs: 16, Accelerators: 2, MemoryGB: 128, Zones: []string{"a"}}}}
-	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: protocol.Encode(types)}}})
+	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: protocol.Encode(types)}}})
 	back := freePort(t)
 	serve(t, f.state.Server(back, log))
 	s := &config.Settings{NodeName: "rig-0", Facts: config.Facts{
@@ -168,7 +168,7 @@
 	}
 
 	// A job that is over stays what it is, also for repeats and cancellations.
-	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.FinalJobKey("job-2"), Value: protocol.Encode(storage.FinalJob{State: protocol.Done})}}})
+	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.FinalJobKey("job-2"), Value: protocol.Encode(storage.FinalJob{State: protocol.Done})}}})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
 		if status, standing, _ := f.do("POST", target, submission("job-2", nil)); status != 200 || standing != protocol.Done {
 			t.Errorf("%s of a done job: %d %q", target, status, standing)
@@ -180,7 +180,7 @@
 	if status, _, _ := f.do("POST", "/v2/runs", submission("job-4", nil)); status != 201 {
 		t.Errorf("submitted: %d", status)
 	}
-	f.state.SetDown(true)
+	f.state.SetUnavailable(true)
 	if status, _, m := f.do("GET", "/v2/runs/job-4", nil); status != 503 || m.RetryAfter == 0 {
 		t.Errorf("in an outage: %d, retry after %d", status, m.RetryAfter)
 	}
@@ -201,7 +201,7 @@
 	if took := time.Since(began); took > limits.SubmitTimeout/2 {
 		t.Errorf("two refusals took %v", took)
 	}
-	f.state.SetDown(false)
+	f.state.SetUnavailable(false)
 	if status, standing, _ := f.do("POST", "/v2/runs", submission("job-3", nil)); status != 201 || standing != protocol.Pending {
 		t.Errorf("after the outage: %d %q", status, standing)
 	}
@@ -214,7 +214,7 @@
 	for _, how := range []string{"beat", "no leader"} {
 		f := newGatewayFixture(t)
 		hold := f.state.CreateLease(time.Hour)
-		f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{
+		f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{
 			{Put: storage.KeyLeader, Lease: hold, Value: protocol.Encode(storage.LeaderRecord{Node: "rig-9", Term: 1})},
 			{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(storage.LeaderHeartbeat{Term: 1})}}})
 		requests := []struct {
@@ -235,16 +235,16 @@
 		ask(503, "")
 		p, _ := f.state.Get(storage.OpenJobKey("job-1"))
 		heartbeat := storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: p.Version - 1}
-		f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(heartbeat)}}})
+		f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(heartbeat)}}})
 		ask(503, "")
 		if how == "beat" {
 			heartbeat.ObservedRevision = p.Version
-			f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(heartbeat)}}})
+			f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(heartbeat)}}})
 		} else {
-			f.state.EndLease(hold)
+			f.state.RevokeLease(hold)
 		}
 		ask(200, protocol.Aborted)
-		f.state.SetDown(true)
+		f.state.SetUnavailable(true)
 		ask(200, protocol.Aborted) // known for good
 	}
 }
@@ -335,7 +335,7 @@
 	for range 20 {
 		spec.MachineTypes = append(spec.MachineTypes, "g8-with-a-rather-long-name")
 	}
-	f.state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey("job-1"), Value: protocol.Encode(storage.OpenJob{Spec: spec})}}})
+	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey("job-1"), Value: protocol.Encode(storage.OpenJob{Spec: spec})}}})
 	again := submission("job-1", map[string]any{"Rigkinds": append([]string{"g8"}, spec.MachineTypes...)})
 	if status, standing, _ := f.do("POST", "/v2/runs", again); status != 200 || standing != protocol.Pending {
 		t.Errorf("repeated: %d %q", status, standing)
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -98,9 +98,9 @@
 	name := func(i int) string { return fmt.Sprintf("m-%06d", i) }
 	typ := protocol.MachineType{Name: "s", CPUs: cpus, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 10, Zones: []string{"a"}}
 
-	state := standin.NewState()
+	state := standin.NewStateService()
 	write := func(key string, v any) uint64 {
-		status, r := state.Txn(protocol.Transaction{Operations: []protocol.Operation{{Put: key, Value: protocol.Encode(v)}}})
+		status, r := state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: key, Value: protocol.Encode(v)}}})
 		if status != 200 {
 			t.Fatalf("write %s: %d", key, status)
 		}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -18,63 +18,63 @@
 // Cloud is a stand-in of the cloud whose machines are workers in this process.
 type Cloud struct {
 	Types       []protocol.MachineType
-	State       *State // where workers read what a task needs
+	State       *StateService // where workers read what a task needs
 	Controllers map[string]string
 	Log         *slog.Logger
 
 	// What follows is for tests. Its zero values are those of the quick start.
 
-	Net     *Network                                  // nil: TCP
-	Times   config.Workers                            // of the workers; zero: the quick start's
-	Spec    func(job string) (protocol.Spec, bool)    // what a worker knows of a job; nil: it reads the state service
-	Watch   func(rig, piece string, runs bool)        // told when a task begins to run on a machine, or is gone from it
-	Trouble func(req *transport.Message) (status int) // a status in place of an answer; 0: none
+	Network      *Network                                  // nil: TCP
+	WorkerTimes  config.Workers                            // of the workers; zero: the quick start's
+	Spec         func(job string) (protocol.Spec, bool)    // what a worker knows of a job; nil: it reads the state service
+	OnTaskChange func(rig, piece string, runs bool)        // told when a task begins to run on a machine, or is gone from it
+	InjectFault  func(req *transport.Message) (status int) // a status in place of an answer; 0: none
 
-	mu    sync.Mutex
-	ctx   context.Context
-	seq   int
-	rigs  map[string]*worker
-	hired map[string][]string
+	mu              sync.Mutex
+	ctx             context.Context
+	machineSequence int
+	workers         map[string]*worker
+	rentals         map[string][]string
 
-	results sync.Mutex      // for what follows
-	done    map[string]bool // tasks that completed anywhere: their results are kept
-	copies  func(rig string) (time.Duration, bool)
+	results         sync.Mutex      // for what follows
+	doneTasks       map[string]bool // tasks that completed anywhere: their results are kept
+	repeatHeartbeat func(rig string) (time.Duration, bool)
 
-	gangs *gangBoard
+	gangBoard *gangRegistry
 }
 
 // Start prepares the cloud; its machines end with the context.
 func (c *Cloud) Start(ctx context.Context) {
 	c.ctx = ctx
-	c.rigs = map[string]*worker{}
-	c.hired = map[string][]string{}
-	c.done = map[string]bool{}
-	c.gangs = newGangBoard(c.complete)
-	if c.Times == (config.Workers{}) {
-		c.Times = config.Workers{ReportS: reportEvery.Seconds(), LeaseS: leaseFor.Seconds()}
+	c.workers = map[string]*worker{}
+	c.rentals = map[string][]string{}
+	c.doneTasks = map[string]bool{}
+	c.gangBoard = newGangRegistry(c.markDone)
+	if c.WorkerTimes == (config.Workers{}) {
+		c.WorkerTimes = config.Workers{ReportS: heartbeatInterval.Seconds(), LeaseS: leaseDuration.Seconds()}
 	}
 }
 
-// complete notes that a task is done.
-func (c *Cloud) complete(task string) {
+// markDone notes that a task is done.
+func (c *Cloud) markDone(task string) {
 	c.results.Lock()
 	defer c.results.Unlock()
-	c.done[task] = true
+	c.doneTasks[task] = true
 }
 
 func (c *Cloud) gangTimes() gangTimes {
-	times := gangTimes{gangWaitFor, gangPeerFor}
-	if c.Times.Gangs() {
-		times = gangTimes{limits.Seconds(*c.Times.GangWaitS), limits.Seconds(*c.Times.GangPeerS)}
+	times := gangTimes{gangWaitTimeout, gangPeerTimeout}
+	if c.WorkerTimes.Gangs() {
+		times = gangTimes{limits.Seconds(*c.WorkerTimes.GangWaitS), limits.Seconds(*c.WorkerTimes.GangPeerS)}
 	}
 	return times
 }
 
 func (c *Cloud) dialer(from string) transport.Dialer {
-	if c.Net == nil {
+	if c.Network == nil {
 		return nil
 	}
-	return c.Net.Dialer(from)
+	return c.Network.Dialer(from)
 }
 
 // Machines are the names of all machines, in the order of their creation.
@@ -82,23 +82,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
-	for name := range c.rigs {
+	for name := range c.workers {
 		out = append(out, name)
 	}
 	sort.Strings(out)
 	return out
 }
 
-// SetCopies sets whether a copy of a machine's report arrives again, and how much later; nil: none does.
-func (c *Cloud) SetCopies(f func(rig string) (time.Duration, bool)) {
+// SetRepeatedHeartbeats sets whether a copy of a machine's report arrives again, and how much later; nil: none does.
+func (c *Cloud) SetRepeatedHeartbeats(f func(rig string) (time.Duration, bool)) {
 	c.results.Lock()
 	defer c.results.Unlock()
-	c.copies = f
+	c.repeatHeartbeat = f
 }
 
-func (c *Cloud) copied(rig string) (time.Duration, bool) {
+func (c *Cloud) heartbeatRepetition(rig string) (time.Duration, bool) {
 	c.results.Lock()
-	f := c.copies
+	f := c.repeatHeartbeat
 	c.results.Unlock()
 	if f == nil {
 		return 0, false
@@ -106,43 +106,43 @@
 	return f(rig)
 }
 
-// Done tells whether a task completed.
-func (c *Cloud) Done(piece string) bool {
+// TaskDone tells whether a task completed.
+func (c *Cloud) TaskDone(piece string) bool {
 	c.results.Lock()
 	defer c.results.Unlock()
-	return c.done[piece]
+	return c.doneTasks[piece]
 }
 
 // Zone is where a machine is, or "".
 func (c *Cloud) Zone(name string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.rigs[name]; w != nil {
-		return w.rig.Zone
+	if w := c.workers[name]; w != nil {
+		return w.machine.Zone
 	}
 	return ""
 }
 
-// Lapsed tells whether a machine is gone or its lease is over, also if it hangs and has not noticed.
-func (c *Cloud) Lapsed(name string) bool {
+// LeaseExpired tells whether a machine is gone or its lease is over, also if it hangs and has not noticed.
+func (c *Cloud) LeaseExpired(name string) bool {
 	c.mu.Lock()
-	w := c.rigs[name]
+	w := c.workers[name]
 	c.mu.Unlock()
 	if w == nil {
 		return true
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lapsed()
+	return w.leaseExpired()
 }
 
 // Hang stops a machine for a while; then it goes on with what it had.
 func (c *Cloud) Hang(name string, d time.Duration) {
 	c.mu.Lock()
-	w := c.rigs[name]
+	w := c.workers[name]
 	c.mu.Unlock()
 	if w != nil {
-		w.hungTill.Store(time.Now().Add(d).UnixNano())
+		w.hungUntil.Store(time.Now().Add(d).UnixNano())
 	}
 }
 
@@ -152,8 +152,8 @@
 }
 
 func (c *Cloud) handle(req *transport.Message, rsp *transport.Responder) {
-	if c.Trouble != nil {
-		if status := c.Trouble(req); status != 0 {
+	if c.InjectFault != nil {
+		if status := c.InjectFault(req); status != 0 {
 			rsp.Respond(status, protocol.Encode(map[string]string{"error": "trouble"}), 0)
 			return
 		}
@@ -167,7 +167,7 @@
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		rsp.Respond(200, protocol.Encode(protocol.RentalReply{Machines: c.hire(h)}), 0)
+		rsp.Respond(200, protocol.Encode(protocol.RentalReply{Machines: c.rent(h)}), 0)
 	case req.Path == "/rentals/delete":
 		var d protocol.DeleteRequest
 		if err := protocol.Decode(req.Body, &d); err != nil {
@@ -184,16 +184,16 @@
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		rsp.Respond(200, protocol.Encode(c.list(q.Get("Since"))), 0)
+		rsp.Respond(200, protocol.Encode(c.listMachines(q.Get("Since"))), 0)
 	default:
 		rsp.Respond(404, nil, 0)
 	}
 }
 
-func (c *Cloud) hire(h protocol.RentalRequest) []string {
+func (c *Cloud) rent(h protocol.RentalRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if names, ok := c.hired[h.Name]; ok {
+	if names, ok := c.rentals[h.Name]; ok {
 		return names
 	}
 	var typ *protocol.MachineType
@@ -207,47 +207,47 @@
 		if typ == nil {
 			break
 		}
-		c.seq++
+		c.machineSequence++
 		ctx, cancel := context.WithCancel(c.ctx)
-		w := &worker{cloud: c, typ: typ, cancel: cancel, born: time.Now(), rig: protocol.Machine{
-			Name: fmt.Sprintf("m-%06d", c.seq), MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}}
-		c.rigs[w.rig.Name] = w
-		names = append(names, w.rig.Name)
+		w := &worker{cloud: c, machineType: typ, cancel: cancel, createdAt: time.Now(), machine: protocol.Machine{
+			Name: fmt.Sprintf("m-%06d", c.machineSequence), MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}}
+		c.workers[w.machine.Name] = w
+		names = append(names, w.machine.Name)
 		go w.run(ctx)
 	}
-	c.hired[h.Name] = names
+	c.rentals[h.Name] = names
 	return names
 }
 
 // Kill ends a machine with everything on it.
 func (c *Cloud) Kill(name string) {
 	c.mu.Lock()
-	w := c.rigs[name]
-	delete(c.rigs, name)
+	w := c.workers[name]
+	delete(c.workers, name)
 	c.mu.Unlock()
 	if w == nil {
 		return
 	}
 	w.cancel()
-	if c.Net != nil {
-		c.Net.Down(name)
+	if c.Network != nil {
+		c.Network.RemoveHost(name)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killAll()
-	w.shift = 0 // whatever still reaches it finds nobody
+	w.incarnation = 0 // whatever still reaches it finds nobody
 }
 
-func (c *Cloud) list(since string) protocol.MachineList {
+func (c *Cloud) listMachines(since string) protocol.MachineList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := protocol.MachineList{Machines: []protocol.Machine{}}
-	for name, w := range c.rigs {
+	for name, w := range c.workers {
 		if name > since {
 			w.mu.Lock()
-			r := w.rig
+			r := w.machine
 			w.mu.Unlock()
-			r.AgeS = time.Since(w.born).Seconds()
+			r.AgeS = time.Since(w.createdAt).Seconds()
 			l.Machines = append(l.Machines, r)
 		}
 	}
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -14,19 +14,19 @@
 	"quillshunt/internal/transport"
 )
 
-// Cut is what a network does with packets from one host to another.
-type Cut uint8
+// LinkState is what a network does with packets from one host to another.
+type LinkState uint8
 
 const (
 	// Open delivers.
-	Open Cut = iota
+	Open LinkState = iota
 	// Refuse refuses connections and resets open ones.
 	Refuse
-	// Hold keeps packets back and delivers them in order once it is over, also of connections given
+	// Delay keeps packets back and delivers them in order once it is over, also of connections given
 	// up meanwhile. A connection attempt hangs.
-	Hold
-	// Lose drops packets for good.
-	Lose
+	Delay
+	// Drop drops packets for good.
+	Drop
 )
 
 var errRefused = errors.New("connection refused")
@@ -34,18 +34,18 @@
 // Network is a network in memory, whose links can be cut one by one and in one direction. Addresses
 // are host:port.
 type Network struct {
-	mu        sync.Mutex
-	latency   time.Duration
-	slow      map[string]time.Duration // what it takes longer from or to a host
-	listeners map[string]*listener
-	cuts      map[[2]string]Cut
-	conns     map[*conn]bool
-	changed   chan struct{} // closed at the next change of a cut
+	mu           sync.Mutex
+	latency      time.Duration
+	extraLatency map[string]time.Duration // what it takes longer from or to a host
+	listeners    map[string]*listener
+	links        map[[2]string]LinkState
+	conns        map[*conn]bool
+	changed      chan struct{} // closed at the next change of a cut
 }
 
 // NewNetwork returns a Network without cuts.
 func NewNetwork(latency time.Duration) *Network {
-	return &Network{latency: latency, listeners: map[string]*listener{}, cuts: map[[2]string]Cut{}, slow: map[string]time.Duration{}, conns: map[*conn]bool{}, changed: make(chan struct{})}
+	return &Network{latency: latency, listeners: map[string]*listener{}, links: map[[2]string]LinkState{}, extraLatency: map[string]time.Duration{}, conns: map[*conn]bool{}, changed: make(chan struct{})}
 }
 
 func host(addr string) string {
@@ -53,14 +53,14 @@
 	return h
 }
 
-// Set cuts the way from one host to another, or opens it.
-func (n *Network) Set(from, to string, cut Cut) {
+// SetLink cuts the way from one host to another, or opens it.
+func (n *Network) SetLink(from, to string, cut LinkState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if cut == Open {
-		delete(n.cuts, [2]string{from, to})
+		delete(n.links, [2]string{from, to})
 	} else {
-		n.cuts[[2]string{from, to}] = cut
+		n.links[[2]string{from, to}] = cut
 	}
 	if cut == Refuse {
 		for c := range n.conns {
@@ -80,21 +80,21 @@
 	n.latency = d
 }
 
-// SetSlow sets how much longer packets from or to a host take from now on.
-func (n *Network) SetSlow(name string, d time.Duration) {
+// SetExtraLatency sets how much longer packets from or to a host take from now on.
+func (n *Network) SetExtraLatency(name string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.slow[name] = d
+	n.extraLatency[name] = d
 }
 
-// Both cuts both ways between two hosts.
-func (n *Network) Both(a, b string, cut Cut) {
-	n.Set(a, b, cut)
-	n.Set(b, a, cut)
+// SetLinkBothWays cuts both ways between two hosts.
+func (n *Network) SetLinkBothWays(a, b string, cut LinkState) {
+	n.SetLink(a, b, cut)
+	n.SetLink(b, a, cut)
 }
 
-// Unlisten takes no more connections to an address; those that are open go on.
-func (n *Network) Unlisten(addr string) {
+// StopListening takes no more connections to an address; those that are open go on.
+func (n *Network) StopListening(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.listeners[addr]; l != nil {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Down ends a host: its listeners and connections are gone.
-func (n *Network) Down(name string) {
+// RemoveHost ends a host: its listeners and connections are gone.
+func (n *Network) RemoveHost(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for addr, l := range n.listeners {
@@ -120,11 +120,11 @@
 	}
 }
 
-// way is the state of the way from one host to another, and a channel that closes when any changes.
-func (n *Network) way(from, to string) (Cut, <-chan struct{}) {
+// link is the state of the way from one host to another, and a channel that closes when any changes.
+func (n *Network) link(from, to string) (LinkState, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[[2]string{from, to}], n.changed
+	return n.links[[2]string{from, to}], n.changed
 }
 
 // Listen takes connections to an address.
@@ -141,8 +141,8 @@
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		to := host(addr)
 		for {
-			there, changed := n.way(from, to)
-			back, _ := n.way(to, from)
+			there, changed := n.link(from, to)
+			back, _ := n.link(to, from)
 			if there == Refuse || back == Refuse {
 				return nil, errRefused
 			}
@@ -161,8 +161,8 @@
 		if l == nil {
 			return nil, errRefused
 		}
-		a := &conn{n: n, local: from, remote: to, wake: make(chan struct{}, 1)}
-		b := &conn{n: n, local: to, remote: from, wake: make(chan struct{}, 1)}
+		a := &conn{network: n, local: from, remote: to, wakeUp: make(chan struct{}, 1)}
+		b := &conn{network: n, local: to, remote: from, wakeUp: make(chan struct{}, 1)}
 		a.peer, b.peer = b, a
 		select {
 		case l.accept <- b:
@@ -174,8 +174,8 @@
 	}
 }
 
-// Serve serves a listener's connections until it is closed.
-func Serve(l net.Listener, s *transport.Server) {
+// ServeListener serves a listener's connections until it is closed.
+func ServeListener(l net.Listener, s *transport.Server) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -191,10 +191,10 @@
 func (a address) String() string  { return string(a) }
 
 type listener struct {
-	addr   address
-	accept chan net.Conn
-	done   chan struct{}
-	once   sync.Once
+	addr      address
+	accept    chan net.Conn
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -206,81 +206,81 @@
 	}
 }
 
-func (l *listener) close()         { l.once.Do(func() { close(l.done) }) }
+func (l *listener) close()         { l.closeOnce.Do(func() { close(l.done) }) }
 func (l *listener) Close() error   { l.close(); return nil }
 func (l *listener) Addr() net.Addr { return l.addr }
 
 type packet struct {
-	at   time.Time
-	data []byte // nil: the sender has closed
+	deliverAt time.Time
+	data      []byte // nil: the sender has closed
 }
 
 // conn is one end of a connection. What comes to it lies in its queue until its time has come and
 // the way is open.
 type conn struct {
-	n             *Network
+	network       *Network
 	local, remote string
 	peer          *conn
-	wake          chan struct{}
-
-	mu     sync.Mutex
-	queue  []packet
-	rest   []byte
-	ended  bool // the other side has closed
-	closed bool
-	broken bool // reset
-	gap    bool // a packet to the other side was lost; what comes after it is of no use there
-	until  time.Time
+	wakeUp        chan struct{}
+
+	mu         sync.Mutex
+	queue      []packet
+	unread     []byte
+	peerClosed bool // the other side has closed
+	closed     bool
+	wasReset   bool // reset
+	packetLost bool // a packet to the other side was lost; what comes after it is of no use there
+	deadline   time.Time
 }
 
-func (c *conn) poke() {
+func (c *conn) notify() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
 func (c *conn) reset() {
 	c.mu.Lock()
-	c.broken = true
+	c.wasReset = true
 	c.mu.Unlock()
-	c.poke()
+	c.notify()
 }
 
 func (c *conn) Read(b []byte) (int, error) {
 	for {
-		way, changed := c.n.way(c.remote, c.local)
+		way, changed := c.network.link(c.remote, c.local)
 		c.mu.Lock()
-		if len(c.rest) > 0 {
-			k := copy(b, c.rest)
-			c.rest = c.rest[k:]
+		if len(c.unread) > 0 {
+			k := copy(b, c.unread)
+			c.unread = c.unread[k:]
 			c.mu.Unlock()
 			return k, nil
 		}
-		now, next := time.Now(), c.until // next: when there is something to do without being woken
+		now, next := time.Now(), c.deadline // next: when there is something to do without being woken
 		switch {
 		case c.closed:
 			c.mu.Unlock()
 			return 0, net.ErrClosed
-		case c.broken:
+		case c.wasReset:
 			c.mu.Unlock()
 			return 0, fmt.Errorf("%w: connection reset", io.ErrUnexpectedEOF)
-		case !c.until.IsZero() && !now.Before(c.until):
+		case !c.deadline.IsZero() && !now.Before(c.deadline):
 			c.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
-		case c.ended:
+		case c.peerClosed:
 			c.mu.Unlock()
 			return 0, io.EOF
 		case way == Open && len(c.queue) > 0:
 			p := c.queue[0]
-			if p.at.After(now) {
-				if next.IsZero() || p.at.Before(next) {
-					next = p.at
+			if p.deliverAt.After(now) {
+				if next.IsZero() || p.deliverAt.Before(next) {
+					next = p.deliverAt
 				}
 				break
 			}
 			c.queue = c.queue[1:]
-			c.rest, c.ended = p.data, p.data == nil
+			c.unread, c.peerClosed = p.data, p.data == nil
 			c.mu.Unlock()
 			continue
 		}
@@ -298,7 +298,7 @@
 		due = t.C
 	}
 	select {
-	case <-c.wake:
+	case <-c.wakeUp:
 	case <-changed:
 	case <-due:
 	}
@@ -306,27 +306,27 @@
 
 // send queues a packet at the other side.
 func (c *conn) send(data []byte) {
-	way, _ := c.n.way(c.local, c.remote)
+	way, _ := c.network.link(c.local, c.remote)
 	c.mu.Lock()
-	c.gap = c.gap || way == Lose
-	gap := c.gap
+	c.packetLost = c.packetLost || way == Drop
+	gap := c.packetLost
 	c.mu.Unlock()
 	if gap {
 		return
 	}
-	c.n.mu.Lock()
-	at := time.Now().Add(c.n.latency + c.n.slow[c.local] + c.n.slow[c.remote])
-	c.n.mu.Unlock()
+	c.network.mu.Lock()
+	at := time.Now().Add(c.network.latency + c.network.extraLatency[c.local] + c.network.extraLatency[c.remote])
+	c.network.mu.Unlock()
 	p := c.peer
 	p.mu.Lock()
-	p.queue = append(p.queue, packet{at: at, data: data})
+	p.queue = append(p.queue, packet{deliverAt: at, data: data})
 	p.mu.Unlock()
-	p.poke()
+	p.notify()
 }
 
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	closed, broken, late := c.closed, c.broken, !c.until.IsZero() && !time.Now().Before(c.until)
+	closed, broken, late := c.closed, c.wasReset, !c.deadline.IsZero() && !time.Now().Before(c.deadline)
 	c.mu.Unlock()
 	switch {
 	case closed:
@@ -349,18 +349,18 @@
 		return nil
 	}
 	c.send(nil)
-	c.poke()
-	c.n.mu.Lock()
-	delete(c.n.conns, c)
-	c.n.mu.Unlock()
+	c.notify()
+	c.network.mu.Lock()
+	delete(c.network.conns, c)
+	c.network.mu.Unlock()
 	return nil
 }
 
 func (c *conn) SetDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.until = t
+	c.deadline = t
 	c.mu.Unlock()
-	c.poke()
+	c.notify()
 	return nil
 }
 
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -16,21 +16,21 @@
 	"quillshunt/internal/transport"
 )
 
-// State is a stand-in of the state service.
-type State struct {
-	mu     sync.Mutex
-	keys   map[string]protocol.KeyValue
-	ledger uint64
-	log    []protocol.Change
-	holds  map[uint64]hold
-	nextID uint64
-	down   bool
-	waits  map[chan struct{}]bool
+// StateService is a stand-in of the state service.
+type StateService struct {
+	mu          sync.Mutex
+	keys        map[string]protocol.KeyValue
+	revision    uint64
+	changes     []protocol.Change
+	leases      map[uint64]lease
+	lastLeaseID uint64
+	unavailable bool
+	watchers    map[chan struct{}]bool
 
-	refused map[string]bool // callers that alone are refused
-	late    func() (time.Duration, bool)
-	limits  StateLimits
-	over    int // transactions that were over the limits
+	rejectedCallers  map[string]bool // callers that alone are refused
+	delayTransaction func() (time.Duration, bool)
+	limits           StateLimits
+	oversized        int // transactions that were over the limits
 }
 
 // StateLimits are limits of the state service. Zero means none.
@@ -39,32 +39,32 @@
 	TxnOps     int
 }
 
-type hold struct {
-	life time.Duration
-	ends time.Time
+type lease struct {
+	duration  time.Duration
+	expiresAt time.Time
 }
 
-// NewState returns an empty State.
-func NewState() *State {
-	return &State{keys: map[string]protocol.KeyValue{}, holds: map[uint64]hold{}, waits: map[chan struct{}]bool{}, refused: map[string]bool{}}
+// NewStateService returns an empty State.
+func NewStateService() *StateService {
+	return &StateService{keys: map[string]protocol.KeyValue{}, leases: map[uint64]lease{}, watchers: map[chan struct{}]bool{}, rejectedCallers: map[string]bool{}}
 }
 
 // SetLimits sets limits from now on; what is stored stays as it is.
-func (s *State) SetLimits(l StateLimits) {
+func (s *StateService) SetLimits(l StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = l
 }
 
-// OverLimits is how many transactions were refused for their size.
-func (s *State) OverLimits() int {
+// OversizedTransactions is how many transactions were refused for their size.
+func (s *StateService) OversizedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over
+	return s.oversized
 }
 
-// fits tells whether a transaction keeps to the limits; the caller has the lock.
-func (s *State) fits(t *protocol.Transaction) bool {
+// withinLimits tells whether a transaction keeps to the limits; the caller has the lock.
+func (s *StateService) withinLimits(t *protocol.Transaction) bool {
 	if s.limits.TxnOps > 0 && len(t.Operations) > s.limits.TxnOps {
 		return false
 	}
@@ -101,38 +101,38 @@
 	return v
 }
 
-// SetDown starts or ends an outage. After one, all holds have their full time again.
-func (s *State) SetDown(down bool) {
+// SetUnavailable starts or ends an outage. After one, all holds have their full time again.
+func (s *StateService) SetUnavailable(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	s.down = down
-	for id, h := range s.holds {
-		h.ends = time.Now().Add(h.life)
-		s.holds[id] = h
+	s.unavailable = down
+	for id, h := range s.leases {
+		h.expiresAt = time.Now().Add(h.duration)
+		s.leases[id] = h
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-// SetRefused refuses one caller alone, or serves it again.
-func (s *State) SetRefused(caller string, refused bool) {
+// SetRejectedCaller refuses one caller alone, or serves it again.
+func (s *StateService) SetRejectedCaller(caller string, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refused[caller] = refused
-	s.wake()
+	s.rejectedCallers[caller] = refused
+	s.notifyWatchers()
 }
 
-// SetLate sets whether a transaction gets no answer in time and is carried out so much later; nil:
+// SetDelayedTransactions sets whether a transaction gets no answer in time and is carried out so much later; nil:
 // none does.
-func (s *State) SetLate(f func() (time.Duration, bool)) {
+func (s *StateService) SetDelayedTransactions(f func() (time.Duration, bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.late = f
+	s.delayTransaction = f
 }
 
-func (s *State) delayed() (time.Duration, bool) {
+func (s *StateService) transactionDelay() (time.Duration, bool) {
 	s.mu.Lock()
-	f := s.late
+	f := s.delayTransaction
 	s.mu.Unlock()
 	if f == nil {
 		return 0, false
@@ -140,26 +140,26 @@
 	return f()
 }
 
-func (s *State) serves(caller string) bool {
+func (s *StateService) serves(caller string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.down && !s.refused[caller]
+	return !s.unavailable && !s.rejectedCallers[caller]
 }
 
 // expire ends holds that were not renewed. The caller has the lock.
-func (s *State) expire() {
-	if s.down {
+func (s *StateService) expire() {
+	if s.unavailable {
 		return
 	}
-	for id, h := range s.holds {
-		if !time.Now().Before(h.ends) {
-			s.endHold(id)
+	for id, h := range s.leases {
+		if !time.Now().Before(h.expiresAt) {
+			s.removeLease(id)
 		}
 	}
 }
 
-func (s *State) endHold(id uint64) {
-	delete(s.holds, id)
+func (s *StateService) removeLease(id uint64) {
+	delete(s.leases, id)
 	var gone []string
 	for k, p := range s.keys {
 		if p.Lease == id {
@@ -170,23 +170,23 @@
 		return
 	}
 	sort.Strings(gone)
-	s.ledger++
+	s.revision++
 	for _, k := range gone {
 		delete(s.keys, k)
-		s.log = append(s.log, protocol.Change{Delete: k, Version: s.ledger})
+		s.changes = append(s.changes, protocol.Change{Delete: k, Version: s.revision})
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *State) wake() {
-	for c := range s.waits {
+func (s *StateService) notifyWatchers() {
+	for c := range s.watchers {
 		close(c)
 	}
-	clear(s.waits)
+	clear(s.watchers)
 }
 
 // Get reads a key.
-func (s *State) Get(key string) (protocol.KeyValue, bool) {
+func (s *StateService) Get(key string) (protocol.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -194,23 +194,23 @@
 	return p, ok
 }
 
-// Txn carries out a transaction: 200, 400 or 409.
-func (s *State) Txn(t protocol.Transaction) (int, protocol.TransactionReply) {
+// CompareAndSwap carries out a transaction: 200, 400 or 409.
+func (s *StateService) CompareAndSwap(t protocol.Transaction) (int, protocol.TransactionReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	if !s.fits(&t) {
-		s.over++
+	if !s.withinLimits(&t) {
+		s.oversized++
 		return 400, protocol.TransactionReply{}
 	}
 	for _, op := range t.Operations {
 		if op.Lease != 0 {
-			if _, ok := s.holds[op.Lease]; !ok {
+			if _, ok := s.leases[op.Lease]; !ok {
 				return 400, protocol.TransactionReply{}
 			}
 		}
 	}
-	r := protocol.TransactionReply{Revision: s.ledger, FailedKeys: []string{}}
+	r := protocol.TransactionReply{Revision: s.revision, FailedKeys: []string{}}
 	for _, g := range t.Conditions {
 		if s.keys[g.Key].Version != g.Version {
 			r.FailedKeys = append(r.FailedKeys, g.Key)
@@ -220,28 +220,28 @@
 		return 409, r
 	}
 	if len(t.Operations) > 0 {
-		s.ledger++
+		s.revision++
 		for _, op := range t.Operations {
 			if op.Delete != "" {
 				delete(s.keys, op.Delete)
-				s.log = append(s.log, protocol.Change{Delete: op.Delete, Version: s.ledger})
+				s.changes = append(s.changes, protocol.Change{Delete: op.Delete, Version: s.revision})
 				continue
 			}
-			s.keys[op.Put] = protocol.KeyValue{Key: op.Put, Value: op.Value, Version: s.ledger, Lease: op.Lease}
-			s.log = append(s.log, protocol.Change{Put: op.Put, Value: op.Value, Version: s.ledger})
+			s.keys[op.Put] = protocol.KeyValue{Key: op.Put, Value: op.Value, Version: s.revision, Lease: op.Lease}
+			s.changes = append(s.changes, protocol.Change{Put: op.Put, Value: op.Value, Version: s.revision})
 		}
-		s.wake()
+		s.notifyWatchers()
 	}
-	r.Revision = s.ledger
+	r.Revision = s.revision
 	return 200, r
 }
 
 // List returns the keys with a prefix after since, and whether there are more.
-func (s *State) List(prefix, since string, limit int) protocol.KeyPage {
+func (s *StateService) List(prefix, since string, limit int) protocol.KeyPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	l := protocol.KeyPage{Revision: s.ledger, Items: []protocol.KeyValue{}}
+	l := protocol.KeyPage{Revision: s.revision, Items: []protocol.KeyValue{}}
 	var names []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, prefix) && k > since {
@@ -260,73 +260,73 @@
 }
 
 // CreateLease makes a hold.
-func (s *State) CreateLease(life time.Duration) uint64 {
+func (s *StateService) CreateLease(life time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	s.nextID++
-	s.holds[s.nextID] = hold{life: life, ends: time.Now().Add(life)}
-	return s.nextID
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = lease{duration: life, expiresAt: time.Now().Add(life)}
+	return s.lastLeaseID
 }
 
-// Touch renews a hold; it returns false if there is none.
-func (s *State) Touch(id uint64) bool {
+// RenewLease renews a hold; it returns false if there is none.
+func (s *StateService) RenewLease(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	h, ok := s.holds[id]
+	h, ok := s.leases[id]
 	if ok {
-		h.ends = time.Now().Add(h.life)
-		s.holds[id] = h
+		h.expiresAt = time.Now().Add(h.duration)
+		s.leases[id] = h
 	}
 	return ok
 }
 
-// EndLease ends a hold at once.
-func (s *State) EndLease(id uint64) {
+// RevokeLease ends a hold at once.
+func (s *StateService) RevokeLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.holds[id]; ok {
-		s.endHold(id)
+	if _, ok := s.leases[id]; ok {
+		s.removeLease(id)
 	}
 }
 
 // Changes returns what happened to keys with a prefix after a revision, and a channel that closes
 // at the next change.
-func (s *State) Changes(prefix string, since uint64) (protocol.WatchReply, <-chan struct{}) {
+func (s *StateService) Changes(prefix string, since uint64) (protocol.WatchReply, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	r := protocol.WatchReply{Revision: s.ledger, Changes: []protocol.Change{}}
-	for _, c := range s.log {
+	r := protocol.WatchReply{Revision: s.revision, Changes: []protocol.Change{}}
+	for _, c := range s.changes {
 		if c.Version > since && strings.HasPrefix(c.Put+c.Delete, prefix) {
 			r.Changes = append(r.Changes, c)
 		}
 	}
 	next := make(chan struct{})
-	s.waits[next] = true
+	s.watchers[next] = true
 	return r, next
 }
 
-// Down tells whether there is an outage.
-func (s *State) Down() bool {
+// Unavailable tells whether there is an outage.
+func (s *StateService) Unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.down
+	return s.unavailable
 }
 
 // Server serves the state service on an address.
-func (s *State) Server(addr string, log *slog.Logger) *transport.Server {
+func (s *StateService) Server(addr string, log *slog.Logger) *transport.Server {
 	return s.ServerFor("", addr, log)
 }
 
 // ServerFor serves one caller, who can be refused alone.
-func (s *State) ServerFor(caller, addr string, log *slog.Logger) *transport.Server {
+func (s *StateService) ServerFor(caller, addr string, log *slog.Logger) *transport.Server {
 	return transport.NewServer(transport.ServerOptions{Addr: addr, MaxConns: 1000, Log: log,
 		Handle: func(req *transport.Message, rsp *transport.Responder) { s.handle(caller, req, rsp) }})
 }
 
-func (s *State) handle(caller string, req *transport.Message, rsp *transport.Responder) {
+func (s *StateService) handle(caller string, req *transport.Message, rsp *transport.Responder) {
 	if !s.serves(caller) && !strings.HasPrefix(req.Path, "/watch") {
 		rsp.Respond(503, nil, 0)
 		return
@@ -360,14 +360,14 @@
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		if after, late := s.delayed(); late {
+		if after, late := s.transactionDelay(); late {
 			time.AfterFunc(after, func() {
-				s.Txn(t)
+				s.CompareAndSwap(t)
 				rsp.Respond(503, nil, 0) // the caller has given up long ago
 			})
 			return
 		}
-		status, r := s.Txn(t)
+		status, r := s.CompareAndSwap(t)
 		rsp.Respond(status, protocol.Encode(r), 0)
 	case path == "/holds":
 		var h protocol.LeaseRequest
@@ -383,8 +383,8 @@
 			return
 		}
 		if req.Method == "DELETE" {
-			s.EndLease(id)
-		} else if !s.Touch(id) {
+			s.RevokeLease(id)
+		} else if !s.RenewLease(id) {
 			rsp.Respond(404, nil, 0)
 			return
 		}
@@ -396,7 +396,7 @@
 	}
 }
 
-func (s *State) watch(caller, prefix string, since uint64, wait time.Duration, rsp *transport.Responder) {
+func (s *StateService) watch(caller, prefix string, since uint64, wait time.Duration, rsp *transport.Responder) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -17,42 +17,42 @@
 
 // The times that stand-in workers keep.
 const (
-	reportEvery = time.Second
-	leaseFor    = 10 * time.Second
-	answerIn    = 4 * time.Second
-	tryNext     = time.Second
+	heartbeatInterval = time.Second
+	leaseDuration     = 10 * time.Second
+	answerTimeout     = 4 * time.Second
+	retryInterval     = time.Second
 
-	gangWaitFor = 40 * time.Second
-	gangPeerFor = 6 * time.Second
+	gangWaitTimeout = 40 * time.Second
+	gangPeerTimeout = 6 * time.Second
 )
 
 // worker is a machine of the stand-in cloud. Its tasks only wait for the time that their owner
 // reckons with.
 type worker struct {
-	cloud  *Cloud
-	typ    *protocol.MachineType
-	cancel context.CancelFunc
-	born   time.Time
+	cloud       *Cloud
+	machineType *protocol.MachineType
+	cancel      context.CancelFunc
+	createdAt   time.Time
 
-	mu       sync.Mutex
-	rig      protocol.Machine
-	shift    uint64 // 0: not up, or gone
-	tally    uint64
-	baton    uint64
-	answered time.Time        // when the last report was sent that was answered
-	hungTill atomic.Int64     // in Unix nanoseconds; also read by other workers of a gang
-	tasks    map[string]*task // by piece and attempt
+	mu           sync.Mutex
+	machine      protocol.Machine
+	incarnation  uint64 // 0: not up, or gone
+	sequence     uint64
+	fencingToken uint64
+	leaseStart   time.Time        // when the last report was sent that was answered
+	hungUntil    atomic.Int64     // in Unix nanoseconds; also read by other workers of a gang
+	tasks        map[string]*task // by piece and attempt
 }
 
 type task struct {
 	protocol.TaskStatus
-	ends time.Time
-	gang *gang // nil if its job's tasks are independent
+	doneAt time.Time
+	gang   *gangAttempt // nil if its job's tasks are independent
 }
 
 // run boots the machine and reports until the context ends.
 func (w *worker) run(ctx context.Context) {
-	if !storage.Sleep(ctx, time.Duration(w.typ.BootS*float64(time.Second))) {
+	if !storage.Sleep(ctx, time.Duration(w.machineType.BootS*float64(time.Second))) {
 		return
 	}
 	addr, err := w.listen(ctx)
@@ -65,32 +65,32 @@
 		w.mu.Unlock()
 		return
 	}
-	w.rig.Address, w.rig.State = addr, protocol.MachineRunning
-	w.shift, w.tasks, w.answered = 1, map[string]*task{}, time.Now()
+	w.machine.Address, w.machine.State = addr, protocol.MachineRunning
+	w.incarnation, w.tasks, w.leaseStart = 1, map[string]*task{}, time.Now()
 	w.mu.Unlock()
 	var names []string
 	clients := map[string]*transport.Client{}
 	for n, a := range w.cloud.Controllers {
 		names = append(names, n)
-		clients[n] = transport.NewClient(a, 1, limits.MaxBodyBytes).WithDialer(w.cloud.dialer(w.rig.Name))
+		clients[n] = transport.NewClient(a, 1, limits.MaxBodyBytes).WithDialer(w.cloud.dialer(w.machine.Name))
 		defer clients[n].Close()
 	}
 	sort.Strings(names)
 	at := 0
-	for w.awake(ctx) {
+	for w.waitWhileHung(ctx) {
 		sent := time.Now()
 		w.mu.Lock()
-		r := w.report()
+		r := w.heartbeat()
 		w.mu.Unlock()
-		status, leader, reply := w.send(ctx, clients[names[at]], r)
-		if !w.awake(ctx) {
+		status, leader, reply := w.sendHeartbeat(ctx, clients[names[at]], r)
+		if !w.waitWhileHung(ctx) {
 			return
 		}
-		pause := limits.Seconds(w.cloud.Times.ReportS)
+		pause := limits.Seconds(w.cloud.WorkerTimes.ReportS)
 		switch {
 		case status == 200:
-			if time.Since(sent) < answerIn {
-				w.take(r.Incarnation, reply, sent)
+			if time.Since(sent) < answerTimeout {
+				w.applyReply(r.Incarnation, reply, sent)
 			}
 		case status == 421 && leader != "" && leader != names[at]:
 			clients[names[at]].Close()
@@ -99,10 +99,10 @@
 					at = i
 				}
 			}
-			pause = tryNext / 10
+			pause = retryInterval / 10
 		default:
 			at = (at + 1) % len(names)
-			pause = tryNext
+			pause = retryInterval
 		}
 		if !storage.Sleep(ctx, pause) {
 			return
@@ -113,9 +113,9 @@
 // listen serves direct commands.
 func (w *worker) listen(ctx context.Context) (string, error) {
 	options := transport.ServerOptions{MaxConns: 20, Handle: w.handle, Log: w.cloud.Log}
-	if w.cloud.Net != nil {
-		addr := w.rig.Name + ":9000"
-		go Serve(w.cloud.Net.Listen(addr), transport.NewServer(options))
+	if w.cloud.Network != nil {
+		addr := w.machine.Name + ":9000"
+		go ServeListener(w.cloud.Network.Listen(addr), transport.NewServer(options))
 		return addr, nil
 	}
 	addr, err := freeAddress()
@@ -125,20 +125,20 @@
 	options.Addr = addr
 	go func() {
 		if err := transport.NewServer(options).Run(ctx); err != nil {
-			w.cloud.Log.Error("worker", "machine", w.rig.Name, "err", err)
+			w.cloud.Log.Error("worker", "machine", w.machine.Name, "err", err)
 		}
 	}()
 	return addr, nil
 }
 
-// awake waits while the machine hangs, and then looks at its lease before all else. It returns
+// waitWhileHung waits while the machine hangs, and then looks at its lease before all else. It returns
 // false once the machine is gone.
-func (w *worker) awake(ctx context.Context) bool {
+func (w *worker) waitWhileHung(ctx context.Context) bool {
 	for {
 		w.mu.Lock()
-		hung := w.hangs()
+		hung := w.hungFor()
 		if hung <= 0 {
-			w.expire()
+			w.endExpiredIncarnation()
 			w.mu.Unlock()
 			return ctx.Err() == nil
 		}
@@ -149,20 +149,20 @@
 	}
 }
 
-// hangs is for how long the machine does nothing yet.
-func (w *worker) hangs() time.Duration { return time.Until(time.Unix(0, w.hungTill.Load())) }
+// hungFor is for how long the machine does nothing yet.
+func (w *worker) hungFor() time.Duration { return time.Until(time.Unix(0, w.hungUntil.Load())) }
 
-// lapsed tells whether the lease is over; the caller has the lock.
-func (w *worker) lapsed() bool {
-	return time.Since(w.answered) > limits.Seconds(w.cloud.Times.LeaseS)
+// leaseExpired tells whether the lease is over; the caller has the lock.
+func (w *worker) leaseExpired() bool {
+	return time.Since(w.leaseStart) > limits.Seconds(w.cloud.WorkerTimes.LeaseS)
 }
 
-// expire ends the session when its lease is over; the caller has the lock.
-func (w *worker) expire() {
-	if w.shift > 0 && w.lapsed() {
+// endExpiredIncarnation ends the session when its lease is over; the caller has the lock.
+func (w *worker) endExpiredIncarnation() {
+	if w.incarnation > 0 && w.leaseExpired() {
 		w.killAll()
-		w.shift++
-		w.answered = time.Now()
+		w.incarnation++
+		w.leaseStart = time.Now()
 	}
 }
 
@@ -170,7 +170,7 @@
 func (w *worker) killAll() {
 	for _, t := range w.tasks {
 		if t.State == protocol.Running || t.State == protocol.Gathering {
-			w.watch(t.Task, false)
+			w.notifyTaskChange(t.Task, false)
 		}
 		if t.gang != nil && t.State != protocol.Ended {
 			t.gang.leave(t.Task)
@@ -179,19 +179,19 @@
 	w.tasks = map[string]*task{}
 }
 
-func (w *worker) watch(piece string, runs bool) {
-	if w.cloud.Watch != nil {
-		w.cloud.Watch(w.rig.Name, piece, runs)
+func (w *worker) notifyTaskChange(piece string, runs bool) {
+	if w.cloud.OnTaskChange != nil {
+		w.cloud.OnTaskChange(w.machine.Name, piece, runs)
 	}
 }
 
-// send makes a report.
-func (w *worker) send(ctx context.Context, c *transport.Client, r protocol.Heartbeat) (status int, leader string, reply protocol.HeartbeatReply) {
-	ctx, cancel := context.WithTimeout(ctx, answerIn)
+// sendHeartbeat makes a report.
+func (w *worker) sendHeartbeat(ctx context.Context, c *transport.Client, r protocol.Heartbeat) (status int, leader string, reply protocol.HeartbeatReply) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	body := protocol.Encode(r)
-	if after, ok := w.cloud.copied(w.rig.Name); ok {
-		time.AfterFunc(after, func() { w.copy(body) })
+	if after, ok := w.cloud.heartbeatRepetition(w.machine.Name); ok {
+		time.AfterFunc(after, func() { w.repeatHeartbeat(body) })
 	}
 	m, err := c.Do(ctx, "POST", "/v1/report", body)
 	if err != nil {
@@ -211,11 +211,11 @@
 	return m.Status, leader, reply
 }
 
-// copy brings a report again, to every controller; nobody waits for the answers.
-func (w *worker) copy(body []byte) {
+// repeatHeartbeat brings a report again, to every controller; nobody waits for the answers.
+func (w *worker) repeatHeartbeat(body []byte) {
 	for _, addr := range w.cloud.Controllers {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), answerIn)
+			ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 			defer cancel()
 			c := transport.NewClient(addr, 0, limits.MaxBodyBytes).WithDialer(w.cloud.dialer("copies"))
 			_, _ = c.Do(ctx, "POST", "/v1/report", body)
@@ -223,22 +223,22 @@
 	}
 }
 
-// take executes an answer, unless its token is old or the session has changed.
-func (w *worker) take(shift uint64, reply protocol.HeartbeatReply, sent time.Time) {
+// applyReply executes an answer, unless its token is old or the session has changed.
+func (w *worker) applyReply(shift uint64, reply protocol.HeartbeatReply, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if reply.FencingToken < w.baton || shift != w.shift {
+	if reply.FencingToken < w.fencingToken || shift != w.incarnation {
 		return
 	}
-	w.baton, w.answered = reply.FencingToken, sent
+	w.fencingToken, w.leaseStart = reply.FencingToken, sent
 	w.execute(reply.Commands)
 }
 
-// report makes a report; the caller has the lock.
-func (w *worker) report() protocol.Heartbeat {
-	w.tally++
-	r := protocol.Heartbeat{Machine: w.rig.Name, Address: w.rig.Address, MachineType: w.rig.MachineType, Zone: w.rig.Zone, Spot: w.rig.Spot,
-		Incarnation: w.shift, Sequence: w.tally, FencingToken: w.baton, Tasks: []protocol.TaskStatus{}}
+// heartbeat makes a report; the caller has the lock.
+func (w *worker) heartbeat() protocol.Heartbeat {
+	w.sequence++
+	r := protocol.Heartbeat{Machine: w.machine.Name, Address: w.machine.Address, MachineType: w.machine.MachineType, Zone: w.machine.Zone, Spot: w.machine.Spot,
+		Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: []protocol.TaskStatus{}}
 	var keys []string
 	for k := range w.tasks {
 		keys = append(keys, k)
@@ -248,31 +248,31 @@
 		t := w.tasks[k]
 		switch {
 		case t.gang != nil && t.State != protocol.Ended:
-			w.lookAtGang(t)
-		case t.State == protocol.Running && time.Now().After(t.ends):
-			w.end(t, protocol.ReasonDone)
+			w.updateFromGang(t)
+		case t.State == protocol.Running && time.Now().After(t.doneAt):
+			w.endTask(t, protocol.ReasonDone)
 		}
 		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
 
-// lookAtGang brings a task in line with its gang; the caller has the lock.
-func (w *worker) lookAtGang(t *task) {
-	shown := t.gang.look(t.Task)
+// updateFromGang brings a task in line with its gang; the caller has the lock.
+func (w *worker) updateFromGang(t *task) {
+	shown := t.gang.observe(t.Task)
 	t.State, t.Reason, t.Saved = shown.State, shown.Reason, shown.Saved
 	if t.State == protocol.Ended {
-		w.watch(t.Task, false)
+		w.notifyTaskChange(t.Task, false)
 	}
 }
 
-// end ends a task that runs; the caller has the lock.
-func (w *worker) end(t *task, cause string) {
+// endTask ends a task that runs; the caller has the lock.
+func (w *worker) endTask(t *task, cause string) {
 	t.State, t.Reason = protocol.Ended, cause
 	if cause == protocol.ReasonDone {
-		w.cloud.complete(t.Task)
+		w.cloud.markDone(t.Task)
 	}
-	w.watch(t.Task, false)
+	w.notifyTaskChange(t.Task, false)
 }
 
 func taskKey(piece string, try uint64) string { return fmt.Sprintf("%s#%d", piece, try) }
@@ -284,19 +284,19 @@
 		t := w.tasks[key]
 		switch {
 		case o.Verb == protocol.CommandStart && t == nil:
-			w.tasks[key] = w.begin(o)
+			w.tasks[key] = w.startTask(o)
 		case o.Verb == protocol.CommandStop && t != nil && t.State != protocol.Ended:
 			if t.gang != nil && o.GraceS != nil && t.gang.stop(t.Task, *o.GraceS) {
 				continue // it saves
 			}
-			w.end(t, protocol.ReasonStopped)
+			w.endTask(t, protocol.ReasonStopped)
 		case o.Verb == protocol.CommandForget && t != nil && t.State == protocol.Ended:
 			delete(w.tasks, key)
 		}
 	}
 }
 
-func (w *worker) begin(o protocol.Command) *task {
+func (w *worker) startTask(o protocol.Command) *task {
 	t := &task{TaskStatus: protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Ended, Reason: protocol.ReasonUnknownTask}}
 	id, _, ok := protocol.ParseTaskName(o.Task)
 	if !ok {
@@ -308,28 +308,28 @@
 			return t
 		}
 	}
-	spec, ok := w.cloud.spec(id)
+	spec, ok := w.cloud.jobSpec(id)
 	if !ok {
 		return t
 	}
-	if w.cloud.Done(o.Task) {
+	if w.cloud.TaskDone(o.Task) {
 		t.Reason = protocol.ReasonDone
 		return t
 	}
 	if spec.Gang() {
 		t.State, t.Reason = protocol.Gathering, ""
-		t.gang = w.cloud.gangs.attempt(spec, o.Attempt, w.cloud.gangTimes())
-		t.gang.join(o.Task, func() bool { return w.hangs() > 0 })
-		w.watch(o.Task, true)
+		t.gang = w.cloud.gangBoard.attempt(spec, o.Attempt, w.cloud.gangTimes())
+		t.gang.join(o.Task, func() bool { return w.hungFor() > 0 })
+		w.notifyTaskChange(o.Task, true)
 		return t
 	}
 	t.State, t.Reason = protocol.Running, ""
-	t.ends = time.Now().Add(limits.Seconds(spec.EstimateS))
-	w.watch(o.Task, true)
+	t.doneAt = time.Now().Add(limits.Seconds(spec.EstimateS))
+	w.notifyTaskChange(o.Task, true)
 	return t
 }
 
-func (c *Cloud) spec(id string) (protocol.Spec, bool) {
+func (c *Cloud) jobSpec(id string) (protocol.Spec, bool) {
 	if c.Spec != nil {
 		return c.Spec(id)
 	}
@@ -342,31 +342,31 @@
 }
 
 func (w *worker) handle(req *transport.Message, rsp *transport.Responder) {
-	if hung := w.hangs(); hung > 0 {
+	if hung := w.hungFor(); hung > 0 {
 		time.AfterFunc(hung, func() { w.handle(req, rsp) })
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.expire()
+	w.endExpiredIncarnation()
 	switch {
-	case w.shift == 0: // gone
+	case w.incarnation == 0: // gone
 		rsp.Respond(404, nil, 0)
 	case req.Path == "/status" && req.Method == "GET":
-		rsp.Respond(200, protocol.Encode(w.report()), 0)
+		rsp.Respond(200, protocol.Encode(w.heartbeat()), 0)
 	case req.Path == "/do" && req.Method == "POST":
 		var d protocol.DirectCommands
 		if err := protocol.Decode(req.Body, &d); err != nil || d.Incarnation == 0 {
 			rsp.Respond(400, nil, 0)
 			return
 		}
-		if d.FencingToken < w.baton || d.Incarnation != w.shift {
-			rsp.Respond(409, protocol.Encode(w.report()), 0)
+		if d.FencingToken < w.fencingToken || d.Incarnation != w.incarnation {
+			rsp.Respond(409, protocol.Encode(w.heartbeat()), 0)
 			return
 		}
-		w.baton = d.FencingToken
+		w.fencingToken = d.FencingToken
 		w.execute(d.Commands)
-		rsp.Respond(200, protocol.Encode(w.report()), 0)
+		rsp.Respond(200, protocol.Encode(w.heartbeat()), 0)
 	default:
 		rsp.Respond(404, nil, 0)
 	}
