--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"quillshunt/internal/coordination/resource"
+	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
@@ -84,8 +86,24 @@
 		m.releasing = m.releasing.Minus(j.demand)
 	}
 	if len(m.assignments) == 0 {
-		m.allocated, m.releasing = resources{}, resources{} // no rounding is carried on
+		m.allocated, m.releasing = resource.Vector{}, resource.Vector{} // no rounding is carried on
 		m.idleSince = s.now
 	}
 	s.placement.needed, s.gangs.freeRoomChanged = true, true
 }
+
+// nextAttempt returns the next attempt number; attempts rise across leaders because the term is
+// their high part.
+func (s *Scheduler) nextAttempt() uint64 {
+	s.attemptSequence++
+	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
+}
+
+// releaseUnsent takes back tasks that no order has left for.
+func (s *Scheduler) releaseUnsent(m *machine) {
+	for _, a := range m.sortedAssignments() {
+		if a.state == stateUnsent {
+			s.release(a)
+		}
+	}
+}
