--- a/cmd/quillshunt/root.go
+++ b/cmd/quillshunt/root.go
@@ -34,10 +34,13 @@
 			if err != nil {
 				return err
 			}
-			o, err := config.LoadOptions(optionsPath)
+			o, warnings, err := config.LoadOptions(optionsPath)
 			if err != nil {
 				return err
 			}
+			for _, w := range warnings {
+				log.Warn("options", "node", s.NodeName, "reason", w)
+			}
 			return serve(cmd.Context(), s, o, log)
 		},
 	}
@@ -63,9 +66,15 @@
 			if err != nil {
 				return err
 			}
-			if _, err := config.LoadOptions(optionsPath); err != nil {
+			_, warnings, err := config.LoadOptions(optionsPath)
+			if err != nil {
 				return err
 			}
+			for _, w := range warnings {
+				if _, err := fmt.Fprintf(cmd.ErrOrStderr(), "%s: warning: %s\n", optionsPath, w); err != nil {
+					return err
+				}
+			}
 			for _, w := range s.Warnings() {
 				if _, err := fmt.Fprintf(cmd.ErrOrStderr(), "%s: warning: %s\n", args[0], w); err != nil {
 					return err
--- /dev/null
+++ b/internal/config/options_renamed.go
@@ -0,0 +1,123 @@
+package config
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// optionsFile is what an options file may contain: the options, and those of them that were renamed
+// by their old names as well.
+type optionsFile struct {
+	Leadership struct {
+		LeadershipOptions
+		HoldLife *Duration `toml:"hold_life"`
+	} `toml:"leadership"`
+	Preemption PreemptionOptions `toml:"preemption"`
+	Fleet      struct {
+		FleetOptions
+		LongestWait *Duration `toml:"longest_wait"`
+		SlackShare  *float64  `toml:"slack_share"`
+		IdleReturn  *Duration `toml:"idle_return"`
+		DearRatio   *float64  `toml:"dear_ratio"`
+		DearSlack   *Duration `toml:"dear_slack"`
+	} `toml:"fleet"`
+}
+
+func (f *optionsFile) setDefaults(o Options) {
+	f.Leadership.LeadershipOptions = o.Leadership
+	f.Preemption = o.Preemption
+	f.Fleet.FleetOptions = o.Fleet
+}
+
+func (f *optionsFile) options() Options {
+	return Options{Leadership: f.Leadership.LeadershipOptions, Preemption: f.Preemption, Fleet: f.Fleet.FleetOptions}
+}
+
+// renamedOption is an option that has an old name. Both names include the table.
+type renamedOption struct {
+	oldName, newName string
+	apply            func() bool // sets the option if its old name is given, and reports whether it is
+}
+
+func (f *optionsFile) renamedOptions() []renamedOption {
+	fleet := &f.Fleet
+	return []renamedOption{
+		{"leadership.hold_life", "leadership.leader_lease",
+			setIfGiven(&f.Leadership.LeaderLease, f.Leadership.HoldLife)},
+		{"fleet.longest_wait", "fleet.max_planned_wait", setIfGiven(&fleet.MaxPlannedWait, fleet.LongestWait)},
+		{"fleet.slack_share", "fleet.planned_wait_slack_ratio",
+			setIfGiven(&fleet.PlannedWaitSlackRatio, fleet.SlackShare)},
+		{"fleet.idle_return", "fleet.idle_timeout", setIfGiven(&fleet.IdleTimeout, fleet.IdleReturn)},
+		{"fleet.dear_ratio", "fleet.expensive_pool_ratio", setIfGiven(&fleet.ExpensivePoolRatio, fleet.DearRatio)},
+		{"fleet.dear_slack", "fleet.expensive_pool_slack", setIfGiven(&fleet.ExpensivePoolSlack, fleet.DearSlack)},
+	}
+}
+
+func setIfGiven[T any](option, old *T) func() bool {
+	return func() bool {
+		if old == nil {
+			return false
+		}
+		*option = *old
+		return true
+	}
+}
+
+// applyOldNames sets the options that the text b of the file gives by their old names. An option
+// that is given by both names is an error, as one of the values would have no effect.
+func (f *optionsFile) applyOldNames(b []byte) (oldNames, error) {
+	var text map[string]any
+	if err := toml.Unmarshal(b, &text); err != nil {
+		return nil, describeDecodeError(err)
+	}
+	var old oldNames
+	for _, r := range f.renamedOptions() {
+		if !r.apply() {
+			continue
+		}
+		if contains(text, r.newName) {
+			return nil, fmt.Errorf("%s and %s are the same option; remove the first, its old name", r.oldName, r.newName)
+		}
+		old = append(old, r)
+	}
+	return old, nil
+}
+
+// contains reports whether a file gives a key. Letter case does not matter, as it does not when the
+// file is decoded into a struct.
+func contains(text map[string]any, name string) bool {
+	table, key, _ := strings.Cut(name, ".")
+	for t, v := range text {
+		keys, _ := v.(map[string]any)
+		for k := range keys {
+			if strings.EqualFold(t, table) && strings.EqualFold(k, key) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// oldNames are the renamed options that a file gives by their old names.
+type oldNames []renamedOption
+
+// warnings returns a line for each.
+func (o oldNames) warnings() []string {
+	var lines []string
+	for _, r := range o {
+		lines = append(lines, fmt.Sprintf("%s is deprecated; its name is %s now", r.oldName, r.newName))
+	}
+	return lines
+}
+
+// written returns the name by which the file gives an option.
+func (o oldNames) written(name string) string {
+	for _, r := range o {
+		if r.newName == name {
+			return fmt.Sprintf("%s (now %s)", r.oldName, r.newName)
+		}
+	}
+	return name
+}
