--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,121 @@
+// Package config reads and checks the settings file that the platform hands over.
+package config
+
+// Settings are a controller's settings. Fields we do not know are ignored.
+type Settings struct {
+	NodeName     string   `json:"node_name"`
+	Zone         string   `json:"zone"`
+	ClientListen string   `json:"client_listen"`
+	PeerBind     string   `json:"peer_bind"`
+	Members      []Member `json:"members"`
+	External     External `json:"external"`
+	Facts        Facts    `json:"facts"`
+}
+
+// Member is another controller.
+type Member struct {
+	NodeName string `json:"node_name"`
+	Zone     string `json:"zone"`
+	Address  string `json:"address"`
+}
+
+// External names the services that we depend on.
+type External struct {
+	Cloud string `json:"cloud"`
+	State string `json:"state"`
+}
+
+// Facts describe the deployment.
+type Facts struct {
+	InitialSize int           `json:"initial_size"`
+	Zones       []string      `json:"zones"`
+	Teams       []Team        `json:"teams"`
+	Objectives  []Objective   `json:"objectives"`
+	Workers     Workers       `json:"workers"`
+	State       State         `json:"state"`
+	Cloud       Cloud         `json:"cloud"`
+	Machine     MachineLimits `json:"machine_limits"`
+	SkewMs      float64       `json:"skew_ms"`
+}
+
+// Team has a guarantee and a limit. Zero means none.
+type Team struct {
+	Name    string  `json:"name"`
+	CPUs    float64 `json:"cpus"`
+	CPUsMax float64 `json:"cpus_max"`
+	GPUs    float64 `json:"gpus"`
+	GPUsMax float64 `json:"gpus_max"`
+}
+
+// Objective is an aim for a class of jobs.
+type Objective struct {
+	Kind    string  `json:"kind"`
+	Class   string  `json:"class"`
+	WithinS float64 `json:"within_s"`
+	Share   float64 `json:"share"`
+	Times   float64 `json:"times"`
+}
+
+// Workers are the times that workers keep. A deployment without the two times of gangs has no gangs.
+type Workers struct {
+	ReportS   float64  `json:"report_s"`
+	LeaseS    float64  `json:"lease_s"`
+	CancelS   float64  `json:"cancel_s"`
+	GangWaitS *float64 `json:"gang_wait_s"` // how long a gang's task waits for the others
+	GangPeerS *float64 `json:"gang_peer_s"` // how long the other tasks take to notice that one is gone or was told to stop
+}
+
+// Gangs tells whether the workers of the deployment know gangs.
+func (w *Workers) Gangs() bool { return w.GangWaitS != nil && w.GangPeerS != nil }
+
+// State are the limits of the state service.
+type State struct {
+	RPS      float64    `json:"rps"`
+	WriteRPS float64    `json:"write_rps"`
+	ValueKB  float64    `json:"value_kb"`
+	TxnOps   int        `json:"txn_ops"`
+	Next     *NextState `json:"next"`
+}
+
+// NextState are the limits that the state service will have from an unknown moment on. What is
+// missing stays as it is.
+type NextState struct {
+	RPS      *float64 `json:"rps"`
+	WriteRPS *float64 `json:"write_rps"`
+	ValueKB  *float64 `json:"value_kb"`
+	TxnOps   *int     `json:"txn_ops"`
+}
+
+// Lowest returns the limits that hold both now and after the announced change: for each limit the
+// lower one. All requests keep to these from the start, so that the moment of the change does not
+// matter.
+func (s State) Lowest() State {
+	if s.Next == nil {
+		return s
+	}
+	lower(&s.RPS, s.Next.RPS)
+	lower(&s.WriteRPS, s.Next.WriteRPS)
+	lower(&s.ValueKB, s.Next.ValueKB)
+	lower(&s.TxnOps, s.Next.TxnOps)
+	s.Next = nil
+	return s
+}
+
+func lower[T int | float64](limit, next *T) {
+	if next != nil {
+		*limit = min(*limit, *next)
+	}
+}
+
+// Cloud are the limits of the cloud.
+type Cloud struct {
+	RPS      float64 `json:"rps"`
+	ListLagS float64 `json:"list_lag_s"`
+}
+
+// MachineLimits are the limits of the machine that a controller runs on.
+type MachineLimits struct {
+	CoreShare  float64 `json:"core_share"`
+	MemoryMB   float64 `json:"memory_mb"`
+	MaxSockets int     `json:"max_sockets"`
+}
