--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,42 +9,40 @@
 	"quillshunt/internal/limits"
 )
 
-func present(field, v string) error {
-	if v == "" {
-		return fmt.Errorf("%s: missing", field)
-	}
-	return nil
-}
-
-func address(field, v string) error {
-	if _, err := netip.ParseAddrPort(v); err != nil {
-		return fmt.Errorf("%s: %q is not an address like 10.0.0.1:8080", field, v)
-	}
-	return nil
-}
-
-func positive(field string, v float64) error {
-	if !(v > 0) || math.IsInf(v, 0) {
-		return fmt.Errorf("%s: must be above 0, got %v", field, v)
-	}
-	return nil
+// check returns the first fault of the settings. Each error begins with the path of the field.
+func (s *Settings) check() error {
+	return first(
+		present("node_name", s.NodeName),
+		address("client_listen", s.ClientListen),
+		address("peer_bind", s.PeerBind),
+		address("external.cloud", s.External.Cloud),
+		address("external.state", s.External.State),
+		s.Facts.Workers.check(),
+		s.Facts.State.check(),
+		positive("facts.cloud.rps", s.Facts.Cloud.RPS),
+		s.Facts.Machine.check(),
+		notNegative("facts.cloud.list_lag_s", s.Facts.Cloud.ListLagS),
+		s.checkMembers(),
+		checkTeams(s.Facts.Teams),
+	)
 }
 
 func (w *Workers) check() error {
-	errs := []error{
+	times := first(
 		positive("facts.workers.report_s", w.ReportS),
 		positive("facts.workers.lease_s", w.LeaseS),
 		positive("facts.workers.cancel_s", w.CancelS),
-	}
-	if w.GangWaitS != nil || w.GangPeerS != nil {
-		errs = append(errs,
-			positiveIfPresent("facts.workers.gang_wait_s", w.GangWaitS),
-			positiveIfPresent("facts.workers.gang_peer_s", w.GangPeerS))
-	}
-	return first(errs)
+	)
+	if times != nil || (w.GangWaitS == nil && w.GangPeerS == nil) {
+		return times
+	}
+	return first(
+		gangTime("facts.workers.gang_wait_s", w.GangWaitS),
+		gangTime("facts.workers.gang_peer_s", w.GangPeerS),
+	)
 }
 
-func positiveIfPresent(field string, v *float64) error {
+func gangTime(field string, v *float64) error {
 	if v == nil {
 		return fmt.Errorf("%s: missing; the two times of gangs are given together or not at all", field)
 	}
@@ -52,45 +50,77 @@
 }
 
 func (s *State) check() error {
-	errs := []error{
+	return first(
 		positive("facts.state.rps", s.RPS),
 		positive("facts.state.write_rps", s.WriteRPS),
 		valueSize("facts.state.value_kb", s.ValueKB),
 		transactionSize("facts.state.txn_ops", s.TxnOps),
+		s.Next.check(),
+	)
+}
+
+func (n *NextState) check() error {
+	if n == nil {
+		return nil
+	}
+	return first(
+		ifGiven(positive, "facts.state.next.rps", n.RPS),
+		ifGiven(positive, "facts.state.next.write_rps", n.WriteRPS),
+		ifGiven(valueSize, "facts.state.next.value_kb", n.ValueKB),
+		ifGiven(transactionSize, "facts.state.next.txn_ops", n.TxnOps),
+	)
+}
+
+func (m *MachineLimits) check() error {
+	if !(m.MemoryMB >= limits.MinMemoryMB) {
+		return fmt.Errorf("facts.machine_limits.memory_mb: must be at least %v, got %v", limits.MinMemoryMB, m.MemoryMB)
 	}
-	if n := s.Next; n != nil {
-		if n.RPS != nil {
-			errs = append(errs, positive("facts.state.next.rps", *n.RPS))
-		}
-		if n.WriteRPS != nil {
-			errs = append(errs, positive("facts.state.next.write_rps", *n.WriteRPS))
-		}
-		if n.ValueKB != nil {
-			errs = append(errs, valueSize("facts.state.next.value_kb", *n.ValueKB))
-		}
-		if n.TxnOps != nil {
-			errs = append(errs, transactionSize("facts.state.next.txn_ops", *n.TxnOps))
-		}
+	if err := notNegative("facts.machine_limits.core_share", m.CoreShare); err != nil {
+		return err
+	}
+	if m.MaxSockets < limits.MinSockets {
+		return fmt.Errorf("facts.machine_limits.max_sockets: must be at least %d, got %d", limits.MinSockets, m.MaxSockets)
 	}
-	return first(errs)
+	return nil
 }
 
-func valueSize(field string, kb float64) error {
-	if !(kb >= limits.MinValueKB) || math.IsInf(kb, 0) {
-		return fmt.Errorf("%s: must be at least %v, got %v", field, limits.MinValueKB, kb)
+func (s *Settings) checkMembers() error {
+	names := map[string]bool{s.NodeName: true}
+	for i, m := range s.Members {
+		field := fmt.Sprintf("members[%d]", i)
+		if err := unused(field+".node_name", m.NodeName, names); err != nil {
+			return err
+		}
+		if err := address(field+".address", m.Address); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-func transactionSize(field string, ops int) error {
-	if ops < limits.MinTransactionOps {
-		return fmt.Errorf("%s: must be at least %d, got %d", field, limits.MinTransactionOps, ops)
+func checkTeams(teams []Team) error {
+	if len(teams) == 0 {
+		return errors.New("facts.teams: missing")
+	}
+	names := map[string]bool{}
+	for i, t := range teams {
+		field := fmt.Sprintf("facts.teams[%d]", i)
+		err := first(
+			unused(field+".name", t.Name, names),
+			notNegative(field+".cpus", t.CPUs),
+			notNegative(field+".cpus_max", t.CPUsMax),
+			notNegative(field+".gpus", t.GPUs),
+			notNegative(field+".gpus_max", t.GPUsMax),
+		)
+		if err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-// first returns the first error that is one.
-func first(errs []error) error {
+// first returns the first of some errors that is not nil.
+func first(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -99,62 +129,66 @@
 	return nil
 }
 
-func (s *Settings) check() error {
-	errs := []error{
-		present("node_name", s.NodeName),
-		address("client_listen", s.ClientListen),
-		address("peer_bind", s.PeerBind),
-		address("external.cloud", s.External.Cloud),
-		address("external.state", s.External.State),
-		s.Facts.Workers.check(),
-		s.Facts.State.check(),
-		positive("facts.cloud.rps", s.Facts.Cloud.RPS),
+// ifGiven checks a field that may be missing.
+func ifGiven[T any](check func(string, T) error, field string, v *T) error {
+	if v == nil {
+		return nil
 	}
-	if err := first(errs); err != nil {
-		return err
+	return check(field, *v)
+}
+
+func present(field, v string) error {
+	if v == "" {
+		return fmt.Errorf("%s: missing", field)
 	}
-	if !(s.Facts.Machine.MemoryMB >= limits.MinMemoryMB) {
-		return fmt.Errorf("facts.machine_limits.memory_mb: must be at least %v, got %v", limits.MinMemoryMB, s.Facts.Machine.MemoryMB)
+	return nil
+}
+
+// unused checks that a name is there and not among those of others, and adds it to them.
+func unused(field, name string, names map[string]bool) error {
+	if err := present(field, name); err != nil {
+		return err
 	}
-	if !(s.Facts.Machine.CoreShare >= 0) {
-		return fmt.Errorf("facts.machine_limits.core_share: must not be negative, got %v", s.Facts.Machine.CoreShare)
+	if names[name] {
+		return fmt.Errorf("%s: %q appears twice", field, name)
 	}
-	if s.Facts.Machine.MaxSockets < 32 {
-		return fmt.Errorf("facts.machine_limits.max_sockets: must be at least 32, got %d", s.Facts.Machine.MaxSockets)
+	names[name] = true
+	return nil
+}
+
+func address(field, v string) error {
+	if _, err := netip.ParseAddrPort(v); err != nil {
+		return fmt.Errorf("%s: %q is not an address like 10.0.0.1:8080", field, v)
 	}
-	if !(s.Facts.Cloud.ListLagS >= 0) {
-		return fmt.Errorf("facts.cloud.list_lag_s: must not be negative")
+	return nil
+}
+
+// The comparisons below are written so that NaN fails.
+
+func positive(field string, v float64) error {
+	if !(v > 0) || math.IsInf(v, 0) {
+		return fmt.Errorf("%s: must be above 0, got %v", field, v)
 	}
-	names := map[string]bool{s.NodeName: true}
-	for i, m := range s.Members {
-		if err := present(fmt.Sprintf("members[%d].node_name", i), m.NodeName); err != nil {
-			return err
-		}
-		if names[m.NodeName] {
-			return fmt.Errorf("members[%d].node_name: %q appears twice", i, m.NodeName)
-		}
-		names[m.NodeName] = true
-		if err := address(fmt.Sprintf("members[%d].address", i), m.Address); err != nil {
-			return err
-		}
+	return nil
+}
+
+func notNegative(field string, v float64) error {
+	if !(v >= 0) {
+		return fmt.Errorf("%s: must not be negative, got %v", field, v)
 	}
-	if len(s.Facts.Teams) == 0 {
-		return errors.New("facts.teams: missing")
+	return nil
+}
+
+func valueSize(field string, kb float64) error {
+	if !(kb >= limits.MinValueKB) || math.IsInf(kb, 0) {
+		return fmt.Errorf("%s: must be at least %v, got %v", field, limits.MinValueKB, kb)
 	}
-	teams := map[string]bool{}
-	for i, t := range s.Facts.Teams {
-		if err := present(fmt.Sprintf("facts.teams[%d].name", i), t.Name); err != nil {
-			return err
-		}
-		if teams[t.Name] {
-			return fmt.Errorf("facts.teams[%d].name: %q appears twice", i, t.Name)
-		}
-		teams[t.Name] = true
-		for f, v := range map[string]float64{"cpus": t.CPUs, "cpus_max": t.CPUsMax, "gpus": t.GPUs, "gpus_max": t.GPUsMax} {
-			if !(v >= 0) {
-				return fmt.Errorf("facts.teams[%d].%s: must not be negative", i, f)
-			}
-		}
+	return nil
+}
+
+func transactionSize(field string, ops int) error {
+	if ops < limits.MinTransactionOps {
+		return fmt.Errorf("%s: must be at least %d, got %d", field, limits.MinTransactionOps, ops)
 	}
 	return nil
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/limits"
 )
 
-// Load reads and checks the file at path.
+// Load reads and checks the settings file at path.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -18,13 +18,13 @@
 	return Parse(b)
 }
 
-// Parse reads and checks settings. The error names the field at fault.
+// Parse reads and checks settings. The error is one line that names the field at fault.
 func Parse(b []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(b, &s); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("settings: %s: must be %s, got %s", te.Field, te.Type, te.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("settings: %s: must be %s, got %s", typeErr.Field, typeErr.Type, typeErr.Value)
 		}
 		return nil, fmt.Errorf("settings: not JSON: %w", err)
 	}
@@ -35,15 +35,19 @@
 	return &s, nil
 }
 
-// Warnings tells, a line each, what a controller can run with, but hardly serve with.
+// Warnings returns a line for each setting that a controller can run with, but hardly serve with.
 func (s *Settings) Warnings() []string {
-	var out []string
+	var lines []string
+	tooLow := func(field string, v, enough float64) {
+		lines = append(lines, fmt.Sprintf("facts.machine_limits.%s: %v is little; a leader of a few machines needs %v",
+			field, v, enough))
+	}
 	m := s.Facts.Machine
 	if m.MemoryMB < limits.LowMemoryMB {
-		out = append(out, fmt.Sprintf("facts.machine_limits.memory_mb: %v is little; a leader of a few machines needs %v", m.MemoryMB, limits.LowMemoryMB))
+		tooLow("memory_mb", m.MemoryMB, limits.LowMemoryMB)
 	}
 	if m.CoreShare > 0 && m.CoreShare < limits.LowCoreShare {
-		out = append(out, fmt.Sprintf("facts.machine_limits.core_share: %v is little; a leader of a few machines needs %v", m.CoreShare, limits.LowCoreShare))
+		tooLow("core_share", m.CoreShare, limits.LowCoreShare)
 	}
-	return out
+	return lines
 }
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -6,7 +6,9 @@
 	"testing"
 )
 
-const good = `{"node_name":"rig-0","zone":"z","client_listen":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081","future":{"a":1},
+// validSettings are complete settings, with a field that no version knows.
+const validSettings = `{"node_name":"rig-0","zone":"z","client_listen":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081",
+"future":{"a":1},
 "members":[{"node_name":"rig-1","zone":"z","address":"10.0.0.2:8081"}],
 "external":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},
 "facts":{"initial_size":2,"zones":["z"],"teams":[{"name":"t","cpus":1,"cpus_max":2,"gpus":0,"gpus_max":0}],
@@ -14,14 +16,15 @@
 "workers":{"report_s":1.5,"lease_s":14,"cancel_s":34},"state":{"rps":150,"write_rps":20,"value_kb":4,"txn_ops":8},
 "cloud":{"rps":3,"list_lag_s":4},"machine_limits":{"core_share":0.1,"memory_mb":98,"max_sockets":900},"skew_ms":100}}`
 
+// TestParse: valid settings are read, and unknown fields ignored.
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	if err != nil || s.NodeName != "rig-0" || s.Facts.Teams[0].CPUsMax != 2 || s.Facts.Machine.MaxSockets != 900 {
 		t.Fatalf("%+v %v", s, err)
 	}
 }
 
-// TestWarnings: settings that a controller can run with, but hardly serve with, are taken with a
+// TestWarnings: settings that a controller can run with, but hardly serve with, are accepted with a
 // warning that names the field.
 func TestWarnings(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
@@ -29,7 +32,7 @@
 		{`"core_share":0.1`, `"core_share":0.005`, "core_share"},
 		{`"memory_mb":98`, `"memory_mb":20`, "memory_mb"},
 	} {
-		s, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
+		s, err := Parse([]byte(strings.Replace(validSettings, c.from, c.to, 1)))
 		if err != nil {
 			t.Fatalf("%s: %v", c.to, err)
 		}
@@ -40,10 +43,11 @@
 	}
 }
 
-// TestLowestLimits: announced limits are kept to from the start, each for itself, and only where
-// they are lower.
+// TestLowestLimits: announced limits apply from the start, each by itself, and only where they are
+// lower.
 func TestLowestLimits(t *testing.T) {
-	s, err := Parse([]byte(strings.Replace(good, `"txn_ops":8}`, `"txn_ops":8,"next":{"write_rps":15,"value_kb":8,"txn_ops":4}}`, 1)))
+	withNext := `"txn_ops":8,"next":{"write_rps":15,"value_kb":8,"txn_ops":4}}`
+	s, err := Parse([]byte(strings.Replace(validSettings, `"txn_ops":8}`, withNext, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,8 +59,8 @@
 // TestGangTimes: both times of gangs or none; a deployment with neither has no gangs.
 func TestGangTimes(t *testing.T) {
 	for _, c := range []struct {
-		fields, at string
-		gangs      bool
+		fields, faulty string // what is added to the workers' times, and the field that the error must name
+		gangs          bool
 	}{
 		{"", "", false},
 		{`,"gang_wait_s":40,"gang_peer_s":8`, "", true},
@@ -66,10 +70,10 @@
 		{`,"gang_wait_s":40,"gang_peer_s":-1`, "gang_peer_s", false},
 		{`,"gang_wait_s":"long","gang_peer_s":8`, "gang_wait_s", false},
 	} {
-		s, err := Parse([]byte(strings.Replace(good, `"cancel_s":34`, `"cancel_s":34`+c.fields, 1)))
+		s, err := Parse([]byte(strings.Replace(validSettings, `"cancel_s":34`, `"cancel_s":34`+c.fields, 1)))
 		switch {
-		case c.at != "":
-			if err == nil || !strings.Contains(err.Error(), c.at) {
+		case c.faulty != "":
+			if err == nil || !strings.Contains(err.Error(), c.faulty) {
 				t.Errorf("%s: %v", c.fields, err)
 			}
 		case err != nil || s.Facts.Workers.Gangs() != c.gangs:
@@ -80,24 +84,27 @@
 
 // TestFieldNamed: whatever is wrong, the error is one line that names the field.
 func TestFieldNamed(t *testing.T) {
-	withNext := strings.Replace(good, `"txn_ops":8}`, `"txn_ops":8,"next":{}}`, 1)
+	withNext := strings.Replace(validSettings, `"txn_ops":8}`, `"txn_ops":8,"next":{}}`, 1)
 	for field, value := range map[string]any{
-		"facts.state.next.rps": -1, "facts.state.next.write_rps": 0, "facts.state.next.value_kb": 0.1, "facts.state.next.txn_ops": 3,
+		"facts.state.next.rps": -1, "facts.state.next.write_rps": 0,
+		"facts.state.next.value_kb": 0.1, "facts.state.next.txn_ops": 3,
 		"node_name": "", "client_listen": "here", "peer_bind": 7, "external.cloud": "", "external.state": "x:y",
-		"facts.workers.lease_s": 0, "facts.workers.report_s": -1, "facts.workers.cancel_s": "soon", "facts.state.rps": 0,
-		"facts.state.write_rps": nil, "facts.state.value_kb": 0, "facts.state.txn_ops": 1, "facts.cloud.rps": 0,
-		"facts.cloud.list_lag_s": -1, "facts.machine_limits.memory_mb": 7, "facts.machine_limits.core_share": -1, "facts.machine_limits.max_sockets": 3, "facts.teams": []any{},
+		"facts.workers.lease_s": 0, "facts.workers.report_s": -1, "facts.workers.cancel_s": "soon",
+		"facts.state.rps": 0, "facts.state.write_rps": nil, "facts.state.value_kb": 0, "facts.state.txn_ops": 1,
+		"facts.cloud.rps": 0, "facts.cloud.list_lag_s": -1,
+		"facts.machine_limits.memory_mb": 7, "facts.machine_limits.core_share": -1,
+		"facts.machine_limits.max_sockets": 3, "facts.teams": []any{},
 	} {
 		var doc map[string]any
 		if err := json.Unmarshal([]byte(withNext), &doc); err != nil {
 			t.Fatal(err)
 		}
-		at := doc
+		parent := doc
 		path := strings.Split(field, ".")
 		for _, p := range path[:len(path)-1] {
-			at = at[p].(map[string]any)
+			parent = parent[p].(map[string]any)
 		}
-		at[path[len(path)-1]] = value
+		parent[path[len(path)-1]] = value
 		b, err := json.Marshal(doc)
 		if err != nil {
 			t.Fatal(err)
@@ -107,7 +114,7 @@
 			t.Errorf("%s = %v: %v", field, value, err)
 		}
 	}
-	for _, b := range []string{"", "[]", "{", strings.Replace(good, "rig-1", "rig-0", 1)} {
+	for _, b := range []string{"", "[]", "{", strings.Replace(validSettings, "rig-1", "rig-0", 1)} {
 		if _, err := Parse([]byte(b)); err == nil {
 			t.Errorf("accepted %.20q", b)
 		}
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -38,7 +38,7 @@
 	PlannedWaitSlackRatio float64  `toml:"planned_wait_slack_ratio"` // part of a job's slack that it may wait
 	IdleTimeout           Duration `toml:"idle_timeout"`             // idle time before a machine is returned
 	Headroom              float64  `toml:"headroom"`                 // free part kept before machines are drained
-	ExpensivePoolRatio    float64  `toml:"expensive_pool_ratio"`     // times the lowest price from which a pool is expensive
+	ExpensivePoolRatio    float64  `toml:"expensive_pool_ratio"`     // multiple of the lowest price
 	ExpensivePoolSlack    Duration `toml:"expensive_pool_slack"`     // jobs with more slack do not get expensive pools
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,13 +1,14 @@
-// Package config reads and checks the settings file that the platform hands over.
+// Package config reads and checks what a controller is started with: the settings file (JSON), which
+// the platform writes, and the options file (TOML), which the operators may add.
 package config
 
-// Settings are a controller's settings. Fields we do not know are ignored.
+// Settings are a controller's settings. Fields that this version does not know are ignored.
 type Settings struct {
 	NodeName     string   `json:"node_name"`
 	Zone         string   `json:"zone"`
-	ClientListen string   `json:"client_listen"`
-	PeerBind     string   `json:"peer_bind"`
-	Members      []Member `json:"members"`
+	ClientListen string   `json:"client_listen"` // address for users and workers
+	PeerBind     string   `json:"peer_bind"`     // address for the other controllers
+	Members      []Member `json:"members"`       // the other controllers
 	External     External `json:"external"`
 	Facts        Facts    `json:"facts"`
 }
@@ -19,7 +20,7 @@
 	Address  string `json:"address"`
 }
 
-// External names the services that we depend on.
+// External has the addresses of the services that a controller depends on.
 type External struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
@@ -38,7 +39,7 @@
 	SkewMs      float64       `json:"skew_ms"`
 }
 
-// Team has a guarantee and a limit. Zero means none.
+// Team has a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax). Zero means none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -47,33 +48,34 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is an aim for a class of jobs.
+// Objective is a service-level objective for a class of jobs.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
-	WithinS float64 `json:"within_s"`
-	Share   float64 `json:"share"`
-	Times   float64 `json:"times"`
+	WithinS float64 `json:"within_s"` // time that a job has
+	Share   float64 `json:"share"`    // share of the jobs that must keep to it
+	Times   float64 `json:"times"`    // for deadlines: how often the time up to the deadline a job has
 }
 
-// Workers are the times that workers keep. A deployment without the two times of gangs has no gangs.
+// Workers are the times that workers keep to, in seconds. A deployment without the two times of
+// gangs has no gangs.
 type Workers struct {
-	ReportS   float64  `json:"report_s"`
-	LeaseS    float64  `json:"lease_s"`
-	CancelS   float64  `json:"cancel_s"`
+	ReportS   float64  `json:"report_s"`    // interval of heartbeats, give or take a quarter
+	LeaseS    float64  `json:"lease_s"`     // a worker kills its tasks once its last answered heartbeat is this old
+	CancelS   float64  `json:"cancel_s"`    // the tasks of a cancelled job must be gone after this
 	GangWaitS *float64 `json:"gang_wait_s"` // how long a gang's task waits for the others
-	GangPeerS *float64 `json:"gang_peer_s"` // how long the other tasks take to notice that one is gone or was told to stop
+	GangPeerS *float64 `json:"gang_peer_s"` // how soon the others notice that one is gone or was told to stop
 }
 
-// Gangs tells whether the workers of the deployment know gangs.
+// Gangs reports whether the workers of the deployment know gangs.
 func (w *Workers) Gangs() bool { return w.GangWaitS != nil && w.GangPeerS != nil }
 
 // State are the limits of the state service.
 type State struct {
-	RPS      float64    `json:"rps"`
-	WriteRPS float64    `json:"write_rps"`
-	ValueKB  float64    `json:"value_kb"`
-	TxnOps   int        `json:"txn_ops"`
+	RPS      float64    `json:"rps"`       // requests a second, reads and writes
+	WriteRPS float64    `json:"write_rps"` // operations of transactions a second
+	ValueKB  float64    `json:"value_kb"`  // size of a value, in KiB of JSON
+	TxnOps   int        `json:"txn_ops"`   // operations of one transaction
 	Next     *NextState `json:"next"`
 }
 
@@ -109,13 +111,13 @@
 
 // Cloud are the limits of the cloud.
 type Cloud struct {
-	RPS      float64 `json:"rps"`
-	ListLagS float64 `json:"list_lag_s"`
+	RPS      float64 `json:"rps"`        // requests a second
+	ListLagS float64 `json:"list_lag_s"` // usual lag of the list of machines
 }
 
 // MachineLimits are the limits of the machine that a controller runs on.
 type MachineLimits struct {
-	CoreShare  float64 `json:"core_share"`
+	CoreShare  float64 `json:"core_share"` // part of one core; 0: unknown
 	MemoryMB   float64 `json:"memory_mb"`
 	MaxSockets int     `json:"max_sockets"`
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -108,6 +108,9 @@
 	MinMemoryMB  = 8.0
 	LowMemoryMB  = 32.0
 	LowCoreShare = 0.01
+	// MinSockets is the least number of sockets that a controller runs with: DivideSockets leaves
+	// twenty of them for users and workers.
+	MinSockets = 32
 	// GCPercent is the garbage collector's target: the live heap is a tenth of the soft limit or
 	// less, so there is room to collect less often, which saves processor time; near the limit it
 	// collects as often as it must.
