--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -100,7 +100,7 @@
 	}
 	short := p.reservationCandidates[:0]
 	for _, m := range p.machines {
-		if m.reservedFor == nil && s.passesHardFilters(j, m) && !m.freeRoom().Fits(j.demand) {
+		if m.reservedFor == nil && s.passesHardFilters(j, m) && !m.freeResources().Fits(j.demand) {
 			short = append(short, m)
 		}
 	}
@@ -116,5 +116,5 @@
 // byReservation orders machines that may be held: those held in the pass before, then those with
 // the most free room.
 func byReservation(a, b *machine) int {
-	return cmp.Or(compareBool(b.wasReserved, a.wasReserved), cmp.Compare(b.freeRoom().CPUs, a.freeRoom().CPUs))
+	return cmp.Or(compareBool(b.wasReserved, a.wasReserved), cmp.Compare(b.freeResources().CPUs, a.freeResources().CPUs))
 }
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -13,7 +13,7 @@
 // tally is that of the report that is answered, or 0 for a direct command.
 func (s *Scheduler) buildCommands(m *machine, answered uint64, commands []protocol.Command) []protocol.Command {
 	noGrace := 0.0
-	committed := m.committedRoom()
+	committed := m.committedResources()
 	assignments := m.sortedAssignments()
 	for _, a := range assignments {
 		if a.state == stateUnsent {
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -59,7 +59,7 @@
 	if pressing {
 		return p.machines
 	}
-	return p.withFreeRoom
+	return p.withFreeResources
 }
 
 // collectCandidates are the machines that pass the filters for a task of the job, with their scores.
@@ -77,7 +77,7 @@
 // evaluateMachine filters and scores one machine, as it would stand with the seats that the gang at
 // hand has there already; nil if there are none.
 func (s *Scheduler) evaluateMachine(j *job, m *machine, pressing bool, planned *plannedView) (c candidate, ok bool) {
-	free, tasks := planned.freeRoom(m), len(m.assignments)+len(m.endedTasks)
+	free, tasks := planned.freeResources(m), len(m.assignments)+len(m.endedTasks)
 	if planned != nil {
 		tasks += planned.tasks
 	}
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -15,7 +15,7 @@
 	changed         []*gang // to be looked at by reconcileGangs
 	uncommitted     []*gang // with tasks whose starts wait for commitGangs
 	toRefill        []*gang // that lost a task before their start
-	freeRoomChanged bool    // since the last commitGangs
+	capacityChanged bool    // since the last commitGangs
 	demand          map[gangKind]*gangDemand
 }
 
@@ -270,13 +270,13 @@
 // two gangs can't each hold what the other lacks. The room of a committed task is kept for it even
 // before its start is sent.
 func (s *Scheduler) commitGangs() {
-	if !s.gangs.freeRoomChanged {
+	if !s.gangs.capacityChanged {
 		return
 	}
-	s.gangs.freeRoomChanged = false
+	s.gangs.capacityChanged = false
 	s.gangs.uncommitted = slices.DeleteFunc(s.gangs.uncommitted, func(g *gang) bool {
 		waiting := g.uncommittedTasks()
-		if len(waiting) > 0 && !s.roomConfirmed(waiting) {
+		if len(waiting) > 0 && !s.capacityConfirmed(waiting) {
 			return false
 		}
 		for _, b := range waiting {
@@ -303,23 +303,23 @@
 	return out
 }
 
-// roomConfirmed tells whether every machine of the tasks surely has room for them now.
-func (s *Scheduler) roomConfirmed(tasks []*assignment) bool {
+// capacityConfirmed tells whether every machine of the tasks surely has room for them now.
+func (s *Scheduler) capacityConfirmed(tasks []*assignment) bool {
 	need := map[*machine]resource.Vector{}
 	for _, b := range tasks {
 		need[b.machine] = need[b.machine].Plus(b.job.demand)
 	}
 	for m, r := range need {
-		if m.registration != registered || !s.isSchedulable(m) || !m.size().Fits(m.committedRoom().Plus(r)) {
+		if m.registration != registered || !s.isSchedulable(m) || !m.size().Fits(m.committedResources().Plus(r)) {
 			return false
 		}
 	}
 	return true
 }
 
-// committedRoom is the room of tasks that are on the machine or on their way, and of those that
+// committedResources is the room of tasks that are on the machine or on their way, and of those that
 // were committed to it.
-func (m *machine) committedRoom() resource.Vector {
+func (m *machine) committedResources() resource.Vector {
 	var held resource.Vector
 	for _, b := range m.assignments {
 		if b.state != stateUnsent || b.committed {
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -30,18 +30,18 @@
 
 // plannedView is how a machine would stand with the seats that were chosen so far.
 type plannedView struct {
-	takenRoom resource.Vector
-	freedRoom resource.Vector
-	tasks     int
-	stopped   map[*assignment]bool
+	promised resource.Vector
+	freed    resource.Vector
+	tasks    int
+	stopped  map[*assignment]bool
 }
 
-// freeRoom is what may still be promised on the machine.
-func (v *plannedView) freeRoom(m *machine) resource.Vector {
+// freeResources is what may still be promised on the machine.
+func (v *plannedView) freeResources(m *machine) resource.Vector {
 	if v == nil {
-		return m.freeRoom()
+		return m.freeResources()
 	}
-	return m.freeRoom().Minus(v.takenRoom).Plus(v.freedRoom)
+	return m.freeResources().Minus(v.promised).Plus(v.freed)
 }
 
 // isStopped tells whether a task is to be stopped already.
@@ -79,7 +79,7 @@
 	if s.now < j.nextPreemptionSearch {
 		ask.preempting = false
 	}
-	if (common && p.unplaceableGangs[ask]) || (!ask.preempting && !p.maxFreeRoom.Fits(j.demand)) {
+	if (common && p.unplaceableGangs[ask]) || (!ask.preempting && !p.maxFreeResources.Fits(j.demand)) {
 		return false
 	}
 	best := s.bestGangPlacement(j, n, ask.preempting)
@@ -122,7 +122,7 @@
 		if pressing {
 			slotsIn[m.zone] += m.size().TasksThatFit(j.demand)
 		} else {
-			slotsIn[m.zone] += m.freeRoom().TasksThatFit(j.demand)
+			slotsIn[m.zone] += m.freeResources().TasksThatFit(j.demand)
 		}
 	}
 	var zones []string
@@ -207,7 +207,7 @@
 	}
 	a.groups.takeFirst(shelf)
 	view := a.viewOf(c.machine)
-	view.takenRoom, view.tasks = view.takenRoom.Plus(a.job.demand), view.tasks+1
+	view.promised, view.tasks = view.promised.Plus(a.job.demand), view.tasks+1
 	a.tasksInZone[c.machine.zone]++
 	a.placements = append(a.placements, taskPlacement{c.machine, victims})
 	for _, v := range victims {
@@ -237,7 +237,7 @@
 		}
 		if !view.stopped[x] && !x.stopping {
 			view.stopped[x] = true
-			view.freedRoom = view.freedRoom.Plus(x.job.demand)
+			view.freed = view.freed.Plus(x.job.demand)
 		}
 	}
 }
@@ -285,7 +285,7 @@
 		g.awaitsCommit = true
 		s.gangs.uncommitted = append(s.gangs.uncommitted, g)
 	}
-	s.gangs.freeRoomChanged = true
+	s.gangs.capacityChanged = true
 }
 
 // addGangMachinesToPass notes that the machines of a gang that was stopped have got more free room.
@@ -353,7 +353,7 @@
 			break
 		}
 		found += m.size().TasksThatFit(j.demand)
-		free += m.freeRoom().CPUs
+		free += m.freeResources().CPUs
 		kept = append(kept, m)
 	}
 	if found < j.waitingTasks() {
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -142,7 +142,7 @@
 		return cmp.Or(
 			compareBool(b.wasReservedForGangs, a.wasReservedForGangs),
 			compareBool(b.hasGangTask(), a.hasGangTask()),
-			cmp.Compare(b.freeRoom().CPUs, a.freeRoom().CPUs),
+			cmp.Compare(b.freeResources().CPUs, a.freeResources().CPUs),
 		)
 	})
 	for _, m := range ms {
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -396,7 +396,7 @@
 	free := 0.0
 	for _, m := range b.scheduler.inventory.sorted {
 		if m.reservedForGangs {
-			free += m.freeRoom().CPUs
+			free += m.freeResources().CPUs
 		}
 	}
 	if free < 4 {
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -96,9 +96,11 @@
 	return typeResources(m.machineType)
 }
 
-// freeRoom is what may be promised: what is free, and what tasks that were told to stop will leave.
+// freeResources is what may be promised: what is free, and what tasks that were told to stop will leave.
 // A start is sent only once the room is confirmed (see orders).
-func (m *machine) freeRoom() resource.Vector { return m.size().Minus(m.allocated).Plus(m.releasing) }
+func (m *machine) freeResources() resource.Vector {
+	return m.size().Minus(m.allocated).Plus(m.releasing)
+}
 
 // price is what the machine costs an hour.
 func (m *machine) price() float64 {
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -36,12 +36,12 @@
 // placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
 // backlog: each request decides as if it looked at every machine anew (see TestPassIsPlain).
 type placementPass struct {
-	machines     []*machine                // that may get tasks, by name
-	withFreeRoom []*machine                // those of them with free room for any of the jobs
-	jobs         []*job                    // that want room, in order of claim
-	minDemand    resource.Vector           // none of them needs less of any resource
-	maxFreeRoom  resource.Vector           // no machine has more free room of any resource
-	unplaceable  map[placementRequest]bool // requests for which no machine was found in this pass
+	machines          []*machine                // that may get tasks, by name
+	withFreeResources []*machine                // those of them with free room for any of the jobs
+	jobs              []*job                    // that want room, in order of claim
+	minDemand         resource.Vector           // none of them needs less of any resource
+	maxFreeResources  resource.Vector           // no machine has more free room of any resource
+	unplaceable       map[placementRequest]bool // requests for which no machine was found in this pass
 	// unplaceableGangs are the same of gangs.
 	unplaceableGangs      map[gangRequest]bool
 	reservationsLeft      int // machines that may still be held; see reserve
@@ -112,7 +112,7 @@
 // beginPass collects the machines that may get tasks.
 func (s *Scheduler) beginPass() {
 	p := &s.placement.pass
-	p.machines, p.withFreeRoom, p.maxFreeRoom = p.machines[:0], p.withFreeRoom[:0], resource.Vector{}
+	p.machines, p.withFreeResources, p.maxFreeResources = p.machines[:0], p.withFreeResources[:0], resource.Vector{}
 	p.clearUnplaceable()
 	for _, m := range s.inventory.sorted {
 		m.wasReserved, m.reservedFor = m.reservedFor != nil, nil
@@ -120,9 +120,9 @@
 			continue
 		}
 		p.machines = append(p.machines, m)
-		if free := m.freeRoom(); free.Fits(p.minDemand) {
-			p.withFreeRoom = append(p.withFreeRoom, m)
-			p.maxFreeRoom = p.maxFreeRoom.Max(free)
+		if free := m.freeResources(); free.Fits(p.minDemand) {
+			p.withFreeResources = append(p.withFreeResources, m)
+			p.maxFreeResources = p.maxFreeResources.Max(free)
 		}
 	}
 	p.reservationsLeft = (len(p.machines) + limits.ReservedMachinesRatio - 1) / limits.ReservedMachinesRatio
@@ -139,9 +139,9 @@
 	if _, usable := slices.BinarySearchFunc(p.machines, m, byName); !usable {
 		return
 	}
-	p.maxFreeRoom = p.maxFreeRoom.Max(m.freeRoom())
-	if i, ok := slices.BinarySearchFunc(p.withFreeRoom, m, byName); !ok {
-		p.withFreeRoom = slices.Insert(p.withFreeRoom, i, m)
+	p.maxFreeResources = p.maxFreeResources.Max(m.freeResources())
+	if i, ok := slices.BinarySearchFunc(p.withFreeResources, m, byName); !ok {
+		p.withFreeResources = slices.Insert(p.withFreeResources, i, m)
 	}
 }
 
@@ -156,7 +156,7 @@
 		ask.preempting = false
 	}
 	pressing := ask.preempting
-	if (common && p.unplaceable[ask]) || (!pressing && !p.maxFreeRoom.Fits(j.demand)) {
+	if (common && p.unplaceable[ask]) || (!pressing && !p.maxFreeResources.Fits(j.demand)) {
 		return
 	}
 	sh := s.collectCandidates(j, pressing)
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -215,7 +215,7 @@
 		return x.allocated.CPUs/max(x.size().CPUs, 1) < y.allocated.CPUs/max(y.size().CPUs, 1)
 	})
 	for _, m := range ms {
-		if free := m.freeRoom().CPUs; free > 0 && m.size().CPUs <= surplus && s.now > m.createdAt+limits.DrainAge {
+		if free := m.freeResources().CPUs; free > 0 && m.size().CPUs <= surplus && s.now > m.createdAt+limits.DrainAge {
 			m.draining = true
 			surplus -= m.size().CPUs
 		}
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -112,7 +112,7 @@
 	for _, entry := range page.record.Machines[:write.count] {
 		if m := s.inventory.byName[entry.Machine]; m != nil && m.registration == registering {
 			m.registration = registered
-			s.gangs.freeRoomChanged = true
+			s.gangs.capacityChanged = true
 			s.queueDispatch(m)
 		}
 	}
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -130,7 +130,7 @@
 			continue
 		}
 		allowed++
-		if m.freeRoom().Fits(j.demand) {
+		if m.freeResources().Fits(j.demand) {
 			room++
 		}
 	}
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -15,7 +15,7 @@
 		return nil, true
 	}
 	options := s.preemptionOptions(j, c.machine, planned)
-	set := cheapestVictims(options, j.demand.Minus(planned.freeRoom(c.machine)))
+	set := cheapestVictims(options, j.demand.Minus(planned.freeResources(c.machine)))
 	if set == nil {
 		return nil, false
 	}
