--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -67,7 +67,7 @@
 func (s *Scheduler) updateOverdue() {
 	clear(s.queue.groupProgress)
 	maps.Copy(s.queue.groupProgress, s.queue.closedProgress)
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		if due := s.tasksDue(j); due > 0 {
 			x := s.queue.groupProgress[j.group()]
 			x.due += due
@@ -76,7 +76,7 @@
 		}
 	}
 	s.queue.overdue = s.queue.overdue[:0]
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		j.underserved = s.tasksDue(j) > 0 && s.servedShare(j) < limits.UnderservedShare
 		if s.overdueTasks(j) > 0 {
 			s.queue.overdue = append(s.queue.overdue, j)
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -133,7 +133,7 @@
 				b.StartTimer()
 				s.Step(last, 0)
 				b.StopTimer()
-				placed += int(s.jobs.teams["red"].allocated.CPUs)
+				placed += int(s.jobs.team("red").allocated.CPUs)
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(placed), "ns/task")
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -20,6 +20,11 @@
 	return &finishedTaskWriter{environment: env, tasksPerChunk: storage.TasksPerChunk(env.cfg.State.ValueKB)}
 }
 
+// chunkCount is how many chunks the finished tasks of a job are kept in.
+func (w *finishedTaskWriter) chunkCount(tasks int) int {
+	return (tasks + w.tasksPerChunk - 1) / w.tasksPerChunk
+}
+
 // Records of finished tasks may be of another size than the chunks of this term: earlier versions
 // and other limits of the state service cut them differently. All of them are read as their union.
 // A record that begins where a chunk of ours does is replaced by it, once what it tells of later
@@ -28,7 +33,7 @@
 // finishedTasksLoaded takes a record of finished tasks, read at the start of the term.
 func (s *Scheduler) finishedTasksLoaded(e FinishedTasksLoaded) {
 	key := storage.FinishedTasksKey(e.JobID, e.Record.Base)
-	j := s.jobs.byID[e.JobID]
+	j := s.jobs.find(e.JobID)
 	if j == nil {
 		s.recovery.orphanedRecords = append(s.recovery.orphanedRecords, orphanedRecord{e.JobID, key})
 		return
@@ -132,7 +137,7 @@
 		n int
 	}
 	var parts []part
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		s.tryCloseJob(j)
 		if j.closing || j.cancelled {
 			continue
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -96,7 +96,7 @@
 		s.Step(FinishedTasksLoaded{JobID: "job-9", Version: f.version, Record: storage.FinishedTasks{}}, 0) // left behind by an earlier version
 		now := time.Second
 		f.execute(s, s.Step(StateLoaded{}, now), now)
-		j := s.jobs.byID[job]
+		j := s.jobs.find(job)
 		expect := func(what string) {
 			got := f.union(t, job)
 			for i := range tasks {
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -340,13 +340,13 @@
 		total += m.size().CPUs
 		used += m.allocated.CPUs
 	}
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		if !j.cancelled {
 			waiting += j.waitingTasks()
 		}
 		bound += len(j.assignments)
 	}
-	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", len(s.jobs.bySubmission), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
+	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", s.jobs.count(), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
 }
 
 // isCorrelated tells whether so many of all machines at once must have a common cause.
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -57,7 +57,7 @@
 // updateGangDemand works out what gangs ask for that room should be kept for.
 func (s *Scheduler) updateGangDemand() {
 	now := map[gangKind]float64{}
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !s.needsReservation(j) {
 			continue
 		}
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -333,12 +333,12 @@
 	b.job("job-2", "red", "high", 1, 64, 0) // fits no machine; bound by hand below
 	s, m := b.scheduler, b.scheduler.inventory.byName[b.machine(0)]
 	b.gang("job-3", 2, 8) // does not fit
-	leaving := s.jobs.byID["job-1"].assignments[0]
+	leaving := s.jobs.find("job-1").assignments[0]
 	leaving.state = stateRunning
 	s.stopAssignment(leaving, "for job-2")
-	s.jobs.byID["job-2"].demand.CPUs = 4
-	s.assign(s.jobs.byID["job-2"], 0, m, 20, stateUnsent)
-	gang := s.jobs.byID["job-3"]
+	s.jobs.find("job-2").demand.CPUs = 4
+	s.assign(s.jobs.find("job-2"), 0, m, 20, stateUnsent)
+	gang := s.jobs.find("job-3")
 	gang.demand.CPUs = 4
 	s.assign(gang, 0, m, 21, stateUnsent).committed = true
 	starts := commandsOf([]Effect{HeartbeatReply{Commands: s.buildCommands(m, 1, nil)}}, protocol.CommandStart)
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -152,15 +152,6 @@
 	return t.allocated.CPUs > t.cfg.CPUs+eps || t.allocated.Accelerators > t.cfg.GPUs+eps
 }
 
-func (s *Scheduler) class(name string) *jobClass {
-	c := s.jobs.classes[name]
-	if c == nil {
-		c = &jobClass{estimateRatio: 1}
-		s.jobs.classes[name] = c
-	}
-	return c
-}
-
 // sortedAssignments returns a job's bindings in a fixed order.
 func (j *job) sortedAssignments() []*assignment {
 	out := make([]*assignment, 0, len(j.assignments))
--- /dev/null
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -0,0 +1,111 @@
+package scheduler
+
+import (
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/storage"
+)
+
+// jobChanged brings a job in line with its open record.
+func (s *Scheduler) jobChanged(e JobChanged) {
+	j := s.jobs.find(e.JobID)
+	if j == nil {
+		j = s.jobs.open(e, s.finished.chunkCount(e.Record.Spec.Tasks))
+		if j == nil {
+			return
+		}
+		s.queue.invalidate()
+	}
+	if e.Version < j.version {
+		return
+	}
+	j.version = e.Version
+	if e.Record.Cancelled && !j.cancelled {
+		// The time allowed counts from the earliest word to the user, also across a change of
+		// leaders. Where it is over already, a leader that knew has let no lease live; so nobody
+		// knew, nobody was told, and it begins now.
+		j.cancelled, j.cancelledAt, j.cancelSeenAt = true, s.now, s.now
+		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
+			j.cancelledAt -= e.SinceCancellation
+		}
+		s.logInfo("job cancelled", "job", j.id, "bound", len(j.assignments))
+	}
+	if j.cancelled {
+		s.stopJob(j)
+		s.tryCloseJob(j)
+	}
+	s.placement.needed = true
+}
+
+// stopJob takes a cancelled job off its machines.
+func (s *Scheduler) stopJob(j *job) {
+	for _, b := range j.sortedAssignments() {
+		if b.state == stateUnsent {
+			s.release(b)
+			continue
+		}
+		s.stopAssignment(b, "cancelled")
+	}
+}
+
+func (s *Scheduler) stopAssignment(b *assignment, why string) {
+	if b.stopping {
+		return
+	}
+	b.stopping, b.stopReason = true, why
+	s.queueDispatch(b.machine)
+	if b.job.gang != nil {
+		s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, b.machine)
+	}
+	b.machine.releasing = b.machine.releasing.Plus(b.job.demand)
+	s.logInfo("stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
+}
+
+// tryCloseJob writes a job's final record once nothing of it is left to do.
+func (s *Scheduler) tryCloseJob(j *job) {
+	if j.closed || j.closing || (!j.cancelled && j.doneCount < j.spec.Tasks) {
+		return
+	}
+	if len(j.assignments) > 0 && (j.gang == nil || j.cancelled) {
+		return // of a gang that is done, tasks that were not heard of yet have completed as well
+	}
+	if j.cancelled && !s.recovery.ended {
+		return // tasks of it that we have not heard of yet still count against its team's limit
+	}
+	standing := protocol.Done
+	if j.cancelled {
+		standing = protocol.Aborted
+	}
+	ops := []protocol.Operation{
+		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: standing})},
+		{Delete: storage.OpenJobKey(j.id)},
+	}
+	for i := range j.chunks {
+		if j.chunks[i].writing {
+			return // its answer comes back here
+		}
+	}
+	keys := s.finishedTasksKeys(j)
+	now := min(len(keys), s.cfg.State.TxnOps-len(ops))
+	for _, key := range keys[:now] {
+		ops = append(ops, protocol.Operation{Delete: key})
+	}
+	j.remainingRecordKeys = keys[now:]
+	j.closing = true
+	s.write(pendingWrite{kind: writeFinal, job: j},
+		[]protocol.Condition{{Key: storage.OpenJobKey(j.id), Version: j.version}}, ops)
+}
+
+// closeJob forgets a job whose final record is durable.
+func (s *Scheduler) closeJob(j *job) {
+	j.closed = true
+	for _, b := range j.sortedAssignments() {
+		if b.state == stateUnsent {
+			s.release(b)
+		} else {
+			s.stopAssignment(b, "job over")
+		}
+	}
+	s.jobs.close(j)
+	s.queue.jobClosed(j)
+}
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -6,7 +6,6 @@
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
-	"quillshunt/internal/storage"
 )
 
 // jobTable holds the jobs that are not over, with their teams and classes.
@@ -34,61 +33,81 @@
 	return t
 }
 
-func (s *Scheduler) jobChanged(e JobChanged) {
-	j := s.jobs.byID[e.JobID]
-	if j == nil {
-		if s.jobs.closed[e.JobID] {
-			return
-		}
-		t := s.jobs.teams[e.Record.Spec.Team]
-		if t == nil {
-			return // a team that the settings no longer know; its jobs stay as they are
-		}
-		u, _ := protocol.ParsePriority(e.Record.Spec.Priority)
-		words := (e.Record.Spec.Tasks + 63) / 64
-		j = &job{
-			id: e.JobID, spec: e.Record.Spec, priority: u, team: t, class: s.class(e.Record.Spec.Class),
-			demand:      resources{e.Record.Spec.CPUs, e.Record.Spec.Accelerators, e.Record.Spec.MemoryGB},
-			submittedAt: s.now - e.SinceSubmission, doneBits: make([]uint64, words), assignedBits: make([]uint64, words),
-			assignments: map[int]*assignment{}, stopCounts: map[int]int{}, failedMachines: map[string]bool{},
-			chunks: make([]finishedChunk, (e.Record.Spec.Tasks+s.finished.tasksPerChunk-1)/s.finished.tasksPerChunk),
-		}
-		j.gang = newGang(j)
-		j.deadlines = s.deadlines(j)
-		s.jobs.byID[e.JobID] = j
-		at := sort.Search(len(s.jobs.bySubmission), func(i int) bool {
-			q := s.jobs.bySubmission[i]
-			return q.submittedAt > j.submittedAt || (q.submittedAt == j.submittedAt && q.id > j.id)
-		})
-		s.jobs.bySubmission = slices.Insert(s.jobs.bySubmission, at, j)
-		s.queue.ordered = nil
-	}
-	if e.Version < j.version {
-		return
-	}
-	j.version = e.Version
-	if e.Record.Cancelled && !j.cancelled {
-		// The time allowed counts from the earliest word to the user, also across a change of
-		// leaders. Where it is over already, a leader that knew has let no lease live; so nobody
-		// knew, nobody was told, and it begins now.
-		j.cancelled, j.cancelledAt, j.cancelSeenAt = true, s.now, s.now
-		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
-			j.cancelledAt -= e.SinceCancellation
-		}
-		s.logInfo("job cancelled", "job", j.id, "bound", len(j.assignments))
-	}
-	if j.cancelled {
-		s.stopJob(j)
-		s.tryCloseJob(j)
+// find returns the open job with that ID, or nil.
+func (t *jobTable) find(id string) *job { return t.byID[id] }
+
+// oldestFirst returns the open jobs in order of submission. The slice is the table's own.
+func (t *jobTable) oldestFirst() []*job { return t.bySubmission }
+
+// count is the number of open jobs.
+func (t *jobTable) count() int { return len(t.byID) }
+
+// team returns a team of the settings, or nil.
+func (t *jobTable) team(name string) *team { return t.teams[name] }
+
+// class returns what is known of a class of jobs.
+func (t *jobTable) class(name string) *jobClass {
+	class := t.classes[name]
+	if class == nil {
+		class = &jobClass{estimateRatio: 1}
+		t.classes[name] = class
+	}
+	return class
+}
+
+// open adds a job that is not known yet and returns it; its finished tasks are kept in so many
+// chunks. It returns nil if the job is over, or its team is unknown.
+func (t *jobTable) open(e JobChanged, chunks int) *job {
+	spec := e.Record.Spec
+	if t.closed[e.JobID] {
+		return nil
+	}
+	team := t.teams[spec.Team]
+	if team == nil {
+		return nil // a team that the settings no longer know; its jobs stay as they are
+	}
+	priority, _ := protocol.ParsePriority(spec.Priority)
+	words := (spec.Tasks + 63) / 64
+	j := &job{
+		id:             e.JobID,
+		spec:           spec,
+		priority:       priority,
+		team:           team,
+		class:          t.class(spec.Class),
+		demand:         resources{spec.CPUs, spec.Accelerators, spec.MemoryGB},
+		submittedAt:    t.now - e.SinceSubmission,
+		doneBits:       make([]uint64, words),
+		assignedBits:   make([]uint64, words),
+		assignments:    map[int]*assignment{},
+		stopCounts:     map[int]int{},
+		failedMachines: map[string]bool{},
+		chunks:         make([]finishedChunk, chunks),
+	}
+	j.gang = newGang(j)
+	j.deadlines = t.deadlines(j)
+	t.byID[j.id] = j
+	at := sort.Search(len(t.bySubmission), func(i int) bool {
+		other := t.bySubmission[i]
+		return other.submittedAt > j.submittedAt || (other.submittedAt == j.submittedAt && other.id > j.id)
+	})
+	t.bySubmission = slices.Insert(t.bySubmission, at, j)
+	return j
+}
+
+// close forgets a job. A late record of it does not open it again.
+func (t *jobTable) close(j *job) {
+	delete(t.byID, j.id)
+	t.closed[j.id] = true
+	if i := slices.Index(t.bySubmission, j); i >= 0 {
+		t.bySubmission = slices.Delete(t.bySubmission, i, i+1)
 	}
-	s.placement.needed = true
 }
 
 // deadlines are the times by which the job should be complete, from its own deadline and from the
 // aims of its class.
-func (s *Scheduler) deadlines(j *job) []deadline {
+func (t *jobTable) deadlines(j *job) []deadline {
 	var out []deadline
-	for _, o := range s.cfg.Objectives {
+	for _, o := range t.cfg.Objectives {
 		if o.Class != j.spec.Class {
 			continue
 		}
@@ -108,103 +127,39 @@
 	return out
 }
 
-// stopJob takes a cancelled job off its machines.
-func (s *Scheduler) stopJob(j *job) {
-	for _, b := range j.sortedAssignments() {
-		if b.state == stateUnsent {
-			s.release(b)
-			continue
-		}
-		s.stopAssignment(b, "cancelled")
-	}
-}
-
-func (s *Scheduler) stopAssignment(b *assignment, why string) {
-	if b.stopping {
-		return
-	}
-	b.stopping, b.stopReason = true, why
-	s.queueDispatch(b.machine)
-	if b.job.gang != nil {
-		s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, b.machine)
-	}
-	b.machine.releasing = b.machine.releasing.Plus(b.job.demand)
-	s.logInfo("stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
-}
-
-// tryCloseJob writes a job's final record once nothing of it is left to do.
-func (s *Scheduler) tryCloseJob(j *job) {
-	if j.closed || j.closing || (!j.cancelled && j.doneCount < j.spec.Tasks) {
-		return
-	}
-	if len(j.assignments) > 0 && (j.gang == nil || j.cancelled) {
-		return // of a gang that is done, tasks that were not heard of yet have completed as well
-	}
-	if j.cancelled && !s.recovery.ended {
-		return // tasks of it that we have not heard of yet still count against its team's limit
-	}
-	standing := protocol.Done
-	if j.cancelled {
-		standing = protocol.Aborted
-	}
-	ops := []protocol.Operation{
-		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: standing})},
-		{Delete: storage.OpenJobKey(j.id)},
-	}
-	for i := range j.chunks {
-		if j.chunks[i].writing {
-			return // its answer comes back here
-		}
-	}
-	keys := s.finishedTasksKeys(j)
-	now := min(len(keys), s.cfg.State.TxnOps-len(ops))
-	for _, key := range keys[:now] {
-		ops = append(ops, protocol.Operation{Delete: key})
-	}
-	j.remainingRecordKeys = keys[now:]
-	j.closing = true
-	s.write(pendingWrite{kind: writeFinal, job: j},
-		[]protocol.Condition{{Key: storage.OpenJobKey(j.id), Version: j.version}}, ops)
-}
-
-// closeJob forgets a job whose final record is durable.
-func (s *Scheduler) closeJob(j *job) {
-	j.closed = true
-	for _, b := range j.sortedAssignments() {
-		if b.state == stateUnsent {
-			s.release(b)
-		} else {
-			s.stopAssignment(b, "job over")
-		}
-	}
-	if !j.cancelled {
-		x := s.queue.closedProgress[j.group()]
-		s.queue.closedProgress[j.group()] = groupServed{x.due + j.spec.Tasks, x.served + j.spec.Tasks}
-	}
-	delete(s.jobs.byID, j.id)
-	s.jobs.closed[j.id], s.queue.ordered = true, nil
-	for i, x := range s.jobs.bySubmission {
-		if x == j {
-			s.jobs.bySubmission = append(s.jobs.bySubmission[:i], s.jobs.bySubmission[i+1:]...)
-			break
+// updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits
+// in together with the team's earlier unfinished jobs.
+func (t *jobTable) updateGuarantees() {
+	for _, team := range t.teams {
+		team.claimed = resources{}
+	}
+	const eps = limits.Epsilon
+	for _, j := range t.bySubmission {
+		unfinished := float64(j.spec.Tasks - j.doneCount)
+		if j.cancelled {
+			unfinished = 0
 		}
+		claimed := j.team.claimed.Plus(resources{CPUs: unfinished * j.demand.CPUs, Accelerators: unfinished * j.demand.Accelerators})
+		j.guaranteed = claimed.CPUs <= j.team.cfg.CPUs+eps && claimed.Accelerators <= j.team.cfg.GPUs+eps
+		j.team.claimed = claimed
 	}
 }
 
-func (s *Scheduler) answerTaskCounts(e TaskCountsRequested) {
-	j := s.jobs.byID[e.ID]
+// answerTaskCounts tells how many tasks of a job are done and running.
+func (t *jobTable) answerTaskCounts(e TaskCountsRequested) {
+	j := t.byID[e.ID]
 	if j == nil {
-		s.emit(TaskCounts{ReplyTo: e.ReplyTo})
+		t.emit(TaskCounts{ReplyTo: e.ReplyTo})
 		return
 	}
-	n := 0
-	for _, b := range j.assignments {
-		if b.state == stateRunning || b.state == stateSaving {
-			n++
+	running := 0
+	for _, a := range j.assignments {
+		if a.state == stateRunning || a.state == stateSaving {
+			running++
 		}
 	}
-	if j.gang != nil && n < j.spec.Tasks {
-		n = 0 // it runs as a whole or not at all
+	if j.gang != nil && running < j.spec.Tasks {
+		running = 0 // it runs as a whole or not at all
 	}
-	s.emit(TaskCounts{ReplyTo: e.ReplyTo, Known: true, Done: j.doneCount, Running: n})
+	t.emit(TaskCounts{ReplyTo: e.ReplyTo, Known: true, Done: j.doneCount, Running: running})
 }
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -201,7 +201,7 @@
 		used += m.allocated.CPUs
 		ms = append(ms, m)
 	}
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		if !j.cancelled {
 			waiting += float64(j.waitingTasks()) * j.demand.CPUs
 		}
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -28,24 +28,6 @@
 	}
 }
 
-// updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits
-// in together with the team's earlier unfinished jobs. The queue is in order of submission.
-func (s *Scheduler) updateGuarantees() {
-	for _, t := range s.jobs.teams {
-		t.claimed = resources{}
-	}
-	const eps = limits.Epsilon
-	for _, j := range s.jobs.bySubmission {
-		n := float64(j.spec.Tasks - j.doneCount)
-		if j.cancelled {
-			n = 0
-		}
-		c := j.team.claimed.Plus(resources{CPUs: n * j.demand.CPUs, Accelerators: n * j.demand.Accelerators})
-		j.guaranteed = c.CPUs <= j.team.cfg.CPUs+eps && c.Accelerators <= j.team.cfg.GPUs+eps
-		j.team.claimed = c
-	}
-}
-
 // queueEntry is a job's place in the queue.
 type queueEntry struct {
 	job   *job
@@ -54,6 +36,18 @@
 	work  float64 // CPU seconds that its waiting tasks need, weighted by the slack
 }
 
+// invalidate makes the order anew when it is next asked for.
+func (q *jobQueue) invalidate() { q.ordered = nil }
+
+// jobClosed takes a job off the queue. What a completed job got still counts for its group.
+func (q *jobQueue) jobClosed(j *job) {
+	if !j.cancelled {
+		progress := q.closedProgress[j.group()]
+		q.closedProgress[j.group()] = groupServed{progress.due + j.spec.Tasks, progress.served + j.spec.Tasks}
+	}
+	q.invalidate()
+}
+
 // queueOrder orders the jobs that want room: by priority, guarantee before borrowed, then by slack
 // to the next time that can still be met, then by age. Jobs whose times are all past come after
 // those that can be helped.
@@ -66,9 +60,9 @@
 	}
 	s.queue.orderedAt = s.now
 	maps.DeleteFunc(s.placement.nextPreemptionSearch, func(_ placementRequest, t time.Duration) bool { return t <= s.now })
-	s.updateGuarantees()
+	s.jobs.updateGuarantees()
 	cs := s.queue.entries[:0]
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		if j.cancelled || j.closed {
 			continue
 		}
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -21,7 +21,7 @@
 		if !ok {
 			continue
 		}
-		j := s.jobs.byID[jobID]
+		j := s.jobs.find(jobID)
 		if j != nil && index >= j.spec.Tasks {
 			j = nil
 		}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -71,8 +71,8 @@
 		}
 	}
 	s.recovery.ended, s.placement.needed = true, true
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		s.markGangChanged(j.gang)
 	}
-	s.logInfo("rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
+	s.logInfo("rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", s.jobs.count())
 }
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -55,9 +55,9 @@
 			CPUs: m.size().CPUs, UsedCPUs: m.allocated.CPUs, Tasks: len(m.assignments), SilentFor: s.now - max(m.lastHeartbeatAt, s.termStartedAt)})
 	}
 	for _, t := range s.cfg.Teams {
-		tv := TeamView{Name: t.Name, UsedCPUs: s.jobs.teams[t.Name].allocated.CPUs, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
-		for _, j := range s.jobs.bySubmission {
-			if j.team == s.jobs.teams[t.Name] && !j.cancelled {
+		tv := TeamView{Name: t.Name, UsedCPUs: s.jobs.team(t.Name).allocated.CPUs, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
+		for _, j := range s.jobs.oldestFirst() {
+			if j.team == s.jobs.team(t.Name) && !j.cancelled {
 				tv.Jobs++
 				tv.AssignedTasks += len(j.assignments)
 				tv.WaitingTasks += j.waitingTasks()
@@ -95,7 +95,7 @@
 
 // explainWaiting says what a job's tasks are doing and what the waiting ones wait for.
 func (s *Scheduler) explainWaiting(id string) []string {
-	j := s.jobs.byID[id]
+	j := s.jobs.find(id)
 	if j == nil {
 		return []string{"not among the open jobs of this term"}
 	}
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -12,7 +12,7 @@
 	case JobChanged:
 		s.jobChanged(e)
 	case JobRemoved:
-		if j := s.jobs.byID[e.JobID]; j != nil && !j.closing && e.Version > j.version {
+		if j := s.jobs.find(e.JobID); j != nil && !j.closing && e.Version > j.version {
 			s.closeJob(j) // somebody else removed it: not in the protocol of our nodes, but then it is over
 		}
 	case FinishedTasksLoaded:
@@ -22,7 +22,7 @@
 	case RegistryPageLoaded:
 		s.registryPageLoaded(e)
 	case StateLoaded:
-		s.logInfo("rebuilding", "jobs", len(s.jobs.byID), "machines", len(s.inventory.byName), "hires", len(s.rentals.byName))
+		s.logInfo("rebuilding", "jobs", s.jobs.count(), "machines", len(s.inventory.byName), "hires", len(s.rentals.byName))
 		s.recovery.loaded, s.catalog.nextFetchAt, s.cloudList.nextAt = true, 0, 0
 		s.removeOrphanedRecords()
 		s.tick(true)
@@ -43,7 +43,7 @@
 	case MachineTypesFetched:
 		s.machineTypesFetched(e)
 	case TaskCountsRequested:
-		s.answerTaskCounts(e)
+		s.jobs.answerTaskCounts(e)
 	case SnapshotRequested:
 		s.takeSnapshot(e)
 	case Tick:
