--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -1,8 +1,10 @@
 package scheduler
 
 import (
+	"sort"
 	"time"
 
+	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
@@ -19,14 +21,22 @@
 	return &typeCatalog{environment: env, byName: map[string]*protocol.MachineType{}}
 }
 
-// machineListReader reads the cloud's list of machines from time to time.
-type machineListReader struct {
-	*environment
-	nextAt   time.Duration
-	inFlight bool
-}
-
-// newMachineListReader returns a reader that has not read a list yet.
-func newMachineListReader(env *environment) *machineListReader {
-	return &machineListReader{environment: env}
+func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
+	if !e.OK {
+		s.catalog.nextFetchAt = s.now + limits.CloudRetryInterval
+		return
+	}
+	s.catalog.nextFetchAt = s.now + limits.MachineTypesInterval
+	clear(s.catalog.byName)
+	s.catalog.names = s.catalog.names[:0]
+	for i := range e.Types {
+		t := e.Types[i]
+		s.catalog.byName[t.Name] = &t
+		s.catalog.names = append(s.catalog.names, t.Name)
+	}
+	sort.Strings(s.catalog.names)
+	for _, m := range s.inventory.sorted {
+		m.machineType = s.catalog.byName[m.typeName]
+	}
+	s.placement.needed = true
 }
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -4,6 +4,7 @@
 	"slices"
 	"sort"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -74,7 +75,7 @@
 		priority:       priority,
 		team:           team,
 		class:          t.class(spec.Class),
-		demand:         resources{spec.CPUs, spec.Accelerators, spec.MemoryGB},
+		demand:         taskDemand(&spec),
 		submittedAt:    t.now - e.SinceSubmission,
 		doneBits:       make([]uint64, words),
 		assignedBits:   make([]uint64, words),
@@ -131,7 +132,7 @@
 // in together with the team's earlier unfinished jobs.
 func (t *jobTable) updateGuarantees() {
 	for _, team := range t.teams {
-		team.claimed = resources{}
+		team.claimed = resource.Vector{}
 	}
 	const eps = limits.Epsilon
 	for _, j := range t.bySubmission {
@@ -139,7 +140,7 @@
 		if j.cancelled {
 			unfinished = 0
 		}
-		claimed := j.team.claimed.Plus(resources{CPUs: unfinished * j.demand.CPUs, Accelerators: unfinished * j.demand.Accelerators})
+		claimed := j.team.claimed.Plus(resource.Vector{CPUs: unfinished * j.demand.CPUs, Accelerators: unfinished * j.demand.Accelerators})
 		j.guaranteed = claimed.CPUs <= j.team.cfg.CPUs+eps && claimed.Accelerators <= j.team.cfg.GPUs+eps
 		j.team.claimed = claimed
 	}
