--- /dev/null
+++ b/internal/standin/state_service.go
@@ -0,0 +1,211 @@
+package standin
+
+import (
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"quillshunt/internal/protocol"
+)
+
+// StateService is a stand-in of the state service: keys with versions, leases and watches. It is safe
+// for concurrent use.
+type StateService struct {
+	mu          sync.Mutex
+	keys        map[string]protocol.KeyValue
+	revision    uint64 // counts every change
+	changes     []protocol.Change
+	leases      map[uint64]lease
+	lastLeaseID uint64
+	watchers    map[chan struct{}]bool // each closed at the next change
+
+	// Faults that tests inject; see state_faults.go.
+	unavailable      bool
+	rejectedCallers  map[string]bool
+	delayTransaction func() (time.Duration, bool)
+	limits           StateLimits
+	oversized        int // transactions that were over the limits
+}
+
+// lease is a lease that keys can be attached to.
+type lease struct {
+	duration  time.Duration
+	expiresAt time.Time
+}
+
+// NewStateService returns a state service without keys.
+func NewStateService() *StateService {
+	return &StateService{
+		keys:            map[string]protocol.KeyValue{},
+		leases:          map[uint64]lease{},
+		watchers:        map[chan struct{}]bool{},
+		rejectedCallers: map[string]bool{},
+	}
+}
+
+// Get reads a key. It returns false if the key does not exist.
+func (s *StateService) Get(key string) (protocol.KeyValue, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	pair, ok := s.keys[key]
+	return pair, ok
+}
+
+// CompareAndSwap executes a transaction. It returns the status that the protocol has for it: 200, 409
+// if a condition failed, or 400 if it is over the limits or a lease has expired.
+func (s *StateService) CompareAndSwap(t protocol.Transaction) (status int, reply protocol.TransactionReply) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	if !s.withinLimits(&t) {
+		s.oversized++
+		return http.StatusBadRequest, protocol.TransactionReply{}
+	}
+	for _, op := range t.Operations {
+		if _, ok := s.leases[op.Lease]; op.Lease != 0 && !ok {
+			return http.StatusBadRequest, protocol.TransactionReply{}
+		}
+	}
+	reply = protocol.TransactionReply{Revision: s.revision, FailedKeys: []string{}}
+	for _, condition := range t.Conditions {
+		if s.keys[condition.Key].Version != condition.Version {
+			reply.FailedKeys = append(reply.FailedKeys, condition.Key)
+		}
+	}
+	if len(reply.FailedKeys) > 0 {
+		return http.StatusConflict, reply
+	}
+	if len(t.Operations) > 0 {
+		s.apply(t.Operations)
+	}
+	reply.Revision = s.revision
+	return http.StatusOK, reply
+}
+
+// apply makes all changes of a transaction, with one revision. The caller holds mu.
+func (s *StateService) apply(operations []protocol.Operation) {
+	s.revision++
+	for _, op := range operations {
+		if op.Delete != "" {
+			delete(s.keys, op.Delete)
+			s.changes = append(s.changes, protocol.Change{Delete: op.Delete, Version: s.revision})
+			continue
+		}
+		s.keys[op.Put] = protocol.KeyValue{Key: op.Put, Value: op.Value, Version: s.revision, Lease: op.Lease}
+		s.changes = append(s.changes, protocol.Change{Put: op.Put, Value: op.Value, Version: s.revision})
+	}
+	s.notifyWatchers()
+}
+
+// List returns up to limit keys with a prefix that come after since, in order.
+func (s *StateService) List(prefix, since string, limit int) protocol.KeyPage {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	page := protocol.KeyPage{Revision: s.revision, Items: []protocol.KeyValue{}}
+	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
+		if !strings.HasPrefix(key, prefix) || key <= since {
+			continue
+		}
+		if len(page.Items) == limit {
+			page.Truncated = true
+			break
+		}
+		page.Items = append(page.Items, s.keys[key])
+	}
+	return page
+}
+
+// Changes returns the changes of keys with a prefix after a revision, and a channel that closes at
+// the next change.
+func (s *StateService) Changes(prefix string, since uint64) (protocol.WatchReply, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	reply := protocol.WatchReply{Revision: s.revision, Changes: []protocol.Change{}}
+	for _, change := range s.changes {
+		if change.Version > since && strings.HasPrefix(change.Put+change.Delete, prefix) {
+			reply.Changes = append(reply.Changes, change)
+		}
+	}
+	next := make(chan struct{})
+	s.watchers[next] = true
+	return reply, next
+}
+
+// notifyWatchers wakes all watchers. The caller holds mu.
+func (s *StateService) notifyWatchers() {
+	for watcher := range s.watchers {
+		close(watcher)
+	}
+	clear(s.watchers)
+}
+
+// CreateLease makes a lease and returns its ID.
+func (s *StateService) CreateLease(duration time.Duration) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = lease{duration: duration, expiresAt: time.Now().Add(duration)}
+	return s.lastLeaseID
+}
+
+// RenewLease gives a lease its full time again. It returns false if the lease does not exist.
+func (s *StateService) RenewLease(id uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	l, ok := s.leases[id]
+	if ok {
+		l.expiresAt = time.Now().Add(l.duration)
+		s.leases[id] = l
+	}
+	return ok
+}
+
+// RevokeLease ends a lease at once.
+func (s *StateService) RevokeLease(id uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, ok := s.leases[id]; ok {
+		s.removeLease(id)
+	}
+}
+
+// expire ends the leases that were not renewed in time; none expires in an outage. The caller holds mu.
+func (s *StateService) expire() {
+	if s.unavailable {
+		return
+	}
+	for id, l := range s.leases {
+		if !time.Now().Before(l.expiresAt) {
+			s.removeLease(id)
+		}
+	}
+}
+
+// removeLease removes a lease with the keys attached to it. The caller holds mu.
+func (s *StateService) removeLease(id uint64) {
+	delete(s.leases, id)
+	var attached []string
+	for key, pair := range s.keys {
+		if pair.Lease == id {
+			attached = append(attached, key)
+		}
+	}
+	if len(attached) == 0 {
+		return
+	}
+	slices.Sort(attached)
+	s.revision++
+	for _, key := range attached {
+		delete(s.keys, key)
+		s.changes = append(s.changes, protocol.Change{Delete: key, Version: s.revision})
+	}
+	s.notifyWatchers()
+}
