--- a/internal/coordination/controller/service_test.go
+++ b/internal/coordination/controller/service_test.go
@@ -97,10 +97,14 @@
 			controllers[name] = name + ":8080"
 			go standin.ServeListener(s.net.Listen("state-"+name+":1"), s.state.ServerFor(name, "", s.log))
 		}
-		s.cloud = &standin.Cloud{State: s.state, Controllers: controllers, Log: s.log, Network: s.net, Spec: s.spec, OnTaskChange: s.watch, InjectFault: s.trouble,
-			WorkerTimes: workers,
-			Types:       []protocol.MachineType{{Name: "c8", CPUs: capacity, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 4, Zones: s.zones}}}
-		s.cloud.Start(ctx)
+		s.cloud = standin.NewCloud(ctx, standin.CloudOptions{
+			Types: []protocol.MachineType{{
+				Name: "c8", CPUs: capacity, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1,
+				Price: 1, SpotPrice: 0.4, BootS: 4, Zones: s.zones,
+			}},
+			State: s.state, Controllers: controllers, Log: s.log, Network: s.net, WorkerTimes: workers,
+			JobSpec: s.spec, OnTaskChange: s.watch, InjectFault: s.trouble,
+		})
 		go standin.ServeListener(s.net.Listen("cloud:1"), s.cloud.Server(""))
 		for _, name := range s.names {
 			s.start(name)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -4,130 +4,91 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net/url"
-	"sort"
+	"maps"
+	"slices"
 	"sync"
 	"time"
 
 	"quillshunt/internal/config"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
+	"quillshunt/internal/storage"
 	"quillshunt/internal/transport"
 )
 
-// Cloud is a stand-in of the cloud whose machines are workers in this process.
-type Cloud struct {
+// CloudOptions configure a Cloud. Those after Log are for tests; their zero values are right for the
+// quick start.
+type CloudOptions struct {
 	Types       []protocol.MachineType
-	State       *StateService // where workers read what a task needs
-	Controllers map[string]string
+	State       *StateService     // where workers read what a task needs
+	Controllers map[string]string // addresses by node name
 	Log         *slog.Logger
 
-	// What follows is for tests. Its zero values are those of the quick start.
+	// Network connects workers and controllers; nil: TCP.
+	Network *Network
+	// WorkerTimes are the times that workers keep; zero: those of the quick start.
+	WorkerTimes config.Workers
+	// JobSpec returns what a worker knows of a job; nil: it reads the state service.
+	JobSpec func(job string) (protocol.Spec, bool)
+	// OnTaskChange is called when a task begins to run on a machine, or is gone from it.
+	OnTaskChange func(machine, task string, runs bool)
+	// InjectFault returns a status to answer a request with instead of executing it; 0: none.
+	InjectFault func(req *transport.Message) (status int)
+}
 
-	Network      *Network                                  // nil: TCP
-	WorkerTimes  config.Workers                            // of the workers; zero: the quick start's
-	Spec         func(job string) (protocol.Spec, bool)    // what a worker knows of a job; nil: it reads the state service
-	OnTaskChange func(rig, piece string, runs bool)        // told when a task begins to run on a machine, or is gone from it
-	InjectFault  func(req *transport.Message) (status int) // a status in place of an answer; 0: none
+// Cloud is a stand-in of the cloud whose machines are workers in this process. It is safe for
+// concurrent use.
+type Cloud struct {
+	options CloudOptions
+	ctx     context.Context // machines end with it
 
 	mu              sync.Mutex
-	ctx             context.Context
 	machineSequence int
-	workers         map[string]*worker
-	rentals         map[string][]string
+	workers         map[string]*worker  // by machine name
+	rentals         map[string][]string // machine names by rental request
 
-	results         sync.Mutex      // for what follows
+	results         sync.Mutex      // guards what follows
 	doneTasks       map[string]bool // tasks that completed anywhere: their results are kept
-	repeatHeartbeat func(rig string) (time.Duration, bool)
-
-	gangBoard *gangRegistry
-}
-
-// Start prepares the cloud; its machines end with the context.
-func (c *Cloud) Start(ctx context.Context) {
-	c.ctx = ctx
-	c.workers = map[string]*worker{}
-	c.rentals = map[string][]string{}
-	c.doneTasks = map[string]bool{}
-	c.gangBoard = newGangRegistry(c.markDone)
-	if c.WorkerTimes == (config.Workers{}) {
-		c.WorkerTimes = config.Workers{ReportS: heartbeatInterval.Seconds(), LeaseS: leaseDuration.Seconds()}
-	}
-}
+	repeatHeartbeat func(machine string) (time.Duration, bool)
 
-// markDone notes that a task is done.
-func (c *Cloud) markDone(task string) {
-	c.results.Lock()
-	defer c.results.Unlock()
-	c.doneTasks[task] = true
+	gangs *gangRegistry
 }
 
-func (c *Cloud) gangTimes() gangTimes {
-	times := gangTimes{gangWaitTimeout, gangPeerTimeout}
-	if c.WorkerTimes.Gangs() {
-		times = gangTimes{limits.Seconds(*c.WorkerTimes.GangWaitS), limits.Seconds(*c.WorkerTimes.GangPeerS)}
+// NewCloud returns a cloud without machines. The machines that are rented end with the context.
+func NewCloud(ctx context.Context, options CloudOptions) *Cloud {
+	if options.WorkerTimes == (config.Workers{}) {
+		options.WorkerTimes = config.Workers{ReportS: heartbeatInterval.Seconds(), LeaseS: leaseDuration.Seconds()}
 	}
-	return times
-}
-
-func (c *Cloud) dialer(from string) transport.Dialer {
-	if c.Network == nil {
-		return nil
+	c := &Cloud{
+		options:   options,
+		ctx:       ctx,
+		workers:   map[string]*worker{},
+		rentals:   map[string][]string{},
+		doneTasks: map[string]bool{},
 	}
-	return c.Network.Dialer(from)
+	c.gangs = newGangRegistry(c.markDone)
+	return c
 }
 
-// Machines are the names of all machines, in the order of their creation.
+// Machines returns the names of all machines, in the order of their creation.
 func (c *Cloud) Machines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []string
-	for name := range c.workers {
-		out = append(out, name)
-	}
-	sort.Strings(out)
-	return out
-}
-
-// SetRepeatedHeartbeats sets whether a copy of a machine's report arrives again, and how much later; nil: none does.
-func (c *Cloud) SetRepeatedHeartbeats(f func(rig string) (time.Duration, bool)) {
-	c.results.Lock()
-	defer c.results.Unlock()
-	c.repeatHeartbeat = f
+	return slices.Sorted(maps.Keys(c.workers))
 }
 
-func (c *Cloud) heartbeatRepetition(rig string) (time.Duration, bool) {
-	c.results.Lock()
-	f := c.repeatHeartbeat
-	c.results.Unlock()
-	if f == nil {
-		return 0, false
-	}
-	return f(rig)
-}
-
-// TaskDone tells whether a task completed.
-func (c *Cloud) TaskDone(piece string) bool {
-	c.results.Lock()
-	defer c.results.Unlock()
-	return c.doneTasks[piece]
-}
-
-// Zone is where a machine is, or "".
+// Zone returns where a machine is, or "" if there is no such machine.
 func (c *Cloud) Zone(name string) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if w := c.workers[name]; w != nil {
+	if w := c.worker(name); w != nil {
 		return w.machine.Zone
 	}
 	return ""
 }
 
-// LeaseExpired tells whether a machine is gone or its lease is over, also if it hangs and has not noticed.
+// LeaseExpired reports whether a machine is gone or its lease is over, also if it hangs and has not
+// noticed.
 func (c *Cloud) LeaseExpired(name string) bool {
-	c.mu.Lock()
-	w := c.workers[name]
-	c.mu.Unlock()
+	w := c.worker(name)
 	if w == nil {
 		return true
 	}
@@ -137,120 +98,154 @@
 }
 
 // Hang stops a machine for a while; then it goes on with what it had.
-func (c *Cloud) Hang(name string, d time.Duration) {
+func (c *Cloud) Hang(name string, duration time.Duration) {
+	if w := c.worker(name); w != nil {
+		w.hungUntil.Store(time.Now().Add(duration).UnixNano())
+	}
+}
+
+// Kill ends a machine with everything on it.
+func (c *Cloud) Kill(name string) {
 	c.mu.Lock()
 	w := c.workers[name]
+	delete(c.workers, name)
 	c.mu.Unlock()
-	if w != nil {
-		w.hungUntil.Store(time.Now().Add(d).UnixNano())
+	if w == nil {
+		return
 	}
+	w.cancel()
+	if c.options.Network != nil {
+		c.options.Network.RemoveHost(name)
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.killAll()
+	w.incarnation = 0 // whatever still reaches it finds nobody
 }
 
-// Server serves the cloud on an address.
-func (c *Cloud) Server(addr string) *transport.Server {
-	return transport.NewServer(transport.ServerOptions{Addr: addr, MaxConns: 100, Handle: c.handle, Log: c.Log})
-}
-
-func (c *Cloud) handle(req *transport.Message, rsp *transport.Responder) {
-	if c.InjectFault != nil {
-		if status := c.InjectFault(req); status != 0 {
-			rsp.Respond(status, protocol.Encode(map[string]string{"error": "trouble"}), 0)
-			return
-		}
-	}
-	switch {
-	case req.Path == "/machine_types":
-		rsp.Respond(200, protocol.Encode(protocol.MachineTypeList{Types: c.Types}), 0)
-	case req.Path == "/rentals" && req.Method == "POST":
-		var h protocol.RentalRequest
-		if err := protocol.Decode(req.Body, &h); err != nil || h.Count < 1 {
-			rsp.Respond(400, nil, 0)
-			return
-		}
-		rsp.Respond(200, protocol.Encode(protocol.RentalReply{Machines: c.rent(h)}), 0)
-	case req.Path == "/rentals/delete":
-		var d protocol.DeleteRequest
-		if err := protocol.Decode(req.Body, &d); err != nil {
-			rsp.Respond(400, nil, 0)
-			return
-		}
-		for _, name := range d.Machines {
-			c.Kill(name)
-		}
-		rsp.Respond(200, nil, 0)
-	case req.Path == "/rentals":
-		q, err := url.ParseQuery(req.Query)
-		if err != nil {
-			rsp.Respond(400, nil, 0)
-			return
-		}
-		rsp.Respond(200, protocol.Encode(c.listMachines(q.Get("Since"))), 0)
-	default:
-		rsp.Respond(404, nil, 0)
-	}
+// worker returns the worker of a machine, or nil.
+func (c *Cloud) worker(name string) *worker {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.workers[name]
 }
 
-func (c *Cloud) rent(h protocol.RentalRequest) []string {
+// rent rents machines. A repeated request gets the same machines.
+func (c *Cloud) rent(request protocol.RentalRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if names, ok := c.rentals[h.Name]; ok {
+	if names, known := c.rentals[request.Name]; known {
 		return names
 	}
-	var typ *protocol.MachineType
-	for i := range c.Types {
-		if c.Types[i].Name == h.MachineType {
-			typ = &c.Types[i]
-		}
-	}
 	names := []string{}
-	for range h.Count {
-		if typ == nil {
-			break
+	at := slices.IndexFunc(c.options.Types, func(t protocol.MachineType) bool { return t.Name == request.MachineType })
+	if at >= 0 {
+		for range request.Count {
+			names = append(names, c.boot(&c.options.Types[at], request))
 		}
-		c.machineSequence++
-		ctx, cancel := context.WithCancel(c.ctx)
-		w := &worker{cloud: c, machineType: typ, cancel: cancel, createdAt: time.Now(), machine: protocol.Machine{
-			Name: fmt.Sprintf("m-%06d", c.machineSequence), MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, State: protocol.MachineBooting}}
-		c.workers[w.machine.Name] = w
-		names = append(names, w.machine.Name)
-		go w.run(ctx)
 	}
-	c.rentals[h.Name] = names
+	c.rentals[request.Name] = names
 	return names
 }
 
-// Kill ends a machine with everything on it.
-func (c *Cloud) Kill(name string) {
-	c.mu.Lock()
-	w := c.workers[name]
-	delete(c.workers, name)
-	c.mu.Unlock()
-	if w == nil {
-		return
-	}
-	w.cancel()
-	if c.Network != nil {
-		c.Network.RemoveHost(name)
+// boot starts a machine and returns its name. The caller holds mu.
+func (c *Cloud) boot(machineType *protocol.MachineType, request protocol.RentalRequest) string {
+	c.machineSequence++
+	ctx, cancel := context.WithCancel(c.ctx)
+	w := &worker{
+		cloud: c, machineType: machineType, cancel: cancel, createdAt: time.Now(),
+		machine: protocol.Machine{
+			Name:        fmt.Sprintf("m-%06d", c.machineSequence),
+			MachineType: request.MachineType,
+			Zone:        request.Zone,
+			Spot:        request.Spot,
+			State:       protocol.MachineBooting,
+		},
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.killAll()
-	w.incarnation = 0 // whatever still reaches it finds nobody
+	c.workers[w.machine.Name] = w
+	go w.run(ctx)
+	return w.machine.Name
 }
 
+// listMachines returns the machines whose names come after since, in order.
 func (c *Cloud) listMachines(since string) protocol.MachineList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := protocol.MachineList{Machines: []protocol.Machine{}}
-	for name, w := range c.workers {
-		if name > since {
-			w.mu.Lock()
-			r := w.machine
-			w.mu.Unlock()
-			r.AgeS = time.Since(w.createdAt).Seconds()
-			l.Machines = append(l.Machines, r)
+	list := protocol.MachineList{Machines: []protocol.Machine{}}
+	for _, name := range slices.Sorted(maps.Keys(c.workers)) {
+		if name <= since {
+			continue
 		}
+		w := c.workers[name]
+		w.mu.Lock()
+		machine := w.machine
+		w.mu.Unlock()
+		machine.AgeS = time.Since(w.createdAt).Seconds()
+		list.Machines = append(list.Machines, machine)
+	}
+	return list
+}
+
+// TaskDone reports whether a task completed.
+func (c *Cloud) TaskDone(task string) bool {
+	c.results.Lock()
+	defer c.results.Unlock()
+	return c.doneTasks[task]
+}
+
+// markDone keeps the result of a task.
+func (c *Cloud) markDone(task string) {
+	c.results.Lock()
+	defer c.results.Unlock()
+	c.doneTasks[task] = true
+}
+
+// SetRepeatedHeartbeats sets which machines' heartbeats arrive again: repeat is asked for each and
+// returns how much later. Nil repeats none.
+func (c *Cloud) SetRepeatedHeartbeats(repeat func(machine string) (time.Duration, bool)) {
+	c.results.Lock()
+	defer c.results.Unlock()
+	c.repeatHeartbeat = repeat
+}
+
+// heartbeatRepetition returns how much later a machine's next heartbeat arrives again, if it does.
+func (c *Cloud) heartbeatRepetition(machine string) (time.Duration, bool) {
+	c.results.Lock()
+	repeat := c.repeatHeartbeat
+	c.results.Unlock()
+	if repeat == nil {
+		return 0, false
+	}
+	return repeat(machine)
+}
+
+// jobSpec returns what workers know of a job.
+func (c *Cloud) jobSpec(job string) (protocol.Spec, bool) {
+	if c.options.JobSpec != nil {
+		return c.options.JobSpec(job)
+	}
+	pair, ok := c.options.State.Get(storage.OpenJobKey(job))
+	var record storage.OpenJob
+	if !ok || protocol.Decode(pair.Value, &record) != nil {
+		return record.Spec, false
+	}
+	return record.Spec, true
+}
+
+func (c *Cloud) gangTimes() gangTimes {
+	if times := c.options.WorkerTimes; times.Gangs() {
+		return gangTimes{
+			giveUpAfter: limits.Seconds(*times.GangWaitS),
+			noticeAfter: limits.Seconds(*times.GangPeerS),
+		}
+	}
+	return gangTimes{giveUpAfter: gangWaitTimeout, noticeAfter: gangPeerTimeout}
+}
+
+// dialer returns how a host opens connections; nil: by TCP.
+func (c *Cloud) dialer(host string) transport.Dialer {
+	if c.options.Network == nil {
+		return nil
 	}
-	sort.Slice(l.Machines, func(a, b int) bool { return l.Machines[a].Name < l.Machines[b].Name })
-	return l
+	return c.options.Network.Dialer(host)
 }
--- /dev/null
+++ b/internal/standin/cloud_http.go
@@ -0,0 +1,65 @@
+package standin
+
+import (
+	"net/http"
+	"net/url"
+
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/transport"
+)
+
+const cloudMaxConns = 100
+
+// Server returns a server of the cloud's interface on an address.
+func (c *Cloud) Server(addr string) *transport.Server {
+	return transport.NewServer(transport.ServerOptions{
+		Addr: addr, MaxConns: cloudMaxConns, Handle: c.handle, Log: c.options.Log,
+	})
+}
+
+func (c *Cloud) handle(req *transport.Message, rsp *transport.Responder) {
+	if c.options.InjectFault != nil {
+		if status := c.options.InjectFault(req); status != 0 {
+			rsp.Respond(status, protocol.Encode(map[string]string{"error": "trouble"}), 0)
+			return
+		}
+	}
+	switch {
+	case req.Path == "/machine_types":
+		rsp.Respond(http.StatusOK, protocol.Encode(protocol.MachineTypeList{Types: c.options.Types}), 0)
+	case req.Path == "/rentals" && req.Method == http.MethodPost:
+		c.handleRental(req.Body, rsp)
+	case req.Path == "/rentals/delete":
+		c.handleDeletion(req.Body, rsp)
+	case req.Path == "/rentals":
+		query, err := url.ParseQuery(req.Query)
+		if err != nil {
+			rsp.Respond(http.StatusBadRequest, nil, 0)
+			return
+		}
+		rsp.Respond(http.StatusOK, protocol.Encode(c.listMachines(query.Get("Since"))), 0)
+	default:
+		rsp.Respond(http.StatusNotFound, nil, 0)
+	}
+}
+
+func (c *Cloud) handleRental(body []byte, rsp *transport.Responder) {
+	var request protocol.RentalRequest
+	if err := protocol.Decode(body, &request); err != nil || request.Count < 1 {
+		rsp.Respond(http.StatusBadRequest, nil, 0)
+		return
+	}
+	rsp.Respond(http.StatusOK, protocol.Encode(protocol.RentalReply{Machines: c.rent(request)}), 0)
+}
+
+func (c *Cloud) handleDeletion(body []byte, rsp *transport.Responder) {
+	var request protocol.DeleteRequest
+	if err := protocol.Decode(body, &request); err != nil {
+		rsp.Respond(http.StatusBadRequest, nil, 0)
+		return
+	}
+	for _, name := range request.Machines {
+		c.Kill(name)
+	}
+	rsp.Respond(http.StatusOK, nil, 0)
+}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"fmt"
+	"maps"
 	"net"
-	"sort"
+	"net/http"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,7 +16,7 @@
 	"quillshunt/internal/transport"
 )
 
-// The times that stand-in workers keep.
+// The times that stand-in workers keep, unless a test sets others.
 const (
 	heartbeatInterval = time.Second
 	leaseDuration     = 10 * time.Second
@@ -26,8 +27,14 @@
 	gangPeerTimeout = 6 * time.Second
 )
 
-// worker is a machine of the stand-in cloud. Its tasks only wait for the time that their owner
-// reckons with.
+// workerMaxConns bounds the connections for direct commands, workerPort is their port on a Network.
+const (
+	workerMaxConns = 20
+	workerPort     = ":9000"
+)
+
+// worker is a machine of the stand-in cloud. Its tasks only wait for the run time that their owner
+// estimated.
 type worker struct {
 	cloud       *Cloud
 	machineType *protocol.MachineType
@@ -38,84 +45,114 @@
 	machine      protocol.Machine
 	incarnation  uint64 // 0: not up, or gone
 	sequence     uint64
-	fencingToken uint64
-	leaseStart   time.Time        // when the last report was sent that was answered
+	fencingToken uint64           // the highest seen
+	leaseStart   time.Time        // when the last heartbeat was sent that was answered
 	hungUntil    atomic.Int64     // in Unix nanoseconds; also read by other workers of a gang
-	tasks        map[string]*task // by piece and attempt
+	tasks        map[string]*task // by name and attempt
 }
 
-type task struct {
-	protocol.TaskStatus
-	doneAt time.Time
-	gang   *gangAttempt // nil if its job's tasks are independent
-}
-
-// run boots the machine and reports until the context ends.
+// run boots the machine and sends heartbeats until the context ends.
 func (w *worker) run(ctx context.Context) {
-	if !storage.Sleep(ctx, time.Duration(w.machineType.BootS*float64(time.Second))) {
+	if !storage.Sleep(ctx, limits.Seconds(w.machineType.BootS)) {
 		return
 	}
 	addr, err := w.listen(ctx)
 	if err != nil {
-		w.cloud.Log.Error("worker", "err", err)
+		w.cloud.options.Log.Error("worker", "err", err)
 		return
 	}
+	if !w.begin(ctx, addr) {
+		return
+	}
+	controllers := newControllerList(w.cloud, w.machine.Name)
+	defer controllers.close()
+	for w.waitWhileHung(ctx) {
+		pause, alive := w.exchangeHeartbeat(ctx, controllers)
+		if !alive || !storage.Sleep(ctx, pause) {
+			return
+		}
+	}
+}
+
+// begin begins the first incarnation, unless the machine is gone already.
+func (w *worker) begin(ctx context.Context, addr string) bool {
 	w.mu.Lock()
+	defer w.mu.Unlock()
 	if ctx.Err() != nil {
-		w.mu.Unlock()
-		return
+		return false
 	}
 	w.machine.Address, w.machine.State = addr, protocol.MachineRunning
 	w.incarnation, w.tasks, w.leaseStart = 1, map[string]*task{}, time.Now()
+	return true
+}
+
+// exchangeHeartbeat sends a heartbeat and acts on the answer. It returns the pause until the next one,
+// and whether the machine is still there.
+func (w *worker) exchangeHeartbeat(ctx context.Context, controllers *controllerList) (pause time.Duration, alive bool) {
+	sent := time.Now()
+	w.mu.Lock()
+	heartbeat := w.heartbeat()
 	w.mu.Unlock()
-	var names []string
-	clients := map[string]*transport.Client{}
-	for n, a := range w.cloud.Controllers {
-		names = append(names, n)
-		clients[n] = transport.NewClient(a, 1, limits.MaxBodyBytes).WithDialer(w.cloud.dialer(w.machine.Name))
-		defer clients[n].Close()
+	answer := w.sendHeartbeat(ctx, controllers.client(), heartbeat)
+	if !w.waitWhileHung(ctx) {
+		return 0, false
 	}
-	sort.Strings(names)
-	at := 0
-	for w.waitWhileHung(ctx) {
-		sent := time.Now()
-		w.mu.Lock()
-		r := w.heartbeat()
-		w.mu.Unlock()
-		status, leader, reply := w.sendHeartbeat(ctx, clients[names[at]], r)
-		if !w.waitWhileHung(ctx) {
-			return
-		}
-		pause := limits.Seconds(w.cloud.WorkerTimes.ReportS)
-		switch {
-		case status == 200:
-			if time.Since(sent) < answerTimeout {
-				w.applyReply(r.Incarnation, reply, sent)
-			}
-		case status == 421 && leader != "" && leader != names[at]:
-			clients[names[at]].Close()
-			for i, n := range names {
-				if n == leader {
-					at = i
-				}
-			}
-			pause = retryInterval / 10
-		default:
-			at = (at + 1) % len(names)
-			pause = retryInterval
-		}
-		if !storage.Sleep(ctx, pause) {
-			return
+	switch {
+	case answer.status == http.StatusOK:
+		if time.Since(sent) < answerTimeout {
+			w.applyReply(heartbeat.Incarnation, answer.reply, sent)
 		}
+		return limits.Seconds(w.cloud.options.WorkerTimes.ReportS), true
+	case answer.status == http.StatusMisdirectedRequest && answer.leader != "" && answer.leader != controllers.name():
+		controllers.follow(answer.leader)
+		return retryInterval / 10, true
+	}
+	controllers.next()
+	return retryInterval, true
+}
+
+// controllerList is the controllers that a worker knows, of which it uses one at a time.
+type controllerList struct {
+	names   []string
+	clients map[string]*transport.Client
+	at      int
+}
+
+func newControllerList(c *Cloud, host string) *controllerList {
+	list := &controllerList{
+		names:   slices.Sorted(maps.Keys(c.options.Controllers)),
+		clients: map[string]*transport.Client{},
+	}
+	for name, addr := range c.options.Controllers {
+		list.clients[name] = transport.NewClient(addr, 1, limits.MaxBodyBytes).WithDialer(c.dialer(host))
+	}
+	return list
+}
+
+func (l *controllerList) name() string              { return l.names[l.at] }
+func (l *controllerList) client() *transport.Client { return l.clients[l.name()] }
+func (l *controllerList) next()                     { l.at = (l.at + 1) % len(l.names) }
+
+// follow goes to the leader, if it is known, and closes the connection that is left.
+func (l *controllerList) follow(leader string) {
+	l.client().Close()
+	if at := slices.Index(l.names, leader); at >= 0 {
+		l.at = at
 	}
 }
 
-// listen serves direct commands.
+func (l *controllerList) close() {
+	for _, client := range l.clients {
+		client.Close()
+	}
+}
+
+// listen serves direct commands and returns the address.
 func (w *worker) listen(ctx context.Context) (string, error) {
-	options := transport.ServerOptions{MaxConns: 20, Handle: w.handle, Log: w.cloud.Log}
-	if w.cloud.Network != nil {
-		addr := w.machine.Name + ":9000"
-		go ServeListener(w.cloud.Network.Listen(addr), transport.NewServer(options))
+	options := transport.ServerOptions{MaxConns: workerMaxConns, Handle: w.handle, Log: w.cloud.options.Log}
+	if network := w.cloud.options.Network; network != nil {
+		addr := w.machine.Name + workerPort
+		go ServeListener(network.Listen(addr), transport.NewServer(options))
 		return addr, nil
 	}
 	addr, err := freeAddress()
@@ -125,7 +162,7 @@
 	options.Addr = addr
 	go func() {
 		if err := transport.NewServer(options).Run(ctx); err != nil {
-			w.cloud.Log.Error("worker", "machine", w.machine.Name, "err", err)
+			w.cloud.options.Log.Error("worker", "machine", w.machine.Name, "err", err)
 		}
 	}()
 	return addr, nil
@@ -149,15 +186,15 @@
 	}
 }
 
-// hungFor is for how long the machine does nothing yet.
+// hungFor returns for how long the machine goes on hanging; 0 or less: it does not hang.
 func (w *worker) hungFor() time.Duration { return time.Until(time.Unix(0, w.hungUntil.Load())) }
 
-// leaseExpired tells whether the lease is over; the caller has the lock.
+// leaseExpired reports whether the lease is over. The caller holds mu.
 func (w *worker) leaseExpired() bool {
-	return time.Since(w.leaseStart) > limits.Seconds(w.cloud.WorkerTimes.LeaseS)
+	return time.Since(w.leaseStart) > limits.Seconds(w.cloud.options.WorkerTimes.LeaseS)
 }
 
-// endExpiredIncarnation ends the session when its lease is over; the caller has the lock.
+// endExpiredIncarnation begins the next incarnation if the lease is over. The caller holds mu.
 func (w *worker) endExpiredIncarnation() {
 	if w.incarnation > 0 && w.leaseExpired() {
 		w.killAll()
@@ -166,181 +203,65 @@
 	}
 }
 
-// killAll ends and forgets all tasks; the caller has the lock.
-func (w *worker) killAll() {
-	for _, t := range w.tasks {
-		if t.State == protocol.Running || t.State == protocol.Gathering {
-			w.notifyTaskChange(t.Task, false)
-		}
-		if t.gang != nil && t.State != protocol.Ended {
-			t.gang.leave(t.Task)
-		}
-	}
-	w.tasks = map[string]*task{}
-}
-
-func (w *worker) notifyTaskChange(piece string, runs bool) {
-	if w.cloud.OnTaskChange != nil {
-		w.cloud.OnTaskChange(w.machine.Name, piece, runs)
-	}
+// heartbeatAnswer is what a controller answered to a heartbeat.
+type heartbeatAnswer struct {
+	status int                     // 0: no answer
+	leader string                  // to send heartbeats to instead
+	reply  protocol.HeartbeatReply // if the status is 200
 }
 
-// sendHeartbeat makes a report.
-func (w *worker) sendHeartbeat(ctx context.Context, c *transport.Client, r protocol.Heartbeat) (status int, leader string, reply protocol.HeartbeatReply) {
+// sendHeartbeat sends a heartbeat and reads the answer.
+func (w *worker) sendHeartbeat(ctx context.Context, client *transport.Client, heartbeat protocol.Heartbeat) heartbeatAnswer {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	body := protocol.Encode(r)
+	body := protocol.Encode(heartbeat)
 	if after, ok := w.cloud.heartbeatRepetition(w.machine.Name); ok {
 		time.AfterFunc(after, func() { w.repeatHeartbeat(body) })
 	}
-	m, err := c.Do(ctx, "POST", "/v1/report", body)
+	m, err := client.Do(ctx, http.MethodPost, "/v1/report", body)
 	if err != nil {
-		return 0, "", reply
+		return heartbeatAnswer{}
 	}
+	answer := heartbeatAnswer{status: m.Status}
 	switch m.Status {
-	case 200:
-		if protocol.Decode(m.Body, &reply) != nil {
-			return 0, "", reply
+	case http.StatusOK:
+		if protocol.Decode(m.Body, &answer.reply) != nil {
+			return heartbeatAnswer{}
 		}
-	case 421:
-		var to protocol.Redirect
-		if protocol.Decode(m.Body, &to) == nil {
-			leader = to.Leader
+	case http.StatusMisdirectedRequest:
+		var redirect protocol.Redirect
+		if protocol.Decode(m.Body, &redirect) == nil {
+			answer.leader = redirect.Leader
 		}
 	}
-	return m.Status, leader, reply
+	return answer
 }
 
-// repeatHeartbeat brings a report again, to every controller; nobody waits for the answers.
+// repeatHeartbeat sends a heartbeat again, to every controller; nobody waits for the answers.
 func (w *worker) repeatHeartbeat(body []byte) {
-	for _, addr := range w.cloud.Controllers {
+	for _, addr := range w.cloud.options.Controllers {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 			defer cancel()
-			c := transport.NewClient(addr, 0, limits.MaxBodyBytes).WithDialer(w.cloud.dialer("copies"))
-			_, _ = c.Do(ctx, "POST", "/v1/report", body)
+			client := transport.NewClient(addr, 0, limits.MaxBodyBytes).WithDialer(w.cloud.dialer("copies"))
+			_, _ = client.Do(ctx, http.MethodPost, "/v1/report", body)
 		}()
 	}
 }
 
-// applyReply executes an answer, unless its token is old or the session has changed.
-func (w *worker) applyReply(shift uint64, reply protocol.HeartbeatReply, sent time.Time) {
+// applyReply executes the commands of an answer, unless its fencing token is old or the incarnation
+// has changed.
+func (w *worker) applyReply(incarnation uint64, reply protocol.HeartbeatReply, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if reply.FencingToken < w.fencingToken || shift != w.incarnation {
+	if reply.FencingToken < w.fencingToken || incarnation != w.incarnation {
 		return
 	}
 	w.fencingToken, w.leaseStart = reply.FencingToken, sent
 	w.execute(reply.Commands)
 }
 
-// heartbeat makes a report; the caller has the lock.
-func (w *worker) heartbeat() protocol.Heartbeat {
-	w.sequence++
-	r := protocol.Heartbeat{Machine: w.machine.Name, Address: w.machine.Address, MachineType: w.machine.MachineType, Zone: w.machine.Zone, Spot: w.machine.Spot,
-		Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: []protocol.TaskStatus{}}
-	var keys []string
-	for k := range w.tasks {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	for _, k := range keys {
-		t := w.tasks[k]
-		switch {
-		case t.gang != nil && t.State != protocol.Ended:
-			w.updateFromGang(t)
-		case t.State == protocol.Running && time.Now().After(t.doneAt):
-			w.endTask(t, protocol.ReasonDone)
-		}
-		r.Tasks = append(r.Tasks, t.TaskStatus)
-	}
-	return r
-}
-
-// updateFromGang brings a task in line with its gang; the caller has the lock.
-func (w *worker) updateFromGang(t *task) {
-	shown := t.gang.observe(t.Task)
-	t.State, t.Reason, t.Saved = shown.State, shown.Reason, shown.Saved
-	if t.State == protocol.Ended {
-		w.notifyTaskChange(t.Task, false)
-	}
-}
-
-// endTask ends a task that runs; the caller has the lock.
-func (w *worker) endTask(t *task, cause string) {
-	t.State, t.Reason = protocol.Ended, cause
-	if cause == protocol.ReasonDone {
-		w.cloud.markDone(t.Task)
-	}
-	w.notifyTaskChange(t.Task, false)
-}
-
-func taskKey(piece string, try uint64) string { return fmt.Sprintf("%s#%d", piece, try) }
-
-// execute carries out orders; the caller has the lock.
-func (w *worker) execute(orders []protocol.Command) {
-	for _, o := range orders {
-		key := taskKey(o.Task, o.Attempt)
-		t := w.tasks[key]
-		switch {
-		case o.Verb == protocol.CommandStart && t == nil:
-			w.tasks[key] = w.startTask(o)
-		case o.Verb == protocol.CommandStop && t != nil && t.State != protocol.Ended:
-			if t.gang != nil && o.GraceS != nil && t.gang.stop(t.Task, *o.GraceS) {
-				continue // it saves
-			}
-			w.endTask(t, protocol.ReasonStopped)
-		case o.Verb == protocol.CommandForget && t != nil && t.State == protocol.Ended:
-			delete(w.tasks, key)
-		}
-	}
-}
-
-func (w *worker) startTask(o protocol.Command) *task {
-	t := &task{TaskStatus: protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Ended, Reason: protocol.ReasonUnknownTask}}
-	id, _, ok := protocol.ParseTaskName(o.Task)
-	if !ok {
-		return t
-	}
-	for _, other := range w.tasks {
-		if other.Task == o.Task && other.State != protocol.Ended {
-			t.Reason = protocol.ReasonBusy
-			return t
-		}
-	}
-	spec, ok := w.cloud.jobSpec(id)
-	if !ok {
-		return t
-	}
-	if w.cloud.TaskDone(o.Task) {
-		t.Reason = protocol.ReasonDone
-		return t
-	}
-	if spec.Gang() {
-		t.State, t.Reason = protocol.Gathering, ""
-		t.gang = w.cloud.gangBoard.attempt(spec, o.Attempt, w.cloud.gangTimes())
-		t.gang.join(o.Task, func() bool { return w.hungFor() > 0 })
-		w.notifyTaskChange(o.Task, true)
-		return t
-	}
-	t.State, t.Reason = protocol.Running, ""
-	t.doneAt = time.Now().Add(limits.Seconds(spec.EstimateS))
-	w.notifyTaskChange(o.Task, true)
-	return t
-}
-
-func (c *Cloud) jobSpec(id string) (protocol.Spec, bool) {
-	if c.Spec != nil {
-		return c.Spec(id)
-	}
-	p, ok := c.State.Get(storage.OpenJobKey(id))
-	var rec storage.OpenJob
-	if !ok || protocol.Decode(p.Value, &rec) != nil {
-		return rec.Spec, false
-	}
-	return rec.Spec, true
-}
-
+// handle answers a direct command, once the machine does not hang any more.
 func (w *worker) handle(req *transport.Message, rsp *transport.Responder) {
 	if hung := w.hungFor(); hung > 0 {
 		time.AfterFunc(hung, func() { w.handle(req, rsp) })
@@ -351,33 +272,37 @@
 	w.endExpiredIncarnation()
 	switch {
 	case w.incarnation == 0: // gone
-		rsp.Respond(404, nil, 0)
-	case req.Path == "/status" && req.Method == "GET":
-		rsp.Respond(200, protocol.Encode(w.heartbeat()), 0)
-	case req.Path == "/do" && req.Method == "POST":
-		var d protocol.DirectCommands
-		if err := protocol.Decode(req.Body, &d); err != nil || d.Incarnation == 0 {
-			rsp.Respond(400, nil, 0)
-			return
-		}
-		if d.FencingToken < w.fencingToken || d.Incarnation != w.incarnation {
-			rsp.Respond(409, protocol.Encode(w.heartbeat()), 0)
-			return
-		}
-		w.fencingToken = d.FencingToken
-		w.execute(d.Commands)
-		rsp.Respond(200, protocol.Encode(w.heartbeat()), 0)
+		rsp.Respond(http.StatusNotFound, nil, 0)
+	case req.Path == "/status" && req.Method == http.MethodGet:
+		rsp.Respond(http.StatusOK, protocol.Encode(w.heartbeat()), 0)
+	case req.Path == "/do" && req.Method == http.MethodPost:
+		status, body := w.executeDirectly(req.Body)
+		rsp.Respond(status, body, 0)
 	default:
-		rsp.Respond(404, nil, 0)
+		rsp.Respond(http.StatusNotFound, nil, 0)
+	}
+}
+
+// executeDirectly executes direct commands and returns the answer. The caller holds mu.
+func (w *worker) executeDirectly(body []byte) (status int, answer []byte) {
+	var direct protocol.DirectCommands
+	if err := protocol.Decode(body, &direct); err != nil || direct.Incarnation == 0 {
+		return http.StatusBadRequest, nil
+	}
+	if direct.FencingToken < w.fencingToken || direct.Incarnation != w.incarnation {
+		return http.StatusConflict, protocol.Encode(w.heartbeat())
 	}
+	w.fencingToken = direct.FencingToken
+	w.execute(direct.Commands)
+	return http.StatusOK, protocol.Encode(w.heartbeat())
 }
 
 // freeAddress finds a free port on the loopback.
 func freeAddress() (string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	defer ln.Close()
-	return ln.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
--- /dev/null
+++ b/internal/standin/worker_tasks.go
@@ -0,0 +1,135 @@
+package standin
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+)
+
+// task is a task on a worker, also one that has ended and was not forgotten.
+type task struct {
+	protocol.TaskStatus
+	doneAt time.Time
+	gang   *gangAttempt // nil if its job's tasks are independent
+}
+
+func taskKey(name string, attempt uint64) string { return fmt.Sprintf("%s#%d", name, attempt) }
+
+// heartbeat makes a heartbeat of the tasks as they are now. The caller holds mu.
+func (w *worker) heartbeat() protocol.Heartbeat {
+	w.sequence++
+	heartbeat := protocol.Heartbeat{
+		Machine: w.machine.Name, Address: w.machine.Address, MachineType: w.machine.MachineType,
+		Zone: w.machine.Zone, Spot: w.machine.Spot,
+		Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.fencingToken,
+		Tasks: []protocol.TaskStatus{},
+	}
+	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
+		t := w.tasks[key]
+		switch {
+		case t.gang != nil && t.State != protocol.Ended:
+			w.updateFromGang(t)
+		case t.State == protocol.Running && time.Now().After(t.doneAt):
+			w.endTask(t, protocol.ReasonDone)
+		}
+		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
+	}
+	return heartbeat
+}
+
+// execute executes commands in order. The caller holds mu.
+func (w *worker) execute(commands []protocol.Command) {
+	for _, command := range commands {
+		key := taskKey(command.Task, command.Attempt)
+		t := w.tasks[key]
+		switch {
+		case command.Verb == protocol.CommandStart && t == nil:
+			w.tasks[key] = w.startTask(command)
+		case command.Verb == protocol.CommandStop && t != nil && t.State != protocol.Ended:
+			if t.gang != nil && command.GraceS != nil && t.gang.stop(t.Task, *command.GraceS) {
+				continue // it saves
+			}
+			w.endTask(t, protocol.ReasonStopped)
+		case command.Verb == protocol.CommandForget && t != nil && t.State == protocol.Ended:
+			delete(w.tasks, key)
+		}
+	}
+}
+
+// startTask starts a task, or returns it ended with the reason why it was refused. The caller holds mu.
+func (w *worker) startTask(command protocol.Command) *task {
+	t := &task{TaskStatus: protocol.TaskStatus{
+		Task: command.Task, Attempt: command.Attempt,
+		State: protocol.Ended, Reason: protocol.ReasonUnknownTask,
+	}}
+	job, _, ok := protocol.ParseTaskName(command.Task)
+	if !ok {
+		return t
+	}
+	for _, other := range w.tasks {
+		if other.Task == command.Task && other.State != protocol.Ended {
+			t.Reason = protocol.ReasonBusy
+			return t
+		}
+	}
+	spec, ok := w.cloud.jobSpec(job)
+	if !ok {
+		return t
+	}
+	if w.cloud.TaskDone(command.Task) {
+		t.Reason = protocol.ReasonDone
+		return t
+	}
+	t.Reason = ""
+	if spec.Gang() {
+		t.State = protocol.Gathering
+		t.gang = w.cloud.gangs.attempt(spec, command.Attempt, w.cloud.gangTimes())
+		t.gang.join(command.Task, func() bool { return w.hungFor() > 0 })
+	} else {
+		t.State = protocol.Running
+		t.doneAt = time.Now().Add(limits.Seconds(spec.EstimateS))
+	}
+	w.notifyTaskChange(command.Task, true)
+	return t
+}
+
+// updateFromGang brings a task in line with its gang. The caller holds mu.
+func (w *worker) updateFromGang(t *task) {
+	status := t.gang.observe(t.Task)
+	t.State, t.Reason, t.Saved = status.State, status.Reason, status.Saved
+	if t.State == protocol.Ended {
+		w.notifyTaskChange(t.Task, false)
+	}
+}
+
+// endTask ends a running task. The caller holds mu.
+func (w *worker) endTask(t *task, reason string) {
+	t.State, t.Reason = protocol.Ended, reason
+	if reason == protocol.ReasonDone {
+		w.cloud.markDone(t.Task)
+	}
+	w.notifyTaskChange(t.Task, false)
+}
+
+// killAll ends and forgets all tasks. The caller holds mu.
+func (w *worker) killAll() {
+	for _, t := range w.tasks {
+		if t.State == protocol.Running || t.State == protocol.Gathering {
+			w.notifyTaskChange(t.Task, false)
+		}
+		if t.gang != nil && t.State != protocol.Ended {
+			t.gang.leave(t.Task)
+		}
+	}
+	w.tasks = map[string]*task{}
+}
+
+func (w *worker) notifyTaskChange(task string, runs bool) {
+	if w.cloud.options.OnTaskChange != nil {
+		w.cloud.options.OnTaskChange(w.machine.Name, task, runs)
+	}
+}
