--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -1,4 +1,5 @@
-// Package controller puts the parts of one controller together.
+// Package controller puts the parts of one controller together: the gateway for users and workers,
+// the election, the term of the leader, and the calls between controllers.
 package controller
 
 import (
@@ -16,78 +17,92 @@
 	"quillshunt/internal/transport"
 )
 
-// Controller is one controller: what it serves to users and workers, and to the other controllers.
+// Controller is one controller of a deployment.
 type Controller struct {
-	Clients *transport.Server
-	Peers   *peer.Server
-
-	settings *config.Settings
-	leader   *leader.Dispatcher
-	peers    *peer.Peers
-	elector  *election.Elector
-	gateway  *gateway.Gateway
+	peerAddr     string            // where peerServer listens
+	peerServer   *peer.Server      // for the other controllers
+	clientServer *transport.Server // for users and workers
+	peers        *peer.Peers
+	dispatcher   *leader.Dispatcher
+	elector      *election.Elector
+	gateway      *gateway.Gateway
 }
 
-// New puts a controller together. A nil dialer dials TCP.
+// New puts a controller together; it starts nothing. A nil dialer dials TCP. It returns an error if
+// the address of another controller is malformed.
 func New(s *config.Settings, options config.Options, dialer transport.Dialer, log *slog.Logger) (*Controller, error) {
 	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, len(s.Members))
 	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
+	workerLease := limits.Seconds(s.Facts.Workers.LeaseS)
+
+	// The services around the controller.
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
 	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS).WithDialer(dialer)
-	desk := leader.NewDispatcher(s, options, store, cloud, sockets, log).WithDialer(dialer)
 	peers, err := peer.Dial(s.Members, dialer)
 	if err != nil {
 		return nil, err
 	}
+
+	// The leader's term, and the election that starts and ends it.
+	dispatcher := leader.NewDispatcher(s, options, store, cloud, sockets, log).WithDialer(dialer)
 	elector := election.New(election.Options{
 		Node:          s.NodeName,
 		Store:         store,
 		Peers:         peers,
 		LeaseDuration: time.Duration(options.Leadership.LeaderLease),
-		VoteLease:     limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)),
-		Lead:          desk.RunTerm,
+		VoteLease:     limits.VoteLease(workerLease),
+		Lead:          dispatcher.RunTerm,
 		Log:           log,
 	})
-	desk.OnTermLost(elector.TermLost)
-	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
+	dispatcher.OnTermLost(elector.TermLost)
+
+	// What the controller serves.
+	front := &gateway.Gateway{
+		Node:       s.NodeName,
+		Store:      store.ForUsers(),
+		Dispatcher: dispatcher,
+		Peers:      peers,
+		Leader:     elector.Leader,
+		Settings:   s,
+		UserSlots:  shares.UserSlots,
+		Log:        log,
+	}
+	clientServer := transport.NewServer(transport.ServerOptions{
+		Addr:        s.ClientListen,
+		MaxConns:    shares.Inbound,
+		MaxMachines: shares.MachineConns,
+		MachineIdle: workerLease,
+		Sockets:     sockets,
+		Handle:      front.Handle,
+		Log:         log,
+	})
 	return &Controller{
-		Clients: transport.NewServer(transport.ServerOptions{
-			Addr:        s.ClientListen,
-			MaxConns:    shares.Inbound,
-			MaxMachines: shares.MachineConns,
-			MachineIdle: limits.Seconds(s.Facts.Workers.LeaseS),
-			Sockets:     sockets,
-			Handle:      front.Handle,
-			Log:         log,
-		}),
-		Peers:    peer.NewServer(desk, elector, peers),
-		settings: s,
-		leader:   desk,
-		peers:    peers,
-		elector:  elector,
-		gateway:  front,
+		peerAddr:     s.PeerBind,
+		peerServer:   peer.NewServer(dispatcher, elector, peers),
+		clientServer: clientServer,
+		peers:        peers,
+		dispatcher:   dispatcher,
+		elector:      elector,
+		gateway:      front,
 	}, nil
 }
 
-// Start begins to take part in elections and to prepare answers, until the context ends.
-func (c *Controller) Start(ctx context.Context) {
+// start begins to take part in elections and prepares the gateway, until the context ends. It does
+// not wait for that.
+func (c *Controller) start(ctx context.Context) {
 	c.gateway.Start(ctx)
 	go c.elector.Run(ctx)
 }
 
-// Run starts the controller and serves until a part of it fails for good or the context ends.
+// Run starts the controller and serves until the context ends or a server fails for good; it returns
+// that server's error. It is called once, and the process ends after it: the parts that still run
+// are not waited for, as whatever they did last is safe to be cut short.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.Start(ctx)
-	failed := make(chan error, 2)
-	go func() { failed <- c.Peers.Run(ctx, c.settings.PeerBind) }()
-	go func() { failed <- c.Clients.Run(ctx) }()
-	return <-failed
+	c.start(ctx)
+	ended := make(chan error, 2)
+	go func() { ended <- c.peerServer.Run(ctx, c.peerAddr) }()
+	go func() { ended <- c.clientServer.Run(ctx) }()
+	return <-ended
 }
-
-// Entitled tells whether this controller is surely the leader at this moment.
-func (c *Controller) Entitled() bool { return c.leader.Entitled() }
-
-// Close hangs up on the other controllers.
-func (c *Controller) Close() { c.peers.Close() }
--- a/internal/coordination/controller/meetings_test.go
+++ b/internal/coordination/controller/meetings_test.go
@@ -49,7 +49,7 @@
 			s.users.Go(func() { s.cancel(j) })
 		}
 		time.Sleep(time.Second)
-		s.met(s.told(jobs) > 0 && s.nodes[lead].c.Entitled(), "confirmed cancellations while the leader is refused: %d", s.told(jobs))
+		s.met(s.told(jobs) > 0 && s.nodes[lead].c.dispatcher.Entitled(), "confirmed cancellations while the leader is refused: %d", s.told(jobs))
 		s.state.SetUnavailable(true)
 		for range 10 {
 			time.Sleep(5 * time.Second)
@@ -232,7 +232,7 @@
 			})
 		}
 		time.Sleep(2 * time.Second)
-		s.met(s.nodes[lead].c.Entitled(), "the old leader still there")
+		s.met(s.nodes[lead].c.dispatcher.Entitled(), "the old leader still there")
 		time.Sleep(limits.IsolatedAfter)
 		s.met(s.sendsAway(lead, jobs[0]) && !s.sendsAway(s.other(lead), jobs[0]), "users sent away by the one that is cut off, and only there")
 		for s.term() == before {
@@ -328,7 +328,7 @@
 			}
 			var lead string
 			for _, n := range s.names {
-				if p := s.nodes[n]; p != nil && p.c.Entitled() {
+				if p := s.nodes[n]; p != nil && p.c.dispatcher.Entitled() {
 					lead = n
 				}
 			}
--- a/internal/coordination/controller/service_test.go
+++ b/internal/coordination/controller/service_test.go
@@ -174,10 +174,10 @@
 	}
 	p := &process{cancel: cancel, c: c}
 	s.nodes[name] = p
-	c.Start(ctx)
-	go standin.ServeListener(s.net.Listen(name+":8080"), c.Clients)
+	c.start(ctx)
+	go standin.ServeListener(s.net.Listen(name+":8080"), c.clientServer)
 	ln := s.net.Listen(name + ":8081")
-	p.done.Go(func() { _ = c.Peers.Serve(ctx, ln) })
+	p.done.Go(func() { _ = c.peerServer.Serve(ctx, ln) })
 }
 
 // stop ends a controller's process as if it were killed: nothing that it does from now on gets anywhere.
@@ -189,7 +189,7 @@
 	s.net.RemoveHost(name)
 	p.cancel()
 	p.done.Wait()
-	p.c.Close()
+	p.c.peers.Close()
 	s.mu.Lock()
 	delete(s.nodes, name)
 	s.mu.Unlock()
@@ -208,7 +208,7 @@
 	for range 600 {
 		var leads []string
 		for _, n := range s.names {
-			if p := s.nodes[n]; p != nil && p.c.Entitled() {
+			if p := s.nodes[n]; p != nil && p.c.dispatcher.Entitled() {
 				leads = append(leads, n)
 			}
 		}
@@ -318,7 +318,7 @@
 		s.mu.Lock()
 		entitled := ""
 		for name, p := range s.nodes {
-			if p.c.Entitled() {
+			if p.c.dispatcher.Entitled() {
 				if entitled != "" {
 					s.fault("%s and %s are entitled at once", entitled, name)
 				}
