--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -19,12 +19,12 @@
 	b.report(0, task)
 	b.version++
 	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
-	b.scheduler.inventory.byName[b.machine(0)].spotNotice, b.scheduler.inventory.byName[b.machine(0)].spotNoticeEnds = true, time.Hour
+	b.scheduler.inventory.find(b.machine(0)).spotNotice, b.scheduler.inventory.find(b.machine(0)).spotNoticeEnds = true, time.Hour
 	for end := b.now + 20*time.Second; b.now < end; b.now += time.Second {
 		b.report(0, task)
 		b.step(Tick{Entitled: true})
 	}
-	if !b.scheduler.inventory.byName[b.machine(0)].deleting {
+	if !b.scheduler.inventory.find(b.machine(0)).deleting {
 		t.Error("its machine is kept")
 	}
 }
--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -1,18 +1,19 @@
 package scheduler
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
-// typeCatalog holds the machine types that the cloud offers.
+// typeCatalog holds the machine types that the cloud offers, and fetches them anew from time to time.
 type typeCatalog struct {
 	*environment
 	byName      map[string]*protocol.MachineType
-	names       []string // sorted
+	sorted      []*protocol.MachineType // by name
 	nextFetchAt time.Duration
 }
 
@@ -21,22 +22,52 @@
 	return &typeCatalog{environment: env, byName: map[string]*protocol.MachineType{}}
 }
 
-func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
-	if !e.OK {
-		s.catalog.nextFetchAt = s.now + limits.CloudRetryInterval
+// find returns the type of a name, or nil if the cloud does not offer it.
+func (c *typeCatalog) find(name string) *protocol.MachineType { return c.byName[name] }
+
+// all returns the types, sorted by name. Callers must not change the slice.
+func (c *typeCatalog) all() []*protocol.MachineType { return c.sorted }
+
+// isEmpty reports whether no types have been fetched yet.
+func (c *typeCatalog) isEmpty() bool { return len(c.byName) == 0 }
+
+// fetchNow makes the next fetchIfDue fetch the types.
+func (c *typeCatalog) fetchNow() { c.nextFetchAt = 0 }
+
+// fetchIfDue fetches the types if the last ones are old.
+func (c *typeCatalog) fetchIfDue() {
+	if c.now < c.nextFetchAt {
 		return
 	}
-	s.catalog.nextFetchAt = s.now + limits.MachineTypesInterval
-	clear(s.catalog.byName)
-	s.catalog.names = s.catalog.names[:0]
+	c.nextFetchAt = c.now + limits.CloudTimeout
+	c.emit(FetchMachineTypes{})
+}
+
+// fetched replaces the types by those that were fetched; after a failure the old ones stay and are
+// fetched again soon. It reports whether there are new ones.
+func (c *typeCatalog) fetched(e MachineTypesFetched) bool {
+	if !e.OK {
+		c.nextFetchAt = c.now + limits.CloudRetryInterval
+		return false
+	}
+	c.nextFetchAt = c.now + limits.MachineTypesInterval
+	clear(c.byName)
 	for i := range e.Types {
 		t := e.Types[i]
-		s.catalog.byName[t.Name] = &t
-		s.catalog.names = append(s.catalog.names, t.Name)
+		c.byName[t.Name] = &t
 	}
-	sort.Strings(s.catalog.names)
-	for _, m := range s.inventory.sorted {
-		m.machineType = s.catalog.byName[m.typeName]
+	c.sorted = c.sorted[:0]
+	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
+		c.sorted = append(c.sorted, c.byName[name])
+	}
+	return true
+}
+
+// machineTypesFetched handles the answer to FetchMachineTypes.
+func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
+	if !s.catalog.fetched(e) {
+		return
 	}
+	s.inventory.updateTypes()
 	s.placement.needed = true
 }
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -13,7 +13,7 @@
 
 func (s *Scheduler) deletionDone(e DeletionDone) {
 	for _, name := range e.Machines {
-		m := s.inventory.byName[name]
+		m := s.inventory.find(name)
 		if m == nil {
 			continue
 		}
@@ -22,11 +22,12 @@
 			continue
 		}
 		// The machine and everything on it are gone.
-		s.inventory.deleted[name] = true
 		for _, a := range m.sortedAssignments() {
 			s.release(a)
 		}
-		s.forgetMachine(m)
+		s.inventory.remove(m)
+		s.unregister(m)
+		s.removeFromRental(m)
 	}
 	s.placement.needed = true
 	for _, r := range s.sortedRentals() {
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -25,7 +25,7 @@
 // directCommandsDone takes the answer to a direct command.
 func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
 	s.dispatcher.inFlight--
-	m := s.inventory.byName[e.Machine]
+	m := s.inventory.find(e.Machine)
 	if m == nil || m.directID != e.ID {
 		return
 	}
@@ -88,7 +88,7 @@
 
 func (s *Scheduler) canSendDirectly(m *machine) bool {
 	reachable := m.address != "" && m.hasReported && m.fenced && m.incarnation > m.endedIncarnation
-	fresh := s.now >= m.noDirectUntil && s.now <= m.lastHeartbeatAt+s.staleAfter()
+	fresh := s.now >= m.noDirectUntil && !s.isStale(m)
 	return reachable && fresh && m.directID == 0 && !m.relayed && !m.deleting
 }
 
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -72,7 +72,7 @@
 func TestDirectAnswerIsNoEvidence(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
-	m := f.scheduler.inventory.byName[f.machine(0)]
+	m := f.scheduler.inventory.find(f.machine(0))
 	m.noDirectUntil = time.Hour // orders go with reports only
 	f.job("job-1", "red", "standard", 1, 1, 0)
 	if n := verbs(f.report(0), protocol.CommandStart); n != 1 {
@@ -113,7 +113,7 @@
 		}
 	}
 	count()
-	m := f.scheduler.inventory.byName[f.machine(0)]
+	m := f.scheduler.inventory.find(f.machine(0))
 	m.registration = registered
 	var attempt uint64
 	for _, x := range m.assignments {
@@ -173,7 +173,7 @@
 	for _, relayed := range []bool{false, true} {
 		answer(old, relayed)
 	}
-	if f.scheduler.inventory.byName["m-gone"] != nil {
+	if f.scheduler.inventory.find("m-gone") != nil {
 		t.Error("a copy raised a machine")
 	}
 	// Of an earlier term, of a machine that may hold tasks: not heard of, and no tasks taken from it.
@@ -183,7 +183,7 @@
 	if r := answer(known, false); !r.Accepted {
 		t.Error("a worker that waits for this answer gets none")
 	}
-	m := f.scheduler.inventory.byName[f.machine(0)]
+	m := f.scheduler.inventory.find(f.machine(0))
 	if m.hasReported || m.fenced || len(m.assignments) > 0 || f.scheduler.isSchedulable(m) {
 		t.Errorf("believed: seen %v fenced %v binds %d", m.hasReported, m.fenced, len(m.assignments))
 	}
@@ -247,15 +247,15 @@
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
 	f.job("job-1", "red", "standard", 1, 1, 0)
-	m := f.scheduler.inventory.byName[f.machine(0)]
+	m := f.scheduler.inventory.find(f.machine(0))
 	f.scheduler.returnMachine(m, "test")
 	f.step(Tick{Entitled: true})
 	f.step(DeletionDone{Machines: []string{m.name}})
-	if len(m.assignments) != 1 || f.scheduler.inventory.byName[m.name] == nil {
+	if len(m.assignments) != 1 || f.scheduler.inventory.find(m.name) == nil {
 		t.Fatal("freed by a deletion that was not confirmed")
 	}
 	f.step(DeletionDone{Machines: []string{m.name}, OK: true})
-	if len(m.assignments) != 0 || f.scheduler.inventory.byName[m.name] != nil {
+	if len(m.assignments) != 0 || f.scheduler.inventory.find(m.name) != nil {
 		t.Fatal("not freed")
 	}
 }
@@ -274,7 +274,7 @@
 			}
 		}
 	}
-	if m := f.scheduler.inventory.byName[f.machine(0)]; m.hasReported || m.leaseRenewedAt > 0 {
+	if m := f.scheduler.inventory.find(f.machine(0)); m.hasReported || m.leaseRenewedAt > 0 {
 		t.Errorf("counted as heard: %+v", m)
 	}
 }
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -8,14 +8,8 @@
 
 // manageFleet keeps the fleet in step with the work.
 func (s *Scheduler) manageFleet() {
-	if s.now >= s.catalog.nextFetchAt {
-		s.catalog.nextFetchAt = s.now + limits.CloudTimeout
-		s.emit(FetchMachineTypes{})
-	}
-	if s.now >= s.cloudList.nextAt && !s.cloudList.inFlight {
-		s.cloudList.inFlight = true
-		s.emit(ListMachines{})
-	}
+	s.catalog.fetchIfDue()
+	s.cloudList.readIfDue()
 	if s.now >= s.nextSummaryAt {
 		s.nextSummaryAt = s.now + limits.SummaryInterval
 		s.logSummary()
@@ -24,12 +18,12 @@
 	s.removeFaultyMachines()
 	s.prober.budget.refill(s.now)
 	s.probeMachines()
-	if s.now >= s.planner.nextPlanAt && (s.recovery.ended || s.now > s.termStartedAt+s.staleAfter()) && len(s.catalog.byName) > 0 {
+	if s.now >= s.planner.nextPlanAt && (s.recovery.ended || s.now > s.termStartedAt+s.staleAfter()) && !s.catalog.isEmpty() {
 		s.planner.nextPlanAt = s.now + limits.PlanInterval
 		s.planCapacity()
 	}
 	var names []string
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		if m.deleting && s.now >= m.deleteRequestedAt+limits.CloudRetryInterval && len(names) < limits.MaxDeleteSize {
 			m.deleteRequestedAt = never / 2
 			names = append(names, m.name)
@@ -46,7 +40,7 @@
 // logSummary writes that line.
 func (s *Scheduler) logSummary() {
 	up, booting, doubted, total, used, waiting, bound := 0, 0, 0, 0.0, 0.0, 0, 0
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		if !m.hasReported {
 			booting++
 			continue
@@ -83,7 +77,7 @@
 		return max(m.lastHeartbeatAt, s.termStartedAt)
 	}
 	quiet := func(m *machine) bool { return m.hasReported && s.now > since(m)+limit }
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		switch {
 		case m.deleting:
 		case m.hasReported:
@@ -105,7 +99,7 @@
 	// sooner than others would boot. Counted are those that have only just begun to be silent, as
 	// otherwise the first of a crowd would go one by one.
 	crowd := isCorrelated(silent, up)
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		if m.deleting {
 			continue
 		}
@@ -113,7 +107,7 @@
 			s.expediteResults(m)
 		}
 		switch {
-		case !m.hasReported && m.registration != unregistered:
+		case m.isUnreported():
 			// It had reported to an earlier leader, and neither reports to us nor answers.
 			patience := max(limits.RecoveryPatience, time.Duration(limits.RecoveryPatienceReports*float64(s.heartbeatInterval)))
 			if lost {
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -95,7 +95,7 @@
 // reserveForGangs picks the machines that are kept for gangs, and adds to what is to be rented
 // where there are too few.
 func (s *Scheduler) reserveForGangs(fresh map[machinePool]float64, may func(machinePool) int) {
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
 	}
 	s.updateGangDemand()
@@ -131,7 +131,7 @@
 	}
 	var ms []*machine
 	total := 0.0
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		total += m.size().CPUs
 		if !m.reservedForGangs && s.reservable(d, m) {
 			ms = append(ms, m)
@@ -181,7 +181,7 @@
 	kept, all := map[string]int{}, map[string]int{}
 	zone := d.zone
 	d.zone = ""
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		if s.reservable(d, m) {
 			all[m.zone]++
 			if m.wasReservedForGangs {
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -136,7 +136,7 @@
 	if i, again := b.where("job-1/0"); i < 0 || again <= attempt {
 		t.Errorf("next attempt: on %d, %x after %x", i, again, attempt)
 	}
-	if b.scheduler.inventory.byName[b.machine(other)].consecutiveFailures != 0 || len(b.scheduler.jobs.byID["job-1"].failedMachines) != 0 {
+	if b.scheduler.inventory.find(b.machine(other)).consecutiveFailures != 0 || len(b.scheduler.jobs.byID["job-1"].failedMachines) != 0 {
 		t.Error("counted as a failure of machine or job")
 	}
 }
@@ -246,7 +246,7 @@
 	if at, again := b.where("job-1/0"); at < 0 || again <= attempt {
 		t.Errorf("not started again: %d %x", at, again)
 	}
-	if b.scheduler.inventory.byName[b.machine(i)].consecutiveFailures != 0 || len(b.scheduler.jobs.byID["job-1"].failedMachines) != 0 {
+	if b.scheduler.inventory.find(b.machine(i)).consecutiveFailures != 0 || len(b.scheduler.jobs.byID["job-1"].failedMachines) != 0 {
 		t.Error("counted as a failure")
 	}
 }
@@ -263,7 +263,7 @@
 		b.now += time.Second
 		b.reportAll()
 	}
-	m := b.scheduler.inventory.byName[b.machine(0)]
+	m := b.scheduler.inventory.find(b.machine(0))
 	b.job("job-2", "red", "high", 1, 8, 0)
 	options := b.scheduler.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
 	one := b.scheduler.preemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
@@ -331,7 +331,7 @@
 	b.report(0)
 	b.job("job-1", "red", "low", 1, 4, 0)
 	b.job("job-2", "red", "high", 1, 64, 0) // fits no machine; bound by hand below
-	s, m := b.scheduler, b.scheduler.inventory.byName[b.machine(0)]
+	s, m := b.scheduler, b.scheduler.inventory.find(b.machine(0))
 	b.gang("job-3", 2, 8) // does not fit
 	leaving := s.jobs.byID["job-1"].assignments[0]
 	leaving.state = stateRunning
@@ -353,7 +353,7 @@
 	b := startedGang(t, 2, 2)
 	b.all("job-1", protocol.Running)
 	b.reportAll()
-	m := b.scheduler.inventory.byName[b.machine(0)]
+	m := b.scheduler.inventory.find(b.machine(0))
 	m.consecutiveFailures, m.failedJobs = limits.FaultyFailures, map[string]bool{"job-9": true}
 	b.step(Tick{Entitled: true})
 	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 2 || m.deleting {
@@ -383,7 +383,7 @@
 	b.reportAll()
 	b.step(Tick{Entitled: true})
 	kept := 0
-	for _, m := range b.scheduler.inventory.sorted {
+	for _, m := range b.scheduler.inventory.all() {
 		if m.reservedForGangs {
 			kept++
 		}
@@ -394,7 +394,7 @@
 	b.job("job-2", "red", "standard", 16, 1, 0)
 	b.deliver(b.effects)
 	free := 0.0
-	for _, m := range b.scheduler.inventory.sorted {
+	for _, m := range b.scheduler.inventory.all() {
 		if m.reservedForGangs {
 			free += m.freeRoom().CPUs
 		}
@@ -456,7 +456,7 @@
 		b.now += limits.PlanInterval
 		b.reportAll()
 		b.step(Tick{Entitled: true})
-		if m := b.scheduler.inventory.byName[b.machine(0)]; m.neededByPlan != c.kept {
+		if m := b.scheduler.inventory.find(b.machine(0)); m.neededByPlan != c.kept {
 			t.Errorf("after %v: its machine is kept: %v", c.age, m.neededByPlan)
 		}
 	}
@@ -484,7 +484,7 @@
 	b.report(0, ended)
 	b.report(1, waits)
 	if b.scheduler.jobs.byID["job-1"].assignments[0] == nil {
-		b.scheduler.assign(b.scheduler.jobs.byID["job-1"], 0, b.scheduler.inventory.byName[b.machine(0)], 7, stateSent)
+		b.scheduler.assign(b.scheduler.jobs.byID["job-1"], 0, b.scheduler.inventory.find(b.machine(0)), 7, stateSent)
 	}
 	b.report(0, ended)
 	if bound := b.scheduler.jobs.byID["job-1"].assignments[0]; bound != nil {
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -37,7 +37,7 @@
 		// failures condemn no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
 		j.retryAt = s.now + j.backoff
-		for _, other := range s.inventory.sorted {
+		for _, other := range s.inventory.all() {
 			delete(other.failedJobs, j.id)
 		}
 		return
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -8,7 +8,7 @@
 // heartbeatReceived takes a worker's report, and answers it if we may.
 func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
 	heartbeat := e.Heartbeat
-	if !e.Entitled || !heartbeat.Valid() || heartbeat.FencingToken > s.cfg.Term || s.inventory.deleted[heartbeat.Machine] {
+	if !e.Entitled || !heartbeat.Valid() || heartbeat.FencingToken > s.cfg.Term || s.inventory.isDeleted(heartbeat.Machine) {
 		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
@@ -16,7 +16,7 @@
 		s.answerUnfencedHeartbeat(e)
 		return
 	}
-	m := s.getOrAddMachine(heartbeat.Machine, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot)
+	m := s.inventory.getOrAdd(heartbeat.Machine, machinePool{heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot})
 	if m.isOutdated(heartbeat, m.heartbeatSequence) {
 		// Late or repeated: the worker waits for no answer to it, and its task list is old. But if
 		// it is the newest one and has only just been answered, that may have been a copy that
@@ -34,7 +34,7 @@
 		return
 	}
 	// After a silence a report may be a late one, even on its old connection.
-	s.setVerified(m, !m.fenced || (e.SameConnection && s.now <= m.lastHeartbeatAt+s.staleAfter()))
+	s.setVerified(m, !m.fenced || (e.SameConnection && !s.isStale(m)))
 	s.observeIncarnation(m, heartbeat)
 	m.heartbeatSequence, m.address = heartbeat.Sequence, heartbeat.Address
 	m.lastHeartbeatAt = s.now
@@ -72,7 +72,7 @@
 // worker that hears the answer lives on. If it does, its next report shows our term, which no copy
 // can.
 func (s *Scheduler) answerUnfencedHeartbeat(e HeartbeatReceived) {
-	m := s.inventory.byName[e.Heartbeat.Machine]
+	m := s.inventory.find(e.Heartbeat.Machine)
 	switch {
 	case m == nil:
 		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: !e.Relayed, Redirect: e.Relayed})
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -1,26 +1,12 @@
 package scheduler
 
 import (
-	"slices"
 	"sort"
 	"time"
 
 	"quillshunt/internal/protocol"
 )
 
-// machineInventory holds the machines that are known.
-type machineInventory struct {
-	*environment
-	byName  map[string]*machine
-	sorted  []*machine      // by name
-	deleted map[string]bool // machines whose deletion was confirmed; late lists and heartbeats may still name them
-}
-
-// newMachineInventory returns an inventory without machines.
-func newMachineInventory(env *environment) *machineInventory {
-	return &machineInventory{environment: env, byName: map[string]*machine{}, deleted: map[string]bool{}}
-}
-
 type machine struct {
 	name, address, typeName, zone string
 	spot                          bool
@@ -118,46 +104,12 @@
 	return t.Price
 }
 
-// getOrAddMachine returns the machine of a name, new if need be.
-func (s *Scheduler) getOrAddMachine(name, typeName, zone string, spot bool) *machine {
-	m := s.inventory.byName[name]
-	if m == nil {
-		m = &machine{name: name, createdAt: s.now, leaseRenewedAt: s.termStartedAt, idleSince: s.now, lastHeartbeatAt: -never / 2,
-			assignments: map[string]*assignment{}, endedTasks: map[attemptKey]endedTask{}, cachedImages: map[string]time.Duration{}, failedJobs: map[string]bool{}}
-		s.inventory.byName[name] = m
-		i := sort.Search(len(s.inventory.sorted), func(i int) bool { return s.inventory.sorted[i].name >= name })
-		s.inventory.sorted = append(s.inventory.sorted, nil)
-		copy(s.inventory.sorted[i+1:], s.inventory.sorted[i:])
-		s.inventory.sorted[i] = m
-	}
-	if typeName != "" {
-		m.typeName, m.zone, m.spot = typeName, zone, spot
-		m.machineType = s.catalog.byName[typeName]
-	}
-	return m
-}
+// isUnreported reports whether the machine sent heartbeats to an earlier leader and none to us.
+func (m *machine) isUnreported() bool { return !m.hasReported && m.registration != unregistered }
 
-func (s *Scheduler) forgetMachine(m *machine) {
-	lifetime := (s.now - m.createdAt).Seconds()
-	bootTime := lifetime
-	if m.hasReported && m.firstReportAt > m.createdAt {
-		bootTime = (m.firstReportAt - m.createdAt).Seconds()
-	}
-	s.logInfo("machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot, "cpus", m.size().CPUs, "life", lifetime, "boot", bootTime,
-		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
-	delete(s.inventory.byName, m.name)
-	s.unregister(m)
-	for i, x := range s.inventory.sorted {
-		if x == m {
-			s.inventory.sorted = append(s.inventory.sorted[:i], s.inventory.sorted[i+1:]...)
-			break
-		}
-	}
-	if r := s.rentals.byName[m.rental]; r != nil {
-		r.record.Machines = slices.DeleteFunc(r.record.Machines, func(n string) bool { return n == m.name })
-		r.dirty = true
-	}
-}
+// mayHoldEarlierTasks reports whether tasks of earlier terms may be on the machine that we have not
+// heard of: an earlier leader may have sent it starts that arrive until its worker has seen our term.
+func (m *machine) mayHoldEarlierTasks() bool { return !m.fenced && m.registration != unregistered }
 
 // sortedAssignments returns a machine's bindings in a fixed order.
 func (m *machine) sortedAssignments() []*assignment {
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -7,69 +7,110 @@
 	"quillshunt/internal/protocol"
 )
 
+// machineListReader reads the cloud's list of machines from time to time, one read at a time.
+type machineListReader struct {
+	*environment
+	nextAt   time.Duration
+	inFlight bool
+}
+
+// newMachineListReader returns a reader that has not read a list yet.
+func newMachineListReader(env *environment) *machineListReader {
+	return &machineListReader{environment: env}
+}
+
+// readNow makes the next readIfDue read the list, unless a read is under way.
+func (r *machineListReader) readNow() { r.nextAt = 0 }
+
+// readIfDue reads the list if the last one is old and no read is under way.
+func (r *machineListReader) readIfDue() {
+	if r.now < r.nextAt || r.inFlight {
+		return
+	}
+	r.inFlight = true
+	r.emit(ListMachines{})
+}
+
+// readDone notes that a read is over; after a failure the next one follows soon.
+func (r *machineListReader) readDone(ok bool) {
+	r.inFlight = false
+	r.nextAt = r.now + limits.MachineListInterval
+	if !ok {
+		r.nextAt = r.now + limits.CloudRetryInterval
+	}
+}
+
+// machinesListed handles the answer to ListMachines: it brings the inventory in line with the
+// cloud's list.
 func (s *Scheduler) machinesListed(e MachinesListed) {
-	s.cloudList.inFlight = false
+	s.cloudList.readDone(e.OK)
 	if !e.OK {
-		s.cloudList.nextAt = s.now + limits.CloudRetryInterval
 		return
 	}
-	s.cloudList.nextAt = s.now + limits.MachineListInterval
 	listed := make(map[string]bool, len(e.Machines))
 	for i := range e.Machines {
 		entry := &e.Machines[i]
 		listed[entry.Name] = true
-		if s.inventory.deleted[entry.Name] {
-			continue
-		}
-		m := s.inventory.byName[entry.Name]
-		if m == nil {
-			if entry.AgeS < (3 * s.cfg.ListLag).Seconds() {
-				continue // perhaps the answer to a rental of ours is on its way
-			}
-			if s.now >= s.termStartedAt+limits.LeaseSurelyOver(s.workerLease) && entry.State != protocol.MachineRunning {
-				continue
-			}
-			m = s.getOrAddMachine(entry.Name, entry.MachineType, entry.Zone, entry.Spot)
-			m.createdAt = s.now - limits.Seconds(entry.AgeS)
-			s.adoptMachine(m)
-		}
-		if !m.listed {
-			m.createdAt = min(m.createdAt, s.now-limits.Seconds(entry.AgeS))
-		}
-		m.listed = true
-		if m.address == "" {
-			m.address = entry.Address
-		}
-		if entry.State == protocol.MachineFailed {
-			s.returnMachine(m, "failed")
+		if !s.inventory.isDeleted(entry.Name) {
+			s.reconcileListedMachine(entry)
 		}
 	}
-	for _, m := range s.inventory.sorted {
-		if !s.recovery.ended && !m.hasReported && m.registration != unregistered && !listed[m.name] {
-			// It reported to an earlier leader, so it was listed once or is very new. Its deletion
-			// is the quickest evidence that nothing runs there.
-			s.returnMachine(m, "not listed after the take-over")
-			continue
-		}
-		if listed[m.name] || !m.listed {
+	for _, m := range s.inventory.all() {
+		if listed[m.name] {
 			m.missingLists = 0
 			continue
 		}
-		// It was listed and is no more: gone, unless this list is an old one. Deleting it makes sure.
-		if m.missingLists++; m.missingLists >= limits.MissingListsBeforeDelete && s.now > m.lastHeartbeatAt+s.staleAfter() {
-			s.returnMachine(m, "no longer listed")
+		s.reconcileUnlistedMachine(m)
+	}
+}
+
+// reconcileListedMachine takes over what the list says about a machine.
+func (s *Scheduler) reconcileListedMachine(entry *protocol.Machine) {
+	m := s.inventory.find(entry.Name)
+	if m == nil {
+		if !s.shouldAdoptListed(entry) {
+			return
 		}
+		m = s.inventory.getOrAdd(entry.Name, machinePool{entry.MachineType, entry.Zone, entry.Spot})
+		m.createdAt = s.now - limits.Seconds(entry.AgeS)
+		s.adoptMachine(m)
+	}
+	if !m.listed {
+		m.createdAt = min(m.createdAt, s.now-limits.Seconds(entry.AgeS))
+	}
+	m.listed = true
+	if m.address == "" {
+		m.address = entry.Address
+	}
+	if entry.State == protocol.MachineFailed {
+		s.returnMachine(m, "failed")
 	}
 }
 
-// machineListReader reads the cloud's list of machines from time to time.
-type machineListReader struct {
-	*environment
-	nextAt   time.Duration
-	inFlight bool
+// shouldAdoptListed reports whether a machine that the cloud lists and nobody else has named is
+// ours to look after.
+func (s *Scheduler) shouldAdoptListed(entry *protocol.Machine) bool {
+	if entry.AgeS < (3 * s.cfg.ListLag).Seconds() {
+		return false // the answer to a rental of ours may be on its way
+	}
+	earlierLeasesOver := s.now >= s.termStartedAt+limits.LeaseSurelyOver(s.workerLease)
+	return !earlierLeasesOver || entry.State == protocol.MachineRunning
 }
 
-// newMachineListReader returns a reader that has not read a list yet.
-func newMachineListReader(env *environment) *machineListReader {
-	return &machineListReader{environment: env}
+// reconcileUnlistedMachine returns a machine that the list lacks, if that shows that it is gone.
+func (s *Scheduler) reconcileUnlistedMachine(m *machine) {
+	if !s.recovery.ended && m.isUnreported() {
+		// It sent heartbeats to an earlier leader, so it was listed once or is very new. Its
+		// deletion is the quickest evidence that nothing runs there.
+		s.returnMachine(m, "not listed after the take-over")
+		return
+	}
+	if !m.listed {
+		return // it may be too new for the list
+	}
+	// It was listed before: gone, unless this list is an old one. Deleting it makes sure.
+	m.missingLists++
+	if m.missingLists >= limits.MissingListsBeforeDelete && s.isStale(m) {
+		s.returnMachine(m, "no longer listed")
+	}
 }
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -37,7 +37,7 @@
 	pressing := s.mayPreemptNow(j)
 	for ; n > 0 && j.team.fits(j.demand); n-- {
 		var cs []candidate
-		for _, m := range s.inventory.sorted {
+		for _, m := range s.inventory.all() {
 			if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 				continue
 			}
@@ -95,14 +95,14 @@
 		s.Step(JobChanged{JobID: sp.ID, Version: uint64(100 + i), Record: storage.OpenJob{Spec: sp}, SinceSubmission: time.Duration(r.IntN(30)+r.IntN(2)*r.IntN(200)) * time.Second}, now)
 		for t := range min(sp.Tasks, r.IntN(8)) { // some of its tasks run already
 			g := rigs[r.IntN(len(rigs))]
-			if size := s.catalog.byName[g.MachineType].CPUs; used[g.Machine]+sp.CPUs <= size {
+			if size := s.catalog.find(g.MachineType).CPUs; used[g.Machine]+sp.CPUs <= size {
 				used[g.Machine] += sp.CPUs
 				g.Tasks = append(g.Tasks, protocol.TaskStatus{Task: protocol.TaskName(sp.ID, t), Attempt: 1, State: protocol.Running})
 			}
 		}
 	}
 	for _, g := range rigs {
-		s.getOrAddMachine(g.Machine, "", "", false).registration = registered
+		s.inventory.getOrAdd(g.Machine, machinePool{}).registration = registered
 		s.Step(HeartbeatReceived{Heartbeat: g, Entitled: true}, now)
 	}
 	s.now = time.Duration(r.IntN(6)) * time.Second
@@ -112,7 +112,7 @@
 
 func bindings(s *Scheduler) []string {
 	var out []string
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		for _, b := range m.sortedAssignments() {
 			out = append(out, fmt.Sprintf("%s %s try %d phase %d stop %v %s", m.name, b.taskName, b.attempt, b.state, b.stopping, b.stopReason))
 		}
@@ -136,7 +136,7 @@
 			t.Fatalf("quick:\n%v\nplain:\n%v", got, want)
 		}
 		placed += len(got) - before
-		for _, m := range quick.inventory.sorted {
+		for _, m := range quick.inventory.all() {
 			for _, b := range m.assignments {
 				if b.stopping {
 					stopped++
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -113,7 +113,7 @@
 	p := &s.placement.pass
 	p.machines, p.withFreeRoom, p.maxFreeRoom = p.machines[:0], p.withFreeRoom[:0], resources{}
 	p.clearUnplaceable()
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		m.wasReserved, m.reservedFor = m.reservedFor != nil, nil
 		if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 			continue
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -42,7 +42,7 @@
 	var offers []*capacity
 	total := 0
 	clear(s.planner.machinesInZone)
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		total++
 		m.neededByPlan, m.neededByGang = false, false
 		if !m.deleting {
@@ -131,7 +131,7 @@
 		}
 	}
 	s.updateDraining()
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		if !s.recovery.ended || m.deleting || !m.hasReported || m.neededByPlan || len(m.assignments) > 0 || m.rental == "" {
 			continue
 		}
@@ -139,7 +139,7 @@
 			s.expediteResults(m)
 			continue
 		}
-		if s.now > m.lastHeartbeatAt+s.staleAfter() {
+		if s.isStale(m) {
 			continue // silent, not idle: when a cut leader hears its machines again, they are still good
 		}
 		idle := time.Duration(s.cfg.Options.Fleet.IdleTimeout)
@@ -154,7 +154,7 @@
 
 // pricePerCPU is what a CPU of a pool costs an hour.
 func (s *Scheduler) pricePerCPU(p machinePool) float64 {
-	t := s.catalog.byName[p.typeName]
+	t := s.catalog.find(p.typeName)
 	return priceOf(t, p.spot) / max(t.CPUs, 1)
 }
 
@@ -162,7 +162,7 @@
 func (s *Scheduler) countCheapPools() int {
 	low, n := math.Inf(1), 0
 	var costs []float64
-	for _, t := range s.catalog.byName {
+	for _, t := range s.catalog.all() {
 		for range t.Zones {
 			costs = append(costs, s.pricePerCPU(machinePool{typeName: t.Name, spot: true}), s.pricePerCPU(machinePool{typeName: t.Name}))
 		}
@@ -192,7 +192,7 @@
 func (s *Scheduler) updateDraining() {
 	var total, used, waiting float64
 	var ms []*machine
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		m.draining = false
 		if !s.isSchedulable(m) || m.neededByGang || m.reservedForGangs { // what a gang waits for can't be made up for by room elsewhere
 			continue
@@ -226,7 +226,7 @@
 func (s *Scheduler) pendingCapacity() []*capacity {
 	var out []*capacity
 	for _, h := range s.sortedRentals() {
-		t := s.catalog.byName[h.record.MachineType]
+		t := s.catalog.find(h.record.MachineType)
 		if t == nil || !h.isPending() {
 			continue
 		}
@@ -249,7 +249,7 @@
 // quickestBoot is how long the quickest machine that the job may use takes until it is up.
 func (s *Scheduler) quickestBoot(j *job) float64 {
 	least := math.Inf(1)
-	for _, t := range s.catalog.byName {
+	for _, t := range s.catalog.all() {
 		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
 			least = min(least, t.BootS*limits.BootEstimateFactor)
 		}
@@ -412,8 +412,8 @@
 	var best machinePool
 	var typ *protocol.MachineType
 	low, floor, busy := math.Inf(1), math.Inf(1), math.Inf(1)
-	for _, k := range s.catalog.names {
-		t := s.catalog.byName[k]
+	for _, t := range s.catalog.all() {
+		k := t.Name
 		size := typeResources(t)
 		per := tasksThatFit(size, j.demand)
 		if per == 0 {
--- a/internal/coordination/scheduler/plan_zones.go
+++ b/internal/coordination/scheduler/plan_zones.go
@@ -121,7 +121,7 @@
 		return true
 	}
 	zones := map[string]bool{}
-	for _, t := range s.catalog.byName {
+	for _, t := range s.catalog.all() {
 		if !typeResources(t).Fits(j.demand) || !typeAllowed(&j.spec, t.Name) {
 			continue
 		}
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -66,8 +66,8 @@
 // longest.
 func (s *Scheduler) probeMachines() {
 	var due []*machine
-	for _, m := range s.inventory.sorted {
-		if (!s.recovery.ended && !m.fenced && m.registration != unregistered) || (m.hasReported && !m.verified) {
+	for _, m := range s.inventory.all() {
+		if (!s.recovery.ended && m.mayHoldEarlierTasks()) || (m.hasReported && !m.verified) {
 			due = append(due, m)
 		}
 	}
@@ -96,7 +96,7 @@
 // was made after the worker had seen it, so no order of an earlier leader can add to it. It renews
 // no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
-	m := s.inventory.byName[e.Machine]
+	m := s.inventory.find(e.Machine)
 	heartbeat := e.Heartbeat
 	if heartbeat != nil || e.NotSent {
 		s.prober.budget.observe(s.now, e.NotSent || e.Took > limits.SlowHeartbeatWait)
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -77,9 +77,9 @@
 
 // expireLeases frees the tasks of sessions that are surely over.
 func (s *Scheduler) expireLeases() {
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		if m.endedIncarnation >= max(m.incarnation, 1) || s.now < m.leaseRenewedAt+limits.LeaseSurelyOver(s.workerLease) {
-			if s.now > m.lastHeartbeatAt+s.staleAfter() {
+			if s.isStale(m) {
 				s.releaseUnsent(m)
 			}
 			continue
@@ -100,7 +100,10 @@
 	}
 }
 
-// staleAfter is how long a machine may be silent and still get tasks.
-func (s *Scheduler) staleAfter() time.Duration {
-	return time.Duration(float64(s.heartbeatInterval) * limits.FreshHeartbeatIntervals)
+// staleAfter is how long after its last heartbeat a machine still gets tasks.
+func (e *environment) staleAfter() time.Duration {
+	return time.Duration(float64(e.heartbeatInterval) * limits.FreshHeartbeatIntervals)
 }
+
+// isStale reports whether a machine's last heartbeat is too old for it to get tasks.
+func (e *environment) isStale(m *machine) bool { return e.now > m.lastHeartbeatAt+e.staleAfter() }
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -24,8 +24,8 @@
 // although it has shown us no tasks yet. A leader that is too busy to take its next reports must
 // not forget that.
 func (s *Scheduler) tryEndRecovery() {
-	for _, m := range s.inventory.sorted {
-		if !m.fenced && m.registration != unregistered && s.now < max(s.termStartedAt, m.leaseRenewedAt)+limits.LeaseSurelyOver(s.workerLease) {
+	for _, m := range s.inventory.all() {
+		if m.mayHoldEarlierTasks() && s.now < max(s.termStartedAt, m.leaseRenewedAt)+limits.LeaseSurelyOver(s.workerLease) {
 			return
 		}
 	}
@@ -33,5 +33,5 @@
 	for _, j := range s.jobs.bySubmission {
 		s.markGangChanged(j.gang)
 	}
-	s.logInfo("rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.sorted), "jobs", len(s.jobs.byID))
+	s.logInfo("rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.all()), "jobs", len(s.jobs.byID))
 }
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -110,7 +110,7 @@
 	}
 	page.version = version
 	for _, entry := range page.record.Machines[:write.count] {
-		if m := s.inventory.byName[entry.Machine]; m != nil && m.registration == registering {
+		if m := s.inventory.find(entry.Machine); m != nil && m.registration == registering {
 			m.registration = registered
 			s.gangs.freeRoomChanged = true
 			s.queueDispatch(m)
@@ -144,7 +144,7 @@
 	page := &registryPage{name: e.Name, record: e.Record, version: e.Version}
 	s.registry.pages = append(s.registry.pages, page)
 	for _, entry := range e.Record.Machines {
-		if m := s.inventory.byName[entry.Machine]; m != nil && m.registryPage == nil {
+		if m := s.inventory.find(entry.Machine); m != nil && m.registryPage == nil {
 			m.registration, m.address, m.registryPage = registered, entry.Address, page
 			page.liveMachines++
 		}
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -95,10 +95,10 @@
 	}
 	for i := range rentals * each {
 		known := i < (rentals-1)*each
-		if got := f.scheduler.inventory.byName[f.machine(i)].registration == registered; got != known {
+		if got := f.scheduler.inventory.find(f.machine(i)).registration == registered; got != known {
 			t.Fatalf("machine %d marked: %v, its rental's record written: %v", i, got, known)
 		}
-		if m := next.scheduler.inventory.byName[f.machine(i)]; (m.registration == registered && m.address != "") != known {
+		if m := next.scheduler.inventory.find(f.machine(i)); (m.registration == registered && m.address != "") != known {
 			t.Fatalf("machine %d at the successor: mark %v, address %q", i, m.registration, m.address)
 		}
 	}
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -65,6 +65,11 @@
 	}
 }
 
+// pool returns the pool of machines that the rental is made to.
+func (r *rental) pool() machinePool {
+	return machinePool{r.record.MachineType, r.record.Zone, r.record.Spot}
+}
+
 func (r *rental) request() protocol.RentalRequest {
 	return protocol.RentalRequest{Name: r.name, MachineType: r.record.MachineType, Zone: r.record.Zone, Spot: r.record.Spot, Count: r.record.Count}
 }
@@ -78,7 +83,7 @@
 		s.emit(RentMachines{Request: r.request()}) // repeated: the same answer, or the machines for the first time
 	}
 	for _, name := range e.Record.Machines {
-		s.getOrAddMachine(name, e.Record.MachineType, e.Record.Zone, e.Record.Spot).rental = r.name
+		s.inventory.getOrAdd(name, r.pool()).rental = r.name
 	}
 }
 
@@ -120,7 +125,7 @@
 	if write.answered && !r.answerDurable {
 		r.answerDurable = true
 		for _, name := range r.record.Machines {
-			if m := s.inventory.byName[name]; m != nil && m.hasReported {
+			if m := s.inventory.find(name); m != nil && m.hasReported {
 				s.registerMachine(m) // it was up before its rental's record was written
 			}
 		}
@@ -169,7 +174,7 @@
 	if r == nil || r.state != rentalRequested {
 		return
 	}
-	pool := machinePool{r.record.MachineType, r.record.Zone, r.record.Spot}
+	pool := r.pool()
 	switch {
 	case e.NoCapacity:
 		s.backOffPool(pool)
@@ -191,11 +196,11 @@
 	r.state, r.dirty = rentalAnswered, true
 	r.record.Answered = true
 	for _, name := range e.Machines {
-		if s.inventory.deleted[name] || slices.Contains(r.record.Machines, name) {
+		if s.inventory.isDeleted(name) || slices.Contains(r.record.Machines, name) {
 			continue
 		}
-		known := s.inventory.byName[name]
-		m := s.getOrAddMachine(name, pool.typeName, pool.zone, pool.spot)
+		known := s.inventory.find(name)
+		m := s.inventory.getOrAdd(name, pool)
 		if known == nil {
 			m.createdAt = r.requestedAt
 		}
@@ -232,3 +237,11 @@
 	sort.Slice(rentals, func(a, b int) bool { return rentals[a].name < rentals[b].name })
 	return rentals
 }
+
+// removeFromRental takes a machine that is gone off the record of its rental.
+func (s *Scheduler) removeFromRental(m *machine) {
+	if r := s.rentals.byName[m.rental]; r != nil {
+		r.record.Machines = slices.DeleteFunc(r.record.Machines, func(name string) bool { return name == m.name })
+		r.dirty = true
+	}
+}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -55,12 +55,13 @@
 		heartbeatInterval: limits.Seconds(cfg.Workers.ReportS),
 		outbox:            newOutbox(),
 	}
+	catalog := newTypeCatalog(env)
 	return &Scheduler{
 		environment: env,
 		jobs:        newJobTable(env),
 		queue:       newJobQueue(env),
-		inventory:   newMachineInventory(env),
-		catalog:     newTypeCatalog(env),
+		inventory:   newMachineInventory(env, catalog),
+		catalog:     catalog,
 		registry:    newMachineRegistry(env),
 		rentals:     newRentalTable(env),
 		dispatcher:  newCommandDispatcher(env),
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -138,7 +138,7 @@
 	b.report(1)
 	b.job("job-1", "red", "standard", limits.MaxTasksPerJob, 0.01, 0)
 	j := b.scheduler.jobs.byID["job-1"]
-	for _, m := range b.scheduler.inventory.sorted {
+	for _, m := range b.scheduler.inventory.all() {
 		if len(m.assignments) > limits.MaxTasksPerMachine {
 			t.Fatalf("%d tasks on %s: its report would be too long", len(m.assignments), m.name)
 		}
--- a/internal/coordination/scheduler/simulation_test.go
+++ b/internal/coordination/scheduler/simulation_test.go
@@ -885,7 +885,7 @@
 	for _, t := range s.teams {
 		text += fmt.Sprintf("team %s allocated %+v\n", t.Name, scheduler.jobs.teams[t.Name].allocated)
 	}
-	for _, m := range scheduler.inventory.sorted {
+	for _, m := range scheduler.inventory.all() {
 		text += fmt.Sprintf("%s %s %s spot %v reported %v fenced %v registration %d schedulable %v deleting %v faulty %v "+
 			"last heartbeat %v incarnation %d ended incarnation %d tasks %d allocated %+v free %+v\n", m.name, m.typeName, m.zone, m.spot,
 			m.hasReported, m.fenced, m.registration, scheduler.isSchedulable(m), m.deleting, m.isFaulty(), m.lastHeartbeatAt, m.incarnation, m.endedIncarnation, len(m.assignments), m.allocated, m.freeRoom())
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -50,7 +50,7 @@
 
 func (s *Scheduler) takeSnapshot(e SnapshotRequested) {
 	v := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.ended}
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		v.Machines = append(v.Machines, MachineView{Name: m.name, Type: m.typeName, Zone: m.zone, Spot: m.spot, State: s.machineState(m),
 			CPUs: m.size().CPUs, UsedCPUs: m.allocated.CPUs, Tasks: len(m.assignments), SilentFor: s.now - max(m.lastHeartbeatAt, s.termStartedAt)})
 	}
@@ -75,7 +75,7 @@
 	switch {
 	case m.deleting:
 		return "returning: " + m.deleteReason
-	case !m.hasReported && m.registration != unregistered:
+	case m.isUnreported():
 		return "not heard of in this term"
 	case !m.hasReported:
 		return "booting"
@@ -83,7 +83,7 @@
 		return "taken by the cloud soon"
 	case m.isFaulty():
 		return "fails its tasks"
-	case s.now > m.lastHeartbeatAt+s.staleAfter():
+	case s.isStale(m):
 		return "silent"
 	case m.relayed:
 		return "up, reports relayed"
@@ -121,7 +121,7 @@
 		add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.CPUs, j.team.cfg.CPUsMax)
 	}
 	usable, allowed, room := 0, 0, 0
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		if !s.isSchedulable(m) {
 			continue
 		}
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -22,8 +22,10 @@
 	case RegistryPageLoaded:
 		s.registryPageLoaded(e)
 	case StateLoaded:
-		s.logInfo("rebuilding", "jobs", len(s.jobs.byID), "machines", len(s.inventory.byName), "hires", len(s.rentals.byName))
-		s.recovery.loaded, s.catalog.nextFetchAt, s.cloudList.nextAt = true, 0, 0
+		s.logInfo("rebuilding", "jobs", len(s.jobs.byID), "machines", len(s.inventory.all()), "hires", len(s.rentals.byName))
+		s.recovery.loaded = true
+		s.catalog.fetchNow()
+		s.cloudList.readNow()
 		s.removeOrphanedRecords()
 		s.tick(true)
 	case HeartbeatReceived:
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -117,13 +117,13 @@
 	// Now the task on the machine may be stopped, but it is too soon to look.
 	b.scheduler.jobs.byID["job-1"].priority = protocol.Low
 	b.report(0, first)
-	if b.scheduler.inventory.byName[d.Machine].assignments[first.Task].stopping {
+	if b.scheduler.inventory.find(d.Machine).assignments[first.Task].stopping {
 		t.Error("stopped at once")
 	}
 	b.now += limits.PreemptionSearchInterval
 	b.scheduler.placement.needed = true
 	b.report(0, first)
-	if !b.scheduler.inventory.byName[d.Machine].assignments[first.Task].stopping {
+	if !b.scheduler.inventory.find(d.Machine).assignments[first.Task].stopping {
 		t.Error("not stopped after the pause")
 	}
 	// Free room needs no look.
