--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -67,7 +67,7 @@
 func (s *Scheduler) updateOverdue() {
 	clear(s.queue.groupProgress)
 	maps.Copy(s.queue.groupProgress, s.queue.closedProgress)
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		if due := s.tasksDue(j); due > 0 {
 			x := s.queue.groupProgress[j.group()]
 			x.due += due
@@ -76,7 +76,7 @@
 		}
 	}
 	s.queue.overdue = s.queue.overdue[:0]
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		j.underserved = s.tasksDue(j) > 0 && s.servedShare(j) < limits.UnderservedShare
 		if s.overdueTasks(j) > 0 {
 			s.queue.overdue = append(s.queue.overdue, j)
@@ -100,7 +100,7 @@
 	}
 	short := p.reservationCandidates[:0]
 	for _, m := range p.machines {
-		if m.reservedFor == nil && s.passesHardFilters(j, m) && !m.freeRoom().Fits(j.demand) {
+		if m.reservedFor == nil && s.passesHardFilters(j, m) && !m.freeResources().Fits(j.demand) {
 			short = append(short, m)
 		}
 	}
@@ -116,5 +116,5 @@
 // byReservation orders machines that may be held: those held in the pass before, then those with
 // the most free room.
 func byReservation(a, b *machine) int {
-	return cmp.Or(compareBool(b.wasReserved, a.wasReserved), cmp.Compare(b.freeRoom().CPUs, a.freeRoom().CPUs))
+	return cmp.Or(compareBool(b.wasReserved, a.wasReserved), cmp.Compare(b.freeResources().CPUs, a.freeResources().CPUs))
 }
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -29,18 +30,18 @@
 
 // plannedView is how a machine would stand with the seats that were chosen so far.
 type plannedView struct {
-	takenRoom resources
-	freedRoom resources
-	tasks     int
-	stopped   map[*assignment]bool
+	promised resource.Vector
+	freed    resource.Vector
+	tasks    int
+	stopped  map[*assignment]bool
 }
 
-// freeRoom is what may still be promised on the machine.
-func (v *plannedView) freeRoom(m *machine) resources {
+// freeResources is what may still be promised on the machine.
+func (v *plannedView) freeResources(m *machine) resource.Vector {
 	if v == nil {
-		return m.freeRoom()
+		return m.freeResources()
 	}
-	return m.freeRoom().Minus(v.takenRoom).Plus(v.freedRoom)
+	return m.freeResources().Minus(v.promised).Plus(v.freed)
 }
 
 // isStopped tells whether a task is to be stopped already.
@@ -78,7 +79,7 @@
 	if s.now < j.nextPreemptionSearch {
 		ask.preempting = false
 	}
-	if (common && p.unplaceableGangs[ask]) || (!ask.preempting && !p.maxFreeRoom.Fits(j.demand)) {
+	if (common && p.unplaceableGangs[ask]) || (!ask.preempting && !p.maxFreeResources.Fits(j.demand)) {
 		return false
 	}
 	best := s.bestGangPlacement(j, n, ask.preempting)
@@ -119,9 +120,9 @@
 			continue
 		}
 		if pressing {
-			slotsIn[m.zone] += tasksThatFit(m.size(), j.demand)
+			slotsIn[m.zone] += m.size().TasksThatFit(j.demand)
 		} else {
-			slotsIn[m.zone] += tasksThatFit(m.freeRoom(), j.demand)
+			slotsIn[m.zone] += m.freeResources().TasksThatFit(j.demand)
 		}
 	}
 	var zones []string
@@ -206,7 +207,7 @@
 	}
 	a.groups.takeFirst(shelf)
 	view := a.viewOf(c.machine)
-	view.takenRoom, view.tasks = view.takenRoom.Plus(a.job.demand), view.tasks+1
+	view.promised, view.tasks = view.promised.Plus(a.job.demand), view.tasks+1
 	a.tasksInZone[c.machine.zone]++
 	a.placements = append(a.placements, taskPlacement{c.machine, victims})
 	for _, v := range victims {
@@ -236,7 +237,7 @@
 		}
 		if !view.stopped[x] && !x.stopping {
 			view.stopped[x] = true
-			view.freedRoom = view.freedRoom.Plus(x.job.demand)
+			view.freed = view.freed.Plus(x.job.demand)
 		}
 	}
 }
@@ -284,7 +285,7 @@
 		g.awaitsCommit = true
 		s.gangs.uncommitted = append(s.gangs.uncommitted, g)
 	}
-	s.gangs.freeRoomChanged = true
+	s.gangs.capacityChanged = true
 }
 
 // addGangMachinesToPass notes that the machines of a gang that was stopped have got more free room.
@@ -351,8 +352,8 @@
 		if found >= j.waitingTasks() {
 			break
 		}
-		found += tasksThatFit(m.size(), j.demand)
-		free += m.freeRoom().CPUs
+		found += m.size().TasksThatFit(j.demand)
+		free += m.freeResources().CPUs
 		kept = append(kept, m)
 	}
 	if found < j.waitingTasks() {
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -57,7 +57,7 @@
 // updateGangDemand works out what gangs ask for that room should be kept for.
 func (s *Scheduler) updateGangDemand() {
 	now := map[gangKind]float64{}
-	for _, j := range s.jobs.bySubmission {
+	for _, j := range s.jobs.oldestFirst() {
 		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !s.needsReservation(j) {
 			continue
 		}
@@ -142,7 +142,7 @@
 		return cmp.Or(
 			compareBool(b.wasReservedForGangs, a.wasReservedForGangs),
 			compareBool(b.hasGangTask(), a.hasGangTask()),
-			cmp.Compare(b.freeRoom().CPUs, a.freeRoom().CPUs),
+			cmp.Compare(b.freeResources().CPUs, a.freeResources().CPUs),
 		)
 	})
 	for _, m := range ms {
