--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -44,9 +44,9 @@
 	case err != nil:
 		return err
 	}
-	l := NewLeadership(c.leader.Term, version, sentAt.Add(limits.EntitledFor(e.options.LeaseDuration)))
+	l := NewLeadership(c.leader.Term, version, sentAt.Add(limits.LeaseValidFor(e.options.LeaseDuration)))
 	if e.needsVotes() {
-		l.requireQuorum(sentAt.Add(limits.EntitledFor(e.voter.lease)))
+		l.requireQuorum(sentAt.Add(limits.LeaseValidFor(e.voter.lease)))
 	}
 	e.lead(ctx, l, leaseID)
 	return nil
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -657,7 +657,7 @@
 		e.voter.mu.Lock()
 		e.voter.withdrawnUpTo = 1 << 60
 		e.voter.mu.Unlock()
-		time.Sleep(limits.LeaseSurelyOver(limits.VoteLeaseMin))
+		time.Sleep(limits.LeaseExpiredAfter(limits.VoteLeaseMin))
 		if m.Entitled() {
 			t.Error("entitled by less than a majority")
 		}
@@ -703,8 +703,8 @@
 func TestMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
 		drift := time.Duration(float64(d) * limits.DriftShare)
-		if limits.EntitledFor(d) >= d-2*drift || limits.LeaseSurelyOver(d) <= d+2*drift {
-			t.Errorf("%v: entitled %v, waited out %v", d, limits.EntitledFor(d), limits.LeaseSurelyOver(d))
+		if limits.LeaseValidFor(d) >= d-2*drift || limits.LeaseExpiredAfter(d) <= d+2*drift {
+			t.Errorf("%v: entitled %v, waited out %v", d, limits.LeaseValidFor(d), limits.LeaseExpiredAfter(d))
 		}
 	}
 }
--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -59,7 +59,7 @@
 		s.clear()
 		return false
 	}
-	if s.suspected() && !s.lastedFor(limits.LeaseSurelyOver(e.voter.lease)) {
+	if s.suspected() && !s.lastedFor(limits.LeaseExpiredAfter(e.voter.lease)) {
 		return false
 	}
 	key, err := e.options.Store.Get(ctx, storage.KeyLeaderHeartbeat)
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -24,7 +24,7 @@
 		return true
 	}
 	delay := e.options.Delay(ctx)
-	if delay <= limits.DelayMax {
+	if delay <= limits.MaxSchedulingDelay {
 		return true
 	}
 	e.options.Log.Warn("process delayed, cannot tell whether the state service is unreachable",
@@ -35,8 +35,8 @@
 // schedulingDelay returns how much later than it should this process wakes from a short sleep.
 func schedulingDelay(ctx context.Context) time.Duration {
 	began := time.Now()
-	storage.Sleep(ctx, limits.DelaySample)
-	return time.Since(began) - limits.DelaySample
+	storage.Sleep(ctx, limits.SchedulingDelaySample)
+	return time.Since(began) - limits.SchedulingDelaySample
 }
 
 // handOver resigns if another controller reaches the state service, and reports whether it did. The
@@ -50,7 +50,7 @@
 	l.resigned.Store(true)
 	e.options.Log.Warn("isolated from the state service, handing over the leadership",
 		"term", l.Term, "successor", successor)
-	for range limits.OfferTries {
+	for range limits.HandoverAttempts {
 		err := e.options.Peers.OfferLeadership(ctx, successor, l.Term, l.KeyVersion)
 		if err == nil {
 			break
--- a/internal/coordination/election/lead.go
+++ b/internal/coordination/election/lead.go
@@ -76,6 +76,6 @@
 	if err := e.options.Store.RenewLease(ctx, leaseID); err != nil {
 		return err
 	}
-	l.extendLease(sentAt.Add(limits.EntitledFor(e.options.LeaseDuration)))
+	l.extendLease(sentAt.Add(limits.LeaseValidFor(e.options.LeaseDuration)))
 	return nil
 }
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -80,7 +80,7 @@
 
 // extend extends the quorum lease by what was sent at that time.
 func (k *quorumKeeper) extend(sentAt time.Time) {
-	k.leadership.extendQuorum(sentAt.Add(limits.EntitledFor(k.elector.voter.lease)))
+	k.leadership.extendQuorum(sentAt.Add(limits.LeaseValidFor(k.elector.voter.lease)))
 	k.renewedAt = sentAt
 }
 
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -46,7 +46,7 @@
 func (v *voter) withdraw(heartbeat uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	wait := limits.LeaseSurelyOver(v.lease)
+	wait := limits.LeaseExpiredAfter(v.lease)
 	if time.Since(v.startedAt) <= wait || time.Since(v.grantedAt) <= wait {
 		return false
 	}
--- a/internal/coordination/gateway/final_states.go
+++ b/internal/coordination/gateway/final_states.go
@@ -28,11 +28,11 @@
 		return
 	}
 	f.states[id] = standing
-	if len(f.ring) < limits.FinalCache {
+	if len(f.ring) < limits.FinalStateCacheSize {
 		f.ring = append(f.ring, id)
 		return
 	}
 	delete(f.states, f.ring[f.next])
 	f.ring[f.next] = id
-	f.next = (f.next + 1) % limits.FinalCache
+	f.next = (f.next + 1) % limits.FinalStateCacheSize
 }
--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -39,7 +39,7 @@
 	defer func() { <-g.relaySlots }()
 	status, answer, err := g.Peers.RelayHeartbeat(g.ctx, name, body, rsp.PreviousStatus() == 200)
 	if err != nil {
-		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachablePause).UnixNano())
+		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachableBackoff).UnixNano())
 		g.Log.Debug("leader not reached", "leader", name, "err", err)
 		redirect(rsp, "")
 		return
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -286,7 +286,7 @@
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	if bound := uint64(40<<20 + machines*limits.ConnBytes); m.HeapAlloc > bound {
+	if bound := uint64(40<<20 + machines*limits.MaxIdleConnBytes); m.HeapAlloc > bound {
 		t.Errorf("heap of %d bytes, want at most %d", m.HeapAlloc, bound)
 	}
 	// One for each direct command or probe at most, and those of fixed number.
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -42,7 +42,7 @@
 	case action == actionSubmit && g.isMalformed(body):
 		rsp.Respond(400, nil, 0)
 	default:
-		rsp.Respond(503, nil, limits.RetryAfter)
+		rsp.Respond(503, nil, limits.RetryAfterMin)
 	}
 }
 
--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -30,10 +30,10 @@
 // else waits.
 func (s *Scheduler) tasksDue(j *job) int {
 	age := s.now - j.submittedAt
-	if age <= limits.FirstTaskDueAge || j.cancelled || j.closed {
+	if age <= limits.FirstTaskCreditAge || j.cancelled || j.closed {
 		return 0
 	}
-	share := float64(age-limits.AllTasksDueAge) / float64(limits.AllTasksDueSpan)
+	share := float64(age-limits.AllTasksCreditAge) / float64(limits.AllTasksCreditSpan)
 	return max(1, int(math.Ceil(min(share, 1)*float64(j.spec.Tasks))))
 }
 
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -35,7 +35,7 @@
 	switch {
 	case e.NotExecuted:
 		// Nothing reached the worker, or it executed nothing: these starts cannot arrive any more.
-		m.noDirectUntil = s.now + limits.DirectCommandPause
+		m.noDirectUntil = s.now + limits.DirectCommandBackoff
 		for _, a := range m.sortedAssignments() {
 			if a.directID == e.ID && a.state == stateSent {
 				s.release(a)
@@ -45,7 +45,7 @@
 		// It may be carried out at any time while the session and the term last. The next answers
 		// to reports repeat the starts, which is harmless, and the tasks stay bound until they show
 		// up or the session ends.
-		m.noDirectUntil = s.now + limits.DirectCommandPause
+		m.noDirectUntil = s.now + limits.DirectCommandBackoff
 		m.markStartsUnconfirmed(e.ID)
 	case heartbeat.Machine != e.Machine || !heartbeat.Valid():
 	case m.isOutdated(heartbeat, m.sequence):
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -54,7 +54,7 @@
 	}
 	tasks[0].State, tasks[0].Reason = protocol.Ended, protocol.ReasonDone
 	written := time.Duration(0)
-	for began := f.now; f.now < began+2*limits.ChunkWritePatience && written == 0; f.now += time.Second {
+	for began := f.now; f.now < began+2*limits.MaxChunkWriteDelay && written == 0; f.now += time.Second {
 		f.report(0, tasks...)
 		for _, e := range f.step(Tick{Entitled: true}) {
 			if w, ok := e.(WriteRecords); ok && w.Bulk {
@@ -62,7 +62,7 @@
 			}
 		}
 	}
-	if written < limits.ChunkWritePatience {
+	if written < limits.MaxChunkWriteDelay {
 		t.Errorf("written after %v", written)
 	}
 }
@@ -379,7 +379,7 @@
 	f := newSchedulerFixture(t, 2)
 	f.report(0)
 	f.job("job-1", "red", "standard", 4, 4, 0)
-	lease := limits.LeaseSurelyOver(14 * time.Second)
+	lease := limits.LeaseExpiredAfter(14 * time.Second)
 	starts := func() (n int) {
 		for _, direct := range f.direct() {
 			n += verbs(direct.Commands, protocol.CommandStart)
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -150,7 +150,7 @@
 			if c.deferredSince == 0 {
 				c.deferredSince = s.now
 			}
-			if !c.expedite && s.now < c.deferredSince+limits.ChunkWritePatience && s.nearlyOver(j) {
+			if !c.expedite && s.now < c.deferredSince+limits.MaxChunkWriteDelay && s.nearlyOver(j) {
 				continue
 			}
 			parts = append(parts, part{j, i})
@@ -186,7 +186,7 @@
 	}
 	est := limits.Seconds(j.occupancy())
 	for _, b := range j.assignments {
-		if b.assignedAt+est > s.now+limits.ChunkWritePatience {
+		if b.assignedAt+est > s.now+limits.MaxChunkWriteDelay {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -69,13 +69,13 @@
 
 // isCorrelated tells whether so many of all machines at once must have a common cause.
 func isCorrelated(n, all int) bool {
-	return n > limits.CorrelatedMin && float64(n) > limits.CorrelatedSilenceShare*float64(all)
+	return n > limits.CorrelatedUnreachableMin && float64(n) > limits.CorrelatedUnreachableShare*float64(all)
 }
 
 // removeFaultyMachines returns machines that do not serve: never up, silent, sick.
 func (s *Scheduler) removeFaultyMachines() {
 	silent, up, unheard, doubted := 0, 0, 0, 0
-	limit := time.Duration(float64(s.workerLease) * limits.SilentLeaseShare)
+	limit := time.Duration(float64(s.workerLease) * limits.UnreachableLeaseShare)
 	since := func(m *machine) time.Duration { // when it last showed that it hears us
 		if !m.verified {
 			return max(min(m.lastHeartbeatAt, m.unverifiedSince), s.termStartedAt)
@@ -98,9 +98,9 @@
 			unheard++
 		}
 	}
-	s.prober.manyUnverified = doubted > limits.CorrelatedMin && float64(doubted) > limits.CorrelatedUnverifiedShare*float64(up)
+	s.prober.manyUnverified = doubted > limits.CorrelatedUnreachableMin && float64(doubted) > limits.CorrelatedUnverifiedShare*float64(up)
 	lost := isCorrelated(unheard, unheard+up)
-	s.recovery.fewUnreported = !s.recovery.ended && float64(unheard) <= max(limits.CorrelatedMin, limits.FewUnreportedShare*float64(unheard+up))
+	s.recovery.fewUnreported = !s.recovery.ended && float64(unheard) <= max(limits.CorrelatedUnreachableMin, limits.FewUnreportedShare*float64(unheard+up))
 	// Many machines falling silent together is a cut, not a series of deaths: they may come back,
 	// sooner than others would boot. Counted are those that have only just begun to be silent, as
 	// otherwise the first of a crowd would go one by one.
@@ -115,7 +115,7 @@
 		switch {
 		case !m.hasReported && m.registration != unregistered:
 			// It had reported to an earlier leader, and neither reports to us nor answers.
-			patience := max(limits.RecoveryPatience, time.Duration(limits.RecoveryPatienceReports*float64(s.heartbeatInterval)))
+			patience := max(limits.RecoveryTimeout, time.Duration(limits.RecoveryTimeoutIntervals*float64(s.heartbeatInterval)))
 			if lost {
 				patience = max(patience, limit) // so many at once may be a cut that ends soon
 			}
@@ -125,14 +125,14 @@
 				s.returnMachine(m, "not heard of since the take-over")
 			}
 		case !m.hasReported:
-			patience := limits.MinBootPatience
+			patience := limits.MinBootTimeout
 			if m.machineType != nil {
-				patience = max(patience, time.Duration(limits.BootPatience*float64(limits.Seconds(m.machineType.BootS))))
+				patience = max(patience, time.Duration(limits.BootTimeoutFactor*float64(limits.Seconds(m.machineType.BootS))))
 			}
 			if s.now > max(m.createdAt, s.termStartedAt)+patience {
 				s.returnMachine(m, "never came up")
 			}
-		case quiet(m) && (!crowd || s.now > since(m)+limits.CorrelatedSilenceLeases*limits.LeaseSurelyOver(s.workerLease)):
+		case quiet(m) && (!crowd || s.now > since(m)+limits.CorrelatedUnreachableLeases*limits.LeaseExpiredAfter(s.workerLease)):
 			s.returnMachine(m, "silent")
 		case m.isFaulty():
 			if !s.gangsStillSaving(m) {
@@ -168,7 +168,7 @@
 // the stops arrive first, while there is time.
 func (s *Scheduler) cancelDeleteAt(j *job) time.Duration {
 	within := limits.Seconds(s.cfg.Workers.CancelS)
-	early := time.Duration(limits.CancelDeleteShare * float64(limits.CancelAnswerUntil(within, s.workerLease)))
+	early := time.Duration(limits.CancelDeleteShare * float64(limits.CancelHeartbeatWindow(within, s.workerLease)))
 	late := time.Duration(limits.CancelDeleteLatestShare * float64(within))
 	return max(j.cancelledAt+early, min(j.cancelSeenAt+limits.CancelStopGrace, j.cancelledAt+late))
 }
@@ -177,7 +177,7 @@
 // not confirmed by then, nothing but the end of its lease takes the task off it in time, also if it
 // hangs and goes on. Its other tasks are lost with that, as they would be by the deletion.
 func (s *Scheduler) cancelAnswerUntil(j *job) time.Duration {
-	return j.cancelledAt + limits.CancelAnswerUntil(limits.Seconds(s.cfg.Workers.CancelS), s.workerLease)
+	return j.cancelledAt + limits.CancelHeartbeatWindow(limits.Seconds(s.cfg.Workers.CancelS), s.workerLease)
 }
 
 // expediteResults asks for the results that a machine lists to be written down next: it is to go.
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -445,7 +445,7 @@
 	for _, c := range []struct {
 		age  time.Duration
 		kept bool
-	}{{0, true}, {limits.GangCapacityPatience + time.Second, false}} {
+	}{{0, true}, {limits.GangCapacityTimeout + time.Second, false}} {
 		b = newGangFixture(t, 1)
 		for _, spot := range []bool{true, false} {
 			b.scheduler.poolState(machinePool{"s8", "a", spot}).notBefore = never
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -18,7 +18,7 @@
 	if j.spec.EstimateS > 0 {
 		class := j.class
 		class.runSamples++
-		weight := max(1/float64(class.runSamples), limits.LearnWeight)
+		weight := max(1/float64(class.runSamples), limits.RunTimeLearningRate)
 		class.estimateRatio += weight * (ran/j.spec.EstimateS - class.estimateRatio)
 	}
 	if j.runCount >= 3 && j.gang == nil { // a gang runs at the speed of its slowest machine
@@ -50,7 +50,7 @@
 func (s *Scheduler) learnFetchTime(a *assignment) {
 	class := a.job.class
 	class.fetchSamples++
-	class.fetchSeconds += max(1/float64(class.fetchSamples), limits.LearnWeight) * ((s.now - a.assignedAt).Seconds() - class.fetchSeconds)
+	class.fetchSeconds += max(1/float64(class.fetchSamples), limits.RunTimeLearningRate) * ((s.now - a.assignedAt).Seconds() - class.fetchSeconds)
 	a.machine.fetchCPUSeconds += (s.now - a.assignedAt).Seconds() * a.job.demand.CPUs
 	a.machine.cachedImages[a.job.spec.Image] = s.now
 }
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -26,7 +26,7 @@
 			if entry.AgeS < (3 * s.cfg.ListLag).Seconds() {
 				continue // perhaps the answer to a rental of ours is on its way
 			}
-			if s.now >= s.termStartedAt+limits.LeaseSurelyOver(s.workerLease) && entry.State != protocol.MachineRunning {
+			if s.now >= s.termStartedAt+limits.LeaseExpiredAfter(s.workerLease) && entry.State != protocol.MachineRunning {
 				continue
 			}
 			m = s.getOrAddMachine(entry.Name, entry.MachineType, entry.Zone, entry.Spot)
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -116,7 +116,7 @@
 		return cmp.Or(cmp.Compare(s.pricePerCPU(a), s.pricePerCPU(b)), strings.Compare(a.typeName, b.typeName), strings.Compare(a.zone, b.zone))
 	})
 	for _, p := range pools {
-		n := int(math.Floor(fresh[p] + 1 - limits.RentalFraction))
+		n := int(math.Floor(fresh[p] + 1 - limits.MinRentalFraction))
 		if n == 0 && total == 0 {
 			n = 1
 		}
@@ -317,7 +317,7 @@
 		s.planner.machinesInZone[p.zone]++
 		whole := typeResources(t).TasksThatFit(j.demand)
 		fresh[p] += float64(got) / float64(whole)
-		if j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionPatience {
+		if j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionalRentalDelay {
 			roundUpMachines(fresh, p)
 		}
 		if got < whole {
--- a/internal/coordination/scheduler/plan_zones.go
+++ b/internal/coordination/scheduler/plan_zones.go
@@ -94,7 +94,7 @@
 	if g.lacksCapacity = !s.hasEnoughZones(j); g.lacksCapacity {
 		return
 	}
-	if s.now < j.submittedAt+limits.GangCapacityPatience {
+	if s.now < j.submittedAt+limits.GangCapacityTimeout {
 		s.planJob(j, fresh, may, all)
 		return
 	}
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -82,7 +82,7 @@
 // reports on their new connections prove most of them for nothing: there a machine is asked only
 // once its next report is overdue as a proof.
 func (s *Scheduler) probeMachine(m *machine) {
-	if m.hasReported && m.fenced && s.prober.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedGraceReports*float64(s.heartbeatInterval)) {
+	if m.hasReported && m.fenced && s.prober.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedGraceIntervals*float64(s.heartbeatInterval)) {
 		return
 	}
 	if m.address == "" || m.deleting || s.now < m.nextProbeAt || !s.prober.budget.take() {
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -78,7 +78,7 @@
 // expireLeases frees the tasks of sessions that are surely over.
 func (s *Scheduler) expireLeases() {
 	for _, m := range s.inventory.sorted {
-		if m.endedIncarnation >= max(m.incarnation, 1) || s.now < m.leaseRenewedAt+limits.LeaseSurelyOver(s.workerLease) {
+		if m.endedIncarnation >= max(m.incarnation, 1) || s.now < m.leaseRenewedAt+limits.LeaseExpiredAfter(s.workerLease) {
 			if s.now > m.lastHeartbeatAt+s.staleAfter() {
 				s.releaseUnsent(m)
 			}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -25,7 +25,7 @@
 // not forget that.
 func (s *Scheduler) tryEndRecovery() {
 	for _, m := range s.inventory.sorted {
-		if !m.fenced && m.registration != unregistered && s.now < max(s.termStartedAt, m.leaseRenewedAt)+limits.LeaseSurelyOver(s.workerLease) {
+		if !m.fenced && m.registration != unregistered && s.now < max(s.termStartedAt, m.leaseRenewedAt)+limits.LeaseExpiredAfter(s.workerLease) {
 			return
 		}
 	}
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -99,7 +99,7 @@
 // of room.
 func cheapestVictims(options []preemptionOption, short resource.Vector) []int {
 	covered := func(have resource.Vector) bool { return have.Fits(short) }
-	if len(options) <= limits.VictimCutoff {
+	if len(options) <= limits.MaxExhaustiveVictims {
 		bestLoss, best := 0.0, -1
 		for set := 1; set < 1<<len(options); set++ {
 			var have resource.Vector
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -16,7 +16,7 @@
 // beyond, it covers what is short and has no task that is not needed.
 func TestCheapestVictims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(0, limits.VictimCutoff+4).Draw(t, "n")
+		n := rapid.IntRange(0, limits.MaxExhaustiveVictims+4).Draw(t, "n")
 		options := make([]preemptionOption, n)
 		for i := range options {
 			options[i].resources = resource.Vector{
@@ -57,12 +57,12 @@
 			return
 		}
 		r, loss := sum(got)
-		if !r.Fits(short) || (n <= limits.VictimCutoff && loss > best) {
+		if !r.Fits(short) || (n <= limits.MaxExhaustiveVictims && loss > best) {
 			t.Fatalf("got %v: %+v loss %v, best %v, short %+v", got, r, loss, best, short)
 		}
 		for k := range got {
 			rest := append(append([]int(nil), got[:k]...), got[k+1:]...)
-			if r, _ := sum(rest); n > limits.VictimCutoff && r.Fits(short) {
+			if r, _ := sum(rest); n > limits.MaxExhaustiveVictims && r.Fits(short) {
 				t.Fatalf("task %d of %v is not needed", got[k], got)
 			}
 		}
--- a/internal/limits/connections.go
+++ b/internal/limits/connections.go
@@ -9,11 +9,11 @@
 	ConnIdleTimeout = 60 * time.Second
 	// RequestReadTimeout closes a connection whose request does not become whole in this time.
 	RequestReadTimeout = 10 * time.Second
-	// LoopFailures is how many times in a row a server's loop may end right after its start before
+	// MaxServerLoopFailures is how many times in a row a server's loop may end right after its start before
 	// the server gives up.
-	LoopFailures = 20
-	// ReadBytes is the size of a buffer that one read fills, in bytes: most messages fit.
-	ReadBytes = 4096
+	MaxServerLoopFailures = 20
+	// ReadBufferBytes is the size of a buffer that one read fills, in bytes: most messages fit.
+	ReadBufferBytes = 4096
 	// ConnSweepInterval is how often connections are checked for the two limits above.
 	ConnSweepInterval = 2 * time.Second
 	// MaxCloudCalls is how many calls of the cloud are under way at once: rentals, deletions, a
@@ -27,12 +27,12 @@
 	// UserConnShare is the part of inbound connections that machines can't take. Users hold about
 	// one for each job that is not over, spread over all controllers.
 	UserConnShare = 0.12
-	// HeadroomShare is the part that connections to workers leave free, so that a rush of
+	// InboundHeadroomShare is the part that connections to workers leave free, so that a rush of
 	// connections coming in finds room until kept ones are given up, half a second later.
-	HeadroomShare = 0.06
-	// OutboundShare is the part that inbound connections leave to connections to workers, for
+	InboundHeadroomShare = 0.06
+	// OutboundReserveShare is the part that inbound connections leave to connections to workers, for
 	// probes and direct commands when all else is taken.
-	OutboundShare = 0.03
+	OutboundReserveShare = 0.03
 	// StaleConnShare is the part of the machines' connections that may be dead ones, not swept yet,
 	// or of machines that are not ours any more.
 	StaleConnShare = 0.1
@@ -46,9 +46,9 @@
 	// these.
 	UserSlots      = 64
 	UserSlotsShare = 0.15
-	// ConnBytes is what a connection may hold of the heap between requests, in bytes: two thousand
+	// MaxIdleConnBytes is what a connection may hold of the heap between requests, in bytes: two thousand
 	// of them stay far below the memory of a controller that has as many sockets.
-	ConnBytes = 8 << 10
+	MaxIdleConnBytes = 8 << 10
 	// MinMailboxSize is the least size of the mailbox of the leader's scheduler, in messages; see
 	// Mailbox.
 	MinMailboxSize = 512
@@ -64,8 +64,8 @@
 	PeerStreams = 64
 	// PeerIdle is how long a connection to another controller is kept unused.
 	PeerIdle = 10 * time.Minute
-	// FinalCache is how many final states a node keeps, so that late polls cost no read.
-	FinalCache = 4096
+	// FinalStateCacheSize is how many final states a node keeps, so that late polls cost no read.
+	FinalStateCacheSize = 4096
 	// HeartbeatAnswerTimeout is how long a report may wait in our mailbox; the worker drops an
 	// answer after 4 s.
 	HeartbeatAnswerTimeout = 3 * time.Second
--- a/internal/limits/fleet.go
+++ b/internal/limits/fleet.go
@@ -24,10 +24,10 @@
 	// PlannedWaitSlackRatio is the share of a job's slack that it is planned to wait; the rest is
 	// for what goes wrong.
 	PlannedWaitSlackRatio = 0.25
-	// BootPatience is how many nominal boot times a machine gets before it is given up.
-	BootPatience = 3.0
-	// MinBootPatience is the least patience with a boot.
-	MinBootPatience = 60 * time.Second
+	// BootTimeoutFactor is how many nominal boot times a machine gets before it is given up.
+	BootTimeoutFactor = 3.0
+	// MinBootTimeout is the least patience with a boot.
+	MinBootTimeout = 60 * time.Second
 	// BootEstimateFactor is how many nominal boot times a machine is reckoned to take; usual are
 	// 0.6 to 1.5. BootHope is how many are planned with; the few that take longer or never come are
 	// planned without.
@@ -38,32 +38,32 @@
 	// ZoneSpreadPenalty makes a pool dearer for each machine in its zone, just enough to spread
 	// over zones where all else is equal.
 	ZoneSpreadPenalty = 0.001
-	// CorrelatedSilenceLeases is how many leases machines that fell silent in a crowd are kept.
-	CorrelatedSilenceLeases = 4
+	// CorrelatedUnreachableLeases is how many leases machines that fell silent in a crowd are kept.
+	CorrelatedUnreachableLeases = 4
 	// CapacityBackoffMin and CapacityBackoffMax bound the pause after a refusal for one type, zone
 	// and kind.
 	CapacityBackoffMin = 5 * time.Second
 	CapacityBackoffMax = 40 * time.Second
-	// SilentLeaseShare is the share of a worker's lease after which a silent machine is deleted.
-	SilentLeaseShare = 0.75
-	// CorrelatedSilenceShare is the share of machines silent at once above which the network is to
+	// UnreachableLeaseShare is the share of a worker's lease after which a silent machine is deleted.
+	UnreachableLeaseShare = 0.75
+	// CorrelatedUnreachableShare is the share of machines silent at once above which the network is to
 	// blame, and nobody is deleted.
-	CorrelatedSilenceShare = 0.25
+	CorrelatedUnreachableShare = 0.25
 	// ExpensivePoolRatio and ExpensivePoolSlack: a pool that costs this many times the cheapest is
 	// used only for jobs with less slack than this.
 	ExpensivePoolRatio = 2.5
 	ExpensivePoolSlack = 60 * time.Second
-	// RentalFraction is the part of a machine that must be wanted before one more is rented while
+	// MinRentalFraction is the part of a machine that must be wanted before one more is rented while
 	// others run.
-	RentalFraction = 0.3
-	// FractionPatience is how long a job waits since its last start before any part of a machine is
+	MinRentalFraction = 0.3
+	// FractionalRentalDelay is how long a job waits since its last start before any part of a machine is
 	// enough to rent one for it.
-	FractionPatience = 30 * time.Second
-	// RecoveryPatience and RebuildReports (in report intervals) are how long after a take-over a
+	FractionalRentalDelay = 30 * time.Second
+	// RecoveryTimeout and RebuildReports (in report intervals) are how long after a take-over a
 	// machine that may hold tasks may stay unheard of before it is deleted, which is quicker
 	// evidence than the end of its lease. Workers find a new leader in a few seconds.
-	RecoveryPatience        = 6 * time.Second
-	RecoveryPatienceReports = 2.5
+	RecoveryTimeout          = 6 * time.Second
+	RecoveryTimeoutIntervals = 2.5
 	// FewUnreportedShare is the share of all machines up to which those that nothing is heard of
 	// since a take-over are given up after FewMisses probes without an answer, the next one right
 	// after the one before.
@@ -74,7 +74,7 @@
 	// CorrelatedUnverifiedShare is the share of machines unverified at once from which on they are
 	// given UnverifiedReports report intervals to prove themselves before they are asked.
 	CorrelatedUnverifiedShare = 0.05
-	UnverifiedGraceReports    = 1.5
+	UnverifiedGraceIntervals  = 1.5
 	// SlowHeartbeatWait is how long a report may have waited in the mailbox that probes still go
 	// out beside it, and BusyFor how long that is held to tell of now: reports and the lease go
 	// first.
@@ -94,9 +94,9 @@
 	// MaxDirectCommands is how many direct commands are on their way at once; see dispatch. Those
 	// to machines that are out of reach take DirectTimeout.
 	MaxDirectCommands = 64
-	// DirectCommandPause is how long a worker that did not answer a direct command gets its orders
+	// DirectCommandBackoff is how long a worker that did not answer a direct command gets its orders
 	// by reports only.
-	DirectCommandPause = 10 * time.Second
+	DirectCommandBackoff = 10 * time.Second
 	// SummaryInterval is how often the leader logs how it stands.
 	SummaryInterval = 10 * time.Second
 	// RelayRetryAfter is how long a worker's reports are relayed before it is told to try the
@@ -106,9 +106,9 @@
 	RelayTimeout = 1500 * time.Millisecond
 	// RelaySlots is how many reports are relayed at once.
 	RelaySlots = 64
-	// LeaderUnreachablePause is how long a node that could not reach the leader sends workers
+	// LeaderUnreachableBackoff is how long a node that could not reach the leader sends workers
 	// elsewhere without asking again.
-	LeaderUnreachablePause = 3 * time.Second
+	LeaderUnreachableBackoff = 3 * time.Second
 	// CloudRetryInterval is the pause before a deletion that got no clear answer is repeated.
 	CloudRetryInterval = 2 * time.Second
 	// CancelDeleteShare is the share of the time in which a machine's lease can still be let run
@@ -125,6 +125,6 @@
 	// CloudRateShare is the part of the cloud's rate that a leader uses; at a take-over two terms
 	// may call for a moment.
 	CloudRateShare = 0.8
-	// CorrelatedMin is how many silent machines are never a crowd, however few there are in all.
-	CorrelatedMin = 3
+	// CorrelatedUnreachableMin is how many silent machines are never a crowd, however few there are in all.
+	CorrelatedUnreachableMin = 3
 )
--- a/internal/limits/leadership.go
+++ b/internal/limits/leadership.go
@@ -20,11 +20,11 @@
 	// longer than StateTimeout, as an answer is worth waiting for: a leader that is behind gets it
 	// late. It is short enough that a hand-over still comes after two renewals have failed.
 	LeaseRenewTimeout = 3500 * time.Millisecond
-	// DelaySample is the length of the sleep by which a process learns how far it is behind, and
+	// SchedulingDelaySample is the length of the sleep by which a process learns how far it is behind, and
 	// LagMost how much too late it may wake from it and still trust that a call without an answer
 	// tells of the other side.
-	DelaySample = 50 * time.Millisecond
-	DelayMax    = 200 * time.Millisecond
+	SchedulingDelaySample = 50 * time.Millisecond
+	MaxSchedulingDelay    = 200 * time.Millisecond
 	// IsolatedAfter is how long the hold could not be renewed before the leader asks the others
 	// whether it is alone with that.
 	IsolatedAfter = 4 * time.Second
@@ -46,9 +46,9 @@
 	SuspicionCheckInterval = 250 * time.Millisecond
 	// VoteTimeout bounds a round of requests for pledges, well below PledgeEvery of PledgeMin.
 	VoteTimeout = 800 * time.Millisecond
-	// OfferTries is how often a leader that gave up tells its successor; if all are lost, the end
+	// HandoverAttempts is how often a leader that gave up tells its successor; if all are lost, the end
 	// of the hold does it.
-	OfferTries = 3
+	HandoverAttempts = 3
 	// AttemptTermShift is where the term begins in an attempt number, so that attempts rise across
 	// leaders.
 	AttemptTermShift = 32
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -87,8 +87,8 @@
 	// RetryMin and RetryMax bound the jittered pause between tries at the state service and the cloud.
 	RetryMin = 100 * time.Millisecond
 	RetryMax = 2 * time.Second
-	// RetryAfter is what an overloaded node tells a user, in whole seconds.
-	RetryAfter = 1
+	// RetryAfterMin is what an overloaded node tells a user, in whole seconds.
+	RetryAfterMin = 1
 	// RetryAfterStep: for each such span that the state service has been out of reach a user is
 	// sent away for one more second, up to RetryAfterMax. An outage that is old may last as long
 	// again, but the user should not miss its end by much.
@@ -139,8 +139,8 @@
 	set := min(s.UserSlots+StateConns+MaxCloudCalls+2*others+SpareSockets, int(float64(sockets)*ReservedSocketShare))
 	s.Total = sockets - set
 	part := func(of int, share float64) int { return max(1, int(float64(of)*share)) }
-	s.Headroom = part(s.Total, HeadroomShare)
-	s.Inbound = s.Total - part(s.Total, OutboundShare) - s.Headroom
+	s.Headroom = part(s.Total, InboundHeadroomShare)
+	s.Inbound = s.Total - part(s.Total, OutboundReserveShare) - s.Headroom
 	s.MachineConns = s.Inbound - part(s.Inbound, UserConnShare)
 	s.MaxMachines = part(s.MachineConns, 1-StaleConnShare)
 	s.Probes = min(MaxProbes, part(s.Total, ProbeShare))
@@ -160,22 +160,22 @@
 	return max(coreShare/ProbeCost.Seconds(), MinProbeRate)
 }
 
-// LeaseSurelyOver is how long to wait, by our clock, until a lease of d on another clock is surely over.
-func LeaseSurelyOver(d time.Duration) time.Duration {
+// LeaseExpiredAfter is how long to wait, by our clock, until a lease of d on another clock is surely over.
+func LeaseExpiredAfter(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*2*DriftShare) + LeaseMargin
 }
 
-// EntitledFor is how long, by our clock, a hold of life d is surely ours from the moment its touch
+// LeaseValidFor is how long, by our clock, a hold of life d is surely ours from the moment its touch
 // was sent.
-func EntitledFor(d time.Duration) time.Duration {
+func LeaseValidFor(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*2*DriftShare) - LeaderLeaseMargin
 }
 
-// CancelAnswerUntil is how long after a cancellation a machine that still has the job's tasks may
+// CancelHeartbeatWindow is how long after a cancellation a machine that still has the job's tasks may
 // get an answer to a report: its lease then ends within cancelWithin, whatever becomes of its
 // deletion. It is at least half of cancelWithin, for leases that are too long for any of this.
-func CancelAnswerUntil(cancelWithin, lease time.Duration) time.Duration {
-	return max(cancelWithin-LeaseSurelyOver(lease), cancelWithin/2)
+func CancelHeartbeatWindow(cancelWithin, lease time.Duration) time.Duration {
+	return max(cancelWithin-LeaseExpiredAfter(lease), cancelWithin/2)
 }
 
 // HeapLimit is the Go runtime's soft limit in bytes, by the memory of the controller's machine.
@@ -192,5 +192,5 @@
 // RetryAfterSeconds is what a user is told who can't be served now, in whole seconds: soon, and the
 // later the longer the state service has been out of reach already.
 func RetryAfterSeconds(failing time.Duration) int {
-	return min(RetryAfter+int(failing/RetryAfterStep), RetryAfterMax)
+	return min(RetryAfterMin+int(failing/RetryAfterStep), RetryAfterMax)
 }
--- a/internal/limits/scheduling.go
+++ b/internal/limits/scheduling.go
@@ -4,18 +4,18 @@
 
 // Scheduling.
 const (
-	// VictimCutoff is the number of preemptible tasks up to which every set of
+	// MaxExhaustiveVictims is the number of preemptible tasks up to which every set of
 	// victims is tried: 2^10 sets cost some tens of microseconds.
-	VictimCutoff = 10
+	MaxExhaustiveVictims = 10
 	// TickInterval is how often the scheduler looks at what only time changes.
 	TickInterval = 500 * time.Millisecond
-	// FirstTaskDueAge is the age from which a job is due its first task whatever else waits: users
+	// FirstTaskCreditAge is the age from which a job is due its first task whatever else waits: users
 	// count on every job's beginning within four minutes, and room for it may have to be held for a
 	// while. From AgeRest on, and over AgeSpan, it is due the others; earlier it would push back
 	// jobs that can still be on time.
-	FirstTaskDueAge = 150 * time.Second
-	AllTasksDueAge  = 240 * time.Second
-	AllTasksDueSpan = 120 * time.Second
+	FirstTaskCreditAge = 150 * time.Second
+	AllTasksCreditAge  = 240 * time.Second
+	AllTasksCreditSpan = 120 * time.Second
 	// UnderservedShare: while a group of jobs has got at least this share of what it is due, those
 	// of them that have begun wait in the ordinary order. Users count on half.
 	UnderservedShare = 0.65
@@ -40,10 +40,10 @@
 	// GangDemandWindow is how long room is kept for as many gangs as there were at once: longer
 	// than a gang's tasks run and a machine boots, and not much longer, as the room is paid for.
 	GangDemandWindow = 90 * time.Second
-	// GangCapacityPatience is how long machines are rented and kept for a gang that can't have all
+	// GangCapacityTimeout is how long machines are rented and kept for a gang that can't have all
 	// that it needs: the cloud's refusals last some seconds, and a machine takes up to a minute or
 	// so to boot.
-	GangCapacityPatience = 60 * time.Second
+	GangCapacityTimeout = 60 * time.Second
 	// GangReservationShare is the most of all machines that is kept for gangs of a kind: under
 	// lasting overload others need the rest.
 	GangReservationShare = 0.5
@@ -87,8 +87,8 @@
 	PreemptionSearchInterval = 500 * time.Millisecond
 	// WeightPrice prefers machines that cost less for each CPU, so that the dear ones empty first.
 	WeightPrice = 6.0
-	// LearnWeight is the least weight of a new run time in a class's learned ratio.
-	LearnWeight = 0.05
+	// RunTimeLearningRate is the least weight of a new run time in a class's learned ratio.
+	RunTimeLearningRate = 0.05
 	// SaveMargin is added to the time a task needs to save when it is told to stop.
 	SaveMargin = 2 * time.Second
 	// MaxCommands bounds the orders in one answer, so that it stays far below MaxBodyBytes.
@@ -119,9 +119,9 @@
 	// third of what is not the users'. Final records, rentals and registrations need the rest, and
 	// nothing starts or ends without them.
 	ChunkWriteShare = 0.2
-	// ChunkWritePatience is how long a job that is nearly over is left without a record of its
+	// MaxChunkWriteDelay is how long a job that is nearly over is left without a record of its
 	// finished tasks.
-	ChunkWritePatience = 15 * time.Second
+	MaxChunkWriteDelay = 15 * time.Second
 	// Epsilon is the rounding that is forgiven when amounts are compared; the protocol's amounts
 	// have a few decimals.
 	Epsilon = 1e-6
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -147,7 +147,7 @@
 	outbound := &clientConn{
 		conn:    conn,
 		decoder: NewResponseDecoder(c.maxBody),
-		buffer:  make([]byte, limits.ReadBytes),
+		buffer:  make([]byte, limits.ReadBufferBytes),
 		sockets: c.sockets,
 	}
 	if outbound.raw, err = rawConn(conn); err != nil {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -61,7 +61,7 @@
 			s.machineConns--
 		}
 	}()
-	buf := make([]byte, limits.ReadBytes)
+	buf := make([]byte, limits.ReadBufferBytes)
 	for {
 		req, err := c.decoder.Next()
 		if err != nil {
@@ -115,7 +115,7 @@
 		} else {
 			failures = 0
 		}
-		if failures > limits.LoopFailures {
+		if failures > limits.MaxServerLoopFailures {
 			return fmt.Errorf("listen on %s: %w", s.options.Addr, err)
 		}
 		s.options.Log.Warn("server loop ended, starting again", "addr", s.options.Addr, "err", err)
@@ -137,7 +137,7 @@
 	// which wakes the first for each.
 	return gnet.Run(&eventHandler{server: s, ctx: ctx}, "tcp://"+s.options.Addr,
 		gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true), gnet.WithTicker(true),
-		gnet.WithReadBufferCap(limits.ReadBytes), gnet.WithLogger(gnetLogger{s.options.Log}))
+		gnet.WithReadBufferCap(limits.ReadBufferBytes), gnet.WithLogger(gnetLogger{s.options.Log}))
 }
 
 // resetConns forgets the connections of a loop that ended.
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -96,7 +96,7 @@
 	for range conns {
 		defer openAnswered(t, server.Addr(), req, buffer).Close()
 	}
-	if after := heapBytes(); after > before+conns*limits.ConnBytes {
+	if after := heapBytes(); after > before+conns*limits.MaxIdleConnBytes {
 		t.Errorf("%d bytes of heap for each connection", (after-before)/conns)
 	}
 }
