--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -114,7 +114,7 @@
 	p := &s.placement.pass
 	p.machines, p.withFreeResources, p.maxFreeResources = p.machines[:0], p.withFreeResources[:0], resource.Vector{}
 	p.clearUnplaceable()
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		m.wasReserved, m.reservedFor = m.reservedFor != nil, nil
 		if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 			continue
