--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -33,16 +33,23 @@
 	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, len(s.Members))
 	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
-	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS).WithDialer(dialer)
-	desk := leader.NewDispatcher(s, options, store, cloud, sockets, log).WithDialer(dialer)
-	elector := election.New(s.NodeName, store, time.Duration(options.Leadership.LeaderLease), limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)), desk.RunTerm, log)
-	desk.OnTermLost(elector.TermLost)
+	dispatcher := leader.NewDispatcher(leader.DispatcherConfig{
+		Settings: s,
+		Options:  options,
+		Store:    store,
+		Cloud:    leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS, dialer),
+		Sockets:  sockets,
+		Dialer:   dialer,
+		Log:      log,
+	})
+	elector := election.New(s.NodeName, store, time.Duration(options.Leadership.LeaderLease), limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)), dispatcher.RunTerm, log)
+	dispatcher.OnTermLost(elector.TermLost)
 	peers, err := peer.Dial(s.Members, dialer)
 	if err != nil {
 		return nil, err
 	}
 	elector.Peers = peers
-	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
+	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Dispatcher: dispatcher, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	return &Controller{
 		Clients: &transport.Server{
 			Addr:        s.ClientListen,
@@ -53,9 +60,9 @@
 			Handle:      front.Handle,
 			Log:         log,
 		},
-		Peers:    peer.NewServer(desk, elector, peers),
+		Peers:    peer.NewServer(dispatcher, elector, peers),
 		settings: s,
-		leader:   desk,
+		leader:   dispatcher,
 		peers:    peers,
 		elector:  elector,
 		gateway:  front,
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &Gateway{Node: "rig-0", Store: store, Dispatcher: leader.NewDispatcher(s, config.DefaultOptions(), store, nil, nil, log), Peers: peers,
+	g := &Gateway{Node: "rig-0", Store: store, Dispatcher: leader.NewDispatcher(leader.DispatcherConfig{Settings: s, Options: config.DefaultOptions(), Store: store, Log: log}), Peers: peers,
 		Leader: func() string { return "" }, Settings: s, UserSlots: limits.UserSlots, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -158,7 +158,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk := leader.NewDispatcher(s, config.DefaultOptions(), store, leader.NewCloud(cloudAddr, 100), sockets, log)
+	desk := leader.NewDispatcher(leader.DispatcherConfig{Settings: s, Options: config.DefaultOptions(), Store: store,
+		Cloud: leader.NewCloud(cloudAddr, 100, nil), Sockets: sockets, Log: log})
 	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud.go
@@ -4,6 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
 
 	"golang.org/x/time/rate"
 
@@ -12,62 +15,132 @@
 	"quillshunt/internal/transport"
 )
 
-// Cloud calls the cloud within its rate. Only the leader rents; two terms may overlap for a moment,
-// so we stay a little below the limit.
+// noCapacityReason is the reason that the cloud gives when it has no machines of the requested kind.
+const noCapacityReason = "no capacity"
+
+// Cloud calls the cloud within its request rate. Only the leader calls it, but two terms may overlap
+// for a moment, so it uses a little less than the whole rate. It is safe for concurrent use.
 type Cloud struct {
 	client  *transport.Client
 	limiter *rate.Limiter
-	slots   chan struct{} // under way
+	slots   chan struct{} // bounds the calls in flight
 }
 
-// NewCloud returns a Cloud.
-func NewCloud(addr string, rps float64) *Cloud {
+// NewCloud returns a client of the cloud at an address, which allows rps requests per second. A nil
+// dialer dials TCP.
+func NewCloud(address string, rps float64, dialer transport.Dialer) *Cloud {
 	return &Cloud{
-		client:  transport.NewClient(addr, 2, limits.MaxUpstreamBytes),
+		client:  transport.NewClient(address, 2, limits.MaxUpstreamBytes).WithDialer(dialer),
 		limiter: rate.NewLimiter(rate.Limit(rps*limits.CloudRateShare), max(1, int(rps))),
 		slots:   make(chan struct{}, limits.MaxCloudCalls),
 	}
 }
 
-// WithDialer makes it dial another way. It is called before the first use.
-func (c *Cloud) WithDialer(d transport.Dialer) *Cloud {
-	c.client.WithDialer(d)
-	return c
+// MachineTypes reads the machine types that the cloud offers. There is at least one.
+func (c *Cloud) MachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
+	body, err := c.call(ctx, "types", http.MethodGet, "/machine_types", nil)
+	if err != nil {
+		return nil, err
+	}
+	var list protocol.MachineTypeList
+	if err := protocol.Decode(body, &list); err != nil {
+		return nil, fmt.Errorf("cloud: types: %w", err)
+	}
+	if len(list.Types) == 0 {
+		return nil, errors.New("cloud: no machine types")
+	}
+	return list.Types, nil
 }
 
-var errCloud = errors.New("cloud")
+// Rent sends a rental request and returns the names of the machines. A request that is repeated
+// with the same name rents only once. The errors that wrap errNoCapacity or errRentalRejected are
+// final; with any other the request may have been carried out, or may still be.
+func (c *Cloud) Rent(ctx context.Context, request protocol.RentalRequest) ([]string, error) {
+	body, err := c.call(ctx, "rental", http.MethodPost, "/rentals", protocol.Encode(request))
+	var unexpected *statusError
+	if errors.As(err, &unexpected) {
+		switch {
+		case unexpected.status == http.StatusServiceUnavailable && unexpected.reason == noCapacityReason:
+			return nil, fmt.Errorf("rental %s: %w", request.Name, errNoCapacity)
+		case unexpected.status == http.StatusBadRequest:
+			return nil, fmt.Errorf("rental %s: %w", request.Name, errRentalRejected)
+		}
+	}
+	if err != nil {
+		return nil, err
+	}
+	var reply protocol.RentalReply
+	if err := protocol.Decode(body, &reply); err != nil {
+		return nil, fmt.Errorf("cloud: rental: %w", err)
+	}
+	return reply.Machines, nil
+}
+
+// Delete returns machines to the cloud. It is idempotent.
+func (c *Cloud) Delete(ctx context.Context, machines []string) error {
+	body := protocol.Encode(protocol.DeleteRequest{Machines: machines})
+	_, err := c.call(ctx, "delete", http.MethodPost, "/rentals/delete", body)
+	return err
+}
+
+// Machines reads the list of all machines, page by page.
+func (c *Cloud) Machines(ctx context.Context) ([]protocol.Machine, error) {
+	var machines []protocol.Machine
+	since := ""
+	for {
+		target := "/rentals?Limit=" + strconv.Itoa(limits.CloudPageSize)
+		if since != "" {
+			target += "&Since=" + url.QueryEscape(since)
+		}
+		body, err := c.call(ctx, "list", http.MethodGet, target, nil)
+		if err != nil {
+			return nil, err
+		}
+		var page protocol.MachineList
+		if err := protocol.Decode(body, &page); err != nil {
+			return nil, fmt.Errorf("cloud: list: %w", err)
+		}
+		machines = append(machines, page.Machines...)
+		if !page.Truncated || len(page.Machines) == 0 {
+			return machines, nil
+		}
+		since = page.Machines[len(page.Machines)-1].Name
+	}
+}
 
-// call sends one request. Statuses other than 200 come as errors unless they are in pass.
-func (c *Cloud) call(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
+// call sends one request, named for errors, and returns the body of the answer. A status other than
+// 200 is a statusError.
+func (c *Cloud) call(ctx context.Context, request, method, target string, body []byte) ([]byte, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return nil, fmt.Errorf("%w: rate: %w", errCloud, err)
+		return nil, fmt.Errorf("cloud: rate: %w", err)
 	}
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%w: %w", errCloud, ctx.Err())
+		return nil, fmt.Errorf("cloud: %w", ctx.Err())
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.CloudTimeout)
 	defer cancel()
-	return c.client.Do(ctx, method, target, body)
-}
-
-// MachineTypes reads the machine types.
-func (c *Cloud) MachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
-	m, err := c.call(ctx, "GET", "/machine_types", nil)
+	answer, err := c.client.Do(ctx, method, target, body)
 	if err != nil {
 		return nil, err
 	}
-	if m.Status != 200 {
-		return nil, fmt.Errorf("%w: types: status %d", errCloud, m.Status)
+	if answer.Status != http.StatusOK {
+		return nil, &statusError{
+			service: "cloud", request: request, status: answer.Status, reason: errorReason(answer.Body),
+		}
 	}
-	var l protocol.MachineTypeList
-	if err := protocol.Decode(m.Body, &l); err != nil {
-		return nil, fmt.Errorf("types: %w", err)
+	return answer.Body, nil
+}
+
+// errorReason reads the reason out of the body of a failed request, or returns "".
+func errorReason(body []byte) string {
+	var reply struct {
+		Error string `cbor:"error"`
 	}
-	if len(l.Types) == 0 {
-		return nil, fmt.Errorf("%w: no machine types", errCloud)
+	if protocol.Decode(body, &reply) != nil {
+		return ""
 	}
-	return l.Types, nil
+	return reply.Error
 }
--- a/internal/coordination/leader/cloud_effects.go
+++ b/internal/coordination/leader/cloud_effects.go
@@ -2,96 +2,66 @@
 
 import (
 	"context"
-	"fmt"
-	"net/url"
-	"strconv"
+	"errors"
 
 	"quillshunt/internal/coordination/scheduler"
-	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
-// executeRental sends a rental request until there is an answer.
-func (t *term) executeRental(ctx context.Context, req protocol.RentalRequest) {
-	var back storage.Backoff
-	body := protocol.Encode(req)
+// executeRental sends a rental request and retries it until the cloud has answered.
+func (t *term) executeRental(ctx context.Context, request protocol.RentalRequest) {
+	var backoff storage.Backoff
 	for {
-		if t.leadership.Entitled() {
-			m, err := t.dispatcher.cloud.call(ctx, "POST", "/rentals", body)
-			switch {
-			case err == nil && m.Status == 200:
-				var r protocol.RentalReply
-				if err = protocol.Decode(m.Body, &r); err == nil {
-					t.send(ctx, scheduler.RentalDone{Name: req.Name, Machines: r.Machines, OK: true})
-					return
-				}
-			case err == nil && m.Status == 503:
-				var r struct {
-					Error string `cbor:"error"`
-				}
-				if protocol.Decode(m.Body, &r) == nil && r.Error == "no capacity" {
-					t.send(ctx, scheduler.RentalDone{Name: req.Name, NoCapacity: true})
-					return
-				}
-				err = fmt.Errorf("%w: %s", errCloud, r.Error)
-			case err == nil && m.Status == 400:
-				t.log.Error("rental rejected", "request", req.Name)
-				t.send(ctx, scheduler.RentalDone{Name: req.Name, NoCapacity: true})
-				return
-			case err == nil:
-				err = fmt.Errorf("%w: rental: status %d", errCloud, m.Status)
-			}
-			t.log.Info("rental not answered", "request", req.Name, "err", err)
+		if done, ok := t.tryRental(ctx, request); ok {
+			t.sendEvent(ctx, done)
+			return
 		}
-		if !back.Wait(ctx) {
+		if !backoff.Wait(ctx) {
 			return
 		}
 	}
 }
 
-// executeDeletion returns machines; the scheduler repeats it until it is confirmed.
-func (t *term) executeDeletion(ctx context.Context, rigs []string) {
-	done := scheduler.DeletionDone{Machines: rigs}
-	if t.leadership.Entitled() {
-		m, err := t.dispatcher.cloud.call(ctx, "POST", "/rentals/delete", protocol.Encode(protocol.DeleteRequest{Machines: rigs}))
-		if err == nil && m.Status != 200 {
-			err = fmt.Errorf("%w: delete: status %d", errCloud, m.Status)
-		}
-		if done.OK = err == nil; !done.OK {
-			t.log.Info("deletion not confirmed", "machines", len(rigs), "err", err)
-		}
+// tryRental sends a rental request once. It returns false if the outcome is not known yet.
+func (t *term) tryRental(ctx context.Context, request protocol.RentalRequest) (scheduler.RentalDone, bool) {
+	if !t.leadership.Entitled() {
+		return scheduler.RentalDone{}, false
 	}
-	t.send(ctx, done)
+	machines, err := t.dispatcher.cloud.Rent(ctx, request)
+	switch {
+	case err == nil:
+		return scheduler.RentalDone{Name: request.Name, Machines: machines, OK: true}, true
+	case errors.Is(err, errNoCapacity):
+		return scheduler.RentalDone{Name: request.Name, NoCapacity: true}, true
+	case errors.Is(err, errRentalRejected):
+		t.log.Error("rental rejected", "request", request.Name)
+		return scheduler.RentalDone{Name: request.Name, NoCapacity: true}, true
+	}
+	t.log.Info("rental not answered", "request", request.Name, "err", err)
+	return scheduler.RentalDone{}, false
 }
 
-// listMachines reads the cloud's machines.
-func (t *term) listMachines(ctx context.Context) {
-	done := scheduler.MachinesListed{OK: true}
-	since := ""
-	for {
-		target := "/rentals?Limit=" + strconv.Itoa(limits.CloudPageSize)
-		if since != "" {
-			target += "&Since=" + url.QueryEscape(since)
-		}
-		m, err := t.dispatcher.cloud.call(ctx, "GET", target, nil)
-		if err == nil && m.Status != 200 {
-			err = fmt.Errorf("%w: list: status %d", errCloud, m.Status)
-		}
-		var l protocol.MachineList
-		if err == nil {
-			err = protocol.Decode(m.Body, &l)
-		}
+// executeDeletion returns machines. The scheduler repeats it until it is confirmed.
+func (t *term) executeDeletion(ctx context.Context, machines []string) {
+	done := scheduler.DeletionDone{Machines: machines}
+	if t.leadership.Entitled() {
+		err := t.dispatcher.cloud.Delete(ctx, machines)
 		if err != nil {
-			t.log.Debug("list", "err", err)
-			t.send(ctx, scheduler.MachinesListed{})
-			return
-		}
-		done.Machines = append(done.Machines, l.Machines...)
-		if !l.Truncated || len(l.Machines) == 0 {
-			t.send(ctx, done)
-			return
+			t.log.Info("deletion not confirmed", "machines", len(machines), "err", err)
 		}
-		since = l.Machines[len(l.Machines)-1].Name
+		done.OK = err == nil
+	}
+	t.sendEvent(ctx, done)
+}
+
+// executeMachineList reads the cloud's list of machines.
+func (t *term) executeMachineList(ctx context.Context) {
+	machines, err := t.dispatcher.cloud.Machines(ctx)
+	if err != nil {
+		t.log.Debug("machine list failed", "err", err)
+		t.sendEvent(ctx, scheduler.MachinesListed{})
+		return
 	}
+	t.sendEvent(ctx, scheduler.MachinesListed{Machines: machines, OK: true})
 }
--- a/internal/coordination/leader/direct_commands.go
+++ b/internal/coordination/leader/direct_commands.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 
 	"quillshunt/internal/coordination/scheduler"
 	"quillshunt/internal/limits"
@@ -11,49 +12,59 @@
 	"quillshunt/internal/transport"
 )
 
-// errWorker marks an answer of a worker that is not what was asked for.
-var errWorker = errors.New("worker")
-
-// sendDirectCommands sends commands to a worker and returns its report after them. The status is
-// 200, or 409 if nothing was executed.
-func (t *term) sendDirectCommands(ctx context.Context, c *transport.Client, d protocol.DirectCommands) (int, *protocol.Heartbeat, error) {
-	m, err := c.Do(ctx, "POST", "/do", protocol.Encode(d))
-	if err != nil {
-		return 0, nil, err
-	}
-	if m.Status != 200 && m.Status != 409 {
-		return m.Status, nil, fmt.Errorf("%w: do: status %d", errWorker, m.Status)
-	}
-	var r protocol.Heartbeat
-	if err := protocol.Decode(m.Body, &r); err != nil {
-		return m.Status, nil, fmt.Errorf("%w: do: %w", errWorker, err)
-	}
-	return m.Status, &r, nil
-}
-
-// executeDirectCommands carries out a direct command.
-func (t *term) executeDirectCommands(ctx context.Context, d scheduler.SendDirectCommands, c *transport.Client) {
-	done := scheduler.DirectCommandsDone{ID: d.ID, Machine: d.Machine}
+// executeDirectCommands sends commands to a worker without waiting for its next heartbeat.
+func (t *term) executeDirectCommands(
+	ctx context.Context, effect scheduler.SendDirectCommands, worker *transport.Client,
+) {
+	done := scheduler.DirectCommandsDone{ID: effect.ID, Machine: effect.Machine}
 	if !t.leadership.Entitled() {
 		done.NotExecuted = true
-		t.send(ctx, done)
+		t.sendEvent(ctx, done)
 		return
 	}
-	cctx, cancel := context.WithTimeout(ctx, limits.DirectCommandTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, limits.DirectCommandTimeout)
 	defer cancel()
-	status, r, err := t.sendDirectCommands(cctx, c, protocol.DirectCommands{FencingToken: t.leadership.Term, Incarnation: d.Incarnation, Commands: d.Commands})
+	heartbeat, err := sendDirectCommands(callCtx, worker, protocol.DirectCommands{
+		FencingToken: t.leadership.Term,
+		Incarnation:  effect.Incarnation,
+		Commands:     effect.Commands,
+	})
+	var rejected *commandsRejectedError
 	switch {
+	case err == nil:
+		done.Heartbeat = heartbeat
 	case errors.Is(err, transport.ErrNotSent):
 		done.NotExecuted = true
-	case err != nil:
-		t.log.Debug("direct command", "machine", d.Machine, "err", err)
-	case status == 409:
+	case errors.As(err, &rejected):
 		done.NotExecuted = true
-		if r.FencingToken > t.leadership.Term {
-			t.dispatcher.termLost(t.leadership.Term)
+		if rejected.heartbeat.FencingToken > t.leadership.Term {
+			t.reportLost()
 		}
 	default:
-		done.Heartbeat = r
+		t.log.Debug("direct command failed", "machine", effect.Machine, "err", err)
+	}
+	t.sendEvent(ctx, done)
+}
+
+// sendDirectCommands sends commands to a worker and returns the heartbeat that it answers with after
+// them. The error is a commandsRejectedError if the worker executed none, and wraps
+// transport.ErrNotSent if it saw none; with any other the commands may have been executed.
+func sendDirectCommands(
+	ctx context.Context, worker *transport.Client, commands protocol.DirectCommands,
+) (*protocol.Heartbeat, error) {
+	answer, err := worker.Do(ctx, http.MethodPost, "/do", protocol.Encode(commands))
+	if err != nil {
+		return nil, err
+	}
+	if answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
+		return nil, &statusError{service: "worker", request: "do", status: answer.Status}
+	}
+	var heartbeat protocol.Heartbeat
+	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
+		return nil, fmt.Errorf("worker: do: %w", err)
+	}
+	if answer.Status == http.StatusConflict {
+		return nil, &commandsRejectedError{&heartbeat}
 	}
-	t.send(ctx, done)
+	return &heartbeat, nil
 }
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -1,10 +1,12 @@
-// Package leader runs a term: the actor that owns the scheduler, and the actors that carry
-// out what it decides. Everything reaches it as a message and nothing in it blocks on I/O.
+// Package leader runs the terms in which this controller leads. In each term one actor owns the
+// scheduler, and goroutines execute the effects that the scheduler decides on. Everything reaches
+// the actor as a message, and the actor never blocks on I/O.
 package leader
 
 import (
 	"context"
 	"log/slog"
+	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -18,82 +20,104 @@
 	"quillshunt/internal/transport"
 )
 
-// HeartbeatResponder answers a worker's report: 200 with a body, or another status.
+// HeartbeatResponder answers a worker's heartbeat: 200 with a body, or another status.
 type HeartbeatResponder func(status int, body []byte)
 
-// Dispatcher is where messages for the present term are left. It outlives terms.
+// DispatcherConfig is what a Dispatcher needs.
+type DispatcherConfig struct {
+	Settings *config.Settings
+	Options  config.Options
+	Store    *storage.Store
+	Cloud    *Cloud
+	Sockets  *transport.SocketBudget // nil: unlimited
+	Dialer   transport.Dialer        // for connections to workers; nil: TCP
+	Log      *slog.Logger
+}
+
+// Dispatcher delivers messages to the actor of the current term, if this process leads. It outlives
+// terms and is safe for concurrent use.
 type Dispatcher struct {
 	settings *config.Settings
 	options  config.Options
 	store    *storage.Store
 	cloud    *Cloud
 	sockets  *transport.SocketBudget // or nil
+	dialer   transport.Dialer        // for connections to workers
 	log      *slog.Logger
 	termLost func(term uint64)
-	dialer   transport.Dialer // to workers
-	term     atomic.Pointer[term]
+	term     atomic.Pointer[term] // nil while this process does not lead
 }
 
-// NewDispatcher returns a Dispatcher.
-func NewDispatcher(settings *config.Settings, options config.Options, store *storage.Store, cloud *Cloud, sockets *transport.SocketBudget, log *slog.Logger) *Dispatcher {
-	return &Dispatcher{settings: settings, options: options, store: store, cloud: cloud, sockets: sockets, log: log, termLost: func(uint64) {}}
-}
-
-// WithDialer makes it dial workers another way. It is called before the first use.
-func (d *Dispatcher) WithDialer(dialer transport.Dialer) *Dispatcher {
-	d.dialer = dialer
-	return d
+// NewDispatcher returns a Dispatcher that has no term yet.
+func NewDispatcher(cfg DispatcherConfig) *Dispatcher {
+	return &Dispatcher{
+		settings: cfg.Settings,
+		options:  cfg.Options,
+		store:    cfg.Store,
+		cloud:    cfg.Cloud,
+		sockets:  cfg.Sockets,
+		dialer:   cfg.Dialer,
+		log:      cfg.Log,
+		termLost: func(uint64) {},
+	}
 }
 
-// OnTermLost sets who is told that a term was found to be over.
-func (d *Dispatcher) OnTermLost(f func(term uint64)) { d.termLost = f }
+// OnTermLost sets the function that is called when a term turns out to be over. It must be called
+// before the first term.
+func (d *Dispatcher) OnTermLost(termLost func(term uint64)) { d.termLost = termLost }
 
-// IsLeader tells whether this process leads.
+// IsLeader reports whether this process leads, as far as it knows.
 func (d *Dispatcher) IsLeader() bool { return d.term.Load() != nil }
 
-// Entitled tells whether it is surely the leader at this moment.
+// Entitled reports whether this process is surely the leader at this moment.
 func (d *Dispatcher) Entitled() bool {
 	t := d.term.Load()
 	return t != nil && t.leadership.Entitled()
 }
 
-// Heartbeat hands a report to the term; stayed tells that the worker got a 200 before on its
-// connection. It is answered 503 at once if nobody leads here or the mailbox is full.
-func (d *Dispatcher) Heartbeat(body []byte, stayed bool, reply HeartbeatResponder) {
-	d.enqueue(heartbeatMessage{body: body, reply: reply, sameConnection: stayed})
+// Heartbeat hands a worker's heartbeat to the term. It never blocks: the answer is 503 at once if
+// this process does not lead or the mailbox is full. With sameConnection the heartbeat before on
+// the same connection was answered 200, so that the worker has got that answer.
+func (d *Dispatcher) Heartbeat(body []byte, sameConnection bool, respond HeartbeatResponder) {
+	d.enqueue(heartbeatMessage{body: body, respond: respond, sameConnection: sameConnection})
 }
 
-// RelayedHeartbeat takes a report that came through another controller.
-func (d *Dispatcher) RelayedHeartbeat(ctx context.Context, body []byte, stayed bool) (int, []byte) {
-	type answer struct {
+// RelayedHeartbeat handles a heartbeat that came through another controller, and returns the answer.
+func (d *Dispatcher) RelayedHeartbeat(ctx context.Context, body []byte, sameConnection bool) (int, []byte) {
+	type response struct {
 		status int
 		body   []byte
 	}
-	got := make(chan answer, 1)
-	d.enqueue(heartbeatMessage{body: body, reply: func(status int, body []byte) { got <- answer{status, body} }, relayed: true, sameConnection: stayed})
+	responses := make(chan response, 1)
+	d.enqueue(heartbeatMessage{
+		body:           body,
+		respond:        func(status int, body []byte) { responses <- response{status, body} },
+		relayed:        true,
+		sameConnection: sameConnection,
+	})
 	select {
-	case a := <-got:
-		return a.status, a.body
+	case r := <-responses:
+		return r.status, r.body
 	case <-ctx.Done():
-		return 503, nil
+		return http.StatusServiceUnavailable, nil
 	}
 }
 
 func (d *Dispatcher) enqueue(msg heartbeatMessage) {
 	t := d.term.Load()
 	if t == nil {
-		msg.reply(503, nil)
+		msg.respond(http.StatusServiceUnavailable, nil)
 		return
 	}
-	msg.arrived = time.Now()
+	msg.arrivedAt = time.Now()
 	select {
 	case t.mailbox <- msg:
 	default:
-		msg.reply(503, nil)
+		msg.respond(http.StatusServiceUnavailable, nil)
 	}
 }
 
-// TaskCounts returns a job's counts if this process leads.
+// TaskCounts returns the task counts of a job if this process leads and knows the job.
 func (d *Dispatcher) TaskCounts(ctx context.Context, job string) (peer.TaskCounts, bool) {
 	t := d.term.Load()
 	if t == nil {
@@ -102,89 +126,66 @@
 	ctx, cancel := context.WithTimeout(ctx, limits.TaskCountsTimeout)
 	defer cancel()
 	reply := make(chan scheduler.TaskCounts, 1)
-	c, ok := request(ctx, t, taskCountsMessage{job: job, reply: reply}, reply)
-	return peer.TaskCounts{Done: c.Done, Running: c.Running}, ok && c.Known
+	counts, ok := request(ctx, t, taskCountsMessage{job: job, reply: reply}, reply)
+	return peer.TaskCounts{Done: counts.Done, Running: counts.Running}, ok && counts.Known
 }
 
-// ConfirmCancellation takes the record of a cancelled job from the controller that is about to tell
-// the user. It tells whether we were entitled after the scheduler had taken it: then no other
-// controller was, and whoever leads later reads it in the state service. Our own watch may be
-// silent long after, when the state service refuses us or everybody.
-func (d *Dispatcher) ConfirmCancellation(ctx context.Context, job string, stamp uint64, record []byte) bool {
+// ConfirmCancellation hands the record of a cancelled job to the term, for a controller that is
+// about to confirm the cancellation to the user. It reports whether the term was entitled after its
+// scheduler had processed the record: then no other controller was, and every later leader reads
+// the record in the state service. The term's own watch may not see the record until long after,
+// when the state service refuses this controller or all of them.
+func (d *Dispatcher) ConfirmCancellation(ctx context.Context, job string, version uint64, record []byte) bool {
 	t := d.term.Load()
 	if t == nil {
 		return false
 	}
-	seen, err := t.decodeOpenJob(storage.OpenJobKey(job), record, stamp)
-	if err != nil || !seen.Record.Cancelled {
+	change, err := t.decodeOpenJob(storage.OpenJobKey(job), record, version)
+	if err != nil || !change.Record.Cancelled {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.CancelConfirmTimeout)
 	defer cancel()
 	reply := make(chan bool, 1)
-	known, ok := request(ctx, t, cancellationMessage{change: seen, reply: reply}, reply)
-	return ok && known
+	entitled, ok := request(ctx, t, cancellationMessage{change: change, reply: reply}, reply)
+	return ok && entitled
 }
 
-// Inspect returns how the term stands if this process leads, and why a job waits if one is named.
+// Inspect returns the status of the term if this process leads, and why a job waits if one is named.
 func (d *Dispatcher) Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
 	t := d.term.Load()
 	if t == nil {
 		return nil, false
 	}
 	reply := make(chan scheduler.Snapshot, 1)
-	v, ok := request(ctx, t, inspectMessage{job: job, reply: reply}, reply)
+	snapshot, ok := request(ctx, t, inspectMessage{job: job, reply: reply}, reply)
 	if !ok {
 		return nil, false
 	}
-	r := &peerpb.StatusReply{Leader: d.settings.NodeName, Term: v.Term, Entitled: t.leadership.Entitled(), Recovered: v.Recovered, Explanation: v.Explanation}
-	for _, m := range v.Machines {
-		r.Machines = append(r.Machines, &peerpb.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: m.State,
-			Cpus: m.CPUs, UsedCpus: m.UsedCPUs, Tasks: int64(m.Tasks), HeartbeatAgeS: m.SilentFor.Seconds()})
-	}
-	for _, tv := range v.Teams {
-		r.Teams = append(r.Teams, &peerpb.Team{Name: tv.Name, UsedCpus: tv.UsedCPUs, GuaranteedCpus: tv.GuaranteedCPUs, MaxCpus: tv.MaxCPUs,
-			Jobs: int64(tv.Jobs), AssignedTasks: int64(tv.AssignedTasks), WaitingTasks: int64(tv.WaitingTasks)})
-	}
-	return r, true
+	return t.statusReply(snapshot), true
 }
 
-// RunTerm runs a term until its context ends.
-func (d *Dispatcher) RunTerm(ctx context.Context, m *election.Leadership) {
-	f := &d.settings.Facts
-	shares := limits.DivideSockets(f.Machine.MaxSockets, len(d.settings.Members))
-	t := &term{
-		dispatcher: d, leadership: m,
-		mailbox:   make(chan any, limits.MailboxSize(shares)),
-		startedAt: time.Now(),
-		writes:    make(chan scheduler.WriteRecords),
-
-		workerClients:    map[string]*transport.Client{},
-		maxWorkerClients: shares.MaxMachines,
-		probeSlots:       make(chan struct{}, shares.Probes),
-		log:              d.log.With("term", m.Term),
-	}
-	options := d.options
-	if options.Fleet.MaxMachines == 0 {
-		options.Fleet.MaxMachines = shares.MaxMachines
-	}
-	t.scheduler = scheduler.New(scheduler.Config{
-		Term: m.Term, Teams: f.Teams, Objectives: f.Objectives, Workers: f.Workers, State: f.State,
-		ListLag: limits.Seconds(f.Cloud.ListLagS), CloudRPS: f.Cloud.RPS * limits.CloudRateShare, CoreShare: f.Machine.CoreShare, Options: options,
-	}, 0)
+// RunTerm runs a term until its context ends or its state cannot be loaded before that.
+//
+// It does not wait for the goroutines that execute effects, write records and watch jobs: they may
+// hang in a call, and the elector campaigns for the next term only after RunTerm has returned. They
+// end with the context, and what they may still send is fenced by the term: by the leader's guard
+// on writes, by the fencing token at workers, and by request names that are never used again.
+func (d *Dispatcher) RunTerm(ctx context.Context, leadership *election.Leadership) {
+	t := newTerm(d, leadership)
 	d.term.Store(t)
 	defer d.term.Store(nil)
 	defer t.drain()
-	defer t.closeAllWorkerClients()
+	defer t.workerClients.closeAll()
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ledger, ok := t.load(ctx)
+	revision, ok := t.load(ctx)
 	if !ok {
 		return
 	}
 	w := &writer{term: t}
 	go w.run(ctx)
-	go t.watchOpenJobs(ctx, ledger)
+	go t.watchOpenJobs(ctx, revision)
 	t.run(ctx)
 }
--- /dev/null
+++ b/internal/coordination/leader/effects.go
@@ -0,0 +1,61 @@
+package leader
+
+import (
+	"context"
+	"net/http"
+
+	"quillshunt/internal/coordination/scheduler"
+	"quillshunt/internal/protocol"
+)
+
+// execute carries out one effect. What needs I/O runs in a goroutine of its own that reports its
+// outcome as an event; RunTerm says why nobody waits for these.
+func (t *term) execute(ctx context.Context, effect scheduler.Effect) {
+	switch effect := effect.(type) {
+	case scheduler.HeartbeatReply:
+		t.answerHeartbeat(effect)
+	case scheduler.WriteRecords:
+		t.writes.add(effect)
+	case scheduler.SendDirectCommands:
+		go t.executeDirectCommands(ctx, effect, t.workerClients.get(effect.Address))
+	case scheduler.ProbeMachine:
+		go t.executeProbe(ctx, effect)
+	case scheduler.RentMachines:
+		go t.executeRental(ctx, effect.Request)
+	case scheduler.DeleteMachines:
+		go t.executeDeletion(ctx, effect.Machines)
+	case scheduler.ListMachines:
+		go t.executeMachineList(ctx)
+	case scheduler.FetchMachineTypes:
+		go t.refreshMachineTypes(ctx)
+	case scheduler.TaskCounts:
+		effect.ReplyTo.(chan scheduler.TaskCounts) <- effect
+	case scheduler.SnapshotTaken:
+		effect.ReplyTo.(chan scheduler.Snapshot) <- effect.Snapshot
+	case scheduler.LogEntry:
+		t.logEntry(ctx, effect)
+	}
+}
+
+// answerHeartbeat answers a worker. Its lease is renewed only by a leader that is still entitled.
+func (t *term) answerHeartbeat(reply scheduler.HeartbeatReply) {
+	respond := reply.ReplyTo.(HeartbeatResponder)
+	switch {
+	case reply.Redirect:
+		redirect := protocol.Redirect{Leader: t.dispatcher.settings.NodeName}
+		respond(http.StatusMisdirectedRequest, protocol.Encode(redirect))
+	case !reply.Accepted || !t.leadership.Entitled():
+		respond(http.StatusServiceUnavailable, nil)
+	default:
+		accepted := protocol.HeartbeatReply{FencingToken: t.leadership.Term, Commands: reply.Commands}
+		respond(http.StatusOK, protocol.Encode(accepted))
+	}
+}
+
+// logEntry writes a line of the scheduler's log. The summary line also gets the resource usage.
+func (t *term) logEntry(ctx context.Context, entry scheduler.LogEntry) {
+	if entry.Message == scheduler.SummaryMessage {
+		entry.Args = append(entry.Args, t.resourceUsage()...)
+	}
+	t.log.Log(ctx, entry.Level, entry.Message, entry.Args...)
+}
--- a/internal/coordination/leader/load.go
+++ b/internal/coordination/leader/load.go
@@ -12,89 +12,109 @@
 	"quillshunt/internal/storage"
 )
 
-// load reads what earlier terms left behind: open jobs, their finished tasks, rentals.
-func (t *term) load(ctx context.Context) (uint64, bool) {
-	var back storage.Backoff
+// load hands the scheduler what earlier terms left in the state service, and retries until that
+// has been read. It returns the revision of the open jobs, or false when the context ends first.
+func (t *term) load(ctx context.Context) (revision uint64, ok bool) {
+	var backoff storage.Backoff
 	for {
-		ledger, evs, err := t.readRecords(ctx)
+		revision, events, err := t.readRecords(ctx)
 		if err == nil {
-			for _, e := range evs {
-				t.step(ctx, e)
+			for _, event := range events {
+				t.step(ctx, event)
 			}
 			t.step(ctx, scheduler.StateLoaded{})
-			t.leadership.Observe(ledger)
-			return ledger, true
+			t.leadership.Observe(revision)
+			return revision, true
 		}
 		t.log.Warn("cannot load jobs", "err", err)
-		if !back.Wait(ctx) {
+		if !backoff.Wait(ctx) {
 			return 0, false
 		}
 	}
 }
 
-func (t *term) readRecords(ctx context.Context) (uint64, []scheduler.Event, error) {
-	ledger, evs, err := t.readOpenJobs(ctx)
+// readRecords reads the open jobs, their finished tasks, the rentals and the machine registry, in
+// the order in which the scheduler needs them.
+func (t *term) readRecords(ctx context.Context) (revision uint64, events []scheduler.Event, err error) {
+	store := t.dispatcher.store
+	revision, events, err = t.readOpenJobs(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.dispatcher.store, storage.PrefixFinishedTasks, func(p protocol.KeyValue, f storage.FinishedTasks) {
-		if id, _, ok := storage.ParseFinishedTasksKey(p.Key); ok {
-			evs = append(evs, scheduler.FinishedTasksLoaded{JobID: id, Version: p.Version, Record: f})
+	finishedTasks := func(key string, version uint64, record storage.FinishedTasks) {
+		if id, _, ok := storage.ParseFinishedTasksKey(key); ok {
+			events = append(events, scheduler.FinishedTasksLoaded{JobID: id, Version: version, Record: record})
 		}
-	})
-	if err != nil {
+	}
+	if err := listRecords(ctx, store, storage.PrefixFinishedTasks, finishedTasks); err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.dispatcher.store, storage.PrefixRental, func(p protocol.KeyValue, h storage.Rental) {
-		evs = append(evs, scheduler.RentalLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRental), Version: p.Version, Record: h})
-	})
-	if err != nil {
+	rental := func(key string, version uint64, record storage.Rental) {
+		name := strings.TrimPrefix(key, storage.PrefixRental)
+		events = append(events, scheduler.RentalLoaded{Name: name, Version: version, Record: record})
+	}
+	if err := listRecords(ctx, store, storage.PrefixRental, rental); err != nil {
 		return 0, nil, err
 	}
-	err = listRecords(ctx, t.dispatcher.store, storage.PrefixRegistryPage, func(p protocol.KeyValue, u storage.RegistryPage) {
-		evs = append(evs, scheduler.RegistryPageLoaded{Name: strings.TrimPrefix(p.Key, storage.PrefixRegistryPage), Version: p.Version, Record: u})
-	})
-	return ledger, evs, err
+	registryPage := func(key string, version uint64, record storage.RegistryPage) {
+		name := strings.TrimPrefix(key, storage.PrefixRegistryPage)
+		events = append(events, scheduler.RegistryPageLoaded{Name: name, Version: version, Record: record})
+	}
+	if err := listRecords(ctx, store, storage.PrefixRegistryPage, registryPage); err != nil {
+		return 0, nil, err
+	}
+	return revision, events, nil
 }
 
 // listRecords reads all records of one kind.
-func listRecords[T any](ctx context.Context, store *storage.Store, prefix string, each func(protocol.KeyValue, T)) error {
-	_, err := store.List(ctx, prefix, func(p protocol.KeyValue) error {
-		var rec T
-		if err := protocol.Decode(p.Value, &rec); err != nil {
-			return fmt.Errorf("%s: %w", p.Key, err)
+func listRecords[T any](
+	ctx context.Context, store *storage.Store, prefix string, each func(key string, version uint64, record T),
+) error {
+	_, err := store.List(ctx, prefix, func(kv protocol.KeyValue) error {
+		var record T
+		if err := protocol.Decode(kv.Value, &record); err != nil {
+			return fmt.Errorf("%s: %w", kv.Key, err)
 		}
-		each(p, rec)
+		each(kv.Key, kv.Version, record)
 		return nil
 	})
 	return err
 }
 
-func (t *term) readOpenJobs(ctx context.Context) (uint64, []scheduler.Event, error) {
-	var evs []scheduler.Event
-	ledger, err := t.dispatcher.store.List(ctx, storage.PrefixOpenJob, func(p protocol.KeyValue) error {
-		e, err := t.decodeOpenJob(p.Key, p.Value, p.Version)
+// readOpenJobs reads all open jobs, and the revision from which a watch misses no change.
+func (t *term) readOpenJobs(ctx context.Context) (revision uint64, events []scheduler.Event, err error) {
+	revision, err = t.dispatcher.store.List(ctx, storage.PrefixOpenJob, func(kv protocol.KeyValue) error {
+		change, err := t.decodeOpenJob(kv.Key, kv.Value, kv.Version)
 		if err != nil {
 			return err
 		}
-		evs = append(evs, e)
+		events = append(events, change)
 		return nil
 	})
-	return ledger, evs, err
+	return revision, events, err
 }
 
-func (t *term) decodeOpenJob(path string, data protocol.Raw, stamp uint64) (scheduler.JobChanged, error) {
-	var o storage.OpenJob
-	if err := protocol.Decode(data, &o); err != nil {
-		return scheduler.JobChanged{}, fmt.Errorf("%s: %w", path, err)
+// decodeOpenJob turns the record of an open job into an event.
+func (t *term) decodeOpenJob(key string, data protocol.Raw, version uint64) (scheduler.JobChanged, error) {
+	var record storage.OpenJob
+	if err := protocol.Decode(data, &record); err != nil {
+		return scheduler.JobChanged{}, fmt.Errorf("%s: %w", key, err)
+	}
+	change := scheduler.JobChanged{
+		JobID:           strings.TrimPrefix(key, storage.PrefixOpenJob),
+		Version:         version,
+		Record:          record,
+		SinceSubmission: max(sinceUnixMilli(record.SubmittedAtMs), 0),
 	}
-	e := scheduler.JobChanged{JobID: strings.TrimPrefix(path, storage.PrefixOpenJob), Version: stamp, Record: o, SinceSubmission: max(age(o.SubmittedAtMs), 0)}
-	if o.CancelledAtMs != 0 {
-		// The clock that it was noted by and ours may differ by the bound of both.
-		e.SinceCancellation = max(age(o.CancelledAtMs)+2*limits.Seconds(t.dispatcher.settings.Facts.SkewMs/1000), 0)
+	if record.CancelledAtMs != 0 {
+		// The time was taken from another node's clock. Each of the two clocks may be off by the skew.
+		skew := limits.Seconds(t.dispatcher.settings.Facts.SkewMs / 1000)
+		change.SinceCancellation = max(sinceUnixMilli(record.CancelledAtMs)+2*skew, 0)
 	}
-	return e, nil
+	return change, nil
 }
 
-// age is how long ago a time of day was.
-func age(ms int64) time.Duration { return time.Duration(time.Now().UnixMilli()-ms) * time.Millisecond }
+// sinceUnixMilli is the time since a Unix time in milliseconds; negative if that is yet to come.
+func sinceUnixMilli(ms int64) time.Duration {
+	return time.Duration(time.Now().UnixMilli()-ms) * time.Millisecond
+}
--- a/internal/coordination/leader/machine_types.go
+++ b/internal/coordination/leader/machine_types.go
@@ -3,47 +3,52 @@
 import (
 	"context"
 	"errors"
+	"slices"
 
 	"quillshunt/internal/coordination/scheduler"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
-// refreshMachineTypes reads the machine types, and keeps them in the state service for all nodes.
+// refreshMachineTypes reads the machine types from the cloud and stores them in the state service,
+// from where all controllers read them.
 func (t *term) refreshMachineTypes(ctx context.Context) {
-	list, err := t.dispatcher.cloud.MachineTypes(ctx)
+	types, err := t.dispatcher.cloud.MachineTypes(ctx)
 	if err != nil {
 		t.log.Info("no machine types", "err", err)
-		t.send(ctx, scheduler.MachineTypesFetched{})
+		t.sendEvent(ctx, scheduler.MachineTypesFetched{})
 		return
 	}
-	t.send(ctx, scheduler.MachineTypesFetched{Types: list, OK: true})
-	var back storage.Backoff
+	t.sendEvent(ctx, scheduler.MachineTypesFetched{Types: types, OK: true})
+	var backoff storage.Backoff
 	for {
-		err := t.writeMachineTypes(ctx, list)
+		err := t.writeMachineTypes(ctx, types)
 		if err == nil {
 			return
 		}
-		t.log.Debug("keep machine types", "err", err)
-		if !back.Wait(ctx) {
+		t.log.Debug("machine types not stored", "err", err)
+		if !backoff.Wait(ctx) {
 			return
 		}
 	}
 }
 
-func (t *term) writeMachineTypes(ctx context.Context, list []protocol.MachineType) error {
-	stored, err := t.dispatcher.store.ReadMachineTypes(ctx)
+// writeMachineTypes stores the machine types unless only their prices have changed. If the term is
+// over it reports that and gives up without an error.
+func (t *term) writeMachineTypes(ctx context.Context, types []protocol.MachineType) error {
+	store := t.dispatcher.store
+	stored, err := store.ReadMachineTypes(ctx)
 	if err != nil && !errors.Is(err, storage.ErrNoMachineTypes) {
 		return err
 	}
-	if err == nil && equalExceptPrices(stored.Types, list) {
+	if err == nil && slices.EqualFunc(stored.Types, types, equalExceptPrices) {
 		return nil
 	}
-	for _, txn := range t.dispatcher.store.MachineTypesTransactions(stored, list, t.leadership.Guard()) {
-		_, err = t.dispatcher.store.CompareAndSwap(ctx, txn)
+	for _, txn := range store.MachineTypesTransactions(stored, types, t.leadership.Guard()) {
+		_, err := store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
-			t.dispatcher.termLost(t.leadership.Term)
+			t.reportLost()
 			return nil
 		}
 		if err != nil {
@@ -53,21 +58,9 @@
 	return nil
 }
 
-// equalExceptPrices compares types but for their prices, which move all the time.
-func equalExceptPrices(a, b []protocol.MachineType) bool {
-	if len(a) != len(b) {
-		return false
-	}
-	for i := range a {
-		x, y := a[i], b[i]
-		if x.Name != y.Name || x.CPUs != y.CPUs || x.Accelerators != y.Accelerators || x.MemoryGB != y.MemoryGB || len(x.Zones) != len(y.Zones) {
-			return false
-		}
-		for k := range x.Zones {
-			if x.Zones[k] != y.Zones[k] {
-				return false
-			}
-		}
-	}
-	return true
+// equalExceptPrices reports whether two machine types differ at most in their prices, which change
+// all the time.
+func equalExceptPrices(a, b protocol.MachineType) bool {
+	return a.Name == b.Name && a.CPUs == b.CPUs && a.Accelerators == b.Accelerators &&
+		a.MemoryGB == b.MemoryGB && slices.Equal(a.Zones, b.Zones)
 }
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"time"
 
 	"quillshunt/internal/coordination/scheduler"
@@ -12,55 +13,64 @@
 	"quillshunt/internal/transport"
 )
 
-// executeProbe learns a machine's session and shows it our term; what it answers then is not
-// changed by earlier leaders any more.
-func (t *term) executeProbe(ctx context.Context, p scheduler.ProbeMachine) {
+// executeProbe asks a machine for its tasks and shows it the fencing token of this term. After that
+// earlier leaders cannot change any more what it answered.
+func (t *term) executeProbe(ctx context.Context, probe scheduler.ProbeMachine) {
 	select {
 	case t.probeSlots <- struct{}{}:
 		defer func() { <-t.probeSlots }()
 	case <-ctx.Done():
 		return
 	}
-	if late := t.lastSlowHeartbeatAt.Load(); late != 0 && t.now()-time.Duration(late) < limits.SlowHeartbeatMemory {
-		// Reports wait. They prove as much, and what waits is late for its worker's lease; a probe
-		// can come later.
-		t.send(ctx, scheduler.ProbeDone{Machine: p.Machine, NotSent: true})
+	if t.heartbeatsAreSlow() {
+		// A waiting heartbeat proves as much as a probe, and it may be late for the worker's lease.
+		// The probe can be sent later.
+		t.sendEvent(ctx, scheduler.ProbeDone{Machine: probe.Machine, NotSent: true})
 		return
 	}
-	pctx, cancel := context.WithTimeout(ctx, limits.ProbeTimeout)
+	probeCtx, cancel := context.WithTimeout(ctx, limits.ProbeTimeout)
 	defer cancel()
-	c := transport.NewClient(p.Address, 1, limits.MaxBodyBytes).WithSockets(t.dispatcher.sockets).WithDialer(t.dispatcher.dialer)
-	defer c.Close()
-	began := time.Now()
-	r, err := t.probeWorker(pctx, c)
+	worker := t.dispatcher.newWorkerClient(probe.Address)
+	defer worker.Close()
+	startedAt := time.Now()
+	heartbeat, err := t.probeWorker(probeCtx, worker)
 	if err != nil {
-		t.log.Debug("probe", "machine", p.Machine, "err", err)
-		r = nil
+		t.log.Debug("probe failed", "machine", probe.Machine, "err", err)
 	}
-	t.send(ctx, scheduler.ProbeDone{Machine: p.Machine, Heartbeat: r, Took: time.Since(began), NotSent: errors.Is(err, transport.ErrSocketBudget)})
+	t.sendEvent(ctx, scheduler.ProbeDone{
+		Machine:   probe.Machine,
+		Heartbeat: heartbeat,
+		Took:      time.Since(startedAt),
+		NotSent:   errors.Is(err, transport.ErrSocketBudget),
+	})
 }
 
-func (t *term) probeWorker(ctx context.Context, c *transport.Client) (*protocol.Heartbeat, error) {
-	m, err := c.Do(ctx, "GET", "/status", nil)
+// heartbeatsAreSlow reports whether a heartbeat has waited long in the mailbox a short while ago.
+func (t *term) heartbeatsAreSlow() bool {
+	slowAt := t.lastSlowHeartbeatAt.Load()
+	return slowAt != 0 && t.now()-time.Duration(slowAt) < limits.SlowHeartbeatMemory
+}
+
+// probeWorker asks a worker for its incarnation, sends it an empty list of commands with this term's
+// fencing token, and returns the heartbeat that it answers with. Without an error the heartbeat is
+// not nil.
+func (t *term) probeWorker(ctx context.Context, worker *transport.Client) (*protocol.Heartbeat, error) {
+	answer, err := worker.Do(ctx, http.MethodGet, "/status", nil)
 	if err != nil {
 		return nil, err
 	}
-	var r protocol.Heartbeat
-	if m.Status != 200 {
-		return nil, fmt.Errorf("%w: status: status %d", errWorker, m.Status)
+	if answer.Status != http.StatusOK {
+		return nil, &statusError{service: "worker", request: "status", status: answer.Status}
 	}
-	if err := protocol.Decode(m.Body, &r); err != nil {
-		return nil, fmt.Errorf("%w: status: %w", errWorker, err)
+	var heartbeat protocol.Heartbeat
+	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
+		return nil, fmt.Errorf("worker: status: %w", err)
 	}
 	if !t.leadership.Entitled() {
-		return nil, fmt.Errorf("%w: no longer entitled", errWorker)
-	}
-	status, fresh, err := t.sendDirectCommands(ctx, c, protocol.DirectCommands{FencingToken: t.leadership.Term, Incarnation: r.Incarnation})
-	if err != nil {
-		return nil, err
-	}
-	if status != 200 {
-		return nil, fmt.Errorf("%w: do: status %d", errWorker, status)
+		return nil, fmt.Errorf("worker: %w", errNotEntitled)
 	}
-	return fresh, nil
+	return sendDirectCommands(ctx, worker, protocol.DirectCommands{
+		FencingToken: t.leadership.Term,
+		Incarnation:  heartbeat.Incarnation,
+	})
 }
--- a/internal/coordination/leader/probes_test.go
+++ b/internal/coordination/leader/probes_test.go
@@ -11,20 +11,33 @@
 	"quillshunt/internal/limits"
 )
 
-// TestProbesYieldToHeartbeats: while reports wait in the mailbox, probes do not go out, and that says nothing
-// about their machines.
+// TestProbesYieldToHeartbeats: while heartbeats wait in the mailbox, probes are not sent, and that
+// says nothing about their machines.
 func TestProbesYieldToHeartbeats(t *testing.T) {
-	term := &term{dispatcher: &Dispatcher{}, leadership: election.NewLeadership(1, 1, time.Now().Add(time.Hour)), mailbox: make(chan any, 1), probeSlots: make(chan struct{}, 1),
-		startedAt: time.Now().Add(-time.Minute), log: slog.New(slog.DiscardHandler)}
-	for _, busy := range []bool{true, false} {
-		if busy {
-			term.lastSlowHeartbeatAt.Store(int64(term.now()))
-		} else {
-			term.lastSlowHeartbeatAt.Store(int64(term.now() - 2*limits.SlowHeartbeatMemory))
-		}
-		term.executeProbe(context.Background(), scheduler.ProbeMachine{Machine: "m-1", Address: "127.0.0.1:1"}) // refused, if it is asked
-		if done := (<-term.mailbox).(scheduler.ProbeDone); done.NotSent != busy || done.Machine != "m-1" {
-			t.Errorf("busy %v: %+v", busy, done)
-		}
+	actor := &term{
+		dispatcher: &Dispatcher{},
+		leadership: election.NewLeadership(1, 1, time.Now().Add(time.Hour)),
+		mailbox:    make(chan message, 1),
+		probeSlots: make(chan struct{}, 1),
+		startedAt:  time.Now().Add(-time.Minute),
+		log:        slog.New(slog.DiscardHandler),
+	}
+	for _, c := range []struct {
+		name              string
+		sinceSlow         time.Duration
+		heartbeatsAreSlow bool
+	}{
+		{"heartbeats wait", 0, true},
+		{"heartbeats waited long ago", 2 * limits.SlowHeartbeatMemory, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			actor.lastSlowHeartbeatAt.Store(int64(actor.now() - c.sinceSlow))
+			// Nothing listens at the address: a probe that is sent is refused.
+			actor.executeProbe(context.Background(), scheduler.ProbeMachine{Machine: "m-1", Address: "127.0.0.1:1"})
+			done := (<-actor.mailbox).(eventMessage).event.(scheduler.ProbeDone)
+			if done.NotSent != c.heartbeatsAreSlow || done.Machine != "m-1" {
+				t.Errorf("probe done: %+v", done)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/coordination/leader/same_record.go
@@ -0,0 +1,40 @@
+package leader
+
+import (
+	"reflect"
+
+	"quillshunt/internal/protocol"
+)
+
+// sameRecord reports whether two encoded records mean the same: the state service may encode numbers
+// in another form.
+func sameRecord(a, b protocol.Raw) bool {
+	var x, y any
+	if protocol.Decode(a, &x) != nil || protocol.Decode(b, &y) != nil {
+		return false
+	}
+	return reflect.DeepEqual(normalizeNumbers(x), normalizeNumbers(y))
+}
+
+// normalizeNumbers turns all whole numbers of a decoded value into floating-point ones.
+func normalizeNumbers(v any) any {
+	switch v := v.(type) {
+	case uint64:
+		return float64(v)
+	case int64:
+		return float64(v)
+	case []any:
+		out := make([]any, len(v))
+		for i := range v {
+			out[i] = normalizeNumbers(v[i])
+		}
+		return out
+	case map[any]any:
+		out := make(map[any]any, len(v))
+		for k, e := range v {
+			out[k] = normalizeNumbers(e)
+		}
+		return out
+	}
+	return v
+}
--- /dev/null
+++ b/internal/coordination/leader/status.go
@@ -0,0 +1,30 @@
+package leader
+
+import (
+	"quillshunt/internal/coordination/peer/peerpb"
+	"quillshunt/internal/coordination/scheduler"
+)
+
+// statusReply turns a snapshot into the answer for operators.
+func (t *term) statusReply(snapshot scheduler.Snapshot) *peerpb.StatusReply {
+	reply := &peerpb.StatusReply{
+		Leader:      t.dispatcher.settings.NodeName,
+		Term:        snapshot.Term,
+		Entitled:    t.leadership.Entitled(),
+		Recovered:   snapshot.Recovered,
+		Explanation: snapshot.Explanation,
+	}
+	for _, m := range snapshot.Machines {
+		reply.Machines = append(reply.Machines, &peerpb.Machine{
+			Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: m.State,
+			Cpus: m.CPUs, UsedCpus: m.UsedCPUs, Tasks: int64(m.Tasks), HeartbeatAgeS: m.SilentFor.Seconds(),
+		})
+	}
+	for _, team := range snapshot.Teams {
+		reply.Teams = append(reply.Teams, &peerpb.Team{
+			Name: team.Name, UsedCpus: team.UsedCPUs, GuaranteedCpus: team.GuaranteedCPUs, MaxCpus: team.MaxCPUs,
+			Jobs: int64(team.Jobs), AssignedTasks: int64(team.AssignedTasks), WaitingTasks: int64(team.WaitingTasks),
+		})
+	}
+	return reply
+}
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"log/slog"
+	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -13,152 +14,153 @@
 	"quillshunt/internal/transport"
 )
 
-// term is one term's actor.
+// term is the actor of one term. What run and the methods it calls use is owned by the actor's
+// goroutine, but for the fields that say otherwise.
 type term struct {
-	dispatcher          *Dispatcher
-	leadership          *election.Leadership
-	mailbox             chan any
-	startedAt           time.Time
-	scheduler           *scheduler.Scheduler
-	writes              chan scheduler.WriteRecords
-	log                 *slog.Logger
-	urgentWrites        []scheduler.WriteRecords
-	bulkWrites          []scheduler.WriteRecords     // those that can wait for all others
-	workerClients       map[string]*transport.Client // by address
-	maxWorkerClients    int                          // most of these
-	probeSlots          chan struct{}                // probes under way; a take-over asks all machines at once
-	longestWait         time.Duration                // longest wait of a report in the mailbox since the last summary
-	lastSlowHeartbeatAt atomic.Int64                 // when a report was last taken that had waited for longer than BusyWait, in nanoseconds of the term
+	dispatcher *Dispatcher          // immutable here
+	leadership *election.Leadership // safe for concurrent use
+	startedAt  time.Time            // immutable
+	log        *slog.Logger         // safe for concurrent use
+
+	mailbox       chan message
+	scheduler     *scheduler.Scheduler
+	writes        writeQueue
+	writer        chan scheduler.WriteRecords // to the writer's goroutine
+	workerClients workerClientPool
+	probeSlots    chan struct{} // bounds the probes in flight: a failover probes all machines at once
+
+	longestWait time.Duration // longest wait of a heartbeat in the mailbox since the last summary
+	// lastSlowHeartbeatAt is when a heartbeat was last handled that had waited for longer than
+	// SlowHeartbeatWait, in nanoseconds since the term began. Probes read it too.
+	lastSlowHeartbeatAt atomic.Int64
 	lastCounters        resourceCounters
 }
 
-// drain answers what is left in the mailbox.
-func (t *term) drain() {
-	for {
-		select {
-		case msg := <-t.mailbox:
-			if r, ok := msg.(heartbeatMessage); ok {
-				r.reply(503, nil)
-			}
-		default:
-			return
-		}
+// newTerm returns the actor of a term that begins now.
+func newTerm(d *Dispatcher, leadership *election.Leadership) *term {
+	facts := &d.settings.Facts
+	shares := limits.DivideSockets(facts.Machine.MaxSockets, len(d.settings.Members))
+	options := d.options
+	if options.Fleet.MaxMachines == 0 {
+		options.Fleet.MaxMachines = shares.MaxMachines
+	}
+	return &term{
+		dispatcher: d,
+		leadership: leadership,
+		startedAt:  time.Now(),
+		log:        d.log.With("term", leadership.Term),
+		mailbox:    make(chan message, limits.MailboxSize(shares)),
+		writer:     make(chan scheduler.WriteRecords),
+		probeSlots: make(chan struct{}, shares.Probes),
+		workerClients: workerClientPool{
+			newClient:  d.newWorkerClient,
+			byAddress:  map[string]*transport.Client{},
+			maxClients: shares.MaxMachines,
+		},
+		scheduler: scheduler.New(scheduler.Config{
+			Term:       leadership.Term,
+			Teams:      facts.Teams,
+			Objectives: facts.Objectives,
+			Workers:    facts.Workers,
+			State:      facts.State,
+			ListLag:    limits.Seconds(facts.Cloud.ListLagS),
+			CloudRPS:   facts.Cloud.RPS * limits.CloudRateShare,
+			CoreShare:  facts.Machine.CoreShare,
+			Options:    options,
+		}, 0),
 	}
 }
 
+// now is the time since the term began, which is the scheduler's clock.
 func (t *term) now() time.Duration { return time.Since(t.startedAt) }
 
-// send leaves a message for the actor; it waits while the mailbox is full.
-func (t *term) send(ctx context.Context, msg any) {
-	select {
-	case t.mailbox <- msg:
-	case <-ctx.Done():
-	}
-}
+// reportLost tells the elector that the term is over: a later leader has been seen.
+func (t *term) reportLost() { t.dispatcher.termLost(t.leadership.Term) }
 
 // run is the actor's loop.
 func (t *term) run(ctx context.Context) {
 	tick := time.NewTicker(limits.TickInterval)
 	defer tick.Stop()
 	for {
-		var writes chan scheduler.WriteRecords
-		var next scheduler.WriteRecords
-		queue := &t.urgentWrites
-		if len(t.urgentWrites) == 0 {
-			queue = &t.bulkWrites
-		}
-		if len(*queue) > 0 {
-			writes, next = t.writes, (*queue)[0]
+		var writer chan scheduler.WriteRecords // nil, which is never ready, while nothing is to be written
+		next, waiting := t.writes.first()
+		if waiting {
+			writer = t.writer
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case writes <- next:
-			*queue = (*queue)[1:]
+		case writer <- next:
+			t.writes.removeFirst()
 		case <-tick.C:
-			t.releaseSockets()
+			t.workerClients.close(t.dispatcher.sockets.Excess())
 			t.step(ctx, scheduler.Tick{Entitled: t.leadership.Entitled()})
 		case msg := <-t.mailbox:
-			switch msg := msg.(type) {
-			case heartbeatMessage:
-				t.handleHeartbeat(ctx, msg)
-			case taskCountsMessage:
-				t.step(ctx, scheduler.TaskCountsRequested{ID: msg.job, ReplyTo: msg.reply})
-			case cancellationMessage:
-				t.step(ctx, msg.change)
-				msg.reply <- t.leadership.Entitled()
-			case observedRevisionMessage:
-				t.leadership.Observe(uint64(msg))
-			case inspectMessage:
-				t.step(ctx, scheduler.SnapshotRequested{Job: msg.job, ReplyTo: msg.reply})
-			case scheduler.Event:
-				t.step(ctx, msg)
-			}
+			t.handle(ctx, msg)
 		}
 	}
 }
 
-// handleHeartbeat takes a worker's report.
+// handle processes one message.
+func (t *term) handle(ctx context.Context, msg message) {
+	switch msg := msg.(type) {
+	case heartbeatMessage:
+		t.handleHeartbeat(ctx, msg)
+	case eventMessage:
+		t.step(ctx, msg.event)
+	case observedRevisionMessage:
+		t.leadership.Observe(msg.revision)
+	case taskCountsMessage:
+		t.step(ctx, scheduler.TaskCountsRequested{ID: msg.job, ReplyTo: msg.reply})
+	case cancellationMessage:
+		t.step(ctx, msg.change)
+		msg.reply <- t.leadership.Entitled()
+	case inspectMessage:
+		t.step(ctx, scheduler.SnapshotRequested{Job: msg.job, ReplyTo: msg.reply})
+	}
+}
+
+// handleHeartbeat decodes a worker's heartbeat and hands it to the scheduler.
 func (t *term) handleHeartbeat(ctx context.Context, msg heartbeatMessage) {
-	wait := time.Since(msg.arrived)
+	wait := time.Since(msg.arrivedAt)
 	t.longestWait = max(t.longestWait, wait)
 	if wait > limits.SlowHeartbeatWait {
 		t.lastSlowHeartbeatAt.Store(int64(t.now()))
 	}
-	var r protocol.Heartbeat
-	if err := protocol.Decode(msg.body, &r); err != nil || !r.Valid() {
-		msg.reply(400, nil)
+	var heartbeat protocol.Heartbeat
+	if err := protocol.Decode(msg.body, &heartbeat); err != nil || !heartbeat.Valid() {
+		msg.respond(http.StatusBadRequest, nil)
 		return
 	}
-	if r.FencingToken > t.leadership.Term {
-		t.dispatcher.termLost(t.leadership.Term) // the worker has seen a later leader
+	if heartbeat.FencingToken > t.leadership.Term {
+		t.reportLost() // the worker has seen a later leader
 	}
-	entitled := wait < limits.HeartbeatAnswerTimeout && t.leadership.Entitled()
-	t.step(ctx, scheduler.HeartbeatReceived{Heartbeat: &r, ReplyTo: msg.reply, Entitled: entitled, Relayed: msg.relayed, SameConnection: msg.sameConnection})
+	t.step(ctx, scheduler.HeartbeatReceived{
+		Heartbeat:      &heartbeat,
+		ReplyTo:        msg.respond,
+		Entitled:       wait < limits.HeartbeatAnswerTimeout && t.leadership.Entitled(),
+		Relayed:        msg.relayed,
+		SameConnection: msg.sameConnection,
+	})
 }
 
-// step takes an event through the scheduler and carries out the effects.
-func (t *term) step(ctx context.Context, e scheduler.Event) {
-	for _, eff := range t.scheduler.Step(e, t.now()) {
-		switch eff := eff.(type) {
-		case scheduler.HeartbeatReply:
-			reply := eff.ReplyTo.(HeartbeatResponder)
-			if eff.Redirect {
-				reply(421, protocol.Encode(protocol.Redirect{Leader: t.dispatcher.settings.NodeName}))
-				continue
-			}
-			if !eff.Accepted || !t.leadership.Entitled() {
-				reply(503, nil)
-				continue
-			}
-			reply(200, protocol.Encode(protocol.HeartbeatReply{FencingToken: t.leadership.Term, Commands: eff.Commands}))
-		case scheduler.WriteRecords:
-			if eff.Bulk {
-				t.bulkWrites = append(t.bulkWrites, eff)
-			} else {
-				t.urgentWrites = append(t.urgentWrites, eff)
-			}
-		case scheduler.SendDirectCommands:
-			go t.executeDirectCommands(ctx, eff, t.workerClient(eff.Address))
-		case scheduler.ProbeMachine:
-			go t.executeProbe(ctx, eff)
-		case scheduler.RentMachines:
-			go t.executeRental(ctx, eff.Request)
-		case scheduler.DeleteMachines:
-			go t.executeDeletion(ctx, eff.Machines)
-		case scheduler.ListMachines:
-			go t.listMachines(ctx)
-		case scheduler.FetchMachineTypes:
-			go t.refreshMachineTypes(ctx)
-		case scheduler.TaskCounts:
-			eff.ReplyTo.(chan scheduler.TaskCounts) <- eff
-		case scheduler.SnapshotTaken:
-			eff.ReplyTo.(chan scheduler.Snapshot) <- eff.Snapshot
-		case scheduler.LogEntry:
-			if eff.Message == scheduler.SummaryMessage {
-				eff.Args = append(eff.Args, t.resourceUsage()...)
+// step hands an event to the scheduler and executes the effects.
+func (t *term) step(ctx context.Context, event scheduler.Event) {
+	for _, effect := range t.scheduler.Step(event, t.now()) {
+		t.execute(ctx, effect)
+	}
+}
+
+// drain answers the heartbeats that are left in the mailbox.
+func (t *term) drain() {
+	for {
+		select {
+		case msg := <-t.mailbox:
+			if heartbeat, ok := msg.(heartbeatMessage); ok {
+				heartbeat.respond(http.StatusServiceUnavailable, nil)
 			}
-			t.log.Log(ctx, eff.Level, eff.Message, eff.Args...)
+		default:
+			return
 		}
 	}
 }
--- a/internal/coordination/leader/watch.go
+++ b/internal/coordination/leader/watch.go
@@ -6,48 +6,63 @@
 	"strings"
 
 	"quillshunt/internal/coordination/scheduler"
+	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
-// watchOpenJobs follows the open jobs.
-func (t *term) watchOpenJobs(ctx context.Context, since uint64) {
-	var back storage.Backoff
+// watchOpenJobs sends the actor every change of the open jobs after a revision, until the context
+// ends.
+func (t *term) watchOpenJobs(ctx context.Context, revision uint64) {
+	var backoff storage.Backoff
 	for ctx.Err() == nil {
-		r, err := t.dispatcher.store.Watch(ctx, storage.PrefixOpenJob, since)
+		reply, err := t.dispatcher.store.Watch(ctx, storage.PrefixOpenJob, revision)
 		switch {
-		case errors.Is(err, storage.ErrCompacted):
-			ledger, evs, rerr := t.readOpenJobs(ctx)
-			if rerr != nil {
-				back.Wait(ctx)
-				continue
-			}
-			for _, e := range evs {
-				t.send(ctx, e)
-			}
-			since = ledger
-			t.send(ctx, observedRevisionMessage(since))
-			continue
-		case err != nil:
-			t.log.Debug("watch", "err", err)
-			if !back.Wait(ctx) {
-				return
+		case err == nil:
+			backoff.Reset()
+			for _, change := range reply.Changes {
+				t.sendJobChange(ctx, change)
 			}
-			continue
-		}
-		back.Reset()
-		for _, c := range r.Changes {
-			if c.Delete != "" {
-				t.send(ctx, scheduler.JobRemoved{JobID: strings.TrimPrefix(c.Delete, storage.PrefixOpenJob), Version: c.Version})
-				continue
-			}
-			e, err := t.decodeOpenJob(c.Put, c.Value, c.Version)
+			revision = max(revision, reply.Revision)
+			t.send(ctx, observedRevisionMessage{revision})
+		case errors.Is(err, storage.ErrCompacted):
+			current, err := t.resendOpenJobs(ctx)
 			if err != nil {
-				t.log.Error("bad job record", "err", err)
+				backoff.Wait(ctx)
 				continue
 			}
-			t.send(ctx, e)
+			revision = current
+		default:
+			t.log.Debug("watch failed", "err", err)
+			backoff.Wait(ctx)
 		}
-		since = max(since, r.Revision)
-		t.send(ctx, observedRevisionMessage(since))
 	}
 }
+
+// sendJobChange sends the actor one change of an open job.
+func (t *term) sendJobChange(ctx context.Context, change protocol.Change) {
+	if change.Delete != "" {
+		id := strings.TrimPrefix(change.Delete, storage.PrefixOpenJob)
+		t.sendEvent(ctx, scheduler.JobRemoved{JobID: id, Version: change.Version})
+		return
+	}
+	event, err := t.decodeOpenJob(change.Put, change.Value, change.Version)
+	if err != nil {
+		t.log.Error("bad job record", "err", err)
+		return
+	}
+	t.sendEvent(ctx, event)
+}
+
+// resendOpenJobs reads all open jobs and sends them to the actor, for when changes since the last
+// revision are no longer kept. It returns the revision from which the watch continues.
+func (t *term) resendOpenJobs(ctx context.Context) (uint64, error) {
+	revision, events, err := t.readOpenJobs(ctx)
+	if err != nil {
+		return 0, err
+	}
+	for _, event := range events {
+		t.sendEvent(ctx, event)
+	}
+	t.send(ctx, observedRevisionMessage{revision})
+	return revision, nil
+}
--- a/internal/coordination/leader/worker_clients.go
+++ b/internal/coordination/leader/worker_clients.go
@@ -7,33 +7,43 @@
 	"quillshunt/internal/transport"
 )
 
-// workerClient returns the client of a worker's address.
-func (t *term) workerClient(addr string) *transport.Client {
-	c := t.workerClients[addr]
-	if c == nil {
-		if len(t.workerClients) >= t.maxWorkerClients {
-			t.closeWorkerClients(1)
+// workerClientPool keeps a client, with its connection, for each worker that direct commands are
+// sent to. It is owned by the term's actor; the clients are safe for concurrent use.
+type workerClientPool struct {
+	newClient  func(address string) *transport.Client
+	byAddress  map[string]*transport.Client
+	maxClients int
+}
+
+// newWorkerClient returns a client of a worker that keeps one connection.
+func (d *Dispatcher) newWorkerClient(address string) *transport.Client {
+	return transport.NewClient(address, 1, limits.MaxBodyBytes).WithSockets(d.sockets).WithDialer(d.dialer)
+}
+
+// get returns the client of a worker's address.
+func (p *workerClientPool) get(address string) *transport.Client {
+	client := p.byAddress[address]
+	if client == nil {
+		if len(p.byAddress) >= p.maxClients {
+			p.close(1)
 		}
-		c = transport.NewClient(addr, 1, limits.MaxBodyBytes).WithSockets(t.dispatcher.sockets).WithDialer(t.dispatcher.dialer)
-		t.workerClients[addr] = c
+		client = p.newClient(address)
+		p.byAddress[address] = client
 	}
-	return c
+	return client
 }
 
-// releaseSockets gives up connections to workers where what comes in needs the sockets.
-func (t *term) releaseSockets() { t.closeWorkerClients(t.dispatcher.sockets.Excess()) }
-
-// closeWorkerClients drops at least n kept connections to workers, any ones; a connection is cheap
-// to make again.
-func (t *term) closeWorkerClients(n int) {
-	for addr, c := range t.workerClients {
+// close drops clients in any order until at least n kept connections are closed; a client without
+// one counts as well. Connections are cheap to make again.
+func (p *workerClientPool) close(n int) {
+	for address, client := range p.byAddress {
 		if n <= 0 {
 			return
 		}
-		n -= max(c.Close(), 1)
-		delete(t.workerClients, addr)
+		n -= max(client.Close(), 1)
+		delete(p.byAddress, address)
 	}
 }
 
-// closeAllWorkerClients drops the kept connections to workers.
-func (t *term) closeAllWorkerClients() { t.closeWorkerClients(math.MaxInt) }
+// closeAll drops all clients.
+func (p *workerClientPool) closeAll() { p.close(math.MaxInt) }
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"reflect"
 
 	"quillshunt/internal/coordination/scheduler"
 	"quillshunt/internal/limits"
@@ -11,173 +10,166 @@
 	"quillshunt/internal/storage"
 )
 
-// writer carries out the term's writes, several in one transaction, each under the leader's guard.
-// A write without a clear outcome is repeated as it was until there is one.
+// writer executes the writes of a term, several in one transaction, each under the leader's guard. A
+// write without a known outcome is repeated unchanged until the outcome is known.
 type writer struct{ term *term }
 
+// run executes writes until the context ends or the term is found to be over.
 func (w *writer) run(ctx context.Context) {
-	var held *scheduler.WriteRecords
+	var leftOver *scheduler.WriteRecords // received, but too large for the batch before
 	for {
-		var batch []scheduler.WriteRecords
-		ops, guards := 0, 1
-		if held != nil {
-			batch, ops, guards, held = append(batch, *held), len(held.Operations), 1+len(held.Conditions), nil
-		} else {
+		if leftOver == nil {
 			select {
 			case <-ctx.Done():
 				return
-			case o := <-w.term.writes:
-				batch, ops, guards = append(batch, o), len(o.Operations), 1+len(o.Conditions)
-			}
-		}
-		most := w.term.dispatcher.store.Settings().TxnOps
-	fill:
-		for ops < most {
-			select {
-			case o := <-w.term.writes:
-				if ops+len(o.Operations) > most || guards+len(o.Conditions) > most*limits.ConditionsPerOperation {
-					held = &o
-					break fill
-				}
-				batch, ops, guards = append(batch, o), ops+len(o.Operations), guards+len(o.Conditions)
-			default:
-				break fill
+			case write := <-w.term.writer:
+				leftOver = &write
 			}
 		}
+		var batch []scheduler.WriteRecords
+		batch, leftOver = w.collectBatch(*leftOver)
 		if !w.execute(ctx, batch) {
 			return
 		}
 	}
 }
 
-// execute writes a batch; it returns false when the term is over.
-func (w *writer) execute(ctx context.Context, batch []scheduler.WriteRecords) bool {
-	var back storage.Backoff
-	txn := protocol.Transaction{Conditions: []protocol.Condition{w.term.leadership.Guard()}}
-	for _, o := range batch {
-		txn.Conditions = append(txn.Conditions, o.Conditions...)
-		txn.Operations = append(txn.Operations, o.Operations...)
+// collectBatch adds writes that wait already to the first one, within what the state service accepts
+// in one transaction. It also returns the write that was received but did not fit, or nil.
+func (w *writer) collectBatch(
+	first scheduler.WriteRecords,
+) (batch []scheduler.WriteRecords, leftOver *scheduler.WriteRecords) {
+	maxOperations := w.term.dispatcher.store.Settings().TxnOps
+	maxConditions := maxOperations * limits.ConditionsPerOperation
+	batch = append(batch, first)
+	operations := len(first.Operations)
+	conditions := 1 + len(first.Conditions) // with the leader's guard
+	for operations < maxOperations {
+		select {
+		case write := <-w.term.writer:
+			operations += len(write.Operations)
+			conditions += len(write.Conditions)
+			if operations > maxOperations || conditions > maxConditions {
+				return batch, &write
+			}
+			batch = append(batch, write)
+		default:
+			return batch, nil
+		}
 	}
+	return batch, nil
+}
+
+// execute writes a batch in one transaction, or one by one if that fails for a part of it. It
+// returns false when the context or the term is over.
+func (w *writer) execute(ctx context.Context, batch []scheduler.WriteRecords) bool {
+	var backoff storage.Backoff
+	txn := w.transaction(batch)
 	for {
-		rev, err := w.term.dispatcher.store.CompareAndSwap(ctx, txn)
+		revision, err := w.term.dispatcher.store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		switch {
 		case err == nil:
-			for _, o := range batch {
-				w.term.send(ctx, scheduler.WriteCompleted{ID: o.ID, OK: true, Version: rev})
+			for _, write := range batch {
+				w.term.sendEvent(ctx, scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision})
 			}
 			return true
 		case errors.As(err, &conflict):
 			if conflict.Has(storage.KeyLeader) {
-				w.term.dispatcher.termLost(w.term.leadership.Term)
+				w.term.reportLost()
 				return false
 			}
 			if len(batch) > 1 {
-				for _, o := range batch {
-					if !w.execute(ctx, []scheduler.WriteRecords{o}) {
-						return false
-					}
-				}
-				return true
+				return w.executeEach(ctx, batch)
 			}
-			// Perhaps an earlier try of this same write, whose answer was lost, was carried out.
-			ok, rev, verr := w.alreadyApplied(ctx, batch[0])
-			if verr == nil {
-				w.term.send(ctx, scheduler.WriteCompleted{ID: batch[0].ID, OK: ok, Version: rev})
+			// An earlier try of this same write may have been executed although its answer was lost.
+			var completed scheduler.WriteCompleted
+			if completed, err = w.outcomeOf(ctx, batch[0]); err == nil {
+				w.term.sendEvent(ctx, completed)
 				return true
 			}
-			err = verr
 		case errors.Is(err, storage.ErrBadRequest):
 			w.term.log.Error("write rejected", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
-			if len(batch) == 1 {
-				w.term.send(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
-				return true
-			}
-			for _, o := range batch {
-				if !w.execute(ctx, []scheduler.WriteRecords{o}) {
-					return false
-				}
+			if len(batch) > 1 {
+				return w.executeEach(ctx, batch)
 			}
+			w.term.sendEvent(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
 			return true
 		}
 		w.logRetry(err, txn)
-		if !back.Wait(ctx) {
+		if !backoff.Wait(ctx) {
+			return false
+		}
+	}
+}
+
+// transaction joins the writes of a batch under the leader's guard.
+func (w *writer) transaction(batch []scheduler.WriteRecords) protocol.Transaction {
+	txn := protocol.Transaction{Conditions: []protocol.Condition{w.term.leadership.Guard()}}
+	for _, write := range batch {
+		txn.Conditions = append(txn.Conditions, write.Conditions...)
+		txn.Operations = append(txn.Operations, write.Operations...)
+	}
+	return txn
+}
+
+// executeEach writes the parts of a batch one by one.
+func (w *writer) executeEach(ctx context.Context, batch []scheduler.WriteRecords) bool {
+	for _, write := range batch {
+		if !w.execute(ctx, []scheduler.WriteRecords{write}) {
 			return false
 		}
 	}
+	return true
 }
 
-// logRetry notes that a transaction is tried again. That the rate is used up is worth knowing, as
-// ours should keep to it.
+// logRetry logs that a transaction is tried again. That the rate is exceeded gets a higher level, as
+// the writer should keep within it.
 func (w *writer) logRetry(err error, txn protocol.Transaction) {
 	if errors.Is(err, storage.ErrRateLimited) {
 		w.term.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
 		return
 	}
-	w.term.log.Debug("write", "err", err, "key", firstKey(txn))
+	w.term.log.Debug("write failed", "err", err, "key", firstKey(txn))
 }
 
-// firstKey names a transaction in the log.
+// firstKey identifies a transaction in the log.
 func firstKey(txn protocol.Transaction) string {
 	if len(txn.Operations) == 0 {
 		return ""
 	}
-	return txn.Operations[0].Put + txn.Operations[0].Delete
+	return operationKey(txn.Operations[0])
 }
 
-// alreadyApplied tells whether the state service already shows what a write was to bring about.
-func (w *writer) alreadyApplied(ctx context.Context, o scheduler.WriteRecords) (bool, uint64, error) {
-	var rev uint64
-	for _, op := range o.Operations {
-		key := op.Put
-		if key == "" {
-			key = op.Delete
-		}
-		p, err := w.term.dispatcher.store.Get(ctx, key)
-		if err != nil {
-			return false, 0, err
-		}
-		if op.Delete != "" {
-			if p.Version != 0 {
-				return false, 0, nil
-			}
-			continue
-		}
-		if p.Version == 0 || !sameRecord(p.Value, op.Value) {
-			return false, 0, nil
-		}
-		rev = max(rev, p.Version)
+// operationKey is the key that an operation writes or deletes.
+func operationKey(op protocol.Operation) string {
+	if op.Put != "" {
+		return op.Put
 	}
-	return true, rev, nil
+	return op.Delete
 }
 
-// sameRecord compares two values by meaning, as the service may write numbers in another form.
-func sameRecord(a, b protocol.Raw) bool {
-	var x, y any
-	if protocol.Decode(a, &x) != nil || protocol.Decode(b, &y) != nil {
-		return false
+// outcomeOf reads back the records of a write whose conditions failed: it is completed if the state
+// service shows already what it was to bring about.
+func (w *writer) outcomeOf(ctx context.Context, write scheduler.WriteRecords) (scheduler.WriteCompleted, error) {
+	var revision uint64
+	for _, op := range write.Operations {
+		stored, err := w.term.dispatcher.store.Get(ctx, operationKey(op))
+		if err != nil {
+			return scheduler.WriteCompleted{}, err
+		}
+		if !alreadyApplied(op, stored) {
+			return scheduler.WriteCompleted{ID: write.ID}, nil
+		}
+		revision = max(revision, stored.Version)
 	}
-	return reflect.DeepEqual(normalizeNumbers(x), normalizeNumbers(y))
+	return scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision}, nil
 }
 
-func normalizeNumbers(v any) any {
-	switch v := v.(type) {
-	case uint64:
-		return float64(v)
-	case int64:
-		return float64(v)
-	case []any:
-		out := make([]any, len(v))
-		for i := range v {
-			out[i] = normalizeNumbers(v[i])
-		}
-		return out
-	case map[any]any:
-		out := make(map[any]any, len(v))
-		for k, e := range v {
-			out[k] = normalizeNumbers(e)
-		}
-		return out
+// alreadyApplied reports whether a stored record is what an operation was to bring about.
+func alreadyApplied(op protocol.Operation, stored protocol.KeyValue) bool {
+	if op.Delete != "" {
+		return stored.Version == 0
 	}
-	return v
+	return stored.Version != 0 && sameRecord(stored.Value, op.Value)
 }
