--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -42,16 +42,23 @@
 		Dialer:   dialer,
 		Log:      log,
 	})
-	elector := election.New(s.NodeName, store, time.Duration(options.Leadership.LeaderLease), limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)), dispatcher.RunTerm, log)
-	dispatcher.OnTermLost(elector.TermLost)
 	peers, err := peer.Dial(s.Members, dialer)
 	if err != nil {
 		return nil, err
 	}
-	elector.Peers = peers
+	elector := election.New(election.Options{
+		Node:          s.NodeName,
+		Store:         store,
+		Peers:         peers,
+		LeaseDuration: time.Duration(options.Leadership.LeaderLease),
+		VoteLease:     limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)),
+		Lead:          dispatcher.RunTerm,
+		Log:           log,
+	})
+	dispatcher.OnTermLost(elector.TermLost)
 	front := &gateway.Gateway{Node: s.NodeName, Store: store.ForUsers(), Dispatcher: dispatcher, Peers: peers, Leader: elector.Leader, Settings: s, UserSlots: shares.UserSlots, Log: log}
 	return &Controller{
-		Clients: &transport.Server{
+		Clients: transport.NewServer(transport.ServerOptions{
 			Addr:        s.ClientListen,
 			MaxConns:    shares.Inbound,
 			MaxMachines: shares.MachineConns,
@@ -59,7 +66,7 @@
 			Sockets:     sockets,
 			Handle:      front.Handle,
 			Log:         log,
-		},
+		}),
 		Peers:    peer.NewServer(dispatcher, elector, peers),
 		settings: s,
 		leader:   dispatcher,
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
@@ -58,7 +59,7 @@
 	if pressing {
 		return p.machines
 	}
-	return p.withFreeRoom
+	return p.withFreeResources
 }
 
 // collectCandidates are the machines that pass the filters for a task of the job, with their scores.
@@ -76,7 +77,7 @@
 // evaluateMachine filters and scores one machine, as it would stand with the seats that the gang at
 // hand has there already; nil if there are none.
 func (s *Scheduler) evaluateMachine(j *job, m *machine, pressing bool, planned *plannedView) (c candidate, ok bool) {
-	free, tasks := planned.freeRoom(m), len(m.assignments)+len(m.endedTasks)
+	free, tasks := planned.freeResources(m), len(m.assignments)+len(m.endedTasks)
 	if planned != nil {
 		tasks += planned.tasks
 	}
@@ -126,9 +127,14 @@
 	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, kind)
 }
 
+// taskDemand returns what a task of a job needs.
+func taskDemand(spec *protocol.Spec) resource.Vector {
+	return resource.Vector{CPUs: spec.CPUs, Accelerators: spec.Accelerators, MemoryGB: spec.MemoryGB}
+}
+
 // fitsSomeType tells whether some allowed type can hold a task of the job.
 func fitsSomeType(spec *protocol.Spec, types []protocol.MachineType) bool {
-	need := resources{spec.CPUs, spec.Accelerators, spec.MemoryGB}
+	demand := taskDemand(spec)
 	for i := range types {
 		t := &types[i]
 		ok := typeAllowed(spec, t.Name)
@@ -139,7 +145,7 @@
 			}
 			ok = ok && in
 		}
-		if ok && typeResources(t).Fits(need) {
+		if ok && typeResources(t).Fits(demand) {
 			return true
 		}
 	}
