--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -23,10 +23,10 @@
 // HeartbeatResponder answers a worker's heartbeat: 200 with a body, or another status.
 type HeartbeatResponder func(status int, body []byte)
 
-// DispatcherConfig is what a Dispatcher needs.
-type DispatcherConfig struct {
+// DispatcherOptions are the settings and collaborators of a Dispatcher.
+type DispatcherOptions struct {
 	Settings *config.Settings
-	Options  config.Options
+	Options  config.Options // of the operators
 	Store    *storage.Store
 	Cloud    *Cloud
 	Sockets  *transport.SocketBudget // nil: unlimited
@@ -49,15 +49,15 @@
 }
 
 // NewDispatcher returns a Dispatcher that has no term yet.
-func NewDispatcher(cfg DispatcherConfig) *Dispatcher {
+func NewDispatcher(o DispatcherOptions) *Dispatcher {
 	return &Dispatcher{
-		settings: cfg.Settings,
-		options:  cfg.Options,
-		store:    cfg.Store,
-		cloud:    cfg.Cloud,
-		sockets:  cfg.Sockets,
-		dialer:   cfg.Dialer,
-		log:      cfg.Log,
+		settings: o.Settings,
+		options:  o.Options,
+		store:    o.Store,
+		cloud:    o.Cloud,
+		sockets:  o.Sockets,
+		dialer:   o.Dialer,
+		log:      o.Log,
 		termLost: func(uint64) {},
 	}
 }
