--- a/internal/coordination/scheduler/inventory.go
+++ b/internal/coordination/scheduler/inventory.go
@@ -51,15 +51,17 @@
 
 func (i *machineInventory) add(name string) *machine {
 	m := &machine{
-		name:            name,
-		createdAt:       i.now,
-		leaseRenewedAt:  i.termStartedAt,
-		idleSince:       i.now,
-		lastHeartbeatAt: -never / 2,
-		assignments:     map[string]*assignment{},
-		endedTasks:      map[attemptKey]endedTask{},
-		cachedImages:    map[string]time.Duration{},
-		failedJobs:      map[string]bool{},
+		name:                name,
+		machineReachability: machineReachability{lastHeartbeatAt: -never / 2},
+		leaseState:          leaseState{leaseRenewedAt: i.termStartedAt},
+		machineLoad: machineLoad{
+			assignments:  map[string]*assignment{},
+			endedTasks:   map[attemptKey]endedTask{},
+			cachedImages: map[string]time.Duration{},
+			idleSince:    i.now,
+		},
+		machineLifecycle: machineLifecycle{createdAt: i.now},
+		machineHealth:    machineHealth{failedJobs: map[string]bool{}},
 	}
 	i.byName[name] = m
 	at, _ := slices.BinarySearchFunc(i.sorted, name, compareToName)
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -8,66 +8,105 @@
 	"quillshunt/internal/protocol"
 )
 
+// machine is what the scheduler knows of one machine and the worker on it. Its fields are grouped by
+// concern.
 type machine struct {
 	name, address, typeName, zone string
 	spot                          bool
-	machineType                   *protocol.MachineType
+	machineType                   *protocol.MachineType // nil if the catalog does not have it
 
+	machineReachability
+	leaseState
+	machineCommands
+	machineLoad
+	machineLifecycle
+	machineHealth
+	planMarks
+}
+
+// machineReachability is what a worker has shown us in our term, and which way its messages come.
+type machineReachability struct {
 	hasReported       bool // we have its task list in our term
 	fenced            bool // its worker has seen our term, so no earlier leader can add tasks
 	incarnation       uint64
-	sequence          uint64             // of the newest task list, from a report or a direct command
-	heartbeatSequence uint64             // sequence number of the newest report
-	lastCommands      []protocol.Command // what the newest report was answered with
-	verified          bool               // a round trip was seen since there was last reason to doubt it: answers reach the machine
-	unverifiedSince   time.Duration      // since when it is not verified
-	reportsDirectly   bool               // has reported to us itself in our term
-	relayed           bool               // its last report came through another controller
-	relayedSince      time.Duration      // when that began
-	redirected        bool               // was told once to come itself
-	missedProbes      int                // probes that it did not answer in our term
-	directID          uint64             // a direct command that is not answered yet
-	noDirectUntil     time.Duration      // no direct commands before this
-	endedIncarnation  uint64             // sessions up to this one are surely over
-	lastHeartbeatAt   time.Duration      // arrival of the last report
-	leaseRenewedAt    time.Duration      // the session is over WaitOut(lease) after this, if we answer no more
-	spotNotice        bool
-	spotNoticeEnds    time.Duration
-
-	assignments map[string]*assignment
-	endedTasks  map[attemptKey]endedTask
-	allocated   resource.Vector
-	// releasing is the part of used that tasks take that were told to stop.
-	releasing    resource.Vector
-	cachedImages map[string]time.Duration
-
-	rental              string
-	registration        registration
-	registryPage        *registryPage // that names it
-	nextProbeAt         time.Duration // when to ask the machine directly, after a take-over
-	createdAt           time.Duration
-	firstReportAt       time.Duration
-	listed              bool
-	missingLists        int // lists in a row that lack it
-	idleSince           time.Duration
+	sequence          uint64        // of the newest task list, from a heartbeat or a direct command
+	heartbeatSequence uint64        // of the newest heartbeat
+	lastHeartbeatAt   time.Duration // arrival of that
+	firstReportAt     time.Duration
+
+	verified        bool          // a round trip was seen since the last sign that answers may not arrive
+	unverifiedSince time.Duration // since when it is not verified
+	missedProbes    int           // probes that it did not answer in our term
+	nextProbeAt     time.Duration // no probe before this
+
+	reportsDirectly bool          // has sent a heartbeat to us itself in our term
+	relayed         bool          // its last heartbeat came through another controller
+	relayedSince    time.Duration // when that began
+	redirected      bool          // was told once to send its heartbeats here itself
+}
+
+// leaseState is the time for which a worker may go on with its tasks without hearing from us.
+type leaseState struct {
+	leaseRenewedAt   time.Duration // the last answer that may have renewed it
+	endedIncarnation uint64        // incarnations up to this one are surely over
+}
+
+// machineCommands is what the worker was told and has to be told.
+type machineCommands struct {
+	lastCommands   []protocol.Command // answer to the newest heartbeat
+	dispatchQueued bool               // has commands that did not go out yet
+	directID       uint64             // a direct command that is not answered yet, or 0
+	noDirectUntil  time.Duration      // no direct commands before this
+}
+
+// machineLoad is what is on the machine, or on its way to it.
+type machineLoad struct {
+	assignments  map[string]*assignment // by the task's name
+	endedTasks   map[attemptKey]endedTask
+	allocated    resource.Vector          // of all assignments
+	releasing    resource.Vector          // the part of allocated whose tasks were told to stop
+	cachedImages map[string]time.Duration // when each was last seen
+	idleSince    time.Duration            // when the last assignment ended
+}
+
+// machineLifecycle is the way of a machine from its rental to its deletion.
+type machineLifecycle struct {
+	rental       string // name of the rental that accounts for it; "" if there is none yet
+	registration registration
+	registryPage *registryPage // that names it
+	createdAt    time.Duration
+
+	listed       bool // was in the cloud's list
+	missingLists int  // lists in a row that lack it since
+
+	spotNotice     bool // the cloud takes it back soon
+	spotNoticeEnds time.Duration
+
+	deleting          bool
+	deleteReason      string
+	deleteRequestedAt time.Duration
+}
+
+// machineHealth is how the machine's tasks went.
+type machineHealth struct {
+	consecutiveFailures int
+	failedJobs          map[string]bool // jobs that failed in these
+	speedSum            float64         // of run times, relative to those of the same job elsewhere
+	speedCount          int
+	usefulCPUSeconds    float64 // of tasks that completed
+	wastedCPUSeconds    float64 // of tasks that did not
+	fetchCPUSeconds     float64 // of waiting for images
+}
+
+// planMarks is what the placement pass and the capacity plan intend for the machine.
+type planMarks struct {
 	reservedFor         *job // in this pass; see reserve
 	wasReserved         bool // in the pass before
 	neededByPlan        bool // the last plan counts on it
-	reservedForGangs    bool // kept for gangs; see keepGangRoom
-	wasReservedForGangs bool // by the plan before
 	neededByGang        bool // the last plan counts on it for a gang that waits
+	reservedForGangs    bool // see reserveForGangs
+	wasReservedForGangs bool // by the plan before
 	draining            bool // to be emptied and returned, unless work comes
-	dispatchQueued      bool // has orders that did not go out yet
-	deleting            bool
-	deleteRequestedAt   time.Duration
-	deleteReason        string
-	consecutiveFailures int
-	failedJobs          map[string]bool
-	usefulCPUSeconds    float64 // CPU seconds of tasks that completed here, and of those that did not, and of waiting for images
-	wastedCPUSeconds    float64
-	fetchCPUSeconds     float64
-	speedSum            float64
-	speedCount          int
 }
 
 // typeResources is what a machine of a type has.
