--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -19,6 +19,12 @@
 	stateSaving
 )
 
+// Reasons for which tasks are told to stop that code looks at.
+const (
+	stopReasonCancelled     = "cancelled"
+	stopReasonDoneElsewhere = "done elsewhere"
+)
+
 // assignment ties a task to a session of a machine.
 type assignment struct {
 	job              *job
@@ -34,7 +40,7 @@
 	assignedAt       time.Duration // when it was bound
 	runningSince     time.Duration // when it was first seen running
 	stopping         bool
-	stopReason       string
+	stopReason       string // one of the stopReason constants, or another text for the log
 
 	committed     bool // of a gang: room for all its tasks is confirmed, so the start may go out
 	withoutSaving bool // to be ended without saving
@@ -59,7 +65,7 @@
 	j.assignments[index] = a
 	j.lastAssignedAt = s.now
 	s.markGangChanged(j.gang)
-	s.queueDispatch(m)
+	s.dispatcher.enqueue(m)
 	setBit(j.assignedBits, index)
 	m.assignments[a.taskName] = a
 	m.allocated = m.allocated.Plus(j.demand)
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -7,14 +7,16 @@
 	"quillshunt/internal/protocol"
 )
 
-// commandDispatcher sends commands to workers without waiting for their heartbeats.
+// commandDispatcher sends commands to workers directly, without waiting for their heartbeats. At most
+// limits.MaxDirectCommands are in flight: a worker answers in milliseconds, so more than that means
+// that this controller is behind, and then the rest goes out in the answers to the next heartbeats.
 type commandDispatcher struct {
 	*environment
-	sequence  uint64     // of direct commands
-	inFlight  int        // direct commands that are not answered yet
-	queue     []*machine // with commands that did not go out yet
-	deferred  int        // of queue, how many were held back by earlier calls
-	gangQueue []*machine // that have to be told of a gang's stop
+	lastID   uint64     // of direct commands
+	inFlight int        // direct commands that are not answered yet
+	waiting  []*machine // with commands that did not go out yet
+	deferred int        // of waiting, how many were held back by earlier calls
+	urgent   []*machine // that have to be told of a gang's stop
 }
 
 // newCommandDispatcher returns a dispatcher without commands.
@@ -22,7 +24,102 @@
 	return &commandDispatcher{environment: env}
 }
 
-// directCommandsDone takes the answer to a direct command.
+// enqueue notes that a machine has commands that did not go out yet.
+func (d *commandDispatcher) enqueue(m *machine) {
+	if !m.dispatchQueued {
+		m.dispatchQueued = true
+		d.waiting = append(d.waiting, m)
+	}
+}
+
+// enqueueUrgent notes that a machine has to be told of a gang's stop.
+func (d *commandDispatcher) enqueueUrgent(m *machine) { d.urgent = append(d.urgent, m) }
+
+// nextID returns the ID that the next direct command gets.
+func (d *commandDispatcher) nextID() uint64 { return d.lastID + 1 }
+
+// takeID returns an ID that no other direct command has.
+func (d *commandDispatcher) takeID() uint64 {
+	d.lastID++
+	return d.lastID
+}
+
+// canSend reports whether a machine takes a direct command now.
+func (d *commandDispatcher) canSend(m *machine) bool {
+	known := m.address != "" && m.hasReported && m.fenced && m.hasLiveIncarnation()
+	fresh := d.now >= m.noDirectUntil && !d.isStale(m)
+	return known && fresh && m.directID == 0 && !m.relayed && !m.deleting
+}
+
+// send sends commands to a machine that can take them.
+func (d *commandDispatcher) send(m *machine, commands []protocol.Command) {
+	m.directID = d.takeID()
+	d.inFlight++
+	d.emit(SendDirectCommands{
+		ID:          m.directID,
+		Machine:     m.name,
+		Address:     m.address,
+		Incarnation: m.incarnation,
+		Commands:    commands,
+	})
+}
+
+// sendCorrections sends commands about tasks that should not be on a machine; if it is not possible
+// now, its next heartbeat brings them up again.
+func (d *commandDispatcher) sendCorrections(m *machine, commands []protocol.Command) {
+	if len(commands) > 0 && d.canSend(m) {
+		d.send(m, commands)
+	}
+}
+
+// sendUrgent sends the stops of gangs ahead of all else, however many commands are in flight: a gang
+// of which one task is told too late loses the work of all. A machine that takes no direct command
+// now is told in the answer to its next heartbeat, or once the command in flight is answered.
+func (d *commandDispatcher) sendUrgent(build func(*machine) []protocol.Command) {
+	urgent := d.urgent
+	d.urgent = nil
+	for _, m := range urgent {
+		if m.hasUnsentGangStop() && d.canSend(m) {
+			d.send(m, build(m))
+		}
+	}
+}
+
+// sendWaiting sends what the machines that wait have to be told, those first that have waited for
+// longest.
+func (d *commandDispatcher) sendWaiting(build func(*machine) []protocol.Command) {
+	if len(d.waiting) == 0 || d.inFlight >= limits.MaxDirectCommands {
+		return
+	}
+	waiting := d.waiting
+	slices.SortFunc(waiting[d.deferred:], byName)
+	d.waiting, d.deferred = nil, 0
+	for i, m := range waiting {
+		if d.inFlight >= limits.MaxDirectCommands {
+			d.waiting = waiting[i:]
+			d.deferred = len(d.waiting)
+			return
+		}
+		if !m.dispatchQueued {
+			continue // the answer to a heartbeat has brought them
+		}
+		m.dispatchQueued = false
+		if !d.canSend(m) {
+			continue
+		}
+		if commands := build(m); len(commands) > 0 {
+			d.send(m, commands)
+		}
+	}
+}
+
+// dispatch sends the starts and stops of the machines that have just been decided on.
+func (s *Scheduler) dispatch() {
+	s.dispatcher.sendUrgent(s.buildDirectCommands)
+	s.dispatcher.sendWaiting(s.buildDirectCommands)
+}
+
+// directCommandsDone handles the answer to a direct command, or its absence.
 func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
 	s.dispatcher.inFlight--
 	m := s.inventory.find(e.Machine)
@@ -30,7 +127,15 @@
 		return
 	}
 	m.directID = 0
-	defer s.queueGangDispatch(m)
+	s.reconcileDirectCommands(m, e)
+	if m.hasUnsentGangCommand() { // came up while this command was in flight
+		s.dispatcher.enqueue(m)
+		s.dispatcher.enqueueUrgent(m)
+	}
+}
+
+// reconcileDirectCommands learns from the outcome of a direct command what became of its starts.
+func (s *Scheduler) reconcileDirectCommands(m *machine, e DirectCommandsDone) {
 	heartbeat := e.Heartbeat
 	switch {
 	case e.NotExecuted:
@@ -42,112 +147,29 @@
 			}
 		}
 	case heartbeat == nil:
-		// It may be carried out at any time while the session and the term last. The next answers
-		// to reports repeat the starts, which is harmless, and the tasks stay bound until they show
-		// up or the session ends.
+		// It may be carried out at any time while the incarnation and the term last. The next
+		// answers to heartbeats repeat the starts, which is harmless, and the tasks stay assigned
+		// until they show up or the incarnation ends.
 		m.noDirectUntil = s.now + limits.DirectCommandBackoff
 		m.markStartsUnconfirmed(e.ID)
 	case heartbeat.Machine != e.Machine || !heartbeat.Valid():
+		// It proves nothing.
 	case m.isOutdated(heartbeat, m.sequence):
-		// A later message was here first and has told what became of the tasks, but for one that it
-		// was too early for.
+		// A later message was here first and has shown what became of the tasks, except of one that
+		// it was too early for.
 		m.markStartsUnconfirmed(e.ID)
 	default:
 		s.observeIncarnation(m, heartbeat)
 		s.setVerified(m, true)
-		s.sendCorrections(m, s.reconcileTasks(m, heartbeat, e.ID))
-	}
-}
-
-// queueGangDispatch sends the commands of gangs that came up while another direct command was on
-// its way.
-func (s *Scheduler) queueGangDispatch(m *machine) {
-	if !m.hasUnsentGangCommand() {
-		return
+		s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, e.ID))
 	}
-	s.queueDispatch(m)
-	s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, m)
 }
 
-// markStartsUnconfirmed notes that we cannot tell whether the starts of a direct command have arrived.
-func (m *machine) markStartsUnconfirmed(id uint64) {
+// markStartsUnconfirmed notes that it is unknown whether the starts of a direct command have arrived.
+func (m *machine) markStartsUnconfirmed(directID uint64) {
 	for _, a := range m.assignments {
-		if a.directID == id {
+		if a.directID == directID {
 			a.directID, a.startUnconfirmed = 0, true
 		}
 	}
 }
-
-// sendCorrections sends orders about tasks that should not be on a machine; if it is not possible
-// now, its next report brings them up again.
-func (s *Scheduler) sendCorrections(m *machine, commands []protocol.Command) {
-	if len(commands) > 0 && s.canSendDirectly(m) {
-		s.sendDirectly(m, commands)
-	}
-}
-
-func (s *Scheduler) canSendDirectly(m *machine) bool {
-	reachable := m.address != "" && m.hasReported && m.fenced && m.incarnation > m.endedIncarnation
-	fresh := s.now >= m.noDirectUntil && !s.isStale(m)
-	return reachable && fresh && m.directID == 0 && !m.relayed && !m.deleting
-}
-
-func (s *Scheduler) sendDirectly(m *machine, commands []protocol.Command) {
-	s.dispatcher.sequence++
-	m.directID = s.dispatcher.sequence
-	s.dispatcher.inFlight++
-	s.emit(SendDirectCommands{ID: m.directID, Machine: m.name, Address: m.address, Incarnation: m.incarnation, Commands: commands})
-}
-
-// queueDispatch notes that a machine has orders that did not go out yet.
-func (s *Scheduler) queueDispatch(m *machine) {
-	if !m.dispatchQueued {
-		m.dispatchQueued = true
-		s.dispatcher.queue = append(s.dispatcher.queue, m)
-	}
-}
-
-// dispatch sends starts and stops directly to machines that have just been decided on. Only so many
-// commands are on their way at once: a worker answers in milliseconds, so more than that means that
-// this controller is behind, and then what is left over goes out in the answers to the next
-// reports.
-func (s *Scheduler) dispatch() {
-	s.dispatchGangStops()
-	if len(s.dispatcher.queue) == 0 || s.dispatcher.inFlight >= limits.MaxDirectCommands {
-		return
-	}
-	queued := s.dispatcher.queue
-	slices.SortFunc(queued[s.dispatcher.deferred:], byName)
-	s.dispatcher.queue, s.dispatcher.deferred = nil, 0
-	for i, m := range queued {
-		if s.dispatcher.inFlight >= limits.MaxDirectCommands {
-			s.dispatcher.queue = queued[i:]
-			s.dispatcher.deferred = len(s.dispatcher.queue)
-			return
-		}
-		if !m.dispatchQueued {
-			continue
-		}
-		m.dispatchQueued = false
-		if !s.canSendDirectly(m) {
-			continue
-		}
-		if commands := s.buildCommands(m, 0, nil); len(commands) > 0 {
-			s.sendDirectly(m, commands)
-		}
-	}
-}
-
-// dispatchGangStops sends the stops of gangs ahead of all else, however many commands are on their
-// way: a gang of which one task is told too late loses the work of all. A machine that takes no
-// direct command now is told in the answer to its next report, or once the command that is on its
-// way is answered.
-func (s *Scheduler) dispatchGangStops() {
-	queued := s.dispatcher.gangQueue
-	s.dispatcher.gangQueue = nil
-	for _, m := range queued {
-		if m.hasUnsentGangStop() && s.canSendDirectly(m) {
-			s.sendDirectly(m, s.buildCommands(m, 0, nil))
-		}
-	}
-}
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -12,7 +12,7 @@
 // isSchedulable tells whether a machine may get tasks at all.
 func (s *Scheduler) isSchedulable(m *machine) bool {
 	return m.verified && m.machineType != nil && m.rental != "" && !m.spotNotice && !m.deleting && !m.isFaulty() &&
-		m.incarnation > m.endedIncarnation && !s.isStale(m)
+		m.hasLiveIncarnation() && !s.isStale(m)
 }
 
 // passesHardFilters are the filters that no stopping of tasks can change.
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -281,7 +281,7 @@
 		}
 		for _, b := range waiting {
 			b.committed = true
-			s.queueDispatch(b.machine)
+			s.dispatcher.enqueue(b.machine)
 		}
 		if len(waiting) > 0 && g.state == gangPlaced {
 			g.state = gangGathering
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -341,7 +341,7 @@
 	gang := s.jobs.find("job-3")
 	gang.demand.CPUs = 4
 	s.assign(gang, 0, m, 21, stateUnsent).committed = true
-	starts := commandsOf([]Effect{HeartbeatReply{Commands: s.buildCommands(m, 1, nil)}}, protocol.CommandStart)
+	starts := commandsOf([]Effect{HeartbeatReply{Commands: s.buildCommands(m, inHeartbeatReply, nil)}}, protocol.CommandStart)
 	if len(starts) != 1 || starts[0].Task != "job-3/0" {
 		t.Errorf("starts: %+v", starts)
 	}
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -62,7 +62,7 @@
 		s.probeMachine(m)
 	}
 	s.decide()
-	commands = s.buildCommands(m, heartbeat.Sequence, commands)
+	commands = s.buildCommands(m, inHeartbeatReply, commands)
 	m.dispatchQueued, m.lastCommands = false, commands
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
 }
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -44,7 +44,7 @@
 			s.release(b)
 			continue
 		}
-		s.stopAssignment(b, "cancelled")
+		s.stopAssignment(b, stopReasonCancelled)
 	}
 }
 
@@ -53,9 +53,9 @@
 		return
 	}
 	b.stopping, b.stopReason = true, why
-	s.queueDispatch(b.machine)
+	s.dispatcher.enqueue(b.machine)
 	if b.job.gang != nil {
-		s.dispatcher.gangQueue = append(s.dispatcher.gangQueue, b.machine)
+		s.dispatcher.enqueueUrgent(b.machine)
 	}
 	b.machine.releasing = b.machine.releasing.Plus(b.job.demand)
 	s.logInfo("stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -115,6 +115,5 @@
 	s.setVerified(m, true)
 	// Like a direct command's answer it says nothing of starts that went out another way and may
 	// still arrive.
-	s.dispatcher.sequence++
-	s.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.sequence))
+	s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.takeID()))
 }
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -75,6 +75,9 @@
 	return m.hasReported && (heartbeat.Incarnation < m.incarnation || (heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= newest)) || heartbeat.Incarnation <= m.endedIncarnation
 }
 
+// hasLiveIncarnation reports whether the worker's incarnation that we know may still run tasks.
+func (m *machine) hasLiveIncarnation() bool { return m.incarnation > m.endedIncarnation }
+
 // expireLeases frees the tasks of sessions that are surely over.
 func (s *Scheduler) expireLeases() {
 	for _, m := range s.inventory.all() {
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -79,7 +79,7 @@
 		if other.state == stateUnsent {
 			s.release(other)
 		} else {
-			s.stopAssignment(other, "done elsewhere")
+			s.stopAssignment(other, stopReasonDoneElsewhere)
 		}
 	}
 	s.tryCloseJob(j)
@@ -203,7 +203,7 @@
 		s.markGangChanged(a.job.gang)
 	}
 	if a.job.cancelled {
-		s.stopAssignment(a, "cancelled")
+		s.stopAssignment(a, stopReasonCancelled)
 	}
 }
 
@@ -240,7 +240,7 @@
 		s.logInfo("gang's task ended", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name, "reason", status.Reason)
 	case protocol.ReasonStopped:
 		m.wastedCPUSeconds += ran * j.demand.CPUs
-		if a.stopping && a.stopReason != "cancelled" {
+		if a.stopping && a.stopReason != stopReasonCancelled {
 			j.stopCounts[index]++
 		}
 	case protocol.ReasonUnknownTask:
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -113,7 +113,7 @@
 		if m := s.inventory.find(entry.Machine); m != nil && m.registration == registering {
 			m.registration = registered
 			s.gangs.capacityChanged = true
-			s.queueDispatch(m)
+			s.dispatcher.enqueue(m)
 		}
 	}
 	s.writeRegistryPages()
