--- /dev/null
+++ b/internal/standin/connection.go
@@ -0,0 +1,207 @@
+package standin
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"time"
+)
+
+// packet is what one write sends.
+type packet struct {
+	deliverAt time.Time
+	data      []byte // nil: the sender has closed
+}
+
+// conn is one end of a connection; it implements net.Conn. What is sent to it lies in its queue until
+// its time has come and the link is open.
+type conn struct {
+	network       *Network
+	local, remote string
+	peer          *conn
+	wakeUp        chan struct{} // holds a token when something has changed
+
+	mu         sync.Mutex
+	queue      []packet
+	unread     []byte // of the packet that was delivered last
+	peerClosed bool
+	closed     bool
+	wasReset   bool
+	packetLost bool // one to the other side; what comes after it is of no use there
+	deadline   time.Time
+}
+
+// newConnPair returns both ends of a connection.
+func newConnPair(n *Network, clientHost, serverHost string) (client, server *conn) {
+	client = &conn{network: n, local: clientHost, remote: serverHost, wakeUp: make(chan struct{}, 1)}
+	server = &conn{network: n, local: serverHost, remote: clientHost, wakeUp: make(chan struct{}, 1)}
+	client.peer, server.peer = server, client
+	return client, server
+}
+
+// notify wakes a reader that waits.
+func (c *conn) notify() {
+	select {
+	case c.wakeUp <- struct{}{}:
+	default:
+	}
+}
+
+// reset breaks the connection at this end.
+func (c *conn) reset() {
+	c.mu.Lock()
+	c.wasReset = true
+	c.mu.Unlock()
+	c.notify()
+}
+
+// Read waits for data that has arrived, the end of the connection, or the deadline.
+func (c *conn) Read(b []byte) (int, error) {
+	for {
+		link, changed := c.network.link(c.remote, c.local)
+		n, retryAt, err := c.tryRead(b, link)
+		if n > 0 || err != nil {
+			return n, err
+		}
+		c.wait(retryAt, changed)
+	}
+}
+
+// tryRead reads what is there now. If there is nothing, it returns when to look again even if nothing
+// changes; the zero time: never.
+func (c *conn) tryRead(b []byte, link LinkState) (n int, retryAt time.Time, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for {
+		if len(c.unread) > 0 {
+			n = copy(b, c.unread)
+			c.unread = c.unread[n:]
+			return n, time.Time{}, nil
+		}
+		now := time.Now()
+		if err := c.readError(now); err != nil {
+			return 0, time.Time{}, err
+		}
+		retryAt = c.deadline
+		if link != Open || len(c.queue) == 0 {
+			return 0, retryAt, nil
+		}
+		next := c.queue[0]
+		if next.deliverAt.After(now) {
+			if retryAt.IsZero() || next.deliverAt.Before(retryAt) {
+				retryAt = next.deliverAt
+			}
+			return 0, retryAt, nil
+		}
+		c.queue = c.queue[1:]
+		c.unread, c.peerClosed = next.data, next.data == nil
+	}
+}
+
+// readError returns why nothing more can be read, if so. The caller holds mu.
+func (c *conn) readError(now time.Time) error {
+	switch {
+	case c.closed:
+		return net.ErrClosed
+	case c.wasReset:
+		return fmt.Errorf("%w: connection reset", io.ErrUnexpectedEOF)
+	case c.pastDeadline(now):
+		return os.ErrDeadlineExceeded
+	case c.peerClosed:
+		return io.EOF
+	}
+	return nil
+}
+
+// pastDeadline reports whether the deadline has passed. The caller holds mu.
+func (c *conn) pastDeadline(now time.Time) bool {
+	return !c.deadline.IsZero() && !now.Before(c.deadline)
+}
+
+// wait waits until this end is notified, a link changes, or a time has come, if there is one.
+func (c *conn) wait(until time.Time, linkChanged <-chan struct{}) {
+	var timeout <-chan time.Time
+	if !until.IsZero() {
+		timer := time.NewTimer(time.Until(until))
+		defer timer.Stop()
+		timeout = timer.C
+	}
+	select {
+	case <-c.wakeUp:
+	case <-linkChanged:
+	case <-timeout:
+	}
+}
+
+// send queues a packet at the other end. Once a link has dropped one, later ones are dropped too.
+func (c *conn) send(data []byte) {
+	link, _ := c.network.link(c.local, c.remote)
+	c.mu.Lock()
+	c.packetLost = c.packetLost || link == Drop
+	lost := c.packetLost
+	c.mu.Unlock()
+	if lost {
+		return
+	}
+	deliverAt := c.network.arrivalTime(c.local, c.remote)
+	peer := c.peer
+	peer.mu.Lock()
+	peer.queue = append(peer.queue, packet{deliverAt: deliverAt, data: data})
+	peer.mu.Unlock()
+	peer.notify()
+}
+
+// Write sends data. It never blocks.
+func (c *conn) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	closed, wasReset, late := c.closed, c.wasReset, c.pastDeadline(time.Now())
+	c.mu.Unlock()
+	switch {
+	case closed:
+		return 0, net.ErrClosed
+	case wasReset:
+		return 0, io.ErrClosedPipe
+	case late:
+		return 0, os.ErrDeadlineExceeded
+	}
+	c.send(append([]byte{}, b...))
+	return len(b), nil
+}
+
+// Close closes this end; the other one reads what was sent before.
+func (c *conn) Close() error {
+	c.mu.Lock()
+	alreadyClosed := c.closed
+	c.closed = true
+	c.mu.Unlock()
+	if alreadyClosed {
+		return nil
+	}
+	c.send(nil)
+	c.notify()
+	c.network.removeConn(c)
+	return nil
+}
+
+// SetDeadline sets the deadline of reads and writes.
+func (c *conn) SetDeadline(deadline time.Time) error {
+	c.mu.Lock()
+	c.deadline = deadline
+	c.mu.Unlock()
+	c.notify()
+	return nil
+}
+
+// SetReadDeadline sets the deadline of reads, and of writes, which never wait.
+func (c *conn) SetReadDeadline(deadline time.Time) error { return c.SetDeadline(deadline) }
+
+// SetWriteDeadline does nothing, as writes never wait.
+func (c *conn) SetWriteDeadline(time.Time) error { return nil }
+
+// LocalAddr returns the host of this end.
+func (c *conn) LocalAddr() net.Addr { return address(c.local) }
+
+// RemoteAddr returns the host of the other end.
+func (c *conn) RemoteAddr() net.Addr { return address(c.remote) }
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -3,10 +3,7 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io"
 	"net"
-	"os"
 	"strings"
 	"sync"
 	"time"
@@ -22,158 +19,199 @@
 	Open LinkState = iota
 	// Refuse refuses connections and resets open ones.
 	Refuse
-	// Delay keeps packets back and delivers them in order once it is over, also of connections given
-	// up meanwhile. A connection attempt hangs.
+	// Delay keeps packets and delivers them in order once the link is open again, also those of
+	// connections given up meanwhile. A connection attempt hangs.
 	Delay
-	// Drop drops packets for good.
+	// Drop loses packets for good.
 	Drop
 )
 
-var errRefused = errors.New("connection refused")
+// acceptBacklog is how many connections wait to be accepted at most.
+const acceptBacklog = 64
 
-// Network is a network in memory, whose links can be cut one by one and in one direction. Addresses
-// are host:port.
+var errConnectionRefused = errors.New("connection refused")
+
+// direction names a link by the hosts at its ends.
+type direction struct{ from, to string }
+
+// Network is a network in memory whose links can be cut one by one and in one direction. Addresses
+// are host:port. It is safe for concurrent use.
 type Network struct {
 	mu           sync.Mutex
 	latency      time.Duration
-	extraLatency map[string]time.Duration // what it takes longer from or to a host
-	listeners    map[string]*listener
-	links        map[[2]string]LinkState
+	extraLatency map[string]time.Duration // of packets from or to a host
+	listeners    map[string]*listener     // by address
+	links        map[direction]LinkState  // those that are not open
 	conns        map[*conn]bool
-	changed      chan struct{} // closed at the next change of a cut
+	changed      chan struct{} // closed when the state of a link changes next
 }
 
-// NewNetwork returns a Network without cuts.
+// NewNetwork returns a network whose links are all open.
 func NewNetwork(latency time.Duration) *Network {
-	return &Network{latency: latency, listeners: map[string]*listener{}, links: map[[2]string]LinkState{}, extraLatency: map[string]time.Duration{}, conns: map[*conn]bool{}, changed: make(chan struct{})}
-}
-
-func host(addr string) string {
-	h, _, _ := strings.Cut(addr, ":")
-	return h
+	return &Network{
+		latency:      latency,
+		extraLatency: map[string]time.Duration{},
+		listeners:    map[string]*listener{},
+		links:        map[direction]LinkState{},
+		conns:        map[*conn]bool{},
+		changed:      make(chan struct{}),
+	}
 }
 
-// SetLink cuts the way from one host to another, or opens it.
-func (n *Network) SetLink(from, to string, cut LinkState) {
+// SetLink sets the state of the link from one host to another.
+func (n *Network) SetLink(from, to string, state LinkState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if cut == Open {
-		delete(n.links, [2]string{from, to})
+	if state == Open {
+		delete(n.links, direction{from, to})
 	} else {
-		n.links[[2]string{from, to}] = cut
+		n.links[direction{from, to}] = state
 	}
-	if cut == Refuse {
-		for c := range n.conns {
-			if (c.local == from && c.remote == to) || (c.local == to && c.remote == from) {
-				c.reset()
-			}
-		}
+	if state == Refuse {
+		n.resetBetween(from, to)
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
+// SetLinkBothWays sets the state of both links between two hosts.
+func (n *Network) SetLinkBothWays(a, b string, state LinkState) {
+	n.SetLink(a, b, state)
+	n.SetLink(b, a, state)
+}
+
+// resetBetween resets the connections between two hosts. The caller holds mu.
+func (n *Network) resetBetween(a, b string) {
+	for c := range n.conns {
+		if (c.local == a && c.remote == b) || (c.local == b && c.remote == a) {
+			c.reset()
+		}
+	}
+}
+
+// link returns the state of a link, and a channel that closes when the state of any changes.
+func (n *Network) link(from, to string) (LinkState, <-chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.links[direction{from, to}], n.changed
+}
+
 // SetLatency sets how long packets take from now on.
-func (n *Network) SetLatency(d time.Duration) {
+func (n *Network) SetLatency(latency time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.latency = d
+	n.latency = latency
 }
 
 // SetExtraLatency sets how much longer packets from or to a host take from now on.
-func (n *Network) SetExtraLatency(name string, d time.Duration) {
+func (n *Network) SetExtraLatency(host string, latency time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.extraLatency[name] = d
+	n.extraLatency[host] = latency
 }
 
-// SetLinkBothWays cuts both ways between two hosts.
-func (n *Network) SetLinkBothWays(a, b string, cut LinkState) {
-	n.SetLink(a, b, cut)
-	n.SetLink(b, a, cut)
+// arrivalTime returns when a packet that is sent now arrives over an open link.
+func (n *Network) arrivalTime(from, to string) time.Time {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return time.Now().Add(n.latency + n.extraLatency[from] + n.extraLatency[to])
 }
 
-// StopListening takes no more connections to an address; those that are open go on.
+// Listen accepts connections to an address.
+func (n *Network) Listen(addr string) net.Listener {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	l := newListener(addr)
+	n.listeners[addr] = l
+	return l
+}
+
+// StopListening accepts no more connections to an address; those that are open go on.
 func (n *Network) StopListening(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
+	n.closeListener(addr)
+}
+
+// closeListener closes the listener of an address, if there is one. The caller holds mu.
+func (n *Network) closeListener(addr string) {
 	if l := n.listeners[addr]; l != nil {
 		l.close()
 		delete(n.listeners, addr)
 	}
 }
 
-// RemoveHost ends a host: its listeners and connections are gone.
-func (n *Network) RemoveHost(name string) {
+// RemoveHost removes a host with its listeners and connections.
+func (n *Network) RemoveHost(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for addr, l := range n.listeners {
-		if host(addr) == name {
-			l.close()
-			delete(n.listeners, addr)
+	for addr := range n.listeners {
+		if hostOf(addr) == host {
+			n.closeListener(addr)
 		}
 	}
 	for c := range n.conns {
-		if c.local == name || c.remote == name {
+		if c.local == host || c.remote == host {
 			c.reset()
 		}
 	}
 }
 
-// link is the state of the way from one host to another, and a channel that closes when any changes.
-func (n *Network) link(from, to string) (LinkState, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.links[[2]string{from, to}], n.changed
-}
-
-// Listen takes connections to an address.
-func (n *Network) Listen(addr string) net.Listener {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	l := &listener{addr: address(addr), accept: make(chan net.Conn, 64), done: make(chan struct{})}
-	n.listeners[addr] = l
-	return l
-}
-
-// Dialer dials from a host.
+// Dialer returns a dialer that connects from a host.
 func (n *Network) Dialer(from string) transport.Dialer {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
-		to := host(addr)
-		for {
-			there, changed := n.link(from, to)
-			back, _ := n.link(to, from)
-			if there == Refuse || back == Refuse {
-				return nil, errRefused
-			}
-			if there == Open && back == Open {
-				break
-			}
-			select {
-			case <-changed:
-			case <-ctx.Done():
-				return nil, ctx.Err()
-			}
+		if err := n.waitForLink(ctx, from, hostOf(addr)); err != nil {
+			return nil, err
+		}
+		return n.connect(from, addr)
+	}
+}
+
+// waitForLink waits until both links between two hosts are open. It fails if one of them refuses
+// connections.
+func (n *Network) waitForLink(ctx context.Context, from, to string) error {
+	for {
+		forth, changed := n.link(from, to)
+		back, _ := n.link(to, from)
+		if forth == Refuse || back == Refuse {
+			return errConnectionRefused
 		}
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		l := n.listeners[addr]
-		if l == nil {
-			return nil, errRefused
+		if forth == Open && back == Open {
+			return nil
 		}
-		a := &conn{network: n, local: from, remote: to, wakeUp: make(chan struct{}, 1)}
-		b := &conn{network: n, local: to, remote: from, wakeUp: make(chan struct{}, 1)}
-		a.peer, b.peer = b, a
 		select {
-		case l.accept <- b:
-		default:
-			return nil, errRefused
+		case <-changed:
+		case <-ctx.Done():
+			return ctx.Err()
 		}
-		n.conns[a], n.conns[b] = true, true
-		return a, nil
 	}
 }
 
+// connect opens a connection from a host to an address.
+func (n *Network) connect(from, addr string) (net.Conn, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	l := n.listeners[addr]
+	if l == nil {
+		return nil, errConnectionRefused
+	}
+	client, server := newConnPair(n, from, hostOf(addr))
+	select {
+	case l.accept <- server:
+	default:
+		return nil, errConnectionRefused
+	}
+	n.conns[client], n.conns[server] = true, true
+	return client, nil
+}
+
+// removeConn forgets a connection that is closed.
+func (n *Network) removeConn(c *conn) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.conns, c)
+}
+
 // ServeListener serves a listener's connections until it is closed.
 func ServeListener(l net.Listener, s *transport.Server) {
 	for {
@@ -185,11 +223,19 @@
 	}
 }
 
+// hostOf returns the host of an address.
+func hostOf(addr string) string {
+	host, _, _ := strings.Cut(addr, ":")
+	return host
+}
+
+// address is the address of a listener or of a connection's end.
 type address string
 
 func (a address) Network() string { return "memory" }
 func (a address) String() string  { return string(a) }
 
+// listener implements net.Listener.
 type listener struct {
 	addr      address
 	accept    chan net.Conn
@@ -197,6 +243,10 @@
 	closeOnce sync.Once
 }
 
+func newListener(addr string) *listener {
+	return &listener{addr: address(addr), accept: make(chan net.Conn, acceptBacklog), done: make(chan struct{})}
+}
+
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accept:
@@ -209,162 +259,3 @@
 func (l *listener) close()         { l.closeOnce.Do(func() { close(l.done) }) }
 func (l *listener) Close() error   { l.close(); return nil }
 func (l *listener) Addr() net.Addr { return l.addr }
-
-type packet struct {
-	deliverAt time.Time
-	data      []byte // nil: the sender has closed
-}
-
-// conn is one end of a connection. What comes to it lies in its queue until its time has come and
-// the way is open.
-type conn struct {
-	network       *Network
-	local, remote string
-	peer          *conn
-	wakeUp        chan struct{}
-
-	mu         sync.Mutex
-	queue      []packet
-	unread     []byte
-	peerClosed bool // the other side has closed
-	closed     bool
-	wasReset   bool // reset
-	packetLost bool // a packet to the other side was lost; what comes after it is of no use there
-	deadline   time.Time
-}
-
-func (c *conn) notify() {
-	select {
-	case c.wakeUp <- struct{}{}:
-	default:
-	}
-}
-
-func (c *conn) reset() {
-	c.mu.Lock()
-	c.wasReset = true
-	c.mu.Unlock()
-	c.notify()
-}
-
-func (c *conn) Read(b []byte) (int, error) {
-	for {
-		way, changed := c.network.link(c.remote, c.local)
-		c.mu.Lock()
-		if len(c.unread) > 0 {
-			k := copy(b, c.unread)
-			c.unread = c.unread[k:]
-			c.mu.Unlock()
-			return k, nil
-		}
-		now, next := time.Now(), c.deadline // next: when there is something to do without being woken
-		switch {
-		case c.closed:
-			c.mu.Unlock()
-			return 0, net.ErrClosed
-		case c.wasReset:
-			c.mu.Unlock()
-			return 0, fmt.Errorf("%w: connection reset", io.ErrUnexpectedEOF)
-		case !c.deadline.IsZero() && !now.Before(c.deadline):
-			c.mu.Unlock()
-			return 0, os.ErrDeadlineExceeded
-		case c.peerClosed:
-			c.mu.Unlock()
-			return 0, io.EOF
-		case way == Open && len(c.queue) > 0:
-			p := c.queue[0]
-			if p.deliverAt.After(now) {
-				if next.IsZero() || p.deliverAt.Before(next) {
-					next = p.deliverAt
-				}
-				break
-			}
-			c.queue = c.queue[1:]
-			c.unread, c.peerClosed = p.data, p.data == nil
-			c.mu.Unlock()
-			continue
-		}
-		c.mu.Unlock()
-		c.wait(next, changed)
-	}
-}
-
-// wait waits until there is news, a cut changes, or a time has come, if there is one.
-func (c *conn) wait(until time.Time, changed <-chan struct{}) {
-	var due <-chan time.Time
-	if !until.IsZero() {
-		t := time.NewTimer(time.Until(until))
-		defer t.Stop()
-		due = t.C
-	}
-	select {
-	case <-c.wakeUp:
-	case <-changed:
-	case <-due:
-	}
-}
-
-// send queues a packet at the other side.
-func (c *conn) send(data []byte) {
-	way, _ := c.network.link(c.local, c.remote)
-	c.mu.Lock()
-	c.packetLost = c.packetLost || way == Drop
-	gap := c.packetLost
-	c.mu.Unlock()
-	if gap {
-		return
-	}
-	c.network.mu.Lock()
-	at := time.Now().Add(c.network.latency + c.network.extraLatency[c.local] + c.network.extraLatency[c.remote])
-	c.network.mu.Unlock()
-	p := c.peer
-	p.mu.Lock()
-	p.queue = append(p.queue, packet{deliverAt: at, data: data})
-	p.mu.Unlock()
-	p.notify()
-}
-
-func (c *conn) Write(b []byte) (int, error) {
-	c.mu.Lock()
-	closed, broken, late := c.closed, c.wasReset, !c.deadline.IsZero() && !time.Now().Before(c.deadline)
-	c.mu.Unlock()
-	switch {
-	case closed:
-		return 0, net.ErrClosed
-	case broken:
-		return 0, io.ErrClosedPipe
-	case late:
-		return 0, os.ErrDeadlineExceeded
-	}
-	c.send(append([]byte{}, b...))
-	return len(b), nil
-}
-
-func (c *conn) Close() error {
-	c.mu.Lock()
-	was := c.closed
-	c.closed = true
-	c.mu.Unlock()
-	if was {
-		return nil
-	}
-	c.send(nil)
-	c.notify()
-	c.network.mu.Lock()
-	delete(c.network.conns, c)
-	c.network.mu.Unlock()
-	return nil
-}
-
-func (c *conn) SetDeadline(t time.Time) error {
-	c.mu.Lock()
-	c.deadline = t
-	c.mu.Unlock()
-	c.notify()
-	return nil
-}
-
-func (c *conn) SetReadDeadline(t time.Time) error { return c.SetDeadline(t) }
-func (c *conn) SetWriteDeadline(time.Time) error  { return nil }
-func (c *conn) LocalAddr() net.Addr               { return address(c.local) }
-func (c *conn) RemoteAddr() net.Addr              { return address(c.remote) }
