--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -37,14 +37,22 @@
 
 	// The services around the controller.
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
-	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS).WithDialer(dialer)
+	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS, dialer)
 	peers, err := peer.Dial(s.Members, dialer)
 	if err != nil {
 		return nil, err
 	}
 
 	// The leader's term, and the election that starts and ends it.
-	dispatcher := leader.NewDispatcher(s, options, store, cloud, sockets, log).WithDialer(dialer)
+	dispatcher := leader.NewDispatcher(leader.DispatcherOptions{
+		Settings: s,
+		Options:  options,
+		Store:    store,
+		Cloud:    cloud,
+		Sockets:  sockets,
+		Dialer:   dialer,
+		Log:      log,
+	})
 	elector := election.New(election.Options{
 		Node:          s.NodeName,
 		Store:         store,
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -93,7 +93,7 @@
 	if entry.AgeS < (3 * s.cfg.ListLag).Seconds() {
 		return false // the answer to a rental of ours may be on its way
 	}
-	earlierLeasesOver := s.now >= s.termStartedAt+limits.LeaseSurelyOver(s.workerLease)
+	earlierLeasesOver := s.now >= s.termStartedAt+limits.LeaseExpiredAfter(s.workerLease)
 	return !earlierLeasesOver || entry.State == protocol.MachineRunning
 }
 
