--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -20,17 +20,22 @@
 	members       map[string]*gangMember // tasks that are on their machines, by name
 	savedProgress time.Duration          // progress of earlier attempts
 	startedAt     time.Time
-	memberLostAt  time.Time // when a task was gone while it ran
+	memberLostAt  time.Time // when a task was gone while the gang ran
 	firstStopAt   time.Time
 	completed     bool
 }
 
-type gangTimes struct{ giveUpAfter, noticeAfter time.Duration }
+// gangTimes are the times that tasks of gangs keep.
+type gangTimes struct {
+	giveUpAfter time.Duration // how long a task waits for the others
+	noticeAfter time.Duration // how long the others take to notice that one is gone or was told to stop
+}
 
+// gangMember is a task that is on its machine.
 type gangMember struct {
 	joinedAt time.Time
-	stopping bool        // to stop, with time to save
-	isHung   func() bool // its machine hangs
+	stopping bool        // was told to stop, with time to save
+	isHung   func() bool // reports whether its machine hangs
 }
 
 // gangRegistry is what the workers of a cloud know of gangs.
@@ -41,34 +46,42 @@
 	markDone      func(task string)
 }
 
-func newGangRegistry(complete func(task string)) *gangRegistry {
-	return &gangRegistry{attempts: map[string]*gangAttempt{}, savedProgress: map[string]time.Duration{}, markDone: complete}
+func newGangRegistry(markDone func(task string)) *gangRegistry {
+	return &gangRegistry{
+		attempts:      map[string]*gangAttempt{},
+		savedProgress: map[string]time.Duration{},
+		markDone:      markDone,
+	}
 }
 
-// attempt returns an attempt of a gang.
-func (b *gangRegistry) attempt(spec protocol.Spec, attempt uint64, times gangTimes) *gangAttempt {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// attempt returns an attempt of a gang, a new one for the first of its tasks.
+func (r *gangRegistry) attempt(spec protocol.Spec, attempt uint64, times gangTimes) *gangAttempt {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	key := fmt.Sprintf("%s#%d", spec.ID, attempt)
-	g := b.attempts[key]
-	if g == nil {
-		g = &gangAttempt{spec: spec, times: times, registry: b, members: map[string]*gangMember{}, savedProgress: b.savedProgress[spec.ID]}
-		b.attempts[key] = g
+	if g := r.attempts[key]; g != nil {
+		return g
+	}
+	g := &gangAttempt{
+		spec: spec, times: times, registry: r,
+		members: map[string]*gangMember{}, savedProgress: r.savedProgress[spec.ID],
 	}
+	r.attempts[key] = g
 	return g
 }
 
-func (b *gangRegistry) saveProgress(job string, progress time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.savedProgress[job] = max(b.savedProgress[job], progress)
+// saveProgress keeps a job's progress for later attempts.
+func (r *gangRegistry) saveProgress(job string, progress time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.savedProgress[job] = max(r.savedProgress[job], progress)
 }
 
 // join adds a task that has its image.
-func (g *gangAttempt) join(task string, frozen func() bool) {
+func (g *gangAttempt) join(task string, isHung func() bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members[task] = &gangMember{joinedAt: time.Now(), isHung: frozen}
+	g.members[task] = &gangMember{joinedAt: time.Now(), isHung: isHung}
 }
 
 // leave takes out a task that was killed or is gone with its machine.
@@ -97,7 +110,7 @@
 	return true
 }
 
-// observe returns what a task shows now; a task that has ended has left.
+// observe returns the status of a task now. A task that has ended leaves the gang.
 func (g *gangAttempt) observe(task string) protocol.TaskStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -109,6 +122,7 @@
 	return shown
 }
 
+// taskStatus returns the status of a member, nil for one that has left. The caller holds mu.
 func (g *gangAttempt) taskStatus(m *gangMember) protocol.TaskStatus {
 	now := time.Now()
 	save := limits.Seconds(g.spec.SaveS)
@@ -132,7 +146,7 @@
 	return protocol.TaskStatus{State: protocol.Running}
 }
 
-// allStopping tells whether all tasks that are left were told to stop; the caller has the lock.
+// allStopping reports whether all tasks that are left were told to stop. The caller holds mu.
 func (g *gangAttempt) allStopping() bool {
 	for _, m := range g.members {
 		if !m.stopping {
@@ -142,12 +156,12 @@
 	return true
 }
 
+// progress returns how far the gang had come at a time. The caller holds mu.
 func (g *gangAttempt) progress(until time.Time) time.Duration {
 	return g.savedProgress + until.Sub(g.startedAt)
 }
 
-// update starts a gang that is complete, and notes its end or the loss of a task; the caller has
-// the lock.
+// update starts a gang that is complete, and notes its end or the loss of a task. The caller holds mu.
 func (g *gangAttempt) update() {
 	now := time.Now()
 	switch {
@@ -169,6 +183,7 @@
 	}
 }
 
+// hasHungMember reports whether a machine of the gang hangs. The caller holds mu.
 func (g *gangAttempt) hasHungMember() bool {
 	for _, m := range g.members {
 		if m.isHung() {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -211,7 +211,9 @@
 }
 
 // sendHeartbeat sends a heartbeat and reads the answer.
-func (w *worker) sendHeartbeat(ctx context.Context, client *transport.Client, heartbeat protocol.Heartbeat) heartbeatAnswer {
+func (w *worker) sendHeartbeat(
+	ctx context.Context, client *transport.Client, heartbeat protocol.Heartbeat,
+) heartbeatAnswer {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	body := protocol.Encode(heartbeat)
