--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/limits"
 )
 
-// jobGroup is what must not be left behind as a whole under lasting overload: the jobs of a class
-// and team of about the same size.
+// jobGroup names the jobs of a class and team of about the same size. Such a group must not be left
+// behind as a whole under lasting overload.
 type jobGroup struct {
 	class     *jobClass
 	team      *team
@@ -28,8 +28,8 @@
 // favours what is urgent, small and on time; under lasting overload the rest would never begin. So
 // a job is due its first task at one age, and the others one by one from a later one on, whatever
 // else waits.
-func (s *Scheduler) tasksDue(j *job) int {
-	age := s.now - j.submittedAt
+func (q *jobQueue) tasksDue(j *job) int {
+	age := q.now - j.submittedAt
 	if age <= limits.FirstTaskDueAge || j.cancelled || j.closed {
 		return 0
 	}
@@ -38,83 +38,57 @@
 }
 
 // overdueTasks is how many tasks a job gets before all others: the first if it has not begun, else
-// what it is behind with while its group is served badly.
-func (s *Scheduler) overdueTasks(j *job) int {
-	n := min(s.tasksDue(j)-j.doneCount-len(j.assignments), j.waitingTasks())
+// what it is behind with while its group is underserved.
+func (q *jobQueue) overdueTasks(j *job) int {
+	overdue := min(q.tasksDue(j)-j.begunTasks(), j.waitingTasks())
 	switch {
-	case n <= 0:
+	case overdue <= 0:
 		return 0
-	case j.doneCount+len(j.assignments) == 0:
+	case j.begunTasks() == 0:
 		return 1
-	case s.servedShare(j) >= limits.UnderservedShare:
+	case q.servedShare(j) >= limits.UnderservedShare:
 		return 0
 	}
-	return n
+	return overdue
 }
 
 // servedShare is the share of what is due to a job's group that it has got.
-func (s *Scheduler) servedShare(j *job) float64 {
-	x := s.queue.groupProgress[j.group()]
-	if x.due == 0 {
+func (q *jobQueue) servedShare(j *job) float64 {
+	progress := q.groupProgress[j.group()]
+	if progress.due == 0 {
 		return 1
 	}
-	return float64(x.served) / float64(x.due)
+	return float64(progress.served) / float64(progress.due)
 }
 
-// updateOverdue works out which jobs are behind, in order: those that have not begun first, then by
-// how badly their group is served, then by age, so that jobs are completed rather than all of them
-// begun.
-func (s *Scheduler) updateOverdue() {
-	clear(s.queue.groupProgress)
-	maps.Copy(s.queue.groupProgress, s.queue.closedProgress)
-	for _, j := range s.jobs.oldestFirst() {
-		if due := s.tasksDue(j); due > 0 {
-			x := s.queue.groupProgress[j.group()]
-			x.due += due
-			x.served += min(due, j.doneCount+len(j.assignments))
-			s.queue.groupProgress[j.group()] = x
+// updateOverdue works out which jobs are behind, in order: those that have not begun first, then
+// those whose group has got the smallest share of what is due, then the oldest, so that jobs are
+// completed rather than all of them begun.
+func (q *jobQueue) updateOverdue() {
+	q.updateGroupProgress()
+	q.overdue = q.overdue[:0]
+	for _, j := range q.jobs.oldestFirst() {
+		j.underserved = q.tasksDue(j) > 0 && q.servedShare(j) < limits.UnderservedShare
+		if q.overdueTasks(j) > 0 {
+			q.overdue = append(q.overdue, j)
 		}
 	}
-	s.queue.overdue = s.queue.overdue[:0]
-	for _, j := range s.jobs.oldestFirst() {
-		j.underserved = s.tasksDue(j) > 0 && s.servedShare(j) < limits.UnderservedShare
-		if s.overdueTasks(j) > 0 {
-			s.queue.overdue = append(s.queue.overdue, j)
-		}
-	}
-	begun := func(j *job) int { return min(j.doneCount+len(j.assignments), 1) }
-	slices.SortStableFunc(s.queue.overdue, func(a, b *job) int { // the queue is by age
-		return cmp.Or(cmp.Compare(begun(a), begun(b)), cmp.Compare(s.servedShare(a), s.servedShare(b)))
+	hasBegun := func(j *job) int { return min(j.begunTasks(), 1) }
+	slices.SortStableFunc(q.overdue, func(a, b *job) int {
+		return cmp.Or(cmp.Compare(hasBegun(a), hasBegun(b)), cmp.Compare(q.servedShare(a), q.servedShare(b)))
 	})
 }
 
-// hold keeps the machines with the most free room for a job that is behind and finds none with
-// enough, so that smaller tasks do not take that room bit by bit for ever. A machine that was held
-// in the pass before comes first: otherwise each one with as much room would take the place of
-// another, and none would ever have enough.
-func (s *Scheduler) reserveForJob(j *job) {
-	p := &s.placement.pass
-	n := min(s.overdueTasks(j), p.reservationsLeft)
-	if n <= 0 || !j.team.fits(j.demand) {
-		return
-	}
-	short := p.reservationCandidates[:0]
-	for _, m := range p.machines {
-		if m.reservedFor == nil && s.passesHardFilters(j, m) && !m.freeRoom().Fits(j.demand) {
-			short = append(short, m)
+// updateGroupProgress counts what is due to each group of jobs, and what it has got.
+func (q *jobQueue) updateGroupProgress() {
+	clear(q.groupProgress)
+	maps.Copy(q.groupProgress, q.closedProgress)
+	for _, j := range q.jobs.oldestFirst() {
+		if due := q.tasksDue(j); due > 0 {
+			progress := q.groupProgress[j.group()]
+			progress.due += due
+			progress.served += min(due, j.begunTasks())
+			q.groupProgress[j.group()] = progress
 		}
 	}
-	p.reservationCandidates = short
-	slices.SortStableFunc(short, byReservation)
-	n = min(n, len(short))
-	for _, m := range short[:n] {
-		m.reservedFor = j
-	}
-	p.reservationsLeft -= n
-}
-
-// byReservation orders machines that may be held: those held in the pass before, then those with
-// the most free room.
-func byReservation(a, b *machine) int {
-	return cmp.Or(compareBool(b.wasReserved, a.wasReserved), cmp.Compare(b.freeRoom().CPUs, a.freeRoom().CPUs))
 }
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -210,9 +210,3 @@
 	}
 	return false
 }
-
-// mayUseGangReservation tells whether a job may use machines that are kept for gangs: gangs, and
-// whoever waits for so long that room must not be kept from it any longer.
-func (s *Scheduler) mayUseGangReservation(j *job) bool {
-	return j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.GangReservationYieldAge
-}
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -64,7 +64,7 @@
 	backoff        time.Duration
 	retryAt        time.Duration // nothing is placed before
 
-	// mayUseGangReservation tells that it may use machines that are kept for gangs; see yieldsGangRoom.
+	// mayUseGangReservation tells that it may use machines that are kept for gangs; see jobQueue.order.
 	mayUseGangReservation bool
 	lastAssignedAt        time.Duration // when a task of it was last bound to a machine
 	nextPreemptionSearch  time.Duration // it looks for tasks to stop not before; see Scheduler.pressAgain
@@ -78,6 +78,15 @@
 	return j.spec.Tasks - j.doneCount - len(j.assignments)
 }
 
+// begunTasks is how many tasks are done or on machines.
+func (j *job) begunTasks() int { return j.doneCount + len(j.assignments) }
+
+// outwaitsGangReservation reports whether the job may use machines that are kept for gangs: gangs
+// may, and whoever waits for so long that room must not be kept from it any longer.
+func (j *job) outwaitsGangReservation(now time.Duration) bool {
+	return j.gang != nil || now > max(j.submittedAt, j.lastAssignedAt)+limits.GangReservationYieldAge
+}
+
 // demandOf is what n of its tasks take.
 func (j *job) demandOf(n int) resource.Vector {
 	return j.demand.Times(float64(n))
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -18,10 +18,10 @@
 // placeTasksNaively is the scheduling pass as the paper has it: each request looks at every machine
 // anew.
 func (s *Scheduler) placeTasksNaively() {
-	order := s.queueOrder()
+	order := s.queue.order()
 	s.beginPass() // for what is held; the list of machines is not used
-	for _, j := range s.queue.overdue {
-		if n := s.overdueTasks(j); n > 0 && j.team.fits(j.demand) && s.now >= j.retryAt {
+	for _, j := range s.queue.overdueJobs() {
+		if n := s.queue.overdueTasks(j); n > 0 && j.team.fits(j.demand) && s.now >= j.retryAt {
 			s.placeJobNaively(j, n)
 			s.reserveForJob(j)
 		}
@@ -106,7 +106,8 @@
 		s.Step(HeartbeatReceived{Heartbeat: g, Entitled: true}, now)
 	}
 	s.now = time.Duration(r.IntN(6)) * time.Second
-	s.recovery.loaded, s.recovery.ended, s.queue.ordered = true, true, nil
+	s.recovery.loaded, s.recovery.ended = true, true
+	s.queue.invalidate()
 	return s
 }
 
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -33,6 +34,11 @@
 	}
 }
 
+// forgetPastSearches drops the requests that may look for tasks to stop again.
+func (p *placer) forgetPastSearches() {
+	maps.DeleteFunc(p.nextPreemptionSearch, func(_ placementRequest, at time.Duration) bool { return at <= p.now })
+}
+
 // placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
 // backlog: each request decides as if it looked at every machine anew (see TestPassIsPlain).
 type placementPass struct {
@@ -72,7 +78,7 @@
 	s.placement.needed = false
 	p := &s.placement.pass
 	p.jobs = p.jobs[:0]
-	for _, j := range s.queueOrder() {
+	for _, j := range s.queue.order() {
 		if j.waitingTasks() == 0 || j.cancelled || j.closed || s.now < j.retryAt || !j.withinTeamLimit() {
 			continue
 		}
@@ -87,8 +93,8 @@
 	}
 	s.beginPass()
 	s.refillGangs()
-	for _, j := range s.queue.overdue {
-		n := s.overdueTasks(j)
+	for _, j := range s.queue.overdueJobs() {
+		n := s.queue.overdueTasks(j)
 		if n <= 0 || !j.withinTeamLimit() || s.now < j.retryAt {
 			continue
 		}
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -96,7 +96,7 @@
 	}
 	offers = append(offers, s.pendingCapacity()...)
 	fresh := map[machinePool]float64{}
-	for _, j := range s.queueOrder() {
+	for _, j := range s.queue.order() {
 		if s.now < j.retryAt {
 			continue
 		}
@@ -240,7 +240,7 @@
 // maxPlannedWait is how long a job's tasks are planned to wait for room: a share of what it can wait.
 func (s *Scheduler) maxPlannedWait(j *job) float64 {
 	wait := time.Duration(s.cfg.Options.Fleet.MaxPlannedWait).Seconds()
-	if slack, late := s.slack(j); !late && slack != never {
+	if slack, late := s.queue.slack(j); !late && slack != never {
 		wait = min(wait, max(slack.Seconds(), 0)*s.cfg.Options.Fleet.PlannedWaitSlackRatio)
 	}
 	return wait
@@ -432,7 +432,7 @@
 	if typ == nil || low > limits.SimilarPriceRatio*busy {
 		return best, nil
 	}
-	if slack, late := s.slack(j); low > s.cfg.Options.Fleet.ExpensivePoolRatio*floor && (late || slack > time.Duration(s.cfg.Options.Fleet.ExpensivePoolSlack)) {
+	if slack, late := s.queue.slack(j); low > s.cfg.Options.Fleet.ExpensivePoolRatio*floor && (late || slack > time.Duration(s.cfg.Options.Fleet.ExpensivePoolSlack)) {
 		return best, nil // it can wait for cheaper ones
 	}
 	return best, typ
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"maps"
 	"sort"
 	"time"
 
@@ -11,18 +10,21 @@
 // jobQueue is the order in which jobs get room.
 type jobQueue struct {
 	*environment
+	jobs *jobTable
+
 	entries        []queueEntry // kept for its memory
-	ordered        []*job       // see queueOrder
+	ordered        []*job       // nil if it is to be made anew; see order
 	orderedAt      time.Duration
 	overdue        []*job // those of them that are behind; see updateOverdue
 	groupProgress  map[jobGroup]groupServed
 	closedProgress map[jobGroup]groupServed // of the jobs that are over
 }
 
-// newJobQueue returns an empty queue.
-func newJobQueue(env *environment) *jobQueue {
+// newJobQueue returns the queue of the table's jobs.
+func newJobQueue(env *environment, jobs *jobTable) *jobQueue {
 	return &jobQueue{
 		environment:    env,
+		jobs:           jobs,
 		groupProgress:  map[jobGroup]groupServed{},
 		closedProgress: map[jobGroup]groupServed{},
 	}
@@ -36,7 +38,27 @@
 	work  float64 // CPU seconds that its waiting tasks need, weighted by the slack
 }
 
-// invalidate makes the order anew when it is next asked for.
+// before orders entries by priority, guarantee before borrowed, then by work and slack, then by age.
+// Jobs whose deadlines are all past come after those that can be helped.
+func (e *queueEntry) before(other *queueEntry) bool {
+	switch {
+	case e.job.priority != other.job.priority:
+		return e.job.priority > other.job.priority
+	case e.job.guaranteed != other.job.guaranteed:
+		return e.job.guaranteed
+	case e.late != other.late:
+		return !e.late
+	case e.work != other.work && !e.late:
+		return e.work < other.work
+	case e.slack != other.slack:
+		return e.slack < other.slack
+	case e.job.submittedAt != other.job.submittedAt:
+		return e.job.submittedAt < other.job.submittedAt
+	}
+	return e.job.id < other.job.id
+}
+
+// invalidate lets the order be made anew when it is next asked for.
 func (q *jobQueue) invalidate() { q.ordered = nil }
 
 // jobClosed takes a job off the queue. What a completed job got still counts for its group.
@@ -48,73 +70,66 @@
 	q.invalidate()
 }
 
-// queueOrder orders the jobs that want room: by priority, guarantee before borrowed, then by slack
-// to the next time that can still be met, then by age. Jobs whose times are all past come after
-// those that can be helped.
+// order returns the jobs in the order in which they get room; see queueEntry.before. The slice is
+// the queue's own.
 //
-// The order is kept for a short while, as slacks change slowly; a new job makes it anew. It holds
-// jobs that want nothing just now as well.
-func (s *Scheduler) queueOrder() []*job {
-	if s.now < s.queue.orderedAt+limits.QueueOrderTTL && s.queue.ordered != nil {
-		return s.queue.ordered
+// The order is kept for a short while, as slacks change slowly; a new job makes it anew. It also
+// has jobs without waiting tasks.
+func (q *jobQueue) order() []*job {
+	if q.now < q.orderedAt+limits.QueueOrderTTL && q.ordered != nil {
+		return q.ordered
 	}
-	s.queue.orderedAt = s.now
-	maps.DeleteFunc(s.placement.nextPreemptionSearch, func(_ placementRequest, t time.Duration) bool { return t <= s.now })
-	s.jobs.updateGuarantees()
-	cs := s.queue.entries[:0]
-	for _, j := range s.jobs.oldestFirst() {
+	q.orderedAt = q.now
+	q.jobs.updateGuarantees()
+	entries := q.entries[:0]
+	for _, j := range q.jobs.oldestFirst() {
 		if j.cancelled || j.closed {
 			continue
 		}
-		c := queueEntry{job: j}
-		j.mayUseGangReservation = s.mayUseGangReservation(j) // all of its tasks, until the order is made anew
-		c.slack, c.late = s.slack(j)
-		c.work = float64(j.waitingTasks()) * j.estimate() * j.demand.CPUs *
-			(min(c.slack, limits.SlackCap) + limits.SlackBase).Seconds()
-		cs = append(cs, c)
+		// The same for all of its tasks, until the order is made anew.
+		j.mayUseGangReservation = j.outwaitsGangReservation(q.now)
+		entries = append(entries, q.newEntry(j))
 	}
-	sort.SliceStable(cs, func(a, b int) bool {
-		x, y := &cs[a], &cs[b]
-		switch {
-		case x.job.priority != y.job.priority:
-			return x.job.priority > y.job.priority
-		case x.job.guaranteed != y.job.guaranteed:
-			return x.job.guaranteed
-		case x.late != y.late:
-			return !x.late
-		case x.work != y.work && !x.late:
-			return x.work < y.work
-		case x.slack != y.slack:
-			return x.slack < y.slack
-		case x.job.submittedAt != y.job.submittedAt:
-			return x.job.submittedAt < y.job.submittedAt
-		}
-		return x.job.id < y.job.id
-	})
-	s.queue.entries, s.queue.ordered = cs, s.queue.ordered[:0]
-	for i := range cs {
-		s.queue.ordered = append(s.queue.ordered, cs[i].job)
+	sort.SliceStable(entries, func(a, b int) bool { return entries[a].before(&entries[b]) })
+	q.entries, q.ordered = entries, q.ordered[:0]
+	for i := range entries {
+		q.ordered = append(q.ordered, entries[i].job)
 	}
-	s.updateOverdue()
-	return s.queue.ordered
+	q.updateOverdue()
+	return q.ordered
 }
 
-// slack is how long a job can still wait and meet the next of its times, and whether all of them
-// are out of reach.
-func (s *Scheduler) slack(j *job) (time.Duration, bool) {
-	est := limits.Seconds(j.estimate())
+// newEntry returns the entry of a job that is not over.
+func (q *jobQueue) newEntry(j *job) queueEntry {
+	slack, late := q.slack(j)
+	weight := (min(slack, limits.SlackCap) + limits.SlackBase).Seconds()
+	work := float64(j.waitingTasks()) * j.estimate() * j.demand.CPUs * weight
+	return queueEntry{job: j, late: late, slack: slack, work: work}
+}
+
+// overdueJobs returns the jobs that get tasks before all others, in order; see overdueTasks. The
+// slice is the queue's own, and as old as the order.
+func (q *jobQueue) overdueJobs() []*job { return q.overdue }
+
+// slack is how long a job can still wait and meet the next of its deadlines. Late means that all of
+// them are out of reach; the slack is then negative, and lower for older jobs.
+func (q *jobQueue) slack(j *job) (slack time.Duration, late bool) {
+	estimate := limits.Seconds(j.estimate())
 	for _, d := range j.deadlines {
-		left := d.at - s.now
+		left := d.at - q.now
 		if d.forStart {
 			if left > 0 {
 				return left, false
 			}
-		} else if left -= est; left > -time.Duration(limits.LateToleranceShare*float64(est)) {
+			continue
+		}
+		left -= estimate
+		if left > -time.Duration(limits.LateToleranceShare*float64(estimate)) {
 			return left, false // a little late by the estimate may still be in time
 		}
 	}
 	if len(j.deadlines) == 0 {
 		return never, false
 	}
-	return j.submittedAt - s.now, true
+	return j.submittedAt - q.now, true
 }
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -55,10 +55,11 @@
 		heartbeatInterval: limits.Seconds(cfg.Workers.ReportS),
 		outbox:            newOutbox(),
 	}
+	jobs := newJobTable(env)
 	return &Scheduler{
 		environment: env,
-		jobs:        newJobTable(env),
-		queue:       newJobQueue(env),
+		jobs:        jobs,
+		queue:       newJobQueue(env, jobs),
 		inventory:   newMachineInventory(env),
 		catalog:     newTypeCatalog(env),
 		registry:    newMachineRegistry(env),
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -138,12 +138,12 @@
 		add("a gang, %s: its %d tasks start together or not at all", j.gang.state, j.spec.Tasks)
 	}
 	add("%d machines in use, %d of them allowed for it, %d of these with room", usable, allowed, room)
-	for i, other := range s.queueOrder() {
+	for i, other := range s.queue.order() {
 		if other == j {
 			add("%d jobs are ahead in the queue", i)
 		}
 	}
-	if slack, late := s.slack(j); late {
+	if slack, late := s.queue.slack(j); late {
 		add("past all times it should meet; jobs that can still be on time go first")
 	} else if slack != never {
 		add("can wait %v and still be on time", slack.Round(time.Second))
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -104,6 +104,7 @@
 // tick looks at everything that only time changes.
 func (s *Scheduler) tick(entitled bool) {
 	s.expireLeases()
+	s.placement.forgetPastSearches()
 	s.gangs.freeRoomChanged = true // a machine may be usable again
 	if !entitled {
 		return
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -53,7 +53,7 @@
 // mayPreemptNow tells whether waiting for room would break one of the job's times. Only then is
 // room taken at somebody else's cost.
 func (s *Scheduler) mayPreemptNow(j *job) bool {
-	slack, late := s.slack(j)
+	slack, late := s.queue.slack(j)
 	return !late && slack < time.Duration(s.cfg.Options.Preemption.Slack)
 }
 
