--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -56,21 +56,34 @@
 		outbox:            newOutbox(),
 	}
 	jobs := newJobTable(env)
+	queue := newJobQueue(env, jobs)
+	catalog := newTypeCatalog(env)
+	inventory := newMachineInventory(env, catalog)
+	registry := newMachineRegistry(env)
+	rentals := newRentalTable(env)
+	dispatcher := newCommandDispatcher(env)
+	placement := newPlacer(env)
+	gangs := newGangTable(env)
+	prober := newMachineProber(env)
+	finished := newFinishedTaskWriter(env)
+	recovery := newRecoveryState(env)
+	planner := newCapacityPlanner(env)
+	cloudList := newMachineListReader(env)
 	return &Scheduler{
 		environment: env,
 		jobs:        jobs,
-		queue:       newJobQueue(env, jobs),
-		inventory:   newMachineInventory(env),
-		catalog:     newTypeCatalog(env),
-		registry:    newMachineRegistry(env),
-		rentals:     newRentalTable(env),
-		dispatcher:  newCommandDispatcher(env),
-		placement:   newPlacer(env),
-		gangs:       newGangTable(env),
-		recovery:    newRecoveryState(env),
-		prober:      newMachineProber(env),
-		finished:    newFinishedTaskWriter(env),
-		planner:     newCapacityPlanner(env),
-		cloudList:   newMachineListReader(env),
+		queue:       queue,
+		inventory:   inventory,
+		catalog:     catalog,
+		registry:    registry,
+		rentals:     rentals,
+		dispatcher:  dispatcher,
+		placement:   placement,
+		gangs:       gangs,
+		recovery:    recovery,
+		prober:      prober,
+		finished:    finished,
+		planner:     planner,
+		cloudList:   cloudList,
 	}
 }
