--- a/internal/coordination/scheduler/simulation_cloud_test.go
+++ b/internal/coordination/scheduler/simulation_cloud_test.go
@@ -7,6 +7,11 @@
 	"quillshunt/internal/protocol"
 )
 
+// maxMachinesPerRental is how many machines the simulated cloud gives for one request.
+const maxMachinesPerRental = 4
+
+// rentMachines answers a rental request: with no capacity, with new machines, or with the same
+// machines as before if it is a repetition.
 func (s *simulation) rentMachines(controller *simulatedController, request protocol.RentalRequest) {
 	s.after(s.between(50*time.Millisecond, 2*time.Second), func() {
 		names, known := s.rentals[request.Name]
@@ -15,16 +20,8 @@
 				s.step(controller, RentalDone{Name: request.Name, NoCapacity: true})
 				return
 			}
-			for range min(request.Count, 4) {
-				s.machineSequence++
-				name := fmt.Sprintf("m-%06d", s.machineSequence)
-				names = append(names, name)
-				machine := &simulatedMachine{Machine: protocol.Machine{Name: name, Address: name + ":1", MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot},
-					bootedAt: s.now + s.between(time.Second, 15*time.Second), heartbeatSentAt: -1}
-				machine.dead = s.chance(0.05)
-				machine.faulty = s.chance(0.08)
-				machine.leaseStartedAt, machine.incarnation, machine.nextHeartbeatAt = machine.bootedAt, 1, machine.bootedAt
-				s.machines[name] = machine
+			for range min(request.Count, maxMachinesPerRental) {
+				names = append(names, s.addMachine(request).Name)
 			}
 			s.rentals[request.Name] = names
 		}
@@ -35,3 +32,67 @@
 		s.step(controller, RentalDone{Name: request.Name, Machines: names, OK: true})
 	})
 }
+
+// addMachine makes a machine, which boots from now on.
+func (s *simulation) addMachine(request protocol.RentalRequest) *simulatedMachine {
+	s.machineSequence++
+	name := fmt.Sprintf("m-%06d", s.machineSequence)
+	machine := &simulatedMachine{
+		Machine: protocol.Machine{
+			Name:        name,
+			Address:     name + ":1",
+			MachineType: request.MachineType,
+			Zone:        request.Zone,
+			Spot:        request.Spot,
+		},
+		bootedAt:        s.now + s.between(time.Second, 15*time.Second),
+		heartbeatSentAt: -1,
+		incarnation:     1,
+	}
+	machine.leaseStartedAt, machine.nextHeartbeatAt = machine.bootedAt, machine.bootedAt
+	machine.dead = s.chance(0.05) // it never comes up
+	machine.faulty = s.chance(0.08)
+	s.machines[name] = machine
+	return machine
+}
+
+// deleteMachines deletes machines. The answer may be lost, and the request with it.
+func (s *simulation) deleteMachines(controller *simulatedController, names []string) {
+	s.after(s.between(50*time.Millisecond, time.Second), func() {
+		answered := !s.chance(0.2)
+		deleted := answered || s.chance(0.5)
+		for _, name := range names {
+			if machine := s.machines[name]; deleted && machine != nil {
+				machine.remove()
+			}
+		}
+		s.step(controller, DeletionDone{Machines: names, OK: answered})
+	})
+}
+
+// listMachines answers with the machines of the time of the request, perhaps much later.
+func (s *simulation) listMachines(controller *simulatedController) {
+	var listed []protocol.Machine
+	for _, name := range s.machineNames() {
+		machine := s.machines[name]
+		if machine.removed {
+			continue
+		}
+		entry := machine.Machine
+		entry.AgeS = 20
+		entry.State = protocol.MachineRunning
+		if s.now < machine.bootedAt {
+			entry.State = protocol.MachineBooting
+		}
+		listed = append(listed, entry)
+	}
+	s.after(s.between(time.Second, 6*time.Second), func() {
+		s.step(controller, MachinesListed{Machines: listed, OK: true})
+	})
+}
+
+func (s *simulation) fetchMachineTypes(controller *simulatedController) {
+	s.after(100*time.Millisecond, func() {
+		s.step(controller, MachineTypesFetched{Types: s.types, OK: true})
+	})
+}
--- a/internal/coordination/scheduler/simulation_days_test.go
+++ b/internal/coordination/scheduler/simulation_days_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"strconv"
+	"strings"
 	"testing"
 	"time"
 
@@ -55,9 +56,17 @@
 	playRandomDay(s)
 }
 
+// Lengths of the two parts of a day.
+const (
+	faultyPart    = 150 * time.Second // in which jobs come and faults happen
+	faultFreePart = 600 * time.Second // in which all jobs that are left must get done, at most
+)
+
+// playRandomDay plays a day with random jobs, cancellations, faults and changes of leaders, and then
+// one without faults until all jobs are over.
 func playRandomDay(s *simulation) {
 	s.electLeader()
-	for s.now < 150*time.Second {
+	for s.now < faultyPart {
 		switch {
 		case s.chance(0.02):
 			s.submitRandomJob()
@@ -66,31 +75,43 @@
 		case s.chance(0.006):
 			s.injectFault()
 		case s.chance(0.002):
-			for range 1 + s.random.IntN(3) { // leaders that return or are replaced within a fraction of a second
-				s.electLeader()
-				for range s.random.IntN(8) {
-					s.advance()
-				}
-			}
+			s.electLeaders()
 		}
 		s.advance()
 	}
+	s.endFaults()
+	end := s.now + faultFreePart
+	for s.now < end && len(s.sortedKeys(storage.PrefixOpenJob)) > 0 {
+		s.advance()
+	}
+	if left := s.sortedKeys(storage.PrefixOpenJob); len(left) > 0 {
+		id := strings.TrimPrefix(left[0], storage.PrefixOpenJob)
+		s.t.Fatalf("not finished although the faults ended: %v\n%s", left, s.explain(id))
+	}
+}
+
+// electLeaders makes leaders follow each other within a fraction of a second.
+func (s *simulation) electLeaders() {
+	for range 1 + s.random.IntN(3) {
+		s.electLeader()
+		for range s.random.IntN(8) {
+			s.advance()
+		}
+	}
+}
+
+// endFaults ends all faults of the network and cancels the jobs that can't get done.
+func (s *simulation) endFaults() {
 	s.faultFree = true
 	for _, machine := range s.machines {
-		machine.partitionedUntil, machine.unreachableUntil, machine.hungUntil = 0, 0, min(machine.hungUntil, s.now+time.Second)
+		machine.partitionedUntil, machine.unreachableUntil = 0, 0
+		machine.hungUntil = min(machine.hungUntil, s.now+time.Second)
 	}
-	for _, key := range s.sortedKeys("open/") {
-		if s.alwaysFailing[key[len("open/"):]] {
+	for _, key := range s.sortedKeys(storage.PrefixOpenJob) {
+		if s.alwaysFailing[strings.TrimPrefix(key, storage.PrefixOpenJob)] {
 			s.cancelJob(key)
 		}
 	}
-	end := s.now + 600*time.Second
-	for s.now < end && len(s.sortedKeys("open/")) > 0 {
-		s.advance()
-	}
-	if left := s.sortedKeys("open/"); len(left) > 0 {
-		s.t.Fatalf("not finished although the faults ended: %v\n%s", left, s.explain(left[0][len("open/"):]))
-	}
 }
 
 type simulatedJob struct {
@@ -99,14 +120,33 @@
 	cancelledAt time.Duration // when the user got the confirmation; 0: never
 }
 
+// jobOf returns the job of a task.
+func (s *simulation) jobOf(task *simulatedTask) *simulatedJob {
+	id, _, _ := protocol.ParseTaskName(task.name)
+	return s.jobs[id]
+}
+
 func (s *simulation) submitRandomJob() {
 	s.jobSequence++
 	id := fmt.Sprintf("job-%06d", s.jobSequence)
 	pick := func(options ...string) string { return options[s.random.IntN(len(options))] }
-	spec := protocol.Spec{ID: id, Class: pick("x", "y"), Team: pick("red", "blue"), Shape: "sweep",
-		Priority: pick("low", "standard", "high", "production"), Tasks: 1 + s.random.IntN(8), CPUs: float64(1 + s.random.IntN(4)), MemoryGB: 1,
-		Zone: pick("", "", "", "a"), SameZone: s.chance(0.2), SpreadZones: s.chance(0.2), Spot: s.chance(0.6),
-		Image: pick("i", "k"), ImageGB: 1, EstimateS: 6}
+	spec := protocol.Spec{
+		ID:          id,
+		Class:       pick("x", "y"),
+		Team:        pick("red", "blue"),
+		Shape:       "sweep",
+		Priority:    pick("low", "standard", "high", "production"),
+		Tasks:       1 + s.random.IntN(8),
+		CPUs:        float64(1 + s.random.IntN(4)),
+		MemoryGB:    1,
+		Zone:        pick("", "", "", "a"),
+		SameZone:    s.chance(0.2),
+		SpreadZones: s.chance(0.2),
+		Spot:        s.chance(0.6),
+		Image:       pick("i", "k"),
+		ImageGB:     1,
+		EstimateS:   6,
+	}
 	if spec.SameZone {
 		spec.SpreadZones = false
 	}
@@ -127,18 +167,18 @@
 		spec.Tasks = 1 + s.random.IntN(min(5, int(20/spec.CPUs))) // together within the lower of the teams' limits
 	}
 	s.jobs[id] = &simulatedJob{spec: spec, done: map[int]bool{}}
-	s.putJob("open/"+id, storage.OpenJob{Spec: spec})
+	s.putJob(storage.OpenJobKey(id), storage.OpenJob{Spec: spec})
 	if s.chance(0.08) {
 		s.alwaysFailing[id] = true
 	}
 }
 
 func (s *simulation) cancelRandomJob() {
-	open := s.sortedKeys("open/")
-	if len(open) == 0 {
+	keys := s.sortedKeys(storage.PrefixOpenJob)
+	if len(keys) == 0 {
 		return
 	}
-	s.cancelJob(open[s.random.IntN(len(open))])
+	s.cancelJob(keys[s.random.IntN(len(keys))])
 }
 
 func (s *simulation) cancelJob(key string) {
@@ -148,7 +188,7 @@
 		return
 	}
 	job.Cancelled, job.CancelledAtMs = true, s.now.Milliseconds()
-	s.jobs[key[len("open/"):]].cancelledAt = s.now
+	s.jobs[strings.TrimPrefix(key, storage.PrefixOpenJob)].cancelledAt = s.now
 	s.putJob(key, job)
 }
 
@@ -158,69 +198,82 @@
 	if len(names) == 0 {
 		return
 	}
-	struck := []*simulatedMachine{s.machines[names[s.random.IntN(len(names))]]}
-	switch s.random.IntN(8) {
-	case 0: // all machines of its zone
-		zone := struck[0].Zone
-		struck = nil
-		for _, name := range names {
-			if s.machines[name].Zone == zone {
-				struck = append(struck, s.machines[name])
-			}
-		}
-	case 1: // a fifth of the fleet
-		struck = nil
-		for _, name := range names {
-			if s.chance(0.2) {
-				struck = append(struck, s.machines[name])
-			}
-		}
-	}
+	affected := s.machinesToFail(names)
 	kind := s.random.IntN(6)
-	until := func(most time.Duration) time.Duration { return s.now + s.between(time.Second, most) }
-	hung, partitioned, reclaimed, unreachable := until(40*time.Second), until(30*time.Second), until(15*time.Second), until(60*time.Second)
-	for _, machine := range struck {
+	until := func(longest time.Duration) time.Duration { return s.now + s.between(time.Second, longest) }
+	hungUntil := until(40 * time.Second)
+	partitionedUntil := until(30 * time.Second)
+	reclaimedAt := until(15 * time.Second)
+	unreachableUntil := until(60 * time.Second)
+	for _, machine := range affected {
 		switch kind {
 		case 0:
-			machine.hungUntil = hung
+			machine.hungUntil = hungUntil
 		case 1:
-			machine.partitionedUntil = partitioned
-		case 2:
-			machine.dead, machine.bootedAt = true, time.Hour*10 // dies, but stays listed
+			machine.partitionedUntil = partitionedUntil
+		case 2: // it dies, but stays listed
+			machine.dead, machine.bootedAt = true, neverEnds
 			machine.tasks = nil
 		case 3:
 			if machine.Spot {
-				machine.reclaimedAt = reclaimed
+				machine.reclaimedAt = reclaimedAt
 			}
 		case 4:
-			machine.removed, machine.tasks = true, nil
+			machine.remove()
 		case 5:
-			machine.unreachableUntil = unreachable
+			machine.unreachableUntil = unreachableUntil
 		}
 	}
-	if len(struck) > 1 && s.chance(0.3) { // the leader fails at the same time
+	if len(affected) > 1 && s.chance(0.3) { // the leader fails at the same time
 		s.electLeader()
 	}
 }
 
+// machinesToFail chooses which machines a fault affects.
+func (s *simulation) machinesToFail(names []string) []*simulatedMachine {
+	one := s.machines[names[s.random.IntN(len(names))]]
+	var affected []*simulatedMachine
+	switch s.random.IntN(8) {
+	case 0: // a zone
+		for _, name := range names {
+			if s.machines[name].Zone == one.Zone {
+				affected = append(affected, s.machines[name])
+			}
+		}
+		return affected
+	case 1: // a fifth of the fleet
+		for _, name := range names {
+			if s.chance(0.2) {
+				affected = append(affected, s.machines[name])
+			}
+		}
+		return affected
+	}
+	return []*simulatedMachine{one}
+}
+
 // explain describes the state that bears on why a job is not finished.
 func (s *simulation) explain(id string) string {
 	scheduler := s.leaders[len(s.leaders)-1].scheduler
 	text := fmt.Sprintf("spec %+v\n", s.jobs[id].spec)
 	if j := scheduler.jobs.byID[id]; j != nil {
 		text += fmt.Sprintf("waiting %d done %d retry at %v now %v failed on %v cancelled %v closing %v recovered %v\n",
-			j.waitingTasks(), j.doneCount, j.retryAt, scheduler.now, j.failedMachines, j.cancelled, j.closing, scheduler.recovery.ended)
-		for _, b := range j.sortedAssignments() {
-			text += fmt.Sprintf("task %d on %s state %d direct command %d unconfirmed %v stopping %v\n", b.index, b.machine.name, b.state, b.directID, b.startUnconfirmed, b.stopping)
+			j.waitingTasks(), j.doneCount, j.retryAt, scheduler.now, j.failedMachines,
+			j.cancelled, j.closing, scheduler.recovery.ended)
+		for _, a := range j.sortedAssignments() {
+			text += fmt.Sprintf("task %d on %s state %d direct command %d unconfirmed %v stopping %v\n",
+				a.index, a.machine.name, a.state, a.directID, a.startUnconfirmed, a.stopping)
 		}
 	}
-	for _, t := range s.teams {
-		text += fmt.Sprintf("team %s allocated %+v\n", t.Name, scheduler.jobs.teams[t.Name].allocated)
+	for _, team := range s.teams {
+		text += fmt.Sprintf("team %s allocated %+v\n", team.Name, scheduler.jobs.teams[team.Name].allocated)
 	}
 	for _, m := range scheduler.inventory.sorted {
-		text += fmt.Sprintf("%s %s %s spot %v reported %v fenced %v registration %d schedulable %v deleting %v faulty %v "+
-			"last heartbeat %v incarnation %d ended incarnation %d tasks %d allocated %+v free %+v\n", m.name, m.typeName, m.zone, m.spot,
-			m.hasReported, m.fenced, m.registration, scheduler.isSchedulable(m), m.deleting, m.isFaulty(), m.lastHeartbeatAt, m.incarnation, m.endedIncarnation, len(m.assignments), m.allocated, m.freeRoom())
+		text += fmt.Sprintf("%s %s %s spot %v reported %v fenced %v registration %d schedulable %v deleting %v faulty %v ",
+			m.name, m.typeName, m.zone, m.spot, m.hasReported, m.fenced, m.registration,
+			scheduler.isSchedulable(m), m.deleting, m.isFaulty())
+		text += fmt.Sprintf("last heartbeat %v incarnation %d ended incarnation %d tasks %d allocated %+v free %+v\n",
+			m.lastHeartbeatAt, m.incarnation, m.endedIncarnation, len(m.assignments), m.allocated, m.freeRoom())
 	}
 	return text
 }
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
@@ -50,19 +51,14 @@
 	return gang
 }
 
+// peerTimeout is the longest time in which a gang's tasks notice that one is gone.
 func (s *simulation) peerTimeout() time.Duration {
-	return time.Duration(*s.workers.GangPeerS * float64(time.Second))
+	return limits.Seconds(*s.workers.GangPeerS)
 }
 
-// gangMember is a task of a gang that is on its machine.
-type gangMember struct {
-	machine *simulatedMachine
-	task    *simulatedTask
-}
-
-// gangMembers returns the tasks of each attempt that are on their machines.
-func (s *simulation) gangMembers() map[*simulatedGang][]gangMember {
-	out := map[*simulatedGang][]gangMember{}
+// placedTasks returns the tasks of each attempt that are on their machines.
+func (s *simulation) gangMembers() map[*simulatedGang][]placedTask {
+	members := map[*simulatedGang][]placedTask{}
 	for _, name := range s.machineNames() {
 		machine := s.machines[name]
 		if machine.removed {
@@ -70,16 +66,11 @@
 		}
 		for _, task := range machine.tasks {
 			if gang := s.gangOf(task); gang != nil && task.onMachine() {
-				out[gang] = append(out[gang], gangMember{machine, task})
+				members[gang] = append(members[gang], placedTask{machine, task})
 			}
 		}
 	}
-	return out
-}
-
-// onMachine reports whether the task uses resources of its machine.
-func (t *simulatedTask) onMachine() bool {
-	return t.state == protocol.Running || t.state == protocol.Saving || t.state == protocol.Gathering
+	return members
 }
 
 // gather makes a gang's task that has its image wait for the others.
@@ -91,31 +82,28 @@
 		gang.gathered[task.name] = true
 	}
 	id, index, _ := protocol.ParseTaskName(task.name)
-	task.state, task.gatherDeadline = protocol.Gathering, s.now+time.Duration(*s.workers.GangWaitS*float64(time.Second))
+	task.state = protocol.Gathering
+	task.gatherDeadline = s.now + limits.Seconds(*s.workers.GangWaitS)
 	if s.jobs[id].done[index] {
-		s.endTask(gangMember{machine, task}, protocol.ReasonDone)
+		s.endTask(machine, task, protocol.ReasonDone)
 	}
 }
 
-func (s *simulation) endTask(m gangMember, reason string) {
-	m.task.state, m.task.reason = protocol.Ended, reason
-	m.machine.nextHeartbeatAt = min(m.machine.nextHeartbeatAt, s.now+500*time.Millisecond)
-}
-
 // runGangs advances all gangs to the current time.
 func (s *simulation) runGangs() {
-	all := s.gangMembers()
+	members := s.gangMembers()
 	keys := make([]string, 0, len(s.gangs))
-	for k := range s.gangs {
-		keys = append(keys, k)
+	for key := range s.gangs {
+		keys = append(keys, key)
 	}
 	sort.Strings(keys)
-	for _, k := range keys {
-		s.runGang(s.gangs[k], all[s.gangs[k]])
+	for _, key := range keys {
+		s.runGang(s.gangs[key], members[s.gangs[key]])
 	}
 }
 
-func (s *simulation) runGang(gang *simulatedGang, members []gangMember) {
+// runGang advances one attempt of a gang. Tasks on a machine that hangs count as gone.
+func (s *simulation) runGang(gang *simulatedGang, members []placedTask) {
 	responsive := members[:0:0]
 	for _, m := range members {
 		if s.now >= m.machine.hungUntil {
@@ -140,37 +128,38 @@
 	}
 }
 
-func (s *simulation) endTasks(members []gangMember, reason string) {
+// endTasks ends all of some tasks for the same reason.
+func (s *simulation) endTasks(members []placedTask, reason string) {
 	for _, m := range members {
-		s.endTask(m, reason)
+		s.endTask(m.machine, m.task, reason)
 	}
 }
 
 // gatherGang starts a gang that is complete, and ends tasks that have waited too long.
-func (s *simulation) gatherGang(gang *simulatedGang, members []gangMember) {
+func (s *simulation) gatherGang(gang *simulatedGang, members []placedTask) {
 	if len(members) == gang.spec.Tasks {
 		s.seen.started++
 		gang.started, gang.completesAt = true, s.now+s.between(2*time.Second, 12*time.Second)
 		for _, m := range members {
 			m.task.state = protocol.Running
-			m.machine.nextHeartbeatAt = min(m.machine.nextHeartbeatAt, s.now+500*time.Millisecond)
+			m.machine.reportBy(s.now + statusChangeDelay)
 			id, _, _ := protocol.ParseTaskName(m.task.name)
 			if m.machine.faulty || s.alwaysFailing[id] {
-				s.endTask(m, protocol.ReasonError)
+				s.endTask(m.machine, m.task, protocol.ReasonError)
 			}
 		}
 		return
 	}
 	for _, m := range members {
 		if s.now >= m.task.gatherDeadline {
-			s.endTask(m, protocol.ReasonIncomplete)
+			s.endTask(m.machine, m.task, protocol.ReasonIncomplete)
 			s.seen.incomplete++
 		}
 	}
 }
 
 // completeGang ends a gang whose work is done: all its tasks complete at the same time.
-func (s *simulation) completeGang(members []gangMember) {
+func (s *simulation) completeGang(members []placedTask) {
 	s.seen.completed++
 	for _, m := range members {
 		id, index, _ := protocol.ParseTaskName(m.task.name)
@@ -184,7 +173,7 @@
 	gang := s.gangOf(task)
 	if task.state != protocol.Running || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
 		if !task.toldToStop || grace == 0 || task.state != protocol.Running {
-			s.endTask(gangMember{machine, task}, protocol.ReasonStopped)
+			s.endTask(machine, task, protocol.ReasonStopped)
 		}
 		return
 	}
@@ -196,14 +185,14 @@
 
 // stopGang ends a gang that was told to stop. Its work is saved if all tasks were told in time;
 // otherwise its tasks give up once they have noticed that some are missing.
-func (s *simulation) stopGang(gang *simulatedGang, members []gangMember) {
+func (s *simulation) stopGang(gang *simulatedGang, members []placedTask) {
 	toldToStop := 0
 	for _, m := range members {
 		if m.task.toldToStop {
 			toldToStop++
 		}
 	}
-	save := time.Duration(gang.spec.SaveS * float64(time.Second))
+	save := limits.Seconds(gang.spec.SaveS)
 	switch {
 	case toldToStop == gang.spec.Tasks && s.now >= gang.firstStopAt+save:
 		s.endTasks(members, protocol.ReasonStopped)
--- a/internal/coordination/scheduler/simulation_network_test.go
+++ b/internal/coordination/scheduler/simulation_network_test.go
@@ -6,13 +6,37 @@
 	"quillshunt/internal/protocol"
 )
 
+// directCommandTimeout is how long the sender of direct commands waits for their result.
+const directCommandTimeout = 2 * time.Second
+
+// delivery is something that happens at a later time.
 type delivery struct {
 	at      time.Duration
 	deliver func()
 }
 
-func (s *simulation) after(d time.Duration, f func()) {
-	s.deliveries = append(s.deliveries, delivery{s.now + d, f})
+// after calls a function when some time has passed.
+func (s *simulation) after(delay time.Duration, deliver func()) {
+	s.deliveries = append(s.deliveries, delivery{s.now + delay, deliver})
+}
+
+// runDeliveries makes all deliveries that are due, in order of time; those of the same time in the
+// order in which they were asked for.
+func (s *simulation) runDeliveries() {
+	for {
+		first := -1
+		for i := range s.deliveries {
+			if s.deliveries[i].at <= s.now && (first < 0 || s.deliveries[i].at < s.deliveries[first].at) {
+				first = i
+			}
+		}
+		if first < 0 {
+			return
+		}
+		next := s.deliveries[first]
+		s.deliveries = append(s.deliveries[:first], s.deliveries[first+1:]...)
+		next.deliver()
+	}
 }
 
 // transit returns how long a message to or from a machine takes, and false if it is lost.
@@ -32,52 +56,81 @@
 	return s.between(time.Millisecond, 30*time.Millisecond), true
 }
 
+// sendHeartbeat sends a worker's heartbeat to whoever leads when it arrives, or to an older leader
+// that still believes it leads. Now and then a copy arrives as well.
 func (s *simulation) sendHeartbeat(machine *simulatedMachine) {
 	heartbeat := s.heartbeat(machine)
 	sentAt := s.now
-	machine.heartbeatSentAt, machine.nextHeartbeatAt = sentAt, sentAt+s.between(1500*time.Millisecond, 2500*time.Millisecond)
+	machine.heartbeatSentAt = sentAt
+	machine.nextHeartbeatAt = sentAt + s.between(1500*time.Millisecond, 2500*time.Millisecond)
 	connectedTo := machine.connectedTo
 	machine.connectedTo = nil
-	if s.chance(0.05) { // a copy arrives between before the original and well over a lease later, by any route
-		s.after(s.between(0, 40*time.Second), func() {
-			if to := s.reachableLeader(); to != nil {
-				s.step(to, HeartbeatReceived{Heartbeat: heartbeat, Entitled: s.now < to.entitledUntil, Relayed: s.chance(0.5), ReplyTo: func(*protocol.HeartbeatReply) {}})
-			}
-		})
+	if s.chance(0.05) {
+		s.deliverCopy(heartbeat)
 	}
 	delay, ok := s.transit(machine)
 	if !ok {
 		return
 	}
-	// It reaches the leader at the time of arrival, or an older one that still believes it leads.
 	s.after(delay, func() {
-		to := s.reachableLeader()
-		if to == nil {
+		leader := s.reachableLeader()
+		if leader == nil {
 			return
 		}
-		s.step(to, HeartbeatReceived{Heartbeat: heartbeat, Entitled: s.now < to.entitledUntil, SameConnection: to == connectedTo, Relayed: s.chance(0.1), ReplyTo: func(reply *protocol.HeartbeatReply) {
-			back, ok := s.transit(machine)
-			if !ok || s.now < machine.unreachableUntil {
-				return
-			}
-			s.after(back, func() {
-				if s.acceptReply(machine, heartbeat, sentAt, reply) {
-					machine.connectedTo = to
-				}
-			})
-		}})
+		s.step(leader, HeartbeatReceived{
+			Heartbeat:      heartbeat,
+			Entitled:       s.entitled(leader),
+			SameConnection: leader == connectedTo,
+			Relayed:        s.chance(0.1),
+			ReplyTo: func(reply *protocol.HeartbeatReply) {
+				s.deliverReply(machine, leader, heartbeat, sentAt, reply)
+			},
+		})
+	})
+}
+
+// deliverCopy delivers a copy of a heartbeat by any route, some time from before the original to well
+// over a lease later.
+func (s *simulation) deliverCopy(heartbeat *protocol.Heartbeat) {
+	s.after(s.between(0, 40*time.Second), func() {
+		leader := s.reachableLeader()
+		if leader == nil {
+			return
+		}
+		s.step(leader, HeartbeatReceived{
+			Heartbeat: heartbeat,
+			Entitled:  s.entitled(leader),
+			Relayed:   s.chance(0.5),
+			ReplyTo:   func(*protocol.HeartbeatReply) {},
+		})
+	})
+}
+
+// deliverReply delivers the reply to a heartbeat.
+func (s *simulation) deliverReply(
+	machine *simulatedMachine, leader *simulatedController,
+	heartbeat *protocol.Heartbeat, sentAt time.Duration, reply *protocol.HeartbeatReply,
+) {
+	delay, ok := s.transit(machine)
+	if !ok || s.now < machine.unreachableUntil {
+		return
+	}
+	s.after(delay, func() {
+		if s.acceptReply(machine, heartbeat, sentAt, reply) {
+			machine.connectedTo = leader
+		}
 	})
 }
 
 // reachableLeader returns a controller that a heartbeat may reach, or nil.
 func (s *simulation) reachableLeader() *simulatedController {
-	var to *simulatedController
+	var reached *simulatedController
 	for _, controller := range s.leaders {
-		if !controller.dead && (to == nil || s.chance(0.7)) {
-			to = controller
+		if !controller.dead && (reached == nil || s.chance(0.7)) {
+			reached = controller
 		}
 	}
-	return to
+	return reached
 }
 
 // sendDirectCommands delivers direct commands, perhaps very late. The sender's call times out.
@@ -91,36 +144,56 @@
 		}
 	}
 	machine := s.machines[request.Machine]
-	if machine == nil || machine.removed || s.now >= controller.entitledUntil {
+	if machine == nil || machine.removed || !s.entitled(controller) {
 		s.after(time.Millisecond, func() { finish(DirectCommandsDone{NotExecuted: true}) })
 		return
 	}
-	s.after(2*time.Second, func() { finish(DirectCommandsDone{}) })
+	s.after(directCommandTimeout, func() { finish(DirectCommandsDone{}) })
 	delay, ok := s.transit(machine)
 	if !ok || s.now < machine.unreachableUntil {
 		return
 	}
-	s.after(delay, func() { s.deliverDirectCommands(machine, controller, request, finish) })
+	s.after(delay, func() { s.deliverDirectCommands(machine, controller.term, request, finish) })
 }
 
-func (s *simulation) deliverDirectCommands(machine *simulatedMachine, controller *simulatedController, request SendDirectCommands, finish func(DirectCommandsDone)) {
+func (s *simulation) deliverDirectCommands(
+	machine *simulatedMachine, term uint64, request SendDirectCommands, finish func(DirectCommandsDone),
+) {
 	if machine.removed {
 		return
 	}
 	if s.now < machine.hungUntil {
-		s.after(machine.hungUntil-s.now, func() { s.deliverDirectCommands(machine, controller, request, finish) })
+		s.after(machine.hungUntil-s.now, func() { s.deliverDirectCommands(machine, term, request, finish) })
 		return
 	}
 	s.expireLease(machine)
 	var result DirectCommandsDone
-	if controller.term < machine.fencingToken || request.Incarnation != machine.incarnation {
+	if term < machine.fencingToken || request.Incarnation != machine.incarnation {
 		result.NotExecuted = true
 	} else {
-		machine.fencingToken = controller.term
+		machine.fencingToken = term
 		s.execute(machine, request.Commands)
 		result.Heartbeat = s.heartbeat(machine)
 	}
-	if back, ok := s.transit(machine); ok {
-		s.after(back, func() { finish(result) })
+	if delay, ok := s.transit(machine); ok {
+		s.after(delay, func() { finish(result) })
+	}
+}
+
+// probe asks a worker for its heartbeat on behalf of a controller.
+func (s *simulation) probe(controller *simulatedController, name string) {
+	machine := s.machines[name]
+	if machine == nil || machine.removed || s.now < machine.bootedAt || s.now < machine.hungUntil {
+		return
+	}
+	if s.now < machine.partitionedUntil || s.now < machine.unreachableUntil {
+		return
 	}
+	delay, ok := s.transit(machine)
+	if !ok || delay >= time.Second || controller.term < machine.fencingToken {
+		return
+	}
+	machine.fencingToken = controller.term
+	heartbeat := s.heartbeat(machine)
+	s.after(delay, func() { s.step(controller, ProbeDone{Machine: name, Heartbeat: heartbeat}) })
 }
--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -1,8 +1,9 @@
 package scheduler
 
 import (
-	"time"
+	"fmt"
 
+	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
@@ -25,8 +26,101 @@
 	}
 }
 
+// checkStart checks the rules for a task that has just started.
+func (s *simulation) checkStart(machine *simulatedMachine, task *simulatedTask) {
+	job := s.jobOf(task)
+	where := s.describe(machine, task)
+	spec := &job.spec
+	if !spec.Spot && machine.Spot {
+		s.t.Fatalf("wrong_place: spot: %s", where)
+	}
+	if spec.Zone != "" && spec.Zone != machine.Zone {
+		s.t.Fatalf("wrong_place: zone: %s", where)
+	}
+	if len(spec.MachineTypes) > 0 && spec.MachineTypes[0] != machine.MachineType {
+		s.t.Fatalf("wrong_place: type: %s", where)
+	}
+	s.checkRunsOnce(task, where)
+	s.checkQuotas(where)
+	tasksInZone := s.tasksInZone(job)
+	if spec.SameZone && len(tasksInZone) > 1 {
+		s.t.Fatalf("wrong_place: same zone: %s", where)
+	}
+	if spec.SpreadZones && tasksInZone[machine.Zone] > (spec.Tasks+1)/2 {
+		s.t.Fatalf("wrong_place: spread over zones: %s", where)
+	}
+	s.checkCancelled(job, where)
+}
+
+// placedTask is a task that is on its machine.
+type placedTask struct {
+	machine *simulatedMachine
+	task    *simulatedTask
+}
+
+// placedTasks returns all tasks that are on their machines.
+func (s *simulation) placedTasks() []placedTask {
+	var placed []placedTask
+	for _, name := range s.machineNames() {
+		machine := s.machines[name]
+		if machine.removed {
+			continue
+		}
+		for _, task := range machine.tasks {
+			if task.onMachine() {
+				placed = append(placed, placedTask{machine, task})
+			}
+		}
+	}
+	return placed
+}
+
+func (s *simulation) checkRunsOnce(task *simulatedTask, where string) {
+	for _, p := range s.placedTasks() {
+		if p.task.name == task.name && p.task != task {
+			s.t.Fatalf("ran_twice: %s, and on %s attempt %x", where, p.machine.Name, p.task.attempt)
+		}
+	}
+}
+
+func (s *simulation) checkQuotas(where string) {
+	var running []string
+	used := map[string]float64{}
+	for _, p := range s.placedTasks() {
+		spec := &s.jobOf(p.task).spec
+		used[spec.Team] += spec.CPUs
+		description := fmt.Sprintf("%s:%s#%x*%v", p.machine.Name, p.task.name, p.task.attempt, spec.CPUs)
+		running = append(running, description)
+	}
+	for _, team := range s.teams {
+		if used[team.Name] > team.CPUsMax+1e-9 {
+			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], where, running)
+		}
+	}
+}
+
+// tasksInZone counts the tasks of a job that are on machines, by zone.
+func (s *simulation) tasksInZone(job *simulatedJob) map[string]int {
+	counts := map[string]int{}
+	for _, p := range s.placedTasks() {
+		if s.jobOf(p.task) == job {
+			counts[p.machine.Zone]++
+		}
+	}
+	return counts
+}
+
+// checkAllCancelled checks that no task of a cancelled job is on a machine for too long.
+func (s *simulation) checkAllCancelled(machine *simulatedMachine) {
+	for _, task := range machine.tasks {
+		if task.onMachine() {
+			s.checkCancelled(s.jobOf(task), s.describe(machine, task))
+		}
+	}
+}
+
 func (s *simulation) checkCancelled(job *simulatedJob, where string) {
-	if job.cancelledAt != 0 && s.now > job.cancelledAt+time.Duration(s.workers.CancelS*float64(time.Second)) {
+	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workers.CancelS) {
 		s.t.Fatalf("ran_cancelled: %s", where)
 	}
 }
--- a/internal/coordination/scheduler/simulation_store_test.go
+++ b/internal/coordination/scheduler/simulation_store_test.go
@@ -2,20 +2,26 @@
 
 import (
 	"sort"
+	"strings"
 	"time"
 
 	"quillshunt/internal/protocol"
+	"quillshunt/internal/storage"
 )
 
+// prefixFinalJob is the prefix of the keys of final records.
+var prefixFinalJob = storage.FinalJobKey("")
+
 type storedRecord struct {
 	version uint64
 	value   protocol.Raw
 }
 
+// sortedKeys returns the keys with a prefix.
 func (s *simulation) sortedKeys(prefix string) []string {
 	var keys []string
 	for key := range s.records {
-		if len(key) >= len(prefix) && key[:len(prefix)] == prefix {
+		if strings.HasPrefix(key, prefix) {
 			keys = append(keys, key)
 		}
 	}
@@ -40,6 +46,7 @@
 	}
 }
 
+// executeWrite carries out a transaction if its conditions and the one on the leader key hold.
 func (s *simulation) executeWrite(controller *simulatedController, write WriteRecords) {
 	if controller.term != s.term {
 		controller.dead = true // the condition on the leader key fails: its term is over
@@ -58,10 +65,12 @@
 			continue
 		}
 		s.records[operation.Put] = storedRecord{s.revision, operation.Value}
-		if len(operation.Put) > 6 && operation.Put[:6] == "final/" {
-			s.checkFinalRecord(operation.Put[6:], operation.Value)
+		if id, ok := strings.CutPrefix(operation.Put, prefixFinalJob); ok {
+			s.checkFinalRecord(id, operation.Value)
 		}
 	}
 	version := s.revision
-	s.after(5*time.Millisecond, func() { s.step(controller, WriteCompleted{ID: write.ID, OK: true, Version: version}) })
+	s.after(5*time.Millisecond, func() {
+		s.step(controller, WriteCompleted{ID: write.ID, OK: true, Version: version})
+	})
 }
--- a/internal/coordination/scheduler/simulation_test.go
+++ b/internal/coordination/scheduler/simulation_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -19,7 +18,7 @@
 	now    time.Duration
 
 	faultFree       bool // no more faults
-	trace           bool
+	trace           bool // print all effects
 	records         map[string]storedRecord
 	revision        uint64
 	term            uint64
@@ -38,24 +37,43 @@
 	seen            *gangEvents
 }
 
+// chance reports whether something happens that has this probability.
 func (s *simulation) chance(p float64) bool { return s.random.Float64() < p }
 
-func (s *simulation) between(a, b time.Duration) time.Duration {
-	return a + time.Duration(s.random.Int64N(int64(b-a)+1))
+// between returns a random duration; both bounds are included.
+func (s *simulation) between(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(s.random.Int64N(int64(longest-shortest)+1))
 }
 
 func newSimulation(t interface{ Fatalf(string, ...any) }, seed uint64) *simulation {
-	s := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 7)), records: map[string]storedRecord{}, machines: map[string]*simulatedMachine{},
-		rentals: map[string][]string{}, jobs: map[string]*simulatedJob{}, alwaysFailing: map[string]bool{}, gangs: map[string]*simulatedGang{}, seen: &gangEvents{},
-		teams:   []config.Team{{Name: "red", CPUs: 12, CPUsMax: 32}, {Name: "blue", CPUs: 12, CPUsMax: 20}},
-		workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)},
-		types: []protocol.MachineType{
-			{Name: "s4", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 8, Zones: []string{"a", "b"}},
-			{Name: "b8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 0.8, BootS: 12, Zones: []string{"a", "b"}},
-		}}
-	return s
+	return &simulation{
+		t:             t,
+		random:        rand.New(rand.NewPCG(seed, 7)),
+		records:       map[string]storedRecord{},
+		machines:      map[string]*simulatedMachine{},
+		rentals:       map[string][]string{},
+		jobs:          map[string]*simulatedJob{},
+		alwaysFailing: map[string]bool{},
+		gangs:         map[string]*simulatedGang{},
+		seen:          &gangEvents{},
+		teams: []config.Team{
+			{Name: "red", CPUs: 12, CPUsMax: 32},
+			{Name: "blue", CPUs: 12, CPUsMax: 20},
+		},
+		workers: config.Workers{
+			ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4),
+		},
+		types: []protocol.MachineType{{
+			Name: "s4", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1,
+			Price: 1, SpotPrice: 0.4, BootS: 8, Zones: []string{"a", "b"},
+		}, {
+			Name: "b8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1,
+			Price: 2, SpotPrice: 0.8, BootS: 12, Zones: []string{"a", "b"},
+		}},
+	}
 }
 
+// seconds returns an optional setting.
 func seconds(v float64) *float64 { return &v }
 
 func (s *simulation) must(err error) {
@@ -64,44 +82,24 @@
 	}
 }
 
-const simulationStep = 50 * time.Millisecond
+const (
+	simulationStep = 50 * time.Millisecond
+	tickInterval   = 500 * time.Millisecond // of a leader's regular events
+)
 
+// advance moves all parts of the simulation on by a step of time.
 func (s *simulation) advance() {
 	s.now += simulationStep
-	for {
-		// Messages are delivered in order of time; of the same time, in the order of sending.
-		first := -1
-		for i := range s.deliveries {
-			if s.deliveries[i].at <= s.now && (first < 0 || s.deliveries[i].at < s.deliveries[first].at) {
-				first = i
-			}
-		}
-		if first < 0 {
-			break
-		}
-		next := s.deliveries[first]
-		s.deliveries = append(s.deliveries[:first], s.deliveries[first+1:]...)
-		next.deliver()
-	}
+	s.runDeliveries()
 	for _, name := range s.machineNames() {
 		machine := s.machines[name]
 		s.runMachine(machine)
 		if s.now%time.Second == 0 {
-			for _, task := range machine.tasks {
-				if task.onMachine() {
-					id, _, _ := protocol.ParseTaskName(task.name)
-					s.checkCancelled(s.jobs[id], fmt.Sprintf("at %v: %s still on %s", s.now, task.name, name))
-				}
-			}
+			s.checkAllCancelled(machine)
 		}
 	}
 	s.runGangs()
-	if s.now%(500*time.Millisecond) == 0 {
-		for _, controller := range s.leaders {
-			if !controller.dead && s.now >= controller.stopsAt {
-				controller.dead = true
-			}
-			s.step(controller, Tick{Entitled: s.now < controller.entitledUntil})
-		}
+	if s.now%tickInterval == 0 {
+		s.tickLeaders()
 	}
 }
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -2,12 +2,21 @@
 
 import (
 	"fmt"
+	"slices"
 	"sort"
 	"time"
 
+	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
+// Delays of a simulated worker.
+const (
+	statusChangeDelay = 500 * time.Millisecond // until a change of its tasks is reported
+	replyTimeout      = 4 * time.Second        // until it gives up waiting for the reply to a heartbeat
+	heartbeatRetry    = time.Second            // until the next heartbeat after one that failed
+)
+
 type simulatedMachine struct {
 	protocol.Machine
 	bootedAt         time.Duration
@@ -28,6 +37,29 @@
 	tasks            []*simulatedTask
 }
 
+// remove takes the machine and all that runs on it out of the cloud.
+func (m *simulatedMachine) remove() {
+	m.removed, m.tasks = true, nil
+}
+
+// reportBy makes the next heartbeat go out at a time, if it would not go out sooner.
+func (m *simulatedMachine) reportBy(at time.Duration) {
+	m.nextHeartbeatAt = min(m.nextHeartbeatAt, at)
+}
+
+// findTask returns the task that a command names, or nil, and whether another attempt of it has not
+// ended.
+func (m *simulatedMachine) findTask(command protocol.Command) (found *simulatedTask, otherAttempt bool) {
+	for _, task := range m.tasks {
+		if task.name == command.Task && task.attempt == command.Attempt {
+			found = task
+		} else if task.name == command.Task && task.state != protocol.Ended {
+			otherAttempt = true
+		}
+	}
+	return found, otherAttempt
+}
+
 type simulatedTask struct {
 	name      string
 	attempt   uint64
@@ -41,6 +73,11 @@
 	toldToStop     bool          // of a gang's task: it will save with the others
 }
 
+// onMachine reports whether the task uses resources of its machine.
+func (t *simulatedTask) onMachine() bool {
+	return t.state == protocol.Running || t.state == protocol.Saving || t.state == protocol.Gathering
+}
+
 func (s *simulation) machineNames() []string {
 	var names []string
 	for name := range s.machines {
@@ -62,21 +99,31 @@
 // heartbeat returns the worker's next heartbeat.
 func (s *simulation) heartbeat(machine *simulatedMachine) *protocol.Heartbeat {
 	machine.sequence++
-	heartbeat := &protocol.Heartbeat{Machine: machine.Name, Address: machine.Address, MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot,
-		Incarnation: machine.incarnation, Sequence: machine.sequence, FencingToken: machine.fencingToken}
+	heartbeat := &protocol.Heartbeat{
+		Machine:      machine.Name,
+		Address:      machine.Address,
+		MachineType:  machine.MachineType,
+		Zone:         machine.Zone,
+		Spot:         machine.Spot,
+		Incarnation:  machine.incarnation,
+		Sequence:     machine.sequence,
+		FencingToken: machine.fencingToken,
+	}
 	if machine.reclaimedAt != 0 {
 		left := (machine.reclaimedAt - s.now).Seconds()
 		heartbeat.SpotNoticeS = &left
 	}
 	for _, task := range machine.tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: task.name, Attempt: task.attempt, State: task.state, Reason: task.reason})
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
+			Task: task.name, Attempt: task.attempt, State: task.state, Reason: task.reason,
+		})
 	}
 	return heartbeat
 }
 
 // expireLease starts a new incarnation of the worker if its lease has expired.
 func (s *simulation) expireLease(machine *simulatedMachine) {
-	if s.now > machine.leaseStartedAt+time.Duration(s.workers.LeaseS*float64(time.Second)) {
+	if s.now > machine.leaseStartedAt+limits.Seconds(s.workers.LeaseS) {
 		machine.tasks = nil
 		machine.incarnation++
 		machine.leaseStartedAt = s.now
@@ -90,7 +137,7 @@
 		return
 	}
 	if machine.reclaimedAt != 0 && s.now >= machine.reclaimedAt {
-		machine.removed, machine.tasks = true, nil
+		machine.remove()
 		return
 	}
 	s.expireLease(machine) // a machine that hung goes on within its lease or not at all (docs/questions.md)
@@ -98,45 +145,74 @@
 		return
 	}
 	for _, task := range machine.tasks {
-		switch task.state {
-		case protocol.Fetching:
-			if s.now >= task.fetchedAt {
-				if s.gangOf(task) != nil {
-					s.gather(machine, task)
-					continue
-				}
-				s.beginTask(machine, task)
-			}
-		case protocol.Running:
-			if s.now >= task.endsAt && s.gangOf(task) == nil {
-				task.state, task.reason = protocol.Ended, protocol.ReasonDone
-				id, index, _ := protocol.ParseTaskName(task.name)
-				if machine.faulty || s.alwaysFailing[id] {
-					task.reason = protocol.ReasonError
-				} else {
-					s.jobs[id].done[index] = true
-				}
-				machine.nextHeartbeatAt = min(machine.nextHeartbeatAt, s.now+500*time.Millisecond)
-			}
-		case protocol.Saving:
-			if s.now >= task.savedAt {
-				task.state, task.reason = protocol.Ended, protocol.ReasonStopped
-				machine.nextHeartbeatAt = min(machine.nextHeartbeatAt, s.now+500*time.Millisecond)
-			}
-		}
+		s.runTask(machine, task)
 	}
-	if machine.heartbeatSentAt >= 0 && s.now >= machine.heartbeatSentAt+4*time.Second {
+	if machine.heartbeatSentAt >= 0 && s.now >= machine.heartbeatSentAt+replyTimeout {
 		machine.heartbeatSentAt = -1
-		machine.nextHeartbeatAt = s.now + time.Second
+		machine.nextHeartbeatAt = s.now + heartbeatRetry
 	}
 	if machine.heartbeatSentAt < 0 && s.now >= machine.nextHeartbeatAt {
 		s.sendHeartbeat(machine)
 	}
 }
 
+// runTask advances a task to the current time. Running gangs are advanced by runGangs.
+func (s *simulation) runTask(machine *simulatedMachine, task *simulatedTask) {
+	switch task.state {
+	case protocol.Fetching:
+		if s.now < task.fetchedAt {
+			return
+		}
+		if s.gangOf(task) != nil {
+			s.gather(machine, task)
+			return
+		}
+		s.beginTask(machine, task)
+	case protocol.Running:
+		if s.now >= task.endsAt && s.gangOf(task) == nil {
+			s.completeTask(machine, task)
+		}
+	case protocol.Saving:
+		if s.now >= task.savedAt {
+			s.endTask(machine, task, protocol.ReasonStopped)
+		}
+	}
+}
+
+// beginTask starts a task on its machine.
+func (s *simulation) beginTask(machine *simulatedMachine, task *simulatedTask) {
+	task.state = protocol.Running
+	if task.endsAt == 0 {
+		task.endsAt = s.now + s.between(2*time.Second, 12*time.Second)
+	}
+	machine.reportBy(s.now + statusChangeDelay)
+	s.checkStart(machine, task)
+}
+
+// completeTask ends an independent task that has run for its time.
+func (s *simulation) completeTask(machine *simulatedMachine, task *simulatedTask) {
+	id, index, _ := protocol.ParseTaskName(task.name)
+	if machine.faulty || s.alwaysFailing[id] {
+		s.endTask(machine, task, protocol.ReasonError)
+		return
+	}
+	s.jobs[id].done[index] = true
+	s.endTask(machine, task, protocol.ReasonDone)
+}
+
+func (s *simulation) endTask(machine *simulatedMachine, task *simulatedTask, reason string) {
+	task.state, task.reason = protocol.Ended, reason
+	machine.reportBy(s.now + statusChangeDelay)
+}
+
 // acceptReply handles the reply to a heartbeat. It reports whether the worker's lease was renewed.
-func (s *simulation) acceptReply(machine *simulatedMachine, heartbeat *protocol.Heartbeat, sentAt time.Duration, reply *protocol.HeartbeatReply) bool {
-	if machine.removed || s.now < machine.hungUntil || machine.heartbeatSentAt != sentAt || heartbeat.Incarnation != machine.incarnation {
+func (s *simulation) acceptReply(
+	machine *simulatedMachine, heartbeat *protocol.Heartbeat, sentAt time.Duration, reply *protocol.HeartbeatReply,
+) bool {
+	if machine.removed || s.now < machine.hungUntil || machine.heartbeatSentAt != sentAt {
+		return false
+	}
+	if heartbeat.Incarnation != machine.incarnation {
 		return false
 	}
 	s.expireLease(machine)
@@ -145,134 +221,87 @@
 	}
 	machine.heartbeatSentAt = -1
 	if reply == nil || reply.FencingToken < machine.fencingToken {
-		machine.nextHeartbeatAt = min(machine.nextHeartbeatAt, s.now+time.Second)
+		machine.reportBy(s.now + heartbeatRetry)
 		return false
 	}
 	if reply.FencingToken > machine.fencingToken {
 		machine.fencingToken = reply.FencingToken
-		machine.nextHeartbeatAt = min(machine.nextHeartbeatAt, s.now+500*time.Millisecond)
+		machine.reportBy(s.now + statusChangeDelay)
 	}
 	machine.leaseStartedAt = sentAt
-	if s.execute(machine, reply.Commands) {
-		machine.nextHeartbeatAt = min(machine.nextHeartbeatAt, s.now+500*time.Millisecond)
+	if len(reply.Commands) > 0 {
+		s.execute(machine, reply.Commands)
+		machine.reportBy(s.now + statusChangeDelay)
 	}
 	return true
 }
 
-func (s *simulation) execute(machine *simulatedMachine, commands []protocol.Command) bool {
-	changed := false
+// execute carries out a leader's commands.
+func (s *simulation) execute(machine *simulatedMachine, commands []protocol.Command) {
 	for _, command := range commands {
-		changed = true
-		var known *simulatedTask
-		otherAttempt := false
-		for _, task := range machine.tasks {
-			if task.name == command.Task && task.attempt == command.Attempt {
-				known = task
-			} else if task.name == command.Task && task.state != protocol.Ended {
-				otherAttempt = true
-			}
-		}
+		task, otherAttempt := machine.findTask(command)
 		switch command.Verb {
 		case protocol.CommandStart:
-			if known != nil {
-				continue
-			}
-			task := &simulatedTask{name: command.Task, attempt: command.Attempt, state: protocol.Fetching, fetchedAt: s.now + s.between(0, 3*time.Second)}
-			machine.tasks = append(machine.tasks, task)
-			id, index, _ := protocol.ParseTaskName(command.Task)
-			job := s.jobs[id]
-			used := 0.0
-			for _, other := range machine.tasks {
-				if other != task && other.state != protocol.Ended {
-					otherID, _, _ := protocol.ParseTaskName(other.name)
-					used += s.jobs[otherID].spec.CPUs
-				}
-			}
-			switch {
-			case otherAttempt:
-				task.state, task.reason = protocol.Ended, protocol.ReasonBusy
-			case used+job.spec.CPUs > s.cpusOf(machine)+1e-9:
-				task.state, task.reason = protocol.Ended, protocol.ReasonNoRoom
-			case job.done[index]:
-				task.endsAt = task.fetchedAt // the worker has kept the result
+			if task == nil {
+				s.acceptTask(machine, command, otherAttempt)
 			}
 		case protocol.CommandStop:
-			if known == nil || known.state == protocol.Ended {
-				continue
-			}
-			id, _, _ := protocol.ParseTaskName(command.Task)
-			if s.gangOf(known) != nil {
-				s.stopGangTask(machine, known, *command.GraceS)
-				continue
-			}
-			if spec := s.jobs[id].spec; known.state == protocol.Running && spec.CheckpointS > 0 && command.GraceS != nil && *command.GraceS >= spec.SaveS {
-				known.state, known.savedAt = protocol.Saving, s.now+time.Duration(spec.SaveS*float64(time.Second))
-			} else if known.state != protocol.Saving || *command.GraceS == 0 {
-				known.state, known.reason = protocol.Ended, protocol.ReasonStopped
+			if task != nil && task.state != protocol.Ended {
+				s.stopTask(machine, task, command.GraceS)
 			}
 		case protocol.CommandForget:
-			for i, task := range machine.tasks {
-				if task == known && task.state == protocol.Ended {
-					machine.tasks = append(machine.tasks[:i], machine.tasks[i+1:]...)
-					break
-				}
+			if task != nil && task.state == protocol.Ended {
+				i := slices.Index(machine.tasks, task)
+				machine.tasks = append(machine.tasks[:i], machine.tasks[i+1:]...)
 			}
 		}
 	}
-	return changed
 }
 
-// beginTask starts a task on its machine and checks the rules that hold at this moment.
-func (s *simulation) beginTask(machine *simulatedMachine, task *simulatedTask) {
-	task.state = protocol.Running
-	if task.endsAt == 0 {
-		task.endsAt = s.now + s.between(2*time.Second, 12*time.Second)
-	}
-	machine.nextHeartbeatAt = min(machine.nextHeartbeatAt, s.now+500*time.Millisecond)
-	id, _, _ := protocol.ParseTaskName(task.name)
-	job := s.jobs[id]
-	where := fmt.Sprintf("at %v: %s attempt %x on %s", s.now, task.name, task.attempt, machine.Name)
-	if job.spec.Spot != true && machine.Spot {
-		s.t.Fatalf("wrong_place: spot: %s", where)
-	}
-	if job.spec.Zone != "" && job.spec.Zone != machine.Zone {
-		s.t.Fatalf("wrong_place: zone: %s", where)
-	}
-	if len(job.spec.MachineTypes) > 0 && job.spec.MachineTypes[0] != machine.MachineType {
-		s.t.Fatalf("wrong_place: type: %s", where)
-	}
-	var busy []string
-	used, zones := map[string]float64{}, map[string]int{}
-	for _, name := range s.machineNames() {
-		onMachine := s.machines[name]
-		if onMachine.removed {
-			continue
-		}
-		for _, other := range onMachine.tasks {
-			if !other.onMachine() {
-				continue
-			}
-			otherID, _, _ := protocol.ParseTaskName(other.name)
-			used[s.jobs[otherID].spec.Team] += s.jobs[otherID].spec.CPUs
-			busy = append(busy, fmt.Sprintf("%s:%s#%x*%v", name, other.name, other.attempt, s.jobs[otherID].spec.CPUs))
-			if otherID == id {
-				zones[onMachine.Zone]++
-			}
-			if other.name == task.name && other != task {
-				s.t.Fatalf("ran_twice: %s, and on %s attempt %x", where, name, other.attempt)
-			}
+// acceptTask adds a task that was commanded to start, or lists it as refused.
+func (s *simulation) acceptTask(machine *simulatedMachine, command protocol.Command, otherAttempt bool) {
+	used := 0.0
+	for _, other := range machine.tasks {
+		if other.state != protocol.Ended {
+			used += s.jobOf(other).spec.CPUs
 		}
 	}
-	for _, team := range s.teams {
-		if used[team.Name] > team.CPUsMax+1e-9 {
-			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], where, busy)
-		}
+	task := &simulatedTask{
+		name:      command.Task,
+		attempt:   command.Attempt,
+		state:     protocol.Fetching,
+		fetchedAt: s.now + s.between(0, 3*time.Second),
+	}
+	machine.tasks = append(machine.tasks, task)
+	id, index, _ := protocol.ParseTaskName(command.Task)
+	job := s.jobs[id]
+	switch {
+	case otherAttempt:
+		task.state, task.reason = protocol.Ended, protocol.ReasonBusy
+	case used+job.spec.CPUs > s.cpusOf(machine)+1e-9:
+		task.state, task.reason = protocol.Ended, protocol.ReasonNoRoom
+	case job.done[index]:
+		task.endsAt = task.fetchedAt // the worker has kept the result
 	}
-	if job.spec.SameZone && len(zones) > 1 {
-		s.t.Fatalf("wrong_place: same zone: %s", where)
+}
+
+// stopTask stops a task, which saves before if it can.
+func (s *simulation) stopTask(machine *simulatedMachine, task *simulatedTask, graceS *float64) {
+	if s.gangOf(task) != nil {
+		s.stopGangTask(machine, task, *graceS)
+		return
 	}
-	if job.spec.SpreadZones && zones[machine.Zone] > (job.spec.Tasks+1)/2 {
-		s.t.Fatalf("wrong_place: spread over zones: %s", where)
+	spec := s.jobOf(task).spec
+	canSave := task.state == protocol.Running && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS
+	switch {
+	case canSave:
+		task.state, task.savedAt = protocol.Saving, s.now+limits.Seconds(spec.SaveS)
+	case task.state != protocol.Saving || *graceS == 0:
+		task.state, task.reason = protocol.Ended, protocol.ReasonStopped
 	}
-	s.checkCancelled(job, where)
+}
+
+// describe names a task, its machine and the time in messages.
+func (s *simulation) describe(machine *simulatedMachine, task *simulatedTask) string {
+	return fmt.Sprintf("at %v: %s attempt %x on %s", s.now, task.name, task.attempt, machine.Name)
 }
