--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -50,14 +50,14 @@
 
 func (s *Scheduler) takeSnapshot(e SnapshotRequested) {
 	v := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.ended}
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		v.Machines = append(v.Machines, MachineView{Name: m.name, Type: m.typeName, Zone: m.zone, Spot: m.spot, State: s.machineState(m),
 			CPUs: m.size().CPUs, UsedCPUs: m.allocated.CPUs, Tasks: len(m.assignments), SilentFor: s.now - max(m.lastHeartbeatAt, s.termStartedAt)})
 	}
 	for _, t := range s.cfg.Teams {
-		tv := TeamView{Name: t.Name, UsedCPUs: s.jobs.teams[t.Name].allocated.CPUs, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
-		for _, j := range s.jobs.bySubmission {
-			if j.team == s.jobs.teams[t.Name] && !j.cancelled {
+		tv := TeamView{Name: t.Name, UsedCPUs: s.jobs.team(t.Name).allocated.CPUs, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
+		for _, j := range s.jobs.oldestFirst() {
+			if j.team == s.jobs.team(t.Name) && !j.cancelled {
 				tv.Jobs++
 				tv.AssignedTasks += len(j.assignments)
 				tv.WaitingTasks += j.waitingTasks()
@@ -75,7 +75,7 @@
 	switch {
 	case m.deleting:
 		return "returning: " + m.deleteReason
-	case !m.hasReported && m.registration != unregistered:
+	case m.isUnreported():
 		return "not heard of in this term"
 	case !m.hasReported:
 		return "booting"
@@ -83,7 +83,7 @@
 		return "taken by the cloud soon"
 	case m.isFaulty():
 		return "fails its tasks"
-	case s.now > m.lastHeartbeatAt+s.staleAfter():
+	case s.isStale(m):
 		return "silent"
 	case m.relayed:
 		return "up, reports relayed"
@@ -95,7 +95,7 @@
 
 // explainWaiting says what a job's tasks are doing and what the waiting ones wait for.
 func (s *Scheduler) explainWaiting(id string) []string {
-	j := s.jobs.byID[id]
+	j := s.jobs.find(id)
 	if j == nil {
 		return []string{"not among the open jobs of this term"}
 	}
@@ -121,7 +121,7 @@
 		add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.CPUs, j.team.cfg.CPUsMax)
 	}
 	usable, allowed, room := 0, 0, 0
-	for _, m := range s.inventory.sorted {
+	for _, m := range s.inventory.all() {
 		if !s.isSchedulable(m) {
 			continue
 		}
@@ -130,7 +130,7 @@
 			continue
 		}
 		allowed++
-		if m.freeRoom().Fits(j.demand) {
+		if m.freeResources().Fits(j.demand) {
 			room++
 		}
 	}
