--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -65,16 +65,16 @@
 	dispatcher.OnTermLost(elector.TermLost)
 
 	// What the controller serves.
-	front := &gateway.Gateway{
+	front := gateway.New(gateway.Options{
 		Node:       s.NodeName,
+		Settings:   s,
 		Store:      store.ForUsers(),
 		Dispatcher: dispatcher,
 		Peers:      peers,
-		Leader:     elector.Leader,
-		Settings:   s,
+		LeaderName: elector.Leader,
 		UserSlots:  shares.UserSlots,
 		Log:        log,
-	}
+	})
 	clientServer := transport.NewServer(transport.ServerOptions{
 		Addr:        s.ClientListen,
 		MaxConns:    shares.Inbound,
--- a/internal/coordination/gateway/final_states.go
+++ b/internal/coordination/gateway/final_states.go
@@ -6,33 +6,39 @@
 	"quillshunt/internal/limits"
 )
 
-// finalStateCache caches final states, which never change.
+// finalStateCache caches the final states of jobs, which never change. It is safe for concurrent use.
 type finalStateCache struct {
 	mu     sync.Mutex
-	states map[string]string
-	ring   []string
-	next   int
+	states map[string]string // by job
+	ring   []string          // jobs in the order in which they were added
+	next   int               // position in a full ring that is overwritten next
 }
 
-func (f *finalStateCache) get(id string) (string, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	s, ok := f.states[id]
-	return s, ok
+func newFinalStateCache() *finalStateCache {
+	return &finalStateCache{states: map[string]string{}}
 }
 
-func (f *finalStateCache) put(id, standing string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if _, ok := f.states[id]; ok {
+// get returns a job's final state if it is cached.
+func (c *finalStateCache) get(id string) (string, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, ok := c.states[id]
+	return state, ok
+}
+
+// put adds a job's final state. A full cache forgets the job that was added first.
+func (c *finalStateCache) put(id, state string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, ok := c.states[id]; ok {
 		return
 	}
-	f.states[id] = standing
-	if len(f.ring) < limits.FinalCache {
-		f.ring = append(f.ring, id)
+	c.states[id] = state
+	if len(c.ring) < limits.FinalCache {
+		c.ring = append(c.ring, id)
 		return
 	}
-	delete(f.states, f.ring[f.next])
-	f.ring[f.next] = id
-	f.next = (f.next + 1) % limits.FinalCache
+	delete(c.states, c.ring[c.next])
+	c.ring[c.next] = id
+	c.next = (c.next + 1) % limits.FinalCache
 }
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the front door: it sorts what arrives, answers users from the state service, and
-// sends workers to the leader.
+// Package gateway serves users and workers. It answers users from the state service, and hands
+// workers' heartbeats to the leader or sends the workers there.
 package gateway
 
 import (
@@ -13,61 +13,62 @@
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
-	"quillshunt/internal/transport"
 )
 
-// Gateway handles requests. Handle runs on the server's loop and never blocks; users' requests
-// are worked on in a stage of bounded size.
-type Gateway struct {
-	Node       string
-	Store      *storage.Store
+// Options are the settings and collaborators of a Gateway.
+type Options struct {
+	Node       string // name of this controller
+	Settings   *config.Settings
+	Store      *storage.Store // with the users' share of the rates
 	Dispatcher *leader.Dispatcher
 	Peers      *peer.Peers
-	Leader     func() string // name of the leading node, or ""
-	Settings   *config.Settings
-	UserSlots  int // most users' requests worked on at once
+	LeaderName func() string // returns the name of the leading controller, or "" if none is known
+	UserSlots  int           // limit of users' requests in progress
 	Log        *slog.Logger
+}
+
+// Gateway handles requests. Handle runs on the server's loop and never blocks; users' requests are
+// worked on by a bounded number of goroutines.
+type Gateway struct {
+	node       string
+	settings   *config.Settings
+	store      *storage.Store
+	dispatcher *leader.Dispatcher
+	peers      *peer.Peers
+	leaderName func() string
+	log        *slog.Logger
+
+	ctx context.Context // of all work for requests; set by Start, as Handle gets none
 
-	ctx          context.Context
-	userSlots    chan struct{}
+	userSlots    chan struct{} // bounds users' requests in progress
 	machineTypes atomic.Pointer[[]protocol.MachineType]
-	finalStates  finalStateCache
+	finalStates  *finalStateCache
 
-	relaySlots             chan struct{}
-	isolated               atomic.Bool // another node reaches the state service and we do not
-	checkingIsolation      atomic.Bool
-	leaderUnreachableUntil atomic.Int64 // until when the leader is taken to be out of our reach, in Unix nanoseconds
+	relaySlots             chan struct{} // bounds relayed heartbeats in progress
+	leaderUnreachableUntil atomic.Int64  // until when heartbeats are not relayed, in Unix nanoseconds
+
+	isolated          atomic.Bool // another controller reaches the state service and this one does not
+	checkingIsolation atomic.Bool
+}
+
+// New returns a Gateway. Start must be called before it handles requests.
+func New(o Options) *Gateway {
+	return &Gateway{
+		node:        o.Node,
+		settings:    o.Settings,
+		store:       o.Store,
+		dispatcher:  o.Dispatcher,
+		peers:       o.Peers,
+		leaderName:  o.LeaderName,
+		log:         o.Log,
+		userSlots:   make(chan struct{}, o.UserSlots),
+		relaySlots:  make(chan struct{}, limits.RelaySlots),
+		finalStates: newFinalStateCache(),
+	}
 }
 
-// Start prepares the gateway; its work ends with the context.
+// Start begins to follow the machine types. All work of the gateway ends with the context.
 func (g *Gateway) Start(ctx context.Context) {
 	g.ctx = ctx
-	g.userSlots = make(chan struct{}, g.UserSlots)
-	g.relaySlots = make(chan struct{}, limits.RelaySlots)
-	g.finalStates.states = map[string]string{}
 	go g.followMachineTypes(ctx)
 }
-
-// Handle takes a request.
-func (g *Gateway) Handle(req *transport.Message, rsp *transport.Responder) {
-	switch req.Path {
-	case "/healthz":
-		if req.Method != "GET" {
-			rsp.Respond(405, nil, 0)
-			return
-		}
-		rsp.Respond(g.health(), nil, 0)
-	case "/v1/report":
-		if req.Method != "POST" {
-			rsp.Respond(405, nil, 0)
-			return
-		}
-		if !rsp.ClaimMachineSlot() {
-			rsp.Respond(503, nil, 0)
-			return
-		}
-		g.handleHeartbeat(req, rsp)
-	default:
-		g.handleUser(req, rsp)
-	}
-}
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -68,8 +68,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &Gateway{Node: "rig-0", Store: store, Dispatcher: leader.NewDispatcher(leader.DispatcherOptions{Settings: s, Options: config.DefaultOptions(), Store: store, Log: log}), Peers: peers,
-		Leader: func() string { return "" }, Settings: s, UserSlots: limits.UserSlots, Log: log}
+	g := New(Options{Node: "rig-0", Store: store, Dispatcher: leader.NewDispatcher(leader.DispatcherOptions{Settings: s, Options: config.DefaultOptions(), Store: store, Log: log}), Peers: peers,
+		LeaderName: func() string { return "" }, Settings: s, UserSlots: limits.UserSlots, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	g.Start(ctx)
@@ -293,7 +293,7 @@
 
 // TestFullUserSlots: beyond its stage the front door answers at once when to come back.
 func TestFullUserSlots(t *testing.T) {
-	g := &Gateway{userSlots: make(chan struct{})}
+	g := New(Options{})
 	srv := transport.NewServer(transport.ServerOptions{Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler)})
 	serve(t, srv)
 	f := &gatewayFixture{t: t, client: transport.NewClient(srv.Addr(), 1, limits.MaxBodyBytes)}
--- a/internal/coordination/gateway/health.go
+++ b/internal/coordination/gateway/health.go
@@ -1,28 +1,35 @@
 package gateway
 
 import (
+	"net/http"
+
 	"quillshunt/internal/limits"
 	"quillshunt/internal/storage"
 )
 
-// health is 503 while we alone do not reach the state service: then users are better served by
-// another node. In an outage for all it stays 200, as it would help nobody if all nodes were taken
-// out; a node that hears of no other either cannot tell which it is.
+// health returns 503 while this controller alone does not reach the state service, as users are then
+// better served by another one. In an outage for all it stays 200: nobody would be served better if
+// all controllers were taken out of service. A controller that reaches no other one either cannot
+// distinguish the two cases.
 func (g *Gateway) health() int {
-	if g.Store.FailingFor() < limits.IsolatedAfter {
+	if g.store.FailingFor() < limits.IsolatedAfter {
 		g.isolated.Store(false)
-		return 200
+		return http.StatusOK
 	}
 	if g.checkingIsolation.CompareAndSwap(false, true) {
-		go func() {
-			defer g.checkingIsolation.Store(false)
-			g.isolated.Store(g.Peers.FindConnected(g.ctx) != "")
-			// Nobody may call while we are out of service, so look for ourselves whether it is over.
-			_, _ = g.Store.Get(g.ctx, storage.KeyTerm)
-		}()
+		go g.checkIsolation()
 	}
 	if g.isolated.Load() {
-		return 503
+		return http.StatusServiceUnavailable
 	}
-	return 200
+	return http.StatusOK
+}
+
+// checkIsolation asks the other controllers whether they reach the state service.
+func (g *Gateway) checkIsolation() {
+	defer g.checkingIsolation.Store(false)
+	g.isolated.Store(g.peers.FindConnected(g.ctx) != "")
+	// Out of service this controller may get no requests whose calls would show that the state service
+	// is back, so make one.
+	_, _ = g.store.Get(g.ctx, storage.KeyTerm)
 }
--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"net/http"
 	"time"
 
 	"quillshunt/internal/limits"
@@ -8,46 +9,49 @@
 	"quillshunt/internal/transport"
 )
 
-// handleHeartbeat hands a worker's report to the leader here, or sends the worker to where the
-// leader is.
+// handleHeartbeat hands a worker's heartbeat to the term of this process. Without one it relays the
+// heartbeat to the leader or redirects the worker.
 func (g *Gateway) handleHeartbeat(req *transport.Message, rsp *transport.Responder) {
-	if !g.Dispatcher.IsLeader() {
-		name := g.Leader()
-		if name == g.Node {
-			name = ""
-		}
-		if name == "" || time.Now().UnixNano() < g.leaderUnreachableUntil.Load() {
-			// We know of no leader or cannot reach it either, so the worker may try another node.
-			redirect(rsp, "")
-			return
-		}
-		select {
-		case g.relaySlots <- struct{}{}:
-			go g.relayHeartbeat(name, req.Body, rsp)
-		default:
-			redirect(rsp, name)
-		}
+	if g.dispatcher.IsLeader() {
+		g.dispatcher.Heartbeat(req.Body, sameConnection(rsp), func(status int, body []byte) {
+			rsp.Respond(status, body, 0)
+		})
 		return
 	}
-	g.Dispatcher.Heartbeat(req.Body, rsp.PreviousStatus() == 200, func(status int, body []byte) { rsp.Respond(status, body, 0) })
+	leader := g.leaderName()
+	if leader == "" || leader == g.node || time.Now().UnixNano() < g.leaderUnreachableUntil.Load() {
+		// This controller knows of no leader or cannot reach it either: the worker may try another one.
+		redirect(rsp, "")
+		return
+	}
+	select {
+	case g.relaySlots <- struct{}{}:
+		go g.relayHeartbeat(leader, req.Body, rsp)
+	default:
+		redirect(rsp, leader)
+	}
 }
 
-// relayHeartbeat asks the leader about a worker that came here. Mostly the leader wants it to come
-// itself; if it cannot, as when the network between its zone and the leader's is cut, the leader
-// answers its reports through us.
-func (g *Gateway) relayHeartbeat(name string, body []byte, rsp *transport.Responder) {
+// relayHeartbeat sends a worker's heartbeat to the leader and the answer back. Mostly the answer
+// redirects the worker to the leader; if the worker cannot get there, as when the network between
+// its zone and the leader's is cut, the leader answers its heartbeats through this controller.
+func (g *Gateway) relayHeartbeat(leader string, body []byte, rsp *transport.Responder) {
 	defer func() { <-g.relaySlots }()
-	status, answer, err := g.Peers.RelayHeartbeat(g.ctx, name, body, rsp.PreviousStatus() == 200)
+	status, answer, err := g.peers.RelayHeartbeat(g.ctx, leader, body, sameConnection(rsp))
 	if err != nil {
 		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachablePause).UnixNano())
-		g.Log.Debug("leader not reached", "leader", name, "err", err)
+		g.log.Debug("leader unreachable", "leader", leader, "err", err)
 		redirect(rsp, "")
 		return
 	}
 	rsp.Respond(status, answer, 0)
 }
 
-// redirect sends a worker to a node, or with no name to the next one.
-func redirect(rsp *transport.Responder, name string) {
-	rsp.Respond(421, protocol.Encode(protocol.Redirect{Leader: name}), 0)
+// sameConnection reports whether the heartbeat before on the same connection was answered 200, so
+// that the worker has got that answer.
+func sameConnection(rsp *transport.Responder) bool { return rsp.PreviousStatus() == http.StatusOK }
+
+// redirect sends a worker to a controller, or with "" to any other one.
+func redirect(rsp *transport.Responder, node string) {
+	rsp.Respond(http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: node}), 0)
 }
--- a/internal/coordination/gateway/job_status.go
+++ b/internal/coordination/gateway/job_status.go
@@ -3,87 +3,95 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 
 	"quillshunt/internal/coordination/peer"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
-// finalState tells what became of a job, if that is known here to be so for good.
-func (g *Gateway) finalState(id string) (protocol.JobStatus, bool) {
-	f, ok := g.finalStates.get(id)
-	return protocol.JobStatus{ID: id, State: f}, ok
-}
-
-// readJobStatus reads a job's state. It looks at the open record first and then at the final one;
-// as a job moves from the one to the other in one transaction, it is never missed.
-func (g *Gateway) readJobStatus(ctx context.Context, id string) (protocol.JobStatus, bool, error) {
-	if st, over := g.finalState(id); over {
-		return st, true, nil
+// showJob answers a user who polls the status of a job. While the job is open it asks the leader for
+// the counts of its tasks.
+func (g *Gateway) showJob(ctx context.Context, id string) response {
+	if !protocol.ValidJobID(id) {
+		return jobNotFound()
 	}
-	st := protocol.JobStatus{ID: id}
-	p, err := g.Store.Get(ctx, storage.OpenJobKey(id))
-	if err != nil {
-		return st, false, fmt.Errorf("read %s: %w", id, err)
+	status, found, err := g.readJobStatus(ctx, id)
+	switch {
+	case err != nil:
+		return g.retryLater(err)
+	case !found:
+		return jobNotFound()
 	}
-	if p.Version != 0 {
-		var o storage.OpenJob
-		if err := protocol.Decode(p.Value, &o); err != nil {
-			return st, false, fmt.Errorf("read %s: %w", id, err)
-		}
-		st.State = protocol.Pending
-		if o.Cancelled {
-			// "aborted" is a confirmation, also to a poll. "pending" may be an older answer than
-			// another controller's.
-			if !g.confirmCancellation(ctx, id, p) {
-				return st, false, errUnconfirmed
+	if status.State == protocol.Pending {
+		if counts, ok := g.taskCounts(ctx, id); ok {
+			status.Done, status.Running = &counts.Done, &counts.Running
+			if counts.Running > 0 {
+				status.State = protocol.Running
 			}
-			st.State = protocol.Aborted
 		}
-		return st, true, nil
 	}
-	p, err = g.Store.Get(ctx, storage.FinalJobKey(id))
-	if err != nil {
-		return st, false, fmt.Errorf("read %s: %w", id, err)
-	}
-	if p.Version == 0 {
-		return st, false, nil
-	}
-	var f storage.FinalJob
-	if err := protocol.Decode(p.Value, &f); err != nil {
-		return st, false, fmt.Errorf("read %s: %w", id, err)
+	return statusResponse(http.StatusOK, status)
+}
+
+// taskCounts asks the leader for a job's counts.
+func (g *Gateway) taskCounts(ctx context.Context, id string) (peer.TaskCounts, bool) {
+	if g.dispatcher.IsLeader() {
+		return g.dispatcher.TaskCounts(ctx, id)
 	}
-	g.finalStates.put(id, f.State)
-	st.State = f.State
-	return st, true, nil
+	return g.peers.TaskCounts(ctx, g.leaderName(), id)
 }
 
-// showJob answers a poll.
-func (g *Gateway) showJob(ctx context.Context, id string) (int, any) {
-	if !protocol.ValidJobID(id) {
-		return 404, errorBody{Error: "no such job"}
+// finalStatus returns the status of a job that is known here to be over.
+func (g *Gateway) finalStatus(id string) (protocol.JobStatus, bool) {
+	state, ok := g.finalStates.get(id)
+	return protocol.JobStatus{ID: id, State: state}, ok
+}
+
+// readJobStatus reads a job's status, and whether there is such a job. It reads the open record
+// before the final one: as a job moves from the one to the other in one transaction, it is never
+// missed. The error is errUnconfirmed if the job is cancelled and the user cannot be told so yet.
+func (g *Gateway) readJobStatus(ctx context.Context, id string) (status protocol.JobStatus, found bool, err error) {
+	if status, ok := g.finalStatus(id); ok {
+		return status, true, nil
 	}
-	st, known, err := g.readJobStatus(ctx, id)
+	open, err := g.store.Get(ctx, storage.OpenJobKey(id))
 	if err != nil {
-		return g.retryLater(err)
+		return status, false, fmt.Errorf("read %s: %w", id, err)
 	}
-	if !known {
-		return 404, errorBody{Error: "no such job"}
+	if open.Version != 0 {
+		return g.openJobStatus(ctx, id, open)
 	}
-	if st.State == protocol.Pending {
-		if c, ok := g.taskCounts(ctx, id); ok {
-			st.Done, st.Running = &c.Done, &c.Running
-			if c.Running > 0 {
-				st.State = protocol.Running
-			}
-		}
+	final, err := g.store.Get(ctx, storage.FinalJobKey(id))
+	if err != nil {
+		return status, false, fmt.Errorf("read %s: %w", id, err)
+	}
+	if final.Version == 0 {
+		return status, false, nil
+	}
+	var record storage.FinalJob
+	if err := protocol.Decode(final.Value, &record); err != nil {
+		return status, false, fmt.Errorf("read %s: %w", id, err)
 	}
-	return 200, st
+	g.finalStates.put(id, record.State)
+	return protocol.JobStatus{ID: id, State: record.State}, true, nil
 }
 
-func (g *Gateway) taskCounts(ctx context.Context, id string) (peer.TaskCounts, bool) {
-	if g.Dispatcher.IsLeader() {
-		return g.Dispatcher.TaskCounts(ctx, id)
+// openJobStatus returns the status of a job by its open record.
+func (g *Gateway) openJobStatus(
+	ctx context.Context, id string, open protocol.KeyValue,
+) (status protocol.JobStatus, found bool, err error) {
+	var record storage.OpenJob
+	if err := protocol.Decode(open.Value, &record); err != nil {
+		return status, false, fmt.Errorf("read %s: %w", id, err)
+	}
+	if !record.Cancelled {
+		return protocol.JobStatus{ID: id, State: protocol.Pending}, true, nil
+	}
+	// "aborted" is a confirmation, also as the answer to a poll. "pending" would contradict what
+	// another controller may have confirmed already.
+	if !g.confirmCancellation(ctx, id, open) {
+		return status, false, errUnconfirmed
 	}
-	return g.Peers.TaskCounts(ctx, g.Leader(), id)
+	return protocol.JobStatus{ID: id, State: protocol.Aborted}, true, nil
 }
--- a/internal/coordination/gateway/machine_types.go
+++ b/internal/coordination/gateway/machine_types.go
@@ -2,28 +2,26 @@
 
 import (
 	"context"
-	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/storage"
 )
 
-// followMachineTypes keeps the machine types up to date.
+// followMachineTypes reads the machine types from the state service again and again, until the
+// context ends.
 func (g *Gateway) followMachineTypes(ctx context.Context) {
-	var back storage.Backoff
+	var backoff storage.Backoff
 	for {
-		stored, err := g.Store.ReadMachineTypes(ctx)
-		if err == nil {
-			g.machineTypes.Store(&stored.Types)
-			back.Reset()
-			select {
-			case <-ctx.Done():
+		stored, err := g.store.ReadMachineTypes(ctx)
+		if err != nil {
+			if !backoff.Wait(ctx) {
 				return
-			case <-time.After(limits.MachineTypesInterval):
 			}
 			continue
 		}
-		if !back.Wait(ctx) {
+		g.machineTypes.Store(&stored.Types)
+		backoff.Reset()
+		if !storage.Sleep(ctx, limits.MachineTypesInterval) {
 			return
 		}
 	}
--- a/internal/coordination/gateway/routes.go
+++ b/internal/coordination/gateway/routes.go
@@ -1,37 +1,80 @@
 package gateway
 
 import (
+	"net/http"
 	"strings"
+
+	"quillshunt/internal/transport"
 )
 
+// Paths of the protocol.
+const (
+	healthPath    = "/healthz"
+	heartbeatPath = "/v1/report"
+	jobsPath      = "/v2/runs" // of a job: followed by its id, and perhaps by cancelSegment
+	cancelSegment = "cancel"
+)
+
+// userAction is what a user's request asks for.
 type userAction uint8
 
 const (
 	actionSubmit userAction = iota
-	actionShow
+	actionStatus
 	actionCancel
 )
 
-// route finds the method and action of a users' path.
-func route(path string) (method, id string, a userAction, ok bool) {
-	rest, ok := strings.CutPrefix(path, "/v2/runs")
+// userRoute is where the path of a user's request leads.
+type userRoute struct {
+	action userAction
+	method string // the one that the path allows
+	jobID  string // not validated; "" for a submission
+}
+
+// Handle handles a request. It runs on the server's loop and never blocks.
+func (g *Gateway) Handle(req *transport.Message, rsp *transport.Responder) {
+	switch req.Path {
+	case healthPath:
+		if req.Method != http.MethodGet {
+			rsp.Respond(http.StatusMethodNotAllowed, nil, 0)
+			return
+		}
+		rsp.Respond(g.health(), nil, 0)
+	case heartbeatPath:
+		if req.Method != http.MethodPost {
+			rsp.Respond(http.StatusMethodNotAllowed, nil, 0)
+			return
+		}
+		if !rsp.FromMachine() {
+			rsp.Respond(http.StatusServiceUnavailable, nil, 0)
+			return
+		}
+		g.handleHeartbeat(req, rsp)
+	default:
+		g.handleUser(req, rsp)
+	}
+}
+
+// findUserRoute returns the route of a user's path.
+func findUserRoute(path string) (userRoute, bool) {
+	rest, ok := strings.CutPrefix(path, jobsPath)
 	if !ok {
-		return "", "", 0, false
+		return userRoute{}, false
 	}
 	if rest == "" {
-		return "POST", "", actionSubmit, true
+		return userRoute{action: actionSubmit, method: http.MethodPost}, true
 	}
 	if rest[0] != '/' {
-		return "", "", 0, false
+		return userRoute{}, false
 	}
-	id, verb, more := strings.Cut(rest[1:], "/")
+	id, segment, hasSegment := strings.Cut(rest[1:], "/")
 	switch {
 	case id == "":
-		return "", "", 0, false
-	case !more:
-		return "GET", id, actionShow, true
-	case verb == "cancel":
-		return "POST", id, actionCancel, true
+		return userRoute{}, false
+	case !hasSegment:
+		return userRoute{action: actionStatus, method: http.MethodGet, jobID: id}, true
+	case segment == cancelSegment:
+		return userRoute{action: actionCancel, method: http.MethodPost, jobID: id}, true
 	}
-	return "", "", 0, false
+	return userRoute{}, false
 }
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -160,7 +160,7 @@
 	}
 	desk := leader.NewDispatcher(leader.DispatcherOptions{Settings: s, Options: config.DefaultOptions(), Store: store,
 		Cloud: leader.NewCloud(cloudAddr, 100, nil), Sockets: sockets, Log: log})
-	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, UserSlots: shares.UserSlots, Log: log}
+	g := New(Options{Node: "rig-0", Store: store.ForUsers(), Dispatcher: desk, Peers: peers, LeaderName: func() string { return "" }, Settings: s, UserSlots: shares.UserSlots, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	g.Start(ctx)
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"quillshunt/internal/limits"
@@ -9,84 +10,75 @@
 	"quillshunt/internal/transport"
 )
 
-// handleUser takes a user's request into the users' stage. What a full stage can't take is told at
-// once to come back, unless nothing can become of it anyway.
+// handleUser handles a user's request in a goroutine. If too many are in progress the user is told
+// at once to retry, unless the request can never succeed anyway.
 func (g *Gateway) handleUser(req *transport.Message, rsp *transport.Responder) {
-	method, id, action, ok := route(req.Path)
+	route, ok := findUserRoute(req.Path)
 	if !ok {
-		rsp.Respond(404, nil, 0)
+		rsp.Respond(http.StatusNotFound, nil, 0)
 		return
 	}
-	if req.Method != method {
-		rsp.Respond(405, nil, 0)
+	if req.Method != route.method {
+		rsp.Respond(http.StatusMethodNotAllowed, nil, 0)
 		return
 	}
 	select {
 	case g.userSlots <- struct{}{}:
-		arrived := time.Now()
+		arrivedAt := time.Now()
 		go func() {
 			defer func() { <-g.userSlots }()
-			status := g.answerUser(action, id, req.Body, rsp)
-			g.Log.Debug("user answered", "path", req.Path, "status", status, "after", time.Since(arrived))
+			status := g.answerUser(route, req.Body, rsp)
+			g.log.Debug("user request answered", "path", req.Path, "status", status, "after", time.Since(arrivedAt))
 		}()
 	default:
-		g.rejectUser(action, id, req.Body, rsp)
+		g.rejectUser(route, req.Body, rsp)
 	}
 }
 
-// rejectUser answers a request for which the stage has no room.
-func (g *Gateway) rejectUser(action userAction, id string, body []byte, rsp *transport.Responder) {
+// rejectUser answers a request for which there is no slot.
+func (g *Gateway) rejectUser(route userRoute, body []byte, rsp *transport.Responder) {
 	switch {
-	case action != actionSubmit && !protocol.ValidJobID(id):
-		rsp.Respond(404, nil, 0)
-	case action == actionSubmit && g.isMalformed(body):
-		rsp.Respond(400, nil, 0)
+	case route.action != actionSubmit && !protocol.ValidJobID(route.jobID):
+		rsp.Respond(http.StatusNotFound, nil, 0)
+	case route.action == actionSubmit && g.isMalformed(body):
+		rsp.Respond(http.StatusBadRequest, nil, 0)
 	default:
-		rsp.Respond(503, nil, limits.RetryAfter)
+		rsp.Respond(http.StatusServiceUnavailable, nil, limits.RetryAfter)
 	}
 }
 
-// answerUser works on a user's request and answers it. It returns the status.
-func (g *Gateway) answerUser(action userAction, id string, body []byte, rsp *transport.Responder) (status int) {
-	limit := limits.SubmitTimeout
-	if action == actionShow {
-		limit = limits.PollTimeout
-	}
-	ctx, cancel := context.WithTimeout(g.ctx, limit)
-	defer cancel()
-	var answer any
-	switch action {
-	case actionSubmit:
-		status, answer = g.submitJob(ctx, body)
-	case actionShow:
-		status, answer = g.showJob(ctx, id)
-	case actionCancel:
-		status, answer = g.cancelJob(ctx, id)
-	}
-	var encoded []byte
-	if answer != nil {
-		encoded = protocol.Encode(answer)
-	}
+// answerUser works on a user's request, answers it and returns the status.
+func (g *Gateway) answerUser(route userRoute, body []byte, rsp *transport.Responder) int {
+	answer := g.executeUserAction(route, body)
 	retryAfter := 0
-	if status == 503 {
-		failing := g.Store.FailingFor()
-		retryAfter = limits.RetryAfterSeconds(failing)
-		if failing > limits.IsolatedAfter {
-			// Perhaps only we are cut off, from the other controllers as well, so that we stay in
-			// service. The user's next try should not come here again only because the connection
-			// is still open.
+	if answer.status == http.StatusServiceUnavailable {
+		failingFor := g.store.FailingFor()
+		retryAfter = limits.RetryAfterSeconds(failingFor)
+		if failingFor > limits.IsolatedAfter {
+			// Perhaps only this controller is cut off, and from the other controllers as well, so that
+			// it stays in service. The user's next try must not come here again only because the
+			// connection is still open.
 			rsp.CloseAfter()
 		}
 	}
-	rsp.Respond(status, encoded, retryAfter)
-	return status
-}
-
-type errorBody struct {
-	Error string `cbor:"error"`
+	rsp.Respond(answer.status, answer.body, retryAfter)
+	return answer.status
 }
 
-func (g *Gateway) retryLater(err error) (int, any) {
-	g.Log.Debug("user told to come back", "err", err)
-	return 503, errorBody{Error: "not now"}
+// executeUserAction does what a user's request asks for, within its time limit.
+func (g *Gateway) executeUserAction(route userRoute, body []byte) response {
+	timeout := limits.SubmitTimeout
+	if route.action == actionStatus {
+		timeout = limits.PollTimeout
+	}
+	ctx, cancel := context.WithTimeout(g.ctx, timeout)
+	defer cancel()
+	switch route.action {
+	case actionSubmit:
+		return g.submitJob(ctx, body)
+	case actionCancel:
+		return g.cancelJob(ctx, route.jobID)
+	default:
+		return g.showJob(ctx, route.jobID)
+	}
 }
