--- a/internal/coordination/gateway/final_states.go
+++ b/internal/coordination/gateway/final_states.go
@@ -34,11 +34,11 @@
 		return
 	}
 	c.states[id] = state
-	if len(c.ring) < limits.FinalCache {
+	if len(c.ring) < limits.FinalStateCacheSize {
 		c.ring = append(c.ring, id)
 		return
 	}
 	delete(c.states, c.ring[c.next])
 	c.ring[c.next] = id
-	c.next = (c.next + 1) % limits.FinalCache
+	c.next = (c.next + 1) % limits.FinalStateCacheSize
 }
--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -39,7 +39,7 @@
 	defer func() { <-g.relaySlots }()
 	status, answer, err := g.peers.RelayHeartbeat(g.ctx, leader, body, sameConnection(rsp))
 	if err != nil {
-		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachablePause).UnixNano())
+		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachableBackoff).UnixNano())
 		g.log.Debug("leader unreachable", "leader", leader, "err", err)
 		redirect(rsp, "")
 		return
--- a/internal/coordination/gateway/routes.go
+++ b/internal/coordination/gateway/routes.go
@@ -45,7 +45,7 @@
 			rsp.Respond(http.StatusMethodNotAllowed, nil, 0)
 			return
 		}
-		if !rsp.FromMachine() {
+		if !rsp.ClaimMachineSlot() {
 			rsp.Respond(http.StatusServiceUnavailable, nil, 0)
 			return
 		}
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -43,7 +43,7 @@
 	case route.action == actionSubmit && g.isMalformed(body):
 		rsp.Respond(http.StatusBadRequest, nil, 0)
 	default:
-		rsp.Respond(http.StatusServiceUnavailable, nil, limits.RetryAfter)
+		rsp.Respond(http.StatusServiceUnavailable, nil, limits.RetryAfterMin)
 	}
 }
 
