--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -55,22 +55,35 @@
 		heartbeatInterval: limits.Seconds(cfg.Workers.ReportS),
 		outbox:            newOutbox(),
 	}
+	jobs := newJobTable(env)
+	queue := newJobQueue(env, jobs)
 	catalog := newTypeCatalog(env)
+	inventory := newMachineInventory(env, catalog)
+	registry := newMachineRegistry(env)
+	rentals := newRentalTable(env)
+	dispatcher := newCommandDispatcher(env)
+	placement := newPlacer(env)
+	gangs := newGangTable(env)
+	prober := newMachineProber(env)
+	finished := newFinishedTaskWriter(env)
+	recovery := newRecoveryState(env)
+	planner := newCapacityPlanner(env)
+	cloudList := newMachineListReader(env)
 	return &Scheduler{
 		environment: env,
-		jobs:        newJobTable(env),
-		queue:       newJobQueue(env),
-		inventory:   newMachineInventory(env, catalog),
+		jobs:        jobs,
+		queue:       queue,
+		inventory:   inventory,
 		catalog:     catalog,
-		registry:    newMachineRegistry(env),
-		rentals:     newRentalTable(env),
-		dispatcher:  newCommandDispatcher(env),
-		placement:   newPlacer(env),
-		gangs:       newGangTable(env),
-		recovery:    newRecoveryState(env),
-		prober:      newMachineProber(env),
-		finished:    newFinishedTaskWriter(env),
-		planner:     newCapacityPlanner(env),
-		cloudList:   newMachineListReader(env),
+		registry:    registry,
+		rentals:     rentals,
+		dispatcher:  dispatcher,
+		placement:   placement,
+		gangs:       gangs,
+		recovery:    recovery,
+		prober:      prober,
+		finished:    finished,
+		planner:     planner,
+		cloudList:   cloudList,
 	}
 }
