--- /dev/null
+++ b/internal/coordination/placement/groups_test.go
@@ -0,0 +1,57 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestGroupsRankLikeTheirMembers: whatever is added, removed and cleared, the best of the groups is
+// the best of all candidates.
+func TestGroupsRankLikeTheirMembers(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		groups := NewGroups(cmp.Compare[int])
+		var all []Candidate[int]
+		for target := range rapid.IntRange(0, 40).Draw(t, "steps") {
+			switch rapid.IntRange(0, 19).Draw(t, "step") {
+			case 0:
+				groups.Clear()
+				all = nil
+			case 1, 2, 3, 4, 5, 6:
+				removeBest(t, &groups, &all)
+			default:
+				c := Candidate[int]{Target: target * 7 % 41}
+				for w := range 3 {
+					c.Scores[w] = float64(rapid.IntRange(-1, 1).Draw(t, "score"))
+				}
+				groups.Add(c)
+				all = append(all, c)
+			}
+		}
+		for len(all) > 0 {
+			removeBest(t, &groups, &all)
+		}
+		if group := groups.Best(); group != -1 {
+			t.Fatalf("group %d is left", group)
+		}
+	})
+}
+
+// removeBest removes the best candidate from the groups and from the list of all, and compares them.
+func removeBest(t *rapid.T, groups *Groups[int], all *[]Candidate[int]) {
+	t.Helper()
+	best, group := Best(*all, cmp.Compare[int]), groups.Best()
+	if (best < 0) != (group < 0) {
+		t.Fatalf("best of the groups %d, of all %d", group, best)
+	}
+	if best < 0 {
+		return
+	}
+	if got := groups.First(group); got != (*all)[best] {
+		t.Fatalf("best of the groups is %+v, of all %+v", got, (*all)[best])
+	}
+	groups.RemoveFirst(group)
+	*all = slices.Delete(*all, best, best+1)
+}
--- /dev/null
+++ b/internal/coordination/placement/victims.go
@@ -0,0 +1,97 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+
+	"quillshunt/internal/coordination/resource"
+	"quillshunt/internal/limits"
+)
+
+// Option is what may be preempted on a machine: a task, or all tasks of a gang there.
+type Option[T any] struct {
+	Task      T
+	Resources resource.Vector // that preempting it frees
+	Cost      float64         // of preempting it
+}
+
+// CheapestVictims returns the indexes of the options to preempt: the set of least cost that covers
+// the shortfall in every resource, or nil if none does. Up to limits.VictimCutoff options every set
+// is tried, as the paper does; beyond that the set is chosen greedily.
+func CheapestVictims[T any](options []Option[T], shortfall resource.Vector) []int {
+	if len(options) <= limits.VictimCutoff {
+		return cheapestSet(options, shortfall)
+	}
+	return greedySet(options, shortfall)
+}
+
+// cheapestSet tries every set of options. A set is a bit mask of indexes.
+func cheapestSet[T any](options []Option[T], shortfall resource.Vector) []int {
+	leastCost, best := 0.0, 0
+	for set := 1; set < 1<<len(options); set++ {
+		var freed resource.Vector
+		cost := 0.0
+		for i := range options {
+			if set>>i&1 != 0 {
+				freed = freed.Plus(options[i].Resources)
+				cost += options[i].Cost
+			}
+		}
+		if freed.Fits(shortfall) && (best == 0 || cost < leastCost) {
+			leastCost, best = cost, set
+		}
+	}
+	var victims []int
+	for i := range options {
+		if best>>i&1 != 0 {
+			victims = append(victims, i)
+		}
+	}
+	return victims
+}
+
+// greedySet adds options by least cost for the shortfall that they cover, and drops those that
+// turned out not to be needed.
+func greedySet[T any](options []Option[T], shortfall resource.Vector) []int {
+	order := make([]int, len(options))
+	for i := range order {
+		order[i] = i
+	}
+	unitCost := func(i int) float64 { return options[i].Cost / coveredShare(options[i].Resources, shortfall) }
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(unitCost(a), unitCost(b)) })
+	var freed resource.Vector
+	var victims []int
+	for _, i := range order {
+		if freed.Fits(shortfall) {
+			break
+		}
+		freed = freed.Plus(options[i].Resources)
+		victims = append(victims, i)
+	}
+	if !freed.Fits(shortfall) {
+		return nil
+	}
+	for k := len(victims) - 1; k >= 0; k-- { // the costliest first
+		if rest := freed.Minus(options[victims[k]].Resources); rest.Fits(shortfall) {
+			freed = rest
+			victims = slices.Delete(victims, k, k+1)
+		}
+	}
+	return victims
+}
+
+// coveredShare is how much of the shortfall the freed resources cover: the sum of their shares of
+// each resource that is short, never zero.
+func coveredShare(freed, shortfall resource.Vector) float64 {
+	share := 0.0
+	if shortfall.CPUs > 0 {
+		share += min(freed.CPUs, shortfall.CPUs) / shortfall.CPUs
+	}
+	if shortfall.Accelerators > 0 {
+		share += min(freed.Accelerators, shortfall.Accelerators) / shortfall.Accelerators
+	}
+	if shortfall.MemoryGB > 0 {
+		share += min(freed.MemoryGB, shortfall.MemoryGB) / shortfall.MemoryGB
+	}
+	return max(share, limits.Epsilon)
+}
--- /dev/null
+++ b/internal/coordination/placement/victims_test.go
@@ -0,0 +1,74 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"quillshunt/internal/coordination/resource"
+	"quillshunt/internal/limits"
+)
+
+// TestCheapestVictims compares the chosen set with every set: up to the cutoff it is the cheapest;
+// beyond, it covers the shortfall and has no task that is not needed.
+func TestCheapestVictims(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(0, limits.VictimCutoff+4).Draw(t, "n")
+		options := make([]Option[int], n)
+		for i := range options {
+			options[i].Resources = resource.Vector{
+				CPUs:     float64(rapid.IntRange(0, 4).Draw(t, "cpus")),
+				MemoryGB: float64(rapid.IntRange(0, 4).Draw(t, "memory")),
+			}
+			options[i].Cost = float64(rapid.IntRange(0, 50).Draw(t, "cost"))
+		}
+		shortfall := resource.Vector{
+			CPUs:     float64(rapid.IntRange(-1, 8).Draw(t, "short CPUs")),
+			MemoryGB: float64(rapid.IntRange(1, 8).Draw(t, "short memory")),
+		}
+		leastCost := leastCostOfAllSets(options, shortfall)
+		victims := CheapestVictims(options, shortfall)
+		if (victims == nil) != (leastCost < 0) {
+			t.Fatalf("got %v, least cost %v", victims, leastCost)
+		}
+		if victims == nil {
+			return
+		}
+		freed, cost := sumOf(options, victims)
+		if !freed.Fits(shortfall) || (n <= limits.VictimCutoff && cost > leastCost) {
+			t.Fatalf("got %v: %+v at cost %v, least cost %v, shortfall %+v", victims, freed, cost, leastCost, shortfall)
+		}
+		for k := range victims {
+			rest := slices.Delete(slices.Clone(victims), k, k+1)
+			if freed, _ := sumOf(options, rest); n > limits.VictimCutoff && freed.Fits(shortfall) {
+				t.Fatalf("task %d of %v is not needed", victims[k], victims)
+			}
+		}
+	})
+}
+
+// leastCostOfAllSets returns the least cost of a set that covers the shortfall, or -1.
+func leastCostOfAllSets(options []Option[int], shortfall resource.Vector) float64 {
+	least := -1.0
+	for mask := range 1 << len(options) {
+		var set []int
+		for i := range options {
+			if mask>>i&1 != 0 {
+				set = append(set, i)
+			}
+		}
+		if freed, cost := sumOf(options, set); freed.Fits(shortfall) && (least < 0 || cost < least) {
+			least = cost
+		}
+	}
+	return least
+}
+
+// sumOf returns what preempting a set of options frees and costs.
+func sumOf(options []Option[int], set []int) (freed resource.Vector, cost float64) {
+	for _, i := range set {
+		freed, cost = freed.Plus(options[i].Resources), cost+options[i].Cost
+	}
+	return freed, cost
+}
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"quillshunt/internal/coordination/placement"
 	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
@@ -63,12 +64,12 @@
 }
 
 // collectCandidates are the machines that pass the filters for a task of the job, with their scores.
-func (s *Scheduler) collectCandidates(j *job, pressing bool) *candidateGroups {
+func (s *Scheduler) collectCandidates(j *job, pressing bool) *placement.Groups[*machine] {
 	p := &s.placement.pass
-	p.groups.clear()
+	p.groups.Clear()
 	for _, m := range p.eligibleMachines(pressing) {
 		if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
-			p.groups.add(c)
+			p.groups.Add(c)
 		}
 	}
 	return &p.groups
@@ -88,7 +89,7 @@
 	if over && !pressing || (m.reservedFor != nil && m.reservedFor != j) || !s.passesHardFilters(j, m) || tasks >= limits.MaxTasksPerMachine {
 		return c, false
 	}
-	c.machine = m
+	c.Target = m
 	if over {
 		// The normal view: the machine without what this request may stop.
 		view := free
@@ -100,24 +101,24 @@
 		if !view.Fits(j.demand) {
 			return c, false
 		}
-		c.scores[weightOvercommit] = -1
+		c.Scores[placement.Overcommit] = -1
 		for _, v := range s.preemptionOptions(j, m, planned) {
-			c.scores[weightCost] -= v.cost
+			c.Scores[placement.PreemptionCost] -= v.Cost
 		}
 	}
 	if _, ok := m.cachedImages[j.spec.Image]; !ok {
-		c.scores[weightImage] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.MinImageFetchRate)
+		c.Scores[placement.Image] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.MinImageFetchRate)
 	}
 	left := free.Minus(j.demand)
-	c.scores[weightPacking] = -left.CPUs
-	c.scores[weightPrice] = -m.pricePerCPU()
+	c.Scores[placement.Packing] = -left.CPUs
+	c.Scores[placement.Price] = -m.pricePerCPU()
 	if j.gang != nil && m.reservedForGangs {
-		c.scores[weightGangReservation] = 1
+		c.Scores[placement.GangReservation] = 1
 	}
 	if m.speedCount >= 3 {
-		c.scores[weightSpeed] = -math.Round(m.speedSum/float64(m.speedCount)/limits.SpeedStep) * limits.SpeedStep
+		c.Scores[placement.Speed] = -math.Round(m.speedSum/float64(m.speedCount)/limits.SpeedStep) * limits.SpeedStep
 	} else {
-		c.scores[weightSpeed] = -1
+		c.Scores[placement.Speed] = -1
 	}
 	return c, true
 }
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"quillshunt/internal/coordination/placement"
 	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
@@ -56,7 +57,7 @@
 	views       map[*machine]*plannedView
 	tasksInZone map[string]int // tasks of the gang
 	placements  []taskPlacement
-	groups      candidateGroups
+	groups      placement.Groups[*machine]
 	cost        float64
 }
 
@@ -155,13 +156,13 @@
 // placeGangInZone looks for seats for n tasks of a gang, in one zone if one is named. It returns
 // nil if it does not find all of them.
 func (s *Scheduler) placeGangInZone(j *job, n int, zone string, pressing bool) *gangPlacement {
-	a := &gangPlacement{scheduler: s, job: j, preempting: pressing, zone: zone, views: map[*machine]*plannedView{}, tasksInZone: map[string]int{}}
+	a := &gangPlacement{scheduler: s, job: j, preempting: pressing, zone: zone, views: map[*machine]*plannedView{}, tasksInZone: map[string]int{}, groups: placement.NewGroups(byName)}
 	for _, b := range j.assignments {
 		a.tasksInZone[b.machine.zone]++
 	}
 	a.collectCandidates()
 	for len(a.placements) < n {
-		best := bestCandidate(a.groups.representatives)
+		best := a.groups.Best()
 		if best < 0 || !a.placeOn(best) {
 			return nil
 		}
@@ -175,7 +176,7 @@
 		return
 	}
 	if c, ok := a.scheduler.evaluateMachine(a.job, m, a.preempting, a.views[m]); ok {
-		a.groups.add(c)
+		a.groups.Add(c)
 	}
 }
 
@@ -200,24 +201,24 @@
 
 // placeOn takes a seat on the first machine of a shelf.
 func (a *gangPlacement) placeOn(shelf int) bool {
-	c := a.groups.representatives[shelf]
-	victims, ok := a.scheduler.chooseVictims(a.job, &c, a.views[c.machine])
+	c := a.groups.First(shelf)
+	victims, ok := a.scheduler.chooseVictims(a.job, &c, a.views[c.Target])
 	if !ok {
 		return false
 	}
-	a.groups.takeFirst(shelf)
-	view := a.viewOf(c.machine)
+	a.groups.RemoveFirst(shelf)
+	view := a.viewOf(c.Target)
 	view.promised, view.tasks = view.promised.Plus(a.job.demand), view.tasks+1
-	a.tasksInZone[c.machine.zone]++
-	a.placements = append(a.placements, taskPlacement{c.machine, victims})
+	a.tasksInZone[c.Target.zone]++
+	a.placements = append(a.placements, taskPlacement{c.Target, victims})
 	for _, v := range victims {
 		a.countVictim(v)
 	}
-	if len(victims) > 0 || a.zoneFull(c.machine.zone) {
+	if len(victims) > 0 || a.zoneFull(c.Target.zone) {
 		a.collectCandidates()
 		return true
 	}
-	a.offerMachine(c.machine)
+	a.offerMachine(c.Target)
 	return true
 }
 
@@ -254,7 +255,7 @@
 // collectCandidates looks at all machines, at first and after room was freed on several or a zone
 // was filled.
 func (a *gangPlacement) collectCandidates() {
-	a.groups.clear()
+	a.groups.Clear()
 	for _, m := range a.scheduler.placement.pass.eligibleMachines(a.preempting) {
 		a.offerMachine(m)
 	}
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -267,7 +267,7 @@
 	b.job("job-2", "red", "high", 1, 8, 0)
 	options := b.scheduler.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
 	one := b.scheduler.preemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
-	if len(options) != 1 || options[0].resources.CPUs != 8 || options[0].cost < 3.9*one {
+	if len(options) != 1 || options[0].Resources.CPUs != 8 || options[0].Cost < 3.9*one {
 		t.Fatalf("victims: %+v, a task's loss %v", options, one)
 	}
 	b.job("job-3", "red", "high", 2, 8, 12)
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 
 	"quillshunt/internal/config"
+	"quillshunt/internal/coordination/placement"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
@@ -45,7 +46,7 @@
 				cs = append(cs, c)
 			}
 		}
-		best := bestCandidate(cs)
+		best := placement.Best(cs, byName)
 		if best < 0 {
 			return
 		}
@@ -56,8 +57,8 @@
 		for _, v := range victims {
 			s.stopAssignment(v, "preempted for "+j.id)
 		}
-		cs[best].machine.reservedFor = nil
-		s.assign(j, j.nextWaitingTask(), cs[best].machine, s.nextAttempt(), stateUnsent)
+		cs[best].Target.reservedFor = nil
+		s.assign(j, j.nextWaitingTask(), cs[best].Target, s.nextAttempt(), stateUnsent)
 	}
 }
 
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"quillshunt/internal/coordination/placement"
 	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
@@ -28,11 +29,15 @@
 		pass: placementPass{
 			unplaceable:      map[placementRequest]bool{},
 			unplaceableGangs: map[gangRequest]bool{},
+			groups:           placement.NewGroups(byName),
 		},
 		nextPreemptionSearch: map[placementRequest]time.Duration{},
 	}
 }
 
+// candidate is a machine that passed the filters, with its scores.
+type candidate = placement.Candidate[*machine]
+
 // placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
 // backlog: each request decides as if it looked at every machine anew (see TestPassIsPlain).
 type placementPass struct {
@@ -45,7 +50,7 @@
 	// unplaceableGangs are the same of gangs.
 	unplaceableGangs      map[gangRequest]bool
 	reservationsLeft      int // machines that may still be held; see reserve
-	groups                candidateGroups
+	groups                placement.Groups[*machine]
 	reservationCandidates []*machine
 }
 
@@ -161,7 +166,7 @@
 	}
 	sh := s.collectCandidates(j, pressing)
 	for ; n > 0 && j.team.fits(j.demand); n-- {
-		best := bestCandidate(sh.representatives)
+		best := sh.Best()
 		if best < 0 {
 			if common {
 				p.unplaceable[ask] = true
@@ -174,8 +179,9 @@
 			}
 			return
 		}
-		m := sh.representatives[best].machine
-		victims, ok := s.chooseVictims(j, &sh.representatives[best], nil)
+		chosen := sh.First(best)
+		m := chosen.Target
+		victims, ok := s.chooseVictims(j, &chosen, nil)
 		if !ok {
 			return
 		}
@@ -200,9 +206,9 @@
 			sh = s.collectCandidates(j, pressing) // where the others may go depends on where this one went
 			continue
 		}
-		sh.takeFirst(best)
+		sh.RemoveFirst(best)
 		if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
-			sh.add(c)
+			sh.Add(c)
 		}
 	}
 }
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -15,7 +15,7 @@
 // the order is that of the list.
 var layer = map[string]int{
 	"limits": 0, "config": 1, "transport": 2, "protocol": 3, "storage": 4,
-	"coordination/resource":    1,
+	"coordination/resource": 1, "coordination/placement": 2,
 	"coordination/peer/peerpb": 5, "coordination/election": 5, "coordination/peer": 6, "coordination/scheduler": 6,
 	"coordination/leader": 7, "coordination/gateway": 8, "coordination/controller": 9,
 	"standin": 5, // stand-ins of outside services, for tests and the quick start
