--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -16,10 +16,10 @@
 }
 
 // CheapestVictims returns the indexes of the options to preempt: the set of least cost that covers
-// the shortfall in every resource, or nil if none does. Up to limits.VictimCutoff options every set
+// the shortfall in every resource, or nil if none does. Up to limits.MaxExhaustiveVictims options every set
 // is tried, as the paper does; beyond that the set is chosen greedily.
 func CheapestVictims[T any](options []Option[T], shortfall resource.Vector) []int {
-	if len(options) <= limits.VictimCutoff {
+	if len(options) <= limits.MaxExhaustiveVictims {
 		return cheapestSet(options, shortfall)
 	}
 	return greedySet(options, shortfall)
--- a/internal/coordination/placement/victims_test.go
+++ b/internal/coordination/placement/victims_test.go
@@ -14,7 +14,7 @@
 // beyond, it covers the shortfall and has no task that is not needed.
 func TestCheapestVictims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(0, limits.VictimCutoff+4).Draw(t, "n")
+		n := rapid.IntRange(0, limits.MaxExhaustiveVictims+4).Draw(t, "n")
 		options := make([]Option[int], n)
 		for i := range options {
 			options[i].Resources = resource.Vector{
@@ -36,12 +36,12 @@
 			return
 		}
 		freed, cost := sumOf(options, victims)
-		if !freed.Fits(shortfall) || (n <= limits.VictimCutoff && cost > leastCost) {
+		if !freed.Fits(shortfall) || (n <= limits.MaxExhaustiveVictims && cost > leastCost) {
 			t.Fatalf("got %v: %+v at cost %v, least cost %v, shortfall %+v", victims, freed, cost, leastCost, shortfall)
 		}
 		for k := range victims {
 			rest := slices.Delete(slices.Clone(victims), k, k+1)
-			if freed, _ := sumOf(options, rest); n > limits.VictimCutoff && freed.Fits(shortfall) {
+			if freed, _ := sumOf(options, rest); n > limits.MaxExhaustiveVictims && freed.Fits(shortfall) {
 				t.Fatalf("task %d of %v is not needed", victims[k], victims)
 			}
 		}
--- a/internal/coordination/scheduler/plan_zones.go
+++ b/internal/coordination/scheduler/plan_zones.go
@@ -94,7 +94,7 @@
 	if g.lacksCapacity = !s.hasEnoughZones(j); g.lacksCapacity {
 		return
 	}
-	if s.now < j.submittedAt+limits.GangCapacityPatience {
+	if s.now < j.submittedAt+limits.GangCapacityTimeout {
 		s.planJob(j, fresh, may, all)
 		return
 	}
@@ -121,7 +121,7 @@
 		return true
 	}
 	zones := map[string]bool{}
-	for _, t := range s.catalog.byName {
+	for _, t := range s.catalog.all() {
 		if !typeResources(t).Fits(j.demand) || !typeAllowed(&j.spec, t.Name) {
 			continue
 		}
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -66,8 +66,8 @@
 // longest.
 func (s *Scheduler) probeMachines() {
 	var due []*machine
-	for _, m := range s.inventory.sorted {
-		if (!s.recovery.ended && !m.fenced && m.registration != unregistered) || (m.hasReported && !m.verified) {
+	for _, m := range s.inventory.all() {
+		if (!s.recovery.ended && m.mayHoldEarlierTasks()) || (m.hasReported && !m.verified) {
 			due = append(due, m)
 		}
 	}
@@ -82,7 +82,7 @@
 // reports on their new connections prove most of them for nothing: there a machine is asked only
 // once its next report is overdue as a proof.
 func (s *Scheduler) probeMachine(m *machine) {
-	if m.hasReported && m.fenced && s.prober.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedGraceReports*float64(s.heartbeatInterval)) {
+	if m.hasReported && m.fenced && s.prober.manyUnverified && s.now < m.unverifiedSince+time.Duration(limits.UnverifiedGraceIntervals*float64(s.heartbeatInterval)) {
 		return
 	}
 	if m.address == "" || m.deleting || s.now < m.nextProbeAt || !s.prober.budget.take() {
@@ -96,7 +96,7 @@
 // was made after the worker had seen it, so no order of an earlier leader can add to it. It renews
 // no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
-	m := s.inventory.byName[e.Machine]
+	m := s.inventory.find(e.Machine)
 	heartbeat := e.Heartbeat
 	if heartbeat != nil || e.NotSent {
 		s.prober.budget.observe(s.now, e.NotSent || e.Took > limits.SlowHeartbeatWait)
