--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -105,6 +105,13 @@
 	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
 }
 
+// releaseAll takes all tasks off a machine that surely has none any more.
+func (s *Scheduler) releaseAll(m *machine) {
+	for _, a := range m.sortedAssignments() {
+		s.release(a)
+	}
+}
+
 // releaseUnsent takes back tasks that no order has left for.
 func (s *Scheduler) releaseUnsent(m *machine) {
 	for _, a := range m.sortedAssignments() {
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// returnMachine returns a machine to the cloud. Once asked, there is no way back, as the request
-// may be carried out at any time.
+// returnMachine returns a machine to the cloud. There is no way back from that, as the request may be
+// carried out at any time.
 func (s *Scheduler) returnMachine(m *machine, reason string) {
 	if m.deleting {
 		return
@@ -11,26 +11,27 @@
 	s.releaseUnsent(m)
 }
 
+// deletionDone handles the answer to DeleteMachines. Machines whose deletion is not confirmed stay,
+// with their tasks, and are deleted again.
 func (s *Scheduler) deletionDone(e DeletionDone) {
 	for _, name := range e.Machines {
 		m := s.inventory.find(name)
-		if m == nil {
-			continue
-		}
-		if !e.OK {
+		switch {
+		case m == nil:
+		case e.OK:
+			s.forgetMachine(m)
+		default:
 			m.deleteRequestedAt = s.now
-			continue
-		}
-		// The machine and everything on it are gone.
-		for _, a := range m.sortedAssignments() {
-			s.release(a)
 		}
-		s.inventory.remove(m)
-		s.unregister(m)
-		s.removeFromRental(m)
 	}
 	s.placement.needed = true
-	for _, r := range s.sortedRentals() {
-		s.reconcileRental(r)
-	}
+	s.rentals.reconcileAll()
+}
+
+// forgetMachine removes a machine that is gone, with everything on it.
+func (s *Scheduler) forgetMachine(m *machine) {
+	s.releaseAll(m)
+	s.inventory.remove(m)
+	s.registry.remove(m)
+	s.rentals.removeMachine(m)
 }
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -14,7 +14,7 @@
 		s.nextSummaryAt = s.now + limits.SummaryInterval
 		s.logSummary()
 	}
-	s.writeRegistryPages()
+	s.registry.writePages()
 	s.removeFaultyMachines()
 	s.prober.budget.refill(s.now)
 	s.probeMachines()
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -448,7 +448,7 @@
 	}{{0, true}, {limits.GangCapacityTimeout + time.Second, false}} {
 		b = newGangFixture(t, 1)
 		for _, spot := range []bool{true, false} {
-			b.scheduler.poolState(machinePool{"s8", "a", spot}).notBefore = never
+			b.scheduler.rentals.pool(machinePool{"s8", "a", spot}).notBefore = never
 		}
 		b.version++
 		b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, SinceSubmission: c.age, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-1", Class: "g", Team: "red",
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -73,7 +73,7 @@
 		}
 		m = s.inventory.getOrAdd(entry.Name, machinePool{entry.MachineType, entry.Zone, entry.Spot})
 		m.createdAt = s.now - limits.Seconds(entry.AgeS)
-		s.adoptMachine(m)
+		s.rentals.adopt(m)
 	}
 	if !m.listed {
 		m.createdAt = min(m.createdAt, s.now-limits.Seconds(entry.AgeS))
--- a/internal/coordination/scheduler/plan.go
+++ b/internal/coordination/scheduler/plan.go
@@ -76,7 +76,7 @@
 	}
 	calls := max(1, int(s.cfg.CloudRPS*limits.PlanInterval.Seconds())) // rental requests that the cloud takes until the next plan
 	asked := map[machinePool]int{}
-	for _, h := range s.rentals.byName {
+	for _, h := range s.rentals.all() {
 		if h.isPending() {
 			total += h.record.Count
 			calls--
@@ -89,10 +89,10 @@
 	each := max(limits.MinPoolRequests, calls/max(s.countCheapPools(), 1))
 	may := func(p machinePool) int {
 		most := each
-		if st := s.rentals.pools[p]; st != nil && st.backoff > 0 {
+		if s.rentals.refusedLately(p) {
 			most = 1
 		}
-		return max(most-asked[p], 0) * s.rentals.maxMachines
+		return max(most-asked[p], 0) * s.rentals.maxPerRental()
 	}
 	offers = append(offers, s.pendingCapacity()...)
 	fresh := map[machinePool]float64{}
@@ -124,10 +124,10 @@
 			s.planner.nextLimitNoteAt = s.now + limits.SummaryInterval
 			s.logWarn("fleet at its bound", "machines", total, "wanted", n)
 		}
-		for n = min(n, s.maxMachines()-total); n > 0 && calls > 0; n -= s.rentals.maxMachines {
-			total += min(n, s.rentals.maxMachines)
+		for n = min(n, s.maxMachines()-total); n > 0 && calls > 0; n -= s.rentals.maxPerRental() {
+			total += min(n, s.rentals.maxPerRental())
 			calls--
-			s.rentMachines(p, n)
+			s.rentals.rent(p, n)
 		}
 	}
 	s.updateDraining()
@@ -225,7 +225,7 @@
 // pendingCapacity are the machines of rentals that are under way.
 func (s *Scheduler) pendingCapacity() []*capacity {
 	var out []*capacity
-	for _, h := range s.sortedRentals() {
+	for _, h := range s.rentals.all() {
 		t := s.catalog.find(h.record.MachineType)
 		if t == nil || !h.isPending() {
 			continue
@@ -413,12 +413,11 @@
 				// Spread over zones where all else is equal.
 				cost := priceOf(t, spot) / float64(per) * (1 + limits.ZoneSpreadPenalty*float64(s.planner.machinesInZone[y]))
 				floor = min(floor, cost)
-				st := s.rentals.pools[p]
-				if st != nil && s.now < st.notBefore {
+				if s.rentals.isBackedOff(p) {
 					continue
 				}
 				if !open(p) {
-					if st == nil || st.backoff == 0 {
+					if !s.rentals.refusedLately(p) {
 						busy = min(busy, cost)
 					}
 					continue
--- a/internal/coordination/scheduler/plan_test.go
+++ b/internal/coordination/scheduler/plan_test.go
@@ -80,7 +80,7 @@
 	rented := func() (spot, dear int) {
 		for b.now += time.Second; ; b.now += time.Second {
 			b.step(Tick{Entitled: true})
-			for _, h := range b.scheduler.rentals.byName {
+			for _, h := range b.scheduler.rentals.all() {
 				if h.isPending() && h.record.Spot {
 					spot++
 				} else if h.isPending() {
@@ -95,7 +95,7 @@
 	if spot, dear := rented(); spot != 4 || dear != 0 {
 		t.Fatalf("%d requests to the cheap pool and %d to the dear one, want all that the cloud takes to the cheap one", spot, dear)
 	}
-	for _, h := range b.scheduler.sortedRentals() {
+	for _, h := range b.scheduler.rentals.all() {
 		h.state = rentalRequested
 		b.step(RentalDone{Name: h.name, NoCapacity: true})
 	}
@@ -125,7 +125,7 @@
 		b.scheduler.planner.nextPlanAt = 0
 		b.step(Tick{Entitled: true})
 		n := 0
-		for _, h := range b.scheduler.rentals.byName {
+		for _, h := range b.scheduler.rentals.all() {
 			if h.isPending() {
 				n += h.record.Count
 			}
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -10,22 +10,7 @@
 	"quillshunt/internal/storage"
 )
 
-// machineRegistry is the durable record of the machines that may hold tasks.
-type machineRegistry struct {
-	*environment
-	pages     []*registryPage // in the order in which they were made
-	current   *registryPage   // that new machines go on
-	sequence  uint64          // of the names of this term's pages
-	dirty     bool            // some page has machines that are not written yet
-	writtenAt time.Duration
-}
-
-// newMachineRegistry returns a registry without pages.
-func newMachineRegistry(env *environment) *machineRegistry {
-	return &machineRegistry{environment: env, writtenAt: env.now - limits.RegistryWriteInterval}
-}
-
-// mark tells whether the state service knows that a machine may hold tasks. A machine gets none
+// registration is whether the state service knows that a machine may hold tasks. A machine gets none
 // before, so that a successor knows where to look.
 type registration uint8
 
@@ -35,11 +20,11 @@
 	registered                // durable
 )
 
-// page is a record of registered machines, of whatever rentals: those that come up while one is
-// written go into the next write together, so that a thousand machines that come up at once cost
-// some tens of changes. A page is filled until it is as large as a value may be, and removed once
-// its machines are gone. A machine that is gone is taken off its rental's record, not off the page:
-// what no rental accounts for, a successor ignores.
+// registryPage is a record of registered machines, of whatever rentals: those that come up while one
+// is written go into the next write together, so that a thousand machines that come up at once cost
+// some tens of changes. A page is filled until it is as large as a value may be, and removed once its
+// machines are gone. A machine that is gone is taken off its rental's record, not off the page: what
+// no rental accounts for, a successor ignores.
 type registryPage struct {
 	name         string
 	record       storage.RegistryPage
@@ -50,104 +35,157 @@
 	writing      bool
 }
 
-// registerMachine sees to it that the state service knows that a machine may get tasks from now on.
-func (s *Scheduler) registerMachine(m *machine) {
-	if m.rental == "" {
-		s.adoptMachine(m)
+// machineRegistry is the durable record of the machines that may hold tasks.
+type machineRegistry struct {
+	*environment
+	inventory *machineInventory
+	pages     []*registryPage // in the order in which they were made
+	current   *registryPage   // that new machines go on
+	sequence  uint64          // of the names of this term's pages
+	dirty     bool            // some page has machines that are not written yet
+	writtenAt time.Duration
+}
+
+// newMachineRegistry returns a registry without pages.
+func newMachineRegistry(env *environment, inventory *machineInventory) *machineRegistry {
+	return &machineRegistry{
+		environment: env,
+		inventory:   inventory,
+		writtenAt:   env.now - limits.RegistryWriteInterval,
 	}
-	// The rental's record must name the machine first: a successor ignores a mark that no rental
-	// accounts for.
-	r := s.rentals.byName[m.rental]
-	if r == nil || !r.answerDurable || m.registration != unregistered {
-		return
+}
+
+// load adds a page of an earlier term. Its machines must be in the inventory already: those of no
+// rental are gone.
+func (r *machineRegistry) load(e RegistryPageLoaded) {
+	page := &registryPage{name: e.Name, record: e.Record, version: e.Version}
+	r.pages = append(r.pages, page)
+	for _, entry := range e.Record.Machines {
+		if m := r.inventory.find(entry.Machine); m != nil && m.registryPage == nil {
+			m.registration, m.address, m.registryPage = registered, entry.Address, page
+			page.liveMachines++
+		}
 	}
+	r.removeIfEmpty(page)
+}
+
+// add enters an unregistered machine on the current page and writes it when its time has come.
+func (r *machineRegistry) add(m *machine) {
 	m.registration = registering
 	entry := storage.RegisteredMachine{Machine: m.name, Address: m.address}
 	size := storage.EncodedSize(entry) + limits.RegistryEntryOverhead
-	if current := s.registry.current; current == nil || float64(current.encodedSize+size) > s.cfg.State.ValueKB*1024 {
-		s.registry.sequence++
-		s.registry.current = &registryPage{name: fmt.Sprintf("%d-%d", s.cfg.Term, s.registry.sequence), encodedSize: limits.RegistryEntryOverhead}
-		s.registry.pages = append(s.registry.pages, s.registry.current)
-		if current != nil {
-			s.removeEmptyPage(current)
-		}
+	page := r.pageFor(size)
+	page.encodedSize += size
+	page.record.Machines = append(page.record.Machines, entry)
+	page.liveMachines++
+	page.dirty, r.dirty = true, true
+	m.registryPage = page
+	r.writePages()
+}
+
+// pageFor returns the current page, or a new one if an entry of that size does not fit.
+func (r *machineRegistry) pageFor(size int) *registryPage {
+	full := r.current
+	if full != nil && float64(full.encodedSize+size) <= r.cfg.State.ValueKB*1024 {
+		return full
 	}
-	s.registry.current.encodedSize += size
-	m.registryPage = s.registry.current
-	m.registryPage.record.Machines = append(m.registryPage.record.Machines, entry)
-	m.registryPage.liveMachines++
-	m.registryPage.dirty = true
-	s.registry.dirty = true
-	s.writeRegistryPages()
+	r.sequence++
+	r.current = &registryPage{
+		name:        fmt.Sprintf("%d-%d", r.cfg.Term, r.sequence),
+		encodedSize: limits.RegistryEntryOverhead,
+	}
+	r.pages = append(r.pages, r.current)
+	if full != nil {
+		r.removeIfEmpty(full)
+	}
+	return r.current
 }
 
-// writeRegistryPages writes the pages with new machines, at most one write every RegisterEvery; the
-// next tick or the answer to the last write goes on with it.
-func (s *Scheduler) writeRegistryPages() {
-	if !s.registry.dirty || s.now < s.registry.writtenAt+limits.RegistryWriteInterval {
+// writePages writes the pages with new machines, at most once every RegistryWriteInterval; the next
+// tick or the answer to the last write goes on with it.
+func (r *machineRegistry) writePages() {
+	if !r.dirty || r.now < r.writtenAt+limits.RegistryWriteInterval {
 		return
 	}
-	s.registry.dirty, s.registry.writtenAt = false, s.now
-	for _, page := range s.registry.pages {
+	r.dirty, r.writtenAt = false, r.now
+	for _, page := range r.pages {
 		if !page.dirty || page.writing {
-			s.registry.dirty = s.registry.dirty || page.dirty
+			r.dirty = r.dirty || page.dirty
 			continue
 		}
 		page.dirty, page.writing = false, true
 		key := storage.RegistryPageKey(page.name)
-		s.write(pendingWrite{kind: writeRegistration, registryPage: page, count: len(page.record.Machines)}, []protocol.Condition{{Key: key, Version: page.version}},
-			[]protocol.Operation{{Put: key, Value: protocol.Encode(page.record)}})
+		r.write(
+			pendingWrite{kind: writeRegistration, registryPage: page, count: len(page.record.Machines)},
+			[]protocol.Condition{{Key: key, Version: page.version}},
+			[]protocol.Operation{{Put: key, Value: protocol.Encode(page.record)}},
+		)
 	}
 }
 
-func (s *Scheduler) registryPageWritten(write pendingWrite, ok bool, version uint64) {
+// pageWritten notes the outcome of the write of a page. It returns the machines that are registered
+// from now on.
+func (r *machineRegistry) pageWritten(write pendingWrite, ok bool, version uint64) []*machine {
 	page := write.registryPage
 	page.writing = false
 	if !ok {
-		// Only we write pages of our term, so this cannot be; without a mark the machines get no tasks.
-		s.logWarn("marks refused", "sheet", page.name)
-		return
+		// Only we write pages of our term, so this cannot be; the machines stay unregistered and get
+		// no tasks.
+		r.logWarn("registry page refused", "page", page.name)
+		return nil
 	}
 	page.version = version
+	var added []*machine
 	for _, entry := range page.record.Machines[:write.count] {
-		if m := s.inventory.find(entry.Machine); m != nil && m.registration == registering {
+		if m := r.inventory.find(entry.Machine); m != nil && m.registration == registering {
 			m.registration = registered
-			s.gangs.capacityChanged = true
-			s.dispatcher.enqueue(m)
+			added = append(added, m)
 		}
 	}
-	s.writeRegistryPages()
-	s.removeEmptyPage(page)
+	r.writePages()
+	r.removeIfEmpty(page)
+	return added
 }
 
-// unregister takes a machine that is gone off its page, and removes a page of which nothing is left.
-func (s *Scheduler) unregister(m *machine) {
+// remove takes a machine that is gone off its page.
+func (r *machineRegistry) remove(m *machine) {
 	if page := m.registryPage; page != nil {
 		page.liveMachines--
-		s.removeEmptyPage(page)
+		r.removeIfEmpty(page)
 	}
 }
 
-func (s *Scheduler) removeEmptyPage(page *registryPage) {
-	if page.liveMachines > 0 || page.writing || page.dirty || page == s.registry.current {
+// removeIfEmpty removes a page of whose machines none is left.
+func (r *machineRegistry) removeIfEmpty(page *registryPage) {
+	if page.liveMachines > 0 || page.writing || page.dirty || page == r.current {
 		return
 	}
 	if page.version != 0 {
 		key := storage.RegistryPageKey(page.name)
-		s.write(pendingWrite{kind: writeRegistrationRemove, registryPage: page}, []protocol.Condition{{Key: key, Version: page.version}}, []protocol.Operation{{Delete: key}})
+		r.write(
+			pendingWrite{kind: writeRegistrationRemove, registryPage: page},
+			[]protocol.Condition{{Key: key, Version: page.version}},
+			[]protocol.Operation{{Delete: key}},
+		)
 	}
-	s.registry.pages = slices.DeleteFunc(s.registry.pages, func(other *registryPage) bool { return other == page })
+	r.pages = slices.DeleteFunc(r.pages, func(other *registryPage) bool { return other == page })
 }
 
-// registryPageLoaded takes a page of an earlier term, after all rentals.
-func (s *Scheduler) registryPageLoaded(e RegistryPageLoaded) {
-	page := &registryPage{name: e.Name, record: e.Record, version: e.Version}
-	s.registry.pages = append(s.registry.pages, page)
-	for _, entry := range e.Record.Machines {
-		if m := s.inventory.find(entry.Machine); m != nil && m.registryPage == nil {
-			m.registration, m.address, m.registryPage = registered, entry.Address, page
-			page.liveMachines++
-		}
+// registerMachine sees to it that the state service knows that a machine may get tasks from now on.
+// The written record of a rental must name it first.
+func (s *Scheduler) registerMachine(m *machine) {
+	if m.rental == "" {
+		s.rentals.adopt(m)
+	}
+	if m.registration == unregistered && s.rentals.accountsFor(m) {
+		s.registry.add(m)
+	}
+}
+
+// registryPageWritten handles the outcome of the write of a page: its machines may get starts.
+func (s *Scheduler) registryPageWritten(write pendingWrite, ok bool, version uint64) {
+	for _, m := range s.registry.pageWritten(write, ok, version) {
+		s.gangs.capacityChanged = true
+		s.dispatcher.enqueue(m)
 	}
-	s.removeEmptyPage(page)
 }
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -58,7 +58,7 @@
 		}
 		f.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: rental})
 	}
-	f.scheduler.rentals.byName["h-2-3"].answerDurable = false // its answer is being written
+	f.scheduler.rentals.find("h-2-3").answerDurable = false // its answer is being written
 	var writes []WriteRecords
 	for i := range rentals * each {
 		f.report(i)
@@ -77,7 +77,7 @@
 	}
 	next := newSchedulerFixture(t, 0)
 	for i := range rentals {
-		next.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: f.scheduler.rentals.byName[fmt.Sprintf("h-2-%d", i)].record})
+		next.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: f.scheduler.rentals.find(fmt.Sprintf("h-2-%d", i)).record})
 	}
 	last := map[string]WriteRecords{}
 	for _, w := range writes {
@@ -103,7 +103,7 @@
 		}
 	}
 	// Once the record is written the others are registered too.
-	h := f.scheduler.rentals.byName["h-2-3"]
+	h := f.scheduler.rentals.find("h-2-3")
 	h.writing = true
 	f.scheduler.pendingWrites[9999] = pendingWrite{kind: writeRental, rental: h.name, answered: true}
 	f.now += limits.RegistryWriteInterval
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -1,32 +1,31 @@
 package scheduler
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
-	"sort"
 	"time"
 
-	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
+// rentalState is how far a rental request has come.
 type rentalState uint8
 
 const (
-	rentalWriting rentalState = iota
-	rentalRequested
-	rentalAnswered
-	rentalRemoving
+	rentalWriting   rentalState = iota // its record is written for the first time
+	rentalRequested                    // the cloud is asked, again and again until it answers
+	rentalAnswered                     // the cloud has answered
+	rentalRemoving                     // its record is removed
 )
 
-// isPending tells whether the cloud has not answered yet.
-func (r *rental) isPending() bool { return r.state == rentalWriting || r.state == rentalRequested }
-
+// rental is a request to the cloud for machines of one pool, with its durable record. It exists as
+// long as one of its machines does.
 type rental struct {
 	name          string
 	record        storage.Rental
-	version       uint64
+	version       uint64 // of the record; 0 before the first write is confirmed
 	state         rentalState
 	requestedAt   time.Duration
 	dirty         bool // the record in memory is newer than the written one
@@ -34,21 +33,30 @@
 	answerDurable bool // the written record names the machines
 }
 
-// machinePool is one type in one zone of one kind.
-type machinePool struct {
-	typeName, zone string
-	spot           bool
+// isPending reports whether the cloud has not answered yet.
+func (r *rental) isPending() bool { return r.state == rentalWriting || r.state == rentalRequested }
+
+// pool returns the pool of machines that the rental is made to.
+func (r *rental) pool() machinePool {
+	return machinePool{r.record.MachineType, r.record.Zone, r.record.Spot}
 }
 
-type poolState struct {
-	notBefore time.Duration
-	backoff   time.Duration
+// request returns what the cloud is asked for. The answer to a repeated request is the same.
+func (r *rental) request() protocol.RentalRequest {
+	return protocol.RentalRequest{
+		Name:        r.name,
+		MachineType: r.record.MachineType,
+		Zone:        r.record.Zone,
+		Spot:        r.record.Spot,
+		Count:       r.record.Count,
+	}
 }
 
-// rentalTable holds the rental requests of this and earlier terms, and the pools of machines that
-// they are made to.
+// rentalTable holds the rentals of this and earlier terms, and which pools have refused machines
+// lately. It keeps the durable record of each rental in line with what is known.
 type rentalTable struct {
 	*environment
+	inventory   *machineInventory
 	byName      map[string]*rental
 	pools       map[machinePool]*poolState
 	sequence    uint64 // of the names of this term's rentals
@@ -56,192 +64,265 @@
 }
 
 // newRentalTable returns a table without rentals.
-func newRentalTable(env *environment) *rentalTable {
+func newRentalTable(env *environment, inventory *machineInventory) *rentalTable {
 	return &rentalTable{
 		environment: env,
+		inventory:   inventory,
 		byName:      map[string]*rental{},
 		pools:       map[machinePool]*poolState{},
 		maxMachines: storage.MaxRentalMachines(env.cfg.State.ValueKB),
 	}
 }
 
-// pool returns the pool of machines that the rental is made to.
-func (r *rental) pool() machinePool {
-	return machinePool{r.record.MachineType, r.record.Zone, r.record.Spot}
-}
+// find returns the rental of a name, or nil.
+func (t *rentalTable) find(name string) *rental { return t.byName[name] }
 
-func (r *rental) request() protocol.RentalRequest {
-	return protocol.RentalRequest{Name: r.name, MachineType: r.record.MachineType, Zone: r.record.Zone, Spot: r.record.Spot, Count: r.record.Count}
+// count returns the number of rentals.
+func (t *rentalTable) count() int { return len(t.byName) }
+
+// maxPerRental returns how many machines one rental may be for.
+func (t *rentalTable) maxPerRental() int { return t.maxMachines }
+
+// all returns the rentals, sorted by name.
+func (t *rentalTable) all() []*rental {
+	rentals := make([]*rental, 0, len(t.byName))
+	for _, r := range t.byName {
+		rentals = append(rentals, r)
+	}
+	slices.SortFunc(rentals, func(a, b *rental) int { return cmp.Compare(a.name, b.name) })
+	return rentals
 }
 
-func (s *Scheduler) rentalLoaded(e RentalLoaded) {
-	r := &rental{name: e.Name, record: e.Record, version: e.Version, requestedAt: s.now, state: rentalRequested, answerDurable: e.Record.Answered}
-	s.rentals.byName[e.Name] = r
+// load adds a rental of an earlier term and its machines. If the cloud's answer is not known it is
+// asked again: it gives the same answer, or the machines for the first time.
+func (t *rentalTable) load(e RentalLoaded) {
+	r := &rental{
+		name:          e.Name,
+		record:        e.Record,
+		version:       e.Version,
+		requestedAt:   t.now,
+		state:         rentalRequested,
+		answerDurable: e.Record.Answered,
+	}
+	t.byName[r.name] = r
 	if e.Record.Answered {
 		r.state = rentalAnswered
 	} else {
-		s.emit(RentMachines{Request: r.request()}) // repeated: the same answer, or the machines for the first time
+		t.emit(RentMachines{Request: r.request()})
 	}
 	for _, name := range e.Record.Machines {
-		s.inventory.getOrAdd(name, r.pool()).rental = r.name
+		t.inventory.getOrAdd(name, r.pool()).rental = r.name
+	}
+}
+
+// rent starts a rental of up to maxMachines machines: its name is durable before the request leaves,
+// so that a successor can ask for the answer.
+func (t *rentalTable) rent(pool machinePool, count int) {
+	t.sequence++
+	r := &rental{
+		name:        fmt.Sprintf("h-%d-%d", t.cfg.Term, t.sequence),
+		state:       rentalWriting,
+		requestedAt: t.now,
+		record: storage.Rental{
+			MachineType: pool.typeName,
+			Zone:        pool.zone,
+			Spot:        pool.spot,
+			Count:       min(count, t.maxMachines),
+		},
+	}
+	t.byName[r.name] = r
+	t.logInfo("renting", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot,
+		"count", r.record.Count)
+	t.writeRecord(r)
+}
+
+// adopt makes a record for a machine that no rental accounts for.
+func (t *rentalTable) adopt(m *machine) {
+	name := "found-" + m.name
+	if t.byName[name] != nil {
+		return // its last record is just being removed; the next heartbeat tries again
+	}
+	t.logWarn("machine without rental adopted", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
+	r := &rental{
+		name:        name,
+		state:       rentalAnswered,
+		requestedAt: t.now,
+		record: storage.Rental{
+			MachineType: m.typeName,
+			Zone:        m.zone,
+			Spot:        m.spot,
+			Answered:    true,
+			Machines:    []string{m.name},
+		},
+	}
+	m.rental = r.name
+	t.byName[r.name] = r
+	t.writeRecord(r)
+}
+
+// accountsFor reports whether the written record of a rental names the machine. A successor ignores
+// what else is recorded of a machine that no rental accounts for.
+func (t *rentalTable) accountsFor(m *machine) bool {
+	r := t.byName[m.rental]
+	return r != nil && r.answerDurable
+}
+
+// answered takes the machines that the cloud has given over into the rental and the inventory.
+func (t *rentalTable) answered(r *rental, machines []string) {
+	t.logInfo("rented", "request", r.name, "machines", len(machines))
+	r.state, r.dirty = rentalAnswered, true
+	r.record.Answered = true
+	for _, name := range machines {
+		if t.inventory.isDeleted(name) || slices.Contains(r.record.Machines, name) {
+			continue
+		}
+		known := t.inventory.find(name) != nil
+		m := t.inventory.getOrAdd(name, r.pool())
+		if !known {
+			m.createdAt = r.requestedAt
+		}
+		if m.rental == "" {
+			m.rental = r.name
+			r.record.Machines = append(r.record.Machines, name)
+		}
+	}
+}
+
+// refused removes a rental for which the cloud has no machines.
+func (t *rentalTable) refused(r *rental) {
+	pool := r.pool()
+	t.backOff(pool)
+	t.logInfo("no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
+	t.removeRecord(r)
+}
+
+// removeMachine takes a machine that is gone off the record of its rental.
+func (t *rentalTable) removeMachine(m *machine) {
+	if r := t.byName[m.rental]; r != nil {
+		r.record.Machines = slices.DeleteFunc(r.record.Machines, func(name string) bool { return name == m.name })
+		r.dirty = true
+	}
+}
+
+// reconcile brings a rental's record in line with what is known: it is removed once all its machines
+// are gone.
+func (t *rentalTable) reconcile(r *rental) {
+	switch {
+	case r.writing || r.version == 0:
+		// The answer to the write comes back here.
+	case r.state == rentalAnswered && len(r.record.Machines) == 0:
+		t.removeRecord(r)
+	case r.dirty && r.state != rentalRemoving:
+		t.writeRecord(r)
 	}
 }
 
-// rentMachines starts a rental: its name is durable before the request leaves, so that a successor
-// can ask for the answer.
-func (s *Scheduler) rentMachines(pool machinePool, count int) {
-	s.rentals.sequence++
-	r := &rental{name: fmt.Sprintf("h-%d-%d", s.cfg.Term, s.rentals.sequence), state: rentalWriting, requestedAt: s.now,
-		record: storage.Rental{MachineType: pool.typeName, Zone: pool.zone, Spot: pool.spot, Count: min(count, s.rentals.maxMachines)}}
-	s.rentals.byName[r.name] = r
-	s.logInfo("renting", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot, "count", r.record.Count)
-	s.writeRental(r)
+// reconcileAll does so for all rentals.
+func (t *rentalTable) reconcileAll() {
+	for _, r := range t.all() {
+		t.reconcile(r)
+	}
 }
 
-// writeRental writes a rental's record; one write of a record is under way at a time.
-func (s *Scheduler) writeRental(r *rental) {
+// writeRecord writes a rental's record; one write of a record is under way at a time.
+func (t *rentalTable) writeRecord(r *rental) {
 	if r.writing {
 		r.dirty = true
 		return
 	}
 	r.writing, r.dirty = true, false
 	key := storage.RentalKey(r.name)
-	s.write(pendingWrite{kind: writeRental, rental: r.name, answered: r.record.Answered}, []protocol.Condition{{Key: key, Version: r.version}},
-		[]protocol.Operation{{Put: key, Value: protocol.Encode(r.record)}})
+	t.write(
+		pendingWrite{kind: writeRental, rental: r.name, answered: r.record.Answered},
+		[]protocol.Condition{{Key: key, Version: r.version}},
+		[]protocol.Operation{{Put: key, Value: protocol.Encode(r.record)}},
+	)
 }
 
-func (s *Scheduler) rentalWritten(write pendingWrite, ok bool, version uint64) {
-	r := s.rentals.byName[write.rental]
-	if r == nil {
-		return
-	}
+// recordWritten notes the outcome of writeRecord. It returns the machines that the record names
+// durably from now on.
+func (t *rentalTable) recordWritten(r *rental, write pendingWrite, ok bool, version uint64) (named []string) {
 	r.writing = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
-		s.logWarn("rental record refused", "request", r.name)
-		return
+		t.logWarn("rental record refused", "request", r.name)
+		return nil
 	}
 	r.version = version
 	if write.answered && !r.answerDurable {
 		r.answerDurable = true
-		for _, name := range r.record.Machines {
-			if m := s.inventory.find(name); m != nil && m.hasReported {
-				s.registerMachine(m) // it was up before its rental's record was written
-			}
-		}
+		return r.record.Machines
 	}
-	if r.state == rentalWriting {
-		r.state = rentalRequested
-		s.emit(RentMachines{Request: r.request()})
-	}
-	s.reconcileRental(r)
+	return nil
 }
 
-// reconcileRental brings a rental's record in line with what is known: it goes once all its
-// machines are gone.
-func (s *Scheduler) reconcileRental(r *rental) {
-	switch {
-	case r.writing || r.version == 0:
-	case r.state == rentalAnswered && len(r.record.Machines) == 0:
-		s.removeRental(r)
-	case r.dirty && r.state != rentalRemoving:
-		s.writeRental(r)
+// proceed continues with a rental whose record is written.
+func (t *rentalTable) proceed(r *rental) {
+	if r.state == rentalWriting {
+		r.state = rentalRequested
+		t.emit(RentMachines{Request: r.request()})
 	}
+	t.reconcile(r)
 }
 
-func (s *Scheduler) removeRental(r *rental) {
+// removeRecord removes a rental's record, and with that the rental.
+func (t *rentalTable) removeRecord(r *rental) {
 	r.state = rentalRemoving
 	key := storage.RentalKey(r.name)
-	s.write(pendingWrite{kind: writeRentalRemove, rental: r.name}, []protocol.Condition{{Key: key, Version: r.version}},
-		[]protocol.Operation{{Delete: key}})
+	t.write(
+		pendingWrite{kind: writeRentalRemove, rental: r.name},
+		[]protocol.Condition{{Key: key, Version: r.version}},
+		[]protocol.Operation{{Delete: key}},
+	)
 }
 
-// adoptMachine makes a record for a machine that no rental of ours accounts for.
-func (s *Scheduler) adoptMachine(m *machine) {
-	r := &rental{name: "found-" + m.name, state: rentalAnswered, requestedAt: s.now,
-		record: storage.Rental{MachineType: m.typeName, Zone: m.zone, Spot: m.spot, Answered: true, Machines: []string{m.name}}}
-	if s.rentals.byName[r.name] != nil {
-		return // its last record is just being removed; the next report tries again
+// recordRemoved notes the outcome of removeRecord.
+func (t *rentalTable) recordRemoved(name string, ok bool) {
+	if ok {
+		delete(t.byName, name)
+	} else if r := t.byName[name]; r != nil {
+		r.state = rentalAnswered
+	}
+}
+
+// rentalWritten handles the outcome of the write of a rental's record.
+func (s *Scheduler) rentalWritten(write pendingWrite, ok bool, version uint64) {
+	r := s.rentals.find(write.rental)
+	if r == nil {
+		return
+	}
+	for _, name := range s.rentals.recordWritten(r, write, ok, version) {
+		if m := s.inventory.find(name); m != nil && m.hasReported {
+			s.registerMachine(m) // it was up before its rental's record was written
+		}
+	}
+	if ok {
+		s.rentals.proceed(r)
 	}
-	s.logWarn("unexpected machine", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
-	m.rental = r.name
-	s.rentals.byName[r.name] = r
-	s.writeRental(r)
 }
 
+// rentalDone handles the cloud's answer to a rental request.
 func (s *Scheduler) rentalDone(e RentalDone) {
-	r := s.rentals.byName[e.Name]
+	r := s.rentals.find(e.Name)
 	if r == nil || r.state != rentalRequested {
 		return
 	}
-	pool := r.pool()
 	switch {
 	case e.NoCapacity:
-		s.backOffPool(pool)
+		s.rentals.refused(r)
 		s.planner.nextPlanAt = 0
-		s.logInfo("no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
-		s.removeRental(r)
 		return
 	case !e.OK:
 		s.emit(RentMachines{Request: r.request()})
 		return
 	}
 	if len(e.Machines) < r.record.Count {
-		s.backOffPool(pool)
+		s.rentals.backOff(r.pool())
 		s.planner.nextPlanAt = 0 // the rest is asked for elsewhere at once
-	} else if state := s.rentals.pools[pool]; state != nil {
-		state.backoff = 0
-	}
-	s.logInfo("rented", "request", r.name, "machines", len(e.Machines))
-	r.state, r.dirty = rentalAnswered, true
-	r.record.Answered = true
-	for _, name := range e.Machines {
-		if s.inventory.isDeleted(name) || slices.Contains(r.record.Machines, name) {
-			continue
-		}
-		known := s.inventory.find(name)
-		m := s.inventory.getOrAdd(name, pool)
-		if known == nil {
-			m.createdAt = r.requestedAt
-		}
-		if m.rental == "" {
-			m.rental = r.name
-			r.record.Machines = append(r.record.Machines, name)
-		}
+	} else {
+		s.rentals.resetBackoff(r.pool())
 	}
+	s.rentals.answered(r, e.Machines)
 	s.placement.needed = true
-	s.reconcileRental(r)
-}
-
-// backOffPool makes a pool wait before it is asked again.
-func (s *Scheduler) backOffPool(pool machinePool) {
-	state := s.poolState(pool)
-	state.backoff = min(max(2*state.backoff, limits.CapacityBackoffMin), limits.CapacityBackoffMax)
-	state.notBefore = s.now + state.backoff
-}
-
-func (s *Scheduler) poolState(pool machinePool) *poolState {
-	state := s.rentals.pools[pool]
-	if state == nil {
-		state = &poolState{}
-		s.rentals.pools[pool] = state
-	}
-	return state
-}
-
-func (s *Scheduler) sortedRentals() []*rental {
-	rentals := make([]*rental, 0, len(s.rentals.byName))
-	for _, r := range s.rentals.byName {
-		rentals = append(rentals, r)
-	}
-	sort.Slice(rentals, func(a, b int) bool { return rentals[a].name < rentals[b].name })
-	return rentals
-}
-
-// removeFromRental takes a machine that is gone off the record of its rental.
-func (s *Scheduler) removeFromRental(m *machine) {
-	if r := s.rentals.byName[m.rental]; r != nil {
-		r.record.Machines = slices.DeleteFunc(r.record.Machines, func(name string) bool { return name == m.name })
-		r.dirty = true
-	}
+	s.rentals.reconcile(r)
 }
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -18,11 +18,11 @@
 	case FinishedTasksLoaded:
 		s.finishedTasksLoaded(e)
 	case RentalLoaded:
-		s.rentalLoaded(e)
+		s.rentals.load(e)
 	case RegistryPageLoaded:
-		s.registryPageLoaded(e)
+		s.registry.load(e)
 	case StateLoaded:
-		s.logInfo("rebuilding", "jobs", s.jobs.count(), "machines", len(s.inventory.all()), "hires", len(s.rentals.byName))
+		s.logInfo("rebuilding", "jobs", s.jobs.count(), "machines", len(s.inventory.all()), "hires", s.rentals.count())
 		s.recovery.loaded = true
 		s.catalog.fetchNow()
 		s.cloudList.readNow()
@@ -95,11 +95,7 @@
 	case writeRegistration:
 		s.registryPageWritten(p, e.OK, e.Version)
 	case writeRentalRemove:
-		if e.OK {
-			delete(s.rentals.byName, p.rental)
-		} else if h := s.rentals.byName[p.rental]; h != nil {
-			h.state = rentalAnswered
-		}
+		s.rentals.recordRemoved(p.rental, e.OK)
 	}
 }
 
