--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -2,193 +2,251 @@
 
 import (
 	"sort"
+	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
-// finishedTaskWriter writes down which tasks are done.
+// finishedTaskWriter writes down which tasks are done, each job's in chunks of as many tasks as fit
+// into a value of the state service.
+//
+// Records may be of another size than the chunks of this term: earlier versions and other limits of
+// the state service cut them differently. All of them are read as their union. A record that begins
+// where a chunk of ours does is replaced by it, once what it tells of later chunks is written
+// elsewhere; the others stay as they are until the job is over.
 type finishedTaskWriter struct {
 	*environment
+	jobs *jobTable
+
 	tasksPerChunk int
 	writeBudget   float64 // chunk writes that may go out now
+	orphans       []orphanedRecord
+}
+
+// newFinishedTaskWriter returns a writer of the finished tasks of the table's jobs.
+func newFinishedTaskWriter(env *environment, jobs *jobTable) *finishedTaskWriter {
+	return &finishedTaskWriter{environment: env, jobs: jobs, tasksPerChunk: storage.TasksPerChunk(env.cfg.State.ValueKB)}
 }
 
-// newFinishedTaskWriter returns a writer whose chunks fit into a value of the state service.
-func newFinishedTaskWriter(env *environment) *finishedTaskWriter {
-	return &finishedTaskWriter{environment: env, tasksPerChunk: storage.TasksPerChunk(env.cfg.State.ValueKB)}
+// finishedChunk is a part of a job's finished tasks as the state service keeps it.
+type finishedChunk struct {
+	version          uint64
+	sequence         uint64 // rises with every finished task
+	durableSequence  uint64 // highest sequence that is written
+	writing          bool
+	writtenAt        time.Duration
+	deferredSince    time.Duration // when its write was first deferred; 0 if it was not
+	expedite         bool          // a machine that has results of it is to go
+	lastCoveredChunk int           // the written record tells of tasks up to this chunk
 }
 
+// orphanedRecord is a record of finished tasks without an open job.
+type orphanedRecord struct{ jobID, key string }
+
 // chunkCount is how many chunks the finished tasks of a job are kept in.
 func (w *finishedTaskWriter) chunkCount(tasks int) int {
 	return (tasks + w.tasksPerChunk - 1) / w.tasksPerChunk
 }
 
-// Records of finished tasks may be of another size than the chunks of this term: earlier versions
-// and other limits of the state service cut them differently. All of them are read as their union.
-// A record that begins where a chunk of ours does is replaced by it, once what it tells of later
-// chunks is written elsewhere; the others stay as they are until the job is over.
-
-// finishedTasksLoaded takes a record of finished tasks, read at the start of the term.
-func (s *Scheduler) finishedTasksLoaded(e FinishedTasksLoaded) {
+// load marks the tasks of a record as done, at the start of the term.
+func (w *finishedTaskWriter) load(e FinishedTasksLoaded) {
 	key := storage.FinishedTasksKey(e.JobID, e.Record.Base)
-	j := s.jobs.find(e.JobID)
+	j := w.jobs.find(e.JobID)
 	if j == nil {
-		s.recovery.orphanedRecords = append(s.recovery.orphanedRecords, orphanedRecord{e.JobID, key})
+		w.orphans = append(w.orphans, orphanedRecord{e.JobID, key})
 		return
 	}
 	last := -1
-	_ = e.Record.Decode(func(i int) {
-		if i < 0 || i >= j.spec.Tasks {
+	_ = e.Record.Decode(func(index int) {
+		if index < 0 || index >= j.spec.Tasks {
 			return
 		}
-		last = max(last, i)
-		if !getBit(j.doneBits, i) {
-			setBit(j.doneBits, i)
+		last = max(last, index)
+		if !getBit(j.doneBits, index) {
+			setBit(j.doneBits, index)
 			j.doneCount++
 		}
 	})
-	n := e.Record.Base / s.finished.tasksPerChunk
-	if e.Record.Base%s.finished.tasksPerChunk != 0 || n >= len(j.chunks) {
+	chunk := e.Record.Base / w.tasksPerChunk
+	if e.Record.Base%w.tasksPerChunk != 0 || chunk >= len(j.chunks) {
 		j.otherRecordKeys = append(j.otherRecordKeys, key)
 		return
 	}
-	j.chunks[n].version = e.Version
-	for k := n + 1; k <= last/s.finished.tasksPerChunk; k++ {
-		j.chunks[n].lastCoveredChunk = k
-		j.chunks[k].sequence++ // to be written before this record is replaced
-	}
-}
-
-// coversUnwrittenTasks tells whether the record of a chunk still tells of tasks of later chunks
-// that are not written elsewhere.
-func (j *job) coversUnwrittenTasks(n int) bool {
-	for k := n + 1; k <= j.chunks[n].lastCoveredChunk; k++ {
-		if j.chunks[k].durableSequence < j.chunks[k].sequence {
-			return true
-		}
+	j.chunks[chunk].version = e.Version
+	for later := chunk + 1; later <= last/w.tasksPerChunk; later++ {
+		j.chunks[chunk].lastCoveredChunk = later
+		j.chunks[later].sequence++ // to be written before this record is replaced
 	}
-	return false
 }
 
-// finishedTasksKeys are the keys of all records of a job's finished tasks.
-func (s *Scheduler) finishedTasksKeys(j *job) []string {
-	keys := append([]string(nil), j.otherRecordKeys...)
-	for i := range j.chunks {
-		if j.chunks[i].version != 0 {
-			keys = append(keys, storage.FinishedTasksKey(j.id, i*s.finished.tasksPerChunk))
-		}
+// removeOrphanedRecords removes records that earlier terms left behind of jobs that are over.
+func (w *finishedTaskWriter) removeOrphanedRecords() {
+	for _, orphan := range w.orphans {
+		w.removeRecords(orphan.jobID, []string{orphan.key})
 	}
-	return keys
+	w.orphans = nil
 }
 
-// orphanedRecord is a record of finished tasks without an open job.
-type orphanedRecord struct{ jobID, key string }
-
-// removeOrphanedRecords removes records that earlier terms left behind of jobs that are over.
-func (s *Scheduler) removeOrphanedRecords() {
-	for _, o := range s.recovery.orphanedRecords {
-		s.removeFinishedTasks(o.jobID, []string{o.key})
+// removeRecords removes records of finished tasks of a job that is over, each by a write of its
+// own, as there may be more than a transaction takes.
+func (w *finishedTaskWriter) removeRecords(jobID string, keys []string) {
+	for _, key := range keys {
+		w.writeBulk(orphanRemoval{},
+			[]protocol.Condition{{Key: storage.OpenJobKey(jobID)}},
+			[]protocol.Operation{{Delete: key}})
 	}
-	s.recovery.orphanedRecords = nil
 }
 
-// removeFinishedTasks removes records of finished tasks of a job that is over, each by a write of
-// its own, as there may be more than a transaction takes.
-func (s *Scheduler) removeFinishedTasks(job string, keys []string) {
-	for _, key := range keys {
-		s.write(pendingWrite{kind: writeCleanup}, []protocol.Condition{{Key: storage.OpenJobKey(job)}}, []protocol.Operation{{Delete: key}})
+// recordKeys returns the keys of all records of a job's finished tasks.
+func (w *finishedTaskWriter) recordKeys(j *job) []string {
+	keys := append([]string(nil), j.otherRecordKeys...)
+	for chunk := range j.chunks {
+		if j.chunks[chunk].version != 0 {
+			keys = append(keys, storage.FinishedTasksKey(j.id, chunk*w.tasksPerChunk))
+		}
 	}
+	return keys
 }
 
-// recordTaskDone notes a finished task. The worker is told to forget it only once this is durable.
-func (s *Scheduler) recordTaskDone(j *job, idx int) (n int, ver uint64) {
-	n = idx / s.finished.tasksPerChunk
+// recordDone notes a finished task. The worker is told to forget it only once the chunk that has it
+// is durable up to that sequence.
+func (w *finishedTaskWriter) recordDone(j *job, index int) (chunk int, sequence uint64) {
 	if j.gang != nil {
 		for i := range j.spec.Tasks {
-			s.markDone(j, i) // they complete together
+			w.markDone(j, i) // they complete together
 		}
 	} else {
-		s.markDone(j, idx)
+		w.markDone(j, index)
 	}
 	j.failedMachines = map[string]bool{}
 	j.backoff, j.retryAt = 0, 0
-	return n, j.chunks[n].sequence
+	chunk = index / w.tasksPerChunk
+	return chunk, j.chunks[chunk].sequence
 }
 
-func (s *Scheduler) markDone(j *job, idx int) {
-	if getBit(j.doneBits, idx) {
+func (w *finishedTaskWriter) markDone(j *job, index int) {
+	if getBit(j.doneBits, index) {
 		return
 	}
-	setBit(j.doneBits, idx)
+	setBit(j.doneBits, index)
 	j.doneCount++
-	j.chunks[idx/s.finished.tasksPerChunk].sequence++
-}
-
-// writeFinishedTasks writes finished tasks down, those first that were not written for longest,
-// within a share of the state service's rate: what is not written is kept by the workers, and done
-// again only where one is lost. A job that is nearly over needs no record but its final one.
-func (s *Scheduler) writeFinishedTasks() {
-	rate := s.cfg.State.WriteRPS * limits.ChunkWriteShare
-	s.finished.writeBudget = min(s.finished.writeBudget+rate*limits.TickInterval.Seconds(), max(rate, 1))
-	type part struct {
-		j *job
-		n int
-	}
-	var parts []part
-	for _, j := range s.jobs.oldestFirst() {
-		s.tryCloseJob(j)
+	j.chunks[index/w.tasksPerChunk].sequence++
+}
+
+// jobChunk names a chunk of a job.
+type jobChunk struct {
+	job   *job
+	index int
+}
+
+func (c jobChunk) get() *finishedChunk { return &c.job.chunks[c.index] }
+
+// writeChunks writes finished tasks down, expedited chunks first and then those that were not
+// written for longest, within a share of the state service's rate: what is not written is kept by
+// the workers, and done again only where one is lost.
+func (w *finishedTaskWriter) writeChunks() {
+	rate := w.cfg.State.WriteRPS * limits.ChunkWriteShare
+	w.writeBudget = min(w.writeBudget+rate*limits.TickInterval.Seconds(), max(rate, 1))
+	var due []jobChunk
+	for _, j := range w.jobs.oldestFirst() {
 		if j.closing || j.cancelled {
 			continue
 		}
-		for i := range j.chunks {
-			c := &j.chunks[i]
-			if c.durableSequence == c.sequence || c.writing || j.coversUnwrittenTasks(i) || (!c.expedite && s.now < c.writtenAt+limits.ChunkWriteInterval) {
-				continue
-			}
-			if c.deferredSince == 0 {
-				c.deferredSince = s.now
-			}
-			if !c.expedite && s.now < c.deferredSince+limits.MaxChunkWriteDelay && s.nearlyOver(j) {
-				continue
+		for index := range j.chunks {
+			if w.isDue(j, index) {
+				due = append(due, jobChunk{j, index})
 			}
-			parts = append(parts, part{j, i})
 		}
 	}
-	sort.SliceStable(parts, func(a, b int) bool {
-		x, y := &parts[a].j.chunks[parts[a].n], &parts[b].j.chunks[parts[b].n]
-		if x.expedite != y.expedite {
-			return x.expedite
+	sort.SliceStable(due, func(a, b int) bool {
+		one, other := due[a].get(), due[b].get()
+		if one.expedite != other.expedite {
+			return one.expedite
 		}
-		return x.writtenAt < y.writtenAt
+		return one.writtenAt < other.writtenAt
 	})
-	for _, x := range parts {
-		if s.finished.writeBudget < 1 {
+	for _, c := range due {
+		if w.writeBudget < 1 {
 			return
 		}
-		s.finished.writeBudget--
-		j, c := x.j, &x.j.chunks[x.n]
-		c.writing, c.writtenAt, c.deferredSince, c.expedite = true, s.now, 0, false
-		key := storage.FinishedTasksKey(j.id, x.n*s.finished.tasksPerChunk)
-		// Guarded by its own stamp as well: an earlier write of this chunk that was given up
-		// must not come late and undo this one.
-		s.write(pendingWrite{kind: writeChunk, job: j, count: x.n, sequence: c.sequence},
-			[]protocol.Condition{{Key: key, Version: c.version}},
-			[]protocol.Operation{{Put: key, Value: protocol.Encode(storage.EncodeFinishedTasks(j.doneBits, x.n*s.finished.tasksPerChunk, s.finished.tasksPerChunk))}})
+		w.writeBudget--
+		w.writeChunk(c)
+	}
+}
+
+// isDue reports whether a chunk should be written now. A chunk of a job that is nearly over is
+// deferred for a while, as the job may soon need no record but its final one.
+func (w *finishedTaskWriter) isDue(j *job, index int) bool {
+	chunk := &j.chunks[index]
+	if chunk.durableSequence == chunk.sequence || chunk.writing || j.coversUnwrittenTasks(index) {
+		return false
+	}
+	if !chunk.expedite && w.now < chunk.writtenAt+limits.ChunkWriteInterval {
+		return false
+	}
+	if chunk.deferredSince == 0 {
+		chunk.deferredSince = w.now
+	}
+	return chunk.expedite || w.now >= chunk.deferredSince+limits.MaxChunkWriteDelay || !w.isNearlyOver(j)
+}
+
+func (w *finishedTaskWriter) writeChunk(c jobChunk) {
+	chunk := c.get()
+	chunk.writing, chunk.writtenAt, chunk.deferredSince, chunk.expedite = true, w.now, 0, false
+	base := c.index * w.tasksPerChunk
+	key := storage.FinishedTasksKey(c.job.id, base)
+	record := storage.EncodeFinishedTasks(c.job.doneBits, base, w.tasksPerChunk)
+	// Guarded by its own version as well: an earlier write of this chunk that was given up must not
+	// come late and undo this one.
+	w.writeBulk(chunkWrite{job: c.job, chunk: c.index, sequence: chunk.sequence},
+		[]protocol.Condition{{Key: key, Version: chunk.version}},
+		[]protocol.Operation{{Put: key, Value: protocol.Encode(record)}})
+}
+
+// chunkWritten notes which finished tasks are durable now.
+func (w *finishedTaskWriter) chunkWritten(write chunkWrite, e WriteCompleted) {
+	chunk := &write.job.chunks[write.chunk]
+	chunk.writing = false
+	if e.OK {
+		chunk.version = e.Version
+		chunk.durableSequence = max(chunk.durableSequence, write.sequence)
 	}
 }
 
-// nearlyOver tells whether all tasks of a job are done or on machines, and the last should be done soon.
-func (s *Scheduler) nearlyOver(j *job) bool {
+// isNearlyOver reports whether all tasks of a job are done or on machines, and the last should be
+// done soon.
+func (w *finishedTaskWriter) isNearlyOver(j *job) bool {
 	if j.waitingTasks() > 0 {
 		return false
 	}
-	est := limits.Seconds(j.occupancy())
-	for _, b := range j.assignments {
-		if b.assignedAt+est > s.now+limits.MaxChunkWriteDelay {
+	occupancy := limits.Seconds(j.occupancy())
+	for _, a := range j.assignments {
+		if a.assignedAt+occupancy > w.now+limits.MaxChunkWriteDelay {
 			return false
 		}
 	}
 	return true
 }
+
+// coversUnwrittenTasks reports whether the record of a chunk still tells of tasks of later chunks
+// that are not written elsewhere.
+func (j *job) coversUnwrittenTasks(chunk int) bool {
+	for later := chunk + 1; later <= j.chunks[chunk].lastCoveredChunk; later++ {
+		if j.chunks[later].durableSequence < j.chunks[later].sequence {
+			return true
+		}
+	}
+	return false
+}
+
+// isWritingChunks reports whether a write of the job's finished tasks is under way.
+func (j *job) isWritingChunks() bool {
+	for i := range j.chunks {
+		if j.chunks[i].writing {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -107,7 +107,7 @@
 		}
 		expect("read")
 		for range 30 { // all that is written again goes out, one piece after the other
-			s.recordTaskDone(j, rapid.IntRange(0, tasks-1).Draw(t, "finished"))
+			s.finished.recordDone(j, rapid.IntRange(0, tasks-1).Draw(t, "finished"))
 			now += 3 * time.Second
 			out := s.Step(Tick{Entitled: true}, now)
 			for len(out) > 0 { // one write at a time
@@ -117,7 +117,7 @@
 			}
 		}
 		for i := range tasks {
-			s.recordTaskDone(j, i)
+			s.finished.recordDone(j, i)
 		}
 		most := 0
 		for range 30 {
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -11,18 +11,6 @@
 	"quillshunt/internal/protocol"
 )
 
-// finishedChunk is a part of a job's finished tasks as the state service keeps it.
-type finishedChunk struct {
-	version          uint64
-	sequence         uint64 // rises with every finished task
-	durableSequence  uint64 // highest sequence that is written
-	writing          bool
-	writtenAt        time.Duration
-	deferredSince    time.Duration // when it was first left for later
-	expedite         bool          // a machine that has results of it is to go
-	lastCoveredChunk int           // the written record tells of tasks up to this chunk
-}
-
 // deadline is a time that a job should meet, by its completion or by the start of its tasks.
 type deadline struct {
 	at       time.Duration
@@ -54,7 +42,7 @@
 	nextFreeHint        int
 	assignments         map[int]*assignment
 	chunks              []finishedChunk
-	otherRecordKeys     []string    // keys of records of finished tasks that are no chunks of this term; see finLoaded
+	otherRecordKeys     []string    // keys of records of finished tasks that are no chunks of this term; see finishedTaskWriter
 	remainingRecordKeys []string    // keys to be removed after the final record
 	stopCounts          map[int]int // how often a task was stopped by us
 
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -63,37 +63,51 @@
 
 // tryCloseJob writes a job's final record once nothing of it is left to do.
 func (s *Scheduler) tryCloseJob(j *job) {
-	if j.closed || j.closing || (!j.cancelled && j.doneCount < j.spec.Tasks) {
+	if !s.mayCloseJob(j) {
 		return
 	}
-	if len(j.assignments) > 0 && (j.gang == nil || j.cancelled) {
-		return // of a gang that is done, tasks that were not heard of yet have completed as well
-	}
-	if j.cancelled && !s.recovery.ended {
-		return // tasks of it that we have not heard of yet still count against its team's limit
-	}
-	standing := protocol.Done
+	state := protocol.Done
 	if j.cancelled {
-		standing = protocol.Aborted
+		state = protocol.Aborted
 	}
-	ops := []protocol.Operation{
-		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: standing})},
+	operations := []protocol.Operation{
+		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: state})},
 		{Delete: storage.OpenJobKey(j.id)},
 	}
-	for i := range j.chunks {
-		if j.chunks[i].writing {
-			return // its answer comes back here
-		}
+	// What does not fit into this transaction is removed once the job is closed.
+	keys := s.finished.recordKeys(j)
+	fitting := min(len(keys), s.cfg.State.TxnOps-len(operations))
+	for _, key := range keys[:fitting] {
+		operations = append(operations, protocol.Operation{Delete: key})
 	}
-	keys := s.finishedTasksKeys(j)
-	now := min(len(keys), s.cfg.State.TxnOps-len(ops))
-	for _, key := range keys[:now] {
-		ops = append(ops, protocol.Operation{Delete: key})
-	}
-	j.remainingRecordKeys = keys[now:]
+	j.remainingRecordKeys = keys[fitting:]
 	j.closing = true
-	s.write(pendingWrite{kind: writeFinal, job: j},
-		[]protocol.Condition{{Key: storage.OpenJobKey(j.id), Version: j.version}}, ops)
+	s.write(finalJobWrite{j}, []protocol.Condition{{Key: storage.OpenJobKey(j.id), Version: j.version}}, operations)
+}
+
+// mayCloseJob reports whether nothing of a job is left to do.
+func (s *Scheduler) mayCloseJob(j *job) bool {
+	switch {
+	case j.closed, j.closing, !j.cancelled && j.doneCount < j.spec.Tasks:
+		return false
+	case len(j.assignments) > 0 && (j.gang == nil || j.cancelled):
+		return false // of a gang that is done, tasks that were not heard of yet have completed as well
+	case j.cancelled && !s.recovery.ended:
+		return false // tasks of it that we have not heard of yet still count against its team's limit
+	}
+	return !j.isWritingChunks() // else the end of the write comes back here
+}
+
+// finalJobWritten closes a job whose final record is written.
+func (s *Scheduler) finalJobWritten(write finalJobWrite, e WriteCompleted) {
+	j := write.job
+	j.closing = false
+	if !e.OK {
+		return // it was cancelled meanwhile: the watch brings the new record, and tryCloseJob runs again
+	}
+	s.logInfo("job over", "job", j.id, "cancelled", j.cancelled, "tasks", j.spec.Tasks)
+	s.closeJob(j)
+	s.finished.removeRecords(j.id, j.remainingRecordKeys)
 }
 
 // closeJob forgets a job whose final record is durable.
--- a/internal/coordination/scheduler/outbox.go
+++ b/internal/coordination/scheduler/outbox.go
@@ -29,37 +29,26 @@
 	o.emit(LogEntry{Level: slog.LevelWarn, Message: message, Args: args})
 }
 
-type writeKind uint8
-
-const (
-	writeChunk writeKind = iota
-	writeFinal
-	writeRental
-	writeRentalRemove
-	writeRegistration
-	writeRegistrationRemove
-	writeCleanup
-)
+// write emits a write of records and remembers what it was for until its WriteCompleted arrives.
+func (o *outbox) write(purpose pendingWrite, conditions []protocol.Condition, operations []protocol.Operation) {
+	o.emitWrite(purpose, false, conditions, operations)
+}
 
-// pendingWrite is what a WriteOut was for.
-type pendingWrite struct {
-	kind         writeKind
-	job          *job
-	count        int    // chunk; of a page, how many machines of it this write makes durable
-	sequence     uint64 // chunk version
-	rental       string
-	answered     bool // this write makes a rental's machines durable
-	registryPage *registryPage
+// writeBulk is like write, for records that can wait for all others.
+func (o *outbox) writeBulk(purpose pendingWrite, conditions []protocol.Condition, operations []protocol.Operation) {
+	o.emitWrite(purpose, true, conditions, operations)
 }
 
-// write emits a write of records and remembers what it was for until its WriteCompleted arrives.
-func (o *outbox) write(purpose pendingWrite, conditions []protocol.Condition, operations []protocol.Operation) {
+func (o *outbox) emitWrite(purpose pendingWrite, bulk bool, conditions []protocol.Condition, operations []protocol.Operation) {
 	o.writeSequence++
 	o.pendingWrites[o.writeSequence] = purpose
-	o.emit(WriteRecords{
-		ID:         o.writeSequence,
-		Bulk:       purpose.kind == writeChunk || purpose.kind == writeCleanup,
-		Conditions: conditions,
-		Operations: operations,
-	})
+	o.emit(WriteRecords{ID: o.writeSequence, Bulk: bulk, Conditions: conditions, Operations: operations})
+}
+
+// takePendingWrite returns what a write was for, and forgets it. It returns nil if the write is not
+// known.
+func (o *outbox) takePendingWrite(id uint64) pendingWrite {
+	purpose := o.pendingWrites[id]
+	delete(o.pendingWrites, id)
+	return purpose
 }
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -74,7 +74,7 @@
 	// An attempt that we had given up, or one of an earlier term: the result counts. If the task is
 	// bound elsewhere meanwhile, it is stopped there.
 	ended = endedTask{job: j}
-	ended.chunk, ended.sequence = s.recordTaskDone(j, index)
+	ended.chunk, ended.sequence = s.finished.recordDone(j, index)
 	if other := j.assignments[index]; other != nil && other != a {
 		if other.state == stateUnsent {
 			s.release(other)
@@ -225,7 +225,7 @@
 		if !j.cancelled {
 			ended.job = j
 			knownDone := j.gang != nil && getBit(j.doneBits, index)
-			ended.chunk, ended.sequence = s.recordTaskDone(j, index)
+			ended.chunk, ended.sequence = s.finished.recordDone(j, index)
 			if ran > 0 && !knownDone {
 				s.learnRunTime(j, m, ran)
 			}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -7,10 +7,9 @@
 // recoveryState tells how far a new term knows what runs where.
 type recoveryState struct {
 	*environment
-	loaded          bool // all that earlier terms wrote down is known
-	ended           bool // and all that may run; see tryEndRecovery
-	fewUnreported   bool // of the machines that may hold tasks of earlier terms only a few have not reported
-	orphanedRecords []orphanedRecord
+	loaded        bool // all that earlier terms wrote down is known
+	ended         bool // and all that may run; see tryEndRecovery
+	fewUnreported bool // of the machines that may hold tasks of earlier terms only a few have not reported
 }
 
 // newRecoveryState returns the state of a term that knows nothing yet.
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -95,13 +95,13 @@
 		}
 		page.dirty, page.writing = false, true
 		key := storage.RegistryPageKey(page.name)
-		s.write(pendingWrite{kind: writeRegistration, registryPage: page, count: len(page.record.Machines)}, []protocol.Condition{{Key: key, Version: page.version}},
+		s.write(registryPageWrite{page: page, machines: len(page.record.Machines)}, []protocol.Condition{{Key: key, Version: page.version}},
 			[]protocol.Operation{{Put: key, Value: protocol.Encode(page.record)}})
 	}
 }
 
-func (s *Scheduler) registryPageWritten(write pendingWrite, ok bool, version uint64) {
-	page := write.registryPage
+func (s *Scheduler) registryPageWritten(write registryPageWrite, ok bool, version uint64) {
+	page := write.page
 	page.writing = false
 	if !ok {
 		// Only we write pages of our term, so this cannot be; without a mark the machines get no tasks.
@@ -109,7 +109,7 @@
 		return
 	}
 	page.version = version
-	for _, entry := range page.record.Machines[:write.count] {
+	for _, entry := range page.record.Machines[:write.machines] {
 		if m := s.inventory.find(entry.Machine); m != nil && m.registration == registering {
 			m.registration = registered
 			s.gangs.capacityChanged = true
@@ -134,7 +134,7 @@
 	}
 	if page.version != 0 {
 		key := storage.RegistryPageKey(page.name)
-		s.write(pendingWrite{kind: writeRegistrationRemove, registryPage: page}, []protocol.Condition{{Key: key, Version: page.version}}, []protocol.Operation{{Delete: key}})
+		s.write(registryPageRemoval{}, []protocol.Condition{{Key: key, Version: page.version}}, []protocol.Operation{{Delete: key}})
 	}
 	s.registry.pages = slices.DeleteFunc(s.registry.pages, func(other *registryPage) bool { return other == page })
 }
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -105,7 +105,7 @@
 	// Once the record is written the others are registered too.
 	h := f.scheduler.rentals.byName["h-2-3"]
 	h.writing = true
-	f.scheduler.pendingWrites[9999] = pendingWrite{kind: writeRental, rental: h.name, answered: true}
+	f.scheduler.pendingWrites[9999] = rentalWrite{rental: h.name, answered: true}
 	f.now += limits.RegistryWriteInterval
 	f.step(WriteCompleted{ID: 9999, OK: true, Version: version + 1})
 	if len(f.registryWrites()) == 0 {
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -106,11 +106,11 @@
 	}
 	r.writing, r.dirty = true, false
 	key := storage.RentalKey(r.name)
-	s.write(pendingWrite{kind: writeRental, rental: r.name, answered: r.record.Answered}, []protocol.Condition{{Key: key, Version: r.version}},
+	s.write(rentalWrite{rental: r.name, answered: r.record.Answered}, []protocol.Condition{{Key: key, Version: r.version}},
 		[]protocol.Operation{{Put: key, Value: protocol.Encode(r.record)}})
 }
 
-func (s *Scheduler) rentalWritten(write pendingWrite, ok bool, version uint64) {
+func (s *Scheduler) rentalWritten(write rentalWrite, ok bool, version uint64) {
 	r := s.rentals.byName[write.rental]
 	if r == nil {
 		return
@@ -152,10 +152,19 @@
 func (s *Scheduler) removeRental(r *rental) {
 	r.state = rentalRemoving
 	key := storage.RentalKey(r.name)
-	s.write(pendingWrite{kind: writeRentalRemove, rental: r.name}, []protocol.Condition{{Key: key, Version: r.version}},
+	s.write(rentalRemoval{rental: r.name}, []protocol.Condition{{Key: key, Version: r.version}},
 		[]protocol.Operation{{Delete: key}})
 }
 
+// removalWritten forgets a rental whose record is removed. Otherwise the removal is tried again.
+func (t *rentalTable) removalWritten(write rentalRemoval, ok bool) {
+	if ok {
+		delete(t.byName, write.rental)
+	} else if r := t.byName[write.rental]; r != nil {
+		r.state = rentalAnswered
+	}
+}
+
 // adoptMachine makes a record for a machine that no rental of ours accounts for.
 func (s *Scheduler) adoptMachine(m *machine) {
 	r := &rental{name: "found-" + m.name, state: rentalAnswered, requestedAt: s.now,
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -65,7 +65,7 @@
 	placement := newPlacer(env)
 	gangs := newGangTable(env)
 	prober := newMachineProber(env)
-	finished := newFinishedTaskWriter(env)
+	finished := newFinishedTaskWriter(env, jobs)
 	recovery := newRecoveryState(env)
 	planner := newCapacityPlanner(env)
 	cloudList := newMachineListReader(env)
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -148,7 +148,7 @@
 	}
 	for i := range limits.MaxTasksPerJob {
 		if j.assignments[i] == nil {
-			b.scheduler.recordTaskDone(j, i)
+			b.scheduler.finished.recordDone(j, i)
 		}
 	}
 	b.now += 4 * time.Second
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -16,7 +16,7 @@
 			s.closeJob(j) // somebody else removed it: not in the protocol of our nodes, but then it is over
 		}
 	case FinishedTasksLoaded:
-		s.finishedTasksLoaded(e)
+		s.finished.load(e)
 	case RentalLoaded:
 		s.rentalLoaded(e)
 	case RegistryPageLoaded:
@@ -26,7 +26,7 @@
 		s.recovery.loaded = true
 		s.catalog.fetchNow()
 		s.cloudList.readNow()
-		s.removeOrphanedRecords()
+		s.finished.removeOrphanedRecords()
 		s.tick(true)
 	case HeartbeatReceived:
 		s.heartbeatReceived(e)
@@ -35,7 +35,7 @@
 	case DirectCommandsDone:
 		s.directCommandsDone(e)
 	case WriteCompleted:
-		s.writeDone(e)
+		s.writeCompleted(e)
 	case RentalDone:
 		s.rentalDone(e)
 	case DeletionDone:
@@ -68,41 +68,6 @@
 	s.commitGangs()
 }
 
-func (s *Scheduler) writeDone(e WriteCompleted) {
-	p, ok := s.pendingWrites[e.ID]
-	if !ok {
-		return
-	}
-	delete(s.pendingWrites, e.ID)
-	switch p.kind {
-	case writeChunk:
-		c := &p.job.chunks[p.count]
-		c.writing = false
-		if e.OK {
-			c.version, c.durableSequence = e.Version, max(c.durableSequence, p.sequence)
-		}
-		s.tryCloseJob(p.job)
-	case writeFinal:
-		p.job.closing = false
-		if e.OK {
-			s.logInfo("job over", "job", p.job.id, "cancelled", p.job.cancelled, "tasks", p.job.spec.Tasks)
-			s.closeJob(p.job)
-			s.removeFinishedTasks(p.job.id, p.job.remainingRecordKeys)
-		}
-		// Otherwise it was cancelled meanwhile: the watch brings the new record, and finish runs again.
-	case writeRental:
-		s.rentalWritten(p, e.OK, e.Version)
-	case writeRegistration:
-		s.registryPageWritten(p, e.OK, e.Version)
-	case writeRentalRemove:
-		if e.OK {
-			delete(s.rentals.byName, p.rental)
-		} else if h := s.rentals.byName[p.rental]; h != nil {
-			h.state = rentalAnswered
-		}
-	}
-}
-
 // tick looks at everything that only time changes.
 func (s *Scheduler) tick(entitled bool) {
 	s.expireLeases()
@@ -111,6 +76,9 @@
 	if !entitled {
 		return
 	}
-	s.writeFinishedTasks()
+	for _, j := range s.jobs.oldestFirst() {
+		s.tryCloseJob(j)
+	}
+	s.finished.writeChunks()
 	s.manageFleet()
 }
