--- a/internal/coordination/scheduler/plan_zones.go
+++ b/internal/coordination/scheduler/gang_plan.go
@@ -8,47 +8,32 @@
 	"quillshunt/internal/limits"
 )
 
-// zonePlan is how many more tasks of a job may be planned in each zone. Only gangs need it: their
-// tasks are planned together, while those of an array are bound one by one, and where the next may
-// go is seen from the bound ones.
-type zonePlan struct {
-	onlyZone   string // the one zone of a gang that must be in one; "" while it is not chosen
-	maxPerZone int    // in a zone
-	counts     map[string]int
-}
-
-func (j *job) newZonePlan() *zonePlan {
-	z := &zonePlan{maxPerZone: math.MaxInt}
-	if j.gang == nil {
-		return z
+// planGang plans the missing tasks of a gang together. Machines are rented and kept for a gang that
+// finds a part of them only for a while: the cloud may have the rest soon, but a gang that can't be
+// complete must not cost money for ever.
+func (s *Scheduler) planGang(j *job, fresh map[machinePool]float64, may func(machinePool) int, all *[]*capacity) {
+	g := j.gang
+	if g.lacksCapacity = !s.hasEnoughZones(j); g.lacksCapacity {
+		return
 	}
-	z.counts = map[string]int{}
-	for _, b := range j.assignments {
-		if j.spec.SameZone {
-			z.onlyZone = b.machine.zone
-		}
-		z.counts[b.machine.zone]++
+	if s.now < j.submittedAt+limits.GangCapacityTimeout {
+		s.planJob(j, fresh, may, all)
+		return
 	}
-	if j.spec.SpreadZones {
-		z.maxPerZone = (j.spec.Tasks + 1) / 2
+	before, offers := maps.Clone(fresh), len(*all)
+	states := make([]capacityState, offers)
+	for i, o := range *all {
+		states[i] = o.state()
 	}
-	return z
-}
-
-// remaining is how many more tasks may be planned in a zone.
-func (z *zonePlan) remaining(zone string) int {
-	if z.onlyZone != "" && z.onlyZone != zone {
-		return 0
+	if g.lacksCapacity = s.planJob(j, fresh, may, all) > 0; !g.lacksCapacity {
+		return
 	}
-	return max(z.maxPerZone-z.counts[zone], 0)
-}
-
-// addTasks notes tasks that were planned in a zone, and returns their number.
-func (z *zonePlan) addTasks(zone string, n int) int {
-	if z.counts != nil {
-		z.counts[zone] += n
+	clear(fresh)
+	maps.Copy(fresh, before)
+	*all = (*all)[:offers]
+	for i, o := range *all {
+		o.restore(states[i])
 	}
-	return n
 }
 
 // chooseGangZone chooses the zone in which a gang is planned that must be in one: the one whose
@@ -86,34 +71,6 @@
 	return true
 }
 
-// planGang plans the missing tasks of a gang together. Machines are rented and kept for a gang that
-// finds a part of them only for a while: the cloud may have the rest soon, but a gang that can't be
-// complete must not cost money for ever.
-func (s *Scheduler) planGang(j *job, fresh map[machinePool]float64, may func(machinePool) int, all *[]*capacity) {
-	g := j.gang
-	if g.lacksCapacity = !s.hasEnoughZones(j); g.lacksCapacity {
-		return
-	}
-	if s.now < j.submittedAt+limits.GangCapacityTimeout {
-		s.planJob(j, fresh, may, all)
-		return
-	}
-	before, offers := maps.Clone(fresh), len(*all)
-	states := make([]capacityState, offers)
-	for i, o := range *all {
-		states[i] = o.state()
-	}
-	if g.lacksCapacity = s.planJob(j, fresh, may, all) > 0; !g.lacksCapacity {
-		return
-	}
-	clear(fresh)
-	maps.Copy(fresh, before)
-	*all = (*all)[:offers]
-	for i, o := range *all {
-		o.restore(states[i])
-	}
-}
-
 // hasEnoughZones tells whether a gang that is spread over zones could have all its tasks on
 // machines if these had room without end.
 func (s *Scheduler) hasEnoughZones(j *job) bool {
@@ -134,23 +91,11 @@
 	return len(zones)*((j.spec.Tasks+1)/2) >= j.spec.Tasks
 }
 
-// capacityState is what planning a job changes of an offer.
-type capacityState struct {
-	usedCPUs, busyCPUSeconds   float64
-	neededByPlan, neededByGang bool
-}
-
-func (o *capacity) state() capacityState {
-	v := capacityState{usedCPUs: o.usedCPUs, busyCPUSeconds: o.busyCPUSeconds}
-	if o.machine != nil {
-		v.neededByPlan, v.neededByGang = o.machine.neededByPlan, o.machine.neededByGang
-	}
-	return v
-}
-
-func (o *capacity) restore(v capacityState) {
-	o.usedCPUs, o.busyCPUSeconds = v.usedCPUs, v.busyCPUSeconds
-	if o.machine != nil {
-		o.machine.neededByPlan, o.machine.neededByGang = v.neededByPlan, v.neededByGang
+// gangTasksToPlace is how many tasks must be placed together: the missing ones of a gang, or none
+// in particular.
+func (j *job) gangTasksToPlace() int {
+	if j.gang == nil {
+		return 0
 	}
+	return j.waitingTasks()
 }
