--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -120,14 +120,14 @@
 		s.fault("went_back: %s was %s, is %s", id, j.said, standing)
 	}
 	switch standing {
-	case protocol.Aborted:
+	case protocol.JobAborted:
 		if j.asked.IsZero() {
 			s.fault("went_back: %s is cancelled, which nobody asked for", id)
 		}
 		if j.said == "" {
 			j.said, j.told = standing, time.Now()
 		}
-	case protocol.Done:
+	case protocol.JobDone:
 		if j.said == "" {
 			j.said = standing // told stays zero: only cancelled jobs have a time to be gone by
 			for i := range j.spec.Tasks {
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -284,7 +284,7 @@
 	defer s.mu.Unlock()
 	n := 0
 	for _, j := range jobs {
-		if j.said == protocol.Aborted {
+		if j.said == protocol.JobAborted {
 			n++
 		}
 	}
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -149,18 +149,18 @@
 		{"over the team's limit", "POST", "/v2/runs", submission("job-1", map[string]any{"Crew": "tiny"}), 422, ""},
 		{"unknown shape", "POST", "/v2/runs", submission("job-1", map[string]any{"Shape": "service"}), 400, ""},
 		{"gang over the team's limit as a whole", "POST", "/v2/runs", submission("job-5", map[string]any{"Shape": "ensemble", "Pieces": 5}), 422, ""},
-		{"gang", "POST", "/v2/runs", submission("job-5", map[string]any{"Shape": "ensemble", "Pieces": 4}), 201, protocol.Pending},
+		{"gang", "POST", "/v2/runs", submission("job-5", map[string]any{"Shape": "ensemble", "Pieces": 4}), 201, protocol.JobPending},
 		{"fits no type", "POST", "/v2/runs", submission("job-1", map[string]any{"Vcpus": 17}), 422, ""},
 		{"unknown type", "POST", "/v2/runs", submission("job-1", map[string]any{"Rigkinds": []string{"x"}}), 422, ""},
 		{"zone without such a type", "POST", "/v2/runs", submission("job-1", map[string]any{"Yard": "b"}), 422, ""},
-		{"good", "POST", "/v2/runs", submission("job-1", nil), 201, protocol.Pending},
-		{"again", "POST", "/v2/runs", submission("job-1", nil), 200, protocol.Pending},
-		{"again, as something that cannot run", "POST", "/v2/runs", submission("job-1", map[string]any{"Vcpus": 17}), 200, protocol.Pending},
-		{"show", "GET", "/v2/runs/job-1", nil, 200, protocol.Pending},
-		{"cancel", "POST", "/v2/runs/job-1/cancel", nil, 200, protocol.Aborted},
-		{"cancel again", "POST", "/v2/runs/job-1/cancel", nil, 200, protocol.Aborted},
-		{"show cancelled", "GET", "/v2/runs/job-1", nil, 200, protocol.Aborted},
-		{"submit cancelled", "POST", "/v2/runs", submission("job-1", nil), 200, protocol.Aborted},
+		{"good", "POST", "/v2/runs", submission("job-1", nil), 201, protocol.JobPending},
+		{"again", "POST", "/v2/runs", submission("job-1", nil), 200, protocol.JobPending},
+		{"again, as something that cannot run", "POST", "/v2/runs", submission("job-1", map[string]any{"Vcpus": 17}), 200, protocol.JobPending},
+		{"show", "GET", "/v2/runs/job-1", nil, 200, protocol.JobPending},
+		{"cancel", "POST", "/v2/runs/job-1/cancel", nil, 200, protocol.JobAborted},
+		{"cancel again", "POST", "/v2/runs/job-1/cancel", nil, 200, protocol.JobAborted},
+		{"show cancelled", "GET", "/v2/runs/job-1", nil, 200, protocol.JobAborted},
+		{"submit cancelled", "POST", "/v2/runs", submission("job-1", nil), 200, protocol.JobAborted},
 	} {
 		if status, standing, _ := f.do(c.method, c.target, c.body); status != c.status || standing != c.standing {
 			t.Errorf("%s: %d %q, want %d %q", c.what, status, standing, c.status, c.standing)
@@ -168,9 +168,9 @@
 	}
 
 	// A job that is over stays what it is, also for repeats and cancellations.
-	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.FinalJobKey("job-2"), Value: protocol.Encode(storage.FinalJob{State: protocol.Done})}}})
+	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.FinalJobKey("job-2"), Value: protocol.Encode(storage.FinalJob{State: protocol.JobDone})}}})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
-		if status, standing, _ := f.do("POST", target, submission("job-2", nil)); status != 200 || standing != protocol.Done {
+		if status, standing, _ := f.do("POST", target, submission("job-2", nil)); status != 200 || standing != protocol.JobDone {
 			t.Errorf("%s of a done job: %d %q", target, status, standing)
 		}
 	}
@@ -185,10 +185,10 @@
 		t.Errorf("in an outage: %d, retry after %d", status, m.RetryAfter)
 	}
 	// A cancellation that was confirmed here is as final.
-	if status, standing, _ := f.do("GET", "/v2/runs/job-1", nil); status != 200 || standing != protocol.Aborted {
+	if status, standing, _ := f.do("GET", "/v2/runs/job-1", nil); status != 200 || standing != protocol.JobAborted {
 		t.Errorf("cancelled job in an outage: %d %q", status, standing)
 	}
-	if status, standing, _ := f.do("GET", "/v2/runs/job-2", nil); status != 200 || standing != protocol.Done {
+	if status, standing, _ := f.do("GET", "/v2/runs/job-2", nil); status != 200 || standing != protocol.JobDone {
 		t.Errorf("done job in an outage: %d %q", status, standing)
 	}
 	// What can't be taken is answered at once, not held until the user has no time left to ask again.
@@ -202,7 +202,7 @@
 		t.Errorf("two refusals took %v", took)
 	}
 	f.state.SetUnavailable(false)
-	if status, standing, _ := f.do("POST", "/v2/runs", submission("job-3", nil)); status != 201 || standing != protocol.Pending {
+	if status, standing, _ := f.do("POST", "/v2/runs", submission("job-3", nil)); status != 201 || standing != protocol.JobPending {
 		t.Errorf("after the outage: %d %q", status, standing)
 	}
 }
@@ -243,9 +243,9 @@
 		} else {
 			f.state.RevokeLease(hold)
 		}
-		ask(200, protocol.Aborted)
+		ask(200, protocol.JobAborted)
 		f.state.SetUnavailable(true)
-		ask(200, protocol.Aborted) // known for good
+		ask(200, protocol.JobAborted) // known for good
 	}
 }
 
@@ -337,10 +337,10 @@
 	}
 	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey("job-1"), Value: protocol.Encode(storage.OpenJob{Spec: spec})}}})
 	again := submission("job-1", map[string]any{"Rigkinds": append([]string{"g8"}, spec.MachineTypes...)})
-	if status, standing, _ := f.do("POST", "/v2/runs", again); status != 200 || standing != protocol.Pending {
+	if status, standing, _ := f.do("POST", "/v2/runs", again); status != 200 || standing != protocol.JobPending {
 		t.Errorf("repeated: %d %q", status, standing)
 	}
-	if status, standing, _ := f.do("POST", "/v2/runs/job-1/cancel", nil); status != 200 || standing != protocol.Aborted {
+	if status, standing, _ := f.do("POST", "/v2/runs/job-1/cancel", nil); status != 200 || standing != protocol.JobAborted {
 		t.Errorf("cancelled: %d %q", status, standing)
 	}
 	p, _ := f.state.Get(storage.OpenJobKey("job-1"))
--- a/internal/coordination/gateway/job_status.go
+++ b/internal/coordination/gateway/job_status.go
@@ -23,11 +23,11 @@
 	case !found:
 		return jobNotFound()
 	}
-	if status.State == protocol.Pending {
+	if status.State == protocol.JobPending {
 		if counts, ok := g.taskCounts(ctx, id); ok {
 			status.Done, status.Running = &counts.Done, &counts.Running
 			if counts.Running > 0 {
-				status.State = protocol.Running
+				status.State = protocol.JobRunning
 			}
 		}
 	}
@@ -86,12 +86,12 @@
 		return status, false, fmt.Errorf("read %s: %w", id, err)
 	}
 	if !record.Cancelled {
-		return protocol.JobStatus{ID: id, State: protocol.Pending}, true, nil
+		return protocol.JobStatus{ID: id, State: protocol.JobPending}, true, nil
 	}
 	// "aborted" is a confirmation, also as the answer to a poll. "pending" would contradict what
 	// another controller may have confirmed already.
 	if !g.confirmCancellation(ctx, id, open) {
 		return status, false, errUnconfirmed
 	}
-	return protocol.JobStatus{ID: id, State: protocol.Aborted}, true, nil
+	return protocol.JobStatus{ID: id, State: protocol.JobAborted}, true, nil
 }
--- a/internal/coordination/gateway/submissions.go
+++ b/internal/coordination/gateway/submissions.go
@@ -48,7 +48,7 @@
 	var conflict *storage.ConflictError
 	switch {
 	case err == nil:
-		return statusResponse(http.StatusCreated, protocol.JobStatus{ID: id, State: protocol.Pending})
+		return statusResponse(http.StatusCreated, protocol.JobStatus{ID: id, State: protocol.JobPending})
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrOutcomeUnknown):
 		// The job exists, or may just have been written. If it does not exist now it may still be
 		// written: the user retries, and the conditions make sure that it is written only once.
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -70,7 +70,7 @@
 		c.fencingToken = r.FencingToken
 		for _, o := range r.Commands {
 			if o.Verb == protocol.CommandStart {
-				c.tasks = append(c.tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+				c.tasks = append(c.tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
 			}
 		}
 		return 200, nil
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -65,7 +65,7 @@
 		for _, o := range orders {
 			switch o.Verb {
 			case protocol.CommandStart:
-				have[m] = append(have[m], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+				have[m] = append(have[m], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
 			case protocol.CommandForget:
 				for k := range have[m] {
 					if have[m][k].Attempt == o.Attempt {
@@ -102,8 +102,8 @@
 		now += 1500 * time.Millisecond / time.Duration(machines)
 		m := i % machines
 		for k := range have[m] {
-			if have[m][k].State == protocol.Running {
-				have[m][k].State, have[m][k].Reason = protocol.Ended, protocol.ReasonDone
+			if have[m][k].State == protocol.TaskRunning {
+				have[m][k].State, have[m][k].Reason = protocol.TaskEnded, protocol.ReasonDone
 				break
 			}
 		}
@@ -201,7 +201,7 @@
 		for i := range 50 {
 			for _, o := range b.report(i, tasks[i]...) {
 				if o.Verb == protocol.CommandStart {
-					tasks[i] = append(tasks[i], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+					tasks[i] = append(tasks[i], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
 				}
 			}
 		}
--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -15,7 +15,7 @@
 	b := newSchedulerFixture(t, 1)
 	b.report(0)
 	b.job("job-1", "red", "standard", 1, 1, 0)
-	task := protocol.TaskStatus{Task: "job-1/0", Attempt: b.direct()[0].Commands[0].Attempt, State: protocol.Running}
+	task := protocol.TaskStatus{Task: "job-1/0", Attempt: b.direct()[0].Commands[0].Attempt, State: protocol.TaskRunning}
 	b.report(0, task)
 	b.version++
 	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
@@ -41,7 +41,7 @@
 		b.job("job-1", "red", "standard", 1, 8, 0)
 		var task protocol.TaskStatus
 		for _, d := range b.direct() {
-			task = protocol.TaskStatus{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.Running}
+			task = protocol.TaskStatus{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.TaskRunning}
 			b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: &protocol.Heartbeat{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence + 1, FencingToken: 3, Tasks: []protocol.TaskStatus{task}}})
 		}
 		held := b.scheduler.jobs.byID["job-1"].assignments[0].machine.name
--- a/internal/coordination/scheduler/dispatch_test.go
+++ b/internal/coordination/scheduler/dispatch_test.go
@@ -59,7 +59,7 @@
 		f.sequence++
 		heartbeat := &protocol.Heartbeat{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: f.sequence, FencingToken: 3}
 		for _, command := range d.Commands {
-			heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.Running})
+			heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.TaskRunning})
 		}
 		f.now -= 9 * time.Millisecond // all within the time in which these machines are fresh
 		take(f.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: heartbeat}))
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -18,8 +18,8 @@
 	if len(direct) != 1 || verbs(direct[0].Commands, protocol.CommandStart) != 8 {
 		t.Fatalf("starts: %+v", f.effects)
 	}
-	done := protocol.TaskStatus{Task: "job-1/0", Attempt: direct[0].Commands[0].Attempt, State: protocol.Ended, Reason: protocol.ReasonDone}
-	other := protocol.TaskStatus{Task: "job-1/1", Attempt: direct[0].Commands[1].Attempt, State: protocol.Running}
+	done := protocol.TaskStatus{Task: "job-1/0", Attempt: direct[0].Commands[0].Attempt, State: protocol.TaskEnded, Reason: protocol.ReasonDone}
+	other := protocol.TaskStatus{Task: "job-1/1", Attempt: direct[0].Commands[1].Attempt, State: protocol.TaskRunning}
 	if commands := f.report(0, done, other); verbs(commands, protocol.CommandForget) != 0 {
 		t.Fatalf("forgotten at once: %+v", commands)
 	}
@@ -50,9 +50,9 @@
 	f.job("job-1", "red", "standard", 2, 1, 0)
 	var tasks []protocol.TaskStatus
 	for _, command := range f.direct()[0].Commands {
-		tasks = append(tasks, protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.Running})
+		tasks = append(tasks, protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.TaskRunning})
 	}
-	tasks[0].State, tasks[0].Reason = protocol.Ended, protocol.ReasonDone
+	tasks[0].State, tasks[0].Reason = protocol.TaskEnded, protocol.ReasonDone
 	written := time.Duration(0)
 	for began := f.now; f.now < began+2*limits.MaxChunkWriteDelay && written == 0; f.now += time.Second {
 		f.report(0, tasks...)
@@ -128,7 +128,7 @@
 		sequence++
 		f.sequence = sequence
 		for _, e := range f.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: m.name, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: sequence, FencingToken: 3,
-			Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: max(attempt, 1), State: protocol.Ended, Reason: protocol.ReasonDone}}}}) {
+			Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: max(attempt, 1), State: protocol.TaskEnded, Reason: protocol.ReasonDone}}}}) {
 			if r, ok := e.(HeartbeatReply); ok {
 				starts += verbs(r.Commands, protocol.CommandStart)
 			}
@@ -178,7 +178,7 @@
 	}
 	// Of an earlier term, of a machine that may hold tasks: not heard of, and no tasks taken from it.
 	known := protocol.Heartbeat{Machine: f.machine(0), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 50, FencingToken: 2,
-		Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 1, State: protocol.Running}}}
+		Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 1, State: protocol.TaskRunning}}}
 	f.job("job-1", "red", "standard", 1, 1, 0)
 	if r := answer(known, false); !r.Accepted {
 		t.Error("a worker that waits for this answer gets none")
@@ -389,7 +389,7 @@
 	f.now = 13 * time.Second
 	greeted := false
 	for _, e := range f.step(HeartbeatReceived{Entitled: true, Heartbeat: &protocol.Heartbeat{Machine: f.machine(1), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 2,
-		Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 7, State: protocol.Running}}}}) {
+		Tasks: []protocol.TaskStatus{{Task: "job-1/0", Attempt: 7, State: protocol.TaskRunning}}}}) {
 		if r, ok := e.(HeartbeatReply); ok {
 			greeted = r.Accepted
 		}
--- a/internal/coordination/scheduler/gang_fixture_test.go
+++ b/internal/coordination/scheduler/gang_fixture_test.go
@@ -79,7 +79,7 @@
 		k := slices.IndexFunc(g.tasks[i], func(t protocol.TaskStatus) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		switch {
 		case o.Verb == protocol.CommandStart && k < 0:
-			g.tasks[i] = append(g.tasks[i], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Fetching})
+			g.tasks[i] = append(g.tasks[i], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskFetching})
 		case o.Verb == protocol.CommandForget && k >= 0:
 			g.tasks[i] = slices.Delete(g.tasks[i], k, k+1)
 		}
@@ -90,7 +90,7 @@
 func (g *gangFixture) all(job, state string) {
 	for i := range g.tasks {
 		for k := range g.tasks[i] {
-			if id, _, _ := protocol.ParseTaskName(g.tasks[i][k].Task); id == job && g.tasks[i][k].State != protocol.Ended {
+			if id, _, _ := protocol.ParseTaskName(g.tasks[i][k].Task); id == job && g.tasks[i][k].State != protocol.TaskEnded {
 				g.tasks[i][k].State = state
 			}
 		}
@@ -101,7 +101,7 @@
 func (g *gangFixture) end(i int, task, reason string) {
 	for k := range g.tasks[i] {
 		if g.tasks[i][k].Task == task {
-			g.tasks[i][k].State, g.tasks[i][k].Reason = protocol.Ended, reason
+			g.tasks[i][k].State, g.tasks[i][k].Reason = protocol.TaskEnded, reason
 		}
 	}
 }
@@ -110,7 +110,7 @@
 func (g *gangFixture) where(task string) (machine int, attempt uint64) {
 	for i := range g.tasks {
 		for _, t := range g.tasks[i] {
-			if t.Task == task && t.State != protocol.Ended {
+			if t.Task == task && t.State != protocol.TaskEnded {
 				return i, t.Attempt
 			}
 		}
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -38,7 +38,7 @@
 	b := newGangFixture(t, 2)
 	b.job("job-1", "red", "low", 2, 6, 0)
 	b.deliver(b.effects)
-	b.all("job-1", protocol.Running)
+	b.all("job-1", protocol.TaskRunning)
 	b.reportAll()
 	b.gang("job-2", 2, 8, func(s *protocol.Spec) { s.Priority, s.DeadlineS = "high", 12 })
 	stops := commandsOf(b.effects, protocol.CommandStop)
@@ -73,7 +73,7 @@
 	b := startedGang(t, 3, 2)
 	lostOn, attempt := b.where("job-1/0")
 	other, _ := b.where("job-1/1")
-	b.all("job-1", protocol.Gathering)
+	b.all("job-1", protocol.TaskGathering)
 	b.reportAll()
 	b.end(lostOn, "job-1/0", protocol.ReasonNoRoom) // no fault of the machine, which has the image and would be the best
 	b.reportAll()
@@ -92,7 +92,7 @@
 	b := startedGang(t, 2, 2)
 	lostOn, attempt := b.where("job-1/0")
 	other, _ := b.where("job-1/1")
-	b.all("job-1", protocol.Gathering)
+	b.all("job-1", protocol.TaskGathering)
 	b.reportAll()
 	b.end(lostOn, "job-1/0", protocol.ReasonError)
 	b.report(lostOn, b.tasks[lostOn]...)
@@ -115,7 +115,7 @@
 	b := startedGang(t, 3, 2)
 	lostOn, attempt := b.where("job-1/0")
 	other, _ := b.where("job-1/1")
-	b.all("job-1", protocol.Running)
+	b.all("job-1", protocol.TaskRunning)
 	b.reportAll()
 	b.tasks[lostOn] = nil
 	b.report(lostOn)
@@ -145,7 +145,7 @@
 // save, however many direct commands are on their way.
 func TestGangStopsAsAWhole(t *testing.T) {
 	b := startedGang(t, 3, 3)
-	b.all("job-1", protocol.Running)
+	b.all("job-1", protocol.TaskRunning)
 	b.reportAll()
 	b.scheduler.dispatcher.inFlight = limits.MaxDirectCommands
 	left := 2.0
@@ -168,8 +168,8 @@
 func TestGangStopGoesOnAfterTakeOver(t *testing.T) {
 	b := newSchedulerFixture(t, 3)
 	b.gang("job-1", 2, 8)
-	b.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.Running})
-	b.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.Saving})
+	b.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskRunning})
+	b.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskSaving})
 	stops := commandsOf(b.effects, protocol.CommandStop)
 	if len(stops) != 2 || b.scheduler.recovery.ended {
 		t.Fatalf("stops: %+v", stops)
@@ -182,7 +182,7 @@
 	for _, c := range []struct {
 		state string
 		start bool
-	}{{protocol.Gathering, true}, {protocol.Running, false}} {
+	}{{protocol.TaskGathering, true}, {protocol.TaskRunning, false}} {
 		b := newSchedulerFixture(t, 2)
 		b.gang("job-1", 2, 8)
 		has := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: c.state}
@@ -203,7 +203,7 @@
 func TestGangDone(t *testing.T) {
 	b := startedGang(t, 2, 2)
 	i, _ := b.where("job-1/0")
-	b.all("job-1", protocol.Running)
+	b.all("job-1", protocol.TaskRunning)
 	b.reportAll()
 	b.end(i, "job-1/0", protocol.ReasonDone)
 	b.report(i, b.tasks[i]...)
@@ -232,7 +232,7 @@
 	b := startedGang(t, 3, 2) // with room for another in place of the one that gave up; but the rest will give up as well
 	i, attempt := b.where("job-1/0")
 	k, _ := b.where("job-1/1")
-	b.all("job-1", protocol.Gathering)
+	b.all("job-1", protocol.TaskGathering)
 	b.reportAll()
 	b.end(i, "job-1/0", protocol.ReasonIncomplete)
 	b.report(i, b.tasks[i]...)
@@ -257,7 +257,7 @@
 	b := newGangFixture(t, 2)
 	b.gang("job-1", 4, 4, func(s *protocol.Spec) { s.Priority, s.CheckpointS, s.SaveS = "low", 0, 0 })
 	b.deliver(b.effects)
-	b.all("job-1", protocol.Running)
+	b.all("job-1", protocol.TaskRunning)
 	b.reportAll()
 	for range 3 {
 		b.now += time.Second
@@ -281,7 +281,7 @@
 
 // TestGangCancelled: a cancelled gang is ended in every state, at once and without saving.
 func TestGangCancelled(t *testing.T) {
-	for _, state := range []string{protocol.Fetching, protocol.Gathering, protocol.Running} {
+	for _, state := range []string{protocol.TaskFetching, protocol.TaskGathering, protocol.TaskRunning} {
 		b := startedGang(t, 2, 2)
 		b.all("job-1", state)
 		b.reportAll()
@@ -317,8 +317,8 @@
 func TestGangOfSeveralAttempts(t *testing.T) {
 	b := newSchedulerFixture(t, 2)
 	b.gang("job-1", 2, 8)
-	b.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.Gathering})
-	b.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.Gathering})
+	b.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskGathering})
+	b.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.TaskGathering})
 	if stops := commandsOf(b.effects, protocol.CommandStop); len(stops) != 2 {
 		t.Errorf("stops: %+v", b.effects)
 	}
@@ -351,7 +351,7 @@
 // it have had the time to save.
 func TestGangSavesBeforeItsMachineGoes(t *testing.T) {
 	b := startedGang(t, 2, 2)
-	b.all("job-1", protocol.Running)
+	b.all("job-1", protocol.TaskRunning)
 	b.reportAll()
 	m := b.scheduler.inventory.find(b.machine(0))
 	m.consecutiveFailures, m.failedJobs = limits.FaultyFailures, map[string]bool{"job-9": true}
@@ -376,7 +376,7 @@
 	b.scheduler.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "g", WithinS: 2, Share: 0.9}}
 	b.gang("job-1", 2, 2)
 	b.deliver(b.effects)
-	b.all("job-1", protocol.Running)
+	b.all("job-1", protocol.TaskRunning)
 	b.reportAll()
 	b.step(Tick{Entitled: true})
 	b.now += limits.PlanInterval
@@ -466,8 +466,8 @@
 // of it for a new one. A new leader, which does not remember where tasks were lost, sends the
 // replacement elsewhere; and if such a start goes out, the task does not stay bound.
 func TestGangAttemptKnownToWorker(t *testing.T) {
-	ended := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.Ended, Reason: protocol.ReasonNoRoom}
-	waits := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.Gathering}
+	ended := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskEnded, Reason: protocol.ReasonNoRoom}
+	waits := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskGathering}
 	b := newSchedulerFixture(t, 3)
 	b.gang("job-1", 2, 8)
 	b.report(0, ended)
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -72,9 +72,9 @@
 	if j.cancelled && !s.recovery.ended {
 		return // tasks of it that we have not heard of yet still count against its team's limit
 	}
-	standing := protocol.Done
+	standing := protocol.JobDone
 	if j.cancelled {
-		standing = protocol.Aborted
+		standing = protocol.JobAborted
 	}
 	ops := []protocol.Operation{
 		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: standing})},
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -97,7 +97,7 @@
 			g := rigs[r.IntN(len(rigs))]
 			if size := s.catalog.find(g.MachineType).CPUs; used[g.Machine]+sp.CPUs <= size {
 				used[g.Machine] += sp.CPUs
-				g.Tasks = append(g.Tasks, protocol.TaskStatus{Task: protocol.TaskName(sp.ID, t), Attempt: 1, State: protocol.Running})
+				g.Tasks = append(g.Tasks, protocol.TaskStatus{Task: protocol.TaskName(sp.ID, t), Attempt: 1, State: protocol.TaskRunning})
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 				if x := &have[m][k]; x.Attempt == o.Attempt {
 					switch o.Verb {
 					case protocol.CommandStop:
-						x.State, x.Reason = protocol.Ended, protocol.ReasonStopped
+						x.State, x.Reason = protocol.TaskEnded, protocol.ReasonStopped
 					case protocol.CommandForget:
 						have[m] = slices.Delete(have[m], k, k+1)
 						k--
@@ -199,7 +199,7 @@
 				if _, ok := begun[id]; !ok {
 					begun[id] = now
 				}
-				have[m] = append(have[m], task{protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running},
+				have[m] = append(have[m], task{protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning},
 					now + time.Duration(specs[id].EstimateS*(0.7+0.6*r.Float64())*float64(time.Second))})
 			}
 		}
@@ -244,8 +244,8 @@
 		}
 		for m := range have {
 			for k := range have[m] {
-				if x := &have[m][k]; x.State == protocol.Running && now >= x.ends {
-					x.State, x.Reason = protocol.Ended, protocol.ReasonDone
+				if x := &have[m][k]; x.State == protocol.TaskRunning && now >= x.ends {
+					x.State, x.Reason = protocol.TaskEnded, protocol.ReasonDone
 					id, _, _ := protocol.ParseTaskName(x.Task)
 					done[id]++
 				}
--- a/internal/coordination/scheduler/plan_test.go
+++ b/internal/coordination/scheduler/plan_test.go
@@ -116,7 +116,7 @@
 	for _, d := range b.direct() { // each machine is full, and has just begun
 		r := &protocol.Heartbeat{Machine: d.Machine, Incarnation: 1, Sequence: 100, FencingToken: 3}
 		for _, o := range d.Commands {
-			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running})
+			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
 		}
 		b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: r})
 	}
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -25,7 +25,7 @@
 		if j != nil && index >= j.spec.Tasks {
 			j = nil
 		}
-		if status.State == protocol.Ended {
+		if status.State == protocol.TaskEnded {
 			task, ours := s.reconcileEndedTask(m, j, index, status)
 			if ours {
 				listed[status.Task] = true
@@ -179,13 +179,13 @@
 	a.confirmStart()
 	previous := a.state
 	switch status.State {
-	case protocol.Gathering:
+	case protocol.TaskGathering:
 		if a.state != stateGathering {
 			s.learnFetchTime(a)
 			a.state = stateGathering
 			s.gangTaskGathering(a.job.gang)
 		}
-	case protocol.Running:
+	case protocol.TaskRunning:
 		if a.state != stateRunning {
 			if a.state != stateGathering {
 				s.learnFetchTime(a)
@@ -194,7 +194,7 @@
 			s.emit(LogEntry{Level: slog.LevelDebug, Message: "task running", Args: []any{"job", a.job.id, "class", a.job.spec.Class, "task", a.index, "machine", a.machine.name,
 				"age", (s.now - a.job.submittedAt).Seconds(), "queued", (a.assignedAt - a.job.submittedAt).Seconds(), "fetch", (s.now - a.assignedAt).Seconds(), "gb", a.job.spec.ImageGB}})
 		}
-	case protocol.Saving:
+	case protocol.TaskSaving:
 		a.state = stateSaving
 	default:
 		a.state = stateFetching
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -82,7 +82,7 @@
 		gang.gathered[task.name] = true
 	}
 	id, index, _ := protocol.ParseTaskName(task.name)
-	task.state = protocol.Gathering
+	task.state = protocol.TaskGathering
 	task.gatherDeadline = s.now + limits.Seconds(*s.workers.GangWaitS)
 	if s.jobs[id].done[index] {
 		s.endTask(machine, task, protocol.ReasonDone)
@@ -141,7 +141,7 @@
 		s.seen.started++
 		gang.started, gang.completesAt = true, s.now+s.between(2*time.Second, 12*time.Second)
 		for _, m := range members {
-			m.task.state = protocol.Running
+			m.task.state = protocol.TaskRunning
 			m.machine.reportBy(s.now + statusChangeDelay)
 			id, _, _ := protocol.ParseTaskName(m.task.name)
 			if m.machine.faulty || s.alwaysFailing[id] {
@@ -171,8 +171,8 @@
 // stopGangTask tells a task of a gang to stop.
 func (s *simulation) stopGangTask(machine *simulatedMachine, task *simulatedTask, grace float64) {
 	gang := s.gangOf(task)
-	if task.state != protocol.Running || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
-		if !task.toldToStop || grace == 0 || task.state != protocol.Running {
+	if task.state != protocol.TaskRunning || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
+		if !task.toldToStop || grace == 0 || task.state != protocol.TaskRunning {
 			s.endTask(machine, task, protocol.ReasonStopped)
 		}
 		return
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -53,7 +53,7 @@
 	for _, task := range m.tasks {
 		if task.name == command.Task && task.attempt == command.Attempt {
 			found = task
-		} else if task.name == command.Task && task.state != protocol.Ended {
+		} else if task.name == command.Task && task.state != protocol.TaskEnded {
 			otherAttempt = true
 		}
 	}
@@ -75,7 +75,7 @@
 
 // onMachine reports whether the task uses resources of its machine.
 func (t *simulatedTask) onMachine() bool {
-	return t.state == protocol.Running || t.state == protocol.Saving || t.state == protocol.Gathering
+	return t.state == protocol.TaskRunning || t.state == protocol.TaskSaving || t.state == protocol.TaskGathering
 }
 
 func (s *simulation) machineNames() []string {
@@ -159,7 +159,7 @@
 // runTask advances a task to the current time. Running gangs are advanced by runGangs.
 func (s *simulation) runTask(machine *simulatedMachine, task *simulatedTask) {
 	switch task.state {
-	case protocol.Fetching:
+	case protocol.TaskFetching:
 		if s.now < task.fetchedAt {
 			return
 		}
@@ -168,11 +168,11 @@
 			return
 		}
 		s.beginTask(machine, task)
-	case protocol.Running:
+	case protocol.TaskRunning:
 		if s.now >= task.endsAt && s.gangOf(task) == nil {
 			s.completeTask(machine, task)
 		}
-	case protocol.Saving:
+	case protocol.TaskSaving:
 		if s.now >= task.savedAt {
 			s.endTask(machine, task, protocol.ReasonStopped)
 		}
@@ -181,7 +181,7 @@
 
 // beginTask starts a task on its machine.
 func (s *simulation) beginTask(machine *simulatedMachine, task *simulatedTask) {
-	task.state = protocol.Running
+	task.state = protocol.TaskRunning
 	if task.endsAt == 0 {
 		task.endsAt = s.now + s.between(2*time.Second, 12*time.Second)
 	}
@@ -201,7 +201,7 @@
 }
 
 func (s *simulation) endTask(machine *simulatedMachine, task *simulatedTask, reason string) {
-	task.state, task.reason = protocol.Ended, reason
+	task.state, task.reason = protocol.TaskEnded, reason
 	machine.reportBy(s.now + statusChangeDelay)
 }
 
@@ -246,11 +246,11 @@
 				s.acceptTask(machine, command, otherAttempt)
 			}
 		case protocol.CommandStop:
-			if task != nil && task.state != protocol.Ended {
+			if task != nil && task.state != protocol.TaskEnded {
 				s.stopTask(machine, task, command.GraceS)
 			}
 		case protocol.CommandForget:
-			if task != nil && task.state == protocol.Ended {
+			if task != nil && task.state == protocol.TaskEnded {
 				i := slices.Index(machine.tasks, task)
 				machine.tasks = append(machine.tasks[:i], machine.tasks[i+1:]...)
 			}
@@ -262,14 +262,14 @@
 func (s *simulation) acceptTask(machine *simulatedMachine, command protocol.Command, otherAttempt bool) {
 	used := 0.0
 	for _, other := range machine.tasks {
-		if other.state != protocol.Ended {
+		if other.state != protocol.TaskEnded {
 			used += s.jobOf(other).spec.CPUs
 		}
 	}
 	task := &simulatedTask{
 		name:      command.Task,
 		attempt:   command.Attempt,
-		state:     protocol.Fetching,
+		state:     protocol.TaskFetching,
 		fetchedAt: s.now + s.between(0, 3*time.Second),
 	}
 	machine.tasks = append(machine.tasks, task)
@@ -277,9 +277,9 @@
 	job := s.jobs[id]
 	switch {
 	case otherAttempt:
-		task.state, task.reason = protocol.Ended, protocol.ReasonBusy
+		task.state, task.reason = protocol.TaskEnded, protocol.ReasonBusy
 	case used+job.spec.CPUs > s.cpusOf(machine)+1e-9:
-		task.state, task.reason = protocol.Ended, protocol.ReasonNoRoom
+		task.state, task.reason = protocol.TaskEnded, protocol.ReasonNoRoom
 	case job.done[index]:
 		task.endsAt = task.fetchedAt // the worker has kept the result
 	}
@@ -292,12 +292,12 @@
 		return
 	}
 	spec := s.jobOf(task).spec
-	canSave := task.state == protocol.Running && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS
+	canSave := task.state == protocol.TaskRunning && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS
 	switch {
 	case canSave:
-		task.state, task.savedAt = protocol.Saving, s.now+limits.Seconds(spec.SaveS)
-	case task.state != protocol.Saving || *graceS == 0:
-		task.state, task.reason = protocol.Ended, protocol.ReasonStopped
+		task.state, task.savedAt = protocol.TaskSaving, s.now+limits.Seconds(spec.SaveS)
+	case task.state != protocol.TaskSaving || *graceS == 0:
+		task.state, task.reason = protocol.TaskEnded, protocol.ReasonStopped
 	}
 }
 
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -113,7 +113,7 @@
 	b.report(0)
 	b.job("job-1", "red", "high", 1, 8, 0)
 	d := b.direct()[0]
-	first := protocol.TaskStatus{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.Running}
+	first := protocol.TaskStatus{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.TaskRunning}
 	b.sequence += 10
 	b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: &protocol.Heartbeat{Machine: d.Machine, Incarnation: 1, Sequence: b.sequence, FencingToken: 3, Tasks: []protocol.TaskStatus{first}}})
 	b.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
@@ -122,7 +122,7 @@
 		t.Fatalf("%d tasks bound beside one that may not be stopped; %d requests remembered", len(j.assignments), len(b.scheduler.placement.nextPreemptionSearch))
 	}
 	// Now the task on the machine may be stopped, but it is too soon to look.
-	b.scheduler.jobs.byID["job-1"].priority = protocol.Low
+	b.scheduler.jobs.byID["job-1"].priority = protocol.PriorityLow
 	b.report(0, first)
 	if b.scheduler.inventory.find(d.Machine).assignments[first.Task].stopping {
 		t.Error("stopped at once")
@@ -136,7 +136,7 @@
 	// Free room needs no look.
 	b = newSchedulerFixture(t, 1)
 	b.report(0)
-	b.scheduler.placement.nextPreemptionSearch[placementRequest{demand: resource.Vector{CPUs: 4, MemoryGB: 1}, team: b.scheduler.jobs.teams["red"], priority: protocol.High, guaranteed: true, preempting: true}] = time.Hour
+	b.scheduler.placement.nextPreemptionSearch[placementRequest{demand: resource.Vector{CPUs: 4, MemoryGB: 1}, team: b.scheduler.jobs.teams["red"], priority: protocol.PriorityHigh, guaranteed: true, preempting: true}] = time.Hour
 	b.job("job-2", "red", "high", 1, 4, 13)
 	if len(b.scheduler.jobs.byID["job-2"].assignments) != 1 {
 		t.Error("not placed where there is room")
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestPieceNames(t *testing.T) {
+func TestTaskNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`job-[0-9]{1,12}`).Draw(t, "id")
 		n := rapid.IntRange(0, limits.MaxTasksPerJob-1).Draw(t, "n")
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -15,13 +15,13 @@
 
 // The priorities of the protocol.
 const (
-	Low Priority = iota
-	Standard
-	High
-	Production
+	PriorityLow Priority = iota
+	PriorityStandard
+	PriorityHigh
+	PriorityProduction
 )
 
-var priorities = map[string]Priority{"low": Low, "standard": Standard, "high": High, "production": Production}
+var priorities = map[string]Priority{"low": PriorityLow, "standard": PriorityStandard, "high": PriorityHigh, "production": PriorityProduction}
 
 // ParsePriority reads a priority.
 func ParsePriority(s string) (Priority, bool) {
@@ -29,17 +29,21 @@
 	return u, ok
 }
 
-// States of a job and of a task.
+// States of a job.
 const (
-	Pending  = "pending"
-	Running  = "running"
-	Done     = "done"
-	Aborted  = "aborted"
-	Fetching = "fetching"
-	Saving   = "saving"
-	Ended    = "ended"
+	JobPending = "pending" // no task runs
+	JobRunning = "running"
+	JobDone    = "done"
+	JobAborted = "aborted" // cancelled by its user
+)
 
-	Gathering = "gathering" // of a gang's task: waits for the others
+// States of a task.
+const (
+	TaskFetching  = "fetching"  // waits for its image
+	TaskGathering = "gathering" // of a gang: waits for the other tasks
+	TaskRunning   = "running"
+	TaskSaving    = "saving" // was told to stop, and saves its checkpoint
+	TaskEnded     = "ended"  // see the EndReason
 )
 
 // Shapes of a job.
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -116,7 +116,7 @@
 	defer g.mu.Unlock()
 	g.update()
 	shown := g.taskStatus(g.members[task])
-	if shown.State == protocol.Ended {
+	if shown.State == protocol.TaskEnded {
 		delete(g.members, task)
 	}
 	return shown
@@ -128,22 +128,22 @@
 	save := limits.Seconds(g.spec.SaveS)
 	switch {
 	case m == nil:
-		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
 	case g.completed:
-		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonDone}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonDone}
 	case g.startedAt.IsZero() && now.After(m.joinedAt.Add(g.times.giveUpAfter)):
-		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonIncomplete}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonIncomplete}
 	case g.startedAt.IsZero():
-		return protocol.TaskStatus{State: protocol.Gathering}
+		return protocol.TaskStatus{State: protocol.TaskGathering}
 	case !g.memberLostAt.IsZero() && now.After(g.memberLostAt.Add(g.times.noticeAfter)):
-		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
 	case !g.firstStopAt.IsZero() && g.allStopping() && now.After(g.firstStopAt.Add(save)):
 		g.registry.saveProgress(g.spec.ID, g.progress(g.firstStopAt))
-		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonStopped, Saved: true}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonStopped, Saved: true}
 	case !g.firstStopAt.IsZero() && now.After(g.firstStopAt.Add(g.times.noticeAfter+save)):
-		return protocol.TaskStatus{State: protocol.Ended, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
 	}
-	return protocol.TaskStatus{State: protocol.Running}
+	return protocol.TaskStatus{State: protocol.TaskRunning}
 }
 
 // allStopping reports whether all tasks that are left were told to stop. The caller holds mu.
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -31,9 +31,9 @@
 	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 		t := w.tasks[key]
 		switch {
-		case t.gang != nil && t.State != protocol.Ended:
+		case t.gang != nil && t.State != protocol.TaskEnded:
 			w.updateFromGang(t)
-		case t.State == protocol.Running && time.Now().After(t.doneAt):
+		case t.State == protocol.TaskRunning && time.Now().After(t.doneAt):
 			w.endTask(t, protocol.ReasonDone)
 		}
 		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
@@ -49,12 +49,12 @@
 		switch {
 		case command.Verb == protocol.CommandStart && t == nil:
 			w.tasks[key] = w.startTask(command)
-		case command.Verb == protocol.CommandStop && t != nil && t.State != protocol.Ended:
+		case command.Verb == protocol.CommandStop && t != nil && t.State != protocol.TaskEnded:
 			if t.gang != nil && command.GraceS != nil && t.gang.stop(t.Task, *command.GraceS) {
 				continue // it saves
 			}
 			w.endTask(t, protocol.ReasonStopped)
-		case command.Verb == protocol.CommandForget && t != nil && t.State == protocol.Ended:
+		case command.Verb == protocol.CommandForget && t != nil && t.State == protocol.TaskEnded:
 			delete(w.tasks, key)
 		}
 	}
@@ -64,14 +64,14 @@
 func (w *worker) startTask(command protocol.Command) *task {
 	t := &task{TaskStatus: protocol.TaskStatus{
 		Task: command.Task, Attempt: command.Attempt,
-		State: protocol.Ended, Reason: protocol.ReasonUnknownTask,
+		State: protocol.TaskEnded, Reason: protocol.ReasonUnknownTask,
 	}}
 	job, _, ok := protocol.ParseTaskName(command.Task)
 	if !ok {
 		return t
 	}
 	for _, other := range w.tasks {
-		if other.Task == command.Task && other.State != protocol.Ended {
+		if other.Task == command.Task && other.State != protocol.TaskEnded {
 			t.Reason = protocol.ReasonBusy
 			return t
 		}
@@ -86,11 +86,11 @@
 	}
 	t.Reason = ""
 	if spec.Gang() {
-		t.State = protocol.Gathering
+		t.State = protocol.TaskGathering
 		t.gang = w.cloud.gangs.attempt(spec, command.Attempt, w.cloud.gangTimes())
 		t.gang.join(command.Task, func() bool { return w.hungFor() > 0 })
 	} else {
-		t.State = protocol.Running
+		t.State = protocol.TaskRunning
 		t.doneAt = time.Now().Add(limits.Seconds(spec.EstimateS))
 	}
 	w.notifyTaskChange(command.Task, true)
@@ -101,14 +101,14 @@
 func (w *worker) updateFromGang(t *task) {
 	status := t.gang.observe(t.Task)
 	t.State, t.Reason, t.Saved = status.State, status.Reason, status.Saved
-	if t.State == protocol.Ended {
+	if t.State == protocol.TaskEnded {
 		w.notifyTaskChange(t.Task, false)
 	}
 }
 
 // endTask ends a running task. The caller holds mu.
 func (w *worker) endTask(t *task, reason string) {
-	t.State, t.Reason = protocol.Ended, reason
+	t.State, t.Reason = protocol.TaskEnded, reason
 	if reason == protocol.ReasonDone {
 		w.cloud.markDone(t.Task)
 	}
@@ -118,10 +118,10 @@
 // killAll ends and forgets all tasks. The caller holds mu.
 func (w *worker) killAll() {
 	for _, t := range w.tasks {
-		if t.State == protocol.Running || t.State == protocol.Gathering {
+		if t.State == protocol.TaskRunning || t.State == protocol.TaskGathering {
 			w.notifyTaskChange(t.Task, false)
 		}
-		if t.gang != nil && t.State != protocol.Ended {
+		if t.gang != nil && t.State != protocol.TaskEnded {
 			t.gang.leave(t.Task)
 		}
 	}
