--- a/internal/coordination/controller/faults_test.go
+++ b/internal/coordination/controller/faults_test.go
@@ -1,50 +1,52 @@
 package controller
 
 import (
+	"net/http"
+	"time"
+
 	"quillshunt/internal/standin"
 	"quillshunt/internal/transport"
-	"time"
 )
 
-// trouble is the cloud's status in place of an answer, or 0.
-func (s *service) trouble(req *transport.Message) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stuck && req.Path == "/rentals/delete" {
-		return 503
+// cloudFault returns the cloud's status in place of an answer, or 0 for an ordinary answer.
+func (c *cluster) cloudFault(request *transport.Message) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.deletionsFail && request.Path == "/rentals/delete" {
+		return http.StatusServiceUnavailable
 	}
 	return 0
 }
 
-// noDeletions makes the cloud delete nothing for a while.
-func (s *service) noDeletions(on bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.stuck = on
+// failDeletions makes the cloud refuse to delete machines, or ends that.
+func (c *cluster) failDeletions(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deletionsFail = on
 }
 
-// reach cuts the ways between controllers and machines, in one direction each.
-func (s *service) reach(machines []string, to, from standin.LinkState) {
-	for _, m := range machines {
-		for _, n := range s.names {
-			s.net.SetLink(n, m, to)
-			s.net.SetLink(m, n, from)
+// setWorkerLinks sets the links between all controllers and some machines, in each direction.
+func (c *cluster) setWorkerLinks(machines []string, toMachine, fromMachine standin.LinkState) {
+	for _, machine := range machines {
+		for _, node := range c.nodeNames {
+			c.network.SetLink(node, machine, toMachine)
+			c.network.SetLink(machine, node, fromMachine)
 		}
 	}
 }
 
-// outage is one of the state service, for all.
-func (s *service) outage(d time.Duration) {
-	s.state.SetUnavailable(true)
-	time.Sleep(d)
-	s.state.SetUnavailable(false)
-}
-
-// apart cuts a controller from the others, both ways.
-func (s *service) apart(node string, cut standin.LinkState) {
-	for _, n := range s.names {
-		if n != node {
-			s.net.SetLinkBothWays(n, node, cut)
+// setPeerLinks sets the links between a controller and all others, in both directions.
+func (c *cluster) setPeerLinks(node string, state standin.LinkState) {
+	for _, other := range c.nodeNames {
+		if other != node {
+			c.network.SetLinkBothWays(other, node, state)
 		}
 	}
 }
+
+// stateOutage makes the state service unavailable to everybody for a while.
+func (c *cluster) stateOutage(d time.Duration) {
+	c.state.SetUnavailable(true)
+	time.Sleep(d)
+	c.state.SetUnavailable(false)
+}
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -2,172 +2,211 @@
 
 import (
 	"fmt"
-	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
+	"net/http"
 	"slices"
 	"time"
+
+	"quillshunt/internal/protocol"
 )
 
-func (s *service) fault(format string, args ...any) {
-	s.log.Error("RULE BROKEN: " + fmt.Sprintf(format, args...))
-	s.faults = append(s.faults, fmt.Sprintf("%v: ", s.now())+fmt.Sprintf(format, args...))
+// violation notes that a rule was broken; the caller has the lock.
+func (c *cluster) violation(format string, args ...any) {
+	c.log.Error("RULE BROKEN: " + fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now())+fmt.Sprintf(format, args...))
 }
 
-// watch is told by the workers what begins and ends to run.
-func (s *service) watch(rig, piece string, on bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	j := s.jobs[owner(piece)]
-	if !on {
-		if s.runs[piece] == rig {
-			delete(s.runs, piece)
+// reportViolations fails the test for each rule that was broken, and if no task ever ran.
+func (c *cluster) reportViolations() {
+	c.mu.Lock()
+	violations := slices.Clone(c.violations)
+	c.mu.Unlock()
+	for _, v := range violations {
+		c.t.Error(v)
+	}
+	if c.taskStarts == 0 {
+		c.t.Error("nothing_ran")
+	}
+}
+
+// observeTask is called by the workers when a task starts to run on a machine, or ends.
+func (c *cluster) observeTask(machine, task string, running bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	j := c.jobs[jobOf(task)]
+	if !running {
+		if c.runningTasks[task] == machine {
+			delete(c.runningTasks, task)
 		}
 		return
 	}
-	s.starts++
-	if other, ok := s.runs[piece]; ok && other != rig {
-		s.fault("ran_twice: %s starts on %s while on %s", piece, rig, other)
+	c.taskStarts++
+	if other, ok := c.runningTasks[task]; ok && other != machine {
+		c.violation("ran_twice: %s starts on %s while on %s", task, machine, other)
 	}
 	if j == nil {
-		s.fault("invented: %s", piece)
+		c.violation("invented: %s", task)
 		return
 	}
-	s.runs[piece] = rig
-	if !j.told.IsZero() && time.Since(j.told) > limits.Seconds(cancelS) {
-		s.fault("ran_cancelled: %s starts on %s %v after the word to the user", piece, rig, time.Since(j.told))
+	c.runningTasks[task] = machine
+	if j.mustBeGone() {
+		c.violation("ran_cancelled: %s starts on %s %v after the user was told",
+			task, machine, time.Since(j.cancelConfirmedAt))
 	}
 	if j.spec.SameZone {
-		for p, on := range s.runs {
-			if owner(p) == j.spec.ID && s.cloud.Zone(on) != s.cloud.Zone(rig) && s.cloud.Zone(on) != "" && s.cloud.Zone(rig) != "" {
-				s.fault("wrong_place: %s in %s, %s in %s", piece, s.cloud.Zone(rig), p, s.cloud.Zone(on))
-			}
-		}
+		c.checkSameZone(j, task, machine)
 	}
 	for _, team := range teams {
-		if used := s.used(team.Name); used > team.CPUsMax {
-			s.fault("quota: %s uses %v", team.Name, used)
+		if used := c.usedCPUs(team.Name); used > team.CPUsMax {
+			c.violation("quota: %s uses %v", team.Name, used)
 		}
 	}
 }
 
-// owner is the id of a task's job.
-func owner(piece string) string {
-	id, _, _ := protocol.ParseTaskName(piece)
-	return id
-}
-
-// used is what a team's tasks use; the caller has the lock.
-func (s *service) used(team string) (cpus float64) {
-	for p := range s.runs {
-		if sp := s.jobs[owner(p)].spec; sp.Team == team {
-			cpus += sp.CPUs
+// checkSameZone checks that all tasks of a job run in the zone of a task that starts; the caller has
+// the lock. The zone of a machine that is gone is not known.
+func (c *cluster) checkSameZone(j *job, task, machine string) {
+	zone := c.cloud.Zone(machine)
+	for other, otherMachine := range c.runningTasks {
+		otherZone := c.cloud.Zone(otherMachine)
+		if jobOf(other) == j.spec.ID && otherZone != zone && otherZone != "" && zone != "" {
+			c.violation("wrong_place: %s in %s, %s in %s", task, zone, other, otherZone)
 		}
 	}
-	return cpus
 }
 
-// inspect looks at what only time breaks.
-func (s *service) inspect() {
-	for s.ctx.Err() == nil {
-		late := map[string]string{}
-		s.mu.Lock()
-		entitled := ""
-		for name, p := range s.nodes {
-			if p.c.dispatcher.Entitled() {
-				if entitled != "" {
-					s.fault("%s and %s are entitled at once", entitled, name)
-				}
-				entitled = name
+// checkContinuously checks the rules that time alone can break, until the context ends.
+func (c *cluster) checkContinuously() {
+	for c.ctx.Err() == nil {
+		c.mu.Lock()
+		c.checkOneEntitled()
+		overdue := map[string]string{} // machine by task
+		for task, machine := range c.runningTasks {
+			if c.jobs[jobOf(task)].mustBeGone() {
+				overdue[task] = machine
 			}
 		}
-		for piece, rig := range s.runs {
-			if j := s.jobs[owner(piece)]; !j.told.IsZero() && time.Since(j.told) > limits.Seconds(cancelS) {
-				late[piece] = rig
-			}
-		}
-		s.mu.Unlock()
-		for piece, rig := range late {
-			if !s.cloud.LeaseExpired(rig) {
-				s.mu.Lock()
-				s.fault("ran_cancelled: %s is on %s longer than cancel_s after the word to the user", piece, rig)
-				delete(s.runs, piece)
-				s.mu.Unlock()
+		c.mu.Unlock()
+		for task, machine := range overdue {
+			if c.cloud.LeaseExpired(machine) {
+				continue
 			}
+			c.mu.Lock()
+			c.violation("ran_cancelled: %s is on %s longer than cancel_s after the user was told", task, machine)
+			delete(c.runningTasks, task)
+			c.mu.Unlock()
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// hear takes what a user was told about a job, and checks it against what was told before.
-func (s *service) hear(j *job, status int, standing string, sent time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// checkOneEntitled checks that at most one controller is entitled; the caller has the lock.
+func (c *cluster) checkOneEntitled() {
+	entitled := ""
+	for name, p := range c.processes {
+		if !p.controller.dispatcher.Entitled() {
+			continue
+		}
+		if entitled != "" {
+			c.violation("%s and %s are entitled at once", entitled, name)
+		}
+		entitled = name
+	}
+}
+
+// checkAnswer checks what a user was told about a job against what was told before. The request was
+// sent at the given time.
+func (c *cluster) checkAnswer(j *job, status int, state string, sentAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	id := j.spec.ID
+	refused := status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 	switch {
-	case status == 404 && !j.accepted.IsZero() && sent.After(j.accepted):
-		s.fault("forgotten: %s", id)
+	case status == http.StatusNotFound && !j.acceptedAt.IsZero() && sentAt.After(j.acceptedAt):
+		c.violation("forgotten: %s", id)
 		return
-	case (status == 400 || status == 422) && !j.accepted.IsZero():
-		s.fault("forgotten: %s: submission answered %d", id, status)
+	case refused && !j.acceptedAt.IsZero():
+		c.violation("forgotten: %s: submission answered %d", id, status)
 		return
-	case status != 200 && status != 201:
+	case status != http.StatusOK && status != http.StatusCreated:
 		return
 	}
-	if j.accepted.IsZero() {
-		j.accepted = time.Now()
+	if j.acceptedAt.IsZero() {
+		j.acceptedAt = time.Now()
 	}
-	if j.said != "" && standing != j.said && sent.After(j.told) {
-		s.fault("went_back: %s was %s, is %s", id, j.said, standing)
+	if j.finalState != "" && state != j.finalState && sentAt.After(j.cancelConfirmedAt) {
+		c.violation("went_back: %s was %s, is %s", id, j.finalState, state)
 	}
-	switch standing {
+	switch state {
 	case protocol.Aborted:
-		if j.asked.IsZero() {
-			s.fault("went_back: %s is cancelled, which nobody asked for", id)
+		if j.cancelRequestedAt.IsZero() {
+			c.violation("went_back: %s is cancelled, which nobody asked for", id)
 		}
-		if j.said == "" {
-			j.said, j.told = standing, time.Now()
+		if j.finalState == "" {
+			j.finalState, j.cancelConfirmedAt = state, time.Now()
 		}
 	case protocol.Done:
-		if j.said == "" {
-			j.said = standing // told stays zero: only cancelled jobs have a time to be gone by
-			for i := range j.spec.Tasks {
-				if !s.cloud.TaskDone(fmt.Sprintf("%s/%d", id, i)) {
-					s.fault("not_done: %s/%d", id, i)
-				}
-			}
+		if j.finalState == "" {
+			j.finalState = state
+			c.checkTasksDone(j)
+		}
+	}
+}
+
+// checkTasksDone checks that all tasks of a job were completed; the caller has the lock.
+func (c *cluster) checkTasksDone(j *job) {
+	for i := range j.spec.Tasks {
+		if !c.cloud.TaskDone(fmt.Sprintf("%s/%d", j.spec.ID, i)) {
+			c.violation("not_done: %s/%d", j.spec.ID, i)
 		}
 	}
 }
 
-// machines are the names of those that run tasks of a job, or of any.
-func (s *service) machines(of *job) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var out []string
-	for p, rig := range s.runs {
-		if (of == nil || owner(p) == of.spec.ID) && !slices.Contains(out, rig) {
-			out = append(out, rig)
+// jobOf returns the ID of a task's job.
+func jobOf(task string) string {
+	id, _, _ := protocol.ParseTaskName(task)
+	return id
+}
+
+// usedCPUs returns what a team's running tasks use; the caller has the lock.
+func (c *cluster) usedCPUs(team string) (cpus float64) {
+	for task := range c.runningTasks {
+		if spec := c.jobs[jobOf(task)].spec; spec.Team == team {
+			cpus += spec.CPUs
+		}
+	}
+	return cpus
+}
+
+// machinesOf returns the machines that run tasks of a job, or of any job if it is nil, sorted.
+func (c *cluster) machinesOf(j *job) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var machines []string
+	for task, machine := range c.runningTasks {
+		if (j == nil || jobOf(task) == j.spec.ID) && !slices.Contains(machines, machine) {
+			machines = append(machines, machine)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(machines)
+	return machines
 }
 
-// some are at most n machines that run tasks.
-func (s *service) some(n int) []string {
-	all := s.machines(nil)
-	return all[:min(n, len(all)):min(n, len(all))]
+// busyMachines returns at most n machines that run tasks.
+func (c *cluster) busyMachines(n int) []string {
+	all := c.machinesOf(nil)
+	n = min(n, len(all))
+	return all[:n:n]
 }
 
-// on is how many tasks of the jobs are on machines.
-func (s *service) on(jobs ...*job) int {
-	n := 0
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for p := range s.runs {
-		if slices.ContainsFunc(jobs, func(j *job) bool { return j.spec.ID == owner(p) }) {
-			n++
+// tasksOnMachines returns how many tasks of the jobs run.
+func (c *cluster) tasksOnMachines(jobs ...*job) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	running := 0
+	for task := range c.runningTasks {
+		if slices.ContainsFunc(jobs, func(j *job) bool { return j.spec.ID == jobOf(task) }) {
+			running++
 		}
 	}
-	return n
+	return running
 }
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -10,15 +10,17 @@
 	"quillshunt/internal/storage"
 )
 
-// asGang makes a job a gang of four tasks in one zone, that fills two machines.
-func asGang(sp *protocol.Spec) {
-	sp.Shape, sp.Tasks, sp.CPUs, sp.SameZone, sp.EstimateS, sp.CheckpointS, sp.SaveS = protocol.ShapeGang, 4, 4, true, 30, 10, 2
+// gangOfFour makes a job a gang of four tasks in one zone, which fill two machines.
+func gangOfFour(spec *protocol.Spec) {
+	spec.Shape, spec.SameZone = protocol.ShapeGang, true
+	spec.Tasks, spec.CPUs = 4, 4
+	spec.EstimateS, spec.CheckpointS, spec.SaveS = 30, 10, 2
 }
 
-// seen waits until a job shows some number of tasks on machines.
-func (s *service) seen(j *job, tasks int) bool {
+// waitForTasks waits until a number of a job's tasks run, and reports whether they do.
+func (c *cluster) waitForTasks(j *job, tasks int) bool {
 	for range 400 {
-		if s.on(j) == tasks {
+		if c.tasksOnMachines(j) == tasks {
 			return true
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -26,149 +28,198 @@
 	return false
 }
 
-// stored brings in a job as an earlier version has stored it, perhaps larger than a value may be later.
-func (s *service) stored(change func(*protocol.Spec)) *job {
-	s.mu.Lock()
-	s.seq++
-	j := &job{accepted: time.Now(), spec: protocol.Spec{ID: fmt.Sprintf("job-%06d", s.seq), Class: "x", Team: "red", Shape: protocol.ShapeArray,
-		Priority: "standard", Tasks: 2, CPUs: 1, MemoryGB: 1, Spot: true, Image: "i", EstimateS: 15}}
+// storeLegacyJob writes a job's record as an earlier version has stored it, perhaps larger than a
+// value may be now.
+func (c *cluster) storeLegacyJob(change func(*protocol.Spec)) *job {
+	c.mu.Lock()
+	c.submissions++
+	j := &job{acceptedAt: time.Now(), spec: protocol.Spec{
+		ID:        fmt.Sprintf("job-%06d", c.submissions),
+		Class:     "x",
+		Team:      "red",
+		Shape:     protocol.ShapeArray,
+		Priority:  "standard",
+		Tasks:     2,
+		CPUs:      1,
+		MemoryGB:  1,
+		Spot:      true,
+		Image:     "i",
+		EstimateS: 15,
+	}}
 	change(&j.spec)
-	s.jobs[j.spec.ID] = j
-	s.mu.Unlock()
+	c.jobs[j.spec.ID] = j
+	c.mu.Unlock()
 	record := protocol.Encode(storage.OpenJob{Spec: j.spec, SubmittedAtMs: time.Now().UnixMilli()})
-	s.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey(j.spec.ID), Value: record}}})
+	c.state.CompareAndSwap(protocol.Transaction{
+		Operations: []protocol.Operation{{Put: storage.OpenJobKey(j.spec.ID), Value: record}},
+	})
 	return j
 }
 
-// gangMeetings are troubles that meet gangs: a change of leaders in each state of a gang, lost and
-// silent machines, late commands.
-var gangMeetings = []meeting{
-	{"a leader ends while a gang gathers, as one machine was not reached", func(s *service) {
-		s.warm(4, long)
-		lead, before := s.leader(), s.term()
-		held := s.cloud.Machines()[0]
-		s.net.SetLink(lead, held, standin.Delay)
-		s.net.SetLink(held, lead, standin.Delay)
-		gangs := []*job{s.submit(asGang), s.submit(asGang), s.submit(asGang)}
-		time.Sleep(3 * time.Second)
-		s.stop(lead)
-		s.takenOver(before)
-		s.net.SetLink(lead, held, standin.Open)
-		s.net.SetLink(held, lead, standin.Open)
-		for _, g := range gangs {
-			s.met(s.seen(g, 4), "a gang that runs under the new leader")
-		}
-		s.start(lead)
-	}},
-	{"a leader ends while a gang is being stopped for urgent work", func(s *service) {
-		s.warm(2, nil)
-		gangs := []*job{}
-		for range 4 {
-			gangs = append(gangs, s.submit(func(sp *protocol.Spec) { asGang(sp); sp.Team, sp.Priority, sp.EstimateS = "red", "low", 60 }))
-		}
-		s.met(s.seen(gangs[0], 4), "a gang that runs")
-		lead, before := s.leader(), s.term()
-		s.submit(func(sp *protocol.Spec) {
-			sp.Team, sp.Priority, sp.Tasks, sp.CPUs, sp.EstimateS, sp.DeadlineS = "red", "production", 4, 8, 15, 17
-		})
-		time.Sleep(500 * time.Millisecond)
-		s.stop(lead)
-		s.takenOver(before)
-		s.start(lead)
-		time.Sleep(30 * time.Second)
-	}},
-	{"a gang's machine is silent for longer than its lease, and the leader changes meanwhile", func(s *service) {
-		s.warm(2, nil)
-		g := s.submit(asGang)
-		s.met(s.seen(g, 4), "a gang that runs")
-		lost := s.machines(g)[:1]
-		s.reach(lost, standin.Delay, standin.Delay)
-		time.Sleep(2 * time.Second)
-		before := s.term()
-		s.restart(s.leader(), 3*time.Second)
-		s.takenOver(before)
-		time.Sleep(limits.Seconds(leaseS + 4))
-		s.reach(lost, standin.Open, standin.Open)
-	}},
-	{"machines with gangs hang, die, and are replaced, again and again", func(s *service) {
-		s.warm(2, nil)
-		for i := range 6 {
-			g := s.submit(asGang)
-			s.met(s.seen(g, 4), "a gang that runs")
-			ms := s.machines(g)
-			if i%2 == 0 {
-				s.cloud.Kill(ms[0])
-			} else {
-				s.cloud.Hang(ms[0], time.Duration(4+4*i)*time.Second)
+// gangScenarios are faults while gangs start, run or stop: a change of leaders in each state of a
+// gang, lost and unreachable machines, late commands.
+var gangScenarios = []scenario{
+	{
+		name: "a leader ends while a gang gathers, as one machine is unreachable",
+		run: func(c *cluster) {
+			c.warmUp(4, longTasks)
+			leader, before := c.waitForLeader(), c.currentTerm()
+			unreachable := c.cloud.Machines()[0]
+			c.network.SetLink(leader, unreachable, standin.Delay)
+			c.network.SetLink(unreachable, leader, standin.Delay)
+			gangs := []*job{c.submit(gangOfFour), c.submit(gangOfFour), c.submit(gangOfFour)}
+			time.Sleep(3 * time.Second)
+			c.killController(leader)
+			c.waitForTermAfter(before)
+			c.network.SetLink(leader, unreachable, standin.Open)
+			c.network.SetLink(unreachable, leader, standin.Open)
+			for _, g := range gangs {
+				c.expect(c.waitForTasks(g, 4), "a gang that runs under the new leader")
 			}
-			time.Sleep(5 * time.Second)
-		}
-	}},
-	{"starts of a gang are held up, the gang is cancelled, and the starts arrive", func(s *service) {
-		s.warm(4, long)
-		all := s.cloud.Machines()
-		for _, m := range all[:len(all)/2] {
-			s.net.SetLink(s.leader(), m, standin.Delay)
-		}
-		g := s.submit(asGang)
-		time.Sleep(2 * time.Second)
-		s.met(s.cancel(g), "a cancellation")
-		time.Sleep(4 * time.Second)
-		for _, m := range all {
-			s.net.SetLink(s.leader(), m, standin.Open)
-		}
-		time.Sleep(limits.Seconds(cancelS))
-		s.met(s.on(g) == 0, "nothing of the gang")
-	}},
-	{"old reports of gangs arrive after newer ones, with leaders that change", func(s *service) {
-		s.warm(2, nil)
-		s.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			return time.Duration(2000+s.r.IntN(30000)) * time.Millisecond, s.r.Float64() < 0.4
-		})
-		for range 4 {
-			g := s.submit(asGang)
-			s.met(s.seen(g, 4), "a gang that runs")
-			s.cloud.Kill(s.machines(g)[0])
+			c.startController(leader)
+		},
+	},
+	{
+		name: "a leader ends while a gang is being preempted for urgent work",
+		run: func(c *cluster) {
+			c.warmUp(2, nil)
+			gangs := []*job{}
+			for range 4 {
+				gangs = append(gangs, c.submit(func(spec *protocol.Spec) {
+					gangOfFour(spec)
+					spec.Team, spec.Priority, spec.EstimateS = "red", "low", 60
+				}))
+			}
+			c.expect(c.waitForTasks(gangs[0], 4), "a gang that runs")
+			leader, before := c.waitForLeader(), c.currentTerm()
+			c.submit(func(spec *protocol.Spec) {
+				spec.Team, spec.Priority = "red", "production"
+				spec.Tasks, spec.CPUs, spec.EstimateS, spec.DeadlineS = 4, 8, 15, 17
+			})
+			time.Sleep(500 * time.Millisecond)
+			c.killController(leader)
+			c.waitForTermAfter(before)
+			c.startController(leader)
+			time.Sleep(30 * time.Second)
+		},
+	},
+	{
+		name: "a gang's machine is unreachable for longer than its lease, and the leader changes meanwhile",
+		run: func(c *cluster) {
+			c.warmUp(2, nil)
+			g := c.submit(gangOfFour)
+			c.expect(c.waitForTasks(g, 4), "a gang that runs")
+			lost := c.machinesOf(g)[:1]
+			c.setWorkerLinks(lost, standin.Delay, standin.Delay)
+			time.Sleep(2 * time.Second)
+			before := c.currentTerm()
+			c.restartController(c.waitForLeader(), 3*time.Second)
+			c.waitForTermAfter(before)
+			time.Sleep(limits.Seconds(leaseS + 4))
+			c.setWorkerLinks(lost, standin.Open, standin.Open)
+		},
+	},
+	{
+		name: "machines with gangs hang, die, and are replaced, again and again",
+		run: func(c *cluster) {
+			c.warmUp(2, nil)
+			for i := range 6 {
+				g := c.submit(gangOfFour)
+				c.expect(c.waitForTasks(g, 4), "a gang that runs")
+				machines := c.machinesOf(g)
+				if i%2 == 0 {
+					c.cloud.Kill(machines[0])
+				} else {
+					c.cloud.Hang(machines[0], time.Duration(4+4*i)*time.Second)
+				}
+				time.Sleep(5 * time.Second)
+			}
+		},
+	},
+	{
+		name: "starts of a gang are delayed, the gang is cancelled, and the starts arrive",
+		run: func(c *cluster) {
+			c.warmUp(4, longTasks)
+			all := c.cloud.Machines()
+			for _, machine := range all[:len(all)/2] {
+				c.network.SetLink(c.waitForLeader(), machine, standin.Delay)
+			}
+			g := c.submit(gangOfFour)
+			time.Sleep(2 * time.Second)
+			c.expect(c.cancel(g), "a cancellation")
 			time.Sleep(4 * time.Second)
-			s.restart(s.leader(), 500*time.Millisecond)
-		}
-		s.cloud.SetRepeatedHeartbeats(nil)
-	}},
-	{"two gangs each need the room that the other may have, and the team's limit holds one", func(s *service) {
-		s.warm(1, nil)
-		large := func(sp *protocol.Spec) { asGang(sp); sp.Team, sp.Tasks, sp.EstimateS = "red", 5, 10 }
-		a, b := s.submit(large), s.submit(large) // 20 CPUs each, of 32
-		s.met(s.seen(a, 5) || s.seen(b, 5), "one of them runs")
-		time.Sleep(60 * time.Second)
-	}},
-	{"the limits of the state service fall while leaders change; a record that was stored before can still be cancelled", func(s *service) {
-		s.warm(4, nil)
-		large := s.stored(func(sp *protocol.Spec) {
-			for range 100 {
-				sp.MachineTypes = append(sp.MachineTypes, "another-type-with-a-long-name")
+			for _, machine := range all {
+				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
 			}
-			sp.MachineTypes[0], sp.EstimateS = "c8", 200
-		})
-		s.met(s.seen(large, large.spec.Tasks), "the large job runs")
-		s.state.SetLimits(standin.StateLimits{ValueBytes: int(nextValueKB * 1024), TxnOps: nextTxnOps})
-		s.crowd(40*time.Second, 3*time.Second, asGang)
-		for range 3 {
-			s.restart(s.leader(), time.Second)
-			time.Sleep(8 * time.Second)
-		}
-		s.met(s.cancel(large), "a cancellation")
-		time.Sleep(20 * time.Second)
-		s.met(s.state.OversizedTransactions() == 0, "no transaction over the limits: %d", s.state.OversizedTransactions())
-	}},
-	{"the state service is down while gangs run, lose a machine and start again", func(s *service) {
-		s.warm(2, nil)
-		g := s.submit(asGang)
-		s.met(s.seen(g, 4), "a gang that runs")
-		s.state.SetUnavailable(true)
-		s.cloud.Kill(s.machines(g)[0])
-		time.Sleep(25 * time.Second)
-		s.state.SetUnavailable(false)
-	}},
+			time.Sleep(limits.Seconds(cancelS))
+			c.expect(c.tasksOnMachines(g) == 0, "no task of the gang")
+		},
+	},
+	{
+		name: "old heartbeats of gangs arrive after newer ones, with leaders that change",
+		run: func(c *cluster) {
+			c.warmUp(2, nil)
+			c.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
+				c.mu.Lock()
+				defer c.mu.Unlock()
+				return time.Duration(2000+c.random.IntN(30000)) * time.Millisecond, c.random.Float64() < 0.4
+			})
+			for range 4 {
+				g := c.submit(gangOfFour)
+				c.expect(c.waitForTasks(g, 4), "a gang that runs")
+				c.cloud.Kill(c.machinesOf(g)[0])
+				time.Sleep(4 * time.Second)
+				c.restartController(c.waitForLeader(), 500*time.Millisecond)
+			}
+			c.cloud.SetRepeatedHeartbeats(nil)
+		},
+	},
+	{
+		name: "two gangs each need the capacity that the other may have, and the team's limit is enough for one",
+		run: func(c *cluster) {
+			c.warmUp(1, nil)
+			large := func(spec *protocol.Spec) {
+				gangOfFour(spec)
+				spec.Team, spec.Tasks, spec.EstimateS = "red", 5, 10
+			}
+			a, b := c.submit(large), c.submit(large) // 20 CPUs each, of 32
+			c.expect(c.waitForTasks(a, 5) || c.waitForTasks(b, 5), "one of them runs")
+			time.Sleep(60 * time.Second)
+		},
+	},
+	{
+		name: "the limits of the state service fall while leaders change; a larger stored record can be cancelled",
+		run: func(c *cluster) {
+			c.warmUp(4, nil)
+			large := c.storeLegacyJob(func(spec *protocol.Spec) {
+				for range 100 {
+					spec.MachineTypes = append(spec.MachineTypes, "another-type-with-a-long-name")
+				}
+				spec.MachineTypes[0], spec.EstimateS = "c8", 200
+			})
+			c.expect(c.waitForTasks(large, large.spec.Tasks), "the large job runs")
+			c.state.SetLimits(standin.StateLimits{ValueBytes: int(nextValueKB * 1024), TxnOps: nextTxnOps})
+			c.generateLoad(40*time.Second, 3*time.Second, gangOfFour)
+			for range 3 {
+				c.restartController(c.waitForLeader(), time.Second)
+				time.Sleep(8 * time.Second)
+			}
+			c.expect(c.cancel(large), "a cancellation")
+			time.Sleep(20 * time.Second)
+			c.expect(c.state.OversizedTransactions() == 0,
+				"no transaction over the limits: %d", c.state.OversizedTransactions())
+		},
+	},
+	{
+		name: "the state service is down while gangs run, lose a machine and start again",
+		run: func(c *cluster) {
+			c.warmUp(2, nil)
+			g := c.submit(gangOfFour)
+			c.expect(c.waitForTasks(g, 4), "a gang that runs")
+			c.state.SetUnavailable(true)
+			c.cloud.Kill(c.machinesOf(g)[0])
+			time.Sleep(25 * time.Second)
+			c.state.SetUnavailable(false)
+		},
+	},
 }
--- a/internal/coordination/controller/scenarios_test.go
+++ b/internal/coordination/controller/scenarios_test.go
@@ -3,81 +3,106 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"os"
-	"quillshunt/internal/protocol"
 	"slices"
 	"strconv"
 	"testing"
 	"time"
+
+	"quillshunt/internal/protocol"
 )
 
-func long(sp *protocol.Spec) { sp.EstimateS = 150 }
+// longTasks makes the tasks of a job long enough to run through most scenarios.
+func longTasks(spec *protocol.Spec) { spec.EstimateS = 150 }
 
-// met fails a day that did not come into the situation it is there for.
-func (s *service) met(ok bool, what string, args ...any) {
-	s.t.Helper()
+// expect fails a scenario that did not reach the situation it is there for.
+func (c *cluster) expect(ok bool, what string, args ...any) {
+	c.t.Helper()
 	if !ok {
-		s.t.Errorf("the day did not meet: "+what, args...)
+		c.t.Errorf("the scenario did not reach its situation: "+what, args...)
 	}
 }
 
-// meeting is a day on which troubles meet. It brings its meeting about, shows that it did, and ends
-// calm.
-type meeting struct {
+// scenario injects faults that overlap. It checks that they did, and ends all of them. The rules are
+// checked all the while, and the end by awaitCompletion.
+type scenario struct {
 	name string
-	day  func(s *service)
+	run  func(c *cluster)
 }
 
-var meetings = []meeting{
-	{"a quiet day", func(s *service) {
-		s.warm(4, nil)
-		s.met(s.cancel(s.pick(1)[0]), "a cancellation")
-		s.crowd(30*time.Second, 3*time.Second, nil)
-		time.Sleep(35 * time.Second)
-		s.met(s.term() == 1, "one term only")
-	}},
-	{"users repeat submissions, cancel what is done, and send what can't run or lacks a field, also in an outage", func(s *service) {
-		s.warm(4, nil)
-		time.Sleep(25 * time.Second)
-		good := protocol.Spec{ID: "job-900000", Class: "x", Team: "red", Shape: "sweep", Priority: "low", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 1}
-		odd := func() {
-			for name := range submission(s.t, good) {
-				m := submission(s.t, good)
-				delete(m, name)
-				if status, _ := s.call(s.names[0], "POST", "/v2/runs", protocol.Encode(m), 5*time.Second); status != 400 {
-					s.t.Errorf("without %s: %d", name, status)
-				}
-			}
-			for what, v := range map[string]any{"Vcpus": 99.0, "Crew": "nobody", "Yard": "z"} {
-				m := submission(s.t, good)
-				m[what] = v
-				// Whether it was accepted before cannot be told in an outage.
-				if status, _ := s.call(s.names[1], "POST", "/v2/runs", protocol.Encode(m), 5*time.Second); status != 422 && !(s.state.Unavailable() && status == 503) {
-					s.t.Errorf("%s %v: %d", what, v, status)
-				}
+// generalScenarios are an undisturbed cluster, and what users may send.
+var generalScenarios = []scenario{
+	{
+		name: "no faults",
+		run: func(c *cluster) {
+			c.warmUp(4, nil)
+			c.expect(c.cancel(c.waitForRunningJobs(1)[0]), "a cancellation")
+			c.generateLoad(30*time.Second, 3*time.Second, nil)
+			time.Sleep(35 * time.Second)
+			c.expect(c.currentTerm() == 1, "one term only")
+		},
+	},
+	{
+		name: "users repeat submissions, cancel what is done, and send invalid jobs, also in an outage",
+		run: func(c *cluster) {
+			c.warmUp(4, nil)
+			time.Sleep(25 * time.Second)
+			c.checkInvalidRequests()
+			for _, j := range c.acceptedJobs() {
+				c.poll(j)
 			}
-			if status, _ := s.call(s.names[2], "GET", "/v2/runs/job-900000", nil, 2*time.Second); status != 404 && !(s.state.Unavailable() && status == 503) {
-				s.t.Errorf("a job that nobody submitted: %d", status)
+			time.Sleep(time.Second)
+			for _, j := range c.acceptedJobs() {
+				c.cancel(j)
 			}
+			c.state.SetUnavailable(true)
+			time.Sleep(2 * time.Second)
+			c.checkInvalidRequests()
+			c.state.SetUnavailable(false)
+		},
+	},
+}
+
+// checkInvalidRequests sends submissions without a field or with an impossible one, and asks about a
+// job that does not exist.
+func (c *cluster) checkInvalidRequests() {
+	valid := protocol.Spec{
+		ID: "job-900000", Class: "x", Team: "red", Shape: "sweep", Priority: "low",
+		Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 1,
+	}
+	submit := func(node string, body map[string]any) int {
+		status, _ := c.call(node, http.MethodPost, "/v2/runs", protocol.Encode(body), 5*time.Second)
+		return status
+	}
+	// Whether a job was accepted before cannot be known in an outage.
+	unknownInOutage := func(status int) bool {
+		return c.state.Unavailable() && status == http.StatusServiceUnavailable
+	}
+	for field := range submissionBody(c.t, valid) {
+		body := submissionBody(c.t, valid)
+		delete(body, field)
+		if status := submit(c.nodeNames[0], body); status != http.StatusBadRequest {
+			c.t.Errorf("without %s: %d", field, status)
 		}
-		odd()
-		for _, j := range s.known() {
-			s.poll(j)
-		}
-		time.Sleep(time.Second)
-		for _, j := range s.known() {
-			s.cancel(j)
+	}
+	for field, value := range map[string]any{"Vcpus": 99.0, "Crew": "nobody", "Yard": "z"} {
+		body := submissionBody(c.t, valid)
+		body[field] = value
+		status := submit(c.nodeNames[1], body)
+		if status != http.StatusUnprocessableEntity && !unknownInOutage(status) {
+			c.t.Errorf("%s %v: %d", field, value, status)
 		}
-		s.state.SetUnavailable(true)
-		time.Sleep(2 * time.Second)
-		odd()
-		s.state.SetUnavailable(false)
-	}},
+	}
+	status, _ := c.call(c.nodeNames[2], http.MethodGet, "/v2/runs/job-900000", nil, 2*time.Second)
+	if status != http.StatusNotFound && !unknownInOutage(status) {
+		c.t.Errorf("a job that nobody submitted: %d", status)
+	}
 }
 
-// TestMeetings plays each meeting of troubles, with fixed seeds. QUILLSHUNT_RANDOM=n plays n random
-// seeds of each.
-func TestMeetings(t *testing.T) {
+// TestOverlappingFaults runs each scenario with a fixed seed, or with n random seeds if
+// QUILLSHUNT_RANDOM=n is set.
+func TestOverlappingFaults(t *testing.T) {
 	seeds := []uint64{1}
 	if n, err := strconv.Atoi(os.Getenv("QUILLSHUNT_RANDOM")); err == nil {
 		seeds = nil
@@ -85,13 +110,15 @@
 			seeds = append(seeds, rand.Uint64()%1e6)
 		}
 	}
-	for _, m := range slices.Concat(meetings, cancellationMeetings, failoverMeetings, workerMeetings, gangMeetings) {
+	scenarios := slices.Concat(
+		generalScenarios, cancellationScenarios, failoverScenarios, workerScenarios, gangScenarios)
+	for _, sc := range scenarios {
 		for _, seed := range seeds {
-			t.Run(fmt.Sprintf("%s/%d", m.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", sc.name, seed), func(t *testing.T) {
 				t.Parallel()
-				play(t, seed, func(s *service) {
-					m.day(s)
-					s.calm()
+				runScenario(t, seed, func(c *cluster) {
+					sc.run(c)
+					c.awaitCompletion()
 				})
 			})
 		}
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -3,26 +3,36 @@
 import (
 	"context"
 	"fmt"
-	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
-	"quillshunt/internal/transport"
+	"net/http"
 	"slices"
 	"testing"
 	"time"
+
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/transport"
 )
 
+// job is what a user knows of a job. The times are zero before the event.
 type job struct {
-	spec     protocol.Spec
-	accepted time.Time
-	asked    time.Time // first cancellation asked for
-	told     time.Time // that it is cancelled
-	said     string    // last final standing that the user was told
+	spec              protocol.Spec
+	acceptedAt        time.Time
+	cancelRequestedAt time.Time // of the first request
+	cancelConfirmedAt time.Time // when the user was told that it is cancelled
+	finalState        string    // first final state that the user was told
+}
+
+// mustBeGone reports whether no task of the job may run any more, as its user was told so long ago
+// that it is cancelled.
+func (j *job) mustBeGone() bool {
+	return !j.cancelConfirmedAt.IsZero() && time.Since(j.cancelConfirmedAt) > limits.Seconds(cancelS)
 }
 
-func (s *service) spec(id string) (protocol.Spec, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	j := s.jobs[id]
+// jobSpec returns the spec of a job, if there is one, for the stand-in of the workers.
+func (c *cluster) jobSpec(id string) (protocol.Spec, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	j := c.jobs[id]
 	if j == nil {
 		return protocol.Spec{}, false
 	}
@@ -30,78 +40,101 @@
 }
 
 // request makes one user's request at a controller, over a connection of its own.
-func (s *service) request(node, method, target string, body []byte, limit time.Duration) (*transport.Message, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, limit)
+func (c *cluster) request(
+	node, method, target string, body []byte, limit time.Duration,
+) (*transport.Message, error) {
+	ctx, cancel := context.WithTimeout(c.ctx, limit)
 	defer cancel()
-	return transport.NewClient(node+":8080", 0, limits.MaxBodyBytes).WithDialer(s.net.Dialer("users")).Do(ctx, method, target, body)
+	client := transport.NewClient(node+":8080", 0, limits.MaxBodyBytes).WithDialer(c.network.Dialer("users"))
+	return client.Do(ctx, method, target, body)
 }
 
-// call makes one user's request at a controller; status 0 is no answer.
-func (s *service) call(node, method, target string, body []byte, limit time.Duration) (int, string) {
-	m, err := s.request(node, method, target, body, limit)
+// call makes one user's request at a controller, and returns the status and the job's state in the
+// answer. Status 0 is no answer.
+func (c *cluster) call(node, method, target string, body []byte, limit time.Duration) (status int, state string) {
+	m, err := c.request(node, method, target, body, limit)
 	if err != nil {
 		return 0, ""
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var st protocol.JobStatus
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var answer protocol.JobStatus
 	if m.Status < 300 && len(m.Body) > 0 {
-		if err := protocol.Decode(m.Body, &st); err != nil {
-			s.fault("%s %s: %v", method, target, err)
+		if err := protocol.Decode(m.Body, &answer); err != nil {
+			c.violation("%s %s: %v", method, target, err)
 		}
 	}
-	return m.Status, st.State
+	return m.Status, answer.State
 }
 
-// sendsAway tells whether a controller refuses a question and ends the connection, so that the
+// turnsAway reports whether a controller refuses a request and closes the connection, so that the
 // user's next try comes to another.
-func (s *service) sendsAway(node string, j *job) bool {
-	m, err := s.request(node, "GET", "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
-	return err == nil && m.Status == 503 && m.RetryAfter > 0 && m.Close
+func (c *cluster) turnsAway(node string, j *job) bool {
+	m, err := c.request(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
+	return err == nil && m.Status == http.StatusServiceUnavailable && m.RetryAfter > 0 && m.Close
 }
 
-// submit brings in a job and waits until it is accepted, as a user does.
-func (s *service) submit(change func(*protocol.Spec)) *job {
-	s.mu.Lock()
-	s.seq++
-	j := &job{spec: protocol.Spec{ID: fmt.Sprintf("job-%06d", s.seq), Class: "x", Team: teams[s.seq%2].Name, Shape: "sweep",
-		Priority: []string{"low", "standard", "high"}[s.seq%3], Tasks: 3, CPUs: 2, MemoryGB: 1, Spot: true, Image: "i", ImageGB: 0, EstimateS: 15}}
+// submit submits a job, which change may alter, and retries until it is accepted, as a user does.
+func (c *cluster) submit(change func(*protocol.Spec)) *job {
+	c.mu.Lock()
+	c.submissions++
+	j := &job{spec: protocol.Spec{
+		ID:        fmt.Sprintf("job-%06d", c.submissions),
+		Class:     "x",
+		Team:      teams[c.submissions%2].Name,
+		Shape:     "sweep",
+		Priority:  []string{"low", "standard", "high"}[c.submissions%3],
+		Tasks:     3,
+		CPUs:      2,
+		MemoryGB:  1,
+		Spot:      true,
+		Image:     "i",
+		EstimateS: 15,
+	}}
 	if change != nil {
 		change(&j.spec)
 	}
-	s.jobs[j.spec.ID] = j
-	s.mu.Unlock()
-	body := protocol.Encode(submission(s.t, j.spec))
-	s.until(60*time.Second, s.names, func(node string) bool {
-		sent := time.Now()
-		status, standing := s.call(node, "POST", "/v2/runs", body, 5*time.Second)
-		s.hear(j, status, standing, sent)
-		return status == 200 || status == 201
+	c.jobs[j.spec.ID] = j
+	c.mu.Unlock()
+	body := protocol.Encode(submissionBody(c.t, j.spec))
+	c.retryUntil(60*time.Second, c.nodeNames, func(node string) bool {
+		sentAt := time.Now()
+		status, state := c.call(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
+		c.checkAnswer(j, status, state, sentAt)
+		return status == http.StatusOK || status == http.StatusCreated
 	})
 	return j
 }
 
-// submission is a job as a user sends it: what may be left out and is not set, is.
-func submission(t *testing.T, spec protocol.Spec) map[string]any {
-	m := map[string]any{}
-	if err := protocol.Decode(protocol.Encode(spec), &m); err != nil {
+// submissionBody returns a job as a user sends it, without the optional fields that are not set.
+func submissionBody(t *testing.T, spec protocol.Spec) map[string]any {
+	t.Helper()
+	body := map[string]any{}
+	if err := protocol.Decode(protocol.Encode(spec), &body); err != nil {
 		t.Fatal(err)
 	}
-	for name, set := range map[string]bool{"Rigkinds": len(spec.MachineTypes) > 0, "Yard": spec.Zone != "", "DueS": spec.DeadlineS > 0} {
+	optional := map[string]bool{
+		"Rigkinds": len(spec.MachineTypes) > 0,
+		"Yard":     spec.Zone != "",
+		"DueS":     spec.DeadlineS > 0,
+	}
+	for field, set := range optional {
 		if !set {
-			delete(m, name)
+			delete(body, field)
 		}
 	}
-	return m
+	return body
 }
 
-// until tries at one healthy controller after the other, as a load balancer spreads a user's requests.
-func (s *service) until(limit time.Duration, nodes []string, try func(node string) bool) bool {
+// retryUntil tries at one healthy controller after the other, as a load balancer spreads a user's
+// requests, until a try succeeds. It reports false once the limit is over.
+func (c *cluster) retryUntil(limit time.Duration, nodes []string, try func(node string) bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); {
-		s.mu.Lock()
-		node := nodes[s.r.IntN(len(nodes))]
-		s.mu.Unlock()
-		if status, _ := s.call(node, "GET", "/healthz", nil, time.Second); status == 200 && try(node) {
+		c.mu.Lock()
+		node := nodes[c.random.IntN(len(nodes))]
+		c.mu.Unlock()
+		status, _ := c.call(node, http.MethodGet, "/healthz", nil, time.Second)
+		if status == http.StatusOK && try(node) {
 			return true
 		}
 		time.Sleep(time.Second)
@@ -109,184 +142,199 @@
 	return false
 }
 
-// cancel calls a job off, at the controllers named or at all of them, until the user is told what
-// became of it.
-func (s *service) cancel(j *job, nodes ...string) bool {
+// cancel cancels a job at the controllers named, or at all of them, and retries until the user gets
+// an answer. It reports whether that came.
+func (c *cluster) cancel(j *job, nodes ...string) bool {
 	if len(nodes) == 0 {
-		nodes = s.names
+		nodes = c.nodeNames
 	}
-	return s.until(60*time.Second, nodes, func(node string) bool { return s.ask(j, node) })
+	return c.retryUntil(60*time.Second, nodes, func(node string) bool { return c.tryCancel(j, node) })
 }
 
-// ask asks one controller once to cancel a job, and tells whether its user got an answer.
-func (s *service) ask(j *job, node string) bool {
-	s.mu.Lock()
-	if j.asked.IsZero() {
-		j.asked = time.Now()
+// tryCancel asks one controller once to cancel a job, and reports whether its user got an answer.
+func (c *cluster) tryCancel(j *job, node string) bool {
+	c.mu.Lock()
+	if j.cancelRequestedAt.IsZero() {
+		j.cancelRequestedAt = time.Now()
 	}
-	s.mu.Unlock()
-	sent := time.Now()
-	status, standing := s.call(node, "POST", "/v2/runs/"+j.spec.ID+"/cancel", nil, 5*time.Second)
-	s.hear(j, status, standing, sent)
-	return status == 200
+	c.mu.Unlock()
+	sentAt := time.Now()
+	status, state := c.call(node, http.MethodPost, "/v2/runs/"+j.spec.ID+"/cancel", nil, 5*time.Second)
+	c.checkAnswer(j, status, state, sentAt)
+	return status == http.StatusOK
 }
 
-// poll asks about a job at every controller, all at the same moment.
-func (s *service) poll(j *job) {
-	for _, node := range s.names {
-		s.users.Go(func() {
-			sent := time.Now()
-			status, standing := s.call(node, "GET", "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
-			s.hear(j, status, standing, sent)
+// poll asks all controllers at the same moment about a job. It does not wait for the answers.
+func (c *cluster) poll(j *job) {
+	for _, node := range c.nodeNames {
+		c.users.Go(func() {
+			sentAt := time.Now()
+			status, state := c.call(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
+			c.checkAnswer(j, status, state, sentAt)
 		})
 	}
 }
 
-// crowd goes on asking about all jobs until the time is over, and submits one now and then.
-func (s *service) crowd(d time.Duration, every time.Duration, change func(*protocol.Spec)) {
-	s.users.Go(func() {
-		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(every) {
-			s.users.Go(func() { s.submit(change) })
-			for _, j := range s.known() {
-				s.poll(j)
+// generateLoad submits a job and polls all jobs, again and again until the time is over. It does not
+// wait for that.
+func (c *cluster) generateLoad(d, interval time.Duration, change func(*protocol.Spec)) {
+	c.users.Go(func() {
+		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(interval) {
+			c.users.Go(func() { c.submit(change) })
+			for _, j := range c.acceptedJobs() {
+				c.poll(j)
 			}
 		}
 	})
 }
 
-// known are the jobs that were accepted.
-func (s *service) known() []*job {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var out []*job
-	for _, j := range s.jobs {
-		if !j.accepted.IsZero() {
-			out = append(out, j)
+// acceptedJobs returns the jobs that were accepted, in that order.
+func (c *cluster) acceptedJobs() []*job {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var accepted []*job
+	for _, j := range c.jobs {
+		if !j.acceptedAt.IsZero() {
+			accepted = append(accepted, j)
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int { return int(a.accepted.Sub(b.accepted)) })
-	return out
+	slices.SortFunc(accepted, func(a, b *job) int { return int(a.acceptedAt.Sub(b.acceptedAt)) })
+	return accepted
 }
 
-// running are the jobs of which a task runs, in the order in which they were accepted.
-func (s *service) running() []*job {
-	s.mu.Lock()
-	on := map[string]bool{}
-	for p := range s.runs {
-		on[owner(p)] = true
+// runningJobs returns the jobs of which a task runs and that nobody asked to cancel, in the order in
+// which they were accepted.
+func (c *cluster) runningJobs() []*job {
+	c.mu.Lock()
+	running := map[string]bool{}
+	for task := range c.runningTasks {
+		running[jobOf(task)] = true
 	}
-	s.mu.Unlock()
-	return slices.DeleteFunc(s.known(), func(j *job) bool { return !on[j.spec.ID] || !j.asked.IsZero() })
+	c.mu.Unlock()
+	return slices.DeleteFunc(c.acceptedJobs(), func(j *job) bool {
+		return !running[j.spec.ID] || !j.cancelRequestedAt.IsZero()
+	})
 }
 
-// pick waits until so many jobs run, and returns them.
-func (s *service) pick(n int) []*job {
+// waitForRunningJobs waits until n jobs run, and returns the first n.
+func (c *cluster) waitForRunningJobs(n int) []*job {
 	for range 60 {
-		if jobs := s.running(); len(jobs) >= n {
+		if jobs := c.runningJobs(); len(jobs) >= n {
 			return jobs[:n:n]
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	s.t.Fatalf("fewer than %d jobs run", n)
+	c.t.Fatalf("fewer than %d jobs run", n)
 	return nil
 }
 
-// warm waits until there are machines at work.
-func (s *service) warm(jobs int, change func(*protocol.Spec)) {
-	s.leader()
+// warmUp submits jobs and waits until as many tasks run, on machines that were rented for them.
+func (c *cluster) warmUp(jobs int, change func(*protocol.Spec)) {
+	c.waitForLeader()
 	for range jobs {
-		s.submit(change)
+		c.submit(change)
 	}
 	for range 60 {
 		time.Sleep(time.Second)
-		s.mu.Lock()
-		n := len(s.runs)
-		s.mu.Unlock()
+		c.mu.Lock()
+		n := len(c.runningTasks)
+		c.mu.Unlock()
 		if n >= jobs {
 			return
 		}
 	}
-	s.t.Error("the fleet does not come up")
+	c.t.Error("the fleet does not come up")
 }
 
-// waits tells whether a job that is not over has no task on a machine although its team is under
-// its limit.
-func (s *service) waits(j *job) bool {
-	if s.on(j) > 0 {
+// waitsWithinQuota reports whether a job that is not over has no task on a machine although its team
+// is below its limit.
+func (c *cluster) waitsWithinQuota(j *job) bool {
+	if c.tasksOnMachines(j) > 0 {
 		return false
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, team := range teams {
-		if team.Name == j.spec.Team && s.used(team.Name)+j.spec.CPUs > team.CPUsMax {
+		if team.Name == j.spec.Team && c.usedCPUs(team.Name)+j.spec.CPUs > team.CPUsMax {
 			return false
 		}
 	}
-	return j.said == "" && j.asked.IsZero()
+	return j.finalState == "" && j.cancelRequestedAt.IsZero()
 }
 
-// calm ends a day: with all troubles over, every job that was not cancelled gets done and is told
-// to be, and the cancelled ones stay so. None waits for long that could run.
-func (s *service) calm() {
+// awaitCompletion ends a scenario, with all faults over. Every job that was not cancelled is done and
+// its user is told so, and the cancelled ones stay cancelled. No job that could run waits for long.
+func (c *cluster) awaitCompletion() {
 	deadline := time.Now().Add(4 * time.Minute)
-	since := map[*job]time.Time{}
+	waitingSince := map[*job]time.Time{}
 	for time.Now().Before(deadline) {
-		for _, j := range s.known() {
-			if !s.waits(j) {
-				delete(since, j)
-			} else if since[j].IsZero() {
-				since[j] = time.Now()
-			} else if time.Since(since[j]) > 90*time.Second {
-				s.mu.Lock()
-				s.fault("%s waits for 90 s", j.spec.ID)
-				s.mu.Unlock()
-				since[j] = time.Now()
-			}
-		}
-		open := 0
-		for _, j := range s.known() {
-			s.mu.Lock()
-			over := j.said != ""
-			s.mu.Unlock()
-			if !over {
-				open++
-				s.poll(j)
-			}
-		}
-		if open == 0 {
+		c.checkWaiting(waitingSince)
+		if open := c.pollOpenJobs(); open == 0 {
 			break
 		}
 		time.Sleep(3 * time.Second)
 	}
-	for _, j := range s.known() {
-		s.poll(j)
+	for _, j := range c.acceptedJobs() {
+		c.poll(j)
 	}
-	s.users.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, j := range s.jobs {
-		if !j.accepted.IsZero() && j.said == "" {
-			s.fault("%s is not over four minutes after the last trouble (cancellation asked: %v)", j.spec.ID, !j.asked.IsZero())
+	c.users.Wait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, j := range c.jobs {
+		if !j.acceptedAt.IsZero() && j.finalState == "" {
+			c.violation("%s is not over four minutes after the last fault (cancellation requested: %v)",
+				j.spec.ID, !j.cancelRequestedAt.IsZero())
+		}
+	}
+}
+
+// checkWaiting checks that no job that could run waits for 90 s, and keeps since when each waits.
+func (c *cluster) checkWaiting(since map[*job]time.Time) {
+	for _, j := range c.acceptedJobs() {
+		if !c.waitsWithinQuota(j) {
+			delete(since, j)
+		} else if since[j].IsZero() {
+			since[j] = time.Now()
+		} else if time.Since(since[j]) > 90*time.Second {
+			c.mu.Lock()
+			c.violation("%s waits for 90 s", j.spec.ID)
+			c.mu.Unlock()
+			since[j] = time.Now()
+		}
+	}
+}
+
+// pollOpenJobs polls the jobs that are not over, and returns how many there are.
+func (c *cluster) pollOpenJobs() (open int) {
+	for _, j := range c.acceptedJobs() {
+		c.mu.Lock()
+		over := j.finalState != ""
+		c.mu.Unlock()
+		if !over {
+			open++
+			c.poll(j)
 		}
 	}
+	return open
 }
 
-// together cancels jobs at the same moment, each at its own user.
-func (s *service) together(jobs []*job) {
+// cancelConcurrently cancels jobs at the same moment, each by a user of its own. It does not wait for
+// the answers.
+func (c *cluster) cancelConcurrently(jobs []*job) {
 	for _, j := range jobs {
-		s.users.Go(func() { s.cancel(j) })
+		c.users.Go(func() { c.cancel(j) })
 	}
 }
 
-// told is how many of the jobs' users were told that they are cancelled.
-func (s *service) told(jobs []*job) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	n := 0
+// confirmedCancellations returns for how many of the jobs the user was told that it is cancelled.
+func (c *cluster) confirmedCancellations(jobs []*job) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	confirmed := 0
 	for _, j := range jobs {
-		if j.said == protocol.Aborted {
-			n++
+		if j.finalState == protocol.Aborted {
+			confirmed++
 		}
 	}
-	return n
+	return confirmed
 }
