--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -158,8 +158,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk := leader.NewDispatcher(s, config.DefaultOptions(), store, leader.NewCloud(cloudAddr, 100), sockets, log)
-	g := &Gateway{Node: "rig-0", Store: store.ForUsers(), Dispatcher: desk, Peers: peers, Leader: func() string { return "" }, Settings: s, UserSlots: shares.UserSlots, Log: log}
+	desk := leader.NewDispatcher(leader.DispatcherOptions{Settings: s, Options: config.DefaultOptions(), Store: store,
+		Cloud: leader.NewCloud(cloudAddr, 100, nil), Sockets: sockets, Log: log})
+	g := New(Options{Node: "rig-0", Store: store.ForUsers(), Dispatcher: desk, Peers: peers, LeaderName: func() string { return "" }, Settings: s, UserSlots: shares.UserSlots, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	g.Start(ctx)
@@ -286,7 +287,7 @@
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	if bound := uint64(40<<20 + machines*limits.ConnBytes); m.HeapAlloc > bound {
+	if bound := uint64(40<<20 + machines*limits.MaxIdleConnBytes); m.HeapAlloc > bound {
 		t.Errorf("heap of %d bytes, want at most %d", m.HeapAlloc, bound)
 	}
 	// One for each direct command or probe at most, and those of fixed number.
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -53,7 +53,7 @@
 // mayPreemptNow tells whether waiting for room would break one of the job's times. Only then is
 // room taken at somebody else's cost.
 func (s *Scheduler) mayPreemptNow(j *job) bool {
-	slack, late := s.slack(j)
+	slack, late := s.queue.slack(j)
 	return !late && slack < time.Duration(s.cfg.Options.Preemption.Slack)
 }
 
@@ -99,7 +99,7 @@
 // of room.
 func cheapestVictims(options []preemptionOption, short resource.Vector) []int {
 	covered := func(have resource.Vector) bool { return have.Fits(short) }
-	if len(options) <= limits.VictimCutoff {
+	if len(options) <= limits.MaxExhaustiveVictims {
 		bestLoss, best := 0.0, -1
 		for set := 1; set < 1<<len(options); set++ {
 			var have resource.Vector
