--- a/internal/coordination/election/voter_test.go
+++ b/internal/coordination/election/voter_test.go
@@ -16,6 +16,12 @@
 // loyalPeers are others of whom two of four always pledge: with the leader's own pledge just enough.
 type loyalPeers struct{ Peers }
 
+func (loyalPeers) Size() int                            { return 4 }
+func (loyalPeers) FindConnected(context.Context) string { return "" }
+func (loyalPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]Vote {
+	return map[string]Vote{"a": {Granted: nonces["a"] == 1, ProcessNonce: 1}, "b": {Granted: nonces["b"] == 1, ProcessNonce: 1}}
+}
+
 // TestOwnVote: a leader's own pledge counts like any other. While it does, it does not let go of
 // itself, and once it has let go, it does not count.
 func TestOwnVote(t *testing.T) {
