--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -137,14 +137,14 @@
 		c.violation("went_back: %s was %s, is %s", id, j.finalState, state)
 	}
 	switch state {
-	case protocol.Aborted:
+	case protocol.JobAborted:
 		if j.cancelRequestedAt.IsZero() {
 			c.violation("went_back: %s is cancelled, which nobody asked for", id)
 		}
 		if j.finalState == "" {
 			j.finalState, j.cancelConfirmedAt = state, time.Now()
 		}
-	case protocol.Done:
+	case protocol.JobDone:
 		if j.finalState == "" {
 			j.finalState = state
 			c.checkTasksDone(j)
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -332,7 +332,7 @@
 	defer c.mu.Unlock()
 	confirmed := 0
 	for _, j := range jobs {
-		if j.finalState == protocol.Aborted {
+		if j.finalState == protocol.JobAborted {
 			confirmed++
 		}
 	}
