--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -25,7 +25,7 @@
 		if j != nil && index >= j.spec.Tasks {
 			j = nil
 		}
-		if status.State == protocol.Ended {
+		if status.State == protocol.TaskEnded {
 			task, ours := s.reconcileEndedTask(m, j, index, status)
 			if ours {
 				listed[status.Task] = true
@@ -74,7 +74,7 @@
 	// An attempt that we had given up, or one of an earlier term: the result counts. If the task is
 	// bound elsewhere meanwhile, it is stopped there.
 	ended = endedTask{job: j}
-	ended.chunk, ended.sequence = s.recordTaskDone(j, index)
+	ended.chunk, ended.sequence = s.finished.recordDone(j, index)
 	if other := j.assignments[index]; other != nil && other != a {
 		if other.state == stateUnsent {
 			s.release(other)
@@ -179,13 +179,13 @@
 	a.confirmStart()
 	previous := a.state
 	switch status.State {
-	case protocol.Gathering:
+	case protocol.TaskGathering:
 		if a.state != stateGathering {
 			s.learnFetchTime(a)
 			a.state = stateGathering
 			s.gangTaskGathering(a.job.gang)
 		}
-	case protocol.Running:
+	case protocol.TaskRunning:
 		if a.state != stateRunning {
 			if a.state != stateGathering {
 				s.learnFetchTime(a)
@@ -194,7 +194,7 @@
 			s.emit(LogEntry{Level: slog.LevelDebug, Message: "task running", Args: []any{"job", a.job.id, "class", a.job.spec.Class, "task", a.index, "machine", a.machine.name,
 				"age", (s.now - a.job.submittedAt).Seconds(), "queued", (a.assignedAt - a.job.submittedAt).Seconds(), "fetch", (s.now - a.assignedAt).Seconds(), "gb", a.job.spec.ImageGB}})
 		}
-	case protocol.Saving:
+	case protocol.TaskSaving:
 		a.state = stateSaving
 	default:
 		a.state = stateFetching
@@ -225,7 +225,7 @@
 		if !j.cancelled {
 			ended.job = j
 			knownDone := j.gang != nil && getBit(j.doneBits, index)
-			ended.chunk, ended.sequence = s.recordTaskDone(j, index)
+			ended.chunk, ended.sequence = s.finished.recordDone(j, index)
 			if ran > 0 && !knownDone {
 				s.learnRunTime(j, m, ran)
 			}
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -116,7 +116,7 @@
 		page.dirty, page.writing = false, true
 		key := storage.RegistryPageKey(page.name)
 		r.write(
-			pendingWrite{kind: writeRegistration, registryPage: page, count: len(page.record.Machines)},
+			registryPageWrite{page: page, machines: len(page.record.Machines)},
 			[]protocol.Condition{{Key: key, Version: page.version}},
 			[]protocol.Operation{{Put: key, Value: protocol.Encode(page.record)}},
 		)
@@ -125,8 +125,8 @@
 
 // pageWritten notes the outcome of the write of a page. It returns the machines that are registered
 // from now on.
-func (r *machineRegistry) pageWritten(write pendingWrite, ok bool, version uint64) []*machine {
-	page := write.registryPage
+func (r *machineRegistry) pageWritten(write registryPageWrite, ok bool, version uint64) []*machine {
+	page := write.page
 	page.writing = false
 	if !ok {
 		// Only we write pages of our term, so this cannot be; the machines stay unregistered and get
@@ -136,7 +136,7 @@
 	}
 	page.version = version
 	var added []*machine
-	for _, entry := range page.record.Machines[:write.count] {
+	for _, entry := range page.record.Machines[:write.machines] {
 		if m := r.inventory.find(entry.Machine); m != nil && m.registration == registering {
 			m.registration = registered
 			added = append(added, m)
@@ -163,7 +163,7 @@
 	if page.version != 0 {
 		key := storage.RegistryPageKey(page.name)
 		r.write(
-			pendingWrite{kind: writeRegistrationRemove, registryPage: page},
+			registryPageRemoval{},
 			[]protocol.Condition{{Key: key, Version: page.version}},
 			[]protocol.Operation{{Delete: key}},
 		)
@@ -183,7 +183,7 @@
 }
 
 // registryPageWritten handles the outcome of the write of a page: its machines may get starts.
-func (s *Scheduler) registryPageWritten(write pendingWrite, ok bool, version uint64) {
+func (s *Scheduler) registryPageWritten(write registryPageWrite, ok bool, version uint64) {
 	for _, m := range s.registry.pageWritten(write, ok, version) {
 		s.gangs.capacityChanged = true
 		s.dispatcher.enqueue(m)
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -233,7 +233,7 @@
 	r.writing, r.dirty = true, false
 	key := storage.RentalKey(r.name)
 	t.write(
-		pendingWrite{kind: writeRental, rental: r.name, answered: r.record.Answered},
+		rentalWrite{rental: r.name, answered: r.record.Answered},
 		[]protocol.Condition{{Key: key, Version: r.version}},
 		[]protocol.Operation{{Put: key, Value: protocol.Encode(r.record)}},
 	)
@@ -241,7 +241,7 @@
 
 // recordWritten notes the outcome of writeRecord. It returns the machines that the record names
 // durably from now on.
-func (t *rentalTable) recordWritten(r *rental, write pendingWrite, ok bool, version uint64) (named []string) {
+func (t *rentalTable) recordWritten(r *rental, write rentalWrite, ok bool, version uint64) (named []string) {
 	r.writing = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
@@ -270,23 +270,23 @@
 	r.state = rentalRemoving
 	key := storage.RentalKey(r.name)
 	t.write(
-		pendingWrite{kind: writeRentalRemove, rental: r.name},
+		rentalRemoval{rental: r.name},
 		[]protocol.Condition{{Key: key, Version: r.version}},
 		[]protocol.Operation{{Delete: key}},
 	)
 }
 
-// recordRemoved notes the outcome of removeRecord.
-func (t *rentalTable) recordRemoved(name string, ok bool) {
+// removalWritten forgets a rental whose record is removed. Otherwise the removal is tried again.
+func (t *rentalTable) removalWritten(write rentalRemoval, ok bool) {
 	if ok {
-		delete(t.byName, name)
-	} else if r := t.byName[name]; r != nil {
+		delete(t.byName, write.rental)
+	} else if r := t.byName[write.rental]; r != nil {
 		r.state = rentalAnswered
 	}
 }
 
 // rentalWritten handles the outcome of the write of a rental's record.
-func (s *Scheduler) rentalWritten(write pendingWrite, ok bool, version uint64) {
+func (s *Scheduler) rentalWritten(write rentalWrite, ok bool, version uint64) {
 	r := s.rentals.find(write.rental)
 	if r == nil {
 		return
