--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -1,351 +1,277 @@
 package gateway
 
 import (
-	"context"
 	"io"
 	"log/slog"
 	"net"
+	"net/http"
 	"testing"
 	"time"
 
 	"quillshunt/internal/config"
-	"quillshunt/internal/coordination/leader"
-	"quillshunt/internal/coordination/peer"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
-	"quillshunt/internal/standin"
 	"quillshunt/internal/storage"
 	"quillshunt/internal/transport"
 )
 
-// gatewayFixture is a gateway without a leader, on real sockets, with a stand-in of the state service behind it.
-type gatewayFixture struct {
-	t      *testing.T
-	state  *standin.StateService
-	addr   string
-	client *transport.Client
-}
-
-func freePort(t *testing.T) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
-func serve(t *testing.T, s *transport.Server) {
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
-	go s.Run(ctx)
-	for {
-		conn, err := net.Dial("tcp", s.Addr())
-		if err == nil {
-			conn.Close()
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-}
-
-// newGatewayFixture starts a gateway, with settings changed before it begins.
-func newGatewayFixture(t *testing.T, change ...func(*config.Settings)) *gatewayFixture {
-	log := slog.New(slog.DiscardHandler)
-	f := &gatewayFixture{t: t, state: standin.NewStateService(), addr: freePort(t)}
-	types := storage.MachineTypes{MachineTypes: []protocol.MachineType{{Name: "g8", CPUs: 16, Accelerators: 2, MemoryGB: 128, Zones: []string{"a"}}}}
-	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: protocol.Encode(types)}}})
-	back := freePort(t)
-	serve(t, f.state.Server(back, log))
-	s := &config.Settings{NodeName: "rig-0", Facts: config.Facts{
-		Teams: []config.Team{{Name: "vision", CPUsMax: 100, GPUsMax: 4}, {Name: "tiny", CPUsMax: 1}},
-		State: config.State{RPS: 10_000, WriteRPS: 10_000, ValueKB: 4, TxnOps: 8}}}
-	for _, c := range change {
-		c(s)
-	}
-	store := storage.New(back, s.Facts.State)
-	peers, err := peer.Dial(nil, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	g := New(Options{Node: "rig-0", Store: store, Dispatcher: leader.NewDispatcher(leader.DispatcherOptions{Settings: s, Options: config.DefaultOptions(), Store: store, Log: log}), Peers: peers,
-		LeaderName: func() string { return "" }, Settings: s, UserSlots: limits.UserSlots, Log: log})
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
-	g.Start(ctx)
-	for g.machineTypes.Load() == nil {
-		time.Sleep(time.Millisecond)
-	}
-	serve(t, transport.NewServer(transport.ServerOptions{Addr: f.addr, MaxConns: 20, Handle: g.Handle, Log: log}))
-	f.client = transport.NewClient(f.addr, 1, limits.MaxBodyBytes)
-	return f
-}
+// changed is the change of one field of a body.
+func changed(field string, value any) map[string]any { return map[string]any{field: value} }
 
-func (f *gatewayFixture) do(method, target string, body any) (int, string, *transport.Message) {
-	f.t.Helper()
-	var b []byte
-	if raw, ok := body.([]byte); ok {
-		b = raw
-	} else if body != nil {
-		b = protocol.Encode(body)
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	defer cancel()
-	m, err := f.client.Do(ctx, method, target, b)
-	if err != nil {
-		f.t.Fatalf("%s %s: %v", method, target, err)
-	}
-	var st protocol.JobStatus
-	if len(m.Body) > 0 {
-		if err := protocol.Decode(m.Body, &st); err != nil {
-			f.t.Fatal(err)
-		}
-	}
-	return m.Status, st.State, m
-}
-
-func submission(id string, change map[string]any) map[string]any {
-	r := map[string]any{"NameId": id, "Docket": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "high", "Pieces": 2,
-		"Vcpus": 8.0, "Accelerators": 1, "RamGb": 64.0, "Bundle": "img", "SizeGb": 6.2, "Together": false, "Scatter": false,
-		"Lendable": true, "ReckonS": 240.0, "BookmarkS": 0, "StashS": 0}
-	for k, v := range change {
-		r[k] = v
-	}
-	return r
+// supportGangs makes the workers of a fixture support gangs.
+func supportGangs(s *config.Settings) {
+	s.Facts.Workers.GangWaitS, s.Facts.Workers.GangPeerS = new(float64), new(float64)
 }
 
+// TestUsersAPI sends a sequence of requests: the later ones meet the jobs of those before.
 func TestUsersAPI(t *testing.T) {
-	f := newGatewayFixture(t, func(s *config.Settings) {
-		s.Facts.Workers.GangWaitS, s.Facts.Workers.GangPeerS = new(float64), new(float64)
-	})
-	many := make([]string, limits.MaxMachineTypes)
-	for i := range many {
-		many[i] = "g8-with-a-rather-long-name"
+	f := newGatewayFixture(t, supportGangs)
+	manyTypes := make([]string, limits.MaxMachineTypes)
+	for i := range manyTypes {
+		manyTypes[i] = "g8-with-a-rather-long-name"
+	}
+	manyTypes[0] = "g8"
+	tooLarge := spec("job-1", changed("Rigkinds", manyTypes))
+	unknownType := spec("job-1", changed("Rigkinds", []string{"x"}))
+	gang := func(tasks int) map[string]any {
+		return spec("job-5", map[string]any{"Shape": "ensemble", "Pieces": tasks})
 	}
-	many[0] = "g8"
 	for _, c := range []struct {
-		what, method, target string
-		body                 any
-		status               int
-		standing             string
+		name    string
+		request userRequest
+		status  int
+		state   string
 	}{
-		{"health", "GET", "/healthz", nil, 200, ""},
-		{"health, wrong method", "POST", "/healthz", nil, 405, ""},
-		{"unknown path", "GET", "/v3/runs", nil, 404, ""},
-		{"path that only begins alike", "POST", "/v2/runsx", nil, 404, ""},
-		{"list", "GET", "/v2/runs", nil, 405, ""},
-		{"unknown verb", "POST", "/v2/runs/job-1/pause", nil, 404, ""},
-		{"show by the wrong method", "POST", "/v2/runs/job-1", nil, 405, ""},
-		{"cancel by the wrong method", "GET", "/v2/runs/job-1/cancel", nil, 405, ""},
-		{"report by the wrong method", "GET", "/v1/report", nil, 405, ""},
-		{"report without a leader", "POST", "/v1/report", map[string]any{"Rig": "m"}, 421, ""},
-		{"unknown run", "GET", "/v2/runs/job-1", nil, 404, ""},
-		{"no id of a run", "GET", "/v2/runs/x", nil, 404, ""},
-		{"cancel of an unknown run", "POST", "/v2/runs/job-1/cancel", nil, 404, ""},
-		{"not CBOR", "POST", "/v2/runs", []byte("{}x"), 400, ""},
-		{"body over the limit", "POST", "/v2/runs", make([]byte, 40*limits.MaxBodyBytes), 400, ""},
-		{"record over the value limit", "POST", "/v2/runs", submission("job-1", map[string]any{"Rigkinds": many}), 400, ""},
-		{"unknown team", "POST", "/v2/runs", submission("job-1", map[string]any{"Crew": "nobody"}), 422, ""},
-		{"over the team's limit", "POST", "/v2/runs", submission("job-1", map[string]any{"Crew": "tiny"}), 422, ""},
-		{"unknown shape", "POST", "/v2/runs", submission("job-1", map[string]any{"Shape": "service"}), 400, ""},
-		{"gang over the team's limit as a whole", "POST", "/v2/runs", submission("job-5", map[string]any{"Shape": "ensemble", "Pieces": 5}), 422, ""},
-		{"gang", "POST", "/v2/runs", submission("job-5", map[string]any{"Shape": "ensemble", "Pieces": 4}), 201, protocol.Pending},
-		{"fits no type", "POST", "/v2/runs", submission("job-1", map[string]any{"Vcpus": 17}), 422, ""},
-		{"unknown type", "POST", "/v2/runs", submission("job-1", map[string]any{"Rigkinds": []string{"x"}}), 422, ""},
-		{"zone without such a type", "POST", "/v2/runs", submission("job-1", map[string]any{"Yard": "b"}), 422, ""},
-		{"good", "POST", "/v2/runs", submission("job-1", nil), 201, protocol.Pending},
-		{"again", "POST", "/v2/runs", submission("job-1", nil), 200, protocol.Pending},
-		{"again, as something that cannot run", "POST", "/v2/runs", submission("job-1", map[string]any{"Vcpus": 17}), 200, protocol.Pending},
-		{"show", "GET", "/v2/runs/job-1", nil, 200, protocol.Pending},
-		{"cancel", "POST", "/v2/runs/job-1/cancel", nil, 200, protocol.Aborted},
-		{"cancel again", "POST", "/v2/runs/job-1/cancel", nil, 200, protocol.Aborted},
-		{"show cancelled", "GET", "/v2/runs/job-1", nil, 200, protocol.Aborted},
-		{"submit cancelled", "POST", "/v2/runs", submission("job-1", nil), 200, protocol.Aborted},
+		{"health", get("/healthz"), http.StatusOK, ""},
+		{"health by the wrong method", post("/healthz", nil), http.StatusMethodNotAllowed, ""},
+		{"unknown path", get("/v3/runs"), http.StatusNotFound, ""},
+		{"path with the prefix of a known one", post("/v2/runsx", nil), http.StatusNotFound, ""},
+		{"list", get("/v2/runs"), http.StatusMethodNotAllowed, ""},
+		{"unknown action", post("/v2/runs/job-1/pause", nil), http.StatusNotFound, ""},
+		{"poll by the wrong method", post("/v2/runs/job-1", nil), http.StatusMethodNotAllowed, ""},
+		{"cancellation by the wrong method", get("/v2/runs/job-1/cancel"), http.StatusMethodNotAllowed, ""},
+		{"heartbeat by the wrong method", get("/v1/report"), http.StatusMethodNotAllowed, ""},
+		{"heartbeat without a leader", post("/v1/report", changed("Rig", "m")), http.StatusMisdirectedRequest, ""},
+		{"poll of an unknown job", get("/v2/runs/job-1"), http.StatusNotFound, ""},
+		{"poll of a malformed id", get("/v2/runs/x"), http.StatusNotFound, ""},
+		{"cancellation of an unknown job", post("/v2/runs/job-1/cancel", nil), http.StatusNotFound, ""},
+		{"not CBOR", post("/v2/runs", []byte("{}x")), http.StatusBadRequest, ""},
+		{"body over the limit", post("/v2/runs", make([]byte, 40*limits.MaxBodyBytes)), http.StatusBadRequest, ""},
+		{"record over the value limit", submit(tooLarge), http.StatusBadRequest, ""},
+		{"unknown team", submit(spec("job-1", changed("Crew", "nobody"))), http.StatusUnprocessableEntity, ""},
+		{"over the team's limit", submit(spec("job-1", changed("Crew", "tiny"))), http.StatusUnprocessableEntity, ""},
+		{"unknown shape", submit(spec("job-1", changed("Shape", "service"))), http.StatusBadRequest, ""},
+		{"gang over the team's limit as a whole", submit(gang(5)), http.StatusUnprocessableEntity, ""},
+		{"gang", submit(gang(4)), http.StatusCreated, protocol.Pending},
+		{"fits no machine type", submit(spec("job-1", changed("Vcpus", 17))), http.StatusUnprocessableEntity, ""},
+		{"unknown machine type", submit(unknownType), http.StatusUnprocessableEntity, ""},
+		{"zone without such a type", submit(spec("job-1", changed("Yard", "b"))), http.StatusUnprocessableEntity, ""},
+		{"accepted", submit(spec("job-1", nil)), http.StatusCreated, protocol.Pending},
+		{"repeated", submit(spec("job-1", nil)), http.StatusOK, protocol.Pending},
+		{"repeated, but can never run", submit(spec("job-1", changed("Vcpus", 17))), http.StatusOK, protocol.Pending},
+		{"poll", get("/v2/runs/job-1"), http.StatusOK, protocol.Pending},
+		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.Aborted},
+		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.Aborted},
+		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.Aborted},
+		{"submission of a cancelled job", submit(spec("job-1", nil)), http.StatusOK, protocol.Aborted},
 	} {
-		if status, standing, _ := f.do(c.method, c.target, c.body); status != c.status || standing != c.standing {
-			t.Errorf("%s: %d %q, want %d %q", c.what, status, standing, c.status, c.standing)
-		}
+		f.expect(c.name, c.request, c.status, c.state)
 	}
 
-	// A job that is over stays what it is, also for repeats and cancellations.
-	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.FinalJobKey("job-2"), Value: protocol.Encode(storage.FinalJob{State: protocol.Done})}}})
+	// A job that is over stays what it is, also for repeated submissions and cancellations.
+	f.write(storage.FinalJobKey("job-2"), storage.FinalJob{State: protocol.Done})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
-		if status, standing, _ := f.do("POST", target, submission("job-2", nil)); status != 200 || standing != protocol.Done {
-			t.Errorf("%s of a done job: %d %q", target, status, standing)
-		}
+		f.expect("done job: "+target, post(target, spec("job-2", nil)), http.StatusOK, protocol.Done)
 	}
 
-	// Without the state service nobody is told anything but when to come back; final states are
-	// known for good.
-	if status, _, _ := f.do("POST", "/v2/runs", submission("job-4", nil)); status != 201 {
-		t.Errorf("submitted: %d", status)
-	}
+	f.expect("before the outage", submit(spec("job-4", nil)), http.StatusCreated, protocol.Pending)
 	f.state.SetUnavailable(true)
-	if status, _, m := f.do("GET", "/v2/runs/job-4", nil); status != 503 || m.RetryAfter == 0 {
-		t.Errorf("in an outage: %d, retry after %d", status, m.RetryAfter)
-	}
-	// A cancellation that was confirmed here is as final.
-	if status, standing, _ := f.do("GET", "/v2/runs/job-1", nil); status != 200 || standing != protocol.Aborted {
-		t.Errorf("cancelled job in an outage: %d %q", status, standing)
-	}
-	if status, standing, _ := f.do("GET", "/v2/runs/job-2", nil); status != 200 || standing != protocol.Done {
-		t.Errorf("done job in an outage: %d %q", status, standing)
-	}
-	// What can't be taken is answered at once, not held until the user has no time left to ask again.
-	began := time.Now()
+	checkAnswersInOutage(f)
+	f.state.SetUnavailable(false)
+	f.expect("after the outage", submit(spec("job-3", nil)), http.StatusCreated, protocol.Pending)
+}
+
+// checkAnswersInOutage: without the state service users are told when to retry, and nothing else but
+// final states, which are known for good. job-1 is cancelled, job-2 is done, job-4 is open.
+func checkAnswersInOutage(f *gatewayFixture) {
+	f.t.Helper()
+	f.expectRetryLater("open job in an outage", get("/v2/runs/job-4"))
+	// A cancellation that was confirmed here is as final as the end of a job.
+	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.Aborted)
+	f.expect("done job in an outage", get("/v2/runs/job-2"), http.StatusOK, protocol.Done)
+	// The answer comes at once, not only when the user has no time left to retry.
+	startedAt := time.Now()
 	for _, target := range []string{"/v2/runs", "/v2/runs/job-4/cancel"} {
-		if status, _, m := f.do("POST", target, submission("job-3", nil)); status != 503 || m.RetryAfter == 0 {
-			t.Errorf("%s in an outage: %d, retry after %d", target, status, m.RetryAfter)
-		}
+		f.expectRetryLater("in an outage: "+target, post(target, spec("job-3", nil)))
 	}
-	if took := time.Since(began); took > limits.SubmitTimeout/2 {
-		t.Errorf("two refusals took %v", took)
-	}
-	f.state.SetUnavailable(false)
-	if status, standing, _ := f.do("POST", "/v2/runs", submission("job-3", nil)); status != 201 || standing != protocol.Pending {
-		t.Errorf("after the outage: %d %q", status, standing)
+	if took := time.Since(startedAt); took > limits.SubmitTimeout/2 {
+		f.t.Errorf("two refusals took %v", took)
 	}
 }
 
-// TestUnconfirmedCancellation: nobody is told that a job is cancelled while a leader may be entitled that does
-// not know: not by the cancellation, nor by a poll or a repeated submission. It is told once the
-// leader's heartbeat covers the record, or there is no leader.
+// TestUnconfirmedCancellation: nobody is told that a job is cancelled while a leader that does not
+// know may be entitled: neither by the cancellation, nor by a poll or a repeated submission. It is
+// told once the leader's heartbeat covers the record, or there is no leader.
 func TestUnconfirmedCancellation(t *testing.T) {
-	for _, how := range []string{"beat", "no leader"} {
-		f := newGatewayFixture(t)
-		hold := f.state.CreateLease(time.Hour)
-		f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{
-			{Put: storage.KeyLeader, Lease: hold, Value: protocol.Encode(storage.LeaderRecord{Node: "rig-9", Term: 1})},
-			{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(storage.LeaderHeartbeat{Term: 1})}}})
-		requests := []struct {
-			method, target string
-			body           any
-		}{{"POST", "/v2/runs/job-1/cancel", nil}, {"GET", "/v2/runs/job-1", nil}, {"POST", "/v2/runs", submission("job-1", nil)}, {"POST", "/v2/runs/job-1/cancel", nil}}
-		ask := func(want int, standing string) {
-			t.Helper()
-			for _, q := range requests {
-				if status, got, m := f.do(q.method, q.target, q.body); status != want || got != standing || (want == 503) != (m.RetryAfter > 0) {
-					t.Errorf("%s: %s %s: %d %q, retry after %d", how, q.method, q.target, status, got, m.RetryAfter)
-				}
+	for _, c := range []struct {
+		name    string
+		confirm func(f *gatewayFixture, lease, version uint64)
+	}{
+		{"leader's heartbeat covers the record", func(f *gatewayFixture, _, version uint64) {
+			f.write(storage.KeyLeaderHeartbeat,
+				storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: version})
+		}},
+		{"no leader", func(f *gatewayFixture, lease, _ uint64) { f.state.RevokeLease(lease) }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newGatewayFixture(t)
+			lease := f.state.CreateLease(time.Hour)
+			leader := protocol.Encode(storage.LeaderRecord{Node: "controller-9", Term: 1})
+			writeRecord(t, f.state, protocol.Operation{Put: storage.KeyLeader, Lease: lease, Value: leader})
+			f.write(storage.KeyLeaderHeartbeat, storage.LeaderHeartbeat{Term: 1})
+
+			if got := f.send(submit(spec("job-1", nil))); got.status != http.StatusCreated {
+				t.Fatalf("submission: %d", got.status)
 			}
+			checkCancelledJob(f, http.StatusServiceUnavailable, "")
+			open, _ := f.state.Get(storage.OpenJobKey("job-1"))
+			f.write(storage.KeyLeaderHeartbeat,
+				storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: open.Version - 1})
+			checkCancelledJob(f, http.StatusServiceUnavailable, "")
+			c.confirm(f, lease, open.Version)
+			checkCancelledJob(f, http.StatusOK, protocol.Aborted)
+			f.state.SetUnavailable(true)
+			checkCancelledJob(f, http.StatusOK, protocol.Aborted) // known for good
+		})
+	}
+}
+
+// checkCancelledJob cancels job-1, and checks the answers to this and to all other requests for it.
+func checkCancelledJob(f *gatewayFixture, status int, state string) {
+	f.t.Helper()
+	for _, request := range []userRequest{
+		post("/v2/runs/job-1/cancel", nil),
+		get("/v2/runs/job-1"),
+		submit(spec("job-1", nil)),
+		post("/v2/runs/job-1/cancel", nil),
+	} {
+		got := f.send(request)
+		retryExpected := status == http.StatusServiceUnavailable
+		if got.status != status || got.state != state || retryExpected != (got.retryAfter > 0) {
+			f.t.Errorf("%s %s: got %d %q, retry after %d",
+				request.method, request.target, got.status, got.state, got.retryAfter)
 		}
-		if status, _, _ := f.do("POST", "/v2/runs", submission("job-1", nil)); status != 201 {
-			t.Fatalf("submitted: %d", status)
-		}
-		ask(503, "")
-		p, _ := f.state.Get(storage.OpenJobKey("job-1"))
-		heartbeat := storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: p.Version - 1}
-		f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(heartbeat)}}})
-		ask(503, "")
-		if how == "beat" {
-			heartbeat.ObservedRevision = p.Version
-			f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.KeyLeaderHeartbeat, Value: protocol.Encode(heartbeat)}}})
-		} else {
-			f.state.RevokeLease(hold)
-		}
-		ask(200, protocol.Aborted)
-		f.state.SetUnavailable(true)
-		ask(200, protocol.Aborted) // known for good
 	}
 }
 
-// TestMalformedCostsItsConnection: what cannot be parsed is answered and closed, and others are
-// served on.
-func TestMalformedCostsItsConnection(t *testing.T) {
+// TestMalformedRequestEndsItsConnection: what cannot be parsed is answered and its connection
+// closed, and others are served on.
+func TestMalformedRequestEndsItsConnection(t *testing.T) {
 	f := newGatewayFixture(t)
-	for _, raw := range []string{
-		"GET / HTTP/9\r\n\r\n", "POST /v2/runs HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx",
-		"GET /healthz HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\n\r\n", // pipelined: one answer
-		"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n",
+	const health = "GET /healthz HTTP/1.1\r\n"
+	for _, c := range []struct{ name, raw string }{
+		{"unknown version", "GET / HTTP/9\r\n\r\n"},
+		{"two lengths", "POST /v2/runs HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx"},
+		{"pipelined: one answer", health + "\r\n" + health + "\r\n" + health + "\r\n"},
+		{"to be closed", health + "Connection: close\r\n\r\n"},
 	} {
-		conn, err := net.Dial("tcp", f.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := conn.Write([]byte(raw)); err != nil {
-			t.Fatal(err)
-		}
-		got, _ := io.ReadAll(conn) // ends because the server closes
-		conn.Close()
-		d := transport.NewResponseDecoder(limits.MaxBodyBytes)
-		d.Feed(got)
-		if m, err := d.Next(); err != nil || m == nil || d.Buffered() > 0 {
-			t.Errorf("%q: answered %q", raw, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			conn, err := net.Dial("tcp", f.address)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer conn.Close()
+			if _, err := conn.Write([]byte(c.raw)); err != nil {
+				t.Fatal(err)
+			}
+			got, _ := io.ReadAll(conn) // ends because the server closes
+			decoder := transport.NewResponseDecoder(limits.MaxBodyBytes)
+			decoder.Feed(got)
+			if m, err := decoder.Next(); err != nil || m == nil || decoder.Buffered() > 0 {
+				t.Errorf("%q: answered %q", c.raw, got)
+			}
+		})
 	}
-	if status, _, _ := f.do("GET", "/healthz", nil); status != 200 {
-		t.Errorf("others: %d", status)
+	if got := f.send(get("/healthz")); got.status != http.StatusOK {
+		t.Errorf("others: %d", got.status)
 	}
 }
 
-// TestRetryAfterGrows: the longer the state service is away, the later a user is told to come back, within
-// what the user waits at most.
+// TestRetryAfterGrows: the longer the state service is out of reach, the later a user is told to
+// retry, within the time for which a user waits at most.
 func TestRetryAfterGrows(t *testing.T) {
 	last := 0
-	for d := time.Duration(0); d < 5*time.Minute; d += time.Second {
-		n := limits.RetryAfterSeconds(d)
-		if n < max(last, 1) || n > 30 {
-			t.Fatalf("after %v: %d, before %d", d, n, last)
+	for outage := time.Duration(0); outage < 5*time.Minute; outage += time.Second {
+		seconds := limits.RetryAfterSeconds(outage)
+		if seconds < max(last, 1) || seconds > 30 {
+			t.Fatalf("after %v: %d, before %d", outage, seconds, last)
 		}
-		last = n
+		last = seconds
 	}
 }
 
-// TestFullUserSlots: beyond its stage the front door answers at once when to come back.
+// TestFullUserSlots: with too many users' requests in progress another one is answered at once.
 func TestFullUserSlots(t *testing.T) {
-	g := New(Options{})
-	srv := transport.NewServer(transport.ServerOptions{Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler)})
-	serve(t, srv)
-	f := &gatewayFixture{t: t, client: transport.NewClient(srv.Addr(), 1, limits.MaxBodyBytes)}
-	if status, _, m := f.do("POST", "/v2/runs", submission("job-1", nil)); status != 503 || m.RetryAfter == 0 {
-		t.Fatalf("%d, retry after %d", status, m.RetryAfter)
+	g := New(Options{UserSlots: 0})
+	server := transport.NewServer(transport.ServerOptions{
+		Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler),
+	})
+	serve(t, server)
+	f := &gatewayFixture{t: t, client: transport.NewClient(server.Addr(), 1, limits.MaxBodyBytes)}
+	if got := f.send(submit(spec("job-1", nil))); got.status != http.StatusServiceUnavailable || got.retryAfter == 0 {
+		t.Fatalf("submission: %d, retry after %d", got.status, got.retryAfter)
 	}
-	// What can never be taken is said so, instead of making the user come again.
+	// Where a retry can never succeed the user is told so.
 	for _, c := range []struct {
-		method, path string
-		body         any
-		want         int
+		name    string
+		request userRequest
+		status  int
 	}{
-		{"POST", "/v2/runs", submission("job-1", map[string]any{"Pieces": 0}), 400},
-		{"GET", "/v2/runs/none", nil, 404},
-		{"POST", "/v2/runs/none/cancel", nil, 404},
-		{"GET", "/v2/other", nil, 404},
-		{"GET", "/v2/runs", nil, 405},
+		{"malformed submission", submit(spec("job-1", changed("Pieces", 0))), http.StatusBadRequest},
+		{"poll of a malformed id", get("/v2/runs/none"), http.StatusNotFound},
+		{"cancellation of a malformed id", post("/v2/runs/none/cancel", nil), http.StatusNotFound},
+		{"unknown path", get("/v2/other"), http.StatusNotFound},
+		{"list", get("/v2/runs"), http.StatusMethodNotAllowed},
 	} {
-		if status, _, _ := f.do(c.method, c.path, c.body); status != c.want {
-			t.Errorf("%s %s: %d, want %d", c.method, c.path, status, c.want)
+		if got := f.send(c.request); got.status != c.status {
+			t.Errorf("%s: got %d, expected %d", c.name, got.status, c.status)
 		}
 	}
 }
 
-// TestGangsNotSupported: where the settings name no times of gangs, the workers know none, and a gang is
-// malformed; also with a full stage.
+// TestGangsNotSupported: where the settings have no times of gangs, the workers support none, and a
+// gang is malformed.
 func TestGangsNotSupported(t *testing.T) {
 	f := newGatewayFixture(t)
-	if status, _, _ := f.do("POST", "/v2/runs", submission("job-1", map[string]any{"Shape": "ensemble"})); status != 400 {
-		t.Errorf("status %d", status)
+	if got := f.send(submit(spec("job-1", changed("Shape", "ensemble")))); got.status != http.StatusBadRequest {
+		t.Errorf("submission: %d", got.status)
 	}
 }
 
 // TestLargeRecord: a job that was stored when values could be larger can still be cancelled, and a
 // repeated submission of it is known.
 func TestLargeRecord(t *testing.T) {
-	f := newGatewayFixture(t, func(s *config.Settings) { s.Facts.State.ValueKB = 0.5 })
-	spec := protocol.Spec{ID: "job-1", Class: "train", Team: "vision", Shape: protocol.ShapeArray, Priority: "high", Tasks: 2, CPUs: 8, Image: "img"}
-	for range 20 {
-		spec.MachineTypes = append(spec.MachineTypes, "g8-with-a-rather-long-name")
+	const valueKB = 0.5
+	f := newGatewayFixture(t, func(s *config.Settings) { s.Facts.State.ValueKB = valueKB })
+	stored := protocol.Spec{
+		ID: "job-1", Class: "train", Team: "vision", Shape: protocol.ShapeArray, Priority: "high",
+		Tasks: 2, CPUs: 8, Image: "img",
 	}
-	f.state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{{Put: storage.OpenJobKey("job-1"), Value: protocol.Encode(storage.OpenJob{Spec: spec})}}})
-	again := submission("job-1", map[string]any{"Rigkinds": append([]string{"g8"}, spec.MachineTypes...)})
-	if status, standing, _ := f.do("POST", "/v2/runs", again); status != 200 || standing != protocol.Pending {
-		t.Errorf("repeated: %d %q", status, standing)
+	for range 20 {
+		stored.MachineTypes = append(stored.MachineTypes, "g8-with-a-rather-long-name")
 	}
-	if status, standing, _ := f.do("POST", "/v2/runs/job-1/cancel", nil); status != 200 || standing != protocol.Aborted {
-		t.Errorf("cancelled: %d %q", status, standing)
+	f.write(storage.OpenJobKey("job-1"), storage.OpenJob{Spec: stored})
+	repeated := spec("job-1", changed("Rigkinds", append([]string{"g8"}, stored.MachineTypes...)))
+	f.expect("repeated submission", submit(repeated), http.StatusOK, protocol.Pending)
+	f.expect("cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.Aborted)
+
+	open, _ := f.state.Get(storage.OpenJobKey("job-1"))
+	var record storage.OpenJob
+	if err := protocol.Decode(open.Value, &record); err != nil {
+		t.Fatal(err)
 	}
-	p, _ := f.state.Get(storage.OpenJobKey("job-1"))
-	var rec storage.OpenJob
-	if err := protocol.Decode(p.Value, &rec); err != nil || !storage.FitsValueLimit(rec, 0.5) || rec.Spec.Tasks != 2 || rec.Spec.CPUs != 8 || rec.Spec.Team != "vision" {
-		t.Errorf("stored: %+v %v", rec, err)
+	got := record.Spec
+	if !storage.FitsValueLimit(record, valueKB) || got.Tasks != 2 || got.CPUs != 8 || got.Team != "vision" {
+		t.Errorf("stored: %+v", record)
 	}
 }
