--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -62,33 +62,33 @@
 		{"over the team's limit", submit(spec("job-1", changed("Crew", "tiny"))), http.StatusUnprocessableEntity, ""},
 		{"unknown shape", submit(spec("job-1", changed("Shape", "service"))), http.StatusBadRequest, ""},
 		{"gang over the team's limit as a whole", submit(gang(5)), http.StatusUnprocessableEntity, ""},
-		{"gang", submit(gang(4)), http.StatusCreated, protocol.Pending},
+		{"gang", submit(gang(4)), http.StatusCreated, protocol.JobPending},
 		{"fits no machine type", submit(spec("job-1", changed("Vcpus", 17))), http.StatusUnprocessableEntity, ""},
 		{"unknown machine type", submit(unknownType), http.StatusUnprocessableEntity, ""},
 		{"zone without such a type", submit(spec("job-1", changed("Yard", "b"))), http.StatusUnprocessableEntity, ""},
-		{"accepted", submit(spec("job-1", nil)), http.StatusCreated, protocol.Pending},
-		{"repeated", submit(spec("job-1", nil)), http.StatusOK, protocol.Pending},
-		{"repeated, but can never run", submit(spec("job-1", changed("Vcpus", 17))), http.StatusOK, protocol.Pending},
-		{"poll", get("/v2/runs/job-1"), http.StatusOK, protocol.Pending},
-		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.Aborted},
-		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.Aborted},
-		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.Aborted},
-		{"submission of a cancelled job", submit(spec("job-1", nil)), http.StatusOK, protocol.Aborted},
+		{"accepted", submit(spec("job-1", nil)), http.StatusCreated, protocol.JobPending},
+		{"repeated", submit(spec("job-1", nil)), http.StatusOK, protocol.JobPending},
+		{"repeated, but can never run", submit(spec("job-1", changed("Vcpus", 17))), http.StatusOK, protocol.JobPending},
+		{"poll", get("/v2/runs/job-1"), http.StatusOK, protocol.JobPending},
+		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
+		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
+		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted},
+		{"submission of a cancelled job", submit(spec("job-1", nil)), http.StatusOK, protocol.JobAborted},
 	} {
 		f.expect(c.name, c.request, c.status, c.state)
 	}
 
 	// A job that is over stays what it is, also for repeated submissions and cancellations.
-	f.write(storage.FinalJobKey("job-2"), storage.FinalJob{State: protocol.Done})
+	f.write(storage.FinalJobKey("job-2"), storage.FinalJob{State: protocol.JobDone})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
-		f.expect("done job: "+target, post(target, spec("job-2", nil)), http.StatusOK, protocol.Done)
+		f.expect("done job: "+target, post(target, spec("job-2", nil)), http.StatusOK, protocol.JobDone)
 	}
 
-	f.expect("before the outage", submit(spec("job-4", nil)), http.StatusCreated, protocol.Pending)
+	f.expect("before the outage", submit(spec("job-4", nil)), http.StatusCreated, protocol.JobPending)
 	f.state.SetUnavailable(true)
 	checkAnswersInOutage(f)
 	f.state.SetUnavailable(false)
-	f.expect("after the outage", submit(spec("job-3", nil)), http.StatusCreated, protocol.Pending)
+	f.expect("after the outage", submit(spec("job-3", nil)), http.StatusCreated, protocol.JobPending)
 }
 
 // checkAnswersInOutage: without the state service users are told when to retry, and nothing else but
@@ -97,8 +97,8 @@
 	f.t.Helper()
 	f.expectRetryLater("open job in an outage", get("/v2/runs/job-4"))
 	// A cancellation that was confirmed here is as final as the end of a job.
-	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.Aborted)
-	f.expect("done job in an outage", get("/v2/runs/job-2"), http.StatusOK, protocol.Done)
+	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted)
+	f.expect("done job in an outage", get("/v2/runs/job-2"), http.StatusOK, protocol.JobDone)
 	// The answer comes at once, not only when the user has no time left to retry.
 	startedAt := time.Now()
 	for _, target := range []string{"/v2/runs", "/v2/runs/job-4/cancel"} {
@@ -139,9 +139,9 @@
 				storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: open.Version - 1})
 			checkCancelledJob(f, http.StatusServiceUnavailable, "")
 			c.confirm(f, lease, open.Version)
-			checkCancelledJob(f, http.StatusOK, protocol.Aborted)
+			checkCancelledJob(f, http.StatusOK, protocol.JobAborted)
 			f.state.SetUnavailable(true)
-			checkCancelledJob(f, http.StatusOK, protocol.Aborted) // known for good
+			checkCancelledJob(f, http.StatusOK, protocol.JobAborted) // known for good
 		})
 	}
 }
@@ -262,8 +262,8 @@
 	}
 	f.write(storage.OpenJobKey("job-1"), storage.OpenJob{Spec: stored})
 	repeated := spec("job-1", changed("Rigkinds", append([]string{"g8"}, stored.MachineTypes...)))
-	f.expect("repeated submission", submit(repeated), http.StatusOK, protocol.Pending)
-	f.expect("cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.Aborted)
+	f.expect("repeated submission", submit(repeated), http.StatusOK, protocol.JobPending)
+	f.expect("cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted)
 
 	open, _ := f.state.Get(storage.OpenJobKey("job-1"))
 	var record storage.OpenJob
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -345,7 +345,7 @@
 	for _, command := range reply.Commands {
 		if command.Verb == protocol.CommandStart {
 			w.tasks = append(w.tasks, protocol.TaskStatus{
-				Task: command.Task, Attempt: command.Attempt, State: protocol.Running,
+				Task: command.Task, Attempt: command.Attempt, State: protocol.TaskRunning,
 			})
 		}
 	}
