--- /dev/null
+++ b/cmd/quillshunt/job_file.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+)
+
+// readJob reads the description of a job, a JSON object, from a file or with "-" from stdin.
+func readJob(stdin io.Reader, path string) (map[string]any, error) {
+	input := stdin
+	if path != "-" {
+		file, err := os.Open(path)
+		if err != nil {
+			return nil, err
+		}
+		defer file.Close()
+		input = file
+	}
+	var job map[string]any
+	decoder := json.NewDecoder(input)
+	decoder.UseNumber()
+	if err := decoder.Decode(&job); err != nil {
+		return nil, fmt.Errorf("%s: not a JSON object: %w", path, err)
+	}
+	convertNumbers(job)
+	return job, nil
+}
+
+// convertNumbers turns the JSON numbers of an object into integers where they are whole, else into
+// floating-point numbers: the protocol distinguishes the two.
+func convertNumbers(object map[string]any) {
+	for key, value := range object {
+		number, ok := value.(json.Number)
+		if !ok {
+			continue
+		}
+		if n, err := number.Int64(); err == nil {
+			object[key] = n
+		} else if x, err := number.Float64(); err == nil {
+			object[key] = x
+		}
+	}
+}
--- /dev/null
+++ b/cmd/quillshunt/jobs.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+
+	"github.com/spf13/cobra"
+
+	"quillshunt/internal/protocol"
+)
+
+// jobsPath is the path of the users' interface for jobs.
+const jobsPath = "/v2/runs"
+
+// newSubmitCommand returns the command that submits a job.
+func newSubmitCommand() *cobra.Command {
+	var c client
+	cmd := &cobra.Command{
+		Use:   "submit FILE",
+		Short: "Submit a run described in JSON (- for standard input)",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			job, err := readJob(cmd.InOrStdin(), args[0])
+			if err != nil {
+				return err
+			}
+			return c.call(cmd.Context(), cmd.OutOrStdout(), http.MethodPost, jobsPath, protocol.Encode(job))
+		},
+	}
+	c.addFlags(cmd)
+	return cmd
+}
+
+// newShowCommand returns the command that shows the state of a job.
+func newShowCommand() *cobra.Command {
+	return newJobCommand("show ID", "Show the state of a run", http.MethodGet, "")
+}
+
+// newCancelCommand returns the command that cancels a job.
+func newCancelCommand() *cobra.Command {
+	return newJobCommand("cancel ID", "Cancel a run", http.MethodPost, "/cancel")
+}
+
+// newJobCommand returns a command that sends a request for one job, by its id. The suffix is the
+// part of the path after the id.
+func newJobCommand(use, short, method, suffix string) *cobra.Command {
+	var c client
+	cmd := &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			id := args[0]
+			if !protocol.ValidJobID(id) {
+				return fmt.Errorf("%q is not the id of a run, like job-000412", id)
+			}
+			return c.call(cmd.Context(), cmd.OutOrStdout(), method, jobsPath+"/"+id+suffix, nil)
+		},
+	}
+	c.addFlags(cmd)
+	return cmd
+}
--- a/cmd/quillshunt/main.go
+++ b/cmd/quillshunt/main.go
@@ -1,5 +1,5 @@
-// Command quillshunt is a cluster scheduler: it runs users' jobs on machines
-// that it rents. See README.md.
+// Command quillshunt is a cluster scheduler: it runs users' jobs on machines that it rents. See
+// README.md.
 package main
 
 import (
@@ -8,7 +8,7 @@
 )
 
 func main() {
-	if err := newRoot().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "quillshunt:", err)
 		os.Exit(1)
 	}
--- a/cmd/quillshunt/serve.go
+++ b/cmd/quillshunt/serve.go
@@ -14,22 +14,27 @@
 	"quillshunt/internal/limits"
 )
 
-// serve runs a controller until a part of it fails for good or the context ends.
-func serve(ctx context.Context, s *config.Settings, options config.Options, log *slog.Logger) error {
+// serve runs a controller until a server of it fails for good or the context ends.
+func serve(ctx context.Context, settings *config.Settings, options config.Options, log *slog.Logger) error {
 	if ctx == nil {
-		ctx = context.Background()
+		ctx = context.Background() // cobra sets none if the command is executed without one
 	}
-	log = log.With("node", s.NodeName)
-	debug.SetMemoryLimit(limits.HeapLimit(s.Facts.Machine.MemoryMB))
-	debug.SetGCPercent(limits.GCPercent)
-	runtime.GOMAXPROCS(limits.MaxProcs)
-	c, err := controller.New(s, options, nil, log)
+	log = log.With("node", settings.NodeName)
+	limitResources(settings)
+	c, err := controller.New(settings, options, nil, log)
 	if err != nil {
 		return err
 	}
-	for _, w := range s.Warnings() {
-		log.Warn("settings", "reason", w)
+	for _, warning := range settings.Warnings() {
+		log.Warn("settings", "reason", warning)
 	}
-	log.Info("starting", "version", version, "listen", s.ClientListen, "peers", len(s.Members))
+	log.Info("starting", "version", version, "listen", settings.ClientListen, "peers", len(settings.Members))
 	return c.Run(ctx)
 }
+
+// limitResources makes the runtime keep within the memory and the processor share of the settings.
+func limitResources(settings *config.Settings) {
+	debug.SetMemoryLimit(limits.HeapLimit(settings.Facts.Machine.MemoryMB))
+	debug.SetGCPercent(limits.GCPercent)
+	runtime.GOMAXPROCS(limits.MaxProcs)
+}
--- a/cmd/quillshunt/status.go
+++ b/cmd/quillshunt/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"text/tabwriter"
@@ -13,9 +14,13 @@
 	"quillshunt/internal/limits"
 )
 
-// newStatus shows what the service thinks, through the operators' interface between controllers.
-func newStatus() *cobra.Command {
-	var addr string
+// errNoLeader means that the controller knows of no leader.
+var errNoLeader = errors.New("no leader is known")
+
+// newStatusCommand returns the command that shows the state of the service, which it reads through
+// the operators' interface between controllers.
+func newStatusCommand() *cobra.Command {
+	var address string
 	cmd := &cobra.Command{
 		Use:   "status [ID]",
 		Short: "Show leader, teams and machines, and why a run waits",
@@ -27,44 +32,67 @@
 			}
 			ctx, cancel := context.WithTimeout(cmd.Context(), limits.SubmitTimeout)
 			defer cancel()
-			r, err := peer.RequestStatus(ctx, addr, job)
+			status, err := peer.RequestStatus(ctx, address, job)
 			if err != nil {
 				return err
 			}
-			return printStatus(cmd.OutOrStdout(), r, job)
+			return printStatus(cmd.OutOrStdout(), status, job)
 		},
 	}
-	cmd.Flags().StringVar(&addr, "peer", "127.0.0.1:8081", "address of any controller for other controllers (peer_bind)")
+	cmd.Flags().StringVar(&address, "peer", "127.0.0.1:8081",
+		"address of any controller for other controllers (peer_bind)")
 	return cmd
 }
 
-func printStatus(out io.Writer, r *peerpb.StatusReply, job string) error {
+// printStatus writes the state of the leader, and then why a job waits or, without one, all teams
+// and machines.
+func printStatus(out io.Writer, status *peerpb.StatusReply, job string) error {
 	switch {
-	case r.GetLeader() == "":
-		return fmt.Errorf("no leader is known")
-	case r.GetTerm() == 0:
-		return fmt.Errorf("leader %s does not answer", r.GetLeader())
+	case status.GetLeader() == "":
+		return errNoLeader
+	case status.GetTerm() == 0:
+		return fmt.Errorf("leader %s does not answer", status.GetLeader())
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "leader\t%s\nterm\t%d\nentitled\t%v\nrebuilt\t%v\n", r.GetLeader(), r.GetTerm(), r.GetEntitled(), r.GetRecovered())
+	fmt.Fprintf(w, "leader\t%s\nterm\t%d\n", status.GetLeader(), status.GetTerm())
+	fmt.Fprintf(w, "entitled\t%v\nrebuilt\t%v\n", status.GetEntitled(), status.GetRecovered())
 	if job != "" {
-		fmt.Fprintf(w, "\n%s\n", job)
-		for _, why := range r.GetExplanation() {
-			fmt.Fprintf(w, "  %s\n", why)
-		}
-		return w.Flush()
+		printExplanation(w, job, status.GetExplanation())
+	} else {
+		printTeams(w, status.GetTeams())
+		printMachines(w, status.GetMachines())
+	}
+	return w.Flush()
+}
+
+// printExplanation writes why a job waits.
+func printExplanation(w io.Writer, job string, reasons []string) {
+	fmt.Fprintf(w, "\n%s\n", job)
+	for _, reason := range reasons {
+		fmt.Fprintf(w, "  %s\n", reason)
 	}
+}
+
+// printTeams writes a table of the teams.
+func printTeams(w io.Writer, teams []*peerpb.Team) {
 	fmt.Fprintln(w, "\nteam\tcpus\tguaranteed\tmost\tjobs\ttasks on machines\twaiting")
-	for _, t := range r.GetTeams() {
-		fmt.Fprintf(w, "%s\t%.6g\t%.6g\t%.6g\t%d\t%d\t%d\n", t.GetName(), t.GetUsedCpus(), t.GetGuaranteedCpus(), t.GetMaxCpus(), t.GetJobs(), t.GetAssignedTasks(), t.GetWaitingTasks())
+	for _, t := range teams {
+		fmt.Fprintf(w, "%s\t%.6g\t%.6g\t%.6g\t%d\t%d\t%d\n",
+			t.GetName(), t.GetUsedCpus(), t.GetGuaranteedCpus(), t.GetMaxCpus(),
+			t.GetJobs(), t.GetAssignedTasks(), t.GetWaitingTasks())
 	}
+}
+
+// printMachines writes a table of the machines.
+func printMachines(w io.Writer, machines []*peerpb.Machine) {
 	fmt.Fprintln(w, "\nmachine\ttype\tzone\tkind\tcpus\tused\ttasks\tstate")
-	for _, m := range r.GetMachines() {
+	for _, m := range machines {
 		kind := "ordinary"
 		if m.GetSpot() {
 			kind = "spot"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.6g\t%.6g\t%d\t%s\n", m.GetName(), m.GetType(), m.GetZone(), kind, m.GetCpus(), m.GetUsedCpus(), m.GetTasks(), m.GetState())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.6g\t%.6g\t%d\t%s\n",
+			m.GetName(), m.GetType(), m.GetZone(), kind,
+			m.GetCpus(), m.GetUsedCpus(), m.GetTasks(), m.GetState())
 	}
-	return w.Flush()
 }
