--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -119,7 +119,7 @@
 	}
 	s.updateDraining()
 	for _, m := range s.inventory.all() {
-		if !s.recovery.ended || m.deleting || !m.hasReported || m.neededByPlan || len(m.assignments) > 0 || m.rental == "" {
+		if !s.recovery.hasEnded() || m.deleting || !m.hasReported || m.neededByPlan || len(m.assignments) > 0 || m.rental == "" {
 			continue
 		}
 		if !s.resultsDurable(m) {
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -307,8 +307,8 @@
 				}
 			}
 		}
-		if f.scheduler.recovery.ended == c.waits || (len(deleted) == 0) != c.waits {
-			t.Errorf("%d silent: settled %v, deleted %v", c.silent, f.scheduler.recovery.ended, deleted)
+		if f.scheduler.recovery.hasEnded() == c.waits || (len(deleted) == 0) != c.waits {
+			t.Errorf("%d silent: settled %v, deleted %v", c.silent, f.scheduler.recovery.hasEnded(), deleted)
 		}
 	}
 }
@@ -401,13 +401,13 @@
 		f.now += time.Second
 		if f.now < end {
 			f.report(0)
-			if f.scheduler.recovery.ended || starts() > 0 {
+			if f.scheduler.recovery.hasEnded() || starts() > 0 {
 				t.Fatalf("placed at %v, the greeted machine's lease lasts until %v", f.now, end)
 			}
 		}
 	}
 	f.report(0)
-	if !f.scheduler.recovery.ended {
+	if !f.scheduler.recovery.hasEnded() {
 		t.Errorf("not rebuilt although every lease is over")
 	}
 }
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -14,9 +14,8 @@
 	}
 	s.registry.writePages()
 	s.removeFaultyMachines()
-	s.prober.budget.refill(s.now)
-	s.probeMachines()
-	if s.now >= s.planner.nextPlanAt && (s.recovery.ended || s.now > s.termStartedAt+s.staleAfter()) && !s.catalog.isEmpty() {
+	s.prober.probeDue()
+	if s.now >= s.planner.nextPlanAt && (s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleAfter()) && !s.catalog.isEmpty() {
 		s.planner.nextPlanAt = s.now + limits.PlanInterval
 		s.planCapacity()
 	}
@@ -56,5 +55,5 @@
 		}
 		bound += len(j.assignments)
 	}
-	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", s.jobs.count(), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
+	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", s.jobs.count(), "waiting", waiting, "bound", bound, "settled", s.recovery.hasEnded())
 }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -135,7 +135,7 @@
 	if known.sent > 0 {
 		g.attempt = known.attempt
 	}
-	if !s.recovery.ended {
+	if !s.recovery.hasEnded() {
 		return // its other tasks may not have been heard of yet
 	}
 	missing := j.spec.Tasks - len(j.assignments)
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -171,7 +171,7 @@
 	b.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskRunning})
 	b.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskSaving})
 	stops := commandsOf(b.effects, protocol.CommandStop)
-	if len(stops) != 2 || b.scheduler.recovery.ended {
+	if len(stops) != 2 || b.scheduler.recovery.hasEnded() {
 		t.Fatalf("stops: %+v", stops)
 	}
 }
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -59,7 +59,7 @@
 	}
 	if !m.verified {
 		s.releaseUnsent(m)
-		s.probeMachine(m)
+		s.prober.probe(m)
 	}
 	s.decide()
 	commands = s.buildCommands(m, inHeartbeatReply, commands)
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -92,7 +92,7 @@
 		return false
 	case len(j.assignments) > 0 && (j.gang == nil || j.cancelled):
 		return false // of a gang that is done, tasks that were not heard of yet have completed as well
-	case j.cancelled && !s.recovery.ended:
+	case j.cancelled && !s.recovery.hasEnded():
 		return false // tasks of it that we have not heard of yet still count against its team's limit
 	}
 	return !j.isWritingChunks() // else the end of the write comes back here
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -99,7 +99,7 @@
 
 // reconcileUnlistedMachine returns a machine that the list lacks, if that shows that it is gone.
 func (s *Scheduler) reconcileUnlistedMachine(m *machine) {
-	if !s.recovery.ended && m.isUnreported() {
+	if !s.recovery.hasEnded() && m.isUnreported() {
 		// It sent heartbeats to an earlier leader, so it was listed once or is very new. Its
 		// deletion is the quickest evidence that nothing runs there.
 		s.returnMachine(m, "not listed after the take-over")
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -37,9 +37,9 @@
 			unheard++
 		}
 	}
-	s.prober.manyUnverified = doubted > limits.CorrelatedUnreachableMin && float64(doubted) > limits.CorrelatedUnverifiedShare*float64(up)
+	s.prober.updateUnverified(doubted, up)
 	lost := isCorrelated(unheard, unheard+up)
-	s.recovery.fewUnreported = !s.recovery.ended && float64(unheard) <= max(limits.CorrelatedUnreachableMin, limits.FewUnreportedShare*float64(unheard+up))
+	s.recovery.updateUnreported(unheard, up)
 	// Many machines falling silent together is a cut, not a series of deaths: they may come back,
 	// sooner than others would boot. Counted are those that have only just begun to be silent, as
 	// otherwise the first of a crowd would go one by one.
@@ -60,7 +60,7 @@
 			}
 			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer
 			// either costs less than the wait.
-			if s.now > s.termStartedAt+patience || (s.recovery.fewUnreported && m.missedProbes >= limits.UnreportedProbeMisses) {
+			if s.now > s.termStartedAt+patience || (s.recovery.hasFewUnreported() && m.missedProbes >= limits.UnreportedProbeMisses) {
 				s.returnMachine(m, "not heard of since the take-over")
 			}
 		case !m.hasReported:
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -77,7 +77,7 @@
 // algorithm, request by request. The tasks of one job ask the same question, so filter and scores
 // are worked out once for them and kept up to date for the machine that was chosen.
 func (s *Scheduler) placeTasks() {
-	if !s.placement.needed || !s.recovery.ended {
+	if !s.placement.needed || !s.recovery.hasEnded() {
 		return
 	}
 	s.placement.needed = false
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -104,7 +104,7 @@
 			s.release(unsent)
 		}
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
-		if s.recovery.ended && !j.cancelled {
+		if s.recovery.hasEnded() && !j.cancelled {
 			s.logWarn("unexpected task adopted", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
 		}
 	case a != nil && a.state != stateUnsent:
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -64,9 +64,9 @@
 	dispatcher := newCommandDispatcher(env)
 	placement := newPlacer(env)
 	gangs := newGangTable(env)
-	prober := newMachineProber(env)
+	recovery := newRecoveryState(env, inventory)
+	prober := newMachineProber(env, inventory, recovery)
 	finished := newFinishedTaskWriter(env, jobs)
-	recovery := newRecoveryState(env)
 	planner := newCapacityPlanner(env)
 	cloudList := newMachineListReader(env)
 	return &Scheduler{
--- a/internal/coordination/scheduler/simulation_days_test.go
+++ b/internal/coordination/scheduler/simulation_days_test.go
@@ -259,7 +259,7 @@
 	if j := scheduler.jobs.byID[id]; j != nil {
 		text += fmt.Sprintf("waiting %d done %d retry at %v now %v failed on %v cancelled %v closing %v recovered %v\n",
 			j.waitingTasks(), j.doneCount, j.retryAt, scheduler.now, j.failedMachines,
-			j.cancelled, j.closing, scheduler.recovery.ended)
+			j.cancelled, j.closing, scheduler.recovery.hasEnded())
 		for _, a := range j.sortedAssignments() {
 			text += fmt.Sprintf("task %d on %s state %d direct command %d unconfirmed %v stopping %v\n",
 				a.index, a.machine.name, a.state, a.directID, a.startUnconfirmed, a.stopping)
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -49,7 +49,7 @@
 }
 
 func (s *Scheduler) takeSnapshot(e SnapshotRequested) {
-	v := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.ended}
+	v := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.hasEnded()}
 	for _, m := range s.inventory.all() {
 		v.Machines = append(v.Machines, MachineView{Name: m.name, Type: m.typeName, Zone: m.zone, Spot: m.spot, State: s.machineState(m),
 			CPUs: m.size().CPUs, UsedCPUs: m.allocated.CPUs, Tasks: len(m.assignments), SilentFor: s.now - max(m.lastHeartbeatAt, s.termStartedAt)})
@@ -111,7 +111,7 @@
 	if j.waitingTasks() == 0 {
 		return out
 	}
-	if !s.recovery.ended {
+	if !s.recovery.hasEnded() {
 		add("the new leader does not know yet what runs where")
 	}
 	if s.now < j.retryAt {
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -22,8 +22,8 @@
 	case RegistryPageLoaded:
 		s.registry.load(e)
 	case StateLoaded:
-		s.logInfo("rebuilding", "jobs", s.jobs.count(), "machines", len(s.inventory.all()), "hires", s.rentals.count())
-		s.recovery.loaded = true
+		s.logInfo("recovering", "jobs", s.jobs.count(), "machines", len(s.inventory.all()), "rentals", s.rentals.count())
+		s.recovery.stateLoaded()
 		s.catalog.fetchNow()
 		s.cloudList.readNow()
 		s.finished.removeOrphanedRecords()
@@ -51,9 +51,7 @@
 	case Tick:
 		s.tick(e.Entitled)
 	}
-	if s.recovery.loaded && !s.recovery.ended {
-		s.tryEndRecovery()
-	}
+	s.tryEndRecovery()
 	s.decide()
 	s.dispatch()
 	return s.effects
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -100,7 +100,7 @@
 	}
 	second.Step(StateLoaded{}, now)
 	hear(second, 4)
-	if !second.recovery.ended {
+	if !second.recovery.hasEnded() {
 		t.Fatal("not recovered although all machines were heard of")
 	}
 	if bound := len(second.jobs.byID["job-9999"].assignments); bound != machines-gangs*perGang {
