--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 
 	"quillshunt/internal/coordination/scheduler"
 	"quillshunt/internal/protocol"
@@ -29,9 +28,9 @@
 	case scheduler.FetchMachineTypes:
 		go t.refreshMachineTypes(ctx)
 	case scheduler.TaskCounts:
-		effect.ReplyTo.(chan scheduler.TaskCounts) <- effect
+		effect.ReplyTo <- effect
 	case scheduler.SnapshotTaken:
-		effect.ReplyTo.(chan scheduler.Snapshot) <- effect.Snapshot
+		effect.ReplyTo <- effect.Snapshot
 	case scheduler.LogEntry:
 		t.logEntry(ctx, effect)
 	}
@@ -39,16 +38,13 @@
 
 // answerHeartbeat answers a worker. Its lease is renewed only by a leader that is still entitled.
 func (t *term) answerHeartbeat(reply scheduler.HeartbeatReply) {
-	respond := reply.ReplyTo.(HeartbeatResponder)
 	switch {
 	case reply.Redirect:
-		redirect := protocol.Redirect{Leader: t.dispatcher.settings.NodeName}
-		respond(http.StatusMisdirectedRequest, protocol.Encode(redirect))
+		reply.ReplyTo.Redirect(protocol.Redirect{Leader: t.dispatcher.settings.NodeName})
 	case !reply.Accepted || !t.leadership.Entitled():
-		respond(http.StatusServiceUnavailable, nil)
+		reply.ReplyTo.Reject()
 	default:
-		accepted := protocol.HeartbeatReply{FencingToken: t.leadership.Term, Commands: reply.Commands}
-		respond(http.StatusOK, protocol.Encode(accepted))
+		reply.ReplyTo.Accept(protocol.HeartbeatReply{FencingToken: t.leadership.Term, Commands: reply.Commands})
 	}
 }
 
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -111,12 +111,12 @@
 	case observedRevisionMessage:
 		t.leadership.Observe(msg.revision)
 	case taskCountsMessage:
-		t.step(ctx, scheduler.TaskCountsRequested{ID: msg.job, ReplyTo: msg.reply})
+		t.step(ctx, scheduler.TaskCountsRequested{JobID: msg.job, ReplyTo: msg.reply})
 	case cancellationMessage:
 		t.step(ctx, msg.change)
 		msg.reply <- t.leadership.Entitled()
 	case inspectMessage:
-		t.step(ctx, scheduler.SnapshotRequested{Job: msg.job, ReplyTo: msg.reply})
+		t.step(ctx, scheduler.SnapshotRequested{JobID: msg.job, ReplyTo: msg.reply})
 	}
 }
 
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -82,7 +82,7 @@
 		for _, eff := range s.Step(e, now) {
 			switch eff := eff.(type) {
 			case HeartbeatReply:
-				apply(eff.ReplyTo.(int), eff.Commands)
+				apply(int(eff.ReplyTo.(machineResponder)), eff.Commands)
 			case SendDirectCommands:
 				var m int
 				if _, err := fmt.Sscanf(eff.Machine, "m-%d", &m); err != nil {
@@ -108,7 +108,7 @@
 			}
 		}
 		tally++
-		step(HeartbeatReceived{Heartbeat: report(m, tally, have[m]), ReplyTo: m, Entitled: true, SameConnection: true})
+		step(HeartbeatReceived{Heartbeat: report(m, tally, have[m]), ReplyTo: machineResponder(m), Entitled: true, SameConnection: true})
 		if i%(machines/3) == 0 {
 			step(Tick{Entitled: true})
 		}
@@ -129,7 +129,7 @@
 			for b.Loop() {
 				b.StopTimer()
 				s := reportedMachines(machines, machines-1)
-				last := HeartbeatReceived{Heartbeat: report(machines-1, 1, nil), ReplyTo: 0, Entitled: true}
+				last := HeartbeatReceived{Heartbeat: report(machines-1, 1, nil), ReplyTo: machineResponder(0), Entitled: true}
 				b.StartTimer()
 				s.Step(last, 0)
 				b.StopTimer()
@@ -172,7 +172,7 @@
 	}
 	s.Step(StateLoaded{}, 0)
 	for m := range heard {
-		s.Step(HeartbeatReceived{Heartbeat: report(m, 1, nil), ReplyTo: m, Entitled: true}, 0)
+		s.Step(HeartbeatReceived{Heartbeat: report(m, 1, nil), ReplyTo: machineResponder(m), Entitled: true}, 0)
 	}
 	return s
 }
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -1,121 +1,150 @@
 package scheduler
 
 import (
-	"log/slog"
 	"time"
 
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
-// Event is something that happened.
+// Event is something that happened: a message, a changed record, the outcome of an effect, or the
+// passing of time. The types of this file implement it. All are sent by the leader's actor, one at a
+// time.
 type Event interface{ event() }
 
-// JobChanged is an open job as it stands in the state service.
+// JobChanged is an open job as the state service has it. The leader sends one for each open job when
+// it loads the state, then one for each change that it watches, and one for a cancellation that it
+// has just written. Older versions than the newest that was seen are ignored.
 type JobChanged struct {
 	JobID           string
-	Version         uint64
+	Version         uint64 // of the record
 	Record          storage.OpenJob
-	SinceSubmission time.Duration // since its submission
-
-	SinceCancellation time.Duration // since its user may first have been told that it is cancelled; at least as long as that is ago
+	SinceSubmission time.Duration
+	// SinceCancellation is at least the time since the user may first have been told that the job is
+	// cancelled; 0 if it is not cancelled.
+	SinceCancellation time.Duration
 }
 
-// JobRemoved is a job whose open record is gone.
+// JobRemoved is a job whose open record is gone. The leader sends it for each removal that it
+// watches, also for those that the scheduler has asked for.
 type JobRemoved struct {
 	JobID   string
-	Version uint64
+	Version uint64 // of the removal
 }
 
-// FinishedTasksLoaded is a chunk of finished tasks, read at the start of a term.
+// FinishedTasksLoaded is a record of finished tasks. The leader sends these when it loads the state,
+// after the open jobs.
 type FinishedTasksLoaded struct {
 	JobID   string
 	Version uint64
 	Record  storage.FinishedTasks
 }
 
-// RentalLoaded is a rental request, read at the start of a term.
+// RentalLoaded is the record of a rental. The leader sends these when it loads the state, after the
+// finished tasks.
 type RentalLoaded struct {
 	Name    string
 	Version uint64
 	Record  storage.Rental
 }
 
-// RegistryPageLoaded is a page of registered machines, read at the start of a term after all rentals.
+// RegistryPageLoaded is a page of registered machines. The leader sends these when it loads the
+// state, after all rentals.
 type RegistryPageLoaded struct {
 	Name    string
 	Version uint64
 	Record  storage.RegistryPage
 }
 
-// StateLoaded ends the reading at the start of a term.
+// StateLoaded says that all records of earlier terms were loaded. Nothing is placed before.
 type StateLoaded struct{}
 
-// HeartbeatReceived is a worker's report. It is answered with a ReplyOut of the same Ref.
+// HeartbeatReceived is a worker's heartbeat. It is answered by one HeartbeatReply, in the same step.
 type HeartbeatReceived struct {
 	Heartbeat      *protocol.Heartbeat
-	ReplyTo        any
-	Entitled       bool
+	ReplyTo        HeartbeatResponder
+	Entitled       bool // the leader may answer it: its own lease is valid, and the worker still waits
 	Relayed        bool // came through another controller
-	SameConnection bool // on a connection on which the report before was answered 200: the worker got that answer
+	SameConnection bool // the heartbeat before it on this connection was answered, so the worker has that answer
+}
+
+// HeartbeatResponder is the way back to the worker that has sent a heartbeat. The scheduler hands it
+// on from the HeartbeatReceived to the HeartbeatReply; only who executes that effect calls it.
+type HeartbeatResponder interface {
+	// Accept renews the worker's lease and gives it commands.
+	Accept(protocol.HeartbeatReply)
+	// Redirect sends the worker to a controller.
+	Redirect(protocol.Redirect)
+	// Reject renews no lease; the worker may try another controller.
+	Reject()
 }
 
-// ProbeDone is what a machine answered to a ProbeOut: its report after it had seen our term, or nothing.
+// ProbeDone is the outcome of a ProbeMachine.
 type ProbeDone struct {
 	Machine   string
-	Heartbeat *protocol.Heartbeat
-	Took      time.Duration // from the first call to the last answer
-	NotSent   bool          // it was not asked for want of a socket, so that it did not answer says nothing
+	Heartbeat *protocol.Heartbeat // made after the worker had seen the fencing token of this term; nil without an answer
+	Took      time.Duration       // from the first request to the last answer
+	NotSent   bool                // the controller lacked the time or a socket, so a missing answer says nothing
 }
 
-// DirectCommandsDone is the outcome of a DirectOut.
+// DirectCommandsDone is the outcome of a SendDirectCommands.
 type DirectCommandsDone struct {
-	ID          uint64
+	ID          uint64 // of the SendDirectCommands
 	Machine     string
-	Heartbeat   *protocol.Heartbeat // what the worker has after the commands; nil if there was no answer
-	NotExecuted bool                // nothing was executed: it was not sent, or the worker said so
+	Heartbeat   *protocol.Heartbeat // what the worker has after the commands; nil without an answer
+	NotExecuted bool                // no command was executed, as none was sent or the worker rejected them
 }
 
-// WriteCompleted is the outcome of a WriteOut.
+// WriteCompleted is the outcome of a WriteRecords.
 type WriteCompleted struct {
-	ID      uint64
-	OK      bool
-	Version uint64
+	ID      uint64 // of the WriteRecords
+	OK      bool   // it was carried out; otherwise a condition failed and nothing was changed
+	Version uint64 // of the records that were put, if OK
 }
 
-// RentalDone is the outcome of a RentOut.
+// RentalDone is the outcome of a RentMachines. With neither OK nor NoCapacity it is to be asked for
+// again.
 type RentalDone struct {
 	Name       string
-	Machines   []string
+	Machines   []string // may be fewer than were asked for
 	OK         bool
-	NoCapacity bool
+	NoCapacity bool // the cloud has none, now or ever
 }
 
-// DeletionDone is the outcome of a DeleteOut.
+// DeletionDone is the outcome of a DeleteMachines.
 type DeletionDone struct {
 	Machines []string
 	OK       bool
 }
 
-// MachinesListed is the cloud's list. Rigs is nil if it could not be read.
+// MachinesListed is the outcome of a ListMachines.
 type MachinesListed struct {
 	Machines []protocol.Machine
-	OK       bool
+	OK       bool // otherwise the list could not be read
 }
 
-// MachineTypesFetched are the machine types.
+// MachineTypesFetched is the outcome of a FetchMachineTypes.
 type MachineTypesFetched struct {
 	Types []protocol.MachineType
-	OK    bool
+	OK    bool // otherwise the types could not be read
 }
 
-// TaskCountsRequested asks for a job's counts; answered with a CountsOut.
+// TaskCountsRequested asks for the task counts of a job, for a user who wants to know how it goes.
+// It is answered by one TaskCounts, in the same step.
 type TaskCountsRequested struct {
-	ID      string
-	ReplyTo any
+	JobID   string
+	ReplyTo chan<- TaskCounts
 }
 
-// Tick lets time pass.
+// SnapshotRequested asks for a Snapshot, for an operator. If a job is named, the snapshot explains
+// what it waits for. It is answered by one SnapshotTaken, in the same step.
+type SnapshotRequested struct {
+	JobID   string // or ""
+	ReplyTo chan<- Snapshot
+}
+
+// Tick lets time pass. The leader sends one every limits.TickInterval. Entitled says that its lease
+// is valid; without it the scheduler starts nothing new.
 type Tick struct{ Entitled bool }
 
 func (JobChanged) event()          {}
@@ -133,72 +162,5 @@
 func (MachinesListed) event()      {}
 func (MachineTypesFetched) event() {}
 func (TaskCountsRequested) event() {}
+func (SnapshotRequested) event()   {}
 func (Tick) event()                {}
-
-// Effect is something to do.
-type Effect interface{ effect() }
-
-// HeartbeatReply answers a report: 200 with orders, 421 to make the worker come itself, or 503.
-type HeartbeatReply struct {
-	ReplyTo  any
-	Accepted bool
-	Redirect bool
-	Commands []protocol.Command
-}
-
-// WriteRecords changes the state service under the leader's guard, whole or not at all.
-type WriteRecords struct {
-	ID         uint64
-	Bulk       bool // can wait for all others
-	Conditions []protocol.Condition
-	Operations []protocol.Operation
-}
-
-// ProbeMachine asks a machine for its tasks and shows it our term.
-type ProbeMachine struct{ Machine, Address string }
-
-// SendDirectCommands sends commands to a worker without waiting for its report.
-type SendDirectCommands struct {
-	ID          uint64
-	Machine     string
-	Address     string
-	Incarnation uint64
-	Commands    []protocol.Command
-}
-
-// RentMachines sends a rental request, again and again until there is an answer.
-type RentMachines struct{ Request protocol.RentalRequest }
-
-// DeleteMachines returns machines.
-type DeleteMachines struct{ Machines []string }
-
-// ListMachines reads the cloud's list.
-type ListMachines struct{}
-
-// FetchMachineTypes reads the machine types.
-type FetchMachineTypes struct{}
-
-// TaskCounts answers a CountsIn.
-type TaskCounts struct {
-	ReplyTo       any
-	Known         bool
-	Done, Running int
-}
-
-// LogEntry is something an operator may want to read.
-type LogEntry struct {
-	Level   slog.Level
-	Message string
-	Args    []any
-}
-
-func (HeartbeatReply) effect()     {}
-func (WriteRecords) effect()       {}
-func (ProbeMachine) effect()       {}
-func (SendDirectCommands) effect() {}
-func (RentMachines) effect()       {}
-func (DeleteMachines) effect()     {}
-func (ListMachines) effect()       {}
-func (FetchMachineTypes) effect()  {}
-func (TaskCounts) effect()         {}
-func (LogEntry) effect()           {}
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -148,7 +148,7 @@
 
 // answerTaskCounts tells how many tasks of a job are done and running.
 func (t *jobTable) answerTaskCounts(e TaskCountsRequested) {
-	j := t.byID[e.ID]
+	j := t.byID[e.JobID]
 	if j == nil {
 		t.emit(TaskCounts{ReplyTo: e.ReplyTo})
 		return
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -218,7 +218,7 @@
 		for _, eff := range s.Step(e, now) {
 			switch eff := eff.(type) {
 			case HeartbeatReply:
-				apply(eff.ReplyTo.(int), eff.Commands)
+				apply(int(eff.ReplyTo.(machineResponder)), eff.Commands)
 			case SendDirectCommands:
 				m := slices.Index(h.Machines, eff.Machine)
 				apply(m, eff.Commands)
@@ -252,7 +252,7 @@
 				}
 			}
 			if (int(now/(500*time.Millisecond))+m)%4 == 0 {
-				step(HeartbeatReceived{Heartbeat: report(m), ReplyTo: m, Entitled: true, SameConnection: true})
+				step(HeartbeatReceived{Heartbeat: report(m), ReplyTo: machineResponder(m), Entitled: true, SameConnection: true})
 			}
 		}
 		step(Tick{Entitled: true})
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -105,7 +105,7 @@
 func TestWhy(t *testing.T) {
 	b := newSchedulerFixture(t, 2)
 	ask := func(id string) string {
-		for _, e := range b.step(SnapshotRequested{Job: id}) {
+		for _, e := range b.step(SnapshotRequested{JobID: id}) {
 			if o, ok := e.(SnapshotTaken); ok {
 				return strings.Join(o.Snapshot.Explanation, "; ")
 			}
--- a/internal/coordination/scheduler/simulation_controller_test.go
+++ b/internal/coordination/scheduler/simulation_controller_test.go
@@ -127,7 +127,7 @@
 	}
 	switch effect := effect.(type) {
 	case HeartbeatReply:
-		reply := effect.ReplyTo.(func(*protocol.HeartbeatReply))
+		reply := effect.ReplyTo.(responderFunc)
 		if !effect.Accepted || !s.entitled(controller) {
 			reply(nil)
 			return
--- a/internal/coordination/scheduler/simulation_network_test.go
+++ b/internal/coordination/scheduler/simulation_network_test.go
@@ -82,9 +82,9 @@
 			Entitled:       s.entitled(leader),
 			SameConnection: leader == connectedTo,
 			Relayed:        s.chance(0.1),
-			ReplyTo: func(reply *protocol.HeartbeatReply) {
+			ReplyTo: responderFunc(func(reply *protocol.HeartbeatReply) {
 				s.deliverReply(machine, leader, heartbeat, sentAt, reply)
-			},
+			}),
 		})
 	})
 }
@@ -101,7 +101,7 @@
 			Heartbeat: heartbeat,
 			Entitled:  s.entitled(leader),
 			Relayed:   s.chance(0.5),
-			ReplyTo:   func(*protocol.HeartbeatReply) {},
+			ReplyTo:   responderFunc(func(*protocol.HeartbeatReply) {}),
 		})
 	})
 }
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -5,22 +5,6 @@
 	"time"
 )
 
-// SnapshotRequested asks how the term stands, and why a job waits if one is named. Answered with an
-// InspectOut.
-type SnapshotRequested struct {
-	Job     string
-	ReplyTo any
-}
-
-// SnapshotTaken answers an InspectIn.
-type SnapshotTaken struct {
-	ReplyTo  any
-	Snapshot Snapshot
-}
-
-func (SnapshotRequested) event() {}
-func (SnapshotTaken) effect()    {}
-
 // Snapshot is how the term stands, for operators.
 type Snapshot struct {
 	Term        uint64
@@ -65,8 +49,8 @@
 		}
 		v.Teams = append(v.Teams, tv)
 	}
-	if e.Job != "" {
-		v.Explanation = s.explainWaiting(e.Job)
+	if e.JobID != "" {
+		v.Explanation = s.explainWaiting(e.JobID)
 	}
 	s.emit(SnapshotTaken{ReplyTo: e.ReplyTo, Snapshot: v})
 }
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -41,7 +41,7 @@
 			now += time.Millisecond
 			r := report(i, uint64(now), nil)
 			r.FencingToken = token
-			f.execute(s, s.Step(HeartbeatReceived{Heartbeat: r, ReplyTo: i, Entitled: true, SameConnection: true}, now), now)
+			f.execute(s, s.Step(HeartbeatReceived{Heartbeat: r, ReplyTo: machineResponder(i), Entitled: true, SameConnection: true}, now), now)
 			if i%500 == 0 {
 				f.execute(s, s.Step(Tick{Entitled: true}, now), now)
 			}
