--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -115,7 +115,7 @@
 
 // checkAnswer checks what a user was told about a job against what was told before. The request was
 // sent at the given time.
-func (c *cluster) checkAnswer(j *job, status int, state string, sentAt time.Time) {
+func (c *cluster) checkAnswer(j *job, status int, state protocol.JobState, sentAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := j.spec.ID
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -17,9 +17,9 @@
 type job struct {
 	spec              protocol.Spec
 	acceptedAt        time.Time
-	cancelRequestedAt time.Time // of the first request
-	cancelConfirmedAt time.Time // when the user was told that it is cancelled
-	finalState        string    // first final state that the user was told
+	cancelRequestedAt time.Time         // of the first request
+	cancelConfirmedAt time.Time         // when the user was told that it is cancelled
+	finalState        protocol.JobState // first final state that the user was told
 }
 
 // mustBeGone reports whether no task of the job may run any more, as its user was told so long ago
@@ -51,7 +51,9 @@
 
 // call makes one user's request at a controller, and returns the status and the job's state in the
 // answer. Status 0 is no answer.
-func (c *cluster) call(node, method, target string, body []byte, limit time.Duration) (status int, state string) {
+func (c *cluster) call(
+	node, method, target string, body []byte, limit time.Duration,
+) (status int, state protocol.JobState) {
 	m, err := c.request(node, method, target, body, limit)
 	if err != nil {
 		return 0, ""
--- a/internal/coordination/gateway/final_states.go
+++ b/internal/coordination/gateway/final_states.go
@@ -4,22 +4,23 @@
 	"sync"
 
 	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
 )
 
 // finalStateCache caches the final states of jobs, which never change. It is safe for concurrent use.
 type finalStateCache struct {
 	mu     sync.Mutex
-	states map[string]string // by job
-	ring   []string          // jobs in the order in which they were added
-	next   int               // position in a full ring that is overwritten next
+	states map[string]protocol.JobState // by job
+	ring   []string                     // jobs in the order in which they were added
+	next   int                          // position in a full ring that is overwritten next
 }
 
 func newFinalStateCache() *finalStateCache {
-	return &finalStateCache{states: map[string]string{}}
+	return &finalStateCache{states: map[string]protocol.JobState{}}
 }
 
 // get returns a job's final state if it is cached.
-func (c *finalStateCache) get(id string) (string, bool) {
+func (c *finalStateCache) get(id string) (protocol.JobState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state, ok := c.states[id]
@@ -27,7 +28,7 @@
 }
 
 // put adds a job's final state. A full cache forgets the job that was added first.
-func (c *finalStateCache) put(id, state string) {
+func (c *finalStateCache) put(id string, state protocol.JobState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.states[id]; ok {
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -81,7 +81,7 @@
 	return f
 }
 
-func (f *gatewayFixture) do(method, target string, body any) (int, string, *transport.Message) {
+func (f *gatewayFixture) do(method, target string, body any) (int, protocol.JobState, *transport.Message) {
 	f.t.Helper()
 	var b []byte
 	if raw, ok := body.([]byte); ok {
@@ -127,7 +127,7 @@
 		what, method, target string
 		body                 any
 		status               int
-		standing             string
+		standing             protocol.JobState
 	}{
 		{"health", "GET", "/healthz", nil, 200, ""},
 		{"health, wrong method", "POST", "/healthz", nil, 405, ""},
@@ -221,7 +221,7 @@
 			method, target string
 			body           any
 		}{{"POST", "/v2/runs/job-1/cancel", nil}, {"GET", "/v2/runs/job-1", nil}, {"POST", "/v2/runs", submission("job-1", nil)}, {"POST", "/v2/runs/job-1/cancel", nil}}
-		ask := func(want int, standing string) {
+		ask := func(want int, standing protocol.JobState) {
 			t.Helper()
 			for _, q := range requests {
 				if status, got, m := f.do(q.method, q.target, q.body); status != want || got != standing || (want == 503) != (m.RetryAfter > 0) {
--- a/internal/coordination/scheduler/gang_fixture_test.go
+++ b/internal/coordination/scheduler/gang_fixture_test.go
@@ -87,7 +87,7 @@
 }
 
 // all sets what every task of a job shows.
-func (g *gangFixture) all(job, state string) {
+func (g *gangFixture) all(job string, state protocol.TaskState) {
 	for i := range g.tasks {
 		for k := range g.tasks[i] {
 			if id, _, _ := protocol.ParseTaskName(g.tasks[i][k].Task); id == job && g.tasks[i][k].State != protocol.TaskEnded {
@@ -98,7 +98,7 @@
 }
 
 // end ends a task on a machine.
-func (g *gangFixture) end(i int, task, reason string) {
+func (g *gangFixture) end(i int, task string, reason protocol.EndReason) {
 	for k := range g.tasks[i] {
 		if g.tasks[i][k].Task == task {
 			g.tasks[i][k].State, g.tasks[i][k].Reason = protocol.TaskEnded, reason
@@ -120,7 +120,7 @@
 
 // commandsOf collects the commands of a verb that an event brings out, by direct commands and in
 // the answer.
-func commandsOf(out []Effect, verb string) []protocol.Command {
+func commandsOf(out []Effect, verb protocol.CommandVerb) []protocol.Command {
 	var found []protocol.Command
 	for _, e := range out {
 		var orders []protocol.Command
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -180,7 +180,7 @@
 // reports show; it ends one that ran and has lost a task.
 func TestGangAfterTakeOver(t *testing.T) {
 	for _, c := range []struct {
-		state string
+		state protocol.TaskState
 		start bool
 	}{{protocol.TaskGathering, true}, {protocol.TaskRunning, false}} {
 		b := newSchedulerFixture(t, 2)
@@ -281,7 +281,7 @@
 
 // TestGangCancelled: a cancelled gang is ended in every state, at once and without saving.
 func TestGangCancelled(t *testing.T) {
-	for _, state := range []string{protocol.TaskFetching, protocol.TaskGathering, protocol.TaskRunning} {
+	for _, state := range []protocol.TaskState{protocol.TaskFetching, protocol.TaskGathering, protocol.TaskRunning} {
 		b := startedGang(t, 2, 2)
 		b.all("job-1", state)
 		b.reportAll()
--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -91,7 +91,7 @@
 	return out
 }
 
-func verbs(orders []protocol.Command, verb string) int {
+func verbs(orders []protocol.Command, verb protocol.CommandVerb) int {
 	n := 0
 	for _, o := range orders {
 		if o.Verb == verb {
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -129,7 +129,7 @@
 }
 
 // endTasks ends all of some tasks for the same reason.
-func (s *simulation) endTasks(members []placedTask, reason string) {
+func (s *simulation) endTasks(members []placedTask, reason protocol.EndReason) {
 	for _, m := range members {
 		s.endTask(m.machine, m.task, reason)
 	}
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -63,8 +63,8 @@
 type simulatedTask struct {
 	name      string
 	attempt   uint64
-	state     string
-	reason    string
+	state     protocol.TaskState
+	reason    protocol.EndReason
 	fetchedAt time.Duration
 	endsAt    time.Duration
 	savedAt   time.Duration
@@ -200,7 +200,7 @@
 	s.endTask(machine, task, protocol.ReasonDone)
 }
 
-func (s *simulation) endTask(machine *simulatedMachine, task *simulatedTask, reason string) {
+func (s *simulation) endTask(machine *simulatedMachine, task *simulatedTask, reason protocol.EndReason) {
 	task.state, task.reason = protocol.TaskEnded, reason
 	machine.reportBy(s.now + statusChangeDelay)
 }
--- a/internal/protocol/cbor.go
+++ b/internal/protocol/cbor.go
@@ -1,6 +1,3 @@
-// Package protocol holds the messages of the four interfaces: users, workers,
-// the cloud and the state service, with their checks. Bodies are CBOR maps with
-// text keys.
 package protocol
 
 import (
@@ -11,17 +8,28 @@
 	"quillshunt/internal/limits"
 )
 
+// Raw is an encoded value that is decoded later.
+type Raw = cbor.RawMessage
+
 var (
-	encMode cbor.EncMode
-	decMode cbor.DecMode
+	encMode = newEncMode()
+	decMode = newDecMode()
 )
 
-func init() {
-	var err error
-	if encMode, err = (cbor.EncOptions{NilContainers: cbor.NilContainerAsEmpty}).EncMode(); err != nil {
-		panic(err) // constant options
+// newEncMode returns the encoding of messages: nil lists are written as empty ones, as other programs
+// do not expect null there.
+func newEncMode() cbor.EncMode {
+	mode, err := cbor.EncOptions{NilContainers: cbor.NilContainerAsEmpty}.EncMode()
+	if err != nil {
+		panic(err) // the options are constant
 	}
-	decMode, err = cbor.DecOptions{
+	return mode
+}
+
+// newDecMode returns the decoding of messages. It bounds what a sender can make the decoder allocate,
+// and refuses duplicate keys and CBOR tags, which the protocol does not have.
+func newDecMode() cbor.DecMode {
+	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:   limits.MaxCBORNesting,
 		MaxArrayElements:  limits.MaxTasksPerJob * 2,
@@ -30,11 +38,13 @@
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
 	}.DecMode()
 	if err != nil {
-		panic(err)
+		panic(err) // the options are constant
 	}
+	return mode
 }
 
-// Encode writes a message. Messages are our own structs, which always encode.
+// Encode returns the CBOR encoding of a message or record. It panics if v cannot be encoded, which no
+// type of this module causes.
 func Encode(v any) []byte {
 	b, err := encMode.Marshal(v)
 	if err != nil {
@@ -43,13 +53,11 @@
 	return b
 }
 
-// Decode reads a whole message; bytes after it are an error. Unknown fields are ignored.
+// Decode decodes a message or record into the value that v points to. All of b must be one CBOR
+// value; bytes after it are an error. Unknown fields are ignored.
 func Decode(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("cbor: %w", err)
 	}
 	return nil
 }
-
-// Raw is a value that is decoded later.
-type Raw = cbor.RawMessage
--- a/internal/protocol/names.go
+++ b/internal/protocol/names.go
@@ -7,38 +7,43 @@
 	"quillshunt/internal/limits"
 )
 
-// ValidJobID tells whether an id has the form of a job id.
+const (
+	jobIDPrefix = "job-"
+	// maxTaskDigits is the most digits of a task's index; it covers limits.MaxTasksPerJob.
+	maxTaskDigits = 6
+)
+
+// ValidJobID reports whether an ID has the form of a job ID, like job-000412.
 func ValidJobID(id string) bool {
-	digits, ok := strings.CutPrefix(id, "job-")
-	if !ok || digits == "" || len(id) > limits.MaxNameBytes {
-		return false
-	}
-	for i := range len(digits) {
-		if digits[i] < '0' || digits[i] > '9' {
-			return false
-		}
-	}
-	return true
+	digits, ok := strings.CutPrefix(id, jobIDPrefix)
+	return ok && digits != "" && len(id) <= limits.MaxNameBytes && allDigits(digits)
 }
 
-// TaskName is the name of a job's task.
+// TaskName returns the name of a job's task.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskName splits a task's name.
+// ParseTaskName splits a name that TaskName returned, and reports whether it is one.
 func ParseTaskName(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
 	if i < 0 || !ValidJobID(name[:i]) {
 		return "", 0, false
 	}
-	d := name[i+1:]
-	if d == "" || len(d) > 6 || (d[0] == '0' && len(d) > 1) {
+	digits := name[i+1:]
+	leadingZero := len(digits) > 1 && digits[0] == '0'
+	if digits == "" || len(digits) > maxTaskDigits || leadingZero || !allDigits(digits) {
 		return "", 0, false
 	}
-	for j := range len(d) {
-		if d[j] < '0' || d[j] > '9' {
-			return "", 0, false
-		}
-		index = index*10 + int(d[j]-'0')
+	for _, d := range []byte(digits) {
+		index = index*10 + int(d-'0')
 	}
 	return name[:i], index, true
 }
+
+func allDigits(s string) bool {
+	for i := range len(s) {
+		if s[i] < '0' || s[i] > '9' {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/protocol/parse.go
+++ b/internal/protocol/parse.go
@@ -8,172 +8,193 @@
 	"quillshunt/internal/limits"
 )
 
-// ErrInvalid is wrapped by every complaint about a malformed submission.
+// ErrInvalid is wrapped by all errors about a malformed submission.
 var ErrInvalid = errors.New("invalid")
 
-// fieldReader reads typed fields out of a decoded map and keeps the first complaint.
+// ParseSpec decodes and checks a submission. Errors wrap ErrInvalid and name the field at fault.
+func ParseSpec(body []byte) (*Spec, error) {
+	var fields map[string]any
+	if err := Decode(body, &fields); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	if fields == nil { // CBOR null decodes into a nil map
+		return nil, fmt.Errorf("%w: not a map", ErrInvalid)
+	}
+	r := &fieldReader{fields: fields}
+	spec := r.spec()
+	if r.err != nil {
+		return nil, r.err
+	}
+	if !ValidJobID(spec.ID) {
+		return nil, fmt.Errorf("%w: NameId: not a job id", ErrInvalid)
+	}
+	if spec.Shape != ShapeArray && spec.Shape != ShapeGang {
+		return nil, fmt.Errorf("%w: Shape: must be %s or %s", ErrInvalid, ShapeArray, ShapeGang)
+	}
+	if _, ok := ParsePriority(spec.Priority); !ok {
+		return nil, fmt.Errorf("%w: Urgency: unknown", ErrInvalid)
+	}
+	return spec, nil
+}
+
+// fieldReader reads typed fields of a decoded map. It keeps the first error; what is faulty or
+// missing reads as zero.
 type fieldReader struct {
-	m   map[string]any
-	err error
+	fields map[string]any
+	err    error
 }
 
-func (f *fieldReader) fail(name, why string) {
-	if f.err == nil {
-		f.err = fmt.Errorf("%w: %s: %s", ErrInvalid, name, why)
+// spec reads a submission. The names are those of the wire; see the tags of Spec.
+func (r *fieldReader) spec() *Spec {
+	return &Spec{
+		ID:           r.text("NameId", required),
+		Class:        r.text("Docket", required),
+		Team:         r.text("Crew", required),
+		Shape:        Shape(r.text("Shape", required)),
+		Priority:     r.text("Urgency", required),
+		Tasks:        r.count("Pieces", limits.MaxTasksPerJob),
+		CPUs:         r.amount("Vcpus", required),
+		Accelerators: r.amount("Accelerators", required),
+		MemoryGB:     r.amount("RamGb", required),
+		MachineTypes: r.names("Rigkinds"),
+		Zone:         r.text("Yard", optional),
+		SameZone:     r.flag("Together"),
+		SpreadZones:  r.flag("Scatter"),
+		Spot:         r.flag("Lendable"),
+		Image:        r.text("Bundle", required),
+		ImageGB:      r.amount("SizeGb", required),
+		EstimateS:    r.amount("ReckonS", required),
+		CheckpointS:  r.amount("BookmarkS", required),
+		SaveS:        r.amount("StashS", required),
+		DeadlineS:    r.amount("DueS", optional),
 	}
 }
 
-// get returns a field's value; null and omitted are the same.
-func (f *fieldReader) get(name string, optional bool) (any, bool) {
-	v := f.m[name]
-	if v == nil {
-		if !optional {
-			f.fail(name, "missing")
-		}
-		return nil, false
+// presence says whether a field may be missing. Null and omitted are the same.
+type presence bool
+
+const (
+	required presence = true
+	optional presence = false
+)
+
+func (r *fieldReader) fail(name, why string) {
+	if r.err == nil {
+		r.err = fmt.Errorf("%w: %s: %s", ErrInvalid, name, why)
 	}
-	return v, true
 }
 
-func (f *fieldReader) text(name string, optional bool) string {
-	v, ok := f.get(name, optional)
+// get returns a field's value, and false if it is missing.
+func (r *fieldReader) get(name string, p presence) (any, bool) {
+	v := r.fields[name]
+	if v == nil && p == required {
+		r.fail(name, "missing")
+	}
+	return v, v != nil
+}
+
+func (r *fieldReader) text(name string, p presence) string {
+	v, ok := r.get(name, p)
 	if !ok {
 		return ""
 	}
 	s, ok := v.(string)
 	if !ok {
-		f.fail(name, "must be text")
+		r.fail(name, "must be text")
 		return ""
 	}
-	if s == "" || len(s) > limits.MaxNameBytes {
-		f.fail(name, "empty or too long")
+	if !validName(s) {
+		r.fail(name, "empty or too long")
 		return ""
 	}
 	return s
 }
 
-func (f *fieldReader) flag(name string) bool {
-	v, ok := f.get(name, false)
+func (r *fieldReader) flag(name string) bool {
+	v, ok := r.get(name, required)
 	if !ok {
 		return false
 	}
 	b, ok := v.(bool)
 	if !ok {
-		f.fail(name, "must be true or false")
+		r.fail(name, "must be true or false")
 	}
 	return b
 }
 
-func (f *fieldReader) amount(name string, optional bool) float64 {
-	v, ok := f.get(name, optional)
+// amount reads a number that is not negative. Whole numbers may be encoded as integers.
+func (r *fieldReader) amount(name string, p presence) float64 {
+	v, ok := r.get(name, p)
 	if !ok {
 		return 0
 	}
-	var x float64
-	switch n := v.(type) {
-	case float64:
-		x = n
-	case uint64:
-		x = float64(n)
-	case int64:
-		x = float64(n)
-	default:
-		f.fail(name, "must be a number")
+	x, ok := toFloat(v)
+	if !ok {
+		r.fail(name, "must be a number")
 		return 0
 	}
 	if math.IsNaN(x) || x < 0 || x > limits.MaxAmount {
-		f.fail(name, "out of range")
+		r.fail(name, "out of range")
 		return 0
 	}
 	return x
 }
 
-func (f *fieldReader) count(name string, most uint64) int {
-	v, ok := f.get(name, false)
+func toFloat(v any) (float64, bool) {
+	switch n := v.(type) {
+	case float64:
+		return n, true
+	case uint64:
+		return float64(n), true
+	case int64:
+		return float64(n), true
+	}
+	return 0, false
+}
+
+// count reads a whole number from 1 to most.
+func (r *fieldReader) count(name string, most uint64) int {
+	v, ok := r.get(name, required)
 	if !ok {
 		return 0
 	}
 	n, ok := v.(uint64)
 	if !ok {
-		f.fail(name, "must be a whole number")
+		r.fail(name, "must be a whole number")
 		return 0
 	}
 	if n < 1 || n > most {
-		f.fail(name, "out of range")
+		r.fail(name, "out of range")
 		return 0
 	}
 	return int(n)
 }
 
-func (f *fieldReader) names(name string) []string {
-	v, ok := f.get(name, true)
+// names reads an optional list of names of machine types.
+func (r *fieldReader) names(name string) []string {
+	v, ok := r.get(name, optional)
 	if !ok {
 		return nil
 	}
 	list, ok := v.([]any)
 	if !ok {
-		f.fail(name, "must be a list of names")
+		r.fail(name, "must be a list of names")
 		return nil
 	}
 	if len(list) > limits.MaxMachineTypes {
-		f.fail(name, "too long")
+		r.fail(name, "too long")
 		return nil
 	}
-	out := make([]string, 0, len(list))
+	names := make([]string, 0, len(list))
 	for _, e := range list {
 		s, ok := e.(string)
-		if !ok || s == "" || len(s) > limits.MaxNameBytes {
-			f.fail(name, "must be a list of names")
+		if !ok || !validName(s) {
+			r.fail(name, "must be a list of names")
 			return nil
 		}
-		out = append(out, s)
+		names = append(names, s)
 	}
-	return out
+	return names
 }
 
-// ParseSpec reads and checks a submission. Errors wrap ErrInvalid and name the field.
-func ParseSpec(body []byte) (*Spec, error) {
-	var m map[string]any
-	if err := Decode(body, &m); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
-	}
-	if m == nil { // CBOR null decodes into a nil map
-		return nil, fmt.Errorf("%w: not a map", ErrInvalid)
-	}
-	f := &fieldReader{m: m}
-	s := &Spec{
-		ID:           f.text("NameId", false),
-		Class:        f.text("Docket", false),
-		Team:         f.text("Crew", false),
-		Shape:        f.text("Shape", false),
-		Priority:     f.text("Urgency", false),
-		Tasks:        f.count("Pieces", limits.MaxTasksPerJob),
-		CPUs:         f.amount("Vcpus", false),
-		Accelerators: f.amount("Accelerators", false),
-		MemoryGB:     f.amount("RamGb", false),
-		MachineTypes: f.names("Rigkinds"),
-		Zone:         f.text("Yard", true),
-		SameZone:     f.flag("Together"),
-		SpreadZones:  f.flag("Scatter"),
-		Spot:         f.flag("Lendable"),
-		Image:        f.text("Bundle", false),
-		ImageGB:      f.amount("SizeGb", false),
-		EstimateS:    f.amount("ReckonS", false),
-		CheckpointS:  f.amount("BookmarkS", false),
-		SaveS:        f.amount("StashS", false),
-		DeadlineS:    f.amount("DueS", true),
-	}
-	if f.err != nil {
-		return nil, f.err
-	}
-	if !ValidJobID(s.ID) {
-		return nil, fmt.Errorf("%w: NameId: not a job id", ErrInvalid)
-	}
-	if s.Shape != ShapeArray && s.Shape != ShapeGang {
-		return nil, fmt.Errorf("%w: Shape: must be %s or %s", ErrInvalid, ShapeArray, ShapeGang)
-	}
-	if _, ok := ParsePriority(s.Priority); !ok {
-		return nil, fmt.Errorf("%w: Urgency: unknown", ErrInvalid)
-	}
-	return s, nil
-}
+func validName(s string) bool { return s != "" && len(s) <= limits.MaxNameBytes }
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -107,7 +107,7 @@
 }
 
 // endTask ends a running task. The caller holds mu.
-func (w *worker) endTask(t *task, reason string) {
+func (w *worker) endTask(t *task, reason protocol.EndReason) {
 	t.State, t.Reason = protocol.TaskEnded, reason
 	if reason == protocol.ReasonDone {
 		w.cloud.markDone(t.Task)
--- a/internal/storage/jobs.go
+++ b/internal/storage/jobs.go
@@ -35,5 +35,5 @@
 
 // FinalJob is a job that is over.
 type FinalJob struct {
-	State string `cbor:"Standing" json:"Standing"`
+	State protocol.JobState `cbor:"Standing" json:"Standing"`
 }
