--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -8,15 +8,18 @@
 	"quillshunt/internal/limits"
 )
 
+// TestTaskNames: names are read as they were written, and nothing else is read as a name.
 func TestTaskNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`job-[0-9]{1,12}`).Draw(t, "id")
-		n := rapid.IntRange(0, limits.MaxTasksPerJob-1).Draw(t, "n")
-		if j, i, ok := ParseTaskName(TaskName(id, n)); !ok || j != id || i != n {
-			t.Fatalf("%s %d: %s %d %v", id, n, j, i, ok)
+		index := rapid.IntRange(0, limits.MaxTasksPerJob-1).Draw(t, "index")
+		if j, i, ok := ParseTaskName(TaskName(id, index)); !ok || j != id || i != index {
+			t.Fatalf("%s %d: %s %d %v", id, index, j, i, ok)
 		}
 	})
-	for _, s := range []string{"", "job-1", "job-1/", "job-1/01", "job-1/-1", "job-1/1x", "job-x/1", "job-1/1234567", "/1"} {
+	for _, s := range []string{
+		"", "job-1", "job-1/", "job-1/01", "job-1/-1", "job-1/1x", "job-x/1", "job-1/1234567", "/1",
+	} {
 		if _, _, ok := ParseTaskName(s); ok {
 			t.Errorf("%q parsed", s)
 		}
--- a/internal/protocol/parse_test.go
+++ b/internal/protocol/parse_test.go
@@ -9,6 +9,7 @@
 	"quillshunt/internal/limits"
 )
 
+// validSubmission returns the fields of a submission that is accepted.
 func validSubmission() map[string]any {
 	return map[string]any{
 		"NameId": "job-000412", "Docket": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "high", "Pieces": 16,
@@ -18,45 +19,60 @@
 	}
 }
 
+// TestSpecAccepted: a submission is read field by field, with whole numbers for amounts, unknown
+// fields, and optional fields that are null or omitted.
 func TestSpecAccepted(t *testing.T) {
-	run := validSubmission()
-	want, err := ParseSpec(Encode(run))
+	submission := validSubmission()
+	want, err := ParseSpec(Encode(submission))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want.Tasks != 16 || want.MemoryGB != 64 || want.DeadlineS != 900 || !want.SameZone || len(want.MachineTypes) != 1 {
+	if want.Tasks != 16 || want.MemoryGB != 64 || want.DeadlineS != 900 || !want.SameZone ||
+		len(want.MachineTypes) != 1 {
 		t.Fatalf("%+v", want)
 	}
-	// Whole numbers where amounts are due, unknown fields, and null or omitted alike.
-	run["Vcpus"], run["DueS"], run["Extra"] = 8, 900, map[string]any{"a": []int{1}}
-	delete(run, "Yard")
-	got, err := ParseSpec(Encode(run))
+	submission["Vcpus"], submission["DueS"], submission["Extra"] = 8, 900, map[string]any{"a": []int{1}}
+	delete(submission, "Yard")
+	got, err := ParseSpec(Encode(submission))
 	if err != nil || got.CPUs != 8 || got.DeadlineS != 900 || got.Zone != "" {
 		t.Fatalf("%+v %v", got, err)
 	}
-	run["Rigkinds"], run["DueS"] = nil, nil
-	if got, err = ParseSpec(Encode(run)); err != nil || got.MachineTypes != nil || got.DeadlineS != 0 {
+	submission["Rigkinds"], submission["DueS"] = nil, nil
+	if got, err = ParseSpec(Encode(submission)); err != nil || got.MachineTypes != nil || got.DeadlineS != 0 {
 		t.Fatalf("%+v %v", got, err)
 	}
 }
 
-// TestSpecRefused breaks one field of a good submission at a time.
+// TestSpecRefused: each field is checked, and so is the encoding as a whole.
 func TestSpecRefused(t *testing.T) {
 	long := strings.Repeat("n", limits.MaxNameBytes+1)
 	bad := map[string][]any{
-		"NameId": {nil, 7, "", "job-", "job-12x", "run-1", "job-1/2", long}, "Docket": {nil, 1, "", long}, "Crew": {nil, false, ""},
-		"Shape": {nil, "Ensemble", "service", 1}, "Urgency": {nil, "urgent", 2},
-		"Pieces": {nil, 0, -1, limits.MaxTasksPerJob + 1, 1.5, "1", uint64(math.MaxUint64)},
-		"Vcpus":  {nil, -1, math.NaN(), math.Inf(1), "4", true}, "Accelerators": {nil, -0.5}, "RamGb": {nil, math.Inf(-1)},
-		"Bundle": {nil, "", long}, "SizeGb": {nil, math.NaN()}, "Rigkinds": {"g8", []any{1}, []any{""}, []any{long}, 3},
-		"Yard": {1, "", long}, "Together": {nil, 1}, "Scatter": {nil, "no"}, "Lendable": {nil, 0},
-		"ReckonS": {nil, -1, "x"}, "BookmarkS": {nil, -1}, "StashS": {nil, math.NaN()}, "DueS": {-1, math.Inf(1), "soon"},
+		"NameId":       {nil, 7, "", "job-", "job-12x", "run-1", "job-1/2", long},
+		"Docket":       {nil, 1, "", long},
+		"Crew":         {nil, false, ""},
+		"Shape":        {nil, "Ensemble", "service", 1},
+		"Urgency":      {nil, "urgent", 2},
+		"Pieces":       {nil, 0, -1, limits.MaxTasksPerJob + 1, 1.5, "1", uint64(math.MaxUint64)},
+		"Vcpus":        {nil, -1, math.NaN(), math.Inf(1), "4", true},
+		"Accelerators": {nil, -0.5},
+		"RamGb":        {nil, math.Inf(-1)},
+		"Bundle":       {nil, "", long},
+		"SizeGb":       {nil, math.NaN()},
+		"Rigkinds":     {"g8", []any{1}, []any{""}, []any{long}, 3},
+		"Yard":         {1, "", long},
+		"Together":     {nil, 1},
+		"Scatter":      {nil, "no"},
+		"Lendable":     {nil, 0},
+		"ReckonS":      {nil, -1, "x"},
+		"BookmarkS":    {nil, -1},
+		"StashS":       {nil, math.NaN()},
+		"DueS":         {-1, math.Inf(1), "soon"},
 	}
 	for field, values := range bad {
 		for _, v := range values {
-			run := validSubmission()
-			run[field] = v
-			if _, err := ParseSpec(Encode(run)); !errors.Is(err, ErrInvalid) {
+			submission := validSubmission()
+			submission[field] = v
+			if _, err := ParseSpec(Encode(submission)); !errors.Is(err, ErrInvalid) {
 				t.Errorf("%s = %v: %v", field, v, err)
 			}
 		}
@@ -74,6 +90,7 @@
 	}
 }
 
+// FuzzParseSpec: whatever is accepted keeps to the bounds that the scheduler relies on.
 func FuzzParseSpec(f *testing.F) {
 	f.Add(Encode(validSubmission()))
 	f.Add([]byte{0xa0})
@@ -83,7 +100,8 @@
 		if err != nil {
 			return
 		}
-		if s.Tasks < 1 || s.Tasks > limits.MaxTasksPerJob || !ValidJobID(s.ID) || !(s.CPUs >= 0) || (s.Shape != ShapeArray && s.Shape != ShapeGang) {
+		if s.Tasks < 1 || s.Tasks > limits.MaxTasksPerJob || !ValidJobID(s.ID) || !(s.CPUs >= 0) ||
+			(s.Shape != ShapeArray && s.Shape != ShapeGang) {
 			t.Fatalf("accepted %+v", s)
 		}
 	})
