--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"time"
-
 	"quillshunt/internal/limits"
 )
 
@@ -14,7 +12,7 @@
 		s.nextSummaryAt = s.now + limits.SummaryInterval
 		s.logSummary()
 	}
-	s.writeRegistryPages()
+	s.registry.writePages()
 	s.removeFaultyMachines()
 	s.prober.budget.refill(s.now)
 	s.probeMachines()
@@ -60,135 +58,3 @@
 	}
 	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", s.jobs.count(), "waiting", waiting, "bound", bound, "settled", s.recovery.ended)
 }
-
-// isCorrelated tells whether so many of all machines at once must have a common cause.
-func isCorrelated(n, all int) bool {
-	return n > limits.CorrelatedUnreachableMin && float64(n) > limits.CorrelatedUnreachableShare*float64(all)
-}
-
-// removeFaultyMachines returns machines that do not serve: never up, silent, sick.
-func (s *Scheduler) removeFaultyMachines() {
-	silent, up, unheard, doubted := 0, 0, 0, 0
-	limit := time.Duration(float64(s.workerLease) * limits.UnreachableLeaseShare)
-	since := func(m *machine) time.Duration { // when it last showed that it hears us
-		if !m.verified {
-			return max(min(m.lastHeartbeatAt, m.unverifiedSince), s.termStartedAt)
-		}
-		return max(m.lastHeartbeatAt, s.termStartedAt)
-	}
-	quiet := func(m *machine) bool { return m.hasReported && s.now > since(m)+limit }
-	for _, m := range s.inventory.all() {
-		switch {
-		case m.deleting:
-		case m.hasReported:
-			up++
-			if s.now > since(m)+s.staleAfter() {
-				silent++
-			}
-			if !m.verified {
-				doubted++
-			}
-		case m.registration != unregistered:
-			unheard++
-		}
-	}
-	s.prober.manyUnverified = doubted > limits.CorrelatedUnreachableMin && float64(doubted) > limits.CorrelatedUnverifiedShare*float64(up)
-	lost := isCorrelated(unheard, unheard+up)
-	s.recovery.fewUnreported = !s.recovery.ended && float64(unheard) <= max(limits.CorrelatedUnreachableMin, limits.FewUnreportedShare*float64(unheard+up))
-	// Many machines falling silent together is a cut, not a series of deaths: they may come back,
-	// sooner than others would boot. Counted are those that have only just begun to be silent, as
-	// otherwise the first of a crowd would go one by one.
-	crowd := isCorrelated(silent, up)
-	for _, m := range s.inventory.all() {
-		if m.deleting {
-			continue
-		}
-		if m.spotNotice {
-			s.expediteResults(m)
-		}
-		switch {
-		case m.isUnreported():
-			// It had reported to an earlier leader, and neither reports to us nor answers.
-			patience := max(limits.RecoveryTimeout, time.Duration(limits.RecoveryTimeoutIntervals*float64(s.heartbeatInterval)))
-			if lost {
-				patience = max(patience, limit) // so many at once may be a cut that ends soon
-			}
-			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer
-			// either costs less than the wait.
-			if s.now > s.termStartedAt+patience || (s.recovery.fewUnreported && m.missedProbes >= limits.UnreportedProbeMisses) {
-				s.returnMachine(m, "not heard of since the take-over")
-			}
-		case !m.hasReported:
-			patience := limits.MinBootTimeout
-			if m.machineType != nil {
-				patience = max(patience, time.Duration(limits.BootTimeoutFactor*float64(limits.Seconds(m.machineType.BootS))))
-			}
-			if s.now > max(m.createdAt, s.termStartedAt)+patience {
-				s.returnMachine(m, "never came up")
-			}
-		case quiet(m) && (!crowd || s.now > since(m)+limits.CorrelatedUnreachableLeases*limits.LeaseExpiredAfter(s.workerLease)):
-			s.returnMachine(m, "silent")
-		case m.isFaulty():
-			if !s.gangsStillSaving(m) {
-				s.returnMachine(m, "fails its tasks")
-			}
-		case m.isSlow():
-			if !s.gangsStillSaving(m) {
-				s.returnMachine(m, "slow")
-			}
-		case m.spotNotice && len(m.assignments) == 0 && s.resultsDurable(m):
-			s.returnMachine(m, "spot notice")
-		default:
-			if s.holdsCancelledTask(m, s.cancelDeleteAt) {
-				s.returnMachine(m, "cancelled task does not stop")
-			}
-		}
-	}
-}
-
-// holdsCancelledTask tells whether a machine may have a task of a cancelled job although that job's
-// time is over.
-func (s *Scheduler) holdsCancelledTask(m *machine, over func(*job) time.Duration) bool {
-	for _, b := range m.assignments {
-		if b.job.cancelled && b.state != stateUnsent && s.now > over(b.job) {
-			return true
-		}
-	}
-	return false
-}
-
-// cancelDeleteAt is when a machine that still has a task of a cancelled job is deleted: early
-// enough that the cloud has answered by lastAnswer. A leader that has only just learned of it lets
-// the stops arrive first, while there is time.
-func (s *Scheduler) cancelDeleteAt(j *job) time.Duration {
-	within := limits.Seconds(s.cfg.Workers.CancelS)
-	early := time.Duration(limits.CancelDeleteShare * float64(limits.CancelHeartbeatWindow(within, s.workerLease)))
-	late := time.Duration(limits.CancelDeleteLatestShare * float64(within))
-	return max(j.cancelledAt+early, min(j.cancelSeenAt+limits.CancelStopGrace, j.cancelledAt+late))
-}
-
-// cancelAnswerUntil is until when the reports of such a machine are answered. If its deletion is
-// not confirmed by then, nothing but the end of its lease takes the task off it in time, also if it
-// hangs and goes on. Its other tasks are lost with that, as they would be by the deletion.
-func (s *Scheduler) cancelAnswerUntil(j *job) time.Duration {
-	return j.cancelledAt + limits.CancelHeartbeatWindow(limits.Seconds(s.cfg.Workers.CancelS), s.workerLease)
-}
-
-// expediteResults asks for the results that a machine lists to be written down next: it is to go.
-func (s *Scheduler) expediteResults(m *machine) {
-	for _, x := range m.endedTasks {
-		if !x.isDurable() {
-			x.job.chunks[x.chunk].expedite = true
-		}
-	}
-}
-
-// resultsDurable tells whether all results that a machine lists are written down.
-func (s *Scheduler) resultsDurable(m *machine) bool {
-	for _, x := range m.endedTasks {
-		if !x.isDurable() {
-			return false
-		}
-	}
-	return true
-}
