--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -95,7 +95,8 @@
 		m.allocated, m.releasing = resource.Vector{}, resource.Vector{} // no rounding is carried on
 		m.idleSince = s.now
 	}
-	s.placement.needed, s.gangs.capacityChanged = true, true
+	s.placement.requestPass()
+	s.gangs.capacityChanged = true
 }
 
 // nextAttempt returns the next attempt number; attempts rise across leaders because the term is
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -47,7 +47,7 @@
 	if o.machine != nil && (j.avoids(o.machine) || (o.machine.reservedForGangs && !j.mayUseGangReservation)) {
 		return false
 	}
-	return typeResources(o.machineType).Fits(j.demand) && s.placementAllowed(j, o.pool.typeName, o.pool.zone, o.pool.spot)
+	return typeResources(o.machineType).Fits(j.demand) && j.mayUsePool(o.pool)
 }
 
 // planJob promises a job's waiting tasks to offers that can start them in time, and adds machines
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -94,7 +94,9 @@
 		s.planJob(j, fresh, may, &offers)
 	}
 	s.reserveForGangs(fresh, may)
-	s.placement.needed = s.placement.needed || len(s.gangs.demand) > 0 // who waits may use what is kept after a while, or what is kept no more
+	if len(s.gangs.demand) > 0 {
+		s.placement.requestPass() // who waits may use what is kept after a while, or what is kept no more
+	}
 	pools := make([]machinePool, 0, len(fresh))
 	for p := range fresh {
 		pools = append(pools, p)
--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -69,5 +69,5 @@
 		return
 	}
 	s.inventory.updateTypes()
-	s.placement.needed = true
+	s.placement.requestPass()
 }
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -29,7 +29,7 @@
 		s.unregister(m)
 		s.removeFromRental(m)
 	}
-	s.placement.needed = true
+	s.placement.requestPass()
 	for _, r := range s.sortedRentals() {
 		s.reconcileRental(r)
 	}
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -92,7 +92,7 @@
 		return
 	}
 	waiting := d.waiting
-	slices.SortFunc(waiting[d.deferred:], byName)
+	slices.SortFunc(waiting[d.deferred:], compareNames)
 	d.waiting, d.deferred = nil, 0
 	for i, m := range waiting {
 		if d.inFlight >= limits.MaxDirectCommands {
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -2,163 +2,152 @@
 
 import (
 	"math"
-	"slices"
 
 	"quillshunt/internal/coordination/placement"
 	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
 )
 
-// isSchedulable tells whether a machine may get tasks at all.
-func (s *Scheduler) isSchedulable(m *machine) bool {
-	return m.verified && m.machineType != nil && m.rental != "" && !m.spotNotice && !m.deleting && !m.isFaulty() &&
-		m.hasLiveIncarnation() && !s.isStale(m)
-}
-
-// passesHardFilters are the filters that no stopping of tasks can change.
-func (s *Scheduler) passesHardFilters(j *job, m *machine) bool {
-	return s.placementAllowed(j, m.typeName, m.zone, m.spot) && m.size().Fits(j.demand) && !j.avoids(m)
-}
+// candidate is a machine that passed the filters, with its scores.
+type candidate = placement.Candidate[*machine]
 
-// avoids tells whether a job goes elsewhere because the machine has failed it. Once it fails
-// everywhere, any machine will do.
-func (j *job) avoids(m *machine) bool {
-	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
+// collectCandidates returns the machines that pass the filters for a task of the job, with their
+// scores. They are valid until the next call.
+func (p *placer) collectCandidates(j *job, preempting bool) *placement.Groups[*machine] {
+	groups := &p.pass.groups
+	groups.Clear()
+	for _, m := range p.pass.eligibleMachines(preempting) {
+		if c, ok := p.evaluate(j, m, preempting, nil); ok {
+			groups.Add(c)
+		}
+	}
+	return groups
 }
 
-func (s *Scheduler) placementAllowed(j *job, kind, yard string, spot bool) bool {
-	if spot && !j.spec.Spot {
-		return false
+// evaluate filters and scores one machine for a task of a job: the body of the loop of Select Hosts
+// (Algorithm 2 of the paper). A request that may preempt is filtered on the normal view, any other
+// on the full view; scores are those of the full view. Planned is what the placement of a gang has
+// decided for the machine so far, or nil.
+func (p *placer) evaluate(j *job, m *machine, preempting bool, planned *plannedView) (c candidate, ok bool) {
+	free := planned.freeResources(m) // on the full view
+	overcommitted := !free.Fits(j.demand)
+	if overcommitted && !preempting {
+		return c, false
 	}
-	if j.spec.Zone != "" && j.spec.Zone != yard {
-		return false
+	if m.isReservedForOthers(j) || !j.mayUse(m) || planned.tasksOn(m) >= limits.MaxTasksPerMachine {
+		return c, false
 	}
-	if !typeAllowed(&j.spec, kind) {
-		return false
+	if overcommitted && !freeOnNormalView(j, m, planned).Fits(j.demand) {
+		return c, false
 	}
-	if j.spec.SameZone || j.spec.SpreadZones {
-		here, total := 0, 0
-		for _, b := range j.assignments {
-			total++
-			if b.machine.zone == yard {
-				here++
-			}
-		}
-		if j.spec.SameZone && here < total {
-			return false
-		}
-		if j.spec.SpreadZones && here >= (j.spec.Tasks+1)/2 {
-			return false
+	c.Target = m
+	if overcommitted {
+		c.Scores[placement.Overcommit] = -1
+		for _, option := range p.preemptionOptions(j, m, planned) {
+			c.Scores[placement.PreemptionCost] -= option.Cost
 		}
 	}
-	return true
+	weighMachine(j, m, free, &c.Scores)
+	return c, true
 }
 
-// eligibleMachines are the machines to look at: a request that may stop nothing needs free room.
-func (p *placementPass) eligibleMachines(pressing bool) []*machine {
-	if pressing {
-		return p.machines
+// freeOnNormalView is what is free on a machine without the tasks that may be preempted for a job.
+func freeOnNormalView(j *job, m *machine, planned *plannedView) resource.Vector {
+	free := planned.freeResources(m)
+	for _, a := range m.assignments {
+		if !planned.isStopped(a) && j.mayPreempt(a) {
+			free = free.Plus(a.job.demand)
+		}
 	}
-	return p.withFreeResources
+	return free
 }
 
-// collectCandidates are the machines that pass the filters for a task of the job, with their scores.
-func (s *Scheduler) collectCandidates(j *job, pressing bool) *placement.Groups[*machine] {
-	p := &s.placement.pass
-	p.groups.Clear()
-	for _, m := range p.eligibleMachines(pressing) {
-		if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
-			p.groups.Add(c)
-		}
+// weighMachine sets the scores that don't depend on preemption.
+func weighMachine(j *job, m *machine, free resource.Vector, scores *placement.Scores) {
+	if _, cached := m.cachedImages[j.spec.Image]; !cached {
+		scores[placement.Image] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.MinImageFetchRate)
+	}
+	scores[placement.Packing] = -free.Minus(j.demand).CPUs
+	scores[placement.Price] = -m.pricePerCPU()
+	if j.gang != nil && m.reservedForGangs {
+		scores[placement.GangReservation] = 1
+	}
+	scores[placement.Speed] = -1
+	if m.speedCount >= limits.MinSpeedSamples {
+		meanSpeed := m.speedSum / float64(m.speedCount)
+		scores[placement.Speed] = -math.Round(meanSpeed/limits.SpeedStep) * limits.SpeedStep
 	}
-	return &p.groups
 }
 
-// evaluateMachine filters and scores one machine, as it would stand with the seats that the gang at
-// hand has there already; nil if there are none.
-func (s *Scheduler) evaluateMachine(j *job, m *machine, pressing bool, planned *plannedView) (c candidate, ok bool) {
-	free, tasks := planned.freeResources(m), len(m.assignments)+len(m.endedTasks)
-	if planned != nil {
-		tasks += planned.tasks
-	}
-	over := !free.Fits(j.demand)
+// isSchedulable reports whether a machine may get tasks at all.
+func (e *environment) isSchedulable(m *machine) bool {
+	return m.verified && m.machineType != nil && m.rental != "" &&
+		!m.spotNotice && !m.deleting && !m.isFaulty() &&
+		m.hasLiveIncarnation() && !e.isStale(m)
+}
+
+// isAtTaskLimit reports whether the machine runs and lists as many tasks as it may.
+func (m *machine) isAtTaskLimit() bool { return m.taskCount() >= limits.MaxTasksPerMachine }
+
+// taskCount is the number of tasks that the machine has, those included that have ended and are
+// still listed.
+func (m *machine) taskCount() int { return len(m.assignments) + len(m.endedTasks) }
+
+// isReservedForOthers reports whether the machine is kept for other jobs than this one.
+func (m *machine) isReservedForOthers(j *job) bool {
 	if m.reservedForGangs && !j.mayUseGangReservation {
-		return c, false
+		return true
 	}
-	if over && !pressing || (m.reservedFor != nil && m.reservedFor != j) || !s.passesHardFilters(j, m) || tasks >= limits.MaxTasksPerMachine {
-		return c, false
+	return m.reservedFor != nil && m.reservedFor != j
+}
+
+// mayUse reports whether the job's tasks may run on the machine, whatever else runs there.
+func (j *job) mayUse(m *machine) bool {
+	return j.mayUsePool(m.pool()) && m.size().Fits(j.demand) && !j.avoids(m)
+}
+
+// mayUsePool reports whether the job's next task may run on a machine of the pool: the job's spec
+// allows it, and so do its rules for zones together with the tasks that are assigned already.
+func (j *job) mayUsePool(pool machinePool) bool {
+	if pool.spot && !j.spec.Spot {
+		return false
 	}
-	c.Target = m
-	if over {
-		// The normal view: the machine without what this request may stop.
-		view := free
-		for _, b := range m.assignments {
-			if !planned.isStopped(b) && s.mayPreempt(j, b) {
-				view = view.Plus(b.job.demand)
-			}
-		}
-		if !view.Fits(j.demand) {
-			return c, false
-		}
-		c.Scores[placement.Overcommit] = -1
-		for _, v := range s.preemptionOptions(j, m, planned) {
-			c.Scores[placement.PreemptionCost] -= v.Cost
-		}
+	if j.spec.Zone != "" && j.spec.Zone != pool.zone {
+		return false
 	}
-	if _, ok := m.cachedImages[j.spec.Image]; !ok {
-		c.Scores[placement.Image] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.MinImageFetchRate)
+	return typeAllowed(&j.spec, pool.typeName) && j.mayUseZone(pool.zone)
+}
+
+// mayUseZone reports whether the job's rules for zones let its next task run in a zone.
+func (j *job) mayUseZone(zone string) bool {
+	if !j.hasZoneRule() {
+		return true
 	}
-	left := free.Minus(j.demand)
-	c.Scores[placement.Packing] = -left.CPUs
-	c.Scores[placement.Price] = -m.pricePerCPU()
-	if j.gang != nil && m.reservedForGangs {
-		c.Scores[placement.GangReservation] = 1
+	inZone := 0
+	for _, a := range j.assignments {
+		if a.machine.zone == zone {
+			inZone++
+		}
 	}
-	if m.speedCount >= 3 {
-		c.Scores[placement.Speed] = -math.Round(m.speedSum/float64(m.speedCount)/limits.SpeedStep) * limits.SpeedStep
-	} else {
-		c.Scores[placement.Speed] = -1
+	if j.spec.SameZone && inZone < len(j.assignments) {
+		return false
 	}
-	return c, true
+	return !j.spec.SpreadZones || inZone < j.maxTasksPerZone()
 }
 
-// typeAllowed tells whether a job may use machines of a type.
-func typeAllowed(spec *protocol.Spec, kind string) bool {
-	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, kind)
-}
+// hasZoneRule reports whether where a task may go depends on where the job's other tasks are.
+func (j *job) hasZoneRule() bool { return j.spec.SameZone || j.spec.SpreadZones }
 
-// taskDemand returns what a task of a job needs.
-func taskDemand(spec *protocol.Spec) resource.Vector {
-	return resource.Vector{CPUs: spec.CPUs, Accelerators: spec.Accelerators, MemoryGB: spec.MemoryGB}
+// hasNoMachineRules reports whether the job may use machines of every zone and type.
+func (j *job) hasNoMachineRules() bool {
+	return j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && len(j.failedMachines) == 0
 }
 
-// fitsSomeType tells whether some allowed type can hold a task of the job.
-func fitsSomeType(spec *protocol.Spec, types []protocol.MachineType) bool {
-	demand := taskDemand(spec)
-	for i := range types {
-		t := &types[i]
-		ok := typeAllowed(spec, t.Name)
-		if spec.Zone != "" {
-			in := false
-			for _, y := range t.Zones {
-				in = in || y == spec.Zone
-			}
-			ok = ok && in
-		}
-		if ok && typeResources(t).Fits(demand) {
-			return true
-		}
-	}
-	return false
-}
+// maxTasksPerZone is how many tasks of a job that is spread over zones may be in one.
+func (j *job) maxTasksPerZone() int { return (j.spec.Tasks + 1) / 2 }
 
-// CanEverRun tells whether a job could ever run: a task fits some allowed type, and its team's
-// limit; of a gang, all tasks together.
-func CanEverRun(spec *protocol.Spec, types []protocol.MachineType, cpusMax, gpusMax float64) bool {
-	atOnce := 1.0
-	if spec.Gang() {
-		atOnce = float64(spec.Tasks)
-	}
-	return fitsSomeType(spec, types) && atOnce*spec.CPUs <= cpusMax+limits.Epsilon && atOnce*spec.Accelerators <= gpusMax+limits.Epsilon
+// avoids reports whether the job's tasks don't use a machine because tasks have failed there. Once
+// they fail everywhere, any machine will do.
+func (j *job) avoids(m *machine) bool {
+	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
 }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -19,6 +19,9 @@
 	demand          map[gangKind]*gangDemand
 }
 
+// hasRefills reports whether gangs wait for a task in place of a lost one.
+func (t *gangTable) hasRefills() bool { return len(t.toRefill) > 0 }
+
 // newGangTable returns a table without gangs.
 func newGangTable(env *environment) *gangTable {
 	return &gangTable{environment: env, demand: map[gangKind]*gangDemand{}}
@@ -115,7 +118,7 @@
 	j := g.job
 	if len(j.assignments) == 0 {
 		*g = gang{job: j, lostMachines: map[string]bool{}, awaitsCommit: g.awaitsCommit}
-		s.placement.needed = true
+		s.placement.requestPass()
 		return
 	}
 	known := g.summarize()
@@ -150,7 +153,7 @@
 		s.releaseGang(g) // nobody knows of it yet, so it is placed anew as a whole
 	case missing > 0:
 		s.gangs.toRefill = append(s.gangs.toRefill, g)
-		s.placement.needed = true
+		s.placement.requestPass()
 	}
 }
 
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -265,8 +265,8 @@
 	}
 	m := b.scheduler.inventory.find(b.machine(0))
 	b.job("job-2", "red", "high", 1, 8, 0)
-	options := b.scheduler.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
-	one := b.scheduler.preemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
+	options := b.scheduler.placement.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
+	one := b.scheduler.placement.taskPreemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
 	if len(options) != 1 || options[0].Resources.CPUs != 8 || options[0].Cost < 3.9*one {
 		t.Fatalf("victims: %+v, a task's loss %v", options, one)
 	}
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -34,7 +34,7 @@
 		s.stopJob(j)
 		s.tryCloseJob(j)
 	}
-	s.placement.needed = true
+	s.placement.requestPass()
 }
 
 // stopJob takes a cancelled job off its machines.
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -167,3 +167,6 @@
 	})
 	return out
 }
+
+// pool is the pool that the machine was rented from.
+func (m *machine) pool() machinePool { return machinePool{m.typeName, m.zone, m.spot} }
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -20,11 +20,11 @@
 // anew.
 func (s *Scheduler) placeTasksNaively() {
 	order := s.queue.order()
-	s.beginPass() // for what is held; the list of machines is not used
+	s.placement.beginPass() // for what is held; the list of machines is not used
 	for _, j := range s.queue.overdueJobs() {
 		if n := s.queue.overdueTasks(j); n > 0 && j.team.fits(j.demand) && s.now >= j.retryAt {
 			s.placeJobNaively(j, n)
-			s.reserveForJob(j)
+			s.placement.reserveForJob(j)
 		}
 	}
 	for _, j := range order {
@@ -35,22 +35,22 @@
 }
 
 func (s *Scheduler) placeJobNaively(j *job, n int) {
-	pressing := s.mayPreemptNow(j)
+	pressing := s.placement.mayPreemptNow(j)
 	for ; n > 0 && j.team.fits(j.demand); n-- {
 		var cs []candidate
 		for _, m := range s.inventory.all() {
 			if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 				continue
 			}
-			if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
+			if c, ok := s.placement.evaluate(j, m, pressing, nil); ok {
 				cs = append(cs, c)
 			}
 		}
-		best := placement.Best(cs, byName)
+		best := placement.Best(cs, compareNames)
 		if best < 0 {
 			return
 		}
-		victims, ok := s.chooseVictims(j, &cs[best], nil)
+		victims, ok := s.placement.chooseVictims(j, &cs[best], nil)
 		if !ok {
 			return
 		}
@@ -130,7 +130,7 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		quick, plain := crowdedState(seed), crowdedState(seed)
 		before := len(bindings(quick))
-		quick.placement.needed = true
+		quick.placement.requestPass()
 		quick.placeTasks()
 		plain.placeTasksNaively()
 		got, want := bindings(quick), bindings(plain)
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -1,117 +1,19 @@
 package scheduler
 
-import (
-	"maps"
-	"slices"
-	"strings"
-	"time"
-
-	"quillshunt/internal/coordination/placement"
-	"quillshunt/internal/coordination/resource"
-	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
-)
-
-// placer runs the scheduling passes.
-type placer struct {
-	*environment
-	pass   placementPass
-	needed bool // something changed that placement looks at
-	// nextPreemptionSearch is when requests that found no tasks to stop may look for them again:
-	// the search goes through all tasks of all machines, and in an overload many jobs search at
-	// every event. Until then they take free room like others.
-	nextPreemptionSearch map[placementRequest]time.Duration
-}
-
-// newPlacer returns a placer for the first pass of a term.
-func newPlacer(env *environment) *placer {
-	return &placer{
-		environment: env,
-		pass: placementPass{
-			unplaceable:      map[placementRequest]bool{},
-			unplaceableGangs: map[gangRequest]bool{},
-			groups:           placement.NewGroups(byName),
-		},
-		nextPreemptionSearch: map[placementRequest]time.Duration{},
-	}
-}
-
-// candidate is a machine that passed the filters, with its scores.
-type candidate = placement.Candidate[*machine]
-
-// forgetPastSearches drops the requests that may look for tasks to stop again.
-func (p *placer) forgetPastSearches() {
-	maps.DeleteFunc(p.nextPreemptionSearch, func(_ placementRequest, at time.Duration) bool { return at <= p.now })
-}
-
-// placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
-// backlog: each request decides as if it looked at every machine anew (see TestPassIsPlain).
-type placementPass struct {
-	machines          []*machine                // that may get tasks, by name
-	withFreeResources []*machine                // those of them with free room for any of the jobs
-	jobs              []*job                    // that want room, in order of claim
-	minDemand         resource.Vector           // none of them needs less of any resource
-	maxFreeResources  resource.Vector           // no machine has more free room of any resource
-	unplaceable       map[placementRequest]bool // requests for which no machine was found in this pass
-	// unplaceableGangs are the same of gangs.
-	unplaceableGangs      map[gangRequest]bool
-	reservationsLeft      int // machines that may still be held; see reserve
-	groups                placement.Groups[*machine]
-	reservationCandidates []*machine
-}
-
-// placementRequest is what decides where a task of a job may go, for jobs that ask for nothing
-// particular.
-type placementRequest struct {
-	demand          resource.Vector
-	team            *team
-	priority        protocol.Priority
-	guaranteed      bool
-	spot            bool
-	preempting      bool
-	gangReservation bool // may use machines that are kept for gangs
-}
-
-// placeTasks is the scheduling pass. For each job in order of claim it filters the machines, ranks
-// what is left on the full view, and picks victims where the best machine lacks room: the paper's
-// algorithm, request by request. The tasks of one job ask the same question, so filter and scores
-// are worked out once for them and kept up to date for the machine that was chosen.
+// placeTasks is the scheduling pass. For each job, in the order of the queue, it filters the
+// machines, ranks what is left on the full view, and preempts victims where the best machine is
+// short of resources: the paper's algorithm, request by request.
 func (s *Scheduler) placeTasks() {
-	if !s.placement.needed || !s.recovery.ended {
+	if !s.placement.passNeeded || !s.recovery.ended {
 		return
 	}
-	s.placement.needed = false
-	p := &s.placement.pass
-	p.jobs = p.jobs[:0]
-	for _, j := range s.queue.order() {
-		if j.waitingTasks() == 0 || j.cancelled || j.closed || s.now < j.retryAt || !j.withinTeamLimit() {
-			continue
-		}
-		if len(p.jobs) == 0 {
-			p.minDemand = j.demand
-		}
-		p.minDemand = p.minDemand.Min(j.demand)
-		p.jobs = append(p.jobs, j)
-	}
-	if len(p.jobs) == 0 && len(s.gangs.toRefill) == 0 {
+	if s.placement.collectJobs() == 0 && !s.gangs.hasRefills() {
 		return
 	}
-	s.beginPass()
+	s.placement.beginPass()
 	s.refillGangs()
-	for _, j := range s.queue.overdueJobs() {
-		n := s.queue.overdueTasks(j)
-		if n <= 0 || !j.withinTeamLimit() || s.now < j.retryAt {
-			continue
-		}
-		if j.gang != nil {
-			s.placeGang(j)
-			s.reserveForWaitingGang(j)
-			continue
-		}
-		s.placeJob(j, n)
-		s.reserveForJob(j)
-	}
-	for _, j := range p.jobs {
+	s.placeOverdueTasks()
+	for _, j := range s.placement.pass.jobs {
 		if j.gang != nil {
 			s.placeGang(j)
 			continue
@@ -120,101 +22,68 @@
 	}
 }
 
-// beginPass collects the machines that may get tasks.
-func (s *Scheduler) beginPass() {
-	p := &s.placement.pass
-	p.machines, p.withFreeResources, p.maxFreeResources = p.machines[:0], p.withFreeResources[:0], resource.Vector{}
-	p.clearUnplaceable()
-	for _, m := range s.inventory.all() {
-		m.wasReserved, m.reservedFor = m.reservedFor != nil, nil
-		if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
+// placeOverdueTasks places the tasks that are due whatever else waits. Machines are reserved for
+// those that find none.
+func (s *Scheduler) placeOverdueTasks() {
+	for _, j := range s.queue.overdueJobs() {
+		overdue := s.queue.overdueTasks(j)
+		if overdue <= 0 || !j.withinTeamLimit() || s.now < j.retryAt {
 			continue
 		}
-		p.machines = append(p.machines, m)
-		if free := m.freeResources(); free.Fits(p.minDemand) {
-			p.withFreeResources = append(p.withFreeResources, m)
-			p.maxFreeResources = p.maxFreeResources.Max(free)
+		if j.gang != nil {
+			s.placeGang(j)
+			s.placement.reserveForGang(j)
+			continue
 		}
+		s.placeJob(j, overdue)
+		s.placement.reserveForJob(j)
 	}
-	p.reservationsLeft = (len(p.machines) + limits.ReservedMachinesRatio - 1) / limits.ReservedMachinesRatio
-}
-
-// clearUnplaceable lets requests be tried again for which no machine was found.
-func (p *placementPass) clearUnplaceable() {
-	clear(p.unplaceable)
-	clear(p.unplaceableGangs)
 }
 
-// addFreedMachine notes that a machine has got more free room during the pass.
-func (p *placementPass) addFreedMachine(m *machine) {
-	if _, usable := slices.BinarySearchFunc(p.machines, m, byName); !usable {
+// placeJob places up to count of a job's tasks. All of them make the same request, so the machines
+// are filtered and scored once, and again only where a placement has changed something.
+func (s *Scheduler) placeJob(j *job, count int) {
+	search, ok := s.placement.newSearch(j)
+	if !ok {
 		return
 	}
-	p.maxFreeResources = p.maxFreeResources.Max(m.freeResources())
-	if i, ok := slices.BinarySearchFunc(p.withFreeResources, m, byName); !ok {
-		p.withFreeResources = slices.Insert(p.withFreeResources, i, m)
-	}
-}
-
-func byName(a, b *machine) int { return strings.Compare(a.name, b.name) }
-
-// placeJob places up to n of a job's tasks.
-func (s *Scheduler) placeJob(j *job, n int) {
-	p := &s.placement.pass
-	ask := placementRequest{j.demand, j.team, j.priority, j.guaranteed, j.spec.Spot, s.mayPreemptNow(j), j.mayUseGangReservation}
-	common := j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && !j.spec.SameZone && !j.spec.SpreadZones && len(j.failedMachines) == 0
-	if ask.preempting && (s.now < j.nextPreemptionSearch || (common && s.now < s.placement.nextPreemptionSearch[ask])) {
-		ask.preempting = false
-	}
-	pressing := ask.preempting
-	if (common && p.unplaceable[ask]) || (!pressing && !p.maxFreeResources.Fits(j.demand)) {
-		return
-	}
-	sh := s.collectCandidates(j, pressing)
-	for ; n > 0 && j.team.fits(j.demand); n-- {
-		best := sh.Best()
-		if best < 0 {
-			if common {
-				p.unplaceable[ask] = true
-			}
-			switch {
-			case pressing && common:
-				s.placement.nextPreemptionSearch[ask] = s.now + limits.PreemptionSearchInterval
-			case pressing:
-				j.nextPreemptionSearch = s.now + limits.PreemptionSearchInterval
-			}
+	candidates := s.placement.collectCandidates(j, search.preempting)
+	for ; count > 0 && j.team.fits(j.demand); count-- {
+		group := candidates.Best()
+		if group < 0 {
+			s.placement.searchFailed(&search)
 			return
 		}
-		chosen := sh.First(best)
-		m := chosen.Target
-		victims, ok := s.chooseVictims(j, &chosen, nil)
+		best := candidates.First(group)
+		victims, ok := s.placement.chooseVictims(j, &best, nil)
 		if !ok {
 			return
 		}
-		gangStopped := false
-		for _, v := range victims {
-			s.stopTask(v, "preempted for "+j.id)
-			if v.job.gang != nil {
-				gangStopped = true
-				s.addGangMachinesToPass(v.job)
-			}
-		}
-		m.reservedFor = nil
-		borrowed := j.team.usesBorrowed()
-		s.assign(j, j.nextWaitingTask(), m, s.nextAttempt(), stateUnsent)
-		if len(victims) > 0 {
-			p.addFreedMachine(m) // what was stopped may leave more than was asked for
-		}
-		if len(victims) > 0 || borrowed != j.team.usesBorrowed() {
-			p.clearUnplaceable() // others may find room, or tasks to stop, that were not there before
-		}
-		if j.spec.SameZone || j.spec.SpreadZones || gangStopped {
-			sh = s.collectCandidates(j, pressing) // where the others may go depends on where this one went
+		gangStopped := s.placeTask(j, best.Target, victims)
+		if gangStopped || j.hasZoneRule() { // other machines have changed, or may be used no more
+			s.placement.collectCandidates(j, search.preempting)
 			continue
 		}
-		sh.RemoveFirst(best)
-		if c, ok := s.evaluateMachine(j, m, pressing, nil); ok {
-			sh.Add(c)
+		candidates.RemoveFirst(group)
+		if c, ok := s.placement.evaluate(j, best.Target, search.preempting, nil); ok {
+			candidates.Add(c)
+		}
+	}
+}
+
+// placeTask stops the victims on a machine and assigns it the next task of a job. It reports
+// whether gangs were among the victims.
+func (s *Scheduler) placeTask(j *job, m *machine, victims []*assignment) (gangStopped bool) {
+	for _, victim := range victims {
+		s.stopTask(victim, "preempted for "+j.id)
+		if victim.job.gang != nil {
+			gangStopped = true
+			s.placement.gangStopped(victim.job)
 		}
 	}
+	m.reservedFor = nil
+	borrowed := j.team.usesBorrowed()
+	s.assign(j, j.nextWaitingTask(), m, s.nextAttempt(), stateUnsent)
+	s.placement.taskPlaced(m, victims, borrowed != j.team.usesBorrowed())
+	return gangStopped
 }
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -25,7 +25,7 @@
 		for _, y := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				p := machinePool{k, y, spot}
-				if !s.placementAllowed(j, k, y, spot) {
+				if !j.mayUsePool(p) {
 					continue
 				}
 				// Spread over zones where all else is equal.
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -11,7 +11,7 @@
 // new tasks: reports may arrive from a machine that hears nothing.
 func (s *Scheduler) setVerified(m *machine, verified bool) {
 	if verified && !m.verified {
-		s.placement.needed = true
+		s.placement.requestPass()
 	}
 	if !verified && (m.verified || m.unverifiedSince == 0) {
 		m.unverifiedSince = s.now
@@ -57,14 +57,15 @@
 	}
 	if !m.hasReported || heartbeat.Incarnation > m.incarnation {
 		m.sequence, m.heartbeatSequence = 0, 0
-		s.placement.needed = true
+		s.placement.requestPass()
 	}
 	if !m.hasReported {
 		m.firstReportAt, m.idleSince = s.now, s.now
 	}
 	m.hasReported, m.incarnation = true, heartbeat.Incarnation
 	if heartbeat.FencingToken == s.cfg.Term && !m.fenced {
-		m.fenced, s.placement.needed = true, true
+		m.fenced = true
+		s.placement.requestPass()
 		m.leaseRenewedAt = max(m.leaseRenewedAt, s.now)
 	}
 }
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -29,7 +29,8 @@
 			return
 		}
 	}
-	s.recovery.ended, s.placement.needed = true, true
+	s.recovery.ended = true
+	s.placement.requestPass()
 	for _, j := range s.jobs.oldestFirst() {
 		s.markGangChanged(j.gang)
 	}
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -209,7 +209,7 @@
 			r.record.Machines = append(r.record.Machines, name)
 		}
 	}
-	s.placement.needed = true
+	s.placement.requestPass()
 	s.reconcileRental(r)
 }
 
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -62,7 +62,7 @@
 	registry := newMachineRegistry(env)
 	rentals := newRentalTable(env)
 	dispatcher := newCommandDispatcher(env)
-	placement := newPlacer(env)
+	placement := newPlacer(env, queue, inventory)
 	gangs := newGangTable(env)
 	prober := newMachineProber(env)
 	finished := newFinishedTaskWriter(env)
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		usable++
-		if !s.passesHardFilters(j, m) {
+		if !j.mayUse(m) {
 			continue
 		}
 		allowed++
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -17,14 +17,13 @@
 // each other for ever.
 func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Scheduler{environment: &environment{}}
 		teams := []*team{{cfg: config.Team{CPUs: 1}, allocated: resource.Vector{CPUs: 5}}, {cfg: config.Team{CPUs: 9}, allocated: resource.Vector{CPUs: 5}}}
 		draw := func(name string) *assignment {
 			return &assignment{state: stateRunning, job: &job{team: teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
 				priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, name+" urgency")), guaranteed: rapid.Bool().Draw(t, name+" guaranteed")}}
 		}
 		x, y := draw("x"), draw("y")
-		if s.mayPreempt(x.job, y) && s.mayPreempt(y.job, x) {
+		if x.job.mayPreempt(y) && y.job.mayPreempt(x) {
 			t.Fatal("circle")
 		}
 	})
@@ -52,7 +51,7 @@
 		t.Error("stopped at once")
 	}
 	b.now += limits.PreemptionSearchInterval
-	b.scheduler.placement.needed = true
+	b.scheduler.placement.requestPass()
 	b.report(0, first)
 	if !b.scheduler.inventory.find(d.Machine).assignments[first.Task].stopping {
 		t.Error("not stopped after the pause")
--- a/internal/limits/placement.go
+++ b/internal/limits/placement.go
@@ -23,4 +23,6 @@
 	// SpeedStep is the step to which observed speeds are rounded, as a share of the usual run time.
 	// Healthy machines differ by a tenth, and what is seen of one is not exact.
 	SpeedStep = 0.05
+	// MinSpeedSamples is the number of tasks from which on a machine's observed speed counts.
+	MinSpeedSamples = 3
 )
