--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -11,7 +11,7 @@
 // pendingCapacity are the machines of rentals that are under way.
 func (s *Scheduler) pendingCapacity() []*capacity {
 	var out []*capacity
-	for _, h := range s.sortedRentals() {
+	for _, h := range s.rentals.all() {
 		t := s.catalog.find(h.record.MachineType)
 		if t == nil || !h.isPending() {
 			continue
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -31,12 +31,11 @@
 				// Spread over zones where all else is equal.
 				cost := priceOf(t, spot) / float64(per) * (1 + limits.ZoneSpreadPenalty*float64(s.planner.machinesInZone[y]))
 				floor = min(floor, cost)
-				st := s.rentals.pools[p]
-				if st != nil && s.now < st.notBefore {
+				if s.rentals.isBackedOff(p) {
 					continue
 				}
 				if !open(p) {
-					if st == nil || st.backoff == 0 {
+					if !s.rentals.refusedLately(p) {
 						busy = min(busy, cost)
 					}
 					continue
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -18,11 +18,11 @@
 	case FinishedTasksLoaded:
 		s.finished.load(e)
 	case RentalLoaded:
-		s.rentalLoaded(e)
+		s.rentals.load(e)
 	case RegistryPageLoaded:
-		s.registryPageLoaded(e)
+		s.registry.load(e)
 	case StateLoaded:
-		s.logInfo("rebuilding", "jobs", s.jobs.count(), "machines", len(s.inventory.all()), "hires", len(s.rentals.byName))
+		s.logInfo("rebuilding", "jobs", s.jobs.count(), "machines", len(s.inventory.all()), "hires", s.rentals.count())
 		s.recovery.loaded = true
 		s.catalog.fetchNow()
 		s.cloudList.readNow()
