--- a/internal/coordination/election/handover_test.go
+++ b/internal/coordination/election/handover_test.go
@@ -6,63 +6,60 @@
 	"time"
 
 	"quillshunt/internal/limits"
-	"quillshunt/internal/standin"
 )
 
-// TestHandOver: a leader that alone is refused by the state service is replaced long before its
-// hold ends, and one that is refused like all others is not.
-func TestHandOver(t *testing.T) {
+// TestHandover: a leader that alone is rejected by the state service is replaced long before its
+// lease expires, and one that is rejected like all others is not.
+func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := standin.NewStateService()
-		nodes := newNodes(s, 2, 2)
-		nodes[0].start(t)
+		c := newCluster(2, 2)
+		defer c.crash()
+		first, second := c.nodes[0], c.nodes[1]
+		first.start()
 		time.Sleep(3 * time.Second)
-		nodes[1].start(t)
+		second.start()
 		time.Sleep(3 * time.Second)
-		s.SetUnavailable(true)
+		c.service.SetUnavailable(true)
 		time.Sleep(limits.LeaderLease / 2)
-		if nodes[0].entitled() == nil {
-			t.Fatal("gave up in an outage for all")
+		if first.entitled() == nil {
+			t.Fatal("handed over in an outage for all")
 		}
-		s.SetUnavailable(false)
+		c.service.SetUnavailable(false)
 		time.Sleep(5 * time.Second)
-		nodes[0].refuse(time.Now().Add(time.Hour))
-		old := nodes[0].entitled()
+		first.store.setRejected(time.Now().Add(time.Hour))
+		old := first.entitled()
 		time.Sleep(limits.LeaderLease / 2)
 		if old == nil || old.Entitled() {
 			t.Fatal("still entitled after handing over")
 		}
-		if nodes[0].entitled() != nil || nodes[1].entitled() == nil {
+		if first.entitled() != nil || second.entitled() == nil {
 			t.Fatal("not handed over")
 		}
-		for _, n := range nodes {
-			n.crash()
-		}
 	})
 }
 
-// TestBusyLeader: a leader that gets no answers because it is itself behind does not hand over; one
-// that is in time and gets none does.
+// TestBusyLeader: a leader that gets no answers because its own process is behind does not hand
+// over; one whose process is not behind does.
 func TestBusyLeader(t *testing.T) {
-	for _, busy := range []bool{true, false} {
-		synctest.Test(t, func(t *testing.T) {
-			s := standin.NewStateService()
-			nodes := newNodes(s, 2, 2)
-			for _, n := range nodes {
-				n.start(t)
-				time.Sleep(3 * time.Second)
-			}
-			if busy {
-				nodes[0].setBusy()
-			}
-			nodes[0].silence(time.Now().Add(15 * time.Second))
-			time.Sleep(20 * time.Second)
-			if kept := nodes[0].entitled() != nil; kept != busy {
-				t.Errorf("busy: %v, still leads: %v", busy, kept)
-			}
-			for _, n := range nodes {
-				n.crash()
-			}
+	for name, busy := range map[string]bool{"busy": true, "not busy": false} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				c := newCluster(2, 2)
+				defer c.crash()
+				for _, n := range c.nodes {
+					n.start()
+					time.Sleep(3 * time.Second)
+				}
+				leader := c.nodes[0]
+				if busy {
+					leader.setBusy()
+				}
+				leader.store.setUnanswered(time.Now().Add(15 * time.Second))
+				time.Sleep(20 * time.Second)
+				if kept := leader.entitled() != nil; kept != busy {
+					t.Errorf("busy: %v, still leads: %v", busy, kept)
+				}
+			})
 		})
 	}
 }
--- a/internal/coordination/election/leadership_test.go
+++ b/internal/coordination/election/leadership_test.go
@@ -7,13 +7,13 @@
 	"quillshunt/internal/limits"
 )
 
-// TestMargins: our entitlement ends before the hold can, and others' leases are waited out for
+// TestMargins: our entitlement ends before the lease can expire, and we wait for others' leases for
 // longer than they can last, whatever the clocks do.
 func TestMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
 		drift := time.Duration(float64(d) * limits.DriftShare)
 		if limits.LeaseValidFor(d) >= d-2*drift || limits.LeaseExpiredAfter(d) <= d+2*drift {
-			t.Errorf("%v: entitled %v, waited out %v", d, limits.LeaseValidFor(d), limits.LeaseExpiredAfter(d))
+			t.Errorf("%v: entitled for %v, waited for %v", d, limits.LeaseValidFor(d), limits.LeaseExpiredAfter(d))
 		}
 	}
 }
--- a/internal/coordination/election/node_test.go
+++ b/internal/coordination/election/node_test.go
@@ -5,9 +5,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"slices"
 	"sync"
-	"testing"
 	"time"
 
 	"quillshunt/internal/limits"
@@ -15,134 +13,93 @@
 	"quillshunt/internal/storage"
 )
 
-// node is a controller that crashes and comes back.
-type node struct {
-	name   string
-	store  *unreliableStore
-	cancel context.CancelFunc
-	done   chan struct{}
-	mu     sync.Mutex
-	leads  *Leadership
-	e      *Elector
-	others *[]*node
-	life   time.Duration
-	busy   bool      // its process is behind
-	mute   bool      // leads without the others, and all nodes do
-	cut    time.Time // speaks with nobody until then
-}
-
-func (n *node) pledge() time.Duration {
-	if n.mute {
-		return 0
-	}
-	return limits.VoteLeaseMin
+// cluster is controllers of one state service.
+type cluster struct {
+	service *standin.StateService
+	nodes   []*node
 }
 
-// delay is how far the node's process is behind: a second while it is busy, else what it measures.
-func (n *node) delay(ctx context.Context) time.Duration {
-	n.mu.Lock()
-	busy := n.busy
-	n.mu.Unlock()
-	if busy {
-		return time.Second
+// newCluster returns controllers that neither crash nor lose anything by themselves. They are not
+// started.
+func newCluster(size int, seed uint64) *cluster {
+	c := &cluster{service: standin.NewStateService()}
+	for i := range size {
+		c.addNode(rand.New(rand.NewPCG(seed, uint64(i))))
 	}
-	return schedulingDelay(ctx)
+	return c
 }
 
-func (n *node) setBusy() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.busy = true
-}
-
-func (n *node) isCut() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return time.Now().Before(n.cut)
-}
-
-// reach is another node's elector, or nil; what is said is lost now and then, and comes late.
-func (n *node) reach(o *node) *Elector {
-	n.store.mu.Lock()
-	d := time.Duration(n.store.r.IntN(200)) * time.Millisecond
-	n.store.mu.Unlock()
-	time.Sleep(d)
-	if o == n || n.isCut() || o.isCut() || n.store.loses() {
-		return nil
+// addNode adds a controller, which is not started.
+func (c *cluster) addNode(random *rand.Rand) *node {
+	n := &node{
+		name:          fmt.Sprintf("controller-%d", len(c.nodes)),
+		cluster:       c,
+		store:         &unreliableStore{service: c.service, random: random},
+		leaseDuration: limits.LeaderLease,
+		voteLease:     limits.VoteLeaseMin,
 	}
-	return o.up()
+	c.nodes = append(c.nodes, n)
+	return n
 }
 
-func (n *node) Size() int { return len(*n.others) - 1 }
-
-func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote {
-	out := map[string]Vote{}
-	for _, o := range *n.others {
-		if e := n.reach(o); e != nil {
-			a := e.Vote(heartbeat, nonces[o.name])
-			if !n.store.loses() { // else the answer is lost
-				out[o.name] = a
-			}
+// leader returns the first entitled node, or nil.
+func (c *cluster) leader() *node {
+	for _, n := range c.nodes {
+		if n.entitled() != nil {
+			return n
 		}
 	}
-	return out
+	return nil
 }
 
-// FindConnected and Take reach the other nodes directly; what is said may be lost or late.
-func (n *node) FindConnected(ctx context.Context) string {
-	for _, o := range *n.others {
-		if o != n && !n.isCut() && !o.isCut() && !n.store.chance(0.2) && o.up() != nil && o.up().StateReachable(ctx) {
-			return o.name
-		}
+func (c *cluster) start() {
+	for _, n := range c.nodes {
+		n.start()
 	}
-	return ""
 }
 
-func (n *node) OfferLeadership(_ context.Context, name string, term, stamp uint64) error {
-	for _, o := range *n.others {
-		if o.name != name || n.isCut() || o.isCut() || n.store.chance(0.2) {
-			continue
-		}
-		n.store.mu.Lock()
-		d := time.Duration(n.store.r.IntN(2000)) * time.Millisecond
-		n.store.mu.Unlock()
-		time.AfterFunc(d, func() {
-			if e := o.up(); e != nil {
-				e.AcceptOffer(term, stamp)
-			}
-		})
-		return nil
+func (c *cluster) crash() {
+	for _, n := range c.nodes {
+		n.crash()
 	}
-	return storage.ErrOutcomeUnknown
 }
 
-func (n *node) up() *Elector {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.e
-}
-
-func (n *node) start(t *testing.T) {
+// node is a controller that crashes and comes back. It is the Peers of its elector.
+type node struct {
+	name          string
+	cluster       *cluster
+	store         *unreliableStore
+	leaseDuration time.Duration
+	voteLease     time.Duration // 0: this node needs no votes, and no node of the cluster does
+	cancel        context.CancelFunc
+	done          chan struct{}
+
+	mu            sync.Mutex
+	elector       *Elector    // nil after a crash
+	leadership    *Leadership // nil while another node leads
+	busy          bool        // its process is behind
+	isolatedUntil time.Time   // no calls between it and other nodes until then
+}
+
+// start starts the node's process.
+func (n *node) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel, n.done = cancel, make(chan struct{})
-	options := Options{Node: n.name, Store: n.store, LeaseDuration: n.life, VoteLease: n.pledge(), Delay: n.delay,
-		Lead: func(ctx context.Context, m *Leadership) {
-			n.mu.Lock()
-			n.leads = m
-			n.mu.Unlock()
-			<-ctx.Done()
-			n.mu.Lock()
-			n.leads = nil
-			n.mu.Unlock()
-		},
-		Log: slog.New(slog.DiscardHandler),
+	options := Options{
+		Node:          n.name,
+		Store:         n.store,
+		LeaseDuration: n.leaseDuration,
+		VoteLease:     n.voteLease,
+		Delay:         n.delay,
+		Lead:          n.lead,
+		Log:           slog.New(slog.DiscardHandler),
 	}
-	if !n.mute {
+	if n.voteLease > 0 {
 		options.Peers = n
 	}
 	e := New(options)
 	n.mu.Lock()
-	n.e = e
+	n.elector = e
 	n.mu.Unlock()
 	go func() {
 		defer close(n.done)
@@ -150,55 +107,128 @@
 	}()
 }
 
+// crash ends the node's process.
 func (n *node) crash() {
 	n.mu.Lock()
-	n.e = nil
+	n.elector = nil
 	n.mu.Unlock()
 	n.cancel()
 	<-n.done
 }
 
+func (n *node) lead(ctx context.Context, l *Leadership) {
+	n.setLeadership(l)
+	<-ctx.Done()
+	n.setLeadership(nil)
+}
+
+func (n *node) setLeadership(l *Leadership) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.leadership = l
+}
+
+// running returns the elector of the node's process, or nil after a crash.
+func (n *node) running() *Elector {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.elector
+}
+
+// entitled returns the node's leadership if it is entitled, or nil.
 func (n *node) entitled() *Leadership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leads != nil && n.leads.Entitled() {
-		return n.leads
+	if n.leadership != nil && n.leadership.Entitled() {
+		return n.leadership
 	}
 	return nil
 }
 
-// newNodes are controllers of one state service that neither crash nor lose anything by themselves;
-// they are not started.
-func newNodes(s *standin.StateService, size int, seed uint64) []*node {
-	nodes := make([]*node, size)
-	for i := range nodes {
-		nodes[i] = &node{name: fmt.Sprintf("rig-%d", i), store: &unreliableStore{s: s, r: rand.New(rand.NewPCG(seed, uint64(i)))}, others: &nodes, life: limits.LeaderLease}
+// delay is how far the node's process is behind: a second while it is busy, else what it measures.
+func (n *node) delay(ctx context.Context) time.Duration {
+	n.mu.Lock()
+	busy := n.busy
+	n.mu.Unlock()
+	if busy {
+		return time.Second
 	}
-	return nodes
+	return schedulingDelay(ctx)
 }
 
-// leading is the index of the entitled node, or -1.
-func leading(nodes []*node) int {
-	return slices.IndexFunc(nodes, func(n *node) bool { return n.entitled() != nil })
+func (n *node) setBusy() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.busy = true
 }
 
-// sever cuts a node off from the other controllers, and refuse has the state service refuse it,
-// until then.
-func (n *node) sever(until time.Time) {
+// isolate cuts the node off from all other nodes until then.
+func (n *node) isolate(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = until
+	n.isolatedUntil = until
 }
 
-func (n *node) refuse(until time.Time) {
-	n.store.mu.Lock()
-	defer n.store.mu.Unlock()
-	n.store.alone = until
+func (n *node) isolated() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return time.Now().Before(n.isolatedUntil)
 }
 
-// silence has the state service leave a node without answers until then.
-func (n *node) silence(until time.Time) {
-	n.store.mu.Lock()
-	defer n.store.mu.Unlock()
-	n.store.mute = until
+// reaches reports whether there is a link between two nodes.
+func (n *node) reaches(other *node) bool { return !n.isolated() && !other.isolated() }
+
+// call delivers a request to another node after a random delay. It returns that node's elector, or
+// nil if the request is lost.
+func (n *node) call(other *node) *Elector {
+	time.Sleep(n.store.randomDelay(200, time.Millisecond))
+	if other == n || !n.reaches(other) || n.store.loses() {
+		return nil
+	}
+	return other.running()
+}
+
+func (n *node) Size() int { return len(n.cluster.nodes) - 1 }
+
+func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote {
+	votes := map[string]Vote{}
+	for _, other := range n.cluster.nodes {
+		e := n.call(other)
+		if e == nil {
+			continue
+		}
+		vote := e.Vote(heartbeat, nonces[other.name])
+		if !n.store.loses() { // else the answer is lost
+			votes[other.name] = vote
+		}
+	}
+	return votes
+}
+
+func (n *node) FindConnected(ctx context.Context) string {
+	for _, other := range n.cluster.nodes {
+		if other == n || !n.reaches(other) || n.store.happens(0.2) {
+			continue
+		}
+		if other.running() != nil && other.running().StateReachable(ctx) {
+			return other.name
+		}
+	}
+	return ""
+}
+
+// OfferLeadership delivers the offer some time later, unless it is lost.
+func (n *node) OfferLeadership(_ context.Context, name string, term, keyVersion uint64) error {
+	for _, other := range n.cluster.nodes {
+		if other.name != name || !n.reaches(other) || n.store.happens(0.2) {
+			continue
+		}
+		time.AfterFunc(n.store.randomDelay(2000, time.Millisecond), func() {
+			if e := other.running(); e != nil {
+				e.AcceptOffer(term, keyVersion)
+			}
+		})
+		return nil
+	}
+	return storage.ErrOutcomeUnknown
 }
--- a/internal/coordination/election/store_test.go
+++ b/internal/coordination/election/store_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"os"
 	"sync"
 	"time"
@@ -14,140 +15,193 @@
 	"quillshunt/internal/storage"
 )
 
-// unreliableStore is a node's view of the state service: it delays, refuses, and loses answers of
-// requests that were, or later are, carried out.
+// unreliableStore is a node's view of the state service. It delays and rejects requests, and loses
+// answers of requests that were applied, or are applied later.
 type unreliableStore struct {
-	s     *standin.StateService
-	r     *rand.Rand
-	mu    sync.Mutex
-	alone time.Time              // refused until then
-	mute  time.Time              // not answered until then
-	kept  []protocol.Transaction // campaigns that get no answer and are applied when the test says so
-	keep  bool
-	lossy float64
-}
-
-func (f *unreliableStore) enter(ctx context.Context) error {
-	f.mu.Lock()
-	d := time.Duration(1+f.r.IntN(20)) * time.Millisecond
-	if f.r.Float64() < 0.03 {
-		d = time.Duration(f.r.IntN(1400)) * time.Millisecond
-	}
-	refused, muted := time.Now().Before(f.alone), time.Now().Before(f.mute)
-	f.mu.Unlock()
-	if muted {
+	service *standin.StateService
+
+	mu              sync.Mutex
+	random          *rand.Rand
+	rejectedUntil   time.Time
+	unansweredUntil time.Time
+	lossRate        float64                // share of requests and answers that are lost
+	keepCampaigns   bool                   // campaigns get no answer, and are kept for the test
+	keptCampaigns   []protocol.Transaction // those, for the test to apply
+}
+
+// deliver lets a request take its time, and returns an error if it does not reach the service.
+func (u *unreliableStore) deliver(ctx context.Context) error {
+	u.mu.Lock()
+	delay := time.Duration(1+u.random.IntN(20)) * time.Millisecond
+	if u.random.Float64() < 0.03 {
+		delay = time.Duration(u.random.IntN(1400)) * time.Millisecond
+	}
+	rejected, unanswered := time.Now().Before(u.rejectedUntil), time.Now().Before(u.unansweredUntil)
+	u.mu.Unlock()
+	if unanswered {
 		time.Sleep(limits.StateTimeout)
 		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, os.ErrDeadlineExceeded)
 	}
 	select {
-	case <-time.After(d):
+	case <-time.After(delay):
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, ctx.Err())
 	}
-	if refused || f.s.Unavailable() {
+	if rejected || u.service.Unavailable() {
 		return storage.ErrNotExecuted
 	}
 	return nil
 }
 
-func (f *unreliableStore) chance(p float64) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.r.Float64() < p
+// randomDelay returns a random number of units below n.
+func (u *unreliableStore) randomDelay(n int, unit time.Duration) time.Duration {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return time.Duration(u.random.IntN(n)) * unit
+}
+
+// happens reports true with a probability.
+func (u *unreliableStore) happens(probability float64) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.random.Float64() < probability
+}
+
+// loses reports whether a message is lost.
+func (u *unreliableStore) loses() bool {
+	u.mu.Lock()
+	lossRate := u.lossRate
+	u.mu.Unlock()
+	return u.happens(lossRate)
+}
+
+// setRejected makes the service reject this node's requests until then.
+func (u *unreliableStore) setRejected(until time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.rejectedUntil = until
+}
+
+// setUnanswered makes the service leave this node's requests without an answer until then.
+func (u *unreliableStore) setUnanswered(until time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.unansweredUntil = until
+}
+
+// setReliable ends rejections and losses.
+func (u *unreliableStore) setReliable() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.rejectedUntil, u.lossRate = time.Time{}, 0
+}
+
+// setKeepCampaigns makes campaigns get no answer; they are kept for the test.
+func (u *unreliableStore) setKeepCampaigns(keep bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.keepCampaigns = keep
+}
+
+// campaigns returns the campaigns that were kept.
+func (u *unreliableStore) campaigns() []protocol.Transaction {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.keptCampaigns
 }
 
-func (f *unreliableStore) loses() bool {
-	f.mu.Lock()
-	p := f.lossy
-	f.mu.Unlock()
-	return f.chance(p)
+// keepsCampaign keeps a transaction if it is a campaign that the test has asked for, and reports
+// whether it is.
+func (u *unreliableStore) keepsCampaign(t protocol.Transaction) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if !u.keepCampaigns || t.Operations[0].Put != storage.KeyLeader {
+		return false
+	}
+	u.keptCampaigns = append(u.keptCampaigns, t)
+	return true
 }
 
-func (f *unreliableStore) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
-	if err := f.enter(ctx); err != nil {
+func (u *unreliableStore) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
+	if err := u.deliver(ctx); err != nil {
 		return protocol.KeyValue{}, err
 	}
-	p, _ := f.s.Get(key)
-	return p, nil
+	value, _ := u.service.Get(key)
+	return value, nil
 }
 
-func (f *unreliableStore) CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
-	if err := f.enter(ctx); err != nil {
+func (u *unreliableStore) CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
+	if err := u.deliver(ctx); err != nil {
 		return 0, err
 	}
-	f.mu.Lock()
-	if f.keep && t.Operations[0].Put == storage.KeyLeader {
-		f.kept = append(f.kept, t)
-		f.mu.Unlock()
+	if u.keepsCampaign(t) {
 		return 0, storage.ErrOutcomeUnknown
 	}
-	f.mu.Unlock()
-	if f.chance(f.lossy) {
-		// No answer; it is applied some time later, or not at all.
-		if f.chance(0.7) {
-			f.mu.Lock()
-			d := time.Duration(f.r.IntN(40)) * time.Second
-			f.mu.Unlock()
-			time.AfterFunc(d, func() { f.s.CompareAndSwap(t) })
+	if u.loses() {
+		// It gets no answer, and is applied some time later or not at all.
+		if u.happens(0.7) {
+			time.AfterFunc(u.randomDelay(40, time.Second), func() { u.service.CompareAndSwap(t) })
 		}
 		return 0, storage.ErrOutcomeUnknown
 	}
-	status, r := f.s.CompareAndSwap(t)
-	switch {
-	case status == 400:
+	status, reply := u.service.CompareAndSwap(t)
+	switch status {
+	case http.StatusBadRequest:
 		return 0, storage.ErrLeaseExpired
-	case status == 409:
-		return 0, &storage.ConflictError{FailedKeys: r.FailedKeys}
+	case http.StatusConflict:
+		return 0, &storage.ConflictError{FailedKeys: reply.FailedKeys}
 	}
-	if f.chance(f.lossy) {
+	if u.loses() {
 		return 0, storage.ErrOutcomeUnknown
 	}
-	return r.Revision, nil
+	return reply.Revision, nil
 }
 
-func (f *unreliableStore) List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error) {
-	if err := f.enter(ctx); err != nil {
+func (u *unreliableStore) List(
+	ctx context.Context, prefix string, each func(protocol.KeyValue) error,
+) (uint64, error) {
+	if err := u.deliver(ctx); err != nil {
 		return 0, err
 	}
-	l := f.s.List(prefix, "", limits.StatePageSize)
-	for _, p := range l.Items {
-		if err := each(p); err != nil {
+	page := u.service.List(prefix, "", limits.StatePageSize)
+	for _, item := range page.Items {
+		if err := each(item); err != nil {
 			return 0, err
 		}
 	}
-	return l.Revision, nil
+	return page.Revision, nil
 }
 
-func (f *unreliableStore) CreateLease(ctx context.Context, life time.Duration) (uint64, error) {
-	if err := f.enter(ctx); err != nil {
+func (u *unreliableStore) CreateLease(ctx context.Context, duration time.Duration) (uint64, error) {
+	if err := u.deliver(ctx); err != nil {
 		return 0, err
 	}
-	return f.s.CreateLease(life), nil
+	return u.service.CreateLease(duration), nil
 }
 
-func (f *unreliableStore) RenewLease(ctx context.Context, id uint64) error {
-	if err := f.enter(ctx); err != nil {
+func (u *unreliableStore) RenewLease(ctx context.Context, leaseID uint64) error {
+	if err := u.deliver(ctx); err != nil {
 		return err
 	}
-	if !f.s.RenewLease(id) {
+	if !u.service.RenewLease(leaseID) {
 		return storage.ErrLeaseExpired
 	}
 	return nil
 }
 
-func (f *unreliableStore) Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
+func (u *unreliableStore) Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
 	end := time.After(limits.WatchDuration)
 	for {
-		r, _ := f.s.Changes(prefix, since)
-		if len(r.Changes) > 0 && !f.s.Unavailable() {
-			return r, nil
+		reply, _ := u.service.Changes(prefix, since)
+		if len(reply.Changes) > 0 && !u.service.Unavailable() {
+			return reply, nil
 		}
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-end:
-			return r, nil
+			return reply, nil
 		case <-ctx.Done():
-			return r, ctx.Err()
+			return reply, ctx.Err()
 		}
 	}
 }
--- a/internal/coordination/election/voter_test.go
+++ b/internal/coordination/election/voter_test.go
@@ -13,25 +13,33 @@
 	"quillshunt/internal/standin"
 )
 
-// loyalPeers are others of whom two of four always pledge: with the leader's own pledge just enough.
-type loyalPeers struct{ Peers }
+// votingPeers are four other controllers, of whom two always grant their votes: with the leader's
+// own vote just enough.
+type votingPeers struct{ Peers }
 
-func (loyalPeers) Size() int                            { return 4 }
-func (loyalPeers) FindConnected(context.Context) string { return "" }
-func (loyalPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]Vote {
-	return map[string]Vote{"a": {Granted: nonces["a"] == 1, ProcessNonce: 1}, "b": {Granted: nonces["b"] == 1, ProcessNonce: 1}}
+func (votingPeers) Size() int                            { return 4 }
+func (votingPeers) FindConnected(context.Context) string { return "" }
+func (votingPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]Vote {
+	return map[string]Vote{
+		"a": {Granted: nonces["a"] == 1, ProcessNonce: 1},
+		"b": {Granted: nonces["b"] == 1, ProcessNonce: 1},
+	}
 }
 
-// TestOwnVote: a leader's own pledge counts like any other. While it does, it does not let go of
-// itself, and once it has let go, it does not count.
+// TestOwnVote: a leader's own vote counts like any other. While it does, the leader does not
+// withdraw it, and once it is withdrawn, it does not count.
 func TestOwnVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := standin.NewStateService()
-		var lead atomic.Pointer[Leadership]
-		n := &unreliableStore{s: s, r: rand.New(rand.NewPCG(5, 1))}
-		e := New(Options{Node: "rig-0", Store: n, Peers: loyalPeers{}, LeaseDuration: limits.LeaderLease, VoteLease: limits.VoteLeaseMin,
-			Lead: func(ctx context.Context, given *Leadership) {
-				lead.Store(given)
+		service := standin.NewStateService()
+		var leadership atomic.Pointer[Leadership]
+		e := New(Options{
+			Node:          "controller-0",
+			Store:         &unreliableStore{service: service, random: rand.New(rand.NewPCG(5, 1))},
+			Peers:         votingPeers{},
+			LeaseDuration: limits.LeaderLease,
+			VoteLease:     limits.VoteLeaseMin,
+			Lead: func(ctx context.Context, l *Leadership) {
+				leadership.Store(l)
 				<-ctx.Done()
 			},
 			Log: slog.New(slog.DiscardHandler),
@@ -43,20 +51,20 @@
 			e.Run(ctx)
 		}()
 		time.Sleep(5 * time.Second)
-		s.SetUnavailable(true) // pledges alone count
+		service.SetUnavailable(true) // only votes count
 		time.Sleep(2 * limits.VoteLeaseMin)
-		m := lead.Load()
-		if m == nil || !m.Entitled() {
-			t.Fatal("not entitled by a majority of pledges")
+		l := leadership.Load()
+		if l == nil || !l.Entitled() {
+			t.Fatal("not entitled by the votes of a majority")
 		}
 		if e.voter.withdraw(1 << 60) {
-			t.Error("let go of itself while entitled")
+			t.Error("withdrew its own vote while entitled")
 		}
 		e.voter.mu.Lock()
 		e.voter.withdrawnUpTo = 1 << 60
 		e.voter.mu.Unlock()
 		time.Sleep(limits.LeaseExpiredAfter(limits.VoteLeaseMin))
-		if m.Entitled() {
+		if l.Entitled() {
 			t.Error("entitled by less than a majority")
 		}
 		cancel()
@@ -64,34 +72,34 @@
 	})
 }
 
-// TestRestartedVoter: a process that has just come back neither lets go of a leader, as the one
-// before it may have pledged to it, nor pledges to one that does not know it yet, as the one before
-// may have let go of that.
+// TestRestartedVoter: a process that has just started neither withdraws a vote, as the one before
+// it may have granted it, nor grants one to a leader that does not know it yet, as the one before
+// may have withdrawn it.
 func TestRestartedVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &voter{lease: limits.VoteLeaseMin, nonce: 7, startedAt: time.Now()}
-		if p.withdraw(10) {
-			t.Error("let go right after the start")
+		v := &voter{lease: limits.VoteLeaseMin, nonce: 7, startedAt: time.Now()}
+		if v.withdraw(10) {
+			t.Error("withdrew a vote right after the start")
 		}
-		if p.vote(10, 6).Granted || p.vote(10, 0).Granted {
-			t.Error("pledged to a leader that takes it for another process")
+		if v.vote(10, 6).Granted || v.vote(10, 0).Granted {
+			t.Error("granted a vote to a leader that believes to ask another process")
 		}
-		if a := p.vote(10, 7); !a.Granted || a.ProcessNonce != 7 {
-			t.Errorf("not pledged: %+v", a)
+		if vote := v.vote(10, 7); !vote.Granted || vote.ProcessNonce != 7 {
+			t.Errorf("vote not granted: %+v", vote)
 		}
 		time.Sleep(limits.VoteLeaseMin)
-		if p.withdraw(10) {
-			t.Error("let go while its pledge may be live")
+		if v.withdraw(10) {
+			t.Error("withdrew a vote that may be live")
 		}
 		time.Sleep(limits.VoteLeaseMin)
-		if !p.withdraw(10) {
-			t.Error("not let go")
+		if !v.withdraw(10) {
+			t.Error("vote not withdrawn")
 		}
-		if p.vote(10, 7).Granted || p.vote(9, 7).Granted {
-			t.Error("pledged again to a leader that it had let go of")
+		if v.vote(10, 7).Granted || v.vote(9, 7).Granted {
+			t.Error("granted a vote under a heartbeat from which it was withdrawn")
 		}
-		if !p.vote(11, 7).Granted {
-			t.Error("not pledged to a leader with a later beat")
+		if !v.vote(11, 7).Granted {
+			t.Error("vote not granted under a later heartbeat")
 		}
 	})
 }
