--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -95,7 +95,8 @@
 		m.allocated, m.releasing = resource.Vector{}, resource.Vector{} // no rounding is carried on
 		m.idleSince = s.now
 	}
-	s.placement.needed, s.gangs.capacityChanged = true, true
+	s.placement.requestPass()
+	s.gangs.capacityChanged = true
 }
 
 // nextAttempt returns the next attempt number; attempts rise across leaders because the term is
@@ -105,6 +106,13 @@
 	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
 }
 
+// releaseAll takes all tasks off a machine that surely has none any more.
+func (s *Scheduler) releaseAll(m *machine) {
+	for _, a := range m.sortedAssignments() {
+		s.release(a)
+	}
+}
+
 // releaseUnsent takes back tasks that no order has left for.
 func (s *Scheduler) releaseUnsent(m *machine) {
 	for _, a := range m.sortedAssignments() {
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -63,7 +63,7 @@
 	}
 	calls := max(1, int(s.cfg.CloudRPS*limits.PlanInterval.Seconds())) // rental requests that the cloud takes until the next plan
 	asked := map[machinePool]int{}
-	for _, h := range s.rentals.byName {
+	for _, h := range s.rentals.all() {
 		if h.isPending() {
 			total += h.record.Count
 			calls--
@@ -76,10 +76,10 @@
 	each := max(limits.MinPoolRequests, calls/max(s.countCheapPools(), 1))
 	may := func(p machinePool) int {
 		most := each
-		if st := s.rentals.pools[p]; st != nil && st.backoff > 0 {
+		if s.rentals.refusedLately(p) {
 			most = 1
 		}
-		return max(most-asked[p], 0) * s.rentals.maxMachines
+		return max(most-asked[p], 0) * s.rentals.maxPerRental()
 	}
 	offers = append(offers, s.pendingCapacity()...)
 	fresh := map[machinePool]float64{}
@@ -94,7 +94,9 @@
 		s.planJob(j, fresh, may, &offers)
 	}
 	s.reserveForGangs(fresh, may)
-	s.placement.needed = s.placement.needed || len(s.gangs.demand) > 0 // who waits may use what is kept after a while, or what is kept no more
+	if len(s.gangs.demand) > 0 {
+		s.placement.requestPass() // who waits may use what is kept after a while, or what is kept no more
+	}
 	pools := make([]machinePool, 0, len(fresh))
 	for p := range fresh {
 		pools = append(pools, p)
@@ -111,10 +113,10 @@
 			s.planner.nextLimitNoteAt = s.now + limits.SummaryInterval
 			s.logWarn("fleet at its bound", "machines", total, "wanted", n)
 		}
-		for n = min(n, s.maxMachines()-total); n > 0 && calls > 0; n -= s.rentals.maxMachines {
-			total += min(n, s.rentals.maxMachines)
+		for n = min(n, s.maxMachines()-total); n > 0 && calls > 0; n -= s.rentals.maxPerRental() {
+			total += min(n, s.rentals.maxPerRental())
 			calls--
-			s.rentMachines(p, n)
+			s.rentals.rent(p, n)
 		}
 	}
 	s.updateDraining()
