--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -59,7 +59,7 @@
 	if !s.recovery.tryEnd() {
 		return
 	}
-	s.placement.needed = true
+	s.placement.requestPass()
 	for _, j := range s.jobs.oldestFirst() {
 		s.markGangChanged(j.gang)
 	}
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -323,6 +323,6 @@
 		s.rentals.resetBackoff(r.pool())
 	}
 	s.rentals.answered(r, e.Machines)
-	s.placement.needed = true
+	s.placement.requestPass()
 	s.rentals.reconcile(r)
 }
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -62,7 +62,7 @@
 	registry := newMachineRegistry(env, inventory)
 	rentals := newRentalTable(env, inventory)
 	dispatcher := newCommandDispatcher(env)
-	placement := newPlacer(env)
+	placement := newPlacer(env, queue, inventory)
 	gangs := newGangTable(env)
 	recovery := newRecoveryState(env, inventory)
 	prober := newMachineProber(env, inventory, recovery)
