--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -7,9 +7,9 @@
 )
 
 // validSettings are complete settings, with a field that no version knows.
-const validSettings = `{"node_name":"rig-0","zone":"z","client_listen":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081",
+const validSettings = `{"node_name":"node-0","zone":"z","client_listen":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081",
 "future":{"a":1},
-"members":[{"node_name":"rig-1","zone":"z","address":"10.0.0.2:8081"}],
+"members":[{"node_name":"node-1","zone":"z","address":"10.0.0.2:8081"}],
 "external":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},
 "facts":{"initial_size":2,"zones":["z"],"teams":[{"name":"t","cpus":1,"cpus_max":2,"gpus":0,"gpus_max":0}],
 "objectives":[{"kind":"finished","class":"c","within_s":10,"share":0.9}],
@@ -19,7 +19,7 @@
 // TestParse: valid settings are read, and unknown fields ignored.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
-	if err != nil || s.NodeName != "rig-0" || s.Facts.Teams[0].CPUsMax != 2 || s.Facts.Machine.MaxSockets != 900 {
+	if err != nil || s.NodeName != "node-0" || s.Facts.Teams[0].CPUsMax != 2 || s.Facts.Machine.MaxSockets != 900 {
 		t.Fatalf("%+v %v", s, err)
 	}
 }
@@ -114,7 +114,7 @@
 			t.Errorf("%s = %v: %v", field, value, err)
 		}
 	}
-	for _, b := range []string{"", "[]", "{", strings.Replace(validSettings, "rig-1", "rig-0", 1)} {
+	for _, b := range []string{"", "[]", "{", strings.Replace(validSettings, "node-1", "node-0", 1)} {
 		if _, err := Parse([]byte(b)); err == nil {
 			t.Errorf("accepted %.20q", b)
 		}
--- a/internal/limits/machines.go
+++ b/internal/limits/machines.go
@@ -83,8 +83,8 @@
 	// MaxTasksPerMachine is the largest number of tasks on one machine, ended ones included. Its
 	// heartbeat then stays below MaxBodyBytes.
 	MaxTasksPerMachine = 400
-	// SpotNoticeSaveIntervals is how many heartbeat intervals before a spot machine is taken away its
-	// tasks are told to save: one for the command, one for a lost message, one in reserve.
+	// SpotNoticeSaveIntervals is how many heartbeat intervals before the cloud takes a spot machine
+	// away its tasks are told to save: one for the command, one for a lost message, one in reserve.
 	SpotNoticeSaveIntervals = 3
 )
 
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -32,7 +32,7 @@
 	// leader, that of the open jobs.
 	WatchIdle = 2
 	// UnavailableAfter is how long no call must have succeeded until users are turned away without
-	// one, and UnavailableProbeInterval how often one is let through all the same.
+	// one, and UnavailableProbeInterval how often one call is made all the same.
 	UnavailableAfter         = time.Second
 	UnavailableProbeInterval = 500 * time.Millisecond
 )
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestWireWords pins the words of typed fields.
-func TestWireWords(t *testing.T) {
+// TestWireValues pins the values of typed fields.
+func TestWireValues(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		got  []any
--- /dev/null
+++ b/internal/storage/calls_test.go
@@ -0,0 +1,166 @@
+package storage
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"quillshunt/internal/config"
+	"quillshunt/internal/protocol"
+)
+
+// newTestStore returns a store that calls a handler in place of the state service.
+func newTestStore(t *testing.T, handler http.HandlerFunc) *Store {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	address := strings.TrimPrefix(server.URL, "http://")
+	return New(address, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
+}
+
+// storeCalls are all calls of a Store, by what their errors begin with.
+var storeCalls = map[string]func(context.Context, *Store) error{
+	"get a/b: ": func(ctx context.Context, s *Store) error {
+		_, err := s.Get(ctx, "a/b")
+		return err
+	},
+	"list a/: ": func(ctx context.Context, s *Store) error {
+		_, err := s.List(ctx, "a/", func(protocol.KeyValue) error { return nil })
+		return err
+	},
+	"transaction: ": func(ctx context.Context, s *Store) error {
+		_, err := s.CompareAndSwap(ctx, protocol.Transaction{})
+		return err
+	},
+	"create lease: ": func(ctx context.Context, s *Store) error {
+		_, err := s.CreateLease(ctx, time.Second)
+		return err
+	},
+	"renew lease 7: ": func(ctx context.Context, s *Store) error { return s.RenewLease(ctx, 7) },
+	"watch a/: ": func(ctx context.Context, s *Store) error {
+		_, err := s.Watch(ctx, "a/", 1)
+		return err
+	},
+}
+
+// TestErrorsOfAllCalls: every call says what it was doing and whether it was executed.
+func TestErrorsOfAllCalls(t *testing.T) {
+	status := func(code int) http.HandlerFunc {
+		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
+	}
+	for _, c := range []struct {
+		name    string
+		handler http.HandlerFunc
+		is, not error
+	}{
+		{"rate limited", status(http.StatusTooManyRequests), ErrNotExecuted, ErrOutcomeUnknown},
+		{"rate limited, in detail", status(http.StatusTooManyRequests), ErrRateLimited, ErrBadRequest},
+		{"unavailable", status(http.StatusServiceUnavailable), ErrNotExecuted, ErrRateLimited},
+		{"unexpected status", status(http.StatusTeapot), ErrBadRequest, ErrNotExecuted},
+		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+			ErrOutcomeUnknown, ErrNotExecuted},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestStore(t, c.handler)
+			for doing, call := range storeCalls {
+				err := call(t.Context(), s)
+				if !errors.Is(err, c.is) || errors.Is(err, c.not) || !strings.HasPrefix(err.Error(), doing) {
+					t.Errorf("%q, want an error that begins with %q and is %q", err, doing, c.is)
+				}
+			}
+		})
+	}
+}
+
+// TestNothingListens: a call that could not be sent was not executed.
+func TestNothingListens(t *testing.T) {
+	s := New("127.0.0.1:1", config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
+	for doing, call := range storeCalls {
+		if err := call(t.Context(), s); !errors.Is(err, ErrNotExecuted) {
+			t.Errorf("%s%v, want %q", doing, err, ErrNotExecuted)
+		}
+	}
+}
+
+// TestTransactionErrors: each answer to a transaction has its error.
+func TestTransactionErrors(t *testing.T) {
+	withLease := protocol.Transaction{Operations: []protocol.Operation{{Put: "a", Value: protocol.Raw{1}, Lease: 7}}}
+	withoutLease := protocol.Transaction{Operations: []protocol.Operation{{Delete: "a"}}}
+	for _, c := range []struct {
+		name        string
+		transaction protocol.Transaction
+		status      int
+		body        []byte
+		want        error
+	}{
+		{"lease expired", withLease, http.StatusBadRequest, nil, ErrLeaseExpired},
+		{"malformed", withoutLease, http.StatusBadRequest, nil, ErrBadRequest},
+		{"answer cut short", withoutLease, http.StatusOK, []byte{0xa1}, ErrOutcomeUnknown},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestStore(t, func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(c.status)
+				_, _ = w.Write(c.body)
+			})
+			if _, err := s.CompareAndSwap(t.Context(), c.transaction); !errors.Is(err, c.want) {
+				t.Errorf("%v, want %q", err, c.want)
+			}
+		})
+	}
+	s := newTestStore(t, func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusConflict)
+		_, _ = w.Write(protocol.Encode(protocol.TransactionReply{FailedKeys: []string{"a"}}))
+	})
+	_, err := s.CompareAndSwap(t.Context(), withoutLease)
+	var conflict *ConflictError
+	if !errors.As(err, &conflict) || !conflict.Has("a") || conflict.Has("b") {
+		t.Errorf("%v, want a conflict on a", err)
+	}
+}
+
+// TestExpiry: a renewal of a lease that is over, and a watch that began too long ago, have errors of
+// their own.
+func TestExpiry(t *testing.T) {
+	s := newTestStore(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/watch" {
+			w.WriteHeader(http.StatusGone)
+			return
+		}
+		http.NotFound(w, r)
+	})
+	if err := s.RenewLease(t.Context(), 7); !errors.Is(err, ErrLeaseExpired) {
+		t.Errorf("renewal: %v, want %q", err, ErrLeaseExpired)
+	}
+	if _, err := s.Watch(t.Context(), "a/", 1); !errors.Is(err, ErrCompacted) {
+		t.Errorf("watch: %v, want %q", err, ErrCompacted)
+	}
+}
+
+// TestListPages: all pages are read, each from after the last key of the one before, and the revision
+// is that of the first.
+func TestListPages(t *testing.T) {
+	pages := map[string]protocol.KeyPage{
+		"":    {Items: []protocol.KeyValue{{Key: "a/1"}, {Key: "a/2"}}, Truncated: true, Revision: 5},
+		"a/2": {Items: []protocol.KeyValue{{Key: "a/3"}}, Revision: 9},
+	}
+	s := newTestStore(t, func(w http.ResponseWriter, r *http.Request) {
+		_, _ = w.Write(protocol.Encode(pages[r.URL.Query().Get("Since")]))
+	})
+	var keys []string
+	revision, err := s.List(t.Context(), "a/", func(kv protocol.KeyValue) error {
+		keys = append(keys, kv.Key)
+		return nil
+	})
+	if err != nil || revision != 5 || !reflect.DeepEqual(keys, []string{"a/1", "a/2", "a/3"}) {
+		t.Errorf("%v at revision %d, %v", keys, revision, err)
+	}
+	stop := errors.New("stop")
+	if _, err := s.List(t.Context(), "a/", func(protocol.KeyValue) error { return stop }); err != stop {
+		t.Errorf("%v, want the function's own error", err)
+	}
+}
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -11,7 +11,7 @@
 //
 // # Records
 //
-// The words in keys and in the tags of the records are those of stored data. They never change, as
+// The names in keys and in the tags of the records are those of stored data. They never change, as
 // a rolling upgrade reads and writes them with both versions.
 //
 //	key               record            written by                  removed
--- a/internal/storage/lease.go
+++ b/internal/storage/lease.go
@@ -14,7 +14,7 @@
 // The calls on leases do not wait for the shared rate: they are few, and a late renewal costs the
 // leadership.
 
-// leasePath is the path of a lease. The service calls leases holds.
+// leasePath returns the path of a lease. On the wire, leases are holds.
 func leasePath(id uint64) string { return "/holds/" + strconv.FormatUint(id, 10) }
 
 // CreateLease creates a lease and returns its ID. Unless it is renewed, it expires after the given
@@ -40,7 +40,7 @@
 	return lease.Lease, err
 }
 
-// RenewLease lets a lease start over. The error wraps ErrLeaseExpired if the lease is over.
+// RenewLease gives a lease its full duration again. The error wraps ErrLeaseExpired if it is over.
 func (s *Store) RenewLease(ctx context.Context, id uint64) error {
 	reply, err := s.callWithTimeout(ctx, limits.LeaseRenewTimeout, http.MethodPost, leasePath(id)+"/touch", nil)
 	if err == nil {
--- a/internal/storage/rate.go
+++ b/internal/storage/rate.go
@@ -7,7 +7,7 @@
 	"golang.org/x/time/rate"
 )
 
-// newLimiter returns a limiter for a share of a rate that lets bursts of a second through, and of
+// newLimiter returns a limiter for a share of a rate. It allows bursts of one second's worth, but of
 // minBurst at least.
 func newLimiter(rps, share float64, minBurst int) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(rps*share), max(minBurst, int(rps*share)))
--- a/internal/storage/rentals_test.go
+++ b/internal/storage/rentals_test.go
@@ -17,7 +17,7 @@
 			r.Machines = append(r.Machines, fmt.Sprintf("machine-of-the-cloud-%06d", i))
 		}
 		if !FitsValueLimit(r, kb) {
-			t.Errorf("%v KB: %d machines take %d bytes", kb, len(r.Machines), EncodedSize(r))
+			t.Errorf("%v KB: %d machines need %d bytes", kb, len(r.Machines), EncodedSize(r))
 		}
 	}
 }
--- a/internal/storage/wire_test.go
+++ b/internal/storage/wire_test.go
@@ -69,7 +69,7 @@
 		{KeyLeader, "leader"}, {KeyTerm, "term"}, {KeyLeaderHeartbeat, "beat"}, {KeyMachineTypes, "types"},
 		{OpenJobKey("job-1"), "open/job-1"}, {FinalJobKey("job-1"), "final/job-1"},
 		{FinishedTasksKey("job-1", 64), "fin/job-1/64"}, {RentalKey("h-1"), "hire/h-1"},
-		{RegistryPageKey("1-2"), "up/1-2"}, {VoteWithdrawalKey("rig-1"), "let/rig-1"},
+		{RegistryPageKey("1-2"), "up/1-2"}, {VoteWithdrawalKey("node-1"), "let/node-1"},
 		{PrefixOpenJob, "open/"}, {PrefixFinishedTasks, "fin/"}, {PrefixRental, "hire/"},
 		{PrefixRegistryPage, "up/"}, {PrefixVoteWithdrawal, "let/"},
 		{PrefixMachineTypesPart, "type/"}, {MachineTypesPartKey(7), "type/007"},
