--- /dev/null
+++ b/internal/coordination/leader/direct_commands_test.go
@@ -0,0 +1,93 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"testing"
+	"time"
+
+	"quillshunt/internal/coordination/election"
+	"quillshunt/internal/coordination/scheduler"
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/transport"
+)
+
+// TestSendDirectCommands: the caller can tell apart whether a worker executed commands, executed
+// none, or may have executed them.
+func TestSendDirectCommands(t *testing.T) {
+	after := protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 3, FencingToken: 9}
+	for _, c := range []struct {
+		name     string
+		status   int
+		body     any
+		err      string
+		rejected bool
+	}{
+		{"executed", http.StatusOK, after, "", false},
+		{"rejected", http.StatusConflict, after, "worker: do: status 409: no command executed", true},
+		{"another status", http.StatusInternalServerError, nil, "worker: do: status 500", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			worker := startWorker(t, c.status, c.body)
+			heartbeat, err := sendDirectCommands(context.Background(), worker, protocol.DirectCommands{})
+			if got := errorText(err); got != c.err {
+				t.Errorf("error %q, expected %q", got, c.err)
+			}
+			var rejected *commandsRejectedError
+			if errors.As(err, &rejected) != c.rejected {
+				t.Errorf("error %v: rejected %v", err, !c.rejected)
+			}
+			if c.rejected {
+				heartbeat = rejected.heartbeat
+			}
+			if c.body != nil && heartbeat.FencingToken != after.FencingToken {
+				t.Errorf("heartbeat %+v", heartbeat)
+			}
+		})
+	}
+}
+
+// TestExecuteDirectCommands: the scheduler learns what is known of the outcome, and the elector that
+// a worker has seen a later leader.
+func TestExecuteDirectCommands(t *testing.T) {
+	heartbeat := func(token uint64) protocol.Heartbeat {
+		return protocol.Heartbeat{Machine: "m-1", Address: "a:1", FencingToken: token}
+	}
+	unreachable := transport.NewClient("127.0.0.1:1", 1, limits.MaxBodyBytes)
+	for _, c := range []struct {
+		name        string
+		worker      *transport.Client
+		entitled    bool
+		notExecuted bool
+		heartbeat   bool
+		termLost    bool
+	}{
+		{"executed", startWorker(t, http.StatusOK, heartbeat(1)), true, false, true, false},
+		{"rejected", startWorker(t, http.StatusConflict, heartbeat(1)), true, true, false, false},
+		{"rejected for a later leader", startWorker(t, http.StatusConflict, heartbeat(2)), true, true, false, true},
+		{"outcome unknown", startWorker(t, http.StatusInternalServerError, nil), true, false, false, false},
+		{"not sent", unreachable, true, true, false, false},
+		{"no longer entitled", startWorker(t, http.StatusOK, heartbeat(1)), false, true, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			lost := false
+			until := time.Now().Add(time.Hour)
+			if !c.entitled {
+				until = time.Now()
+			}
+			actor := newTestTerm(election.NewLeadership(1, 1, until))
+			actor.dispatcher.termLost = func(uint64) { lost = true }
+			effect := scheduler.SendDirectCommands{ID: 5, Machine: "m-1"}
+			actor.executeDirectCommands(context.Background(), effect, c.worker)
+			done := (<-actor.mailbox).(eventMessage).event.(scheduler.DirectCommandsDone)
+			if done.ID != 5 || done.Machine != "m-1" {
+				t.Errorf("outcome of %d on %q", done.ID, done.Machine)
+			}
+			if done.NotExecuted != c.notExecuted || (done.Heartbeat != nil) != c.heartbeat || lost != c.termLost {
+				t.Errorf("outcome %+v, term lost %v", done, lost)
+			}
+		})
+	}
+}
--- a/internal/coordination/leader/probes_test.go
+++ b/internal/coordination/leader/probes_test.go
@@ -11,17 +11,23 @@
 	"quillshunt/internal/limits"
 )
 
-// TestProbesYieldToHeartbeats: while heartbeats wait in the mailbox, probes are not sent, and that
-// says nothing about their machines.
-func TestProbesYieldToHeartbeats(t *testing.T) {
-	actor := &term{
-		dispatcher: &Dispatcher{},
-		leadership: election.NewLeadership(1, 1, time.Now().Add(time.Hour)),
+// newTestTerm returns a term without a scheduler, whose mailbox has room for one message.
+func newTestTerm(leadership *election.Leadership) *term {
+	return &term{
+		dispatcher: &Dispatcher{termLost: func(uint64) {}},
+		leadership: leadership,
 		mailbox:    make(chan message, 1),
 		probeSlots: make(chan struct{}, 1),
-		startedAt:  time.Now().Add(-time.Minute),
+		startedAt:  time.Now(),
 		log:        slog.New(slog.DiscardHandler),
 	}
+}
+
+// TestProbesYieldToHeartbeats: while heartbeats wait in the mailbox, probes are not sent, and that
+// says nothing about their machines.
+func TestProbesYieldToHeartbeats(t *testing.T) {
+	actor := newTestTerm(election.NewLeadership(1, 1, time.Now().Add(time.Hour)))
+	actor.startedAt = time.Now().Add(-time.Minute)
 	for _, c := range []struct {
 		name              string
 		sinceSlow         time.Duration
--- /dev/null
+++ b/internal/coordination/leader/server_test.go
@@ -0,0 +1,79 @@
+package leader
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/transport"
+)
+
+// startServer serves requests on the loopback until the test ends, and returns the address.
+func startServer(t *testing.T, handle transport.Handler) string {
+	t.Helper()
+	server := transport.NewServer(transport.ServerOptions{
+		Addr: freeAddress(t), MaxConns: 10, Handle: handle, Log: slog.New(slog.DiscardHandler),
+	})
+	runServer(t, server)
+	return server.Addr()
+}
+
+// freeAddress returns an address on the loopback that nobody listens on.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// runServer runs a server until the test ends. It returns when the server accepts connections.
+func runServer(t *testing.T, server *transport.Server) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- server.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	for {
+		conn, err := net.Dial("tcp", server.Addr())
+		if err == nil {
+			conn.Close()
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// alwaysRespond answers each request with a status and a body, which is encoded as CBOR.
+func alwaysRespond(status int, body any) transport.Handler {
+	return func(_ *transport.Message, rsp *transport.Responder) {
+		rsp.Respond(status, protocol.Encode(body), 0)
+	}
+}
+
+// startWorker serves requests like alwaysRespond and returns a client of the server.
+func startWorker(t *testing.T, status int, body any) *transport.Client {
+	t.Helper()
+	worker := transport.NewClient(startServer(t, alwaysRespond(status, body)), 1, limits.MaxBodyBytes)
+	t.Cleanup(func() { worker.Close() })
+	return worker
+}
+
+// errorText is the text of an error, or "".
+func errorText(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
--- /dev/null
+++ b/internal/coordination/leader/write_queue_test.go
@@ -0,0 +1,28 @@
+package leader
+
+import (
+	"slices"
+	"testing"
+
+	"quillshunt/internal/coordination/scheduler"
+)
+
+// TestWriteQueueOrder: bulk writes wait for all others, and each kind keeps its order.
+func TestWriteQueueOrder(t *testing.T) {
+	var queue writeQueue
+	for _, write := range []scheduler.WriteRecords{{ID: 1, Bulk: true}, {ID: 2}, {ID: 3, Bulk: true}, {ID: 4}} {
+		queue.add(write)
+	}
+	var ids []uint64
+	for {
+		write, ok := queue.first()
+		if !ok {
+			break
+		}
+		ids = append(ids, write.ID)
+		queue.removeFirst()
+	}
+	if !slices.Equal(ids, []uint64{2, 4, 1, 3}) {
+		t.Errorf("order %v", ids)
+	}
+}
