--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -265,8 +265,8 @@
 	}
 	m := b.scheduler.inventory.find(b.machine(0))
 	b.job("job-2", "red", "high", 1, 8, 0)
-	options := b.scheduler.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
-	one := b.scheduler.preemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
+	options := b.scheduler.placement.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
+	one := b.scheduler.placement.taskPreemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
 	if len(options) != 1 || options[0].Resources.CPUs != 8 || options[0].Cost < 3.9*one {
 		t.Fatalf("victims: %+v, a task's loss %v", options, one)
 	}
@@ -448,7 +448,7 @@
 	}{{0, true}, {limits.GangCapacityTimeout + time.Second, false}} {
 		b = newGangFixture(t, 1)
 		for _, spot := range []bool{true, false} {
-			b.scheduler.poolState(machinePool{"s8", "a", spot}).notBefore = never
+			b.scheduler.rentals.pool(machinePool{"s8", "a", spot}).notBefore = never
 		}
 		b.version++
 		b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, SinceSubmission: c.age, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-1", Class: "g", Team: "red",
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -25,18 +25,17 @@
 		for _, y := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				p := machinePool{k, y, spot}
-				if !s.placementAllowed(j, k, y, spot) {
+				if !j.mayUsePool(p) {
 					continue
 				}
 				// Spread over zones where all else is equal.
 				cost := priceOf(t, spot) / float64(per) * (1 + limits.ZoneSpreadPenalty*float64(s.planner.machinesInZone[y]))
 				floor = min(floor, cost)
-				st := s.rentals.pools[p]
-				if st != nil && s.now < st.notBefore {
+				if s.rentals.isBackedOff(p) {
 					continue
 				}
 				if !open(p) {
-					if st == nil || st.backoff == 0 {
+					if !s.rentals.refusedLately(p) {
 						busy = min(busy, cost)
 					}
 					continue
