--- a/internal/coordination/scheduler/scheduler_test.go
+++ b/internal/coordination/scheduler/scheduler_test.go
@@ -91,7 +91,7 @@
 	return out
 }
 
-func verbs(orders []protocol.Command, verb string) int {
+func verbs(orders []protocol.Command, verb protocol.CommandVerb) int {
 	n := 0
 	for _, o := range orders {
 		if o.Verb == verb {
@@ -105,7 +105,7 @@
 func TestWhy(t *testing.T) {
 	b := newSchedulerFixture(t, 2)
 	ask := func(id string) string {
-		for _, e := range b.step(SnapshotRequested{Job: id}) {
+		for _, e := range b.step(SnapshotRequested{JobID: id}) {
 			if o, ok := e.(SnapshotTaken); ok {
 				return strings.Join(o.Snapshot.Explanation, "; ")
 			}
