--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -22,10 +22,11 @@
 //	Leeway                    Grace                               time to save before a stop
 //	Together, Scatter         SameZone, SpreadZones
 //	Bundle                    Image
+//	Vcpus, RamGb, SizeGb      CPUs, MemoryGB, ImageGB
 //	Rig, Rigs, Rigkind, Sku   Machine, Machines, MachineType      rented machine, its type
 //	Yard                      Zone
 //	Lendable, MarketPrice     Spot, SpotPrice                     spot instances
-//	Hire                      Name of a RentalRequest
+//	Hire, Number              Name, Count                         of a RentalRequest
 //	Pull, Startup             Fetch, Boot                         image fetch rate, boot time
 //	Warning                   SpotNotice                          notice that a spot machine is taken away
 //	report                    Heartbeat                           heartbeat with status
@@ -34,9 +35,9 @@
 //	Baton                     FencingToken                        the leader's term
 //	Foreman                   Leader                              controller to which a worker is sent
 //	Order, Orders             Command, Commands
-//	Path, Data, Pair          Key, Value, KeyValue                of the state service
+//	Path, Data, Pairs         Key, Value, KeyValue                of the state service
 //	Stamp, Ledger             Version, Revision                   of one key, of the whole store
-//	Hold, Tenure              Lease                               lease, its ID
+//	Hold, Tenure, LifeMs      Lease, DurationMs                   lease and its ID; its duration
 //	Guard, Apply              Condition, Operation                of a Transaction (compare-and-swap)
 //	Write, Remove             Put, Delete
 //	Log                       Changes                             of a watch
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -45,7 +45,7 @@
 
 // LeaseRequest asks for a lease.
 type LeaseRequest struct {
-	LifeMs int64 `cbor:"LifeMs"`
+	DurationMs int64 `cbor:"LifeMs"`
 }
 
 // LeaseReply is the answer to a LeaseRequest.
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -105,11 +105,11 @@
 
 func (s *StateService) handleCreateLease(body []byte, rsp *transport.Responder) {
 	var request protocol.LeaseRequest
-	if err := protocol.Decode(body, &request); err != nil || request.LifeMs < minLeaseMs {
+	if err := protocol.Decode(body, &request); err != nil || request.DurationMs < minLeaseMs {
 		rsp.Respond(http.StatusBadRequest, nil, 0)
 		return
 	}
-	id := s.CreateLease(time.Duration(request.LifeMs) * time.Millisecond)
+	id := s.CreateLease(time.Duration(request.DurationMs) * time.Millisecond)
 	rsp.Respond(http.StatusOK, protocol.Encode(protocol.LeaseReply{Lease: id}), 0)
 }
 
--- a/internal/storage/lease.go
+++ b/internal/storage/lease.go
@@ -28,7 +28,7 @@
 }
 
 func (s *Store) createLease(ctx context.Context, duration time.Duration) (uint64, error) {
-	request := protocol.LeaseRequest{LifeMs: duration.Milliseconds()}
+	request := protocol.LeaseRequest{DurationMs: duration.Milliseconds()}
 	reply, err := s.call(ctx, http.MethodPost, "/holds", protocol.Encode(request))
 	if err != nil {
 		return 0, err
