--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -4,8 +4,8 @@
 //
 // # Names on the wire
 //
-// The protocol has names of its own, which stand in the tags of the fields only. The Go names are
-// those of the field:
+// The protocol has names of its own, which stand in the tags of struct fields only. The Go names are
+// the usual ones of cluster schedulers:
 //
 //	wire                      Go                                  meaning
 //	run                       job                                 in paths
@@ -19,6 +19,7 @@
 //	Cause                     Reason                              why a task ended
 //	Stored                    Saved                               whether a checkpoint was saved
 //	Reckon, Bookmark, Stash   Estimate, Checkpoint, Save          run time, checkpoint interval, time to save
+//	Due                       Deadline                            latest end, from the submission
 //	Leeway                    Grace                               time to save before a stop
 //	Together, Scatter         SameZone, SpreadZones
 //	Bundle                    Image
