--- a/internal/coordination/election/handover_test.go
+++ b/internal/coordination/election/handover_test.go
@@ -1,6 +1,8 @@
 package election
 
 import (
+	"context"
+	"log/slog"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -63,3 +65,38 @@
 		})
 	}
 }
+
+// successorPeers are others of whom one reaches the state service. It runs a check when it gets an
+// offer.
+type successorPeers struct {
+	Peers
+	onOffer func()
+}
+
+func (successorPeers) FindConnected(context.Context) string { return "controller-1" }
+
+func (s successorPeers) OfferLeadership(context.Context, string, uint64, uint64) error {
+	s.onOffer()
+	return nil
+}
+
+// TestResignsBeforeOffer: the leadership has ended for good when its successor hears of it, whatever
+// a late renewal says.
+func TestResignsBeforeOffer(t *testing.T) {
+	l := NewLeadership(1, 1, time.Now().Add(time.Hour))
+	if !l.Entitled() {
+		t.Fatal("not entitled at first")
+	}
+	offers := 0
+	peers := successorPeers{onOffer: func() {
+		offers++
+		l.extendLease(time.Now().Add(2 * time.Hour))
+		if l.Entitled() {
+			t.Error("still entitled when the leadership is offered")
+		}
+	}}
+	e := New(Options{Node: "controller-0", Peers: peers, Log: slog.New(slog.DiscardHandler)})
+	if !e.handOver(context.Background(), l) || offers != 1 {
+		t.Errorf("not handed over, or not by one offer: %d", offers)
+	}
+}
