--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -180,7 +180,7 @@
 // reports show; it ends one that ran and has lost a task.
 func TestGangAfterTakeOver(t *testing.T) {
 	for _, c := range []struct {
-		state string
+		state protocol.TaskState
 		start bool
 	}{{protocol.TaskGathering, true}, {protocol.TaskRunning, false}} {
 		b := newSchedulerFixture(t, 2)
@@ -265,8 +265,8 @@
 	}
 	m := b.scheduler.inventory.find(b.machine(0))
 	b.job("job-2", "red", "high", 1, 8, 0)
-	options := b.scheduler.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
-	one := b.scheduler.preemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
+	options := b.scheduler.placement.preemptionOptions(b.scheduler.jobs.byID["job-2"], m, nil)
+	one := b.scheduler.placement.taskPreemptionCost(b.scheduler.jobs.byID["job-1"].assignments[0])
 	if len(options) != 1 || options[0].Resources.CPUs != 8 || options[0].Cost < 3.9*one {
 		t.Fatalf("victims: %+v, a task's loss %v", options, one)
 	}
@@ -281,7 +281,7 @@
 
 // TestGangCancelled: a cancelled gang is ended in every state, at once and without saving.
 func TestGangCancelled(t *testing.T) {
-	for _, state := range []string{protocol.TaskFetching, protocol.TaskGathering, protocol.TaskRunning} {
+	for _, state := range []protocol.TaskState{protocol.TaskFetching, protocol.TaskGathering, protocol.TaskRunning} {
 		b := startedGang(t, 2, 2)
 		b.all("job-1", state)
 		b.reportAll()
