--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -5,52 +5,56 @@
 	"quillshunt/internal/protocol"
 )
 
-// heartbeatReceived takes a worker's report, and answers it if we may.
+// heartbeatReceived handles a worker's heartbeat, and answers it with commands if we may act.
 func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
 	heartbeat := e.Heartbeat
-	if !e.Entitled || !heartbeat.Valid() || heartbeat.FencingToken > s.cfg.Term || s.inventory.isDeleted(heartbeat.Machine) {
-		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
+	switch {
+	case !e.Entitled || !heartbeat.Valid() || heartbeat.FencingToken > s.cfg.Term ||
+		s.inventory.isDeleted(heartbeat.Machine):
+		s.rejectHeartbeat(e)
 		return
-	}
-	if heartbeat.FencingToken < s.cfg.Term {
+	case heartbeat.FencingToken < s.cfg.Term:
 		s.answerUnfencedHeartbeat(e)
 		return
 	}
 	m := s.inventory.getOrAdd(heartbeat.Machine, machinePool{heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot})
-	if m.isOutdated(heartbeat, m.heartbeatSequence) {
-		// Late or repeated: the worker waits for no answer to it, and its task list is old. But if
-		// it is the newest one and has only just been answered, that may have been a copy that
-		// overtook it, and the worker waits for this answer.
-		answerAgain := heartbeat.Incarnation == m.incarnation && heartbeat.Sequence == m.heartbeatSequence && heartbeat.Incarnation > m.endedIncarnation && s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout && !s.holdsCancelledTask(m, s.cancelAnswerUntil)
-		reply := HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: answerAgain}
-		if answerAgain {
-			reply.Commands = m.repeatableCommands()
-		}
-		s.emit(reply)
-		return
-	}
-	if !s.acceptsRelayed(m, e.Relayed) {
-		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Redirect: true})
-		return
+	switch {
+	case m.isOutdated(heartbeat, m.heartbeatSequence):
+		s.answerOutdatedHeartbeat(e, m)
+	case !s.acceptRoute(m, e.Relayed):
+		s.redirectHeartbeat(e)
+	default:
+		s.processHeartbeat(e, m)
 	}
-	// After a silence a report may be a late one, even on its old connection.
+}
+
+// rejectHeartbeat answers a heartbeat so that it renews no lease.
+func (s *Scheduler) rejectHeartbeat(e HeartbeatReceived) {
+	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
+}
+
+// redirectHeartbeat tells a worker whose heartbeat came through another controller to come here itself.
+func (s *Scheduler) redirectHeartbeat(e HeartbeatReceived) {
+	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Redirect: true})
+}
+
+// processHeartbeat handles a heartbeat that is newer than all others of its machine: it brings what we
+// know of the machine in line, lets the scheduler decide, and answers with the commands that follow.
+func (s *Scheduler) processHeartbeat(e HeartbeatReceived, m *machine) {
+	heartbeat := e.Heartbeat
+	// A heartbeat that comes after a gap may be a late one, even on its old connection.
 	s.setVerified(m, !m.fenced || (e.SameConnection && !s.isStale(m)))
 	s.observeIncarnation(m, heartbeat)
 	m.heartbeatSequence, m.address = heartbeat.Sequence, heartbeat.Address
 	m.lastHeartbeatAt = s.now
 	s.registerMachine(m)
-	if heartbeat.SpotNoticeS != nil && !m.spotNotice {
-		m.spotNotice = true
-		m.spotNoticeEnds = s.now + limits.Seconds(*heartbeat.SpotNoticeS)
-		s.logInfo("spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
-		s.releaseUnsent(m)
-	}
+	s.noteSpotNotice(m, heartbeat)
 	var commands []protocol.Command
-	if heartbeat.Sequence > m.sequence { // else a direct command's answer has overtaken it
+	if heartbeat.Sequence > m.sequence { // else the answer to a direct command has overtaken it
 		commands = s.reconcileTasks(m, heartbeat, 0)
 	}
 	if s.holdsCancelledTask(m, s.cancelAnswerUntil) {
-		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
+		s.rejectHeartbeat(e)
 		return
 	}
 	m.leaseRenewedAt = s.now
@@ -67,25 +71,43 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
 }
 
-// answerUnfencedHeartbeat answers a report that has not seen our term. It may be a late copy of one
-// from before: the machine may be dead or deleted since, so nothing is believed of it but that a
-// worker that hears the answer lives on. If it does, its next report shows our term, which no copy
-// can.
+// answerOutdatedHeartbeat answers a heartbeat that is late or repeated: the worker waits for no answer
+// to it, and its task list is old. But if it is the newest one and has only just been answered, that
+// may have been a copy that overtook it, and the worker waits for this answer.
+func (s *Scheduler) answerOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
+	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
+	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout
+	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelAnswerUntil) {
+		s.rejectHeartbeat(e)
+		return
+	}
+	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: m.repeatableCommands()})
+}
+
+// answerUnfencedHeartbeat answers a heartbeat of a worker that has not seen our term. It may be a late
+// copy of one from before: the machine may be dead or deleted since, so nothing is believed of it but
+// that a worker that hears the answer lives on. If it does, its next heartbeat shows our term, which no
+// copy can.
 func (s *Scheduler) answerUnfencedHeartbeat(e HeartbeatReceived) {
 	m := s.inventory.find(e.Heartbeat.Machine)
 	switch {
+	case m == nil && e.Relayed:
+		s.redirectHeartbeat(e)
+		return
 	case m == nil:
-		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: !e.Relayed, Redirect: e.Relayed})
+		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true})
 		return
 	case m.hasReported && e.Heartbeat.Incarnation < m.incarnation, e.Heartbeat.Incarnation <= m.endedIncarnation:
-		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
+		s.rejectHeartbeat(e)
 		return
-	case !s.acceptsRelayed(m, e.Relayed):
-		s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Redirect: true})
+	case !s.acceptRoute(m, e.Relayed):
+		s.redirectHeartbeat(e)
 		return
 	}
 	if !m.fenced {
-		m.leaseRenewedAt = s.now // else it was sent before the machine saw our term, and session has noted when we heard of that
+		// Otherwise it was sent before the machine saw our term, and observeIncarnation has noted when
+		// we heard of that.
+		m.leaseRenewedAt = s.now
 	}
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true})
 }
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -7,8 +7,32 @@
 	"quillshunt/internal/protocol"
 )
 
-// setVerified notes whether answers are known to reach a machine. While they are not, it gets no
-// new tasks: reports may arrive from a machine that hears nothing.
+// staleAfter is how long after its last heartbeat a machine still gets tasks.
+func (e *environment) staleAfter() time.Duration {
+	return time.Duration(float64(e.heartbeatInterval) * limits.FreshHeartbeatIntervals)
+}
+
+// isStale reports whether a machine's last heartbeat is too old for it to get tasks.
+func (e *environment) isStale(m *machine) bool { return e.now > m.lastHeartbeatAt+e.staleAfter() }
+
+// hasLiveIncarnation reports whether the worker's incarnation that we know may still run tasks.
+func (m *machine) hasLiveIncarnation() bool { return m.incarnation > m.endedIncarnation }
+
+// isOutdated reports whether a message is no newer than the one of the machine with that sequence
+// number, or of an incarnation that is over.
+func (m *machine) isOutdated(heartbeat *protocol.Heartbeat, newest uint64) bool {
+	if heartbeat.Incarnation <= m.endedIncarnation {
+		return true
+	}
+	if !m.hasReported {
+		return false
+	}
+	return heartbeat.Incarnation < m.incarnation ||
+		(heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= newest)
+}
+
+// setVerified notes whether answers are known to reach a machine. While they are not, it gets no new
+// tasks: heartbeats may arrive from a machine that hears nothing.
 func (s *Scheduler) setVerified(m *machine, verified bool) {
 	if verified && !m.verified {
 		s.placement.requestPass()
@@ -19,10 +43,10 @@
 	m.verified = verified
 }
 
-// acceptsRelayed tells whether a report is answered the way it came. A worker that comes through
-// another controller is first told to come itself; one that was here before and now comes that way,
-// or that we did not reach either, cannot reach us. From time to time it is told to try again.
-func (s *Scheduler) acceptsRelayed(m *machine, relayed bool) bool {
+// acceptRoute notes which way a heartbeat came and reports whether it is answered. A worker that comes
+// through another controller is first told to come itself; one that was here before and now comes that
+// way, or that we did not reach either, cannot reach us. From time to time it is told to try again.
+func (s *Scheduler) acceptRoute(m *machine, relayed bool) bool {
 	if !relayed {
 		m.reportsDirectly, m.relayed, m.redirected = true, false, false
 		return true
@@ -37,23 +61,15 @@
 	}
 	if !m.relayed {
 		m.relayed, m.relayedSince = true, s.now
-		s.logWarn("reports relayed", "machine", m.name)
+		s.logWarn("heartbeats relayed", "machine", m.name)
 	}
 	return true
 }
 
-// observeIncarnation takes the session of a message that is not old. The tasks of earlier sessions
-// were killed.
+// observeIncarnation notes the incarnation and the fencing token of a message that is not outdated.
 func (s *Scheduler) observeIncarnation(m *machine, heartbeat *protocol.Heartbeat) {
 	if m.hasReported && heartbeat.Incarnation > m.incarnation {
-		for _, a := range m.sortedAssignments() {
-			if a.state != stateUnsent {
-				s.logWarn("session lost", "machine", m.name, "job", a.job.id, "task", a.index, "attempt", a.attempt)
-			}
-			s.release(a)
-		}
-		m.endedTasks = map[attemptKey]endedTask{}
-		m.cachedImages = map[string]time.Duration{}
+		s.releaseEndedIncarnation(m)
 	}
 	if !m.hasReported || heartbeat.Incarnation > m.incarnation {
 		m.sequence, m.heartbeatSequence = 0, 0
@@ -65,49 +81,49 @@
 	m.hasReported, m.incarnation = true, heartbeat.Incarnation
 	if heartbeat.FencingToken == s.cfg.Term && !m.fenced {
 		m.fenced = true
-		s.placement.requestPass()
 		m.leaseRenewedAt = max(m.leaseRenewedAt, s.now)
+		s.placement.requestPass()
 	}
 }
 
-// isOutdated tells whether a message is no newer than one of the machine with that tally, or of a
-// session that is over.
-func (m *machine) isOutdated(heartbeat *protocol.Heartbeat, newest uint64) bool {
-	return m.hasReported && (heartbeat.Incarnation < m.incarnation || (heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= newest)) || heartbeat.Incarnation <= m.endedIncarnation
+// releaseEndedIncarnation releases the tasks of a worker that has started anew: it has killed them.
+func (s *Scheduler) releaseEndedIncarnation(m *machine) {
+	for _, a := range m.sortedAssignments() {
+		if a.state != stateUnsent {
+			s.logWarn("task lost, worker restarted",
+				"machine", m.name, "job", a.job.id, "task", a.index, "attempt", a.attempt)
+		}
+		s.release(a)
+	}
+	m.endedTasks = map[attemptKey]endedTask{}
+	m.cachedImages = map[string]time.Duration{}
 }
 
-// hasLiveIncarnation reports whether the worker's incarnation that we know may still run tasks.
-func (m *machine) hasLiveIncarnation() bool { return m.incarnation > m.endedIncarnation }
-
-// expireLeases frees the tasks of sessions that are surely over.
+// expireLeases releases the tasks of workers whose lease is surely over: they have killed them.
 func (s *Scheduler) expireLeases() {
 	for _, m := range s.inventory.all() {
-		if m.endedIncarnation >= max(m.incarnation, 1) || s.now < m.leaseRenewedAt+limits.LeaseExpiredAfter(s.workerLease) {
+		if !s.hasNewlyExpiredLease(m) {
 			if s.isStale(m) {
 				s.releaseUnsent(m)
 			}
 			continue
 		}
-		// The worker sent the last report that we answered before it arrived here, so by its own clock
-		// and ours its lease is over and it has killed its tasks.
 		if len(m.assignments) > 0 {
-			s.logWarn("session lapsed", "machine", m.name, "tasks", len(m.assignments))
-		}
-		for _, a := range m.sortedAssignments() {
-			s.release(a)
+			s.logWarn("worker lease expired", "machine", m.name, "tasks", len(m.assignments))
 		}
+		s.releaseAll(m)
 		m.endedTasks = map[attemptKey]endedTask{}
 		m.endedIncarnation = max(m.incarnation, 1)
 		if !m.hasReported {
-			m.endedIncarnation = 0 // we do not know which session it was in; see endRecovery
+			m.endedIncarnation = 0 // we do not know which incarnation it was; see recoveryState.tryEnd
 		}
 	}
 }
 
-// staleAfter is how long after its last heartbeat a machine still gets tasks.
-func (e *environment) staleAfter() time.Duration {
-	return time.Duration(float64(e.heartbeatInterval) * limits.FreshHeartbeatIntervals)
+// hasNewlyExpiredLease reports whether a worker's lease is surely over and that was not noted yet. The
+// worker sent the last heartbeat that we answered before it arrived here, so LeaseExpiredAfter its
+// arrival the lease is over by the worker's clock and by ours.
+func (s *Scheduler) hasNewlyExpiredLease(m *machine) bool {
+	noted := m.endedIncarnation >= max(m.incarnation, 1)
+	return !noted && s.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(s.workerLease)
 }
-
-// isStale reports whether a machine's last heartbeat is too old for it to get tasks.
-func (e *environment) isStale(m *machine) bool { return e.now > m.lastHeartbeatAt+e.staleAfter() }
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -1,25 +1,44 @@
 package scheduler
 
-import "quillshunt/internal/limits"
+import (
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+)
 
-// stopForSpotNotice stops tasks on a machine that the cloud takes away: in time to save, or at once
-// if they cannot be done before.
+// noteSpotNotice notes that the cloud takes a spot instance back soon. It gets no more tasks.
+func (s *Scheduler) noteSpotNotice(m *machine, heartbeat *protocol.Heartbeat) {
+	if heartbeat.SpotNoticeS == nil || m.spotNotice {
+		return
+	}
+	m.spotNotice = true
+	m.spotNoticeEnds = s.now + limits.Seconds(*heartbeat.SpotNoticeS)
+	s.logInfo("spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
+	s.releaseUnsent(m)
+}
+
+// stopForSpotNotice stops tasks on a machine that the cloud takes back: those with checkpoints in time
+// to save, the others at once if they cannot complete before.
 func (s *Scheduler) stopForSpotNotice(m *machine) {
 	remaining := (m.spotNoticeEnds - s.now).Seconds()
 	for _, a := range m.sortedAssignments() {
 		if m.assignments[a.taskName] != a || a.stopping || a.state == stateUnsent {
-			continue
-		}
-		needed := a.job.estimate()
-		if a.state == stateRunning {
-			needed -= (s.now - a.runningSince).Seconds()
+			continue // also those that were released with their gang
 		}
-		if a.job.spec.CheckpointS > 0 {
-			if remaining < a.job.spec.SaveS+limits.SpotNoticeSaveIntervals*s.heartbeatInterval.Seconds() {
-				s.stopTask(a, "spot notice")
-			}
-		} else if needed > remaining {
+		if s.mustStopBefore(a, remaining) {
 			s.stopTask(a, "spot notice")
 		}
 	}
 }
+
+// mustStopBefore reports whether a task on a machine with that many seconds left has to stop now.
+func (s *Scheduler) mustStopBefore(a *assignment, remaining float64) bool {
+	if a.job.spec.CheckpointS > 0 {
+		margin := limits.SpotNoticeSaveIntervals * s.heartbeatInterval.Seconds()
+		return remaining < a.job.spec.SaveS+margin
+	}
+	needed := a.job.estimate()
+	if a.state == stateRunning {
+		needed -= (s.now - a.runningSince).Seconds()
+	}
+	return needed > remaining
+}
