--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -26,6 +26,33 @@
 // TestUsersAPI sends a sequence of requests: the later ones meet the jobs of those before.
 func TestUsersAPI(t *testing.T) {
 	f := newGatewayFixture(t, supportGangs)
+	for _, c := range usersAPICases() {
+		f.expect(c.name, c.request, c.status, c.state)
+	}
+
+	// A job that is over stays what it is, also for repeated submissions and cancellations.
+	f.write(storage.FinalJobKey("job-2"), storage.FinalJob{State: protocol.JobDone})
+	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
+		f.expect("done job: "+target, post(target, spec("job-2", nil)), http.StatusOK, protocol.JobDone)
+	}
+
+	f.expect("before the outage", submit(spec("job-4", nil)), http.StatusCreated, protocol.JobPending)
+	f.state.SetUnavailable(true)
+	checkAnswersInOutage(f)
+	f.state.SetUnavailable(false)
+	f.expect("after the outage", submit(spec("job-3", nil)), http.StatusCreated, protocol.JobPending)
+}
+
+// apiCase is a request and the answer to it.
+type apiCase struct {
+	name    string
+	request userRequest
+	status  int
+	state   string // of the job, in the body
+}
+
+// usersAPICases are requests in the order in which they are sent.
+func usersAPICases() []apiCase {
 	manyTypes := make([]string, limits.MaxMachineTypes)
 	for i := range manyTypes {
 		manyTypes[i] = "g8-with-a-rather-long-name"
@@ -36,12 +63,7 @@
 	gang := func(tasks int) map[string]any {
 		return spec("job-5", map[string]any{"Shape": "ensemble", "Pieces": tasks})
 	}
-	for _, c := range []struct {
-		name    string
-		request userRequest
-		status  int
-		state   protocol.JobState
-	}{
+	return []apiCase{
 		{"health", get("/healthz"), http.StatusOK, ""},
 		{"health by the wrong method", post("/healthz", nil), http.StatusMethodNotAllowed, ""},
 		{"unknown path", get("/v3/runs"), http.StatusNotFound, ""},
@@ -68,27 +90,13 @@
 		{"zone without such a type", submit(spec("job-1", changed("Yard", "b"))), http.StatusUnprocessableEntity, ""},
 		{"accepted", submit(spec("job-1", nil)), http.StatusCreated, protocol.JobPending},
 		{"repeated", submit(spec("job-1", nil)), http.StatusOK, protocol.JobPending},
-		{"repeated, but can never run", submit(spec("job-1", changed("Vcpus", 17))), http.StatusOK, protocol.JobPending},
+		{"repeated, can never run", submit(spec("job-1", changed("Vcpus", 17))), http.StatusOK, protocol.JobPending},
 		{"poll", get("/v2/runs/job-1"), http.StatusOK, protocol.JobPending},
 		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
 		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
 		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted},
 		{"submission of a cancelled job", submit(spec("job-1", nil)), http.StatusOK, protocol.JobAborted},
-	} {
-		f.expect(c.name, c.request, c.status, c.state)
-	}
-
-	// A job that is over stays what it is, also for repeated submissions and cancellations.
-	f.write(storage.FinalJobKey("job-2"), storage.FinalJob{State: protocol.JobDone})
-	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
-		f.expect("done job: "+target, post(target, spec("job-2", nil)), http.StatusOK, protocol.JobDone)
 	}
-
-	f.expect("before the outage", submit(spec("job-4", nil)), http.StatusCreated, protocol.JobPending)
-	f.state.SetUnavailable(true)
-	checkAnswersInOutage(f)
-	f.state.SetUnavailable(false)
-	f.expect("after the outage", submit(spec("job-3", nil)), http.StatusCreated, protocol.JobPending)
 }
 
 // checkAnswersInOutage: without the state service users are told when to retry, and nothing else but
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -85,7 +85,7 @@
 	users     sync.WaitGroup
 	accepted  atomic.Int64
 	refused   atomic.Int64
-	peakBytes atomic.Uint64 // most memory that the runtime held
+	peakBytes atomic.Uint64 // most memory that the runtime had from the system
 }
 
 // startFlood makes many users submit jobs, one after the other each.
@@ -125,27 +125,27 @@
 }
 
 // stop ends the flood and waits for its users.
-func (flood *userFlood) stop() {
-	flood.cancel()
-	flood.users.Wait()
+func (f *userFlood) stop() {
+	f.cancel()
+	f.users.Wait()
 }
 
 // check checks that some jobs of the flood were accepted, and that the memory stayed within the
 // settings.
-func (flood *userFlood) check(t *testing.T) {
+func (f *userFlood) check(t *testing.T) {
 	t.Helper()
-	if flood.accepted.Load() == 0 {
+	if f.accepted.Load() == 0 {
 		t.Error("no job of the flood was accepted")
 	}
-	peak := flood.peakBytes.Load()
+	peak := f.peakBytes.Load()
 	if bound := uint64(loadMemoryMB * (1 << 20)); peak > bound {
 		t.Errorf("%d bytes held at the peak, the settings allow %d", peak, bound)
 	}
 	t.Logf("flood: %d accepted, %d refused, %d MB held at the peak",
-		flood.accepted.Load(), flood.refused.Load(), peak>>20)
+		f.accepted.Load(), f.refused.Load(), peak>>20)
 }
 
-// runtimeMemoryBytes is the memory that the runtime holds of the system's.
+// runtimeMemoryBytes is the memory that the runtime has from the system.
 func runtimeMemoryBytes() uint64 {
 	samples := []metrics.Sample{
 		{Name: "/memory/classes/total:bytes"},
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -16,28 +16,10 @@
 	"quillshunt/internal/coordination/peer/peerpb"
 	"quillshunt/internal/coordination/scheduler"
 	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 	"quillshunt/internal/transport"
 )
 
-// HeartbeatResponder answers a worker's heartbeat: 200 with a body, or another status. It implements
-// scheduler.HeartbeatResponder.
-type HeartbeatResponder func(status int, body []byte)
-
-// Accept renews the worker's lease and gives it commands.
-func (r HeartbeatResponder) Accept(reply protocol.HeartbeatReply) {
-	r(http.StatusOK, protocol.Encode(reply))
-}
-
-// Redirect sends the worker to a controller.
-func (r HeartbeatResponder) Redirect(redirect protocol.Redirect) {
-	r(http.StatusMisdirectedRequest, protocol.Encode(redirect))
-}
-
-// Reject renews no lease.
-func (r HeartbeatResponder) Reject() { r(http.StatusServiceUnavailable, nil) }
-
 // DispatcherOptions are the settings and collaborators of a Dispatcher.
 type DispatcherOptions struct {
 	Settings *config.Settings
@@ -93,7 +75,7 @@
 // Heartbeat hands a worker's heartbeat to the term. It never blocks: the answer is 503 at once if
 // this process does not lead or the mailbox is full. With sameConnection the heartbeat before on
 // the same connection was answered 200, so that the worker has got that answer.
-func (d *Dispatcher) Heartbeat(body []byte, sameConnection bool, respond HeartbeatResponder) {
+func (d *Dispatcher) Heartbeat(body []byte, sameConnection bool, respond HeartbeatResponderFunc) {
 	d.enqueue(heartbeatMessage{body: body, respond: respond, sameConnection: sameConnection})
 }
 
--- a/internal/coordination/leader/errors.go
+++ b/internal/coordination/leader/errors.go
@@ -13,7 +13,7 @@
 var (
 	// errNoCapacity means that the cloud has no machines of the requested kind.
 	errNoCapacity = errors.New("cloud: no capacity")
-	// errRentalRejected means that the cloud holds a rental request to be malformed.
+	// errRentalRejected means that the cloud treats a rental request as malformed.
 	errRentalRejected = errors.New("cloud: request rejected")
 	// errNotEntitled means that the term was no longer entitled when a worker was to be called.
 	errNotEntitled = errors.New("no longer entitled")
--- a/internal/coordination/leader/load.go
+++ b/internal/coordination/leader/load.go
@@ -107,7 +107,7 @@
 		SinceSubmission: max(sinceUnixMilli(record.SubmittedAtMs), 0),
 	}
 	if record.CancelledAtMs != 0 {
-		// The time was taken from another node's clock. Each of the two clocks may be off by the skew.
+		// The time is that of another controller's clock. Each of the two clocks may be off by the skew.
 		skew := limits.Seconds(t.dispatcher.settings.Facts.SkewMs / 1000)
 		change.SinceCancellation = max(sinceUnixMilli(record.CancelledAtMs)+2*skew, 0)
 	}
--- a/internal/coordination/leader/messages.go
+++ b/internal/coordination/leader/messages.go
@@ -13,7 +13,7 @@
 // heartbeatMessage is a worker's heartbeat.
 type heartbeatMessage struct {
 	body           []byte // not decoded yet: the actor decodes all heartbeats, relayed ones included
-	respond        HeartbeatResponder
+	respond        HeartbeatResponderFunc
 	arrivedAt      time.Time
 	relayed        bool // came through another controller
 	sameConnection bool // see Dispatcher.Heartbeat
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -74,7 +74,7 @@
 // now is the time since the term began, which is the scheduler's clock.
 func (t *term) now() time.Duration { return time.Since(t.startedAt) }
 
-// reportLost tells the elector that the term is over: a later leader has been seen.
+// reportLost notifies the elector that the term is over: a later leader has been seen.
 func (t *term) reportLost() { t.dispatcher.termLost(t.leadership.Term) }
 
 // run is the actor's loop.
--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestBatchesWithinLimits: a batch takes the writes that wait, up to the operations and conditions
+// TestBatchesWithinLimits: a batch joins the writes that wait, up to the operations and conditions
 // that the state service accepts in one transaction.
 func TestBatchesWithinLimits(t *testing.T) {
 	write := func(id uint64, operations, conditions int) scheduler.WriteRecords {
