--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -48,7 +48,7 @@
 	name    string
 	request userRequest
 	status  int
-	state   string // of the job, in the body
+	state   protocol.JobState // in the body
 }
 
 // usersAPICases are requests in the order in which they are sent.
