--- a/cmd/quillshunt/main.go
+++ b/cmd/quillshunt/main.go
@@ -3,12 +3,13 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 )
 
 func main() {
-	if err := newRootCommand().Execute(); err != nil {
+	if err := newRootCommand().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "quillshunt:", err)
 		os.Exit(1)
 	}
--- a/cmd/quillshunt/serve.go
+++ b/cmd/quillshunt/serve.go
@@ -16,9 +16,6 @@
 
 // serve runs a controller until a server of it fails for good or the context ends.
 func serve(ctx context.Context, settings *config.Settings, options config.Options, log *slog.Logger) error {
-	if ctx == nil {
-		ctx = context.Background() // cobra sets none if the command is executed without one
-	}
 	log = log.With("node", settings.NodeName)
 	limitResources(settings)
 	c, err := controller.New(settings, options, nil, log)
