--- a/internal/coordination/leader/status.go
+++ b/internal/coordination/leader/status.go
@@ -17,7 +17,7 @@
 	for _, m := range snapshot.Machines {
 		reply.Machines = append(reply.Machines, &peerpb.Machine{
 			Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: m.State,
-			Cpus: m.CPUs, UsedCpus: m.UsedCPUs, Tasks: int64(m.Tasks), HeartbeatAgeS: m.SilentFor.Seconds(),
+			Cpus: m.CPUs, UsedCpus: m.UsedCPUs, Tasks: int64(m.Tasks), HeartbeatAgeS: m.HeartbeatAge.Seconds(),
 		})
 	}
 	for _, team := range snapshot.Teams {
--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -66,7 +66,7 @@
 	j.lastAssignedAt = s.now
 	s.markGangChanged(j.gang)
 	s.dispatcher.enqueue(m)
-	setBit(j.assignedBits, index)
+	j.assigned.add(index)
 	m.assignments[a.taskName] = a
 	m.allocated = m.allocated.Plus(j.demand)
 	j.team.allocated = j.team.allocated.Plus(j.demand)
@@ -83,8 +83,8 @@
 	}
 	s.gangTaskLost(a)
 	delete(j.assignments, a.index)
-	clearBit(j.assignedBits, a.index)
-	j.nextFreeHint = min(j.nextFreeHint, a.index)
+	j.assigned.remove(a.index)
+	j.nextWaitingHint = min(j.nextWaitingHint, a.index)
 	delete(m.assignments, a.taskName)
 	m.allocated = m.allocated.Minus(j.demand)
 	j.team.allocated = j.team.allocated.Minus(j.demand)
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -64,8 +64,8 @@
 			return
 		}
 		last = max(last, index)
-		if !getBit(j.doneBits, index) {
-			setBit(j.doneBits, index)
+		if !j.done.has(index) {
+			j.done.add(index)
 			j.doneCount++
 		}
 	})
@@ -127,10 +127,10 @@
 }
 
 func (w *finishedTaskWriter) markDone(j *job, index int) {
-	if getBit(j.doneBits, index) {
+	if j.done.has(index) {
 		return
 	}
-	setBit(j.doneBits, index)
+	j.done.add(index)
 	j.doneCount++
 	j.chunks[index/w.tasksPerChunk].sequence++
 }
@@ -197,7 +197,7 @@
 	chunk.writing, chunk.writtenAt, chunk.deferredSince, chunk.expedite = true, w.now, 0, false
 	base := c.index * w.tasksPerChunk
 	key := storage.FinishedTasksKey(c.job.id, base)
-	record := storage.EncodeFinishedTasks(c.job.doneBits, base, w.tasksPerChunk)
+	record := storage.EncodeFinishedTasks(c.job.done, base, w.tasksPerChunk)
 	// Guarded by its own version as well: an earlier write of this chunk that was given up must not
 	// come late and undo this one.
 	w.writeBulk(chunkWrite{job: c.job, chunk: c.index, sequence: chunk.sequence},
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -73,9 +73,9 @@
 		sizes := []float64{0.5, 1, 2}
 		before := storage.TasksPerChunk(rapid.SampledFrom(sizes).Draw(t, "before"))
 		state := config.State{WriteRPS: 200, ValueKB: rapid.SampledFrom(sizes).Draw(t, "now"), TxnOps: 4}
-		bits := make([]uint64, (tasks+63)/64)
+		bits := newBitmap(tasks)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
-			setBit(bits, rapid.IntRange(0, tasks-2).Draw(t, "task"))
+			bits.add(rapid.IntRange(0, tasks-2).Draw(t, "task"))
 		}
 		f := &memoryStore{records: map[string]storedRecord{storage.OpenJobKey(job): {version: 1}}, version: 10}
 		s := New(Config{Term: 3, Teams: []config.Team{{Name: "red", CPUsMax: 100}}, Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
@@ -100,8 +100,8 @@
 		expect := func(what string) {
 			got := f.union(t, job)
 			for i := range tasks {
-				if getBit(bits, i) && !(getBit(j.doneBits, i) && got[i]) {
-					t.Fatalf("%s: finished task %d: known %v, stored %v", what, i, getBit(j.doneBits, i), got[i])
+				if bits.has(i) && !(j.done.has(i) && got[i]) {
+					t.Fatalf("%s: finished task %d: known %v, stored %v", what, i, j.done.has(i), got[i])
 				}
 			}
 		}
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -1,22 +1,16 @@
 package scheduler
 
 import (
-	"math/bits"
 	"sort"
 	"time"
 
-	"quillshunt/internal/config"
 	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
-// deadline is a time that a job should meet, by its completion or by the start of its tasks.
-type deadline struct {
-	at       time.Duration
-	forStart bool
-}
-
+// job is a job that is not over: its open record, and what became of its tasks in this term. A task
+// is waiting, assigned to a machine, or done.
 type job struct {
 	id           string
 	gang         *gang // nil if its tasks are independent
@@ -24,41 +18,48 @@
 	priority     protocol.Priority
 	team         *team
 	class        *jobClass
-	demand       resource.Vector
-	version      uint64
+	demand       resource.Vector // of one task
+	version      uint64          // of the open record
+	submittedAt  time.Duration
+	deadlines    []deadline // earliest first
 	cancelled    bool
 	cancelledAt  time.Duration // when its user may first have been told
-	cancelSeenAt time.Duration // when we learned of it
-	submittedAt  time.Duration // of its submission
-	deadlines    []deadline
-	guaranteed   bool // fits into its team's guarantee together with the team's earlier unfinished jobs
-	underserved  bool // its group is served badly; see age
-	closed       bool // its final record is written
-	closing      bool
+	cancelSeenAt time.Duration // when this leader learned of it
+	closing      bool          // its final record is being written
+	closed       bool          // its final record is written
+
+	// Set when the order of the queue is made; see jobQueue.order.
+	guaranteed            bool // fits into its team's guarantee together with the team's earlier unfinished jobs
+	underserved           bool // its group has got too little of what is due to it
+	mayUseGangReservation bool // may use machines that are kept for gangs
 
-	doneBits            []uint64
+	done                bitmap
 	doneCount           int
-	assignedBits        []uint64
-	nextFreeHint        int
-	assignments         map[int]*assignment
+	assigned            bitmap
+	assignments         map[int]*assignment // by index of the task
+	lastAssignedAt      time.Duration
+	nextWaitingHint     int         // no task below is waiting
+	stopCounts          map[int]int // how often the scheduler has stopped a task, by its index
 	chunks              []finishedChunk
-	otherRecordKeys     []string    // keys of records of finished tasks that are no chunks of this term; see finishedTaskWriter
-	remainingRecordKeys []string    // keys to be removed after the final record
-	stopCounts          map[int]int // how often a task was stopped by us
+	otherRecordKeys     []string // keys of records of finished tasks that are no chunks of this term
+	remainingRecordKeys []string // keys to be removed after the final record was written
 
-	runSum         float64
-	runCount       int
+	runSum         float64         // of the run times of done tasks, in seconds
+	runCount       int             // of these tasks
 	failedMachines map[string]bool // machines that failed a task since the last success
-	backoff        time.Duration
-	retryAt        time.Duration // nothing is placed before
+	backoff        time.Duration   // the last wait after failures on many machines
+	retryAt        time.Duration   // no task is placed before
 
-	// mayUseGangReservation tells that it may use machines that are kept for gangs; see jobQueue.order.
-	mayUseGangReservation bool
-	lastAssignedAt        time.Duration // when a task of it was last bound to a machine
-	nextPreemptionSearch  time.Duration // it looks for tasks to stop not before; see Scheduler.pressAgain
+	nextPreemptionSearch time.Duration // the placement does not look for tasks to stop for it before
+}
+
+// deadline is a time that a job should meet, by its completion or by the start of its tasks.
+type deadline struct {
+	at       time.Duration
+	forStart bool
 }
 
-// waitingTasks is how many tasks want a machine now.
+// waitingTasks is how many tasks wait for a machine now.
 func (j *job) waitingTasks() int {
 	if j.gang != nil {
 		return j.gang.missing()
@@ -70,18 +71,16 @@
 func (j *job) begunTasks() int { return j.doneCount + len(j.assignments) }
 
 // outwaitsGangReservation reports whether the job may use machines that are kept for gangs: gangs
-// may, and whoever waits for so long that room must not be kept from it any longer.
+// may, and jobs that have waited for so long that room must not be kept from them any longer.
 func (j *job) outwaitsGangReservation(now time.Duration) bool {
 	return j.gang != nil || now > max(j.submittedAt, j.lastAssignedAt)+limits.GangReservationYieldAge
 }
 
-// demandOf is what n of its tasks take.
-func (j *job) demandOf(n int) resource.Vector {
-	return j.demand.Times(float64(n))
-}
+// demandOf is the demand of that many of its tasks.
+func (j *job) demandOf(tasks int) resource.Vector { return j.demand.Times(float64(tasks)) }
 
-// withinTeamLimit tells whether its team's limit lets a task of it start now; of a gang, all that
-// want to.
+// withinTeamLimit reports whether its team's limit lets a task of it start now; of a gang, all that
+// wait.
 func (j *job) withinTeamLimit() bool {
 	if j.gang != nil {
 		return j.team.fits(j.demandOf(j.waitingTasks()))
@@ -89,72 +88,23 @@
 	return j.team.fits(j.demand)
 }
 
-func getBit(b []uint64, i int) bool { return b[i/64]>>(i%64)&1 != 0 }
-func setBit(b []uint64, i int)      { b[i/64] |= 1 << (i % 64) }
-func clearBit(b []uint64, i int)    { b[i/64] &^= 1 << (i % 64) }
-
-// nextWaitingTask is the lowest task that is neither done nor bound, or -1.
+// nextWaitingTask is the lowest task that is neither done nor assigned, or -1.
 func (j *job) nextWaitingTask() int {
-	for w := j.nextFreeHint / 64; w < len(j.doneBits); w++ {
-		open := ^(j.doneBits[w] | j.assignedBits[w])
-		if open == 0 {
-			continue
-		}
-		i := w*64 + bits.TrailingZeros64(open)
-		if i >= j.spec.Tasks {
-			break
-		}
-		j.nextFreeHint = i
-		return i
+	index := firstInNeither(j.done, j.assigned, j.nextWaitingHint)
+	if index >= j.spec.Tasks {
+		j.nextWaitingHint = j.spec.Tasks
+		return -1
 	}
-	j.nextFreeHint = j.spec.Tasks
-	return -1
-}
-
-// jobClass learns how long tasks of a class really run.
-type jobClass struct {
-	estimateRatio float64 // real run time over the owner's estimate
-	runSamples    int
-	fetchSeconds  float64 // mean wait for an image, in seconds
-	fetchSamples  int
-}
-
-// estimate is how long a task of the job is expected to run. The tasks that are done weigh against
-// those on machines, which count as what is known of the class: the first to be done are the
-// shortest, and alone they would make the rest look short.
-func (j *job) estimate() float64 {
-	prior := j.spec.EstimateS * j.class.estimateRatio
-	open := float64(len(j.assignments) + limits.EstimatePriorTasks)
-	return max((j.runSum+prior*open)/(float64(j.runCount)+open), limits.MinRunTime)
-}
-
-// occupancy is how long a task is expected to take room: its run time and the wait for its image.
-func (j *job) occupancy() float64 { return j.estimate() + j.class.fetchSeconds }
-
-type team struct {
-	cfg       config.Team
-	allocated resource.Vector
-	claimed   resource.Vector // by its unfinished jobs; see guarantees
-}
-
-// fits tells whether the team may use that much more.
-func (t *team) fits(r resource.Vector) bool {
-	const eps = limits.Epsilon
-	return t.allocated.CPUs+r.CPUs <= t.cfg.CPUsMax+eps && t.allocated.Accelerators+r.Accelerators <= t.cfg.GPUsMax+eps
-}
-
-// usesBorrowed tells whether the team uses more than its guarantee.
-func (t *team) usesBorrowed() bool {
-	const eps = limits.Epsilon
-	return t.allocated.CPUs > t.cfg.CPUs+eps || t.allocated.Accelerators > t.cfg.GPUs+eps
+	j.nextWaitingHint = index
+	return index
 }
 
-// sortedAssignments returns a job's bindings in a fixed order.
+// sortedAssignments returns the assignments of its tasks, by index.
 func (j *job) sortedAssignments() []*assignment {
-	out := make([]*assignment, 0, len(j.assignments))
-	for _, b := range j.assignments {
-		out = append(out, b)
+	sorted := make([]*assignment, 0, len(j.assignments))
+	for _, a := range j.assignments {
+		sorted = append(sorted, a)
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].index < out[k].index })
-	return out
+	sort.Slice(sorted, func(a, b int) bool { return sorted[a].index < sorted[b].index })
+	return sorted
 }
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -50,7 +50,7 @@
 func (t *jobTable) class(name string) *jobClass {
 	class := t.classes[name]
 	if class == nil {
-		class = &jobClass{estimateRatio: 1}
+		class = newJobClass()
 		t.classes[name] = class
 	}
 	return class
@@ -68,7 +68,6 @@
 		return nil // a team that the settings no longer know; its jobs stay as they are
 	}
 	priority, _ := protocol.ParsePriority(spec.Priority)
-	words := (spec.Tasks + 63) / 64
 	j := &job{
 		id:             e.JobID,
 		spec:           spec,
@@ -77,8 +76,8 @@
 		class:          t.class(spec.Class),
 		demand:         taskDemand(&spec),
 		submittedAt:    t.now - e.SinceSubmission,
-		doneBits:       make([]uint64, words),
-		assignedBits:   make([]uint64, words),
+		done:           newBitmap(spec.Tasks),
+		assigned:       newBitmap(spec.Tasks),
 		assignments:    map[int]*assignment{},
 		stopCounts:     map[int]int{},
 		failedMachines: map[string]bool{},
@@ -134,14 +133,13 @@
 	for _, team := range t.teams {
 		team.claimed = resource.Vector{}
 	}
-	const eps = limits.Epsilon
 	for _, j := range t.bySubmission {
 		unfinished := float64(j.spec.Tasks - j.doneCount)
 		if j.cancelled {
 			unfinished = 0
 		}
 		claimed := j.team.claimed.Plus(resource.Vector{CPUs: unfinished * j.demand.CPUs, Accelerators: unfinished * j.demand.Accelerators})
-		j.guaranteed = claimed.CPUs <= j.team.cfg.CPUs+eps && claimed.Accelerators <= j.team.cfg.GPUs+eps
+		j.guaranteed = j.team.guarantees(claimed)
 		j.team.claimed = claimed
 	}
 }
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -98,7 +98,7 @@
 	switch {
 	case a != nil && a.attempt == status.Attempt:
 		s.updateProgress(a, status)
-	case j != nil && !getBit(j.doneBits, index) && (j.assignments[index] == nil || j.assignments[index].state == stateUnsent):
+	case j != nil && !j.done.has(index) && (j.assignments[index] == nil || j.assignments[index].state == stateUnsent):
 		// Running, but not by our command: of an earlier term, mostly. It is ours now.
 		if unsent := j.assignments[index]; unsent != nil {
 			s.release(unsent)
@@ -224,7 +224,7 @@
 		m.usefulCPUSeconds += ran * j.demand.CPUs
 		if !j.cancelled {
 			ended.job = j
-			knownDone := j.gang != nil && getBit(j.doneBits, index)
+			knownDone := j.gang != nil && j.done.has(index)
 			ended.chunk, ended.sequence = s.finished.recordDone(j, index)
 			if ran > 0 && !knownDone {
 				s.learnRunTime(j, m, ran)
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -3,56 +3,64 @@
 import (
 	"fmt"
 	"time"
+
+	"quillshunt/internal/config"
 )
 
-// Snapshot is how the term stands, for operators.
+// Snapshot is the state of a term, for operators.
 type Snapshot struct {
 	Term        uint64
-	Recovered   bool
+	Recovered   bool // the leader knows what runs where
 	Machines    []MachineView
 	Teams       []TeamView
-	Explanation []string // of the job that was asked for
+	Explanation []string // what the job that was asked for waits for, a sentence each; nil without a job
 }
 
 // MachineView is a machine in a Snapshot.
 type MachineView struct {
 	Name, Type, Zone string
 	Spot             bool
-	State            string
+	State            string // in words
 	CPUs, UsedCPUs   float64
-	Tasks            int
-	SilentFor        time.Duration
+	Tasks            int           // assigned to it
+	HeartbeatAge     time.Duration // since its last heartbeat in this term, or since the term began
 }
 
 // TeamView is a team in a Snapshot.
 type TeamView struct {
 	Name                              string
-	UsedCPUs, GuaranteedCPUs, MaxCPUs float64 // CPUs
-	Jobs                              int
-	AssignedTasks, WaitingTasks       int // tasks
+	UsedCPUs, GuaranteedCPUs, MaxCPUs float64
+	Jobs                              int // that are not over
+	AssignedTasks, WaitingTasks       int
 }
 
+// takeSnapshot answers an operator.
 func (s *Scheduler) takeSnapshot(e SnapshotRequested) {
-	v := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.ended}
+	snapshot := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.ended}
 	for _, m := range s.inventory.all() {
-		v.Machines = append(v.Machines, MachineView{Name: m.name, Type: m.typeName, Zone: m.zone, Spot: m.spot, State: s.machineState(m),
-			CPUs: m.size().CPUs, UsedCPUs: m.allocated.CPUs, Tasks: len(m.assignments), SilentFor: s.now - max(m.lastHeartbeatAt, s.termStartedAt)})
-	}
-	for _, t := range s.cfg.Teams {
-		tv := TeamView{Name: t.Name, UsedCPUs: s.jobs.team(t.Name).allocated.CPUs, GuaranteedCPUs: t.CPUs, MaxCPUs: t.CPUsMax}
-		for _, j := range s.jobs.oldestFirst() {
-			if j.team == s.jobs.team(t.Name) && !j.cancelled {
-				tv.Jobs++
-				tv.AssignedTasks += len(j.assignments)
-				tv.WaitingTasks += j.waitingTasks()
-			}
-		}
-		v.Teams = append(v.Teams, tv)
+		snapshot.Machines = append(snapshot.Machines, s.machineView(m))
+	}
+	for i := range s.cfg.Teams {
+		snapshot.Teams = append(snapshot.Teams, s.jobs.teamView(&s.cfg.Teams[i]))
 	}
 	if e.JobID != "" {
-		v.Explanation = s.explainWaiting(e.JobID)
+		snapshot.Explanation = s.explainJob(e.JobID)
+	}
+	s.emit(SnapshotTaken{ReplyTo: e.ReplyTo, Snapshot: snapshot})
+}
+
+func (s *Scheduler) machineView(m *machine) MachineView {
+	return MachineView{
+		Name:         m.name,
+		Type:         m.typeName,
+		Zone:         m.zone,
+		Spot:         m.spot,
+		State:        s.machineState(m),
+		CPUs:         m.size().CPUs,
+		UsedCPUs:     m.allocated.CPUs,
+		Tasks:        len(m.assignments),
+		HeartbeatAge: s.now - max(m.lastHeartbeatAt, s.termStartedAt),
 	}
-	s.emit(SnapshotTaken{ReplyTo: e.ReplyTo, Snapshot: v})
 }
 
 func (s *Scheduler) machineState(m *machine) string {
@@ -60,77 +68,117 @@
 	case m.deleting:
 		return "returning: " + m.deleteReason
 	case m.isUnreported():
-		return "not heard of in this term"
+		return "no heartbeat in this term"
 	case !m.hasReported:
 		return "booting"
 	case m.spotNotice:
-		return "taken by the cloud soon"
+		return "spot notice"
 	case m.isFaulty():
 		return "fails its tasks"
 	case s.isStale(m):
-		return "silent"
+		return "sends no heartbeats"
 	case m.relayed:
-		return "up, reports relayed"
+		return "up, heartbeats relayed"
 	case m.draining:
-		return "emptying"
+		return "draining"
 	}
 	return "up"
 }
 
-// explainWaiting says what a job's tasks are doing and what the waiting ones wait for.
-func (s *Scheduler) explainWaiting(id string) []string {
+func (t *jobTable) teamView(settings *config.Team) TeamView {
+	team := t.team(settings.Name)
+	view := TeamView{
+		Name:           settings.Name,
+		UsedCPUs:       team.allocated.CPUs,
+		GuaranteedCPUs: settings.CPUs,
+		MaxCPUs:        settings.CPUsMax,
+	}
+	for _, j := range t.bySubmission {
+		if j.team == team && !j.cancelled {
+			view.Jobs++
+			view.AssignedTasks += len(j.assignments)
+			view.WaitingTasks += j.waitingTasks()
+		}
+	}
+	return view
+}
+
+// explanation is a list of sentences about a job.
+type explanation []string
+
+func (e *explanation) add(format string, args ...any) { *e = append(*e, fmt.Sprintf(format, args...)) }
+
+// explainJob says what a job's tasks are doing and what the waiting ones wait for.
+func (s *Scheduler) explainJob(id string) []string {
 	j := s.jobs.find(id)
 	if j == nil {
 		return []string{"not among the open jobs of this term"}
 	}
-	out := []string{fmt.Sprintf("%d of %d tasks done, %d on machines, %d waiting", j.doneCount, j.spec.Tasks, len(j.assignments), j.waitingTasks())}
-	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	switch {
-	case j.cancelled:
-		add("cancelled; it is closed once its tasks are gone")
-		return out
-	case j.gang != nil && j.gang.state != gangWaiting:
-		add("a gang, %s", j.gang.state)
+	var e explanation
+	e.add("%d of %d tasks done, %d on machines, %d waiting", j.doneCount, j.spec.Tasks, len(j.assignments), j.waitingTasks())
+	if j.cancelled {
+		e.add("cancelled; it is closed once its tasks are gone")
+		return e
+	}
+	if j.gang != nil && j.gang.state != gangWaiting {
+		e.add("a gang, %s", j.gang.state)
 	}
-	if j.waitingTasks() == 0 {
-		return out
+	if j.waitingTasks() > 0 {
+		s.explainWaiting(j, &e)
 	}
+	return e
+}
+
+// explainWaiting adds what the waiting tasks of a job wait for.
+func (s *Scheduler) explainWaiting(j *job, e *explanation) {
 	if !s.recovery.ended {
-		add("the new leader does not know yet what runs where")
+		e.add("the new leader does not know yet what runs where")
 	}
 	if s.now < j.retryAt {
-		add("failed on %d machines with no success between; tried again in %v", len(j.failedMachines), (j.retryAt - s.now).Round(time.Second))
+		e.add("failed on %d machines with no success between; tried again in %v",
+			len(j.failedMachines), (j.retryAt - s.now).Round(time.Second))
 	}
 	if !j.withinTeamLimit() {
-		add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.CPUs, j.team.cfg.CPUsMax)
+		e.add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.CPUs, j.team.cfg.CPUsMax)
 	}
-	usable, allowed, room := 0, 0, 0
+	if j.gang != nil {
+		e.add("a gang, %s: its %d tasks start together or not at all", j.gang.state, j.spec.Tasks)
+	}
+	s.explainMachines(j, e)
+	s.explainQueue(j, e)
+}
+
+// explainMachines adds how many machines a job could use.
+func (s *Scheduler) explainMachines(j *job, e *explanation) {
+	schedulable, allowed, withRoom := 0, 0, 0
 	for _, m := range s.inventory.all() {
 		if !s.isSchedulable(m) {
 			continue
 		}
-		usable++
+		schedulable++
 		if !j.mayUse(m) {
 			continue
 		}
 		allowed++
 		if m.freeResources().Fits(j.demand) {
-			room++
+			withRoom++
 		}
 	}
-	if j.gang != nil {
-		add("a gang, %s: its %d tasks start together or not at all", j.gang.state, j.spec.Tasks)
-	}
-	add("%d machines in use, %d of them allowed for it, %d of these with room", usable, allowed, room)
-	for i, other := range s.queue.order() {
+	e.add("%d machines in use, %d of them allowed for it, %d of these with room", schedulable, allowed, withRoom)
+}
+
+// explainQueue adds a job's place in the queue, and how long it can wait.
+func (s *Scheduler) explainQueue(j *job, e *explanation) {
+	for ahead, other := range s.queue.order() {
 		if other == j {
-			add("%d jobs are ahead in the queue", i)
+			e.add("%d jobs are ahead in the queue", ahead)
 		}
 	}
-	if slack, late := s.queue.slack(j); late {
-		add("past all times it should meet; jobs that can still be on time go first")
-	} else if slack != never {
-		add("can wait %v and still be on time", slack.Round(time.Second))
+	slack, late := s.queue.slack(j)
+	switch {
+	case late:
+		e.add("past all its deadlines; jobs that can still be on time go first")
+	case slack != never:
+		e.add("can wait %v and still be on time", slack.Round(time.Second))
 	}
-	return out
 }
