--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -4,7 +4,7 @@
 // machines, ranks what is left on the full view, and preempts victims where the best machine is
 // short of resources: the paper's algorithm, request by request.
 func (s *Scheduler) placeTasks() {
-	if !s.placement.passNeeded || !s.recovery.ended {
+	if !s.placement.passNeeded || !s.recovery.hasEnded() {
 		return
 	}
 	if s.placement.collectJobs() == 0 && !s.gangs.hasRefills() {
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -36,7 +36,7 @@
 
 // takeSnapshot answers an operator.
 func (s *Scheduler) takeSnapshot(e SnapshotRequested) {
-	snapshot := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.ended}
+	snapshot := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.hasEnded()}
 	for _, m := range s.inventory.all() {
 		snapshot.Machines = append(snapshot.Machines, s.machineView(m))
 	}
@@ -131,7 +131,7 @@
 
 // explainWaiting adds what the waiting tasks of a job wait for.
 func (s *Scheduler) explainWaiting(j *job, e *explanation) {
-	if !s.recovery.ended {
+	if !s.recovery.hasEnded() {
 		e.add("the new leader does not know yet what runs where")
 	}
 	if s.now < j.retryAt {
