--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"quillshunt/internal/limits"
+	"quillshunt/internal/storage"
 )
 
 // invariantChecker checks what must always hold among the nodes of a cluster: at most one of them
@@ -256,3 +257,35 @@
 		}
 	})
 }
+
+// TestDelayedCampaign: a campaign that is applied late, when another term has begun and its lease has
+// expired, fails: it would use a term again.
+func TestDelayedCampaign(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCluster(2, 7)
+		late, winner := c.nodes[0], c.nodes[1]
+		late.leaseDuration = limits.LeaderLeaseMax
+		late.store.setKeepCampaigns(true)
+		late.start()
+		time.Sleep(3 * time.Second)
+		winner.start()
+		time.Sleep(3 * time.Second)
+		if l := winner.entitled(); l == nil || l.Term != 1 {
+			t.Fatalf("no leader of the first term: %+v", l)
+		}
+		c.crash()
+		time.Sleep(2 * limits.LeaderLease)
+		if key, _ := c.service.Get(storage.KeyLeader); key.Version != 0 {
+			t.Fatal("the winner's lease has not expired")
+		}
+		campaigns := late.store.campaigns()
+		if len(campaigns) == 0 {
+			t.Fatal("no campaign is late")
+		}
+		for _, campaign := range campaigns {
+			if status, _ := c.service.CompareAndSwap(campaign); status != http.StatusConflict {
+				t.Errorf("a late campaign was answered %d", status)
+			}
+		}
+	})
+}
