--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -19,13 +19,17 @@
 
 // Controller is one controller of a deployment.
 type Controller struct {
-	peerAddr     string            // where peerServer listens
-	peerServer   *peer.Server      // for the other controllers
-	clientServer *transport.Server // for users and workers
-	peers        *peer.Peers
-	dispatcher   *leader.Dispatcher
-	elector      *election.Elector
+	settings *config.Settings
+	log      *slog.Logger
+
+	store      *storage.Store
+	peers      *peer.Peers
+	dispatcher *leader.Dispatcher
+	elector    *election.Elector
+
 	gateway      *gateway.Gateway
+	clientServer *transport.Server // for users and workers
+	peerServer   *peer.Server      // for the other controllers
 }
 
 // New puts a controller together; it starts nothing. A nil dialer dials TCP. It returns an error if
@@ -33,7 +37,6 @@
 func New(s *config.Settings, options config.Options, dialer transport.Dialer, log *slog.Logger) (*Controller, error) {
 	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, len(s.Members))
 	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
-	workerLease := limits.Seconds(s.Facts.Workers.LeaseS)
 
 	// The services around the controller.
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
@@ -58,41 +61,44 @@
 		Store:         store,
 		Peers:         peers,
 		LeaseDuration: time.Duration(options.Leadership.LeaderLease),
-		VoteLease:     limits.VoteLease(workerLease),
+		VoteLease:     limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)),
 		Lead:          dispatcher.RunTerm,
 		Log:           log,
 	})
 	dispatcher.OnTermLost(elector.TermLost)
 
-	// What the controller serves.
-	front := gateway.New(gateway.Options{
-		Node:       s.NodeName,
-		Settings:   s,
-		Store:      store.ForUsers(),
-		Dispatcher: dispatcher,
-		Peers:      peers,
-		LeaderName: elector.Leader,
+	c := &Controller{settings: s, log: log, store: store, peers: peers, dispatcher: dispatcher, elector: elector}
+	c.gateway = c.newGateway(shares)
+	c.clientServer = c.newClientServer(shares, sockets)
+	c.peerServer = peer.NewServer(dispatcher, elector, peers)
+	return c, nil
+}
+
+// newGateway returns the handler of users' and workers' requests.
+func (c *Controller) newGateway(shares limits.SocketShares) *gateway.Gateway {
+	return gateway.New(gateway.Options{
+		Node:       c.settings.NodeName,
+		Settings:   c.settings,
+		Store:      c.store.ForUsers(),
+		Dispatcher: c.dispatcher,
+		Peers:      c.peers,
+		LeaderName: c.elector.Leader,
 		UserSlots:  shares.UserSlots,
-		Log:        log,
+		Log:        c.log,
 	})
-	clientServer := transport.NewServer(transport.ServerOptions{
-		Addr:        s.ClientListen,
+}
+
+// newClientServer returns the server for users and workers, which the gateway handles.
+func (c *Controller) newClientServer(shares limits.SocketShares, sockets *transport.SocketBudget) *transport.Server {
+	return transport.NewServer(transport.ServerOptions{
+		Addr:        c.settings.ClientListen,
 		MaxConns:    shares.Inbound,
 		MaxMachines: shares.MachineConns,
-		MachineIdle: workerLease,
+		MachineIdle: limits.Seconds(c.settings.Facts.Workers.LeaseS),
 		Sockets:     sockets,
-		Handle:      front.Handle,
-		Log:         log,
+		Handle:      c.gateway.Handle,
+		Log:         c.log,
 	})
-	return &Controller{
-		peerAddr:     s.PeerBind,
-		peerServer:   peer.NewServer(dispatcher, elector, peers),
-		clientServer: clientServer,
-		peers:        peers,
-		dispatcher:   dispatcher,
-		elector:      elector,
-		gateway:      front,
-	}, nil
 }
 
 // start begins to take part in elections and prepares the gateway, until the context ends. It does
@@ -110,7 +116,7 @@
 	defer cancel()
 	c.start(ctx)
 	ended := make(chan error, 2)
-	go func() { ended <- c.peerServer.Run(ctx, c.peerAddr) }()
+	go func() { ended <- c.peerServer.Run(ctx, c.settings.PeerBind) }()
 	go func() { ended <- c.clientServer.Run(ctx) }()
 	return <-ended
 }
--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -98,7 +98,8 @@
 		return 0, fmt.Errorf("read leader after an election with unknown outcome: %w", err)
 	}
 	var leader storage.LeaderRecord
-	if key.Version == 0 || protocol.Decode(key.Value, &leader) != nil || leader != c.leader || key.Lease != c.leaseID {
+	decoded := key.Version != 0 && protocol.Decode(key.Value, &leader) == nil
+	if !decoded || leader != c.leader || key.Lease != c.leaseID {
 		return 0, fmt.Errorf("campaign: %w", campaignErr)
 	}
 	return key.Version, nil
--- a/internal/coordination/peer/client.go
+++ b/internal/coordination/peer/client.go
@@ -81,7 +81,9 @@
 
 // RequestVotes asks all other controllers at once for their votes for the leader here, within
 // limits.VoteTimeout; see election.Peers.
-func (p *Peers) RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]election.Vote {
+func (p *Peers) RequestVotes(
+	ctx context.Context, heartbeat uint64, nonces map[string]uint64,
+) map[string]election.Vote {
 	type answer struct {
 		node string
 		vote election.Vote
@@ -90,7 +92,8 @@
 		func(ctx context.Context, node string, c peerpb.PeerClient) (answer, error) {
 			request := &peerpb.VoteRequest{HeartbeatVersion: heartbeat, ProcessNonce: nonces[node]}
 			reply, err := c.Pledge(ctx, request)
-			return answer{node, election.Vote{Granted: reply.GetGranted(), ProcessNonce: reply.GetProcessNonce()}}, err
+			vote := election.Vote{Granted: reply.GetGranted(), ProcessNonce: reply.GetProcessNonce()}
+			return answer{node, vote}, err
 		})
 	votes := map[string]election.Vote{}
 	for a := range answers {
