--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -64,7 +64,7 @@
 	a := &assignment{job: j, index: index, taskName: protocol.TaskName(j.id, index), attempt: attempt, machine: m, state: state, assignedAt: s.now}
 	j.assignments[index] = a
 	j.lastAssignedAt = s.now
-	s.markGangChanged(j.gang)
+	s.gangs.markChanged(j.gang)
 	s.dispatcher.enqueue(m)
 	setBit(j.assignedBits, index)
 	m.assignments[a.taskName] = a
@@ -81,7 +81,7 @@
 	if m.assignments[a.taskName] != a {
 		return // with its gang, by an earlier step of the same loop
 	}
-	s.gangTaskLost(a)
+	s.gangs.taskLost(a)
 	delete(j.assignments, a.index)
 	clearBit(j.assignedBits, a.index)
 	j.nextFreeHint = min(j.nextFreeHint, a.index)
@@ -96,7 +96,7 @@
 		m.idleSince = s.now
 	}
 	s.placement.requestPass()
-	s.gangs.capacityChanged = true
+	s.gangs.requestCommit()
 }
 
 // nextAttempt returns the next attempt number; attempts rise across leaders because the term is
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -7,7 +7,6 @@
 	"quillshunt/internal/coordination/placement"
 	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
 )
 
 // The paper's extension to runs that are placed and stopped as a whole (section 5.1): the request
@@ -301,17 +300,3 @@
 	}
 	return view
 }
-
-// hasEndedOn reports whether a machine lists a task of the gang's present attempt as ended: its
-// worker takes a start of it for a repetition.
-func (g *gang) hasEndedOn(m *machine) bool {
-	if g.state == gangWaiting {
-		return false
-	}
-	for key := range m.endedTasks {
-		if id, _, _ := protocol.ParseTaskName(key.task); key.attempt == g.attempt && id == g.job.id {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -183,7 +183,7 @@
 		if a.state != stateGathering {
 			s.learnFetchTime(a)
 			a.state = stateGathering
-			s.gangTaskGathering(a.job.gang)
+			s.gangs.taskGathering(a.job.gang)
 		}
 	case protocol.TaskRunning:
 		if a.state != stateRunning {
@@ -200,7 +200,7 @@
 		a.state = stateFetching
 	}
 	if a.state != previous {
-		s.markGangChanged(a.job.gang)
+		s.gangs.markChanged(a.job.gang)
 	}
 	if a.job.cancelled {
 		s.stopAssignment(a, stopReasonCancelled)
@@ -215,7 +215,7 @@
 		ran = (s.now - a.runningSince).Seconds()
 	}
 	s.release(a)
-	s.gangTaskEnded(a, status)
+	s.gangs.taskEnded(a, status)
 	ended := endedTask{mustNotForget: a.startUnconfirmed}
 	switch status.Reason {
 	case protocol.ReasonDone:
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -31,7 +31,7 @@
 	s.recovery.ended = true
 	s.placement.requestPass()
 	for _, j := range s.jobs.oldestFirst() {
-		s.markGangChanged(j.gang)
+		s.gangs.markChanged(j.gang)
 	}
 	s.logInfo("rebuilt", "after", s.now-s.termStartedAt, "machines", len(s.inventory.all()), "jobs", s.jobs.count())
 }
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -185,7 +185,7 @@
 // registryPageWritten handles the outcome of the write of a page: its machines may get starts.
 func (s *Scheduler) registryPageWritten(write registryPageWrite, ok bool, version uint64) {
 	for _, m := range s.registry.pageWritten(write, ok, version) {
-		s.gangs.capacityChanged = true
+		s.gangs.requestCommit()
 		s.dispatcher.enqueue(m)
 	}
 }
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -72,7 +72,7 @@
 func (s *Scheduler) tick(entitled bool) {
 	s.expireLeases()
 	s.placement.forgetPastSearches()
-	s.gangs.capacityChanged = true // a machine may be usable again
+	s.gangs.requestCommit() // a machine may be usable again
 	if !entitled {
 		return
 	}
