--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -40,7 +40,7 @@
 		name    string
 		request userRequest
 		status  int
-		state   string
+		state   protocol.JobState
 	}{
 		{"health", get("/healthz"), http.StatusOK, ""},
 		{"health by the wrong method", post("/healthz", nil), http.StatusMethodNotAllowed, ""},
@@ -147,7 +147,7 @@
 }
 
 // checkCancelledJob cancels job-1, and checks the answers to this and to all other requests for it.
-func checkCancelledJob(f *gatewayFixture, status int, state string) {
+func checkCancelledJob(f *gatewayFixture, status int, state protocol.JobState) {
 	f.t.Helper()
 	for _, request := range []userRequest{
 		post("/v2/runs/job-1/cancel", nil),
