--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -97,7 +97,7 @@
 }
 
 // taskEnded notes what the reason for which a task ended tells of the gang.
-func (g *gang) taskEnded(a *assignment, reason string) {
+func (g *gang) taskEnded(a *assignment, reason protocol.EndReason) {
 	switch {
 	case reason == protocol.ReasonIncomplete:
 		g.abortReason = "the gang was not complete in time"
