--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -16,7 +16,7 @@
 		s.placement.requestPass()
 		return
 	}
-	switch action, reason := g.next(g.summarize(), s.recovery.ended); action {
+	switch action, reason := g.next(g.summarize(), s.recovery.hasEnded()); action {
 	case gangStop:
 		s.stopGang(g, reason)
 	case gangAbort:
