--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -98,7 +98,7 @@
 	switch {
 	case a != nil && a.attempt == status.Attempt:
 		s.updateProgress(a, status)
-	case j != nil && !getBit(j.doneBits, index) && (j.assignments[index] == nil || j.assignments[index].state == stateUnsent):
+	case j != nil && !j.done.has(index) && (j.assignments[index] == nil || j.assignments[index].state == stateUnsent):
 		// Running, but not by our command: of an earlier term, mostly. It is ours now.
 		if unsent := j.assignments[index]; unsent != nil {
 			s.release(unsent)
@@ -183,7 +183,7 @@
 		if a.state != stateGathering {
 			s.learnFetchTime(a)
 			a.state = stateGathering
-			s.gangTaskGathering(a.job.gang)
+			s.gangs.taskGathering(a.job.gang)
 		}
 	case protocol.TaskRunning:
 		if a.state != stateRunning {
@@ -200,7 +200,7 @@
 		a.state = stateFetching
 	}
 	if a.state != previous {
-		s.markGangChanged(a.job.gang)
+		s.gangs.markChanged(a.job.gang)
 	}
 	if a.job.cancelled {
 		s.stopAssignment(a, stopReasonCancelled)
@@ -215,7 +215,7 @@
 		ran = (s.now - a.runningSince).Seconds()
 	}
 	s.release(a)
-	s.gangTaskEnded(a, status)
+	s.gangs.taskEnded(a, status)
 	ended := endedTask{mustNotForget: a.startUnconfirmed}
 	switch status.Reason {
 	case protocol.ReasonDone:
@@ -224,7 +224,7 @@
 		m.usefulCPUSeconds += ran * j.demand.CPUs
 		if !j.cancelled {
 			ended.job = j
-			knownDone := j.gang != nil && getBit(j.doneBits, index)
+			knownDone := j.gang != nil && j.done.has(index)
 			ended.chunk, ended.sequence = s.finished.recordDone(j, index)
 			if ran > 0 && !knownDone {
 				s.learnRunTime(j, m, ran)
