--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"sort"
 	"time"
 
 	"quillshunt/internal/coordination/resource"
@@ -121,3 +122,28 @@
 		}
 	}
 }
+
+// attemptKey names one attempt of one task.
+type attemptKey struct {
+	task    string
+	attempt uint64
+}
+
+func attemptKeyOf(status *protocol.TaskStatus) attemptKey {
+	return attemptKey{status.Task, status.Attempt}
+}
+
+// sortedAssignments returns a machine's bindings in a fixed order.
+func (m *machine) sortedAssignments() []*assignment {
+	out := make([]*assignment, 0, len(m.assignments))
+	for _, a := range m.assignments {
+		out = append(out, a)
+	}
+	sort.Slice(out, func(i, k int) bool {
+		if out[i].job.id != out[k].job.id {
+			return out[i].job.id < out[k].job.id
+		}
+		return out[i].index < out[k].index
+	})
+	return out
+}
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -13,22 +13,6 @@
 	return m.speedCount >= limits.SlowMachineTasks && m.speedSum > limits.SlowMachineFactor*float64(m.speedCount)
 }
 
-// learnRunTime takes a task's run time into the estimates.
-func (s *Scheduler) learnRunTime(j *job, m *machine, ran float64) {
-	if j.spec.EstimateS > 0 {
-		class := j.class
-		class.runSamples++
-		weight := max(1/float64(class.runSamples), limits.RunTimeLearningRate)
-		class.estimateRatio += weight * (ran/j.spec.EstimateS - class.estimateRatio)
-	}
-	if j.runCount >= 3 && j.gang == nil { // a gang runs at the speed of its slowest machine
-		m.speedCount++
-		m.speedSum += ran / (j.runSum / float64(j.runCount))
-	}
-	j.runSum += ran
-	j.runCount++
-}
-
 // recordFailure weighs who is to blame for a failure: the machine, or the job.
 func (s *Scheduler) recordFailure(j *job, m *machine) {
 	j.failedMachines[m.name] = true
@@ -45,12 +29,3 @@
 	m.consecutiveFailures++
 	m.failedJobs[j.id] = true
 }
-
-// learnFetchTime takes the time that a task waited for its image into the estimates.
-func (s *Scheduler) learnFetchTime(a *assignment) {
-	class := a.job.class
-	class.fetchSamples++
-	class.fetchSeconds += max(1/float64(class.fetchSamples), limits.RunTimeLearningRate) * ((s.now - a.assignedAt).Seconds() - class.fetchSeconds)
-	a.machine.fetchCPUSeconds += (s.now - a.assignedAt).Seconds() * a.job.demand.CPUs
-	a.machine.cachedImages[a.job.spec.Image] = s.now
-}
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"sort"
 	"time"
 
 	"quillshunt/internal/coordination/resource"
@@ -153,20 +152,5 @@
 // heard of: an earlier leader may have sent it starts that arrive until its worker has seen our term.
 func (m *machine) mayHoldEarlierTasks() bool { return !m.fenced && m.registration != unregistered }
 
-// sortedAssignments returns a machine's bindings in a fixed order.
-func (m *machine) sortedAssignments() []*assignment {
-	out := make([]*assignment, 0, len(m.assignments))
-	for _, a := range m.assignments {
-		out = append(out, a)
-	}
-	sort.Slice(out, func(i, k int) bool {
-		if out[i].job.id != out[k].job.id {
-			return out[i].job.id < out[k].job.id
-		}
-		return out[i].index < out[k].index
-	})
-	return out
-}
-
 // pool is the pool that the machine was rented from.
 func (m *machine) pool() machinePool { return machinePool{m.typeName, m.zone, m.spot} }
