--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -1,7 +1,9 @@
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
+	"strings"
 	"time"
 
 	"quillshunt/internal/coordination/resource"
@@ -9,13 +11,14 @@
 	"quillshunt/internal/protocol"
 )
 
+// assignmentState is how far a task has come on its machine.
 type assignmentState uint8
 
 const (
-	stateUnsent assignmentState = iota // ours alone: no order has left yet
-	stateSent                          // a start is on its way, or was lost
-	stateFetching
-	stateGathering // of a gang: has its image and waits for the others
+	stateUnsent    assignmentState = iota // no start has gone out yet
+	stateSent                             // a start is on its way, or was lost
+	stateFetching                         // waits for its image
+	stateGathering                        // of a gang: has its image and waits for the others
 	stateRunning
 	stateSaving
 )
@@ -26,82 +29,113 @@
 	stopReasonDoneElsewhere = "done elsewhere"
 )
 
-// assignment ties a task to a session of a machine.
+// assignment binds a task to one incarnation of a machine. Only evidence that it is not there and
+// cannot come there ends it; see release.
 type assignment struct {
-	job              *job
-	index            int
-	taskName         string // the task's name
-	attempt          uint64
-	machine          *machine
-	state            assignmentState
-	directID         uint64        // the direct command that carried the start and is not answered yet
-	startUnconfirmed bool          // a direct start went out and no answer came: it may arrive as long as this session and term last
-	startRepeated    bool          // the start was repeated in an answer to a report
-	stopSent         bool          // the stop went out at least once
-	assignedAt       time.Duration // when it was bound
+	job      *job
+	index    int // of the task in its job
+	taskName string
+	attempt  uint64
+	machine  *machine
+	state    assignmentState
+
+	directID         uint64 // the direct command that carried the start and is not answered yet
+	startUnconfirmed bool   // a direct start was not answered: it may arrive while this incarnation and term last
+	startRepeated    bool   // the start was repeated in the answer to a heartbeat
+	assignedAt       time.Duration
 	runningSince     time.Duration // when it was first seen running
-	stopping         bool
-	stopReason       string // one of the stopReason constants, or another text for the log
 
-	committed     bool // of a gang: room for all its tasks is confirmed, so the start may go out
-	withoutSaving bool // to be ended without saving
+	stopping      bool   // was told to stop, or is about to be
+	stopReason    string // one of the stopReason constants, or another text for the log
+	stopSent      bool   // the stop went out at least once
+	withoutSaving bool   // to be ended without saving
+
+	committed bool // of a gang: room for all its tasks is confirmed, so the start may go out
 }
 
 // endedTask is an ended task that its machine still lists.
 type endedTask struct {
-	mustNotForget bool // an unclear start of this attempt may still arrive; forgotten, it would run again
+	mustNotForget bool // a start of this attempt may still arrive; forgotten, it would run again
 	job           *job // nil if there is nothing to write down
 	chunk         int
 	sequence      uint64
 }
 
-// isDurable tells whether the result, if there is one, is written down.
+// mayForget reports whether the worker may be told to forget the task.
+func (e endedTask) mayForget() bool { return !e.mustNotForget && e.isDurable() }
+
+// isDurable reports whether the result, if there is one, is written down.
 func (e endedTask) isDurable() bool {
 	return e.job == nil || e.job.closed || e.job.chunks[e.chunk].durableSequence >= e.sequence
 }
 
-// assign ties a task to a machine's present session.
-func (s *Scheduler) assign(j *job, index int, m *machine, attempt uint64, state assignmentState) *assignment {
-	a := &assignment{job: j, index: index, taskName: protocol.TaskName(j.id, index), attempt: attempt, machine: m, state: state, assignedAt: s.now}
-	j.assignments[index] = a
-	j.lastAssignedAt = s.now
+// assign binds a task to a machine's present incarnation.
+func (s *Scheduler) assign(
+	j *job, index int, m *machine, attempt uint64, state assignmentState,
+) *assignment {
+	a := &assignment{
+		job:        j,
+		index:      index,
+		taskName:   protocol.TaskName(j.id, index),
+		attempt:    attempt,
+		machine:    m,
+		state:      state,
+		assignedAt: s.now,
+	}
+	j.addAssignment(a)
+	m.addAssignment(a)
 	s.gangs.markChanged(j.gang)
 	s.dispatcher.enqueue(m)
-	j.assigned.add(index)
-	m.assignments[a.taskName] = a
-	m.allocated = m.allocated.Plus(j.demand)
-	j.team.allocated = j.team.allocated.Plus(j.demand)
 	return a
 }
 
 // release takes a task off its machine. The caller has the evidence that it is not there and cannot
-// come there: no start of this attempt is on its way, or the session is over, or the machine is
+// come there: no start of this attempt is on its way, or the incarnation is over, or the machine is
 // gone.
 func (s *Scheduler) release(a *assignment) {
-	j, m := a.job, a.machine
-	if m.assignments[a.taskName] != a {
+	if a.machine.assignments[a.taskName] != a {
 		return // with its gang, by an earlier step of the same loop
 	}
 	s.gangs.taskLost(a)
+	a.job.removeAssignment(a)
+	a.machine.removeAssignment(a, s.now)
+	s.placement.requestPass()
+	s.gangs.requestCommit()
+}
+
+func (j *job) addAssignment(a *assignment) {
+	j.assignments[a.index] = a
+	j.assigned.add(a.index)
+	j.lastAssignedAt = a.assignedAt
+	j.team.allocated = j.team.allocated.Plus(j.demand)
+}
+
+func (j *job) removeAssignment(a *assignment) {
 	delete(j.assignments, a.index)
 	j.assigned.remove(a.index)
 	j.nextWaitingHint = min(j.nextWaitingHint, a.index)
-	delete(m.assignments, a.taskName)
-	m.allocated = m.allocated.Minus(j.demand)
 	j.team.allocated = j.team.allocated.Minus(j.demand)
+}
+
+func (m *machine) addAssignment(a *assignment) {
+	m.assignments[a.taskName] = a
+	m.allocated = m.allocated.Plus(a.job.demand)
+}
+
+func (m *machine) removeAssignment(a *assignment, now time.Duration) {
+	delete(m.assignments, a.taskName)
+	m.allocated = m.allocated.Minus(a.job.demand)
 	if a.stopping {
-		m.releasing = m.releasing.Minus(j.demand)
+		m.releasing = m.releasing.Minus(a.job.demand)
 	}
 	if len(m.assignments) == 0 {
 		m.allocated, m.releasing = resource.Vector{}, resource.Vector{} // no rounding is carried on
-		m.idleSince = s.now
+		m.idleSince = now
 	}
-	s.placement.requestPass()
-	s.gangs.requestCommit()
 }
 
-// nextAttempt returns the next attempt number; attempts rise across leaders because the term is
-// their high part.
+// nextAttempt returns the next attempt number. Attempts rise across leaders because the term is their
+// high part.
 func (s *Scheduler) nextAttempt() uint64 {
 	s.attemptSequence++
 	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
@@ -114,7 +148,7 @@
 	}
 }
 
-// releaseUnsent takes back tasks that no order has left for.
+// releaseUnsent releases the tasks of a machine of which no start has gone out.
 func (s *Scheduler) releaseUnsent(m *machine) {
 	for _, a := range m.sortedAssignments() {
 		if a.state == stateUnsent {
@@ -123,27 +157,14 @@
 	}
 }
 
-// attemptKey names one attempt of one task.
-type attemptKey struct {
-	task    string
-	attempt uint64
-}
-
-func attemptKeyOf(status *protocol.TaskStatus) attemptKey {
-	return attemptKey{status.Task, status.Attempt}
-}
-
-// sortedAssignments returns a machine's bindings in a fixed order.
+// sortedAssignments returns the machine's assignments by job and task.
 func (m *machine) sortedAssignments() []*assignment {
-	out := make([]*assignment, 0, len(m.assignments))
+	sorted := make([]*assignment, 0, len(m.assignments))
 	for _, a := range m.assignments {
-		out = append(out, a)
+		sorted = append(sorted, a)
 	}
-	sort.Slice(out, func(i, k int) bool {
-		if out[i].job.id != out[k].job.id {
-			return out[i].job.id < out[k].job.id
-		}
-		return out[i].index < out[k].index
+	slices.SortFunc(sorted, func(a, b *assignment) int {
+		return cmp.Or(strings.Compare(a.job.id, b.job.id), cmp.Compare(a.index, b.index))
 	})
-	return out
+	return sorted
 }
--- a/internal/coordination/scheduler/job_class.go
+++ b/internal/coordination/scheduler/job_class.go
@@ -13,6 +13,20 @@
 // newJobClass returns a class of which nothing was learned yet.
 func newJobClass() *jobClass { return &jobClass{estimateRatio: 1} }
 
+// learnFetchTime adds how long a task waited for its image, in seconds.
+func (c *jobClass) learnFetchTime(seconds float64) {
+	c.fetchSamples++
+	weight := max(1/float64(c.fetchSamples), limits.RunTimeLearningRate)
+	c.fetchSeconds += weight * (seconds - c.fetchSeconds)
+}
+
+// learnRunTime adds a task's run time over the submitter's estimate.
+func (c *jobClass) learnRunTime(ratio float64) {
+	c.runSamples++
+	weight := max(1/float64(c.runSamples), limits.RunTimeLearningRate)
+	c.estimateRatio += weight * (ratio - c.estimateRatio)
+}
+
 // estimate is how long a task of the job is expected to run, in seconds. The tasks that are done are
 // weighed against those on machines, which count as what is known of the class: the first to be done
 // are the shortest, and alone they would make the rest look short.
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -1,17 +1,15 @@
 package scheduler
 
-import (
-	"quillshunt/internal/protocol"
-)
+import "quillshunt/internal/protocol"
 
-// reconcileTasks compares what a machine has with what we think it has. It returns commands about
-// tasks that should not be there. The message is a report, or with direct set the answer to that
-// direct command.
+// reconcileTasks compares the tasks that a machine lists with our assignments. It returns commands
+// about tasks that should not be there. The message is a heartbeat, or with directID set the answer to
+// that direct command.
 func (s *Scheduler) reconcileTasks(m *machine, heartbeat *protocol.Heartbeat, directID uint64) []protocol.Command {
 	m.sequence = heartbeat.Sequence
 	var commands []protocol.Command
 	listed := make(map[string]bool, len(heartbeat.Tasks))
-	ended := make(map[attemptKey]endedTask, len(m.endedTasks))
+	endedTasks := make(map[attemptKey]endedTask, len(m.endedTasks))
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
 		jobID, index, ok := protocol.ParseTaskName(status.Task)
@@ -23,13 +21,13 @@
 			j = nil
 		}
 		if status.State == protocol.TaskEnded {
-			task, ours := s.reconcileEndedTask(m, j, index, status)
+			ended, ours := s.reconcileEndedTask(m, j, index, status)
 			if ours {
 				listed[status.Task] = true
 			}
-			ended[attemptKeyOf(status)] = task
-			if !task.mustNotForget && task.isDurable() {
-				commands = append(commands, protocol.Command{Verb: protocol.CommandForget, Task: status.Task, Attempt: status.Attempt})
+			endedTasks[attemptKeyOf(status)] = ended
+			if ended.mayForget() {
+				commands = append(commands, forgetCommand(status))
 			}
 			continue
 		}
@@ -39,17 +37,19 @@
 		}
 		commands = append(commands, s.stopUnexpectedTask(m, j, status))
 	}
-	m.endedTasks = ended
+	m.endedTasks = endedTasks
 	s.reconcileMissingTasks(m, listed, directID)
 	return commands
 }
 
-// reconcileEndedTask takes a task that a machine lists as ended; j is its job, or nil if we do not
-// know it. It tells whether the attempt was ours.
-func (s *Scheduler) reconcileEndedTask(m *machine, j *job, index int, status *protocol.TaskStatus) (ended endedTask, ours bool) {
+// reconcileEndedTask handles a task that a machine lists as ended; j is its job, or nil if we do not
+// know it. It reports whether the attempt was ours.
+func (s *Scheduler) reconcileEndedTask(
+	m *machine, j *job, index int, status *protocol.TaskStatus,
+) (ended endedTask, ours bool) {
 	a := m.assignments[status.Task]
 	ours = a != nil && a.attempt == status.Attempt
-	onItsWay := ours && (a.directID != 0 || a.startUnconfirmed)
+	startMayArrive := ours && (a.directID != 0 || a.startUnconfirmed)
 	if ours {
 		a.confirmStart()
 	}
@@ -59,7 +59,7 @@
 		// The attempt had ended here before we sent it once more, as the gang's tasks share one.
 		// The start has no effect, as long as the worker is not told to forget the attempt.
 		s.release(a)
-		ended.mustNotForget = ended.mustNotForget || onItsWay
+		ended.mustNotForget = ended.mustNotForget || startMayArrive
 		return ended, true
 	case seen:
 		return ended, false
@@ -68,9 +68,14 @@
 	case j == nil || status.Reason != protocol.ReasonDone || j.cancelled:
 		return endedTask{}, false
 	}
-	// An attempt that we had given up, or one of an earlier term: the result counts. If the task is
-	// bound elsewhere meanwhile, it is stopped there.
-	ended = endedTask{job: j}
+	return s.recordForeignResult(a, j, index), false
+}
+
+// recordForeignResult records the result of an attempt that we had given up, or of one of an earlier
+// term. If the task is assigned elsewhere meanwhile, it is stopped there; a is the assignment to the
+// machine that has the result, if there is one.
+func (s *Scheduler) recordForeignResult(a *assignment, j *job, index int) endedTask {
+	ended := endedTask{job: j}
 	ended.chunk, ended.sequence = s.finished.recordDone(j, index)
 	if other := j.assignments[index]; other != nil && other != a {
 		if other.state == stateUnsent {
@@ -80,74 +85,100 @@
 		}
 	}
 	s.tryCloseJob(j)
-	return ended, false
+	return ended
 }
 
-// reconcilePresentTask takes a task that fetches, runs or saves on a machine; j is its job, or nil
-// if we do not know it. It returns false if the task should not be there.
+// reconcilePresentTask handles a task that fetches, gathers, runs or saves on a machine; j is its job,
+// or nil if we do not know it. It returns false if the task should not be there.
 func (s *Scheduler) reconcilePresentTask(m *machine, j *job, index int, status *protocol.TaskStatus) bool {
 	a := m.assignments[status.Task]
 	if a != nil && a.state != stateUnsent && status.Attempt > a.attempt {
-		// A later attempt than ours, of an earlier command of this term? Attempts rise, so ours is over.
+		// A later attempt than ours: attempts rise, so ours is over.
 		s.release(a)
 		a = nil
 	}
 	switch {
 	case a != nil && a.attempt == status.Attempt:
 		s.updateProgress(a, status)
-	case j != nil && !j.done.has(index) && (j.assignments[index] == nil || j.assignments[index].state == stateUnsent):
+	case j != nil && j.mayAdopt(index):
 		// Running, but not by our command: of an earlier term, mostly. It is ours now.
 		if unsent := j.assignments[index]; unsent != nil {
 			s.release(unsent)
 		}
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
 		if s.recovery.hasEnded() && !j.cancelled {
-			s.logWarn("unexpected task adopted", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
+			s.logWarn("unexpected task adopted",
+				"job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
 		}
 	case a != nil && a.state != stateUnsent:
 		// An older attempt is still here; our start is refused as busy. Keep the one that is here.
 		newer := a.attempt
 		s.release(a)
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
-		s.logWarn("older attempt still there", "job", j.id, "task", index, "attempt", status.Attempt, "newer", newer, "machine", m.name)
+		s.logWarn("older attempt still there",
+			"job", j.id, "task", index, "attempt", status.Attempt, "newer", newer, "machine", m.name)
 	default:
 		return false
 	}
 	return true
 }
 
-// stopUnexpectedTask ends a task that should not be on a machine.
+// mayAdopt reports whether a task that is found on a machine can be taken over there: it is not done,
+// and no start of it has gone out.
+func (j *job) mayAdopt(index int) bool {
+	a := j.assignments[index]
+	return !j.done.has(index) && (a == nil || a.state == stateUnsent)
+}
+
+// stopUnexpectedTask returns the command that ends a task that should not be on a machine.
 func (s *Scheduler) stopUnexpectedTask(m *machine, j *job, status *protocol.TaskStatus) protocol.Command {
 	if j == nil || !j.cancelled {
-		s.logWarn("stray task", "piece", status.Task, "attempt", status.Attempt, "machine", m.name)
+		s.logWarn("unexpected task stopped", "task", status.Task, "attempt", status.Attempt, "machine", m.name)
 	}
 	noGrace := 0.0
 	return protocol.Command{Verb: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: &noGrace}
 }
 
-// reconcileMissingTasks frees the tasks of a machine that a message does not list, where that
-// proves that they are not there and will not come.
+// reconcileMissingTasks releases the tasks of a machine that a message does not list, where that proves
+// that they are not there and will not come.
 func (s *Scheduler) reconcileMissingTasks(m *machine, listed map[string]bool, directID uint64) {
 	for _, a := range m.sortedAssignments() {
-		if a.state == stateUnsent || listed[a.taskName] {
+		switch {
+		case a.state == stateUnsent || listed[a.taskName]:
 			continue
-		}
-		if a.state == stateSent {
-			switch {
-			case a.startUnconfirmed || (a.directID != 0 && a.directID != directID):
-				continue // a direct start that may still arrive
-			case a.directID == 0 && directID != 0:
-				continue // the start went out in an answer to a report; that exchange may not be over yet
-			}
-			// It was in this very command; or it went out in the answer to an earlier report. The
-			// worker has one report in flight and sends the next only once that exchange is over.
-			// Either way it can no longer arrive.
-			if directID == 0 && a.directID == 0 {
-				s.setVerified(m, false) // our answer did not reach it
-			}
-		} else {
+		case a.state != stateSent:
 			s.logWarn("task vanished", "job", a.job.id, "task", a.index, "attempt", a.attempt, "machine", m.name)
+		case a.startMayArriveAfter(directID):
+			continue
+		case directID == 0:
+			s.setVerified(m, false) // our answer did not reach it
 		}
 		s.release(a)
 	}
 }
+
+// startMayArriveAfter reports whether a start that was sent may still arrive after a message that does
+// not list its task: the answer to the direct command directID, or a heartbeat if that is 0.
+//
+// It cannot if it was in that very command, or in the answer to an earlier heartbeat: the worker has one
+// heartbeat in flight and sends the next only once that exchange is over.
+func (a *assignment) startMayArriveAfter(directID uint64) bool {
+	if a.startUnconfirmed {
+		return true // sent directly, without an answer
+	}
+	return a.directID != directID
+}
+
+// attemptKey names one attempt of one task.
+type attemptKey struct {
+	task    string
+	attempt uint64
+}
+
+func attemptKeyOf(status *protocol.TaskStatus) attemptKey {
+	return attemptKey{status.Task, status.Attempt}
+}
+
+func forgetCommand(status *protocol.TaskStatus) protocol.Command {
+	return protocol.Command{Verb: protocol.CommandForget, Task: status.Task, Attempt: status.Attempt}
+}
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -36,9 +36,5 @@
 		margin := limits.SpotNoticeSaveIntervals * s.heartbeatInterval.Seconds()
 		return remaining < a.job.spec.SaveS+margin
 	}
-	needed := a.job.estimate()
-	if a.state == stateRunning {
-		needed -= (s.now - a.runningSince).Seconds()
-	}
-	return needed > remaining
+	return a.job.estimate()-a.runTime(s.now) > remaining
 }
--- a/internal/limits/placement.go
+++ b/internal/limits/placement.go
@@ -23,6 +23,9 @@
 	// SpeedStep is the step to which observed speeds are rounded, as a share of the usual run time.
 	// Healthy machines differ by a tenth, and what is seen of one is not exact.
 	SpeedStep = 0.05
+	// MinRunTimeSamples is the number of completed tasks of a job from which on their mean run time
+	// is one to compare machines by.
+	MinRunTimeSamples = 3
 	// MinSpeedSamples is the number of tasks from which on a machine's observed speed counts.
 	MinSpeedSamples = 3
 )
