--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -111,7 +111,7 @@
 		}
 		if n > s.maxMachines()-total && s.now >= s.planner.nextLimitNoteAt {
 			s.planner.nextLimitNoteAt = s.now + limits.SummaryInterval
-			s.logWarn("fleet at its bound", "machines", total, "wanted", n)
+			s.logWarn("fleet at its bound", keyMachines, total, "wanted", n)
 		}
 		for n = min(n, s.maxMachines()-total); n > 0 && calls > 0; n -= s.rentals.maxPerRental() {
 			total += min(n, s.rentals.maxPerRental())
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -7,7 +7,7 @@
 		return
 	}
 	m.deleting, m.deleteReason, m.deleteRequestedAt = true, reason, -never/2
-	s.logInfo("returning", "machine", m.name, "reason", reason, "tasks", len(m.assignments))
+	s.logInfo("returning", keyMachine, m.name, keyReason, reason, keyTasks, len(m.assignments))
 	s.releaseUnsent(m)
 }
 
--- a/internal/coordination/scheduler/doc.go
+++ b/internal/coordination/scheduler/doc.go
@@ -1,8 +1,37 @@
-// Package scheduler decides: which task runs where, which tasks give way, which
-// machines are rented and returned, and what has to be written down first. It is a
-// deterministic state machine, Step(event, now) -> effects, without clocks, I/O,
-// goroutines or randomness of its own.
+// Package scheduler decides which task runs where, which tasks are preempted, which machines are
+// rented and returned, and what is written to the state service first. It is a deterministic state
+// machine, Step(event, now) -> effects, without clocks, I/O, goroutines or randomness of its own.
+// The leader runs one Scheduler in each term, feeds it events and executes its effects.
 //
-// The rule that keeps a task from running twice: a task is free, or bound to one
-// session of one machine, and only evidence frees it (see free and its callers).
+// # Safety
+//
+// No task may run twice at the same time. A task is free, or assigned to one incarnation of one
+// machine's worker, and only evidence frees it: the worker reports that it is gone, the start can no
+// longer arrive, the worker's lease has expired, or the machine is deleted. See Scheduler.release
+// and its callers. In a new term nothing is placed before recovery has ended, as tasks that earlier
+// leaders have started may be running.
+//
+// # Parts
+//
+// The Scheduler is a thin coordinator. The state belongs to parts, each a type in a file of its
+// name. The fields of a part are touched only by its own methods. A part may have a pointer to a
+// part that stands above it in this list, never the other way:
+//
+//   - environment and outbox: settings, time, effects, and what each pending write is for
+//   - jobTable: open jobs, their teams and classes
+//   - typeCatalog, machineListReader: machine types and machine list of the cloud
+//   - machineInventory: the machines that are known
+//   - machineRegistry, rentalTable: durable records of the machines
+//   - commandDispatcher: commands that do not wait for a heartbeat
+//   - finishedTaskWriter: durable records of finished tasks
+//   - recoveryState: how far a new term knows what runs where
+//   - machineProber: requests to machines whose tasks are not known
+//   - jobQueue: order of the jobs, guarantees, slack and aging
+//   - placer: the scheduling pass
+//   - gangTable: jobs whose tasks start together
+//   - capacityPlanner: scale out and scale in
+//
+// What concerns many parts is a method of Scheduler: the life of a job (job_lifecycle.go), of an
+// assignment (assignment.go), and the reconciliation of a worker's tasks with the state
+// (reconcile.go).
 package scheduler
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -49,7 +49,7 @@
 	for _, a := range g.job.assignments {
 		a.withoutSaving = true
 	}
-	s.logWarn("gang lost a task", "job", g.job.id, "attempt", g.attempt, "left", len(g.job.assignments))
+	s.logWarn("gang lost a task", keyJob, g.job.id, keyAttempt, g.attempt, "left", len(g.job.assignments))
 	s.stopGang(g, reason)
 }
 
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -42,7 +42,7 @@
 	if heartbeat.SpotNoticeS != nil && !m.spotNotice {
 		m.spotNotice = true
 		m.spotNoticeEnds = s.now + limits.Seconds(*heartbeat.SpotNoticeS)
-		s.logInfo("spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
+		s.logInfo("spot notice", keyMachine, m.name, "seconds", *heartbeat.SpotNoticeS, keyTasks, len(m.assignments))
 		s.releaseUnsent(m)
 	}
 	var commands []protocol.Command
--- a/internal/coordination/scheduler/inventory.go
+++ b/internal/coordination/scheduler/inventory.go
@@ -88,7 +88,7 @@
 	if m.hasReported && m.firstReportAt > m.createdAt {
 		bootTime = (m.firstReportAt - m.createdAt).Seconds()
 	}
-	i.logInfo("machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot,
+	i.logInfo("machine gone", keyMachine, m.name, keyReason, m.deleteReason, keyType, m.typeName, keySpot, m.spot,
 		"cpus", m.size().CPUs, "life", lifetime, "boot", bootTime,
 		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
 }
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -21,44 +21,52 @@
 	}
 	j.version = e.Version
 	if e.Record.Cancelled && !j.cancelled {
-		// The time allowed counts from the earliest word to the user, also across a change of
-		// leaders. Where it is over already, a leader that knew has let no lease live; so nobody
-		// knew, nobody was told, and it begins now.
+		// The time to stop the tasks counts from when the user may first have been told, also across
+		// a failover. If it is over already, no leader knew of the cancellation, as it would have let
+		// the leases expire in time; so the user was not told, and the time begins now.
 		j.cancelled, j.cancelledAt, j.cancelSeenAt = true, s.now, s.now
 		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
 			j.cancelledAt -= e.SinceCancellation
 		}
-		s.logInfo("job cancelled", "job", j.id, "bound", len(j.assignments))
+		s.logInfo("job cancelled", keyJob, j.id, "assigned", len(j.assignments))
 	}
 	if j.cancelled {
-		s.stopJob(j)
+		s.withdrawAll(j, stopReasonCancelled)
 		s.tryCloseJob(j)
 	}
 	s.placement.requestPass()
 }
 
-// stopJob takes a cancelled job off its machines.
-func (s *Scheduler) stopJob(j *job) {
-	for _, b := range j.sortedAssignments() {
-		if b.state == stateUnsent {
-			s.release(b)
-			continue
-		}
-		s.stopAssignment(b, stopReasonCancelled)
+// withdrawAll takes all tasks of a job off their machines.
+func (s *Scheduler) withdrawAll(j *job, reason string) {
+	for _, a := range j.sortedAssignments() {
+		s.withdraw(a, reason)
+	}
+}
+
+// withdraw takes a task off its machine: at once if no command for it was sent, else by a stop.
+func (s *Scheduler) withdraw(a *assignment, reason string) {
+	if a.state == stateUnsent {
+		s.release(a)
+		return
 	}
+	s.stopAssignment(a, reason)
 }
 
-func (s *Scheduler) stopAssignment(b *assignment, why string) {
-	if b.stopping {
+// stopAssignment has a worker told to stop a task. The task stays assigned until the worker shows
+// that it is gone.
+func (s *Scheduler) stopAssignment(a *assignment, reason string) {
+	if a.stopping {
 		return
 	}
-	b.stopping, b.stopReason = true, why
-	s.dispatcher.enqueue(b.machine)
-	if b.job.gang != nil {
-		s.dispatcher.enqueueUrgent(b.machine)
+	a.stopping, a.stopReason = true, reason
+	s.dispatcher.enqueue(a.machine)
+	if a.job.gang != nil {
+		s.dispatcher.enqueueUrgent(a.machine)
 	}
-	b.machine.releasing = b.machine.releasing.Plus(b.job.demand)
-	s.logInfo("stopping", "job", b.job.id, "task", b.index, "attempt", b.attempt, "machine", b.machine.name, "reason", why)
+	a.machine.releasing = a.machine.releasing.Plus(a.job.demand)
+	s.logInfo("stopping", keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt,
+		keyMachine, a.machine.name, keyReason, reason)
 }
 
 // tryCloseJob writes a job's final record once nothing of it is left to do.
@@ -105,7 +113,7 @@
 	if !e.OK {
 		return // it was cancelled meanwhile: the watch brings the new record, and tryCloseJob runs again
 	}
-	s.logInfo("job over", "job", j.id, "cancelled", j.cancelled, "tasks", j.spec.Tasks)
+	s.logInfo("job over", keyJob, j.id, "cancelled", j.cancelled, keyTasks, j.spec.Tasks)
 	s.closeJob(j)
 	s.finished.removeRecords(j.id, j.remainingRecordKeys)
 }
@@ -113,13 +121,15 @@
 // closeJob forgets a job whose final record is durable.
 func (s *Scheduler) closeJob(j *job) {
 	j.closed = true
-	for _, b := range j.sortedAssignments() {
-		if b.state == stateUnsent {
-			s.release(b)
-		} else {
-			s.stopAssignment(b, "job over")
-		}
-	}
+	s.withdrawAll(j, "job over")
 	s.jobs.close(j)
 	s.queue.jobClosed(j)
 }
+
+// jobRemoved forgets a job whose open record somebody else has removed. No controller does that, but
+// then the job is over.
+func (s *Scheduler) jobRemoved(e JobRemoved) {
+	if j := s.jobs.find(e.JobID); j != nil && !j.closing && e.Version > j.version {
+		s.closeJob(j)
+	}
+}
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -37,7 +37,7 @@
 	}
 	if !m.relayed {
 		m.relayed, m.relayedSince = true, s.now
-		s.logWarn("reports relayed", "machine", m.name)
+		s.logWarn("reports relayed", keyMachine, m.name)
 	}
 	return true
 }
@@ -48,7 +48,7 @@
 	if m.hasReported && heartbeat.Incarnation > m.incarnation {
 		for _, a := range m.sortedAssignments() {
 			if a.state != stateUnsent {
-				s.logWarn("session lost", "machine", m.name, "job", a.job.id, "task", a.index, "attempt", a.attempt)
+				s.logWarn("session lost", keyMachine, m.name, keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt)
 			}
 			s.release(a)
 		}
@@ -91,7 +91,7 @@
 		// The worker sent the last report that we answered before it arrived here, so by its own clock
 		// and ours its lease is over and it has killed its tasks.
 		if len(m.assignments) > 0 {
-			s.logWarn("session lapsed", "machine", m.name, "tasks", len(m.assignments))
+			s.logWarn("session lapsed", keyMachine, m.name, keyTasks, len(m.assignments))
 		}
 		for _, a := range m.sortedAssignments() {
 			s.release(a)
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -105,14 +105,14 @@
 		}
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
 		if s.recovery.hasEnded() && !j.cancelled {
-			s.logWarn("unexpected task adopted", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
+			s.logWarn("unexpected task adopted", keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, keyMachine, m.name)
 		}
 	case a != nil && a.state != stateUnsent:
 		// An older attempt is still here; our start is refused as busy. Keep the one that is here.
 		newer := a.attempt
 		s.release(a)
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
-		s.logWarn("older attempt still there", "job", j.id, "task", index, "attempt", status.Attempt, "newer", newer, "machine", m.name)
+		s.logWarn("older attempt still there", keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, "newer", newer, keyMachine, m.name)
 	default:
 		return false
 	}
@@ -122,7 +122,7 @@
 // stopUnexpectedTask ends a task that should not be on a machine.
 func (s *Scheduler) stopUnexpectedTask(m *machine, j *job, status *protocol.TaskStatus) protocol.Command {
 	if j == nil || !j.cancelled {
-		s.logWarn("stray task", "piece", status.Task, "attempt", status.Attempt, "machine", m.name)
+		s.logWarn("stray task", keyTask, status.Task, keyAttempt, status.Attempt, keyMachine, m.name)
 	}
 	noGrace := 0.0
 	return protocol.Command{Verb: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: &noGrace}
@@ -149,7 +149,7 @@
 				s.setVerified(m, false) // our answer did not reach it
 			}
 		} else {
-			s.logWarn("task vanished", "job", a.job.id, "task", a.index, "attempt", a.attempt, "machine", m.name)
+			s.logWarn("task vanished", keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt, keyMachine, m.name)
 		}
 		s.release(a)
 	}
@@ -191,7 +191,7 @@
 				s.learnFetchTime(a)
 			}
 			a.state, a.runningSince = stateRunning, s.now
-			s.emit(LogEntry{Level: slog.LevelDebug, Message: "task running", Args: []any{"job", a.job.id, "class", a.job.spec.Class, "task", a.index, "machine", a.machine.name,
+			s.emit(LogEntry{Level: slog.LevelDebug, Message: "task running", Args: []any{keyJob, a.job.id, "class", a.job.spec.Class, keyTask, a.index, keyMachine, a.machine.name,
 				"age", (s.now - a.job.submittedAt).Seconds(), "queued", (a.assignedAt - a.job.submittedAt).Seconds(), "fetch", (s.now - a.assignedAt).Seconds(), "gb", a.job.spec.ImageGB}})
 		}
 	case protocol.TaskSaving:
@@ -232,12 +232,12 @@
 		}
 	case protocol.ReasonError:
 		m.wastedCPUSeconds += ran * j.demand.CPUs
-		s.logWarn("task failed", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
+		s.logWarn("task failed", keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, keyMachine, m.name)
 		s.recordFailure(j, m)
 	case protocol.ReasonPeers, protocol.ReasonIncomplete:
 		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
 		m.wastedCPUSeconds += ran * j.demand.CPUs
-		s.logInfo("gang's task ended", "job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name, "reason", status.Reason)
+		s.logInfo("gang's task ended", keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, keyMachine, m.name, keyReason, status.Reason)
 	case protocol.ReasonStopped:
 		m.wastedCPUSeconds += ran * j.demand.CPUs
 		if a.stopping && a.stopReason != stopReasonCancelled {
@@ -246,9 +246,9 @@
 	case protocol.ReasonUnknownTask:
 		// The job's description cannot be had; try again, but not at once.
 		j.retryAt = s.now + limits.JobBackoffMin
-		s.logWarn("start refused", "job", j.id, "task", index, "machine", m.name, "reason", status.Reason)
+		s.logWarn("start refused", keyJob, j.id, keyTask, index, keyMachine, m.name, keyReason, status.Reason)
 	default:
-		s.logInfo("start refused", "job", j.id, "task", index, "machine", m.name, "reason", status.Reason)
+		s.logInfo("start refused", keyJob, j.id, keyTask, index, keyMachine, m.name, keyReason, status.Reason)
 	}
 	s.tryCloseJob(j)
 	return ended
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -63,5 +63,5 @@
 	for _, j := range s.jobs.oldestFirst() {
 		s.gangs.markChanged(j.gang)
 	}
-	s.logInfo("recovered", "after", s.now-s.termStartedAt, "machines", len(s.inventory.all()), "jobs", s.jobs.count())
+	s.logInfo("recovered", "after", s.now-s.termStartedAt, keyMachines, len(s.inventory.all()), "jobs", s.jobs.count())
 }
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -131,7 +131,7 @@
 		},
 	}
 	t.byName[r.name] = r
-	t.logInfo("renting", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot,
+	t.logInfo("renting", keyRental, r.name, keyType, pool.typeName, keyZone, pool.zone, keySpot, pool.spot,
 		"count", r.record.Count)
 	t.writeRecord(r)
 }
@@ -142,7 +142,7 @@
 	if t.byName[name] != nil {
 		return // its last record is just being removed; the next heartbeat tries again
 	}
-	t.logWarn("machine without rental adopted", "machine", m.name, "type", m.typeName, "zone", m.zone, "spot", m.spot)
+	t.logWarn("machine without rental adopted", keyMachine, m.name, keyType, m.typeName, keyZone, m.zone, keySpot, m.spot)
 	r := &rental{
 		name:        name,
 		state:       rentalAnswered,
@@ -169,7 +169,7 @@
 
 // answered takes the machines that the cloud has given over into the rental and the inventory.
 func (t *rentalTable) answered(r *rental, machines []string) {
-	t.logInfo("rented", "request", r.name, "machines", len(machines))
+	t.logInfo("rented", keyRental, r.name, keyMachines, len(machines))
 	r.state, r.dirty = rentalAnswered, true
 	r.record.Answered = true
 	for _, name := range machines {
@@ -192,7 +192,7 @@
 func (t *rentalTable) refused(r *rental) {
 	pool := r.pool()
 	t.backOff(pool)
-	t.logInfo("no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
+	t.logInfo("no capacity", keyRental, r.name, keyType, pool.typeName, keyZone, pool.zone, keySpot, pool.spot)
 	t.removeRecord(r)
 }
 
@@ -245,7 +245,7 @@
 	r.writing = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
-		t.logWarn("rental record refused", "request", r.name)
+		t.logWarn("rental record refused", keyRental, r.name)
 		return nil
 	}
 	r.version = version
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -5,26 +5,27 @@
 	"time"
 
 	"quillshunt/internal/config"
-	"quillshunt/internal/limits"
 )
 
 // never is a time that does not come.
 const never = time.Duration(math.MaxInt64)
 
-// Config is what the scheduler must know.
+// Config is what the scheduler must know of the term, the settings and its surroundings. It does not
+// change during a term.
 type Config struct {
-	Term       uint64
+	Term       uint64 // the fencing token of the leader
 	Teams      []config.Team
 	Objectives []config.Objective
 	Workers    config.Workers
-	State      config.State
-	ListLag    time.Duration
-	CloudRPS   float64
-	CoreShare  float64 // of a core that this controller has; 0: not known
+	State      config.State  // limits of the state service
+	ListLag    time.Duration // how far the cloud's list of machines usually lags behind
+	CloudRPS   float64       // requests to the cloud that may go out in a second
+	CoreShare  float64       // the share of a core that this controller has; 0 if it is not known
 	Options    config.Options
 }
 
-// Scheduler is the state of one term. Each part owns its fields.
+// Scheduler is the state of one term. It hands each event to the parts that it concerns and lets
+// them decide in a fixed order; doc.go lists the parts. It is not safe for concurrent use.
 type Scheduler struct {
 	*environment
 
@@ -49,12 +50,7 @@
 
 // New returns the scheduler of a term that begins now.
 func New(cfg Config, now time.Duration) *Scheduler {
-	env := &environment{
-		cfg: cfg, now: now, termStartedAt: now,
-		workerLease:       limits.Seconds(cfg.Workers.LeaseS),
-		heartbeatInterval: limits.Seconds(cfg.Workers.ReportS),
-		outbox:            newOutbox(),
-	}
+	env := newEnvironment(cfg, now)
 	jobs := newJobTable(env)
 	queue := newJobQueue(env, jobs)
 	catalog := newTypeCatalog(env)
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -2,19 +2,25 @@
 
 import "time"
 
-// Step takes one event. The effects are to be carried out in order.
+// Step processes one event and returns the effects that are to be executed, in order. Now is the
+// time since the term began by a clock that does not go back; if it does, the time of an earlier
+// event counts. The same events at the same times give the same effects.
 func (s *Scheduler) Step(e Event, now time.Duration) []Effect {
-	if now > s.now {
-		s.now = now
-	}
-	s.effects = nil
+	s.beginStep(now)
+	s.process(e)
+	s.tryEndRecovery()
+	s.decide()
+	s.dispatch()
+	return s.effects
+}
+
+// process hands an event to the part that it concerns.
+func (s *Scheduler) process(e Event) {
 	switch e := e.(type) {
 	case JobChanged:
 		s.jobChanged(e)
 	case JobRemoved:
-		if j := s.jobs.find(e.JobID); j != nil && !j.closing && e.Version > j.version {
-			s.closeJob(j) // somebody else removed it: not in the protocol of our nodes, but then it is over
-		}
+		s.jobRemoved(e)
 	case FinishedTasksLoaded:
 		s.finished.load(e)
 	case RentalLoaded:
@@ -22,12 +28,7 @@
 	case RegistryPageLoaded:
 		s.registry.load(e)
 	case StateLoaded:
-		s.logInfo("recovering", "jobs", s.jobs.count(), "machines", len(s.inventory.all()), "rentals", s.rentals.count())
-		s.recovery.stateLoaded()
-		s.catalog.fetchNow()
-		s.cloudList.readNow()
-		s.finished.removeOrphanedRecords()
-		s.tick(true)
+		s.stateLoaded()
 	case HeartbeatReceived:
 		s.heartbeatReceived(e)
 	case ProbeDone:
@@ -51,13 +52,19 @@
 	case Tick:
 		s.tick(e.Entitled)
 	}
-	s.tryEndRecovery()
-	s.decide()
-	s.dispatch()
-	return s.effects
 }
 
-// decide brings gangs in line with what is known, places what wants room and lets gangs start whose
+// stateLoaded begins the recovery of a new term, and reads what only the cloud knows.
+func (s *Scheduler) stateLoaded() {
+	s.logInfo("recovering", "jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
+	s.recovery.stateLoaded()
+	s.catalog.fetchNow()
+	s.cloudList.readNow()
+	s.finished.removeOrphanedRecords()
+	s.tick(true)
+}
+
+// decide brings gangs in line with what is known, places waiting tasks, and lets gangs start whose
 // room is confirmed.
 func (s *Scheduler) decide() {
 	s.reconcileGangs()
@@ -66,7 +73,7 @@
 	s.commitGangs()
 }
 
-// tick looks at everything that only time changes.
+// tick does what is due. Unless the leader is entitled, it only frees tasks whose lease has expired.
 func (s *Scheduler) tick(entitled bool) {
 	s.expireLeases()
 	s.placement.forgetPastSearches()
