--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -1,14 +1,16 @@
 package scheduler
 
 import (
+	"time"
+
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
-// capacity is room in time that the plan may use: of a machine that is up, is booting, or would be
-// rented.
+// capacity is what a machine can run over time: one that is up or boots, or one that is rented or to
+// be rented.
 type capacity struct {
-	machine        *machine
+	machine        *machine // nil for a rental
 	pool           machinePool
 	machineType    *protocol.MachineType
 	readyInS       float64 // seconds until it can start a task
@@ -16,65 +18,93 @@
 	busyCPUSeconds float64 // CPU seconds that these still take
 }
 
-// cpusPerTask is what a task is counted with where a machine holds so many of them.
-func (o *capacity) cpusPerTask(j *job, per int) float64 {
-	if j.demand.CPUs > 0 {
-		return j.demand.CPUs
+// newRentedCapacity returns the capacity of a machine that is rented now.
+func newRentedCapacity(pool machinePool, t *protocol.MachineType) *capacity {
+	return &capacity{pool: pool, machineType: t, readyInS: estimatedBootS(t)}
+}
+
+// addAssignment counts what an assignment of the machine uses.
+func (c *capacity) addAssignment(a *assignment, now time.Duration) {
+	left := a.job.occupancy()
+	if a.state == stateRunning {
+		left = a.job.estimate()
+		left = max(left-(now-a.runningSince).Seconds(), limits.MinRemainingShare*left)
 	}
-	return typeResources(o.machineType).CPUs / float64(per)
+	c.usedCPUs += a.job.demand.CPUs
+	c.busyCPUSeconds += left * a.job.demand.CPUs
 }
 
-// startableTasks is how many tasks of a job the offer can start within a time, of the number that
-// it holds; a fraction where tasks in use will be over by then.
-func (o *capacity) startableTasks(j *job, per int, within float64) float64 {
-	free := typeResources(o.machineType).CPUs - o.usedCPUs
-	if w := within - o.readyInS; w > 0 && o.busyCPUSeconds > 0 {
-		free += o.usedCPUs * min(1, w*o.usedCPUs/(2*o.busyCPUSeconds))
+// allows reports whether tasks of a job may be placed there.
+func (c *capacity) allows(j *job) bool {
+	if c.machine != nil && (j.avoids(c.machine) || (c.machine.reservedForGangs && !j.mayUseGangReservation)) {
+		return false
 	}
-	return min(max(free/o.cpusPerTask(j, per), 0), float64(per))
+	return typeResources(c.machineType).Fits(j.demand) && j.placementAllowed(c.pool.typeName, c.pool.zone, c.pool.spot)
 }
 
-// takeTasks promises up to n tasks to the offer and returns how many it takes: those that can start
-// within a time, or as soon as it is ready. Of what is in use, a part will be free by then, as
-// tasks end one after the other. The fraction of a task that is left over is carried to the next
-// offer.
-func (o *capacity) takeTasks(j *job, n int, est, within float64, carry *float64) int {
-	per := typeResources(o.machineType).TasksThatFit(j.demand)
-	if per == 0 {
+// takeTasks promises tasks of a job to the capacity and returns how many: those that can start within
+// some seconds, or as soon as it is ready. A part of what is in use will be free by then, as tasks end
+// one after the other. The carry is the fraction of a task that was left over before, and is left over
+// now.
+func (c *capacity) takeTasks(jp *jobPlan, withinS float64, carry *float64) int {
+	j := jp.job
+	perMachine := typeResources(c.machineType).TasksThatFit(j.demand)
+	if perMachine == 0 {
 		return 0
 	}
-	cpu := o.cpusPerTask(j, per)
-	want := o.startableTasks(j, per, within) + *carry
-	k := min(n, int(want+limits.Epsilon), per)
-	*carry = min(want-float64(k), 1)
-	if k <= 0 {
+	startable := c.startableTasks(j, perMachine, withinS) + *carry
+	tasks := min(jp.tasksLeft, jp.zones.remaining(c.pool.zone), int(startable+limits.Epsilon), perMachine)
+	*carry = min(startable-float64(tasks), 1)
+	if tasks <= 0 {
 		return 0
 	}
-	o.usedCPUs += float64(k) * cpu
-	o.busyCPUSeconds += float64(k) * cpu * est
-	if o.machine != nil {
-		o.machine.neededByPlan = true
+	cpus := float64(tasks) * c.cpusPerTask(j, perMachine)
+	c.usedCPUs += cpus
+	c.busyCPUSeconds += cpus * jp.taskSeconds
+	if c.machine != nil {
+		c.machine.neededByPlan = true
+	}
+	jp.planned(c.pool.zone, tasks)
+	return tasks
+}
+
+// startableTasks is how many tasks of a job can start within some seconds, up to as many as the
+// machine holds; a fraction where tasks in use will be over by then.
+func (c *capacity) startableTasks(j *job, perMachine int, withinS float64) float64 {
+	free := typeResources(c.machineType).CPUs - c.usedCPUs
+	if wait := withinS - c.readyInS; wait > 0 && c.busyCPUSeconds > 0 {
+		free += c.usedCPUs * min(1, wait*c.usedCPUs/(2*c.busyCPUSeconds))
+	}
+	return min(max(free/c.cpusPerTask(j, perMachine), 0), float64(perMachine))
+}
+
+// cpusPerTask is how many CPUs a task counts for on a machine that holds a number of them.
+func (c *capacity) cpusPerTask(j *job, perMachine int) float64 {
+	if j.demand.CPUs > 0 {
+		return j.demand.CPUs
 	}
-	return k
+	return typeResources(c.machineType).CPUs / float64(perMachine)
 }
 
-// capacityState is what planning a job changes of an offer.
+// capacityState is what planning a job changes of a capacity.
 type capacityState struct {
 	usedCPUs, busyCPUSeconds   float64
 	neededByPlan, neededByGang bool
 }
 
-func (o *capacity) state() capacityState {
-	v := capacityState{usedCPUs: o.usedCPUs, busyCPUSeconds: o.busyCPUSeconds}
-	if o.machine != nil {
-		v.neededByPlan, v.neededByGang = o.machine.neededByPlan, o.machine.neededByGang
+// state returns what restore needs to undo the planning of a job.
+func (c *capacity) state() capacityState {
+	state := capacityState{usedCPUs: c.usedCPUs, busyCPUSeconds: c.busyCPUSeconds}
+	if c.machine != nil {
+		state.neededByPlan, state.neededByGang = c.machine.neededByPlan, c.machine.neededByGang
 	}
-	return v
+	return state
 }
 
-func (o *capacity) restore(v capacityState) {
-	o.usedCPUs, o.busyCPUSeconds = v.usedCPUs, v.busyCPUSeconds
-	if o.machine != nil {
-		o.machine.neededByPlan, o.machine.neededByGang = v.neededByPlan, v.neededByGang
+// restore returns the capacity to an earlier state.
+func (c *capacity) restore(state capacityState) {
+	c.usedCPUs, c.busyCPUSeconds = state.usedCPUs, state.busyCPUSeconds
+	if c.machine != nil {
+		c.machine.neededByPlan, c.machine.neededByGang = state.neededByPlan, state.neededByGang
 	}
 }
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -1,126 +1,335 @@
 package scheduler
 
 import (
+	"cmp"
+	"maps"
 	"math"
+	"slices"
+	"strings"
 	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
-// pendingCapacity are the machines of rentals that are under way.
-func (s *Scheduler) pendingCapacity() []*capacity {
-	var out []*capacity
-	for _, h := range s.sortedRentals() {
-		t := s.catalog.find(h.record.MachineType)
-		if t == nil || !h.isPending() {
-			continue
+// capacityPlan is one run of the planner: the capacity that is there, what of it is promised to which
+// jobs, and what is to be rented.
+type capacityPlan struct {
+	*capacityPlanner
+	offers         []*capacity
+	machines       int                     // that are known or asked for
+	machinesInZone map[string]int          // without those that are being deleted
+	toRent         map[machinePool]float64 // a fraction if a part of a machine is enough
+
+	callsLeft       int                 // rental requests that the cloud accepts until the next plan
+	pendingRequests map[machinePool]int // not answered yet
+	requestsPerPool int                 // that may wait for their answers
+}
+
+// newPlan returns a plan with the capacity of all machines and of rentals that are under way.
+func (p *capacityPlanner) newPlan(rentals []*rental) *capacityPlan {
+	plan := &capacityPlan{
+		capacityPlanner: p,
+		machinesInZone:  map[string]int{},
+		toRent:          map[machinePool]float64{},
+		callsLeft:       max(1, int(p.cfg.CloudRPS*limits.PlanInterval.Seconds())),
+		pendingRequests: map[machinePool]int{},
+	}
+	plan.addMachines()
+	plan.addPendingRentals(rentals)
+	// What is left of a pool is not known, and each refusal costs a call of the cloud's rate: pools of
+	// similar price share the calls.
+	plan.requestsPerPool = max(limits.MinPoolRequests, plan.callsLeft/max(p.countCheapPools(), 1))
+	return plan
+}
+
+// addMachines adds the capacity of the machines that are known.
+func (p *capacityPlan) addMachines() {
+	for _, m := range p.inventory.all() {
+		p.machines++
+		m.neededByPlan, m.neededByGang = false, false
+		if !m.deleting {
+			p.machinesInZone[m.zone]++
 		}
-		for range h.record.Count {
-			out = append(out, &capacity{pool: machinePool{h.record.MachineType, h.record.Zone, h.record.Spot}, machineType: t, readyInS: t.BootS * limits.BootEstimateFactor})
+		if offer := p.capacityOf(m); offer != nil {
+			p.offers = append(p.offers, offer)
 		}
 	}
-	return out
 }
 
-// maxPlannedWait is how long a job's tasks are planned to wait for room: a share of what it can wait.
-func (s *Scheduler) maxPlannedWait(j *job) float64 {
-	wait := time.Duration(s.cfg.Options.Fleet.MaxPlannedWait).Seconds()
-	if slack, late := s.queue.slack(j); !late && slack != never {
-		wait = min(wait, max(slack.Seconds(), 0)*s.cfg.Options.Fleet.PlannedWaitSlackRatio)
+// capacityOf returns the capacity of a machine, or nil if it must not be planned with.
+func (p *capacityPlan) capacityOf(m *machine) *capacity {
+	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() {
+		return nil
 	}
-	return wait
+	readyInS := 0.0
+	if !m.hasReported {
+		left, ok := p.bootTimeLeft(m)
+		if !ok {
+			return nil
+		}
+		readyInS = left
+	} else if p.isLongUnreachable(m) {
+		return nil
+	}
+	offer := &capacity{machine: m, pool: m.pool(), machineType: m.machineType, readyInS: readyInS}
+	for _, a := range m.assignments {
+		offer.addAssignment(a, p.now)
+	}
+	return offer
 }
 
-// quickestBoot is how long the quickest machine that the job may use takes until it is up.
-func (s *Scheduler) quickestBoot(j *job) float64 {
-	least := math.Inf(1)
-	for _, t := range s.catalog.all() {
-		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
-			least = min(least, t.BootS*limits.BootEstimateFactor)
+// bootTimeLeft is how many seconds a machine that boots is expected to take still. It returns false
+// for one that may never come up.
+func (p *capacityPlan) bootTimeLeft(m *machine) (seconds float64, ok bool) {
+	age := (p.now - m.createdAt).Seconds()
+	if left := m.machineType.BootS*limits.BootEstimateFactor - age; left >= 0 {
+		return left, true
+	}
+	if age > limits.BootPlanFactor*m.machineType.BootS {
+		return 0, false
+	}
+	return limits.OverdueBootS, true
+}
+
+// isLongUnreachable reports whether a machine has been unreachable or unverified for so long that it
+// is not planned with.
+func (p *capacityPlan) isLongUnreachable(m *machine) bool {
+	grace := 2 * p.staleAfter()
+	return p.now > m.lastHeartbeatAt+grace || (!m.verified && p.now > m.unverifiedSince+grace)
+}
+
+// addPendingRentals adds the capacity of rentals that are under way, and counts their requests.
+func (p *capacityPlan) addPendingRentals(rentals []*rental) {
+	for _, r := range rentals {
+		if !r.isPending() {
+			continue
+		}
+		pool := r.pool()
+		p.machines += r.record.Count
+		p.callsLeft--
+		p.pendingRequests[pool]++
+		t := p.catalog.find(pool.typeName)
+		if t == nil {
+			continue
+		}
+		for range r.record.Count {
+			p.offers = append(p.offers, newRentedCapacity(pool, t))
 		}
 	}
-	return least
 }
 
-func (s *Scheduler) capacityAllowed(j *job, o *capacity) bool {
-	if o.machine != nil && (j.avoids(o.machine) || (o.machine.reservedForGangs && !j.mayUseGangReservation)) {
-		return false
+// planJobs plans the jobs in the order of the queue.
+func (p *capacityPlan) planJobs() {
+	for _, j := range p.queue.order() {
+		switch {
+		case p.now < j.retryAt:
+		case j.gang != nil:
+			p.planGang(j)
+		default:
+			p.planJob(j)
+		}
 	}
-	return typeResources(o.machineType).Fits(j.demand) && s.placementAllowed(j, o.pool.typeName, o.pool.zone, o.pool.spot)
 }
 
-// planJob promises a job's waiting tasks to offers that can start them in time, and adds machines
+// jobPlan is what is left to plan of one job.
+type jobPlan struct {
+	job         *job
+	tasksLeft   int
+	taskSeconds float64 // that a task is expected to use its resources
+	maxWaitS    float64 // seconds within which tasks should start on capacity that is there
+	zones       *zonePlan
+}
+
+// planned notes that some tasks are planned in a zone.
+func (jp *jobPlan) planned(zone string, tasks int) {
+	jp.tasksLeft -= tasks
+	jp.zones.addTasks(zone, tasks)
+}
+
+// planJob promises a job's waiting tasks to capacity that can start them in time, and adds machines
 // to rent for what is left. It returns how many tasks found neither.
-func (s *Scheduler) planJob(j *job, fresh map[machinePool]float64, may func(machinePool) int, all *[]*capacity) (left int) {
-	est, n := j.occupancy(), j.waitingTasks()
-	// What the team's limit keeps out needs no machine now.
+func (p *capacityPlan) planJob(j *job) (unplanned int) {
+	tasks := j.tasksWithinTeamLimit()
+	if tasks <= 0 || tasks < j.gangTasksToPlace() {
+		return 0
+	}
+	jp := jobPlan{
+		job:         j,
+		tasksLeft:   tasks,
+		taskSeconds: j.occupancy(),
+		maxWaitS:    p.maxWaitS(j),
+		zones:       j.newZonePlan(),
+	}
+	if j.gang != nil && j.spec.SameZone && !p.chooseGangZone(&jp) {
+		return jp.tasksLeft
+	}
+	p.planOnOffers(&jp)
+	p.planOnNewMachines(&jp)
+	return jp.tasksLeft
+}
+
+// tasksWithinTeamLimit is how many of the waiting tasks the team's limit lets start now; the others
+// need no machine yet.
+func (j *job) tasksWithinTeamLimit() int {
+	tasks := j.waitingTasks()
 	if j.demand.CPUs > 0 {
-		n = min(n, int((j.team.cfg.CPUsMax-j.team.allocated.CPUs)/j.demand.CPUs+limits.Epsilon))
+		tasks = min(tasks, int((j.team.cfg.CPUsMax-j.team.allocated.CPUs)/j.demand.CPUs+limits.Epsilon))
 	}
-	if n <= 0 || n < j.gangTasksToPlace() {
-		return 0
+	return tasks
+}
+
+// maxWaitS is within how many seconds tasks of a job should start on capacity that is there. What
+// starts before a new machine can be up needs none. What has waited as long already can't wait as
+// long again, or a queue that is always as long would never be worked off.
+func (p *capacityPlan) maxWaitS(j *job) float64 {
+	wait := max(p.maxPlannedWait(j), p.quickestBoot(j))
+	return max(wait-(p.now-j.submittedAt).Seconds(), 0)
+}
+
+// maxPlannedWait is how many seconds a job's tasks are planned to wait for capacity: a share of the
+// time that they have.
+func (p *capacityPlan) maxPlannedWait(j *job) float64 {
+	fleet := &p.cfg.Options.Fleet
+	wait := time.Duration(fleet.MaxPlannedWait).Seconds()
+	if slack, late := p.queue.slack(j); !late && slack != never {
+		wait = min(wait, max(slack.Seconds(), 0)*fleet.PlannedWaitSlackRatio)
 	}
-	zones := j.newZonePlan()
-	open := func(p machinePool) bool { return fresh[p] < float64(may(p)) && zones.remaining(p.zone) > 0 }
-	// What starts before a new machine can be up needs none. What has waited as long already can't
-	// wait as long again, or a queue that is always as long would never be worked off.
-	within := max(max(s.maxPlannedWait(j), s.quickestBoot(j))-(s.now-j.submittedAt).Seconds(), 0)
-	if j.gang != nil && j.spec.SameZone && !s.chooseGangZone(j, zones, n, within, open, *all) {
-		return n
+	return wait
+}
+
+// quickestBoot is how many seconds the quickest machine that the job may use takes until it is up.
+func (p *capacityPlanner) quickestBoot(j *job) float64 {
+	least := math.Inf(1)
+	for _, t := range p.catalog.all() {
+		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
+			least = min(least, estimatedBootS(t))
+		}
 	}
-	var p machinePool
-	var t *protocol.MachineType
+	return least
+}
+
+// estimatedBootS is how many seconds a machine of a type is expected to take until it is up.
+func estimatedBootS(t *protocol.MachineType) float64 { return t.BootS * limits.BootEstimateFactor }
+
+// planOnOffers promises tasks to the capacity that is there. The fraction of a task that one machine
+// has left is carried to the next.
+func (p *capacityPlan) planOnOffers(jp *jobPlan) {
+	j := jp.job
 	carry := 0.0
-	for _, o := range *all {
-		if n == 0 {
-			return 0
+	for _, offer := range p.offers {
+		if jp.tasksLeft == 0 {
+			return
 		}
-		if !s.capacityAllowed(j, o) || zones.remaining(o.pool.zone) == 0 {
+		if !offer.allows(j) || jp.zones.remaining(offer.pool.zone) == 0 {
 			continue
 		}
-		got := zones.addTasks(o.pool.zone, o.takeTasks(j, min(n, zones.remaining(o.pool.zone)), est, within, &carry))
-		if got > 0 && j.gang != nil {
-			if o.machine != nil {
-				o.machine.neededByGang = true
-			} else {
-				roundUpMachines(fresh, o.pool)
-			}
+		tasks := offer.takeTasks(jp, jp.maxWaitS, &carry)
+		if tasks > 0 && j.gang != nil {
+			p.keepForGang(offer)
 		}
-		n -= got
 	}
-	for n > 0 {
-		if t == nil || !open(p) {
-			if p, t = s.cheapestPool(j, open); t == nil {
-				return n
+}
+
+// keepForGang makes sure that a machine with tasks of a gang is there: it is not drained, or it is
+// rented as a whole.
+func (p *capacityPlan) keepForGang(offer *capacity) {
+	if offer.machine != nil {
+		offer.machine.neededByGang = true
+		return
+	}
+	p.roundUp(offer.pool)
+}
+
+// planOnNewMachines adds machines to rent for the tasks that are left, as long as there are pools to
+// rent from.
+func (p *capacityPlan) planOnNewMachines(jp *jobPlan) {
+	zoneAllowed := func(zone string) bool { return jp.zones.remaining(zone) > 0 }
+	var pool machinePool
+	var t *protocol.MachineType
+	for jp.tasksLeft > 0 {
+		if t == nil || !p.mayRent(pool) || !zoneAllowed(pool.zone) {
+			if pool, t = p.cheapestPool(jp.job, zoneAllowed); t == nil {
+				return
 			}
 		}
-		o := &capacity{pool: p, machineType: t, readyInS: t.BootS * limits.BootEstimateFactor}
-		got := zones.addTasks(p.zone, o.takeTasks(j, min(n, zones.remaining(p.zone)), est, 0, new(float64)))
-		if got == 0 {
-			return n
-		}
-		s.planner.machinesInZone[p.zone]++
-		whole := typeResources(t).TasksThatFit(j.demand)
-		fresh[p] += float64(got) / float64(whole)
-		if j.gang != nil || s.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionalRentalDelay {
-			roundUpMachines(fresh, p)
-		}
-		if got < whole {
-			// The rest of this machine stays open for the jobs behind.
-			*all = append(*all, o)
-		}
-		n -= got
-		if fresh[p] > float64(s.maxMachines()) {
-			return n
+		if p.addMachine(jp, pool, t) == 0 || p.toRent[pool] > float64(p.maxMachines()) {
+			return
 		}
 	}
-	return 0
 }
 
-// roundUpMachines rounds up how many machines of a pool are to be rented: a gang needs all of its
-// machines, and who has waited for long for a part of one would else wait as long as other machines
-// run.
-func roundUpMachines(fresh map[machinePool]float64, p machinePool) {
-	fresh[p] = math.Ceil(fresh[p] - limits.Epsilon)
+// addMachine adds a machine to rent, or the part of one that the tasks left need, and returns how
+// many tasks that is.
+func (p *capacityPlan) addMachine(jp *jobPlan, pool machinePool, t *protocol.MachineType) int {
+	j := jp.job
+	offer := newRentedCapacity(pool, t)
+	tasks := offer.takeTasks(jp, 0, new(float64))
+	if tasks == 0 {
+		return 0
+	}
+	p.machinesInZone[pool.zone]++
+	tasksPerMachine := typeResources(t).TasksThatFit(j.demand)
+	p.toRent[pool] += float64(tasks) / float64(tasksPerMachine)
+	if j.gang != nil || p.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionalRentalDelay {
+		p.roundUp(pool)
+	}
+	if tasks < tasksPerMachine {
+		p.offers = append(p.offers, offer) // the jobs behind may use the rest of this machine
+	}
+	return tasks
+}
+
+// roundUp rounds up how many machines of a pool are to be rented: a gang needs all of its machines,
+// and a job that has waited for long for a part of one would otherwise wait until other machines are
+// free.
+func (p *capacityPlan) roundUp(pool machinePool) {
+	p.toRent[pool] = math.Ceil(p.toRent[pool] - limits.Epsilon)
+}
+
+// rentAtLeast makes a number of machines of a pool be rented; what is rented for jobs counts.
+func (p *capacityPlan) rentAtLeast(pool machinePool, machines float64) {
+	p.toRent[pool] = max(p.toRent[pool], machines)
+}
+
+// mayRent reports whether more machines of a pool may be asked for in this plan. A pool that has
+// refused lately is tried with one request.
+func (p *capacityPlan) mayRent(pool machinePool) bool {
+	requests := p.requestsPerPool
+	if state := p.rentals.pools[pool]; state != nil && state.backoff > 0 {
+		requests = 1
+	}
+	limit := max(requests-p.pendingRequests[pool], 0) * p.rentals.maxMachines
+	return p.toRent[pool] < float64(limit)
+}
+
+// poolsByPrice returns the pools to rent from, the cheapest first.
+func (p *capacityPlan) poolsByPrice() []machinePool {
+	return slices.SortedFunc(maps.Keys(p.toRent), func(a, b machinePool) int {
+		return cmp.Or(
+			cmp.Compare(p.pricePerCPU(a), p.pricePerCPU(b)),
+			strings.Compare(a.typeName, b.typeName),
+			strings.Compare(a.zone, b.zone),
+		)
+	})
+}
+
+// machinesToRent is how many machines of a pool are to be rented within the limit of the fleet. A
+// small part of a machine is not enough to rent it, unless there is no machine at all.
+func (p *capacityPlan) machinesToRent(pool machinePool) int {
+	count := int(math.Floor(p.toRent[pool] + 1 - limits.MinRentalFraction))
+	if count == 0 && p.machines == 0 {
+		count = 1
+	}
+	allowed := p.maxMachines() - p.machines
+	if count > allowed {
+		p.logLimit(p.machines, count)
+	}
+	return min(count, allowed)
+}
+
+// rentalRequested counts a rental that is asked for.
+func (p *capacityPlan) rentalRequested(machines int) {
+	p.machines += machines
+	p.callsLeft--
 }
--- a/internal/coordination/scheduler/capacity_planner_test.go
+++ b/internal/coordination/scheduler/capacity_planner_test.go
@@ -62,7 +62,7 @@
 	}
 	b.job("job-2", "blue", "high", 8, 8, 20)
 	wanted := func() int {
-		b.scheduler.planner.nextPlanAt = 0
+		b.scheduler.planner.planNow()
 		b.step(Tick{Entitled: true})
 		n := 0
 		for _, h := range b.scheduler.rentals.byName {
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -18,7 +18,7 @@
 
 // passesHardFilters are the filters that no stopping of tasks can change.
 func (s *Scheduler) passesHardFilters(j *job, m *machine) bool {
-	return s.placementAllowed(j, m.typeName, m.zone, m.spot) && m.size().Fits(j.demand) && !j.avoids(m)
+	return j.placementAllowed(m.typeName, m.zone, m.spot) && m.size().Fits(j.demand) && !j.avoids(m)
 }
 
 // avoids tells whether a job goes elsewhere because the machine has failed it. Once it fails
@@ -27,7 +27,7 @@
 	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
 }
 
-func (s *Scheduler) placementAllowed(j *job, kind, yard string, spot bool) bool {
+func (j *job) placementAllowed(kind, yard string, spot bool) bool {
 	if spot && !j.spec.Spot {
 		return false
 	}
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -16,8 +16,7 @@
 	s.removeFaultyMachines()
 	s.prober.budget.refill(s.now)
 	s.probeMachines()
-	if s.now >= s.planner.nextPlanAt && (s.recovery.ended || s.now > s.termStartedAt+s.staleAfter()) && !s.catalog.isEmpty() {
-		s.planner.nextPlanAt = s.now + limits.PlanInterval
+	if (s.recovery.ended || s.now > s.termStartedAt+s.staleAfter()) && s.planner.startIfDue() {
 		s.planCapacity()
 	}
 	var names []string
--- a/internal/coordination/scheduler/gang_plan.go
+++ b/internal/coordination/scheduler/gang_plan.go
@@ -11,74 +11,112 @@
 // planGang plans the missing tasks of a gang together. Machines are rented and kept for a gang that
 // finds a part of them only for a while: the cloud may have the rest soon, but a gang that can't be
 // complete must not cost money for ever.
-func (s *Scheduler) planGang(j *job, fresh map[machinePool]float64, may func(machinePool) int, all *[]*capacity) {
+func (p *capacityPlan) planGang(j *job) {
 	g := j.gang
-	if g.lacksCapacity = !s.hasEnoughZones(j); g.lacksCapacity {
+	g.lacksCapacity = !p.hasEnoughZones(j)
+	if g.lacksCapacity {
 		return
 	}
-	if s.now < j.submittedAt+limits.GangCapacityTimeout {
-		s.planJob(j, fresh, may, all)
+	if p.now < j.submittedAt+limits.GangCapacityTimeout {
+		p.planJob(j)
 		return
 	}
-	before, offers := maps.Clone(fresh), len(*all)
-	states := make([]capacityState, offers)
-	for i, o := range *all {
-		states[i] = o.state()
+	before := p.snapshot()
+	g.lacksCapacity = p.planJob(j) > 0
+	if g.lacksCapacity {
+		p.rollBack(before)
 	}
-	if g.lacksCapacity = s.planJob(j, fresh, may, all) > 0; !g.lacksCapacity {
-		return
+}
+
+// planSnapshot is what planning a gang changes of a plan.
+type planSnapshot struct {
+	toRent map[machinePool]float64
+	offers []capacityState
+}
+
+// snapshot returns what rollBack needs to undo the planning of a gang.
+func (p *capacityPlan) snapshot() planSnapshot {
+	offers := make([]capacityState, len(p.offers))
+	for i, offer := range p.offers {
+		offers[i] = offer.state()
 	}
-	clear(fresh)
-	maps.Copy(fresh, before)
-	*all = (*all)[:offers]
-	for i, o := range *all {
-		o.restore(states[i])
+	return planSnapshot{toRent: maps.Clone(p.toRent), offers: offers}
+}
+
+// rollBack undoes what was planned since a snapshot, apart from the count of machines in zones.
+func (p *capacityPlan) rollBack(before planSnapshot) {
+	p.toRent = before.toRent
+	p.offers = p.offers[:len(before.offers)]
+	for i, offer := range p.offers {
+		offer.restore(before.offers[i])
+	}
+}
+
+// gangTasksToPlace is how many tasks must be placed together: the missing ones of a gang, or none
+// in particular.
+func (j *job) gangTasksToPlace() int {
+	if j.gang == nil {
+		return 0
 	}
+	return j.waitingTasks()
 }
 
 // chooseGangZone chooses the zone in which a gang is planned that must be in one: the one whose
 // machines can start most of its tasks in time, unless it falls short and has nothing to rent; else
 // the one of the cheapest pool. It returns false if there is none.
-func (s *Scheduler) chooseGangZone(j *job, zones *zonePlan, n int, within float64, open func(machinePool) bool, offers []*capacity) bool {
-	if zones.onlyZone != "" {
+func (p *capacityPlan) chooseGangZone(jp *jobPlan) bool {
+	if jp.zones.onlyZone != "" {
 		return true
 	}
-	startable := map[string]float64{}
-	for _, o := range offers {
-		if per := typeResources(o.machineType).TasksThatFit(j.demand); per > 0 && s.capacityAllowed(j, o) {
-			startable[o.pool.zone] += math.Floor(o.startableTasks(j, per, within))
-		}
-	}
+	jp.zones.onlyZone = p.bestGangZone(jp)
+	return jp.zones.onlyZone != ""
+}
+
+// bestGangZone returns the zone for chooseGangZone, or "".
+func (p *capacityPlan) bestGangZone(jp *jobPlan) string {
+	startable := p.startableTasksByZone(jp)
 	best, most := "", 0.0
 	for _, zone := range slices.Sorted(maps.Keys(startable)) {
-		found := min(startable[zone], float64(n))
-		if found <= most {
+		tasks := min(startable[zone], float64(jp.tasksLeft))
+		if tasks <= most {
 			continue
 		}
-		rentable := func(p machinePool) bool { return p.zone == zone && open(p) }
-		if _, t := s.cheapestPool(j, rentable); found == float64(n) || t != nil {
-			best, most = zone, found
+		inZone := func(other string) bool { return other == zone && jp.zones.remaining(zone) > 0 }
+		if _, t := p.cheapestPool(jp.job, inZone); t != nil || tasks == float64(jp.tasksLeft) {
+			best, most = zone, tasks
 		}
 	}
-	if best == "" {
-		p, t := s.cheapestPool(j, open)
-		if t == nil {
-			return false
+	if best != "" {
+		return best
+	}
+	anyZone := func(zone string) bool { return jp.zones.remaining(zone) > 0 }
+	pool, t := p.cheapestPool(jp.job, anyZone)
+	if t == nil {
+		return ""
+	}
+	return pool.zone
+}
+
+// startableTasksByZone is how many tasks of a job the capacity that is there can start in time.
+func (p *capacityPlan) startableTasksByZone(jp *jobPlan) map[string]float64 {
+	startable := map[string]float64{}
+	for _, offer := range p.offers {
+		perMachine := typeResources(offer.machineType).TasksThatFit(jp.job.demand)
+		if perMachine > 0 && offer.allows(jp.job) {
+			startable[offer.pool.zone] += math.Floor(offer.startableTasks(jp.job, perMachine, jp.maxWaitS))
 		}
-		best = p.zone
 	}
-	zones.onlyZone = best
-	return true
+	return startable
 }
 
-// hasEnoughZones tells whether a gang that is spread over zones could have all its tasks on
-// machines if these had room without end.
-func (s *Scheduler) hasEnoughZones(j *job) bool {
+// hasEnoughZones reports whether a gang that is spread over zones could have all its tasks on
+// machines if these had unlimited capacity.
+func (p *capacityPlan) hasEnoughZones(j *job) bool {
 	if !j.spec.SpreadZones {
 		return true
 	}
 	zones := map[string]bool{}
-	for _, t := range s.catalog.all() {
+	for _, t := range p.catalog.all() {
 		if !typeResources(t).Fits(j.demand) || !typeAllowed(&j.spec, t.Name) {
 			continue
 		}
@@ -88,14 +126,5 @@
 			}
 		}
 	}
-	return len(zones)*((j.spec.Tasks+1)/2) >= j.spec.Tasks
-}
-
-// gangTasksToPlace is how many tasks must be placed together: the missing ones of a gang, or none
-// in particular.
-func (j *job) gangTasksToPlace() int {
-	if j.gang == nil {
-		return 0
-	}
-	return j.waitingTasks()
+	return len(zones)*j.maxTasksPerZone() >= j.spec.Tasks
 }
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -85,7 +85,7 @@
 // for it would be up.
 func (s *Scheduler) needsReservation(j *job) bool {
 	for _, d := range j.deadlines {
-		if d.forStart && (d.at-j.submittedAt).Seconds() < s.quickestBoot(j) {
+		if d.forStart && (d.at-j.submittedAt).Seconds() < s.planner.quickestBoot(j) {
 			return true
 		}
 	}
@@ -94,7 +94,7 @@
 
 // reserveForGangs picks the machines that are kept for gangs, and adds to what is to be rented
 // where there are too few.
-func (s *Scheduler) reserveForGangs(fresh map[machinePool]float64, may func(machinePool) int) {
+func (s *Scheduler) reserveForGangs(plan *capacityPlan) {
 	for _, m := range s.inventory.all() {
 		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
 	}
@@ -110,7 +110,7 @@
 		)
 	})
 	for _, kind := range kinds {
-		s.reserveForGangKind(s.gangs.demand[kind], fresh, may)
+		s.reserveForGangKind(s.gangs.demand[kind], plan)
 	}
 }
 
@@ -124,7 +124,7 @@
 	return -1
 }
 
-func (s *Scheduler) reserveForGangKind(d *gangDemand, fresh map[machinePool]float64, may func(machinePool) int) {
+func (s *Scheduler) reserveForGangKind(d *gangDemand, plan *capacityPlan) {
 	want := d.peaks[0].cpus + d.largestCPUs
 	if d.newestJob.spec.SameZone {
 		d.zone = s.chooseReservationZone(d)
@@ -160,9 +160,9 @@
 	if want <= 0 {
 		return
 	}
-	open := func(p machinePool) bool { return fresh[p] < float64(may(p)) && (d.zone == "" || p.zone == d.zone) }
-	if p, t := s.cheapestPool(&job{spec: d.newestJob.spec, demand: d.newestJob.demand, class: d.newestJob.class}, open); t != nil {
-		fresh[p] = max(fresh[p], math.Ceil(want/max(t.CPUs, 1))) // what is rented anyway counts as well
+	zoneAllowed := func(zone string) bool { return d.zone == "" || zone == d.zone }
+	if pool, t := plan.cheapestPool(&job{spec: d.newestJob.spec, demand: d.newestJob.demand, class: d.newestJob.class}, zoneAllowed); t != nil {
+		plan.rentAtLeast(pool, math.Ceil(want/max(t.CPUs, 1)))
 	}
 }
 
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -8,76 +8,116 @@
 	"quillshunt/internal/protocol"
 )
 
-// cheapestPool is where a machine for the job costs least for each task it holds, among the pools
-// that are not known to be empty. A pool that has only been asked for as much as may be now is left
-// for a dearer one of like price, else it is asked again with the next plan.
-func (s *Scheduler) cheapestPool(j *job, open func(machinePool) bool) (machinePool, *protocol.MachineType) {
-	var best machinePool
-	var typ *protocol.MachineType
-	low, floor, busy := math.Inf(1), math.Inf(1), math.Inf(1)
-	for _, t := range s.catalog.all() {
-		k := t.Name
-		size := typeResources(t)
-		per := size.TasksThatFit(j.demand)
-		if per == 0 {
+// pool returns the pool that the machine comes from.
+func (m *machine) pool() machinePool { return machinePool{m.typeName, m.zone, m.spot} }
+
+// cheapestPool returns the pool in which a machine for a job costs least for each task that it holds,
+// among those that are not known to be empty, and its machine type; nil if nothing should be rented
+// for the job now. A pool that may not be asked for more in this plan is left for a more expensive one
+// only at a similar price; otherwise it is asked again with the next plan.
+func (p *capacityPlan) cheapestPool(
+	j *job, zoneAllowed func(zone string) bool,
+) (pool machinePool, machineType *protocol.MachineType) {
+	cheapest := math.Inf(1)     // of the pools that may be asked
+	cheapestBusy := math.Inf(1) // of those that have been asked for enough
+	cheapestOfAll := math.Inf(1)
+	for _, t := range p.catalog.all() {
+		tasksPerMachine := typeResources(t).TasksThatFit(j.demand)
+		if tasksPerMachine == 0 {
 			continue
 		}
-		for _, y := range t.Zones {
+		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				p := machinePool{k, y, spot}
-				if !s.placementAllowed(j, k, y, spot) {
-					continue
-				}
-				// Spread over zones where all else is equal.
-				cost := priceOf(t, spot) / float64(per) * (1 + limits.ZoneSpreadPenalty*float64(s.planner.machinesInZone[y]))
-				floor = min(floor, cost)
-				st := s.rentals.pools[p]
-				if st != nil && s.now < st.notBefore {
+				if !j.placementAllowed(t.Name, zone, spot) {
 					continue
 				}
-				if !open(p) {
-					if st == nil || st.backoff == 0 {
-						busy = min(busy, cost)
+				candidate := machinePool{t.Name, zone, spot}
+				cost := priceOf(t, spot) / float64(tasksPerMachine) * p.zoneSpreadFactor(zone)
+				cheapestOfAll = min(cheapestOfAll, cost)
+				switch p.availability(candidate, zoneAllowed) {
+				case poolBusy:
+					cheapestBusy = min(cheapestBusy, cost)
+				case poolAvailable:
+					if cost < cheapest {
+						cheapest, pool, machineType = cost, candidate, t
 					}
-					continue
-				}
-				if cost < low {
-					low, best, typ = cost, p, t
 				}
 			}
 		}
 	}
-	if typ == nil || low > limits.SimilarPriceRatio*busy {
-		return best, nil
+	if machineType == nil || cheapest > limits.SimilarPriceRatio*cheapestBusy {
+		return pool, nil
 	}
-	if slack, late := s.queue.slack(j); low > s.cfg.Options.Fleet.ExpensivePoolRatio*floor && (late || slack > time.Duration(s.cfg.Options.Fleet.ExpensivePoolSlack)) {
-		return best, nil // it can wait for cheaper ones
+	if p.waitsForCheaperPool(j, cheapest, cheapestOfAll) {
+		return pool, nil
 	}
-	return best, typ
+	return pool, machineType
 }
 
-// pricePerCPU is what a CPU of a pool costs an hour.
-func (s *Scheduler) pricePerCPU(p machinePool) float64 {
-	t := s.catalog.find(p.typeName)
-	return priceOf(t, p.spot) / max(t.CPUs, 1)
+// poolAvailability is whether a pool may be asked for machines in this plan.
+type poolAvailability uint8
+
+const (
+	poolAvailable poolAvailability = iota
+	poolBusy                       // it has been asked for enough, or has no zone for the job's tasks
+	poolRefused                    // it has refused lately
+)
+
+// availability returns whether a pool may be asked for machines for a job.
+func (p *capacityPlan) availability(pool machinePool, zoneAllowed func(zone string) bool) poolAvailability {
+	state := p.rentals.pools[pool]
+	if state != nil && p.now < state.notBefore {
+		return poolRefused
+	}
+	if p.mayRent(pool) && zoneAllowed(pool.zone) {
+		return poolAvailable
+	}
+	if state != nil && state.backoff > 0 {
+		return poolRefused
+	}
+	return poolBusy
+}
+
+// zoneSpreadFactor makes machines spread over zones where all else is equal.
+func (p *capacityPlan) zoneSpreadFactor(zone string) float64 {
+	return 1 + limits.ZoneSpreadPenalty*float64(p.machinesInZone[zone])
+}
+
+// waitsForCheaperPool reports whether a job is not urgent enough for a pool that costs far more than
+// another, which has nothing now.
+func (p *capacityPlan) waitsForCheaperPool(j *job, cost, cheapest float64) bool {
+	fleet := &p.cfg.Options.Fleet
+	if cost <= fleet.ExpensivePoolRatio*cheapest {
+		return false
+	}
+	slack, late := p.queue.slack(j)
+	return late || slack > time.Duration(fleet.ExpensivePoolSlack)
 }
 
 // countCheapPools is how many pools cost about as little as the cheapest.
-func (s *Scheduler) countCheapPools() int {
-	low, n := math.Inf(1), 0
+func (p *capacityPlanner) countCheapPools() int {
 	var costs []float64
-	for _, t := range s.catalog.all() {
+	cheapest := math.Inf(1)
+	for _, t := range p.catalog.all() {
 		for range t.Zones {
-			costs = append(costs, s.pricePerCPU(machinePool{typeName: t.Name, spot: true}), s.pricePerCPU(machinePool{typeName: t.Name}))
+			for _, spot := range []bool{true, false} {
+				cost := p.pricePerCPU(machinePool{typeName: t.Name, spot: spot})
+				costs = append(costs, cost)
+				cheapest = min(cheapest, cost)
+			}
 		}
 	}
-	for _, c := range costs {
-		low = min(low, c)
-	}
-	for _, c := range costs {
-		if c <= limits.SimilarPriceRatio*low {
-			n++
+	count := 0
+	for _, cost := range costs {
+		if cost <= limits.SimilarPriceRatio*cheapest {
+			count++
 		}
 	}
-	return n
+	return count
+}
+
+// pricePerCPU is what a CPU of a pool costs an hour.
+func (p *capacityPlanner) pricePerCPU(pool machinePool) float64 {
+	t := p.catalog.find(pool.typeName)
+	return priceOf(t, pool.spot) / max(t.CPUs, 1)
 }
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -187,7 +187,7 @@
 	switch {
 	case e.NoCapacity:
 		s.backOffPool(pool)
-		s.planner.nextPlanAt = 0
+		s.planner.planNow()
 		s.logInfo("no capacity", "request", r.name, "type", pool.typeName, "zone", pool.zone, "spot", pool.spot)
 		s.removeRental(r)
 		return
@@ -197,7 +197,7 @@
 	}
 	if len(e.Machines) < r.record.Count {
 		s.backOffPool(pool)
-		s.planner.nextPlanAt = 0 // the rest is asked for elsewhere at once
+		s.planner.planNow() // the rest is asked for elsewhere at once
 	} else if state := s.rentals.pools[pool]; state != nil {
 		state.backoff = 0
 	}
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -67,7 +67,7 @@
 	prober := newMachineProber(env)
 	finished := newFinishedTaskWriter(env, jobs)
 	recovery := newRecoveryState(env)
-	planner := newCapacityPlanner(env)
+	planner := newCapacityPlanner(env, jobs, queue, inventory, catalog, rentals)
 	cloudList := newMachineListReader(env)
 	return &Scheduler{
 		environment: env,
--- a/internal/coordination/scheduler/zone_plan.go
+++ b/internal/coordination/scheduler/zone_plan.go
@@ -1,36 +1,38 @@
 package scheduler
 
-import (
-	"math"
-)
+import "math"
 
 // zonePlan is how many more tasks of a job may be planned in each zone. Only gangs need it: their
-// tasks are planned together, while those of an array are bound one by one, and where the next may
-// go is seen from the bound ones.
+// tasks are planned together, while those of an array are assigned one by one, and where the next may
+// go follows from the assignments.
 type zonePlan struct {
-	onlyZone   string // the one zone of a gang that must be in one; "" while it is not chosen
-	maxPerZone int    // in a zone
-	counts     map[string]int
+	onlyZone   string // the zone of a gang that must be in one; "" while it is not chosen
+	maxPerZone int
+	counts     map[string]int // tasks in each zone, assigned or planned; nil for other jobs than gangs
 }
 
+// newZonePlan returns a plan that counts the tasks that are assigned.
 func (j *job) newZonePlan() *zonePlan {
 	z := &zonePlan{maxPerZone: math.MaxInt}
 	if j.gang == nil {
 		return z
 	}
 	z.counts = map[string]int{}
-	for _, b := range j.assignments {
+	for _, a := range j.assignments {
 		if j.spec.SameZone {
-			z.onlyZone = b.machine.zone
+			z.onlyZone = a.machine.zone
 		}
-		z.counts[b.machine.zone]++
+		z.counts[a.machine.zone]++
 	}
 	if j.spec.SpreadZones {
-		z.maxPerZone = (j.spec.Tasks + 1) / 2
+		z.maxPerZone = j.maxTasksPerZone()
 	}
 	return z
 }
 
+// maxTasksPerZone is how many tasks a job that is spread over zones may have in one of them.
+func (j *job) maxTasksPerZone() int { return (j.spec.Tasks + 1) / 2 }
+
 // remaining is how many more tasks may be planned in a zone.
 func (z *zonePlan) remaining(zone string) int {
 	if z.onlyZone != "" && z.onlyZone != zone {
@@ -39,10 +41,9 @@
 	return max(z.maxPerZone-z.counts[zone], 0)
 }
 
-// addTasks notes tasks that were planned in a zone, and returns their number.
-func (z *zonePlan) addTasks(zone string, n int) int {
+// addTasks notes tasks that are planned in a zone.
+func (z *zonePlan) addTasks(zone string, tasks int) {
 	if z.counts != nil {
-		z.counts[zone] += n
+		z.counts[zone] += tasks
 	}
-	return n
 }
--- a/internal/limits/capacity.go
+++ b/internal/limits/capacity.go
@@ -36,6 +36,9 @@
 	// BootPlanFactor is the number of nominal boot times after which planning no longer counts on a
 	// machine: it may never come up.
 	BootPlanFactor = 2.75
+	// OverdueBootS is how many seconds more a boot is expected to take that takes longer than
+	// estimated.
+	OverdueBootS = 2.0
 	// BootTimeoutFactor is the number of nominal boot times after which a machine is given up, but not
 	// before MinBootTimeout.
 	BootTimeoutFactor = 3.0
