--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -27,7 +27,7 @@
 }
 
 // newPlan returns a plan with the capacity of all machines and of rentals that are under way.
-func (p *capacityPlanner) newPlan(rentals []*rental) *capacityPlan {
+func (p *capacityPlanner) newPlan() *capacityPlan {
 	plan := &capacityPlan{
 		capacityPlanner: p,
 		machinesInZone:  map[string]int{},
@@ -36,7 +36,7 @@
 		pendingRequests: map[machinePool]int{},
 	}
 	plan.addMachines()
-	plan.addPendingRentals(rentals)
+	plan.addPendingRentals()
 	// What is left of a pool is not known, and each refusal costs a call of the cloud's rate: pools of
 	// similar price share the calls.
 	plan.requestsPerPool = max(limits.MinPoolRequests, plan.callsLeft/max(p.countCheapPools(), 1))
@@ -100,8 +100,8 @@
 }
 
 // addPendingRentals adds the capacity of rentals that are under way, and counts their requests.
-func (p *capacityPlan) addPendingRentals(rentals []*rental) {
-	for _, r := range rentals {
+func (p *capacityPlan) addPendingRentals() {
+	for _, r := range p.rentals.all() {
 		if !r.isPending() {
 			continue
 		}
@@ -296,10 +296,10 @@
 // refused lately is tried with one request.
 func (p *capacityPlan) mayRent(pool machinePool) bool {
 	requests := p.requestsPerPool
-	if state := p.rentals.pools[pool]; state != nil && state.backoff > 0 {
+	if p.rentals.refusedLately(pool) {
 		requests = 1
 	}
-	limit := max(requests-p.pendingRequests[pool], 0) * p.rentals.maxMachines
+	limit := max(requests-p.pendingRequests[pool], 0) * p.rentals.maxPerRental()
 	return p.toRent[pool] < float64(limit)
 }
 
@@ -328,8 +328,17 @@
 	return min(count, allowed)
 }
 
-// rentalRequested counts a rental that is asked for.
-func (p *capacityPlan) rentalRequested(machines int) {
-	p.machines += machines
-	p.callsLeft--
+// rent rents what is missing from the cheapest pools first, as the cloud may not accept requests
+// enough for all.
+func (p *capacityPlan) rent() {
+	for _, pool := range p.poolsByPrice() {
+		count := p.machinesToRent(pool)
+		for count > 0 && p.callsLeft > 0 {
+			requested := min(count, p.rentals.maxPerRental())
+			p.machines += requested
+			p.callsLeft--
+			p.rentals.rent(pool, requested)
+			count -= requested
+		}
+	}
 }
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -67,27 +67,13 @@
 // planCapacity compares the backlog with what the fleet can work off in time, rents what is missing
 // and returns what is idle.
 func (s *Scheduler) planCapacity() {
-	plan := s.planner.newPlan(s.sortedRentals())
+	plan := s.planner.newPlan()
 	plan.planJobs()
 	s.reserveForGangs(plan)
 	if len(s.gangs.demand) > 0 {
 		s.placement.needed = true // the jobs that may use the machines reserved for gangs have changed
 	}
-	s.rentPlanned(plan)
+	plan.rent()
 	s.updateDraining()
 	s.returnIdleMachines()
 }
-
-// rentPlanned rents what the plan found missing, the cheapest pools first, as the rental requests may
-// not be enough for all.
-func (s *Scheduler) rentPlanned(plan *capacityPlan) {
-	for _, pool := range plan.poolsByPrice() {
-		count := plan.machinesToRent(pool)
-		for count > 0 && plan.callsLeft > 0 {
-			requested := min(count, s.rentals.maxMachines)
-			plan.rentalRequested(requested)
-			s.rentMachines(pool, requested)
-			count -= requested
-		}
-	}
-}
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -65,14 +65,13 @@
 
 // availability returns whether a pool may be asked for machines for a job.
 func (p *capacityPlan) availability(pool machinePool, zoneAllowed func(zone string) bool) poolAvailability {
-	state := p.rentals.pools[pool]
-	if state != nil && p.now < state.notBefore {
+	if p.rentals.isBackedOff(pool) {
 		return poolRefused
 	}
 	if p.mayRent(pool) && zoneAllowed(pool.zone) {
 		return poolAvailable
 	}
-	if state != nil && state.backoff > 0 {
+	if p.rentals.refusedLately(pool) {
 		return poolRefused
 	}
 	return poolBusy
