--- a/internal/coordination/gateway/fixture_test.go
+++ b/internal/coordination/gateway/fixture_test.go
@@ -143,8 +143,8 @@
 // userAnswer is an answer as a user sees it.
 type userAnswer struct {
 	status     int
-	state      string // of the job, if the body says one
-	retryAfter int    // seconds
+	state      protocol.JobState // of the job, if the body says one
+	retryAfter int               // seconds
 }
 
 // send sends a request and returns the answer.
@@ -172,7 +172,7 @@
 }
 
 // expect checks the status of an answer, and the state of the job in it.
-func (f *gatewayFixture) expect(name string, request userRequest, status int, state string) {
+func (f *gatewayFixture) expect(name string, request userRequest, status int, state protocol.JobState) {
 	f.t.Helper()
 	if got := f.send(request); got.status != status || got.state != state {
 		f.t.Errorf("%s: got %d %q, expected %d %q", name, got.status, got.state, status, state)
--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -39,7 +39,7 @@
 	if c.machine != nil && (j.avoids(c.machine) || (c.machine.reservedForGangs && !j.mayUseGangReservation)) {
 		return false
 	}
-	return typeResources(c.machineType).Fits(j.demand) && j.placementAllowed(c.pool.typeName, c.pool.zone, c.pool.spot)
+	return typeResources(c.machineType).Fits(j.demand) && j.mayUsePool(c.pool)
 }
 
 // takeTasks promises tasks of a job to the capacity and returns how many: those that can start within
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -71,7 +71,7 @@
 	plan.planJobs()
 	s.reserveForGangs(plan)
 	if len(s.gangs.demand) > 0 {
-		s.placement.needed = true // the jobs that may use the machines reserved for gangs have changed
+		s.placement.requestPass() // the jobs that may use the machines reserved for gangs have changed
 	}
 	plan.rent()
 	s.updateDraining()
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -24,7 +24,7 @@
 			m.deleteRequestedAt = s.now
 		}
 	}
-	s.placement.needed = true
+	s.placement.requestPass()
 	s.rentals.reconcileAll()
 }
 
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -8,9 +8,6 @@
 	"quillshunt/internal/protocol"
 )
 
-// pool returns the pool that the machine comes from.
-func (m *machine) pool() machinePool { return machinePool{m.typeName, m.zone, m.spot} }
-
 // cheapestPool returns the pool in which a machine for a job costs least for each task that it holds,
 // among those that are not known to be empty, and its machine type; nil if nothing should be rented
 // for the job now. A pool that may not be asked for more in this plan is left for a more expensive one
@@ -28,10 +25,10 @@
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				if !j.placementAllowed(t.Name, zone, spot) {
+				candidate := machinePool{t.Name, zone, spot}
+				if !j.mayUsePool(candidate) {
 					continue
 				}
-				candidate := machinePool{t.Name, zone, spot}
 				cost := priceOf(t, spot) / float64(tasksPerMachine) * p.zoneSpreadFactor(zone)
 				cheapestOfAll = min(cheapestOfAll, cost)
 				switch p.availability(candidate, zoneAllowed) {
--- a/internal/coordination/scheduler/zone_plan.go
+++ b/internal/coordination/scheduler/zone_plan.go
@@ -30,9 +30,6 @@
 	return z
 }
 
-// maxTasksPerZone is how many tasks a job that is spread over zones may have in one of them.
-func (j *job) maxTasksPerZone() int { return (j.spec.Tasks + 1) / 2 }
-
 // remaining is how many more tasks may be planned in a zone.
 func (z *zonePlan) remaining(zone string) int {
 	if z.onlyZone != "" && z.onlyZone != zone {
--- /dev/null
+++ b/internal/protocol/parse.go
@@ -0,0 +1,200 @@
+package protocol
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"quillshunt/internal/limits"
+)
+
+// ErrInvalid is wrapped by all errors about a malformed submission.
+var ErrInvalid = errors.New("invalid")
+
+// ParseSpec decodes and checks a submission. Errors wrap ErrInvalid and name the field at fault.
+func ParseSpec(body []byte) (*Spec, error) {
+	var fields map[string]any
+	if err := Decode(body, &fields); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	if fields == nil { // CBOR null decodes into a nil map
+		return nil, fmt.Errorf("%w: not a map", ErrInvalid)
+	}
+	r := &fieldReader{fields: fields}
+	spec := r.spec()
+	if r.err != nil {
+		return nil, r.err
+	}
+	if !ValidJobID(spec.ID) {
+		return nil, fmt.Errorf("%w: NameId: not a job id", ErrInvalid)
+	}
+	if spec.Shape != ShapeArray && spec.Shape != ShapeGang {
+		return nil, fmt.Errorf("%w: Shape: must be %s or %s", ErrInvalid, ShapeArray, ShapeGang)
+	}
+	if _, ok := ParsePriority(spec.Priority); !ok {
+		return nil, fmt.Errorf("%w: Urgency: unknown", ErrInvalid)
+	}
+	return spec, nil
+}
+
+// fieldReader reads typed fields of a decoded map. It keeps the first error; what is faulty or
+// missing reads as zero.
+type fieldReader struct {
+	fields map[string]any
+	err    error
+}
+
+// spec reads a submission. The names are those of the wire; see the tags of Spec.
+func (r *fieldReader) spec() *Spec {
+	return &Spec{
+		ID:           r.text("NameId", required),
+		Class:        r.text("Docket", required),
+		Team:         r.text("Crew", required),
+		Shape:        Shape(r.text("Shape", required)),
+		Priority:     r.text("Urgency", required),
+		Tasks:        r.count("Pieces", limits.MaxTasksPerJob),
+		CPUs:         r.amount("Vcpus", required),
+		Accelerators: r.amount("Accelerators", required),
+		MemoryGB:     r.amount("RamGb", required),
+		MachineTypes: r.names("Rigkinds"),
+		Zone:         r.text("Yard", optional),
+		SameZone:     r.flag("Together"),
+		SpreadZones:  r.flag("Scatter"),
+		Spot:         r.flag("Lendable"),
+		Image:        r.text("Bundle", required),
+		ImageGB:      r.amount("SizeGb", required),
+		EstimateS:    r.amount("ReckonS", required),
+		CheckpointS:  r.amount("BookmarkS", required),
+		SaveS:        r.amount("StashS", required),
+		DeadlineS:    r.amount("DueS", optional),
+	}
+}
+
+// presence says whether a field may be missing. Null and omitted are the same.
+type presence bool
+
+const (
+	required presence = true
+	optional presence = false
+)
+
+func (r *fieldReader) fail(name, why string) {
+	if r.err == nil {
+		r.err = fmt.Errorf("%w: %s: %s", ErrInvalid, name, why)
+	}
+}
+
+// get returns a field's value, and false if it is missing.
+func (r *fieldReader) get(name string, p presence) (any, bool) {
+	v := r.fields[name]
+	if v == nil && p == required {
+		r.fail(name, "missing")
+	}
+	return v, v != nil
+}
+
+func (r *fieldReader) text(name string, p presence) string {
+	v, ok := r.get(name, p)
+	if !ok {
+		return ""
+	}
+	s, ok := v.(string)
+	if !ok {
+		r.fail(name, "must be text")
+		return ""
+	}
+	if !validName(s) {
+		r.fail(name, "empty or too long")
+		return ""
+	}
+	return s
+}
+
+func (r *fieldReader) flag(name string) bool {
+	v, ok := r.get(name, required)
+	if !ok {
+		return false
+	}
+	b, ok := v.(bool)
+	if !ok {
+		r.fail(name, "must be true or false")
+	}
+	return b
+}
+
+// amount reads a number that is not negative. Whole numbers may be encoded as integers.
+func (r *fieldReader) amount(name string, p presence) float64 {
+	v, ok := r.get(name, p)
+	if !ok {
+		return 0
+	}
+	x, ok := toFloat(v)
+	if !ok {
+		r.fail(name, "must be a number")
+		return 0
+	}
+	if math.IsNaN(x) || x < 0 || x > limits.MaxAmount {
+		r.fail(name, "out of range")
+		return 0
+	}
+	return x
+}
+
+func toFloat(v any) (float64, bool) {
+	switch n := v.(type) {
+	case float64:
+		return n, true
+	case uint64:
+		return float64(n), true
+	case int64:
+		return float64(n), true
+	}
+	return 0, false
+}
+
+// count reads a whole number from 1 to most.
+func (r *fieldReader) count(name string, most uint64) int {
+	v, ok := r.get(name, required)
+	if !ok {
+		return 0
+	}
+	n, ok := v.(uint64)
+	if !ok {
+		r.fail(name, "must be a whole number")
+		return 0
+	}
+	if n < 1 || n > most {
+		r.fail(name, "out of range")
+		return 0
+	}
+	return int(n)
+}
+
+// names reads an optional list of names of machine types.
+func (r *fieldReader) names(name string) []string {
+	v, ok := r.get(name, optional)
+	if !ok {
+		return nil
+	}
+	list, ok := v.([]any)
+	if !ok {
+		r.fail(name, "must be a list of names")
+		return nil
+	}
+	if len(list) > limits.MaxMachineTypes {
+		r.fail(name, "too long")
+		return nil
+	}
+	names := make([]string, 0, len(list))
+	for _, e := range list {
+		s, ok := e.(string)
+		if !ok || !validName(s) {
+			r.fail(name, "must be a list of names")
+			return nil
+		}
+		names = append(names, s)
+	}
+	return names
+}
+
+func validName(s string) bool { return s != "" && len(s) <= limits.MaxNameBytes }
