--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -64,7 +64,7 @@
 // returnIdleMachines returns machines that have been without work for long enough and that the plan
 // does not need.
 func (s *Scheduler) returnIdleMachines() {
-	if !s.recovery.ended {
+	if !s.recovery.hasEnded() {
 		return
 	}
 	for _, m := range s.inventory.all() {
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -4,8 +4,8 @@
 //
 // # Names on the wire
 //
-// The protocol has names of its own, which stand in the tags of the fields only. The Go names are
-// those of the field:
+// The protocol has names of its own, which stand in the tags of struct fields only. The Go names are
+// the usual ones of cluster schedulers:
 //
 //	wire                      Go                                  meaning
 //	run                       job                                 in paths
@@ -19,13 +19,15 @@
 //	Cause                     Reason                              why a task ended
 //	Stored                    Saved                               whether a checkpoint was saved
 //	Reckon, Bookmark, Stash   Estimate, Checkpoint, Save          run time, checkpoint interval, time to save
+//	Due                       Deadline                            latest end, from the submission
 //	Leeway                    Grace                               time to save before a stop
 //	Together, Scatter         SameZone, SpreadZones
 //	Bundle                    Image
+//	Vcpus, RamGb, SizeGb      CPUs, MemoryGB, ImageGB
 //	Rig, Rigs, Rigkind, Sku   Machine, Machines, MachineType      rented machine, its type
 //	Yard                      Zone
 //	Lendable, MarketPrice     Spot, SpotPrice                     spot instances
-//	Hire                      Name of a RentalRequest
+//	Hire, Number              Name, Count                         of a RentalRequest
 //	Pull, Startup             Fetch, Boot                         image fetch rate, boot time
 //	Warning                   SpotNotice                          notice that a spot machine is taken away
 //	report                    Heartbeat                           heartbeat with status
@@ -34,9 +36,9 @@
 //	Baton                     FencingToken                        the leader's term
 //	Foreman                   Leader                              controller to which a worker is sent
 //	Order, Orders             Command, Commands
-//	Path, Data, Pair          Key, Value, KeyValue                of the state service
+//	Path, Data, Pairs         Key, Value, KeyValue                of the state service
 //	Stamp, Ledger             Version, Revision                   of one key, of the whole store
-//	Hold, Tenure              Lease                               lease, its ID
+//	Hold, Tenure, LifeMs      Lease, DurationMs                   lease and its ID; its duration
 //	Guard, Apply              Condition, Operation                of a Transaction (compare-and-swap)
 //	Write, Remove             Put, Delete
 //	Log                       Changes                             of a watch
