--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -67,7 +67,7 @@
 	recovery := newRecoveryState(env, inventory)
 	prober := newMachineProber(env, inventory, recovery)
 	finished := newFinishedTaskWriter(env, jobs)
-	planner := newCapacityPlanner(env)
+	planner := newCapacityPlanner(env, jobs, queue, inventory, catalog, rentals)
 	cloudList := newMachineListReader(env)
 	return &Scheduler{
 		environment: env,
