--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -21,7 +21,7 @@
 		_, err := e.options.Store.Watch(watchCtx, storage.KeyLeader, leaderVersion)
 		watchEnded <- err
 	}()
-	campaign := func(conditions ...protocol.Condition) error {
+	stopWatchAndCampaign := func(conditions ...protocol.Condition) error {
 		cancel()
 		<-watchEnded
 		return e.campaign(ctx, conditions...)
@@ -34,7 +34,7 @@
 		case <-tick.C:
 			if e.needsVotes() && e.mayReplaceLeader(ctx, &e.suspicion) {
 				e.options.Log.Warn("leader sends no heartbeats, replacing it", "leader", e.Leader())
-				return campaign(unchanged(storage.KeyLeader, leaderVersion),
+				return stopWatchAndCampaign(unchanged(storage.KeyLeader, leaderVersion),
 					unchanged(storage.KeyLeaderHeartbeat, e.suspicion.heartbeat))
 			}
 		case err := <-watchEnded:
@@ -44,7 +44,7 @@
 			return nil
 		case offered := <-e.offers:
 			if offered == leaderVersion {
-				return campaign(unchanged(storage.KeyLeader, leaderVersion))
+				return stopWatchAndCampaign(unchanged(storage.KeyLeader, leaderVersion))
 			}
 		}
 	}
