--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -15,8 +15,7 @@
 	s.registry.writePages()
 	s.removeFaultyMachines()
 	s.prober.probeDue()
-	if s.now >= s.planner.nextPlanAt && (s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleAfter()) && !s.catalog.isEmpty() {
-		s.planner.nextPlanAt = s.now + limits.PlanInterval
+	if (s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleAfter()) && s.planner.startIfDue() {
 		s.planCapacity()
 	}
 	var names []string
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -310,7 +310,7 @@
 	switch {
 	case e.NoCapacity:
 		s.rentals.refused(r)
-		s.planner.nextPlanAt = 0
+		s.planner.planNow()
 		return
 	case !e.OK:
 		s.emit(RentMachines{Request: r.request()})
@@ -318,7 +318,7 @@
 	}
 	if len(e.Machines) < r.record.Count {
 		s.rentals.backOff(r.pool())
-		s.planner.nextPlanAt = 0 // the rest is asked for elsewhere at once
+		s.planner.planNow() // the rest is asked for elsewhere at once
 	} else {
 		s.rentals.resetBackoff(r.pool())
 	}
