--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -108,7 +108,7 @@
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
 		if s.recovery.hasEnded() && !j.cancelled {
 			s.logWarn("unexpected task adopted",
-				"job", j.id, "task", index, "attempt", status.Attempt, "machine", m.name)
+				keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, keyMachine, m.name)
 		}
 	case a != nil && a.state != stateUnsent:
 		// An older attempt is still here; our start is refused as busy. Keep the one that is here.
@@ -116,7 +116,7 @@
 		s.release(a)
 		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
 		s.logWarn("older attempt still there",
-			"job", j.id, "task", index, "attempt", status.Attempt, "newer", newer, "machine", m.name)
+			keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, "newer", newer, keyMachine, m.name)
 	default:
 		return false
 	}
@@ -133,7 +133,7 @@
 // stopUnexpectedTask returns the command that ends a task that should not be on a machine.
 func (s *Scheduler) stopUnexpectedTask(m *machine, j *job, status *protocol.TaskStatus) protocol.Command {
 	if j == nil || !j.cancelled {
-		s.logWarn("unexpected task stopped", "task", status.Task, "attempt", status.Attempt, "machine", m.name)
+		s.logWarn("unexpected task stopped", keyTask, status.Task, keyAttempt, status.Attempt, keyMachine, m.name)
 	}
 	noGrace := 0.0
 	return protocol.Command{Verb: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: &noGrace}
@@ -147,7 +147,7 @@
 		case a.state == stateUnsent || listed[a.taskName]:
 			continue
 		case a.state != stateSent:
-			s.logWarn("task vanished", "job", a.job.id, "task", a.index, "attempt", a.attempt, "machine", m.name)
+			s.logWarn("task vanished", keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt, keyMachine, m.name)
 		case a.startMayArriveAfter(directID):
 			continue
 		case directID == 0:
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -68,7 +68,7 @@
 	a.state, a.runningSince = stateRunning, s.now
 	spec := &a.job.spec
 	s.emit(LogEntry{Level: slog.LevelDebug, Message: "task running", Args: []any{
-		"job", a.job.id, "class", spec.Class, "task", a.index, "machine", a.machine.name,
+		keyJob, a.job.id, "class", spec.Class, keyTask, a.index, keyMachine, a.machine.name,
 		"age", (s.now - a.job.submittedAt).Seconds(),
 		"queued", (a.assignedAt - a.job.submittedAt).Seconds(),
 		"fetch", (s.now - a.assignedAt).Seconds(), "gb", spec.ImageGB,
@@ -95,13 +95,13 @@
 		s.taskCompleted(a, runTime, &ended)
 	case protocol.ReasonError:
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
-		s.logWarn("task failed", "job", j.id, "task", a.index, "attempt", status.Attempt, "machine", m.name)
+		s.logWarn("task failed", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt, keyMachine, m.name)
 		s.recordFailure(j, m)
 	case protocol.ReasonPeers, protocol.ReasonIncomplete:
 		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
-		s.logInfo("gang's task ended", "job", j.id, "task", a.index, "attempt", status.Attempt,
-			"machine", m.name, "reason", status.Reason)
+		s.logInfo("gang's task ended", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt,
+			keyMachine, m.name, keyReason, status.Reason)
 	case protocol.ReasonStopped:
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
 		if a.stopping && a.stopReason != stopReasonCancelled {
@@ -110,9 +110,9 @@
 	case protocol.ReasonUnknownTask:
 		// The job's description cannot be had; try again, but not at once.
 		j.retryAt = s.now + limits.JobBackoffMin
-		s.logWarn("start refused", "job", j.id, "task", a.index, "machine", m.name, "reason", status.Reason)
+		s.logWarn("start refused", keyJob, j.id, keyTask, a.index, keyMachine, m.name, keyReason, status.Reason)
 	default:
-		s.logInfo("start refused", "job", j.id, "task", a.index, "machine", m.name, "reason", status.Reason)
+		s.logInfo("start refused", keyJob, j.id, keyTask, a.index, keyMachine, m.name, keyReason, status.Reason)
 	}
 	s.tryCloseJob(j)
 	return ended
