--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -32,17 +32,6 @@
 	return wait
 }
 
-// quickestBoot is how long the quickest machine that the job may use takes until it is up.
-func (s *Scheduler) quickestBoot(j *job) float64 {
-	least := math.Inf(1)
-	for _, t := range s.catalog.all() {
-		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
-			least = min(least, t.BootS*limits.BootEstimateFactor)
-		}
-	}
-	return least
-}
-
 func (s *Scheduler) capacityAllowed(j *job, o *capacity) bool {
 	if o.machine != nil && (j.avoids(o.machine) || (o.machine.reservedForGangs && !j.mayUseGangReservation)) {
 		return false
@@ -65,7 +54,7 @@
 	open := func(p machinePool) bool { return fresh[p] < float64(may(p)) && zones.remaining(p.zone) > 0 }
 	// What starts before a new machine can be up needs none. What has waited as long already can't
 	// wait as long again, or a queue that is always as long would never be worked off.
-	within := max(max(s.maxPlannedWait(j), s.quickestBoot(j))-(s.now-j.submittedAt).Seconds(), 0)
+	within := max(max(s.maxPlannedWait(j), s.catalog.quickestBoot(j))-(s.now-j.submittedAt).Seconds(), 0)
 	if j.gang != nil && j.spec.SameZone && !s.chooseGangZone(j, zones, n, within, open, *all) {
 		return n
 	}
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -94,7 +94,7 @@
 		s.planJob(j, fresh, may, &offers)
 	}
 	s.reserveForGangs(fresh, may)
-	if len(s.gangs.demand) > 0 {
+	if s.gangReservations.hasDemand() {
 		s.placement.requestPass() // who waits may use what is kept after a while, or what is kept no more
 	}
 	pools := make([]machinePool, 0, len(fresh))
--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"math"
 	"slices"
 	"time"
 
@@ -31,6 +32,17 @@
 // isEmpty reports whether no types have been fetched yet.
 func (c *typeCatalog) isEmpty() bool { return len(c.byName) == 0 }
 
+// quickestBoot is how many seconds the quickest machine that the job may use takes until it is up.
+func (c *typeCatalog) quickestBoot(j *job) float64 {
+	least := math.Inf(1)
+	for _, t := range c.sorted {
+		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
+			least = min(least, t.BootS*limits.BootEstimateFactor)
+		}
+	}
+	return least
+}
+
 // fetchNow makes the next fetchIfDue fetch the types.
 func (c *typeCatalog) fetchNow() { c.nextFetchAt = 0 }
 
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -108,14 +108,14 @@
 
 // mayUsePool reports whether the job's next task may run on a machine of the pool: the job's spec
 // allows it, and so do its rules for zones together with the tasks that are assigned already.
-func (j *job) mayUsePool(pool machinePool) bool {
+func (j *job) mayUsePool(pool machinePool) bool { return j.specAllows(pool) && j.mayUseZone(pool.zone) }
+
+// specAllows reports whether the job's spec allows machines of the pool.
+func (j *job) specAllows(pool machinePool) bool {
 	if pool.spot && !j.spec.Spot {
 		return false
 	}
-	if j.spec.Zone != "" && j.spec.Zone != pool.zone {
-		return false
-	}
-	return typeAllowed(&j.spec, pool.typeName) && j.mayUseZone(pool.zone)
+	return (j.spec.Zone == "" || j.spec.Zone == pool.zone) && typeAllowed(&j.spec, pool.typeName)
 }
 
 // mayUseZone reports whether the job's rules for zones let its next task run in a zone.
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -11,13 +11,35 @@
 	"quillshunt/internal/limits"
 )
 
-// Gangs that should start sooner than a machine boots need room that is there already. Independent
-// tasks would fill it, as they take whatever is free, and a gang can't stop work of its own
-// priority. So some machines are kept for gangs: as many as gangs lately used or waited for at
-// once, and room for one more. Who waits for long may use them all the same (see yieldsGangRoom).
+// gangReservations reserves machines for gangs that should start sooner than a machine boots.
+// Independent tasks would fill these machines, as they use whatever is free, and a gang can't
+// preempt work of its own priority. So as much is reserved as gangs lately used or waited for at
+// once, and the size of the largest one more. Jobs that wait for long may use it all the same (see
+// job.outwaitsGangReservation).
+type gangReservations struct {
+	*environment
+	jobs      *jobTable
+	inventory *machineInventory
+	catalog   *typeCatalog
 
-// gangKind is what decides which machines gangs may use: gangs that may use the same ones share the
-// room that is kept.
+	demand map[gangKind]*gangDemand
+}
+
+// newGangReservations returns the reservations for gangs of a job table, without any demand.
+func newGangReservations(
+	env *environment, jobs *jobTable, inventory *machineInventory, catalog *typeCatalog,
+) *gangReservations {
+	return &gangReservations{
+		environment: env,
+		jobs:        jobs,
+		inventory:   inventory,
+		catalog:     catalog,
+		demand:      map[gangKind]*gangDemand{},
+	}
+}
+
+// gangKind is what decides which machines gangs may use. Gangs that may use the same ones share what
+// is reserved.
 type gangKind struct {
 	spot     bool
 	zone     string
@@ -25,21 +47,37 @@
 	types    string // names of machine types
 }
 
-// gangDemand is what gangs of a kind asked for lately.
+// gangKind returns the kind of the job's gang.
+func (j *job) gangKind() gangKind {
+	return gangKind{j.spec.Spot, j.spec.Zone, j.spec.SameZone, strings.Join(j.spec.MachineTypes, ",")}
+}
+
+// compare orders kinds.
+func (k gangKind) compare(other gangKind) int {
+	return cmp.Or(
+		strings.Compare(k.zone, other.zone),
+		strings.Compare(k.types, other.types),
+		compareBool(k.spot, other.spot),
+		compareBool(k.sameZone, other.sameZone),
+	)
+}
+
+// gangDemand is what gangs of a kind needed lately.
 type gangDemand struct {
-	newestJob   *job         // the newest of them
+	newestJob   *job
 	largestCPUs float64      // CPUs of the largest gang
 	peaks       []demandPeak // most CPUs used or waited for at once; newest last, falling
-	zone        string       // where room is kept for gangs that must be in one zone
+	zone        string       // where machines are reserved for gangs that must be in one zone
 	seenAt      time.Duration
 }
 
+// demandPeak is how many CPUs were used or waited for at a time.
 type demandPeak struct {
 	at   time.Duration
 	cpus float64
 }
 
-// recordPeak takes how many CPUs gangs of this kind use or wait for now.
+// recordPeak notes how many CPUs gangs of this kind use or wait for now.
 func (d *gangDemand) recordPeak(now time.Duration, cpus float64) {
 	for len(d.peaks) > 0 && d.peaks[len(d.peaks)-1].cpus <= cpus {
 		d.peaks = d.peaks[:len(d.peaks)-1]
@@ -50,163 +88,186 @@
 	}
 }
 
-func (j *job) gangKind() gangKind {
-	return gangKind{j.spec.Spot, j.spec.Zone, j.spec.SameZone, strings.Join(j.spec.MachineTypes, ",")}
+// cpusToReserve is the highest peak, and the size of the largest gang more.
+func (d *gangDemand) cpusToReserve() float64 { return d.peaks[0].cpus + d.largestCPUs }
+
+// gangShortage is what the machines lack that can be reserved for gangs of a kind.
+type gangShortage struct {
+	job  *job   // like the newest of these gangs, without tasks that are assigned
+	zone string // where machines are missing; "" if in any
+	cpus float64
+}
+
+// hasDemand reports whether machines may be reserved for gangs.
+func (r *gangReservations) hasDemand() bool { return len(r.demand) > 0 }
+
+// update reserves machines anew, and returns what is missing.
+func (r *gangReservations) update() []gangShortage {
+	for _, m := range r.inventory.all() {
+		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
+	}
+	r.updateDemand()
+	var shortages []gangShortage
+	for _, kind := range slices.SortedFunc(maps.Keys(r.demand), gangKind.compare) {
+		d := r.demand[kind]
+		if missing := r.reserve(d); missing > 0 {
+			another := &job{spec: d.newestJob.spec, demand: d.newestJob.demand, class: d.newestJob.class}
+			shortages = append(shortages, gangShortage{another, d.zone, missing})
+		}
+	}
+	return shortages
+}
+
+// reserveForGangs reserves machines for gangs, and adds those that are missing to the machines to be
+// rented of each pool.
+func (s *Scheduler) reserveForGangs(fresh map[machinePool]float64, may func(machinePool) int) {
+	for _, shortage := range s.gangReservations.update() {
+		open := func(p machinePool) bool {
+			return fresh[p] < float64(may(p)) && (shortage.zone == "" || p.zone == shortage.zone)
+		}
+		if p, t := s.cheapestPool(shortage.job, open); t != nil {
+			missing := math.Ceil(shortage.cpus / max(t.CPUs, 1))
+			fresh[p] = max(fresh[p], missing) // what is rented anyway counts as well
+		}
+	}
 }
 
-// updateGangDemand works out what gangs ask for that room should be kept for.
-func (s *Scheduler) updateGangDemand() {
-	now := map[gangKind]float64{}
-	for _, j := range s.jobs.oldestFirst() {
-		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !s.needsReservation(j) {
+// updateDemand works out what gangs need that machines should be reserved for.
+func (r *gangReservations) updateDemand() {
+	cpusNow := map[gangKind]float64{}
+	for _, j := range r.jobs.oldestFirst() {
+		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !r.needsReservation(j) {
 			continue
 		}
 		cpus := j.demandOf(j.spec.Tasks).CPUs
 		kind := j.gangKind()
-		now[kind] += cpus
-		d := s.gangs.demand[kind]
+		cpusNow[kind] += cpus
+		d := r.demand[kind]
 		if d == nil {
 			d = &gangDemand{}
-			s.gangs.demand[kind] = d
+			r.demand[kind] = d
 		}
-		d.newestJob, d.seenAt = j, s.now
+		d.newestJob, d.seenAt = j, r.now
 		d.largestCPUs = max(d.largestCPUs, cpus)
 	}
-	for kind, d := range s.gangs.demand {
-		if s.now > d.seenAt+limits.GangDemandWindow {
-			delete(s.gangs.demand, kind)
+	for kind, d := range r.demand {
+		if r.now > d.seenAt+limits.GangDemandWindow {
+			delete(r.demand, kind)
 			continue
 		}
-		d.recordPeak(s.now, now[kind])
+		d.recordPeak(r.now, cpusNow[kind])
 	}
 }
 
-// needsReservation tells whether a gang's tasks should start sooner than a machine that is rented
+// needsReservation reports whether a gang's tasks should start sooner than a machine that is rented
 // for it would be up.
-func (s *Scheduler) needsReservation(j *job) bool {
+func (r *gangReservations) needsReservation(j *job) bool {
 	for _, d := range j.deadlines {
-		if d.forStart && (d.at-j.submittedAt).Seconds() < s.quickestBoot(j) {
+		if d.forStart && (d.at-j.submittedAt).Seconds() < r.catalog.quickestBoot(j) {
 			return true
 		}
 	}
 	return false
 }
 
-// reserveForGangs picks the machines that are kept for gangs, and adds to what is to be rented
-// where there are too few.
-func (s *Scheduler) reserveForGangs(fresh map[machinePool]float64, may func(machinePool) int) {
-	for _, m := range s.inventory.all() {
-		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
-	}
-	s.updateGangDemand()
-	kinds := make([]gangKind, 0, len(s.gangs.demand))
-	for kind := range s.gangs.demand {
-		kinds = append(kinds, kind)
-	}
-	slices.SortFunc(kinds, func(a, b gangKind) int {
-		return cmp.Or(
-			strings.Compare(a.zone, b.zone), strings.Compare(a.types, b.types),
-			compareBool(a.spot, b.spot), compareBool(a.sameZone, b.sameZone),
-		)
-	})
-	for _, kind := range kinds {
-		s.reserveForGangKind(s.gangs.demand[kind], fresh, may)
+// reserve reserves machines for gangs of a kind, at most a share of all, and returns how many CPUs
+// are missing. Machines beyond the share are not returned to the cloud, but every job may use them.
+func (r *gangReservations) reserve(d *gangDemand) (missingCPUs float64) {
+	missingCPUs = d.cpusToReserve()
+	if d.newestJob.spec.SameZone {
+		d.zone = r.chooseZone(d)
 	}
-}
-
-func compareBool(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case a:
-		return 1
+	candidates, allCPUs := r.candidates(d)
+	reservableCPUs := allCPUs * limits.GangReservationShare
+	for _, m := range candidates {
+		if missingCPUs <= 0 {
+			break
+		}
+		cpus := m.size().CPUs
+		missingCPUs -= cpus
+		m.neededByPlan = true
+		if reservableCPUs >= cpus {
+			reservableCPUs -= cpus
+			m.reservedForGangs = true
+		}
 	}
-	return -1
+	return missingCPUs
 }
 
-func (s *Scheduler) reserveForGangKind(d *gangDemand, fresh map[machinePool]float64, may func(machinePool) int) {
-	want := d.peaks[0].cpus + d.largestCPUs
-	if d.newestJob.spec.SameZone {
-		d.zone = s.chooseReservationZone(d)
-	}
-	var ms []*machine
-	total := 0.0
-	for _, m := range s.inventory.all() {
-		total += m.size().CPUs
-		if !m.reservedForGangs && s.reservable(d, m) {
-			ms = append(ms, m)
+// candidates returns the machines that may be reserved for gangs of a kind, the best first, and the
+// CPUs of all machines.
+func (r *gangReservations) candidates(d *gangDemand) (candidates []*machine, allCPUs float64) {
+	for _, m := range r.inventory.all() {
+		allCPUs += m.size().CPUs
+		if !m.reservedForGangs && r.reservable(d, m) {
+			candidates = append(candidates, m)
 		}
 	}
-	spare := total * limits.GangReservationShare
-	slices.SortStableFunc(ms, func(a, b *machine) int {
+	slices.SortStableFunc(candidates, func(a, b *machine) int {
 		return cmp.Or(
 			compareBool(b.wasReservedForGangs, a.wasReservedForGangs),
 			compareBool(b.hasGangTask(), a.hasGangTask()),
 			cmp.Compare(b.freeResources().CPUs, a.freeResources().CPUs),
 		)
 	})
-	for _, m := range ms {
-		if want <= 0 {
-			return
-		}
-		size := m.size().CPUs
-		want -= size
-		m.neededByPlan = true
-		if spare >= size { // else it is not returned, but everybody may use it
-			spare -= size
-			m.reservedForGangs = true
-		}
-	}
-	if want <= 0 {
-		return
-	}
-	open := func(p machinePool) bool { return fresh[p] < float64(may(p)) && (d.zone == "" || p.zone == d.zone) }
-	if p, t := s.cheapestPool(&job{spec: d.newestJob.spec, demand: d.newestJob.demand, class: d.newestJob.class}, open); t != nil {
-		fresh[p] = max(fresh[p], math.Ceil(want/max(t.CPUs, 1))) // what is rented anyway counts as well
-	}
+	return candidates, allCPUs
 }
 
-// reservable tells whether a machine may be kept for gangs of a kind; also one that boots.
-func (s *Scheduler) reservable(d *gangDemand, m *machine) bool {
-	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() || (m.hasReported && !s.isSchedulable(m)) || (d.zone != "" && m.zone != d.zone) {
+// reservable reports whether a machine may be reserved for gangs of a kind; also one that boots.
+func (r *gangReservations) reservable(d *gangDemand, m *machine) bool {
+	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() || (m.hasReported && !r.isSchedulable(m)) {
+		return false
+	}
+	if d.zone != "" && m.zone != d.zone {
 		return false
 	}
-	spec := &d.newestJob.spec
-	return (spec.Spot || !m.spot) && (spec.Zone == "" || spec.Zone == m.zone) && typeAllowed(spec, m.typeName) && m.size().Fits(d.newestJob.demand)
+	return d.newestJob.specAllows(m.pool()) && m.size().Fits(d.newestJob.demand)
 }
 
-// chooseReservationZone is the zone in which room is kept: where it is already, or where most
-// machines are that may be kept.
-func (s *Scheduler) chooseReservationZone(d *gangDemand) string {
-	kept, all := map[string]int{}, map[string]int{}
-	zone := d.zone
+// chooseZone returns the zone in which machines are reserved for gangs that must be in one: where
+// some are already, or where most machines are that may be reserved.
+func (r *gangReservations) chooseZone(d *gangDemand) string {
+	reserved, reservable := map[string]int{}, map[string]int{}
+	previous := d.zone
 	d.zone = ""
-	for _, m := range s.inventory.all() {
-		if s.reservable(d, m) {
-			all[m.zone]++
-			if m.wasReservedForGangs {
-				kept[m.zone]++
-			}
+	for _, m := range r.inventory.all() {
+		if !r.reservable(d, m) {
+			continue
+		}
+		reservable[m.zone]++
+		if m.wasReservedForGangs {
+			reserved[m.zone]++
 		}
 	}
-	if kept[zone] > 0 {
-		return zone
+	if reserved[previous] > 0 {
+		return previous
 	}
 	best := ""
-	for _, z := range slices.Sorted(maps.Keys(all)) {
-		if best == "" || all[z] > all[best] {
-			best = z
+	for _, zone := range slices.Sorted(maps.Keys(reservable)) {
+		if best == "" || reservable[zone] > reservable[best] {
+			best = zone
 		}
 	}
 	return best
 }
 
-// hasGangTask tells whether a task of a gang is bound to the machine.
+// hasGangTask reports whether a task of a gang is assigned to the machine.
 func (m *machine) hasGangTask() bool {
-	for _, b := range m.assignments {
-		if b.job.gang != nil {
+	for _, a := range m.assignments {
+		if a.job.gang != nil {
 			return true
 		}
 	}
 	return false
 }
+
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return 1
+	}
+	return -1
+}
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -16,13 +16,10 @@
 	uncommitted  []*gang // with tasks whose starts wait for commitGangs
 	refills      []*gang // that lost a task before their start
 	commitNeeded bool    // resources may have become free since the last commitGangs
-	demand       map[gangKind]*gangDemand
 }
 
 // newGangTable returns a table without gangs.
-func newGangTable(env *environment) *gangTable {
-	return &gangTable{environment: env, demand: map[gangKind]*gangDemand{}}
-}
+func newGangTable(env *environment) *gangTable { return &gangTable{environment: env} }
 
 // markChanged notes that a gang must be looked at again. Nil stands for independent tasks.
 func (t *gangTable) markChanged(g *gang) {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -28,20 +28,21 @@
 type Scheduler struct {
 	*environment
 
-	jobs       *jobTable
-	queue      *jobQueue
-	inventory  *machineInventory
-	catalog    *typeCatalog
-	registry   *machineRegistry
-	rentals    *rentalTable
-	dispatcher *commandDispatcher
-	placement  *placer
-	gangs      *gangTable
-	recovery   *recoveryState
-	prober     *machineProber
-	finished   *finishedTaskWriter
-	planner    *capacityPlanner
-	cloudList  *machineListReader
+	jobs             *jobTable
+	queue            *jobQueue
+	inventory        *machineInventory
+	catalog          *typeCatalog
+	registry         *machineRegistry
+	rentals          *rentalTable
+	dispatcher       *commandDispatcher
+	placement        *placer
+	gangs            *gangTable
+	gangReservations *gangReservations
+	recovery         *recoveryState
+	prober           *machineProber
+	finished         *finishedTaskWriter
+	planner          *capacityPlanner
+	cloudList        *machineListReader
 
 	attemptSequence uint64        // low part of the attempt numbers of this term
 	nextSummaryAt   time.Duration // when the summary line is due
@@ -64,26 +65,28 @@
 	dispatcher := newCommandDispatcher(env)
 	placement := newPlacer(env, queue, inventory)
 	gangs := newGangTable(env)
+	gangReservations := newGangReservations(env, jobs, inventory, catalog)
 	recovery := newRecoveryState(env, inventory)
 	prober := newMachineProber(env, inventory, recovery)
 	finished := newFinishedTaskWriter(env, jobs)
 	planner := newCapacityPlanner(env)
 	cloudList := newMachineListReader(env)
 	return &Scheduler{
-		environment: env,
-		jobs:        jobs,
-		queue:       queue,
-		inventory:   inventory,
-		catalog:     catalog,
-		registry:    registry,
-		rentals:     rentals,
-		dispatcher:  dispatcher,
-		placement:   placement,
-		gangs:       gangs,
-		recovery:    recovery,
-		prober:      prober,
-		finished:    finished,
-		planner:     planner,
-		cloudList:   cloudList,
+		environment:      env,
+		jobs:             jobs,
+		queue:            queue,
+		inventory:        inventory,
+		catalog:          catalog,
+		registry:         registry,
+		rentals:          rentals,
+		dispatcher:       dispatcher,
+		placement:        placement,
+		gangs:            gangs,
+		gangReservations: gangReservations,
+		recovery:         recovery,
+		prober:           prober,
+		finished:         finished,
+		planner:          planner,
+		cloudList:        cloudList,
 	}
 }
