--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -37,7 +37,7 @@
 	least := math.Inf(1)
 	for _, t := range c.sorted {
 		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
-			least = min(least, t.BootS*limits.BootEstimateFactor)
+			least = min(least, estimatedBootS(t))
 		}
 	}
 	return least
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -118,16 +118,12 @@
 	return shortages
 }
 
-// reserveForGangs reserves machines for gangs, and adds those that are missing to the machines to be
-// rented of each pool.
-func (s *Scheduler) reserveForGangs(fresh map[machinePool]float64, may func(machinePool) int) {
+// reserveForGangs reserves machines for gangs, and plans to rent those that are missing.
+func (s *Scheduler) reserveForGangs(plan *capacityPlan) {
 	for _, shortage := range s.gangReservations.update() {
-		open := func(p machinePool) bool {
-			return fresh[p] < float64(may(p)) && (shortage.zone == "" || p.zone == shortage.zone)
-		}
-		if p, t := s.cheapestPool(shortage.job, open); t != nil {
-			missing := math.Ceil(shortage.cpus / max(t.CPUs, 1))
-			fresh[p] = max(fresh[p], missing) // what is rented anyway counts as well
+		zoneAllowed := func(zone string) bool { return shortage.zone == "" || zone == shortage.zone }
+		if pool, t := plan.cheapestPool(shortage.job, zoneAllowed); t != nil {
+			plan.rentAtLeast(pool, math.Ceil(shortage.cpus/max(t.CPUs, 1)))
 		}
 	}
 }
