--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -61,7 +61,7 @@
 		return
 	}
 	p.nextLimitNoteAt = p.now + limits.SummaryInterval
-	p.logWarn("fleet at its limit", "machines", machines, "needed", needed)
+	p.logWarn("fleet at its limit", keyMachines, machines, "needed", needed)
 }
 
 // planCapacity compares the backlog with what the fleet can work off in time, rents what is missing
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -61,7 +61,7 @@
 	}
 	if !m.relayed {
 		m.relayed, m.relayedSince = true, s.now
-		s.logWarn("heartbeats relayed", "machine", m.name)
+		s.logWarn("heartbeats relayed", keyMachine, m.name)
 	}
 	return true
 }
@@ -91,7 +91,7 @@
 	for _, a := range m.sortedAssignments() {
 		if a.state != stateUnsent {
 			s.logWarn("task lost, worker restarted",
-				"machine", m.name, "job", a.job.id, "task", a.index, "attempt", a.attempt)
+				keyMachine, m.name, keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt)
 		}
 		s.release(a)
 	}
@@ -109,7 +109,7 @@
 			continue
 		}
 		if len(m.assignments) > 0 {
-			s.logWarn("worker lease expired", "machine", m.name, "tasks", len(m.assignments))
+			s.logWarn("worker lease expired", keyMachine, m.name, keyTasks, len(m.assignments))
 		}
 		s.releaseAll(m)
 		m.endedTasks = map[attemptKey]endedTask{}
