--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -64,6 +64,17 @@
 	})
 }
 
+// answered notes that a direct command is over. It reports whether the machine, nil if it is gone, still
+// waited for that.
+func (d *commandDispatcher) answered(m *machine, id uint64) bool {
+	d.inFlight--
+	if m == nil || m.directID != id {
+		return false
+	}
+	m.directID = 0
+	return true
+}
+
 // sendCorrections sends commands about tasks that should not be on a machine; if it is not possible
 // now, its next heartbeat brings them up again.
 func (d *commandDispatcher) sendCorrections(m *machine, commands []protocol.Command) {
@@ -121,12 +132,10 @@
 
 // directCommandsDone handles the answer to a direct command, or its absence.
 func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
-	s.dispatcher.inFlight--
 	m := s.inventory.find(e.Machine)
-	if m == nil || m.directID != e.ID {
+	if !s.dispatcher.answered(m, e.ID) {
 		return
 	}
-	m.directID = 0
 	s.reconcileDirectCommands(m, e)
 	if m.hasUnsentGangCommand() { // came up while this command was in flight
 		s.dispatcher.enqueue(m)
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -11,104 +11,113 @@
 	"quillshunt/internal/storage"
 )
 
-// TestRegisteredBeforeStart: a machine gets its first task only once the state service knows that
-// it may have one; otherwise a new leader would not look for it there.
+// TestRegisteredBeforeStart: a machine gets its first task only once the state service knows that it
+// may have one; otherwise a new leader would not look for it there.
 func TestRegisteredBeforeStart(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.job("job-1", "red", "standard", 1, 1, 0)
-	f.step(RentalLoaded{Name: "h-2-1", Version: 7, Record: storage.Rental{MachineType: "s8", Zone: "a", Count: 1, Answered: true, Machines: []string{f.machine(0)}}})
+	f.step(RentalLoaded{Name: "h-2-1", Version: 7, Record: answeredRental("s8", 1, f.machine)})
 	commands := f.report(0)
 	var registration *WriteRecords
-	for _, e := range f.effects {
-		if w, ok := e.(WriteRecords); ok && w.Operations[0].Put == storage.RegistryPageKey("3-1") {
-			registration = &w
+	for _, write := range effectsOf[WriteRecords](f.effects) {
+		if write.Operations[0].Put == storage.RegistryPageKey("3-1") {
+			registration = &write
 		}
 	}
 	if registration == nil || verbs(commands, protocol.CommandStart) != 0 || len(f.direct()) != 0 {
-		t.Fatalf("before the mark: %+v %+v", commands, f.effects)
+		t.Fatalf("before the registration: %+v %+v", commands, f.effects)
 	}
 	f.step(WriteCompleted{ID: registration.ID, OK: true, Version: 9})
 	if direct := f.direct(); len(direct) != 1 || verbs(direct[0].Commands, protocol.CommandStart) != 1 {
-		t.Fatalf("after the mark: %+v", f.effects)
+		t.Fatalf("after the registration: %+v", f.effects)
 	}
 }
 
-// registryWrites are the writes of registrations among the effects.
+// registryWrites returns the writes of pages of registered machines among the effects.
 func (f *schedulerFixture) registryWrites() []WriteRecords {
-	var out []WriteRecords
-	for _, e := range f.effects {
-		if w, ok := e.(WriteRecords); ok && strings.HasPrefix(w.Operations[0].Put, storage.PrefixRegistryPage) {
-			out = append(out, w)
+	var writes []WriteRecords
+	for _, write := range effectsOf[WriteRecords](f.effects) {
+		if strings.HasPrefix(write.Operations[0].Put, storage.PrefixRegistryPage) {
+			writes = append(writes, write)
 		}
 	}
-	return out
+	return writes
 }
 
-// TestRegistrationsTogether: machines of several rentals that come up at once are registered by few
-// writes, each within the size of a value; none is registered before its rental's record names it,
-// as a successor ignores registrations that no rental accounts for; and a successor finds all of
-// them.
-func TestRegistrationsTogether(t *testing.T) {
-	f := newSchedulerFixture(t, 0)
-	const rentals, each = 4, 50
-	for i := range rentals {
-		rental := storage.Rental{MachineType: "s8", Zone: "a", Count: each, Answered: true}
-		for k := range each {
-			rental.Machines = append(rental.Machines, f.machine(i*each+k))
-		}
-		f.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: rental})
-	}
-	f.scheduler.rentals.find("h-2-3").answerDurable = false // its answer is being written
+// registerAll lets machines come up one after the other, confirms all writes of registry pages, and
+// returns these. The versions of the records begin at 101.
+func (f *schedulerFixture) registerAll(machines int) []WriteRecords {
 	var writes []WriteRecords
-	for i := range rentals * each {
+	for i := range machines {
 		f.report(i)
 		f.now -= 9 * time.Millisecond
 		writes = append(writes, f.registryWrites()...)
 	}
-	version := uint64(100)
 	for n := 0; n < len(writes); n++ {
-		version++
 		f.now += limits.RegistryWriteInterval
-		f.step(WriteCompleted{ID: writes[n].ID, OK: true, Version: version})
+		f.step(WriteCompleted{ID: writes[n].ID, OK: true, Version: uint64(101 + n)})
 		writes = append(writes, f.registryWrites()...)
 	}
+	return writes
+}
+
+// decodeLastPages returns the last page that was written to each key.
+func decodeLastPages(t *testing.T, writes []WriteRecords) map[string]storage.RegistryPage {
+	t.Helper()
+	pages := map[string]storage.RegistryPage{}
+	for _, write := range writes {
+		var page storage.RegistryPage
+		if err := protocol.Decode(write.Operations[0].Value, &page); err != nil {
+			t.Fatal(err)
+		}
+		pages[write.Operations[0].Put] = page
+	}
+	return pages
+}
+
+// TestRegistrationsTogether: machines of several rentals that come up at once are registered by few
+// writes, each within the size of a value; none is registered before its rental's record names it, as
+// a successor ignores registrations that no rental accounts for; and a successor finds all of them.
+func TestRegistrationsTogether(t *testing.T) {
+	const rentals, each = 4, 50
+	f := newSchedulerFixture(t, 0)
+	for i := range rentals {
+		rental := answeredRental("s8", each, func(k int) string { return f.machine(i*each + k) })
+		f.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: rental})
+	}
+	unwritten := f.scheduler.rentals.find("h-2-3")
+	unwritten.answerDurable = false // its answer is being written
+	writes := f.registerAll(rentals * each)
 	if len(writes) > 8 {
 		t.Errorf("%d writes for %d machines", len(writes), rentals*each)
 	}
-	next := newSchedulerFixture(t, 0)
+	successor := newSchedulerFixture(t, 0)
 	for i := range rentals {
-		next.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: f.scheduler.rentals.find(fmt.Sprintf("h-2-%d", i)).record})
-	}
-	last := map[string]WriteRecords{}
-	for _, w := range writes {
-		last[w.Operations[0].Put] = w
+		rental := f.scheduler.rentals.find(fmt.Sprintf("h-2-%d", i))
+		successor.step(RentalLoaded{Name: rental.name, Version: 7, Record: rental.record})
 	}
-	for key, w := range last {
-		var page storage.RegistryPage
-		if err := protocol.Decode(w.Operations[0].Value, &page); err != nil {
-			t.Fatal(err)
-		}
+	for key, page := range decodeLastPages(t, writes) {
 		if !storage.FitsValueLimit(page, f.scheduler.cfg.State.ValueKB) {
-			t.Errorf("a sheet of %d bytes", storage.EncodedSize(page))
+			t.Errorf("a page of %d bytes", storage.EncodedSize(page))
 		}
-		next.step(RegistryPageLoaded{Name: key, Version: 9, Record: page})
+		successor.step(RegistryPageLoaded{Name: key, Version: 9, Record: page})
 	}
 	for i := range rentals * each {
-		known := i < (rentals-1)*each
-		if got := f.scheduler.inventory.find(f.machine(i)).registration == registered; got != known {
-			t.Fatalf("machine %d marked: %v, its rental's record written: %v", i, got, known)
+		written := i < (rentals-1)*each
+		if got := f.scheduler.inventory.find(f.machine(i)).registration == registered; got != written {
+			t.Fatalf("machine %d registered: %v, its rental's record written: %v", i, got, written)
 		}
-		if m := next.scheduler.inventory.find(f.machine(i)); (m.registration == registered && m.address != "") != known {
-			t.Fatalf("machine %d at the successor: mark %v, address %q", i, m.registration, m.address)
+		m := successor.scheduler.inventory.find(f.machine(i))
+		if found := m.registration == registered && m.address != ""; found != written {
+			t.Fatalf("machine %d at the successor: registration %v, address %q", i, m.registration, m.address)
 		}
 	}
 	// Once the record is written the others are registered too.
-	h := f.scheduler.rentals.find("h-2-3")
-	h.writing = true
-	f.scheduler.pendingWrites[9999] = rentalWrite{rental: h.name, answered: true}
+	unwritten.writing = true
+	f.scheduler.pendingWrites[9999] = rentalWrite{rental: unwritten.name, answered: true}
 	f.now += limits.RegistryWriteInterval
-	f.step(WriteCompleted{ID: 9999, OK: true, Version: version + 1})
+	f.step(WriteCompleted{ID: 9999, OK: true, Version: uint64(101 + len(writes))})
 	if len(f.registryWrites()) == 0 {
-		t.Error("not marked when the rental's record is written")
+		t.Error("not registered when the rental's record is written")
 	}
 }
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -142,7 +142,8 @@
 	if t.byName[name] != nil {
 		return // its last record is just being removed; the next heartbeat tries again
 	}
-	t.logWarn("machine without rental adopted", keyMachine, m.name, keyType, m.typeName, keyZone, m.zone, keySpot, m.spot)
+	t.logWarn("machine without rental adopted",
+		keyMachine, m.name, keyType, m.typeName, keyZone, m.zone, keySpot, m.spot)
 	r := &rental{
 		name:        name,
 		state:       rentalAnswered,
