--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -250,3 +250,12 @@
 	}
 	return false
 }
+
+// expediteResults lets the results that a machine lists be written next, as the machine is to go.
+func (w *finishedTaskWriter) expediteResults(m *machine) {
+	for _, ended := range m.endedTasks {
+		if !ended.isDurable() {
+			ended.job.chunks[ended.chunk].expedite = true
+		}
+	}
+}
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -1,58 +1,41 @@
 package scheduler
 
-import (
-	"quillshunt/internal/limits"
-)
+import "quillshunt/internal/limits"
 
-// manageFleet keeps the fleet in step with the work.
+// manageFleet keeps the fleet in step with the work. It is called with every tick.
 func (s *Scheduler) manageFleet() {
 	s.catalog.fetchIfDue()
 	s.cloudList.readIfDue()
-	if s.now >= s.nextSummaryAt {
-		s.nextSummaryAt = s.now + limits.SummaryInterval
-		s.logSummary()
-	}
+	s.logSummaryIfDue()
 	s.registry.writePages()
 	s.removeFaultyMachines()
 	s.prober.probeDue()
-	if (s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleAfter()) && s.planner.startIfDue() {
+	if s.knowsFleet() && s.planner.startIfDue() {
 		s.planCapacity()
 	}
-	var names []string
-	for _, m := range s.inventory.all() {
-		if m.deleting && s.now >= m.deleteRequestedAt+limits.CloudRetryInterval && len(names) < limits.MaxDeleteSize {
-			m.deleteRequestedAt = never / 2
-			names = append(names, m.name)
-		}
-	}
-	if len(names) > 0 {
-		s.emit(DeleteMachines{Machines: names})
-	}
+	s.requestDeletions()
 }
 
-// MsgSummary marks the line that shows how the term stands.
-const SummaryMessage = "summary"
+// knowsFleet reports whether enough of the fleet has reported to plan with it: the machines had the
+// time for that.
+func (s *Scheduler) knowsFleet() bool {
+	return s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleAfter()
+}
 
-// logSummary writes that line.
-func (s *Scheduler) logSummary() {
-	up, booting, doubted, total, used, waiting, bound := 0, 0, 0, 0.0, 0.0, 0, 0
+// requestDeletions asks the cloud to delete machines that are to be returned, as many as fit into one
+// request.
+func (s *Scheduler) requestDeletions() {
+	var names []string
 	for _, m := range s.inventory.all() {
-		if !m.hasReported {
-			booting++
-			continue
+		if len(names) == limits.MaxDeleteSize {
+			break
 		}
-		up++
-		if !m.verified {
-			doubted++
+		if m.deleting && s.now >= m.deleteRequestedAt+limits.CloudRetryInterval {
+			m.deleteRequestedAt = never / 2 // until the answer comes
+			names = append(names, m.name)
 		}
-		total += m.size().CPUs
-		used += m.allocated.CPUs
 	}
-	for _, j := range s.jobs.oldestFirst() {
-		if !j.cancelled {
-			waiting += j.waitingTasks()
-		}
-		bound += len(j.assignments)
+	if len(names) > 0 {
+		s.emit(DeleteMachines{Machines: names})
 	}
-	s.logInfo(SummaryMessage, "up", up, "booting", booting, "doubted", doubted, "cpus", total, "used", used, "jobs", s.jobs.count(), "waiting", waiting, "bound", bound, "settled", s.recovery.hasEnded())
 }
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -6,104 +6,155 @@
 	"quillshunt/internal/limits"
 )
 
-// isCorrelated tells whether so many of all machines at once must have a common cause.
-func isCorrelated(n, all int) bool {
-	return n > limits.CorrelatedUnreachableMin && float64(n) > limits.CorrelatedUnreachableShare*float64(all)
+// fleetSurvey counts machines, without those that are being deleted.
+type fleetSurvey struct {
+	reported    int // sent heartbeats in our term
+	unreachable int // of these: have begun to be unreachable
+	unverified  int // of these: may not hear us
+	unreported  int // sent heartbeats to an earlier leader only
 }
 
-// removeFaultyMachines returns machines that do not serve: never up, silent, sick.
-func (s *Scheduler) removeFaultyMachines() {
-	silent, up, unheard, doubted := 0, 0, 0, 0
-	limit := time.Duration(float64(s.workerLease) * limits.UnreachableLeaseShare)
-	since := func(m *machine) time.Duration { // when it last showed that it hears us
-		if !m.verified {
-			return max(min(m.lastHeartbeatAt, m.unverifiedSince), s.termStartedAt)
-		}
-		return max(m.lastHeartbeatAt, s.termStartedAt)
-	}
-	quiet := func(m *machine) bool { return m.hasReported && s.now > since(m)+limit }
+// surveyFleet counts the machines.
+func (s *Scheduler) surveyFleet() fleetSurvey {
+	var survey fleetSurvey
 	for _, m := range s.inventory.all() {
 		switch {
 		case m.deleting:
 		case m.hasReported:
-			up++
-			if s.now > since(m)+s.staleAfter() {
-				silent++
+			survey.reported++
+			if s.now > s.lastReachableAt(m)+s.staleAfter() {
+				survey.unreachable++
 			}
 			if !m.verified {
-				doubted++
+				survey.unverified++
 			}
-		case m.registration != unregistered:
-			unheard++
+		case m.isUnreported():
+			survey.unreported++
 		}
 	}
-	s.prober.updateUnverified(doubted, up)
-	lost := isCorrelated(unheard, unheard+up)
-	s.recovery.updateUnreported(unheard, up)
-	// Many machines falling silent together is a cut, not a series of deaths: they may come back,
-	// sooner than others would boot. Counted are those that have only just begun to be silent, as
-	// otherwise the first of a crowd would go one by one.
-	crowd := isCorrelated(silent, up)
+	return survey
+}
+
+// hasCorrelatedUnreachable reports whether so many machines are unreachable that the network is to
+// blame. They may come back sooner than others would boot. Machines count that have only just begun to
+// be unreachable, as otherwise the first of them would be returned one by one.
+func (f fleetSurvey) hasCorrelatedUnreachable() bool { return isCorrelated(f.unreachable, f.reported) }
+
+// hasCorrelatedUnreported reports whether so many machines have not reported to us that the network
+// may be to blame.
+func (f fleetSurvey) hasCorrelatedUnreported() bool {
+	return isCorrelated(f.unreported, f.unreported+f.reported)
+}
+
+// isCorrelated reports whether so many of all machines are affected that they must have a common
+// cause.
+func isCorrelated(affected, all int) bool {
+	return affected > limits.CorrelatedUnreachableMin &&
+		float64(affected) > limits.CorrelatedUnreachableShare*float64(all)
+}
+
+// removeFaultyMachines returns machines that do not serve.
+func (s *Scheduler) removeFaultyMachines() {
+	survey := s.surveyFleet()
+	s.prober.updateUnverified(survey.unverified, survey.reported)
+	s.recovery.updateUnreported(survey.unreported, survey.reported)
 	for _, m := range s.inventory.all() {
 		if m.deleting {
 			continue
 		}
 		if m.spotNotice {
-			s.expediteResults(m)
+			s.finished.expediteResults(m)
 		}
-		switch {
-		case m.isUnreported():
-			// It had reported to an earlier leader, and neither reports to us nor answers.
-			patience := max(limits.RecoveryTimeout, time.Duration(limits.RecoveryTimeoutIntervals*float64(s.heartbeatInterval)))
-			if lost {
-				patience = max(patience, limit) // so many at once may be a cut that ends soon
-			}
-			// While it may hold tasks nothing is placed anywhere. One of a few that does not answer
-			// either costs less than the wait.
-			if s.now > s.termStartedAt+patience || (s.recovery.hasFewUnreported() && m.missedProbes >= limits.UnreportedProbeMisses) {
-				s.returnMachine(m, "not heard of since the take-over")
-			}
-		case !m.hasReported:
-			patience := limits.MinBootTimeout
-			if m.machineType != nil {
-				patience = max(patience, time.Duration(limits.BootTimeoutFactor*float64(limits.Seconds(m.machineType.BootS))))
-			}
-			if s.now > max(m.createdAt, s.termStartedAt)+patience {
-				s.returnMachine(m, "never came up")
-			}
-		case quiet(m) && (!crowd || s.now > since(m)+limits.CorrelatedUnreachableLeases*limits.LeaseExpiredAfter(s.workerLease)):
-			s.returnMachine(m, "silent")
-		case m.isFaulty():
-			if !s.gangsStillSaving(m) {
-				s.returnMachine(m, "fails its tasks")
-			}
-		case m.isSlow():
-			if !s.gangsStillSaving(m) {
-				s.returnMachine(m, "slow")
-			}
-		case m.spotNotice && len(m.assignments) == 0 && s.resultsDurable(m):
-			s.returnMachine(m, "spot notice")
-		default:
-			if s.holdsCancelledTask(m, s.cancelDeleteAt) {
-				s.returnMachine(m, "cancelled task does not stop")
-			}
+		if reason := s.removalReason(m, survey); reason != "" {
+			s.returnMachine(m, reason)
 		}
 	}
 }
 
-// expediteResults asks for the results that a machine lists to be written down next: it is to go.
-func (s *Scheduler) expediteResults(m *machine) {
-	for _, x := range m.endedTasks {
-		if !x.isDurable() {
-			x.job.chunks[x.chunk].expedite = true
+// removalReason returns why a machine is to be returned, or "" if it is not.
+func (s *Scheduler) removalReason(m *machine, survey fleetSurvey) string {
+	switch {
+	case m.isUnreported():
+		if s.unreportedTooLong(m, survey) {
+			return "no heartbeat since the failover"
+		}
+	case !m.hasReported:
+		if s.bootTimedOut(m) {
+			return "never came up"
+		}
+	case s.unreachableTooLong(m, survey):
+		return "unreachable"
+	case m.isFaulty():
+		if !s.gangsStillSaving(m) {
+			return "fails its tasks"
 		}
+	case m.isSlow():
+		if !s.gangsStillSaving(m) {
+			return "slow"
+		}
+	case m.spotNotice && len(m.assignments) == 0 && m.resultsDurable():
+		return "spot notice"
+	case s.holdsCancelledTask(m, s.cancelDeletionTime):
+		return "cancelled task does not stop"
+	}
+	return ""
+}
+
+// unreportedTooLong reports whether a machine that sent heartbeats to an earlier leader is given up: it
+// neither sends us any nor answers probes.
+func (s *Scheduler) unreportedTooLong(m *machine, survey fleetSurvey) bool {
+	// While it may hold tasks nothing is placed anywhere. If only a few machines don't answer, losing
+	// them costs less than the wait.
+	if s.recovery.hasFewUnreported() && m.missedProbes >= limits.UnreportedProbeMisses {
+		return true
+	}
+	timeout := time.Duration(limits.RecoveryTimeoutIntervals * float64(s.heartbeatInterval))
+	timeout = max(timeout, limits.RecoveryTimeout)
+	if survey.hasCorrelatedUnreported() {
+		timeout = max(timeout, s.unreachableTimeout())
+	}
+	return s.now > s.termStartedAt+timeout
+}
+
+// bootTimedOut reports whether a machine that has not come up is given up.
+func (s *Scheduler) bootTimedOut(m *machine) bool {
+	timeout := limits.MinBootTimeout
+	if m.machineType != nil {
+		bootTime := limits.Seconds(m.machineType.BootS)
+		timeout = max(timeout, time.Duration(limits.BootTimeoutFactor*float64(bootTime)))
+	}
+	return s.now > max(m.createdAt, s.termStartedAt)+timeout
+}
+
+// unreachableTooLong reports whether a machine is given up that has reported in our term. Where many
+// are unreachable at once, they are kept for longer.
+func (s *Scheduler) unreachableTooLong(m *machine, survey fleetSurvey) bool {
+	unreachableFor := s.now - s.lastReachableAt(m)
+	if unreachableFor <= s.unreachableTimeout() {
+		return false
+	}
+	grace := limits.CorrelatedUnreachableLeases * limits.LeaseExpiredAfter(s.workerLease)
+	return !survey.hasCorrelatedUnreachable() || unreachableFor > grace
+}
+
+// unreachableTimeout is how long a machine may be unreachable before it is given up, if not many are.
+func (s *Scheduler) unreachableTimeout() time.Duration {
+	return time.Duration(float64(s.workerLease) * limits.UnreachableLeaseShare)
+}
+
+// lastReachableAt is when a machine that has reported last showed that it hears us.
+func (s *Scheduler) lastReachableAt(m *machine) time.Duration {
+	at := m.lastHeartbeatAt
+	if !m.verified {
+		at = min(at, m.unverifiedSince)
 	}
+	return max(at, s.termStartedAt)
 }
 
-// resultsDurable tells whether all results that a machine lists are written down.
-func (s *Scheduler) resultsDurable(m *machine) bool {
-	for _, x := range m.endedTasks {
-		if !x.isDurable() {
+// resultsDurable reports whether all results that the machine lists are written down.
+func (m *machine) resultsDurable() bool {
+	for _, ended := range m.endedTasks {
+		if !ended.isDurable() {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -71,8 +71,8 @@
 		if m.deleting || !m.hasReported || m.neededByPlan || len(m.assignments) > 0 || m.rental == "" {
 			continue
 		}
-		if !s.resultsDurable(m) {
-			s.expediteResults(m)
+		if !m.resultsDurable() {
+			s.finished.expediteResults(m)
 			continue
 		}
 		if s.isStale(m) {
--- /dev/null
+++ b/internal/coordination/scheduler/summary.go
@@ -0,0 +1,41 @@
+package scheduler
+
+import "quillshunt/internal/limits"
+
+// SummaryMessage is the message of the log entry that shows from time to time how the term stands.
+const SummaryMessage = "summary"
+
+// logSummaryIfDue logs the summary if the last one is old.
+func (s *Scheduler) logSummaryIfDue() {
+	if s.now < s.nextSummaryAt {
+		return
+	}
+	s.nextSummaryAt = s.now + limits.SummaryInterval
+	s.logSummary()
+}
+
+func (s *Scheduler) logSummary() {
+	var up, booting, unverified, waiting, assigned int
+	var cpus, usedCPUs float64
+	for _, m := range s.inventory.all() {
+		if !m.hasReported {
+			booting++
+			continue
+		}
+		up++
+		if !m.verified {
+			unverified++
+		}
+		cpus += m.size().CPUs
+		usedCPUs += m.allocated.CPUs
+	}
+	for _, j := range s.jobs.oldestFirst() {
+		if !j.cancelled {
+			waiting += j.waitingTasks()
+		}
+		assigned += len(j.assignments)
+	}
+	s.logInfo(SummaryMessage,
+		"up", up, "booting", booting, "unverified", unverified, "cpus", cpus, "used", usedCPUs,
+		"jobs", s.jobs.count(), "waiting", waiting, "assigned", assigned, "recovered", s.recovery.hasEnded())
+}
