--- /dev/null
+++ b/internal/coordination/scheduler/overload_test.go
@@ -0,0 +1,262 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"quillshunt/internal/config"
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/storage"
+)
+
+// TestLastingOverload: with more urgent, small work than the machines can do, all day, each of the
+// largest jobs begins within four minutes, and of each class and team, and of the largest jobs, at
+// least half of the work is done.
+func TestLastingOverload(t *testing.T) {
+	for seed := range uint64(4) {
+		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
+			f := newOverloadedFleet(seed)
+			f.playDay()
+			f.checkLargeJobsBegin(t)
+			f.checkServedShares(t)
+		})
+	}
+}
+
+const (
+	overloadMachines = 24
+	overloadCPUs     = 8 // of each machine
+	overloadDay      = 900 * time.Second
+	overloadStep     = 500 * time.Millisecond
+)
+
+// overloadedFleet is a fleet that gets more work than it can do. Its workers are played; all their
+// messages arrive.
+type overloadedFleet struct {
+	random    *rand.Rand
+	scheduler *Scheduler
+	now       time.Duration
+	machines  []string
+	tasks     [][]overloadTask // on each machine
+
+	specs       map[string]protocol.Spec
+	submittedAt map[string]time.Duration
+	begunAt     map[string]time.Duration
+	doneTasks   map[string]int
+
+	sequence uint64 // of the newest heartbeat
+	version  uint64 // of the newest record
+}
+
+// overloadTask is a task on a machine and when it will be done.
+type overloadTask struct {
+	protocol.TaskStatus
+	ends time.Duration
+}
+
+func newOverloadedFleet(seed uint64) *overloadedFleet {
+	f := &overloadedFleet{
+		random:      rand.New(rand.NewPCG(seed, 5)),
+		tasks:       make([][]overloadTask, overloadMachines),
+		specs:       map[string]protocol.Spec{},
+		submittedAt: map[string]time.Duration{},
+		begunAt:     map[string]time.Duration{},
+		doneTasks:   map[string]int{},
+	}
+	f.scheduler = New(Config{
+		Term:    1,
+		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
+		State:   config.State{ValueKB: 4, TxnOps: 8},
+		Teams:   []config.Team{{Name: "red", CPUs: 40, CPUsMax: 1000}, {Name: "blue", CPUs: 40, CPUsMax: 1000}},
+		Objectives: []config.Objective{
+			{Kind: "deadline", Class: "small", Times: 1},
+			{Kind: "wait", Class: "large", WithinS: 70},
+		},
+		Options: config.DefaultOptions(),
+	}, 0)
+	f.scheduler.Step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
+		Name: "s", CPUs: overloadCPUs, MemoryGB: 64, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5,
+		Zones: []string{"a"},
+	}}}, 0)
+	rental := answeredRental("s", overloadMachines, longName)
+	f.machines = rental.Machines
+	loadRegistryPage(f.scheduler, "h", rental, 0)
+	f.scheduler.Step(StateLoaded{}, 0)
+	return f
+}
+
+// playDay submits jobs and plays the workers for a day.
+func (f *overloadedFleet) playDay() {
+	for ; f.now < overloadDay; f.now += overloadStep {
+		f.submitJobs()
+		for m := range f.tasks {
+			f.endTasks(m)
+			if (int(f.now/overloadStep)+m)%4 == 0 {
+				f.step(HeartbeatReceived{
+					Heartbeat: f.heartbeat(m), ReplyTo: machineResponder(m), Entitled: true, SameConnection: true,
+				})
+			}
+		}
+		f.step(Tick{Entitled: true})
+	}
+}
+
+// submitJobs submits the jobs of this moment. Small urgent work alone asks for a third more than
+// there is; it is that of both teams.
+func (f *overloadedFleet) submitJobs() {
+	r := f.random
+	if r.Float64() < 0.5*float64(overloadMachines*overloadCPUs)*1.3/(12*4*10) {
+		f.submit(protocol.Spec{
+			Class: "small", Team: []string{"red", "blue"}[r.IntN(2)], Priority: "high",
+			Tasks: 6 + r.IntN(12), CPUs: 4, EstimateS: 10, DeadlineS: 40,
+		})
+	}
+	if f.now%(60*time.Second) == 0 {
+		f.submit(protocol.Spec{
+			Class: "large", Team: "blue", Priority: "standard", Tasks: 10 + r.IntN(30), CPUs: 8, EstimateS: 20,
+		})
+	}
+}
+
+func (f *overloadedFleet) submit(spec protocol.Spec) {
+	f.version++
+	spec.ID = fmt.Sprintf("job-%06d", f.version)
+	spec.Shape, spec.MemoryGB, spec.Image = "sweep", 1, "i"
+	f.specs[spec.ID], f.submittedAt[spec.ID] = spec, f.now
+	f.step(JobChanged{JobID: spec.ID, Version: f.version, Record: storage.OpenJob{Spec: spec}})
+}
+
+// endTasks ends the tasks of a machine whose time has come.
+func (f *overloadedFleet) endTasks(m int) {
+	for i := range f.tasks[m] {
+		task := &f.tasks[m][i]
+		if task.State == protocol.TaskRunning && f.now >= task.ends {
+			task.State, task.Reason = protocol.TaskEnded, protocol.ReasonDone
+			id, _, _ := protocol.ParseTaskName(task.Task)
+			f.doneTasks[id]++
+		}
+	}
+}
+
+// step plays an event and carries out its effects.
+func (f *overloadedFleet) step(event Event) {
+	for _, effect := range f.scheduler.Step(event, f.now) {
+		switch effect := effect.(type) {
+		case HeartbeatReply:
+			f.carryOut(int(effect.ReplyTo.(machineResponder)), effect.Commands)
+		case SendDirectCommands:
+			m := slices.Index(f.machines, effect.Machine)
+			f.carryOut(m, effect.Commands)
+			f.step(DirectCommandsDone{ID: effect.ID, Machine: effect.Machine, Heartbeat: f.heartbeat(m)})
+		case WriteRecords:
+			f.version++
+			f.step(WriteCompleted{ID: effect.ID, OK: true, Version: 1_000_000 + f.version})
+		}
+	}
+}
+
+// carryOut carries out commands on a machine.
+func (f *overloadedFleet) carryOut(m int, commands []protocol.Command) {
+	for _, command := range commands {
+		isMeant := func(task overloadTask) bool { return task.Attempt == command.Attempt }
+		switch command.Verb {
+		case protocol.CommandStop:
+			for i := range f.tasks[m] {
+				if isMeant(f.tasks[m][i]) {
+					f.tasks[m][i].State, f.tasks[m][i].Reason = protocol.TaskEnded, protocol.ReasonStopped
+				}
+			}
+		case protocol.CommandForget:
+			f.tasks[m] = slices.DeleteFunc(f.tasks[m], isMeant)
+		case protocol.CommandStart:
+			f.start(m, command)
+		}
+	}
+}
+
+func (f *overloadedFleet) start(m int, command protocol.Command) {
+	id, _, _ := protocol.ParseTaskName(command.Task)
+	if _, begun := f.begunAt[id]; !begun {
+		f.begunAt[id] = f.now
+	}
+	runTime := f.specs[id].EstimateS * (0.7 + 0.6*f.random.Float64())
+	f.tasks[m] = append(f.tasks[m], overloadTask{
+		protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.TaskRunning},
+		f.now + time.Duration(runTime*float64(time.Second)),
+	})
+}
+
+func (f *overloadedFleet) heartbeat(m int) *protocol.Heartbeat {
+	f.sequence++
+	heartbeat := &protocol.Heartbeat{
+		Machine: f.machines[m], Address: "x:1", MachineType: "s", Zone: "a",
+		Incarnation: 1, Sequence: f.sequence, FencingToken: 1,
+	}
+	for _, task := range f.tasks[m] {
+		heartbeat.Tasks = append(heartbeat.Tasks, task.TaskStatus)
+	}
+	return heartbeat
+}
+
+// checkLargeJobsBegin checks that each large job begins within four minutes.
+func (f *overloadedFleet) checkLargeJobsBegin(t *testing.T) {
+	t.Helper()
+	for id, spec := range f.specs {
+		if spec.Class != "large" || overloadDay-f.submittedAt[id] <= 4*time.Minute {
+			continue
+		}
+		begunAt, begun := f.begunAt[id]
+		if wait := begunAt - f.submittedAt[id]; !begun || wait > 4*time.Minute {
+			t.Errorf("%s with %d tasks began after %v (%v)", id, spec.Tasks, wait, begun)
+		}
+	}
+}
+
+// checkServedShares checks that of the work of each class and team, and of the largest jobs, at
+// least half is done. Jobs of the last minutes don't count.
+func (f *overloadedFleet) checkServedShares(t *testing.T) {
+	t.Helper()
+	type share struct{ done, due float64 }
+	served := map[string]*share{}
+	largest := f.largestSize()
+	for id, spec := range f.specs {
+		if overloadDay-f.submittedAt[id] < 8*time.Minute {
+			continue
+		}
+		kinds := []string{"class " + spec.Class, "team " + spec.Team}
+		if spec.Class == "large" && spec.Tasks >= largest {
+			kinds = append(kinds, "largest")
+		}
+		for _, kind := range kinds {
+			if served[kind] == nil {
+				served[kind] = &share{}
+			}
+			served[kind].due += float64(spec.Tasks)
+			served[kind].done += float64(f.doneTasks[id])
+		}
+	}
+	for kind, share := range served {
+		if share.done < share.due/2 {
+			t.Errorf("%s: %v of %v tasks done", kind, share.done, share.due)
+		}
+	}
+	if len(served) < 5 {
+		t.Errorf("only %v were looked at", served)
+	}
+}
+
+// largestSize is the number of tasks from which on a job is one of the largest: a third of the large
+// jobs.
+func (f *overloadedFleet) largestSize() int {
+	var sizes []int
+	for _, spec := range f.specs {
+		if spec.Class == "large" {
+			sizes = append(sizes, spec.Tasks)
+		}
+	}
+	slices.Sort(sizes)
+	return sizes[len(sizes)*2/3]
+}
