--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -20,15 +20,15 @@
 
 func (j *job) group() jobGroup { return jobGroup{j.class, j.team, bits.Len(uint(j.spec.Tasks))} }
 
-// groupServed is how many tasks of a group's jobs should have been started by now, and how many of
-// these were.
-type groupServed struct{ due, served int }
+// groupProgress is the aging credit of a group's jobs, in tasks, and how many of these tasks have
+// begun.
+type groupProgress struct{ credit, begun int }
 
-// tasksDue is how many tasks of a job should have been started by now. The order of the queue
-// favours what is urgent, small and on time; under lasting overload the rest would never begin. So
-// a job is due its first task at one age, and the others one by one from a later one on, whatever
-// else waits.
-func (q *jobQueue) tasksDue(j *job) int {
+// agingCredit is how many tasks of a job should have begun by now. The order of the queue favours
+// jobs that are urgent, small and on time; under lasting overload the others would never begin. So a
+// job gets credit for its first task at one age, and for the others one by one from a later age on,
+// whatever else waits.
+func (q *jobQueue) agingCredit(j *job) int {
 	age := q.now - j.submittedAt
 	if age <= limits.FirstTaskCreditAge || j.cancelled || j.closed {
 		return 0
@@ -38,9 +38,9 @@
 }
 
 // overdueTasks is how many tasks a job gets before all others: the first if it has not begun, else
-// what it is behind with while its group is underserved.
+// what it is behind its credit with while its group is underserved.
 func (q *jobQueue) overdueTasks(j *job) int {
-	overdue := min(q.tasksDue(j)-j.begunTasks(), j.waitingTasks())
+	overdue := min(q.agingCredit(j)-j.begunTasks(), j.waitingTasks())
 	switch {
 	case overdue <= 0:
 		return 0
@@ -52,23 +52,23 @@
 	return overdue
 }
 
-// servedShare is the share of what is due to a job's group that it has got.
+// servedShare is the share of the credit of a job's group that has begun.
 func (q *jobQueue) servedShare(j *job) float64 {
-	progress := q.groupProgress[j.group()]
-	if progress.due == 0 {
+	progress := q.progress[j.group()]
+	if progress.credit == 0 {
 		return 1
 	}
-	return float64(progress.served) / float64(progress.due)
+	return float64(progress.begun) / float64(progress.credit)
 }
 
-// updateOverdue works out which jobs are behind, in order: those that have not begun first, then
-// those whose group has got the smallest share of what is due, then the oldest, so that jobs are
+// updateOverdue works out which jobs are overdue, in order: those that have not begun first, then
+// those whose group has got the smallest share of its credit, then the oldest, so that jobs are
 // completed rather than all of them begun.
 func (q *jobQueue) updateOverdue() {
 	q.updateGroupProgress()
 	q.overdue = q.overdue[:0]
 	for _, j := range q.jobs.oldestFirst() {
-		j.underserved = q.tasksDue(j) > 0 && q.servedShare(j) < limits.UnderservedShare
+		j.underserved = q.agingCredit(j) > 0 && q.servedShare(j) < limits.UnderservedShare
 		if q.overdueTasks(j) > 0 {
 			q.overdue = append(q.overdue, j)
 		}
@@ -79,16 +79,16 @@
 	})
 }
 
-// updateGroupProgress counts what is due to each group of jobs, and what it has got.
+// updateGroupProgress adds up the credit of each group of jobs, and what of it has begun.
 func (q *jobQueue) updateGroupProgress() {
-	clear(q.groupProgress)
-	maps.Copy(q.groupProgress, q.closedProgress)
+	clear(q.progress)
+	maps.Copy(q.progress, q.closedProgress)
 	for _, j := range q.jobs.oldestFirst() {
-		if due := q.tasksDue(j); due > 0 {
-			progress := q.groupProgress[j.group()]
-			progress.due += due
-			progress.served += min(due, j.begunTasks())
-			q.groupProgress[j.group()] = progress
+		if credit := q.agingCredit(j); credit > 0 {
+			progress := q.progress[j.group()]
+			progress.credit += credit
+			progress.begun += min(credit, j.begunTasks())
+			q.progress[j.group()] = progress
 		}
 	}
 }
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -53,12 +53,6 @@
 	nextPreemptionSearch time.Duration // the placement does not look for tasks to stop for it before
 }
 
-// deadline is a time that a job should meet, by its completion or by the start of its tasks.
-type deadline struct {
-	at       time.Duration
-	forStart bool
-}
-
 // waitingTasks is how many tasks wait for a machine now.
 func (j *job) waitingTasks() int {
 	if j.gang != nil {
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -1,11 +1,10 @@
 package scheduler
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 
 	"quillshunt/internal/coordination/resource"
-	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
@@ -56,8 +55,8 @@
 	return class
 }
 
-// open adds a job that is not known yet and returns it; its finished tasks are kept in so many
-// chunks. It returns nil if the job is over, or its team is unknown.
+// open adds a job that is not known yet and returns it. Chunks is the number of chunks that its
+// finished tasks are kept in. It returns nil if the job is over, or its team is unknown.
 func (t *jobTable) open(e JobChanged, chunks int) *job {
 	spec := e.Record.Spec
 	if t.closed[e.JobID] {
@@ -84,16 +83,18 @@
 		chunks:         make([]finishedChunk, chunks),
 	}
 	j.gang = newGang(j)
-	j.deadlines = t.deadlines(j)
+	j.deadlines = deadlinesOf(j, t.cfg.Objectives)
 	t.byID[j.id] = j
-	at := sort.Search(len(t.bySubmission), func(i int) bool {
-		other := t.bySubmission[i]
-		return other.submittedAt > j.submittedAt || (other.submittedAt == j.submittedAt && other.id > j.id)
-	})
+	at, _ := slices.BinarySearchFunc(t.bySubmission, j, compareSubmissions)
 	t.bySubmission = slices.Insert(t.bySubmission, at, j)
 	return j
 }
 
+// compareSubmissions orders jobs by their submission, and those of the same time by ID.
+func compareSubmissions(a, b *job) int {
+	return cmp.Or(cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.id, b.id))
+}
+
 // close forgets a job. A late record of it does not open it again.
 func (t *jobTable) close(j *job) {
 	delete(t.byID, j.id)
@@ -103,30 +104,6 @@
 	}
 }
 
-// deadlines are the times by which the job should be complete, from its own deadline and from the
-// aims of its class.
-func (t *jobTable) deadlines(j *job) []deadline {
-	var out []deadline
-	for _, o := range t.cfg.Objectives {
-		if o.Class != j.spec.Class {
-			continue
-		}
-		switch {
-		case o.Kind == "deadline" && j.spec.DeadlineS > 0:
-			out = append(out, deadline{at: j.submittedAt + limits.Seconds(j.spec.DeadlineS*max(o.Times, 1))})
-		case o.Kind == "finished" && o.WithinS > 0:
-			out = append(out, deadline{at: j.submittedAt + limits.Seconds(o.WithinS)})
-		case o.Kind == "wait" && o.WithinS > 0:
-			out = append(out, deadline{at: j.submittedAt + limits.Seconds(o.WithinS), forStart: true})
-		}
-	}
-	if len(out) == 0 && j.spec.DeadlineS > 0 {
-		out = append(out, deadline{at: j.submittedAt + limits.Seconds(j.spec.DeadlineS)})
-	}
-	sort.Slice(out, func(a, b int) bool { return out[a].at < out[b].at })
-	return out
-}
-
 // updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits
 // in together with the team's earlier unfinished jobs.
 func (t *jobTable) updateGuarantees() {
@@ -138,13 +115,16 @@
 		if j.cancelled {
 			unfinished = 0
 		}
-		claimed := j.team.claimed.Plus(resource.Vector{CPUs: unfinished * j.demand.CPUs, Accelerators: unfinished * j.demand.Accelerators})
+		claimed := j.team.claimed.Plus(resource.Vector{
+			CPUs:         unfinished * j.demand.CPUs,
+			Accelerators: unfinished * j.demand.Accelerators,
+		})
 		j.guaranteed = j.team.guarantees(claimed)
 		j.team.claimed = claimed
 	}
 }
 
-// answerTaskCounts tells how many tasks of a job are done and running.
+// answerTaskCounts answers how many tasks of a job are done and running.
 func (t *jobTable) answerTaskCounts(e TaskCountsRequested) {
 	j := t.byID[e.JobID]
 	if j == nil {
--- a/internal/coordination/scheduler/outbox.go
+++ b/internal/coordination/scheduler/outbox.go
@@ -6,14 +6,14 @@
 	"quillshunt/internal/protocol"
 )
 
-// outbox collects the effects of the event at hand and remembers what each write was for.
+// outbox collects the effects of the event that is processed, and remembers what each write was for.
 type outbox struct {
 	effects       []Effect
-	pendingWrites map[uint64]pendingWrite
-	writeSequence uint64
+	pendingWrites map[uint64]pendingWrite // by ID
+	writeSequence uint64                  // the ID of the last write
 }
 
-// newOutbox returns an outbox without effects and pending writes.
+// newOutbox returns an outbox without effects or pending writes.
 func newOutbox() outbox { return outbox{pendingWrites: map[uint64]pendingWrite{}} }
 
 // emit adds an effect to those of this event.
@@ -39,7 +39,9 @@
 	o.emitWrite(purpose, true, conditions, operations)
 }
 
-func (o *outbox) emitWrite(purpose pendingWrite, bulk bool, conditions []protocol.Condition, operations []protocol.Operation) {
+func (o *outbox) emitWrite(
+	purpose pendingWrite, bulk bool, conditions []protocol.Condition, operations []protocol.Operation,
+) {
 	o.writeSequence++
 	o.pendingWrites[o.writeSequence] = purpose
 	o.emit(WriteRecords{ID: o.writeSequence, Bulk: bulk, Conditions: conditions, Operations: operations})
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -15,9 +15,9 @@
 	entries        []queueEntry // kept for its memory
 	ordered        []*job       // nil if it is to be made anew; see order
 	orderedAt      time.Duration
-	overdue        []*job // those of them that are behind; see updateOverdue
-	groupProgress  map[jobGroup]groupServed
-	closedProgress map[jobGroup]groupServed // of the jobs that are over
+	overdue        []*job                     // those of them that get tasks before all others; see updateOverdue
+	progress       map[jobGroup]groupProgress // of all jobs of this term
+	closedProgress map[jobGroup]groupProgress // of the jobs that are over
 }
 
 // newJobQueue returns the queue of the table's jobs.
@@ -25,8 +25,8 @@
 	return &jobQueue{
 		environment:    env,
 		jobs:           jobs,
-		groupProgress:  map[jobGroup]groupServed{},
-		closedProgress: map[jobGroup]groupServed{},
+		progress:       map[jobGroup]groupProgress{},
+		closedProgress: map[jobGroup]groupProgress{},
 	}
 }
 
@@ -61,11 +61,14 @@
 // invalidate lets the order be made anew when it is next asked for.
 func (q *jobQueue) invalidate() { q.ordered = nil }
 
-// jobClosed takes a job off the queue. What a completed job got still counts for its group.
+// jobClosed takes a job off the queue. What a completed job has got still counts for its group.
 func (q *jobQueue) jobClosed(j *job) {
 	if !j.cancelled {
 		progress := q.closedProgress[j.group()]
-		q.closedProgress[j.group()] = groupServed{progress.due + j.spec.Tasks, progress.served + j.spec.Tasks}
+		q.closedProgress[j.group()] = groupProgress{
+			credit: progress.credit + j.spec.Tasks,
+			begun:  progress.begun + j.spec.Tasks,
+		}
 	}
 	q.invalidate()
 }
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -115,7 +115,8 @@
 		return []string{"not among the open jobs of this term"}
 	}
 	var e explanation
-	e.add("%d of %d tasks done, %d on machines, %d waiting", j.doneCount, j.spec.Tasks, len(j.assignments), j.waitingTasks())
+	e.add("%d of %d tasks done, %d on machines, %d waiting",
+		j.doneCount, j.spec.Tasks, len(j.assignments), j.waitingTasks())
 	if j.cancelled {
 		e.add("cancelled; it is closed once its tasks are gone")
 		return e
