--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -183,7 +183,7 @@
 // starts before a new machine can be up needs none. What has waited as long already can't wait as
 // long again, or a queue that is always as long would never be worked off.
 func (p *capacityPlan) maxWaitS(j *job) float64 {
-	wait := max(p.maxPlannedWait(j), p.quickestBoot(j))
+	wait := max(p.maxPlannedWait(j), p.catalog.quickestBoot(j))
 	return max(wait-(p.now-j.submittedAt).Seconds(), 0)
 }
 
@@ -198,17 +198,6 @@
 	return wait
 }
 
-// quickestBoot is how many seconds the quickest machine that the job may use takes until it is up.
-func (p *capacityPlanner) quickestBoot(j *job) float64 {
-	least := math.Inf(1)
-	for _, t := range p.catalog.all() {
-		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
-			least = min(least, estimatedBootS(t))
-		}
-	}
-	return least
-}
-
 // estimatedBootS is how many seconds a machine of a type is expected to take until it is up.
 func estimatedBootS(t *protocol.MachineType) float64 { return t.BootS * limits.BootEstimateFactor }
 
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -70,7 +70,7 @@
 	plan := s.planner.newPlan()
 	plan.planJobs()
 	s.reserveForGangs(plan)
-	if len(s.gangs.demand) > 0 {
+	if s.gangReservations.hasDemand() {
 		s.placement.requestPass() // the jobs that may use the machines reserved for gangs have changed
 	}
 	plan.rent()
