--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -1,96 +1,117 @@
 package scheduler
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
-	"quillshunt/internal/storage"
 )
 
-// TestCancelledOnNotice: a cancelled task that does not stop costs its machine in time, also one
-// that the cloud has said to take.
-func TestCancelledOnNotice(t *testing.T) {
-	b := newSchedulerFixture(t, 1)
-	b.report(0)
-	b.job("job-1", "red", "standard", 1, 1, 0)
-	task := protocol.TaskStatus{Task: "job-1/0", Attempt: b.direct()[0].Commands[0].Attempt, State: protocol.TaskRunning}
-	b.report(0, task)
-	b.version++
-	b.step(JobChanged{JobID: "job-1", Version: 100 + b.version, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
-	b.scheduler.inventory.find(b.machine(0)).spotNotice, b.scheduler.inventory.find(b.machine(0)).spotNoticeEnds = true, time.Hour
-	for end := b.now + 20*time.Second; b.now < end; b.now += time.Second {
-		b.report(0, task)
-		b.step(Tick{Entitled: true})
+// TestCancelledTaskOnSpotNotice: a cancelled task that does not stop costs its machine in time, also
+// one with a spot notice.
+func TestCancelledTaskOnSpotNotice(t *testing.T) {
+	f := newSchedulerFixture(t, 1)
+	f.report(0)
+	f.job("job-1", "red", "standard", 1, 1, 0)
+	start := f.direct()[0].Commands[0]
+	task := protocol.TaskStatus{Task: "job-1/0", Attempt: start.Attempt, State: protocol.TaskRunning}
+	f.report(0, task)
+	f.cancel("job-1", 0)
+	m := f.scheduler.inventory.find(f.machine(0))
+	m.spotNotice, m.spotNoticeEnds = true, time.Hour
+	for end := f.now + 20*time.Second; f.now < end; f.now += time.Second {
+		f.report(0, task)
+		f.step(Tick{Entitled: true})
 	}
-	if !b.scheduler.inventory.find(b.machine(0)).deleting {
+	if !m.deleting {
 		t.Error("its machine is kept")
 	}
 }
 
 // TestCancelledInTime: a machine that reports a cancelled task again and again, whatever it is
 // told, and whose deletion nobody confirms, gets no answer from so early on that its lease ends
-// within cancel_s; and that time goes on across a change of leaders. A machine without such a task
-// is answered all the while.
+// within cancel_s; and that time goes on across a failover. A machine without such a task is
+// answered all the while.
 func TestCancelledInTime(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second, 25 * time.Second, time.Hour} {
-		b := newSchedulerFixture(t, 2)
-		b.report(0)
-		b.report(1)
-		b.job("job-1", "red", "standard", 1, 8, 0)
-		var task protocol.TaskStatus
-		for _, d := range b.direct() {
-			task = protocol.TaskStatus{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.TaskRunning}
-			b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: &protocol.Heartbeat{Machine: d.Machine, Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence + 1, FencingToken: 3, Tasks: []protocol.TaskStatus{task}}})
-		}
-		held := b.scheduler.jobs.byID["job-1"].assignments[0].machine.name
-		b.sequence++
-		b.step(JobChanged{JobID: "job-1", Version: 900, SinceCancellation: age, Record: storage.OpenJob{Cancelled: true, Spec: b.scheduler.jobs.byID["job-1"].spec}})
-		learned := b.now
-		told := b.now - age
-		if age >= 34*time.Second {
-			told = b.now // no leader knew, or its lease would be over: nobody was told
-		}
-		asked, last := time.Duration(0), time.Duration(0)
-		for b.now < told+34*time.Second {
-			b.now += time.Second
-			for i := range 2 {
-				b.sequence++
-				r := &protocol.Heartbeat{Machine: b.machine(i), Address: "x:1", MachineType: "s8", Zone: "a", Incarnation: 1, Sequence: b.sequence, FencingToken: 3}
-				if r.Machine == held {
-					r.Tasks = []protocol.TaskStatus{task}
-				}
-				for _, e := range b.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: r}) {
-					switch e := e.(type) {
-					case SendDirectCommands:
-						b.step(DirectCommandsDone{ID: e.ID, Machine: e.Machine})
-					case HeartbeatReply:
-						if e.Accepted && r.Machine == held {
-							last = b.now
-						} else if !e.Accepted && r.Machine != held {
-							t.Fatalf("age %v: the other machine is not answered", age)
-						}
-					}
-				}
+		t.Run(fmt.Sprintf("age=%v", age), func(t *testing.T) { testCancelledInTime(t, age) })
+	}
+}
+
+// testCancelledInTime lets the scheduler learn of a cancellation of that age.
+func testCancelledInTime(t *testing.T, age time.Duration) {
+	const cancelTime, lease = 34 * time.Second, 14 * time.Second // as in the fixture's settings
+	f := newSchedulerFixture(t, 2)
+	f.report(0)
+	f.report(1)
+	f.job("job-1", "red", "standard", 1, 8, 0)
+	task := f.startDirectly()
+	holder := f.scheduler.jobs.find("job-1").assignments[0].machine.name
+	f.cancel("job-1", age)
+	learnedAt := f.now
+	toldAt := f.now - age
+	if age >= cancelTime {
+		toldAt = f.now // no leader knew, or its lease would be over: nobody was told
+	}
+	var deletedAt, answeredAt time.Duration
+	for f.now < toldAt+cancelTime {
+		f.now += time.Second
+		for i := range 2 {
+			heartbeat := f.heartbeat(f.machine(i))
+			if heartbeat.Machine == holder {
+				heartbeat.Tasks = []protocol.TaskStatus{task}
 			}
-			for _, e := range b.step(Tick{Entitled: true}) {
-				if d, ok := e.(DeleteMachines); ok && asked == 0 {
-					if d.Machines[0] != held || len(d.Machines) != 1 {
-						t.Fatalf("age %v: deletion of %v", age, d.Machines)
-					}
-					asked = b.now
-				}
+			accepted := f.isAccepted(heartbeat)
+			if accepted && heartbeat.Machine == holder {
+				answeredAt = f.now
+			} else if !accepted && heartbeat.Machine != holder {
+				t.Fatal("the other machine is not answered")
 			}
 		}
-		if last != 0 && last+14*time.Second > told+34*time.Second {
-			t.Errorf("age %v: answered until %v after the word to the user", age, last-told)
-		}
-		if asked == 0 || asked > told+30*time.Second {
-			t.Errorf("age %v: deletion asked for %v after the word to the user", age, asked-told)
+		for _, effect := range f.step(Tick{Entitled: true}) {
+			if deletion, ok := effect.(DeleteMachines); ok && deletedAt == 0 {
+				if deletion.Machines[0] != holder || len(deletion.Machines) != 1 {
+					t.Fatalf("deletion of %v", deletion.Machines)
+				}
+				deletedAt = f.now
+			}
 		}
-		if asked < learned+limits.CancelStopGrace {
-			t.Errorf("age %v: deleted %v after we learned of it, before its stop could take effect", age, asked-learned)
+	}
+	if answeredAt != 0 && answeredAt+lease > toldAt+cancelTime {
+		t.Errorf("answered until %v after the user was told", answeredAt-toldAt)
+	}
+	if deletedAt == 0 || deletedAt > toldAt+30*time.Second {
+		t.Errorf("deletion asked for %v after the user was told", deletedAt-toldAt)
+	}
+	if deletedAt < learnedAt+limits.CancelStopGrace {
+		t.Errorf("deleted %v after the scheduler learned of it, before the stop could take effect", deletedAt-learnedAt)
+	}
+}
+
+// startDirectly lets workers start the tasks of the direct commands that were sent last, and returns
+// the last of these tasks.
+func (f *schedulerFixture) startDirectly() protocol.TaskStatus {
+	var task protocol.TaskStatus
+	for _, sent := range f.direct() {
+		start := sent.Commands[0]
+		task = protocol.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: protocol.TaskRunning}
+		f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: f.heartbeat(sent.Machine, task)})
+	}
+	return task
+}
+
+// isAccepted sends a heartbeat and reports whether it is accepted. Direct commands go unanswered.
+func (f *schedulerFixture) isAccepted(heartbeat *protocol.Heartbeat) bool {
+	accepted := false
+	for _, effect := range f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: heartbeat}) {
+		switch effect := effect.(type) {
+		case SendDirectCommands:
+			f.step(DirectCommandsDone{ID: effect.ID, Machine: effect.Machine})
+		case HeartbeatReply:
+			accepted = effect.Accepted
 		}
 	}
+	return accepted
 }
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -7,130 +7,119 @@
 	"pgregory.net/rapid"
 
 	"quillshunt/internal/config"
+	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
 )
 
-// memoryStore is the state service as far as transactions go.
-type memoryStore struct {
-	records map[string]storedRecord
-	version uint64
-	changes int // carried out
-}
-
-// execute applies the writes among some effects and feeds the answers back. It returns the size of
-// the largest transaction.
-func (f *memoryStore) execute(s *Scheduler, out []Effect, now time.Duration) (most int) {
-	for _, e := range out {
-		w, ok := e.(WriteRecords)
-		if !ok {
-			continue
-		}
-		most = max(most, len(w.Operations))
-		done := WriteCompleted{ID: w.ID, OK: true}
-		for _, c := range w.Conditions {
-			done.OK = done.OK && f.records[c.Key].version == c.Version
-		}
-		if done.OK {
-			f.version++
-			done.Version = f.version
-			f.changes += len(w.Operations)
-			for _, op := range w.Operations {
-				if op.Delete != "" {
-					delete(f.records, op.Delete)
-					continue
-				}
-				f.records[op.Put] = storedRecord{f.version, op.Value}
-			}
-		}
-		most = max(most, f.execute(s, s.Step(done, now), now))
-	}
-	return most
-}
-
-// union are the finished tasks that a new leader would read.
-func (f *memoryStore) union(t *rapid.T, job string) map[int]bool {
-	done := map[int]bool{}
-	for key, p := range f.records {
-		if id, _, ok := storage.ParseFinishedTasksKey(key); !ok || id != job {
-			continue
-		}
-		var rec storage.FinishedTasks
-		if err := protocol.Decode(p.value, &rec); err != nil {
-			t.Fatal(err)
-		}
-		_ = rec.Decode(func(i int) { done[i] = true })
-	}
-	return done
-}
-
-// TestFinishedOfAnotherSize: records that were cut for larger or smaller values are read as their
-// union; nothing that they tell is lost at any moment while they are replaced, and all are removed
-// when the job is over, within the size of a transaction.
-func TestFinishedOfAnotherSize(t *testing.T) {
+// TestFinishedTasksOfAnotherSize: records that were cut for larger or smaller values are read as
+// their union; nothing that they tell is lost at any moment while they are replaced, and all are
+// removed when the job is over, within the size of a transaction.
+func TestFinishedTasksOfAnotherSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tasks, job = 6000, "job-1"
-		sizes := []float64{0.5, 1, 2}
+		sizes := []float64{0.5, 1, 2} // of a value, in KB
 		before := storage.TasksPerChunk(rapid.SampledFrom(sizes).Draw(t, "before"))
 		state := config.State{WriteRPS: 200, ValueKB: rapid.SampledFrom(sizes).Draw(t, "now"), TxnOps: 4}
-		bits := newBitmap(tasks)
+		finished := newBitmap(tasks)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
-			bits.add(rapid.IntRange(0, tasks-2).Draw(t, "task"))
+			finished.add(rapid.IntRange(0, tasks-2).Draw(t, "task"))
 		}
-		f := &memoryStore{records: map[string]storedRecord{storage.OpenJobKey(job): {version: 1}}, version: 10}
-		s := New(Config{Term: 3, Teams: []config.Team{{Name: "red", CPUsMax: 100}}, Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
-			State: state, Options: config.DefaultOptions()}, 0)
-		s.Step(JobChanged{JobID: job, Version: 1, Record: storage.OpenJob{Spec: protocol.Spec{ID: job, Class: "c", Team: "red", Shape: protocol.ShapeArray,
-			Priority: "standard", Tasks: tasks, CPUs: 1, EstimateS: 10}}}, 0)
-		for base := 0; base < tasks; base += before {
-			rec := storage.EncodeFinishedTasks(bits, base, before)
-			if rec.Bits == "" {
-				continue
-			}
-			f.version++
-			f.records[storage.FinishedTasksKey(job, base)] = storedRecord{f.version, protocol.Encode(rec)}
-			s.Step(FinishedTasksLoaded{JobID: job, Version: f.version, Record: rec}, 0)
-		}
-		f.version++
-		f.records[storage.FinishedTasksKey("job-9", 0)] = storedRecord{f.version, protocol.Encode(storage.FinishedTasks{})}
-		s.Step(FinishedTasksLoaded{JobID: "job-9", Version: f.version, Record: storage.FinishedTasks{}}, 0) // left behind by an earlier version
+		store := &memoryStore{records: map[string]storedRecord{storage.OpenJobKey(job): {version: 1}}, version: 10}
+		s := New(Config{
+			Term:    3,
+			Teams:   []config.Team{{Name: "red", CPUsMax: 100}},
+			Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
+			State:   state,
+			Options: config.DefaultOptions(),
+		}, 0)
+		s.Step(JobChanged{JobID: job, Version: 1, Record: storage.OpenJob{Spec: protocol.Spec{
+			ID: job, Class: "c", Team: "red", Shape: protocol.ShapeArray, Priority: "standard", Tasks: tasks,
+			CPUs: 1, EstimateS: 10,
+		}}}, 0)
+		loadFinishedTasks(s, store, job, finished, tasks, before)
+		orphan := storage.FinishedTasks{} // of a job that is over, left behind by an earlier version
+		orphanVersion := store.put(storage.FinishedTasksKey("job-9", 0), orphan)
+		s.Step(FinishedTasksLoaded{JobID: "job-9", Version: orphanVersion, Record: orphan}, 0)
 		now := time.Second
-		f.execute(s, s.Step(StateLoaded{}, now), now)
+		store.execute(s, s.Step(StateLoaded{}, now), now)
 		j := s.jobs.find(job)
-		expect := func(what string) {
-			got := f.union(t, job)
+		requireAllKnown := func(when string) {
+			stored := store.finishedTasks(t, job)
 			for i := range tasks {
-				if bits.has(i) && !(j.done.has(i) && got[i]) {
-					t.Fatalf("%s: finished task %d: known %v, stored %v", what, i, j.done.has(i), got[i])
+				if finished.has(i) && !(j.done.has(i) && stored[i]) {
+					t.Fatalf("%s: finished task %d: known %v, stored %v", when, i, j.done.has(i), stored[i])
 				}
 			}
 		}
-		expect("read")
-		for range 30 { // all that is written again goes out, one piece after the other
+		requireAllKnown("loaded")
+		for range 30 { // all that is written again goes out, one record after the other
 			s.finished.recordDone(j, rapid.IntRange(0, tasks-1).Draw(t, "finished"))
 			now += 3 * time.Second
-			out := s.Step(Tick{Entitled: true}, now)
-			for len(out) > 0 { // one write at a time
-				f.execute(s, out[:1], now)
-				out = out[1:]
-				expect("rewritten")
+			for _, effect := range s.Step(Tick{Entitled: true}, now) {
+				store.execute(s, []Effect{effect}, now)
+				requireAllKnown("rewritten")
 			}
 		}
 		for i := range tasks {
 			s.finished.recordDone(j, i)
 		}
-		most := 0
+		largest := 0
 		for range 30 {
 			now += 3 * time.Second
-			most = max(most, f.execute(s, s.Step(Tick{Entitled: true}, now), now))
+			largest = max(largest, store.execute(s, s.Step(Tick{Entitled: true}, now), now))
 		}
-		if most > state.TxnOps {
-			t.Errorf("a transaction of %d changes", most)
+		if largest > state.TxnOps {
+			t.Errorf("a transaction of %d operations", largest)
 		}
-		for key := range f.records {
+		for key := range store.records {
 			if key != storage.FinalJobKey(job) {
 				t.Errorf("left behind: %s", key)
 			}
 		}
 	})
 }
+
+// loadFinishedTasks stores and loads the finished tasks of a job in records of some size.
+func loadFinishedTasks(s *Scheduler, store *memoryStore, job string, finished bitmap, tasks, size int) {
+	for base := 0; base < tasks; base += size {
+		record := storage.EncodeFinishedTasks(finished, base, size)
+		if record.Bits == "" {
+			continue
+		}
+		version := store.put(storage.FinishedTasksKey(job, base), record)
+		s.Step(FinishedTasksLoaded{JobID: job, Version: version, Record: record}, 0)
+	}
+}
+
+// TestLargestJob: a job of the largest size is placed, recorded in chunks below the value limit, and
+// finished.
+func TestLargestJob(t *testing.T) {
+	f := newSchedulerFixture(t, 2)
+	f.report(0)
+	f.report(1)
+	f.job("job-1", "red", "standard", limits.MaxTasksPerJob, 0.01, 0)
+	j := f.scheduler.jobs.find("job-1")
+	for _, m := range f.scheduler.inventory.all() {
+		if len(m.assignments) > limits.MaxTasksPerMachine {
+			t.Fatalf("%d tasks on %s: its heartbeat would be too long", len(m.assignments), m.name)
+		}
+	}
+	if len(j.assignments) == 0 || len(j.chunks) < 2 {
+		t.Fatalf("%d tasks assigned, %d chunks", len(j.assignments), len(j.chunks))
+	}
+	for i := range limits.MaxTasksPerJob {
+		if j.assignments[i] == nil {
+			f.scheduler.finished.recordDone(j, i)
+		}
+	}
+	f.now += 4 * time.Second
+	for _, effect := range f.step(Tick{Entitled: true}) {
+		if write, ok := effect.(WriteRecords); ok && len(write.Operations) > 8 {
+			t.Fatalf("%d operations", len(write.Operations))
+		}
+	}
+	if got := j.waitingTasks(); got != 0 {
+		t.Fatalf("%d tasks wait", got)
+	}
+}
--- /dev/null
+++ b/internal/coordination/scheduler/memory_store_test.go
@@ -0,0 +1,71 @@
+package scheduler
+
+import (
+	"time"
+
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/storage"
+)
+
+// memoryStore is the state service as far as transactions go.
+type memoryStore struct {
+	records    map[string]storedRecord
+	version    uint64
+	operations int // carried out
+}
+
+// execute carries out the writes among some effects and feeds the outcomes back. It returns the
+// number of operations of the largest transaction.
+func (m *memoryStore) execute(s *Scheduler, effects []Effect, now time.Duration) (largest int) {
+	for _, effect := range effects {
+		write, ok := effect.(WriteRecords)
+		if !ok {
+			continue
+		}
+		largest = max(largest, len(write.Operations))
+		largest = max(largest, m.execute(s, s.Step(m.commit(write), now), now))
+	}
+	return largest
+}
+
+// commit carries out one write, if its conditions hold.
+func (m *memoryStore) commit(write WriteRecords) WriteCompleted {
+	for _, condition := range write.Conditions {
+		if m.records[condition.Key].version != condition.Version {
+			return WriteCompleted{ID: write.ID}
+		}
+	}
+	m.version++
+	m.operations += len(write.Operations)
+	for _, operation := range write.Operations {
+		if operation.Delete != "" {
+			delete(m.records, operation.Delete)
+			continue
+		}
+		m.records[operation.Put] = storedRecord{m.version, operation.Value}
+	}
+	return WriteCompleted{ID: write.ID, OK: true, Version: m.version}
+}
+
+// put stores a record and returns its version.
+func (m *memoryStore) put(key string, record any) uint64 {
+	m.version++
+	m.records[key] = storedRecord{m.version, protocol.Encode(record)}
+	return m.version
+}
+
+// finishedTasks are the finished tasks of a job that a new leader would read.
+func (m *memoryStore) finishedTasks(t interface{ Fatal(...any) }, job string) map[int]bool {
+	finished := map[int]bool{}
+	for key, stored := range m.records {
+		if id, _, ok := storage.ParseFinishedTasksKey(key); !ok || id != job {
+			continue
+		}
+		var record storage.FinishedTasks
+		if err := protocol.Decode(stored.value, &record); err != nil {
+			t.Fatal(err)
+		}
+		_ = record.Decode(func(index int) { finished[index] = true })
+	}
+	return finished
+}
--- /dev/null
+++ b/internal/coordination/scheduler/scheduler_fixture_test.go
@@ -0,0 +1,139 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"quillshunt/internal/config"
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/storage"
+)
+
+// schedulerFixture is the scheduler of term 3 with machines m-0, m-1, ... that are registered and
+// have not sent a heartbeat yet. A test sends it events one by one and looks at the effects.
+type schedulerFixture struct {
+	t         *testing.T
+	scheduler *Scheduler
+	now       time.Duration
+	effects   []Effect // of the last event
+	sequence  uint64   // of the last heartbeat
+	version   uint64   // counts the records of jobs
+}
+
+func newSchedulerFixture(t *testing.T, machines int) *schedulerFixture {
+	cfg := Config{
+		Term: 3,
+		Teams: []config.Team{
+			{Name: "red", CPUs: 8, CPUsMax: 100},
+			{Name: "blue", CPUs: 8, CPUsMax: 100},
+		},
+		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)},
+		State:   config.State{WriteRPS: 20, ValueKB: 4, TxnOps: 8},
+		Options: config.DefaultOptions(),
+	}
+	f := &schedulerFixture{t: t, scheduler: New(cfg, 0)}
+	f.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
+		Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"},
+	}}})
+	loadRegistryPage(f.scheduler, "h-1-1", answeredRental("s8", machines, f.machine), f.now)
+	f.step(StateLoaded{})
+	return f
+}
+
+// loadRegistryPage loads a rental, and a registry page of the same name with all its machines.
+func loadRegistryPage(s *Scheduler, name string, rental storage.Rental, now time.Duration) {
+	s.Step(RentalLoaded{Name: name, Version: 1, Record: rental}, now)
+	var page storage.RegistryPage
+	for _, machine := range rental.Machines {
+		page.Machines = append(page.Machines, storage.RegisteredMachine{Machine: machine, Address: "x:1"})
+	}
+	s.Step(RegistryPageLoaded{Name: name, Version: 1, Record: page}, now)
+}
+
+// answeredRental is the record of a rental with its machines.
+func answeredRental(machineType string, machines int, name func(int) string) storage.Rental {
+	rental := storage.Rental{MachineType: machineType, Zone: "a", Count: machines, Answered: true}
+	for i := range machines {
+		rental.Machines = append(rental.Machines, name(i))
+	}
+	return rental
+}
+
+func longName(i int) string { return fmt.Sprintf("m-%06d", i) }
+
+func (f *schedulerFixture) machine(i int) string { return fmt.Sprintf("m-%d", i) }
+
+// step lets a little time pass and processes an event.
+func (f *schedulerFixture) step(e Event) []Effect {
+	f.now += 10 * time.Millisecond
+	f.effects = f.scheduler.Step(e, f.now)
+	return f.effects
+}
+
+// heartbeat is the next heartbeat of a machine.
+func (f *schedulerFixture) heartbeat(machine string, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	f.sequence++
+	return &protocol.Heartbeat{
+		Machine: machine, Address: "x:1", MachineType: "s8", Zone: "a",
+		Incarnation: 1, Sequence: f.sequence, FencingToken: 3, Tasks: tasks,
+	}
+}
+
+// report sends a heartbeat and returns the commands of the answer.
+func (f *schedulerFixture) report(i int, tasks ...protocol.TaskStatus) []protocol.Command {
+	f.t.Helper()
+	heartbeat := f.heartbeat(f.machine(i), tasks...)
+	for _, effect := range f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: heartbeat}) {
+		if reply, ok := effect.(HeartbeatReply); ok && reply.Accepted {
+			return reply.Commands
+		}
+	}
+	f.t.Fatalf("heartbeat not accepted: %+v", f.effects)
+	return nil
+}
+
+// job submits a job array. Its deadline is in seconds; 0 means that it has none.
+func (f *schedulerFixture) job(id, team, priority string, tasks int, cpus float64, deadline float64) {
+	f.version++
+	f.step(JobChanged{JobID: id, Version: 100 + f.version, Record: storage.OpenJob{Spec: protocol.Spec{
+		ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: priority, Tasks: tasks,
+		CPUs: cpus, MemoryGB: 1, Image: "i", EstimateS: 10, DeadlineS: deadline,
+	}}})
+}
+
+// cancel tells the scheduler that a job is cancelled.
+func (f *schedulerFixture) cancel(id string, sinceCancellation time.Duration) {
+	f.t.Helper()
+	j := f.scheduler.jobs.find(id)
+	if j == nil {
+		f.t.Fatalf("no open job %s", id)
+	}
+	f.version++
+	f.step(JobChanged{
+		JobID: id, Version: 100 + f.version, SinceCancellation: sinceCancellation,
+		Record: storage.OpenJob{Cancelled: true, Spec: j.spec},
+	})
+}
+
+// direct returns the direct commands among the effects of the last event. They are not answered.
+func (f *schedulerFixture) direct() []SendDirectCommands {
+	var sent []SendDirectCommands
+	for _, effect := range f.effects {
+		if commands, ok := effect.(SendDirectCommands); ok {
+			sent = append(sent, commands)
+		}
+	}
+	return sent
+}
+
+// verbs is how many of the commands have that verb.
+func verbs(commands []protocol.Command, verb protocol.CommandVerb) int {
+	count := 0
+	for _, command := range commands {
+		if command.Verb == verb {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/coordination/scheduler/snapshot_test.go
@@ -0,0 +1,67 @@
+package scheduler
+
+import (
+	"strings"
+	"testing"
+)
+
+// TestExplanation: operators are told what a waiting job waits for.
+func TestExplanation(t *testing.T) {
+	f := newSchedulerFixture(t, 2)
+	explain := func(id string) string {
+		t.Helper()
+		for _, effect := range f.step(SnapshotRequested{JobID: id}) {
+			if taken, ok := effect.(SnapshotTaken); ok {
+				return strings.Join(taken.Snapshot.Explanation, "; ")
+			}
+		}
+		return ""
+	}
+	f.job("job-1", "red", "standard", 200, 1, 0)
+	if got := explain("job-1"); !strings.Contains(got, "does not know yet") {
+		t.Errorf("during recovery: %s", got)
+	}
+	f.report(0)
+	f.report(1)
+	if got := explain("job-1"); !strings.Contains(got, "16 on machines") || !strings.Contains(got, "0 of these with room") {
+		t.Errorf("full machines: %s", got)
+	}
+	f.job("job-2", "blue", "standard", 1, 101, 0)
+	if got := explain("job-2"); !strings.Contains(got, "team blue uses 0 of at most 100") ||
+		!strings.Contains(got, "0 of them allowed") {
+		t.Errorf("too large a task: %s", got)
+	}
+	if got := explain("job-3"); !strings.Contains(got, "not among") {
+		t.Errorf("unknown job: %s", got)
+	}
+}
+
+// TestSnapshotViews: machines and teams are shown as they are.
+func TestSnapshotViews(t *testing.T) {
+	f := newSchedulerFixture(t, 2)
+	f.report(0)
+	f.job("job-1", "red", "standard", 3, 4, 0)
+	f.report(1)
+	f.scheduler.inventory.find(f.machine(1)).draining = true
+	f.step(SnapshotRequested{})
+	taken := f.effects[len(f.effects)-1].(SnapshotTaken).Snapshot
+	if taken.Term != 3 || !taken.Recovered || taken.Explanation != nil {
+		t.Errorf("term: %+v", taken)
+	}
+	var states []string
+	tasks := 0
+	for _, machine := range taken.Machines {
+		states = append(states, machine.State)
+		tasks += machine.Tasks
+		if machine.Type != "s8" || machine.CPUs != 8 || machine.UsedCPUs != 4*float64(machine.Tasks) {
+			t.Errorf("machine: %+v", machine)
+		}
+	}
+	if got := strings.Join(states, ", "); got != "up, draining" {
+		t.Errorf("states of the machines: %s", got)
+	}
+	red := TeamView{Name: "red", UsedCPUs: 12, GuaranteedCPUs: 8, MaxCPUs: 100, Jobs: 1, AssignedTasks: 3}
+	if tasks != 3 || taken.Teams[0] != red {
+		t.Errorf("%d tasks on machines; team %+v", tasks, taken.Teams[0])
+	}
+}
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -52,8 +52,8 @@
 		now += time.Second
 		f.execute(first, first.Step(Tick{Entitled: true}, now), now)
 	}
-	if limit := machines / 10; f.changes > limit {
-		t.Errorf("%d changes for %d machines", f.changes, machines)
+	if limit := machines / 10; f.operations > limit {
+		t.Errorf("%d changes for %d machines", f.operations, machines)
 	}
 	registered := 0
 	for key, p := range f.records {
