--- a/internal/coordination/scheduler/dispatcher_test.go
+++ b/internal/coordination/scheduler/dispatcher_test.go
@@ -65,15 +65,14 @@
 	if len(counter.inFlight) != limits.MaxDirectCommands {
 		t.Fatalf("%d direct commands for %d machines", len(counter.inFlight), machines)
 	}
-	last := HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: f.heartbeat(machines - 1)}
+	last := HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: f.heartbeat(f.machine(machines - 1))}
 	counter.collect(f.step(last))
 	if len(counter.starts) != limits.MaxDirectCommands+1 {
 		t.Errorf("%d tasks started, not one more by the answer to a heartbeat", len(counter.starts))
 	}
 	for len(counter.inFlight) > 0 {
 		direct := counter.next()
-		heartbeat := f.heartbeat(0)
-		heartbeat.Machine = direct.Machine
+		heartbeat := f.heartbeat(direct.Machine)
 		for _, start := range direct.Commands {
 			heartbeat.Tasks = append(heartbeat.Tasks, running(start))
 		}
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -82,11 +82,11 @@
 		t.Fatalf("%d starts", n)
 	}
 	m.noDirectUntil, m.directID = 0, 77
-	f.step(DirectCommandsDone{ID: 77, Machine: m.name, Heartbeat: f.heartbeat(0)})
+	f.step(DirectCommandsDone{ID: 77, Machine: m.name, Heartbeat: f.heartbeat(f.machine(0))})
 	if len(m.assignments) != 1 {
 		t.Fatal("released by the answer to a direct command")
 	}
-	f.step(ProbeDone{Machine: m.name, Heartbeat: f.heartbeat(0)})
+	f.step(ProbeDone{Machine: m.name, Heartbeat: f.heartbeat(f.machine(0))})
 	if len(m.assignments) != 1 {
 		t.Fatal("released by the answer to a probe")
 	}
@@ -126,7 +126,7 @@
 	deleted := false
 	for range 20 {
 		f.now += time.Second
-		received := HeartbeatReceived{Entitled: true, Heartbeat: f.heartbeat(0, done)}
+		received := HeartbeatReceived{Entitled: true, Heartbeat: f.heartbeat(f.machine(0), done)}
 		for _, reply := range effectsOf[HeartbeatReply](f.step(received)) {
 			starts += verbs(reply.Commands, protocol.CommandStart)
 		}
@@ -241,13 +241,13 @@
 func checkLateHeartbeat(t *testing.T, f *schedulerFixture) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
-	late := f.heartbeat(0)
+	late := f.heartbeat(f.machine(0))
 	late.Incarnation = 2
 	f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: late})
 	if f.scheduler.isSchedulable(m) {
 		t.Error("schedulable by a late heartbeat")
 	}
-	probed := f.heartbeat(0)
+	probed := f.heartbeat(f.machine(0))
 	probed.Incarnation = 2
 	f.step(ProbeDone{Machine: m.name, Heartbeat: probed})
 	if !f.scheduler.isSchedulable(m) {
--- a/internal/coordination/scheduler/machine_fixture_test.go
+++ b/internal/coordination/scheduler/machine_fixture_test.go
@@ -13,12 +13,6 @@
 	return found
 }
 
-// heartbeat returns the next heartbeat of a machine whose worker has seen the term of the leader.
-func (f *schedulerFixture) heartbeat(i int, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
-	f.sequence++
-	return f.heartbeatWith(i, f.sequence, tasks...)
-}
-
 // heartbeatWith is like heartbeat, with that sequence number.
 func (f *schedulerFixture) heartbeatWith(
 	i int, sequence uint64, tasks ...protocol.TaskStatus,
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -131,7 +131,7 @@
 			probes := func(e Event) int { return len(effectsOf[ProbeMachine](f.step(e))) }
 			early := 0
 			for i := range n {
-				onOtherConnection := HeartbeatReceived{Entitled: true, Heartbeat: f.heartbeat(i)}
+				onOtherConnection := HeartbeatReceived{Entitled: true, Heartbeat: f.heartbeat(f.machine(i))}
 				early += probes(onOtherConnection)
 				if i%10 == 9 {
 					f.now += 100 * time.Millisecond
