--- a/internal/coordination/scheduler/inventory.go
+++ b/internal/coordination/scheduler/inventory.go
@@ -81,7 +81,7 @@
 
 func compareToName(m *machine, name string) int { return strings.Compare(m.name, name) }
 
-// logRemoved reports what a machine was good for.
+// logRemoved reports how long a machine lived, and how much of its time was useful.
 func (i *machineInventory) logRemoved(m *machine) {
 	lifetime := (i.now - m.createdAt).Seconds()
 	bootTime := lifetime
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -99,7 +99,7 @@
 
 // planMarks is what the placement pass and the capacity plan intend for the machine.
 type planMarks struct {
-	reservedFor         *job // in this pass; see reserve
+	reservedFor         *job // in this pass; see reserveForJob
 	wasReserved         bool // in the pass before
 	neededByPlan        bool // the last plan counts on it
 	neededByGang        bool // the last plan counts on it for a gang that waits
@@ -113,6 +113,7 @@
 	return resource.Vector{CPUs: t.CPUs, Accelerators: t.Accelerators, MemoryGB: t.MemoryGB}
 }
 
+// size is what the machine has; nothing if its type is not known.
 func (m *machine) size() resource.Vector {
 	if m.machineType == nil {
 		return resource.Vector{}
@@ -120,13 +121,13 @@
 	return typeResources(m.machineType)
 }
 
-// freeResources is what may be promised: what is free, and what tasks that were told to stop will leave.
-// A start is sent only once the room is confirmed (see orders).
+// freeResources is what tasks may be assigned to: what is free, and what tasks that were told to stop
+// will leave. A start is sent only once they have left; see appendStarts.
 func (m *machine) freeResources() resource.Vector {
 	return m.size().Minus(m.allocated).Plus(m.releasing)
 }
 
-// price is what the machine costs an hour.
+// price is what the machine costs an hour; 0 if its type is not known.
 func (m *machine) price() float64 {
 	if m.machineType == nil {
 		return 0
@@ -134,7 +135,7 @@
 	return priceOf(m.machineType, m.spot)
 }
 
-// pricePerCPU is the same for each of its CPUs.
+// pricePerCPU is what each CPU of the machine costs an hour.
 func (m *machine) pricePerCPU() float64 { return m.price() / max(m.size().CPUs, 1) }
 
 // priceOf is what a machine of a type costs an hour.
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// reconcileListedMachine takes over what the list says about a machine.
+// reconcileListedMachine brings a machine in line with its entry in the list.
 func (s *Scheduler) reconcileListedMachine(entry *protocol.Machine) {
 	m := s.inventory.find(entry.Name)
 	if m == nil {
@@ -102,7 +102,7 @@
 	if !s.recovery.hasEnded() && m.isUnreported() {
 		// It sent heartbeats to an earlier leader, so it was listed once or is very new. Its
 		// deletion is the quickest evidence that nothing runs there.
-		s.returnMachine(m, "not listed after the take-over")
+		s.returnMachine(m, "not listed since the failover")
 		return
 	}
 	if !m.listed {
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -15,7 +15,7 @@
 	inventory      *machineInventory
 	recovery       *recoveryState
 	budget         probeBudget
-	manyUnverified bool // so many machines are unverified that there must be a common cause
+	manyUnverified bool // more machines are unverified than can be without a common cause
 }
 
 // newMachineProber returns a prober whose rate fits the share of a core that this controller has.
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -147,7 +147,7 @@
 	return added
 }
 
-// remove takes a machine that is gone off its page.
+// remove removes a machine that is gone from its page.
 func (r *machineRegistry) remove(m *machine) {
 	if page := m.registryPage; page != nil {
 		page.liveMachines--
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -168,7 +168,7 @@
 	return r != nil && r.answerDurable
 }
 
-// answered takes the machines that the cloud has given over into the rental and the inventory.
+// answered adds the machines that the cloud has given to the rental and the inventory.
 func (t *rentalTable) answered(r *rental, machines []string) {
 	t.logInfo("rented", keyRental, r.name, keyMachines, len(machines))
 	r.state, r.dirty = rentalAnswered, true
@@ -197,7 +197,7 @@
 	t.removeRecord(r)
 }
 
-// removeMachine takes a machine that is gone off the record of its rental.
+// removeMachine removes a machine that is gone from the record of its rental.
 func (t *rentalTable) removeMachine(m *machine) {
 	if r := t.byName[m.rental]; r != nil {
 		r.record.Machines = slices.DeleteFunc(r.record.Machines, func(name string) bool { return name == m.name })
