--- a/internal/coordination/scheduler/capacity_planner_test.go
+++ b/internal/coordination/scheduler/capacity_planner_test.go
@@ -8,87 +8,122 @@
 	"quillshunt/internal/storage"
 )
 
+// waitingJob is a job of tasks of 8 CPUs and 10 s each.
+func waitingJob(id, team string, tasks int, spot bool) storage.OpenJob {
+	return storage.OpenJob{Spec: protocol.Spec{
+		ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: "high", Tasks: tasks,
+		CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: spot,
+	}}
+}
+
+// pendingRequests is how many rental requests for spot instances and for others have no answer yet.
+func (f *schedulerFixture) pendingRequests() (spot, onDemand int) {
+	for _, r := range f.scheduler.rentals.all() {
+		switch {
+		case !r.isPending():
+		case r.record.Spot:
+			spot++
+		default:
+			onDemand++
+		}
+	}
+	return spot, onDemand
+}
+
+// pendingMachines is how many machines have been asked for without an answer yet.
+func (f *schedulerFixture) pendingMachines() int {
+	machines := 0
+	for _, r := range f.scheduler.rentals.all() {
+		if r.isPending() {
+			machines += r.record.Count
+		}
+	}
+	return machines
+}
+
+// plan makes the next plan at once and returns how many machines are asked for.
+func (f *schedulerFixture) plan() int {
+	f.scheduler.planner.planNow()
+	f.step(Tick{Entitled: true})
+	return f.pendingMachines()
+}
+
 // TestCheapestPool: machines are rented where they cost least for as long as that pool gives them,
 // and the rest at once elsewhere.
 func TestCheapestPool(t *testing.T) {
-	b := newSchedulerFixture(t, 0)
-	b.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}})
-	b.scheduler.cfg.CloudRPS = 4
-	b.step(JobChanged{JobID: "job-1", Version: 100, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-1", Class: "c", Team: "red", Shape: "sweep",
-		Priority: "high", Tasks: 5000, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10, Spot: true}}})
-	b.scheduler.jobs.teams["red"].cfg.CPUsMax = 1e6
-	rented := func() (spot, dear int) {
-		for b.now += time.Second; ; b.now += time.Second {
-			b.step(Tick{Entitled: true})
-			for _, h := range b.scheduler.rentals.all() {
-				if h.isPending() && h.record.Spot {
-					spot++
-				} else if h.isPending() {
-					dear++
-				}
-			}
-			if spot+dear > 0 {
-				return spot, dear
+	f := newSchedulerFixture(t, 0)
+	f.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
+		Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: []string{"a"},
+	}}})
+	f.scheduler.cfg.CloudRPS = 4
+	f.step(JobChanged{JobID: "job-1", Version: 100, Record: waitingJob("job-1", "red", 5000, true)})
+	f.scheduler.jobs.teams["red"].cfg.CPUsMax = 1e6
+	untilRequested := func() (spot, onDemand int) {
+		for f.now += time.Second; ; f.now += time.Second {
+			f.step(Tick{Entitled: true})
+			if spot, onDemand = f.pendingRequests(); spot+onDemand > 0 {
+				return spot, onDemand
 			}
 		}
 	}
-	if spot, dear := rented(); spot != 4 || dear != 0 {
-		t.Fatalf("%d requests to the cheap pool and %d to the dear one, want all that the cloud takes to the cheap one", spot, dear)
+	if spot, onDemand := untilRequested(); spot != 4 || onDemand != 0 {
+		t.Fatalf("%d requests to the cheap pool and %d to the expensive one, want 4 and none", spot, onDemand)
 	}
-	for _, h := range b.scheduler.rentals.all() {
-		h.state = rentalRequested
-		b.step(RentalDone{Name: h.name, NoCapacity: true})
+	for _, r := range f.scheduler.rentals.all() {
+		r.state = rentalRequested
+		f.step(RentalDone{Name: r.name, NoCapacity: true})
 	}
-	if spot, dear := rented(); spot > 1 || dear == 0 {
-		t.Errorf("%d requests to the pool that refused and %d to the other", spot, dear)
+	if spot, onDemand := untilRequested(); spot > 1 || onDemand == 0 {
+		t.Errorf("%d requests to the pool that refused and %d to the other", spot, onDemand)
 	}
 }
 
 // TestPlanByStarts: machines are rented for all tasks that can't start before a new machine would
 // be up, however much a busy fleet could work off later; what starts before needs none.
 func TestPlanByStarts(t *testing.T) {
-	b := newSchedulerFixture(t, 10)
-	b.scheduler.cfg.CloudRPS = 100
+	f := newSchedulerFixture(t, 10)
+	f.scheduler.cfg.CloudRPS = 100
 	for i := range 10 {
-		b.report(i)
-	}
-	b.job("job-1", "red", "high", 10, 8, 0)
-	for _, d := range b.direct() { // each machine is full, and has just begun
-		r := &protocol.Heartbeat{Machine: d.Machine, Incarnation: 1, Sequence: 100, FencingToken: 3}
-		for _, o := range d.Commands {
-			r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
-		}
-		b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: r})
-	}
-	b.job("job-2", "blue", "high", 8, 8, 20)
-	wanted := func() int {
-		b.scheduler.planner.planNow()
-		b.step(Tick{Entitled: true})
-		n := 0
-		for _, h := range b.scheduler.rentals.all() {
-			if h.isPending() {
-				n += h.record.Count
-			}
-		}
-		return n
+		f.report(i)
 	}
+	f.job("job-1", "red", "high", 10, 8, 0)
+	f.startAll() // each machine is full, and its task has just begun
+	f.job("job-2", "blue", "high", 8, 8, 20)
 	// Of ten tasks of 10 s that have just begun, nothing is known but their mean: a quarter or so
 	// ends in the 5.5 s that a machine takes to boot.
-	if n := wanted(); n < 5 || n > 7 {
-		t.Errorf("%d machines wanted for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
+	if n := f.plan(); n < 5 || n > 7 {
+		t.Errorf("%d machines rented for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
 	}
 	// What has waited for as long as a machine takes to boot does not wait as long again.
-	b.step(JobChanged{JobID: "job-3", Version: 500, SinceSubmission: 20 * time.Second, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-3", Class: "c", Team: "blue", Shape: "sweep",
-		Priority: "high", Tasks: 4, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 10}}})
-	if n := wanted(); n < 9 || n > 11 {
-		t.Errorf("%d machines wanted with 4 more tasks that have waited long, want 9 to 11", n)
+	f.step(JobChanged{
+		JobID: "job-3", Version: 500, SinceSubmission: 20 * time.Second, Record: waitingJob("job-3", "blue", 4, false),
+	})
+	if n := f.plan(); n < 9 || n > 11 {
+		t.Errorf("%d machines rented with 4 more tasks that have waited long, want 9 to 11", n)
 	}
-	b = newSchedulerFixture(t, 10)
+}
+
+// TestPlanOnIdleFleet: machines that are idle are used before others are rented.
+func TestPlanOnIdleFleet(t *testing.T) {
+	f := newSchedulerFixture(t, 10)
 	for i := range 10 {
-		b.report(i)
+		f.report(i)
+	}
+	f.job("job-2", "blue", "high", 8, 8, 20)
+	if n := f.plan(); n != 0 {
+		t.Errorf("%d machines rented for 8 tasks beside an idle fleet", n)
 	}
-	b.job("job-2", "blue", "high", 8, 8, 20)
-	if n := wanted(); n != 0 {
-		t.Errorf("%d machines wanted for 8 tasks beside an idle fleet", n)
+}
+
+// startAll answers the direct commands of the last event: all their tasks run.
+func (f *schedulerFixture) startAll() {
+	for _, sent := range f.direct() {
+		heartbeat := &protocol.Heartbeat{Machine: sent.Machine, Incarnation: 1, Sequence: 100, FencingToken: 3}
+		for _, command := range sent.Commands {
+			heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
+				Task: command.Task, Attempt: command.Attempt, State: protocol.TaskRunning,
+			})
+		}
+		f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: heartbeat})
 	}
 }
--- a/internal/coordination/scheduler/health_test.go
+++ b/internal/coordination/scheduler/health_test.go
@@ -6,44 +6,60 @@
 	"quillshunt/internal/limits"
 )
 
-// TestFaultyMachines: a machine that fails what others do is returned, and so is one that is far
-// slower; a job that fails everywhere condemns no machine, and waits longer each time.
-func TestFaultyMachines(t *testing.T) {
-	b := newSchedulerFixture(t, 5)
+// newFailureFixture returns a fixture with five machines that have reported and two jobs.
+func newFailureFixture(t *testing.T) (f *schedulerFixture, one, other *job) {
+	f = newSchedulerFixture(t, 5)
 	for i := range 5 {
-		b.report(i)
+		f.report(i)
 	}
-	b.job("job-1", "red", "standard", 1, 1, 0)
-	b.job("job-2", "red", "standard", 1, 1, 0)
-	j := b.scheduler.jobs.byID["job-1"]
-	m := b.scheduler.inventory.find(b.machine(0))
-	b.scheduler.recordFailure(j, m)
-	b.scheduler.recordFailure(b.scheduler.jobs.byID["job-2"], m)
-	if !m.isFaulty() {
-		t.Error("not sick after failing two jobs")
+	f.job("job-1", "red", "standard", 1, 1, 0)
+	f.job("job-2", "red", "standard", 1, 1, 0)
+	return f, f.scheduler.jobs.find("job-1"), f.scheduler.jobs.find("job-2")
+}
+
+// findMachine returns what the scheduler knows of a machine.
+func (f *schedulerFixture) findMachine(i int) *machine {
+	return f.scheduler.inventory.find(f.machine(i))
+}
+
+// TestFaultyMachines: a machine that fails what others do is faulty; a job that fails everywhere makes
+// no machine faulty, and waits longer each time.
+func TestFaultyMachines(t *testing.T) {
+	f, failing, other := newFailureFixture(t)
+	f.scheduler.recordFailure(failing, f.findMachine(0))
+	f.scheduler.recordFailure(other, f.findMachine(0))
+	if !f.findMachine(0).isFaulty() {
+		t.Error("not faulty after failing two jobs")
 	}
 	for i := 1; i < 5; i++ {
-		b.scheduler.recordFailure(j, b.scheduler.inventory.find(b.machine(i)))
+		f.scheduler.recordFailure(failing, f.findMachine(i))
 	}
 	for i := 1; i < 5; i++ {
-		if b.scheduler.inventory.find(b.machine(i)).isFaulty() {
-			t.Errorf("machine %d condemned by a job that fails everywhere", i)
+		if f.findMachine(i).isFaulty() {
+			t.Errorf("machine %d is faulty because of a job that fails everywhere", i)
 		}
 	}
-	first := j.backoff
-	b.scheduler.recordFailure(j, b.scheduler.inventory.find(b.machine(1)))
-	if first < limits.JobBackoffMin || j.backoff <= first || j.retryAt <= b.scheduler.now {
-		t.Errorf("delays %v, then %v", first, j.backoff)
+	first := failing.backoff
+	f.scheduler.recordFailure(failing, f.findMachine(1))
+	if first < limits.JobBackoffMin || failing.backoff <= first || failing.retryAt <= f.scheduler.now {
+		t.Errorf("delays %v, then %v", first, failing.backoff)
 	}
-	slow := b.scheduler.inventory.find(b.machine(2))
-	other := b.scheduler.jobs.byID["job-2"]
+}
+
+// TestSlowMachines: a machine that takes far longer than others for tasks of the same job is slow.
+func TestSlowMachines(t *testing.T) {
+	f, _, j := newFailureFixture(t)
+	slow, usual := f.findMachine(2), f.findMachine(3)
 	for range 6 {
-		b.scheduler.learnRunTime(other, b.scheduler.inventory.find(b.machine(3)), 10)
+		f.scheduler.learnRunTime(j, usual, 10)
 	}
 	for range limits.SlowMachineTasks {
-		b.scheduler.learnRunTime(other, slow, 60)
+		f.scheduler.learnRunTime(j, slow, 60)
+	}
+	if !slow.isSlow() {
+		t.Error("a slow machine is not found")
 	}
-	if !slow.isSlow() || b.scheduler.inventory.find(b.machine(3)).isSlow() {
-		t.Error("slow machine not told from the others")
+	if usual.isSlow() {
+		t.Error("a machine that runs tasks in the usual time counts as slow")
 	}
 }
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -11,104 +13,175 @@
 	"quillshunt/internal/storage"
 )
 
-// TestFourThousandMachines: more than four thousand machines come up within seconds and are
-// registered in small values and transactions, by far fewer changes than machines; a new leader
-// reads them, hears of them all, and gangs and arrays are placed on them.
-func TestFourThousandMachines(t *testing.T) {
-	const machines, gangs, perGang, valueKB, txnOps, writeRPS = 4200, 200, 8, 2, 4, 15
-	cfg := Config{Term: 3, Teams: []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}}, CloudRPS: 5,
-		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)},
-		State:   config.State{WriteRPS: writeRPS, ValueKB: valueKB, TxnOps: txnOps}, Options: config.DefaultOptions()}
-	types := MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s", CPUs: 8, MemoryGB: 64, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}}
-	f := &memoryStore{records: map[string]storedRecord{}, version: 100}
+// largeFleet is a fleet of thousands of machines, and the records that the leaders leave each other.
+type largeFleet struct {
+	t        *testing.T
+	settings Config
+	machines int
+	store    *memoryStore
+	now      time.Duration
+}
+
+func newLargeFleet(t *testing.T, machines int) *largeFleet {
+	return &largeFleet{
+		t: t,
+		settings: Config{
+			Teams:    []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}},
+			CloudRPS: 5,
+			Workers:  config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)},
+			State:    config.State{WriteRPS: 15, ValueKB: 2, TxnOps: 4},
+			Options:  config.DefaultOptions(),
+		},
+		machines: machines,
+		store:    &memoryStore{records: map[string]storedRecord{}, version: 100},
+		now:      10 * time.Millisecond,
+	}
+}
+
+// startTerm returns the scheduler of a new leader that has fetched the machine types.
+func (f *largeFleet) startTerm(term uint64, startedAt time.Duration) *Scheduler {
+	settings := f.settings
+	settings.Term = term
+	s := New(settings, startedAt)
+	f.step(s, MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
+		Name: "s", CPUs: 8, MemoryGB: 64, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"},
+	}}})
+	return s
+}
+
+// step gives a leader an event and carries out its writes.
+func (f *largeFleet) step(s *Scheduler, event Event) {
+	f.store.execute(s, s.Step(event, f.now), f.now)
+}
 
-	first := New(cfg, 0)
-	now := 10 * time.Millisecond
-	f.execute(first, first.Step(types, now), now)
-	for i := 0; i < machines; i += 50 {
-		rental := storage.Rental{MachineType: "s", Zone: "a", Count: 50, Answered: true}
-		for k := i; k < i+50; k++ {
-			rental.Machines = append(rental.Machines, longName(k))
+// tick lets some seconds pass, with an event in each.
+func (f *largeFleet) tick(s *Scheduler, seconds int) {
+	for range seconds {
+		f.now += time.Second
+		f.step(s, Tick{Entitled: true})
+	}
+}
+
+// storeRentals writes the rentals of all machines, as an earlier leader did.
+func (f *largeFleet) storeRentals() {
+	const perRental = 50
+	for first := 0; first < f.machines; first += perRental {
+		rental := storage.Rental{MachineType: "s", Zone: "a", Count: perRental, Answered: true}
+		for i := first; i < first+perRental; i++ {
+			rental.Machines = append(rental.Machines, longName(i))
 		}
-		name := fmt.Sprintf("h-2-%03d", i/50)
-		f.version++
-		f.records[storage.RentalKey(name)] = storedRecord{f.version, protocol.Encode(rental)}
-		first.Step(RentalLoaded{Name: name, Version: f.version, Record: rental}, now)
+		f.store.put(storage.RentalKey(fmt.Sprintf("h-2-%03d", first/perRental)), rental)
 	}
-	f.execute(first, first.Step(StateLoaded{}, now), now)
-	hear := func(s *Scheduler, token uint64) {
-		for i := range machines {
-			now += time.Millisecond
-			r := report(i, uint64(now), nil)
-			r.FencingToken = token
-			f.execute(s, s.Step(HeartbeatReceived{Heartbeat: r, ReplyTo: machineResponder(i), Entitled: true, SameConnection: true}, now), now)
-			if i%500 == 0 {
-				f.execute(s, s.Step(Tick{Entitled: true}, now), now)
-			}
+}
+
+// loadState gives a new leader the rentals and the registered machines.
+func (f *largeFleet) loadState(s *Scheduler) {
+	f.t.Helper()
+	keys := slices.Sorted(maps.Keys(f.store.records))
+	for _, key := range keys {
+		if name, ok := strings.CutPrefix(key, storage.PrefixRental); ok {
+			event := RentalLoaded{Name: name, Version: f.store.records[key].version}
+			f.decode(key, &event.Record)
+			f.step(s, event)
 		}
 	}
-	hear(first, 3)
-	for range 3 { // what is left goes out
-		now += time.Second
-		f.execute(first, first.Step(Tick{Entitled: true}, now), now)
+	for _, key := range keys {
+		if name, ok := strings.CutPrefix(key, storage.PrefixRegistryPage); ok {
+			event := RegistryPageLoaded{Name: name, Version: f.store.records[key].version}
+			f.decode(key, &event.Record)
+			f.step(s, event)
+		}
 	}
-	if limit := machines / 10; f.operations > limit {
-		t.Errorf("%d changes for %d machines", f.operations, machines)
+	f.step(s, StateLoaded{})
+}
+
+// decode reads a stored record.
+func (f *largeFleet) decode(key string, record any) {
+	f.t.Helper()
+	if err := protocol.Decode(f.store.records[key].value, record); err != nil {
+		f.t.Fatalf("%s: %v", key, err)
 	}
+}
+
+// reportAll sends a heartbeat of every machine, one each millisecond.
+func (f *largeFleet) reportAll(s *Scheduler) {
+	for i := range f.machines {
+		f.now += time.Millisecond
+		heartbeat := report(i, uint64(f.now), nil)
+		heartbeat.FencingToken = s.cfg.Term
+		f.step(s, HeartbeatReceived{
+			Heartbeat: heartbeat, ReplyTo: machineResponder(i), Entitled: true, SameConnection: true,
+		})
+		if i%500 == 0 {
+			f.step(s, Tick{Entitled: true})
+		}
+	}
+}
+
+// countRegistered returns how many machines are registered, in records that fit the value limit.
+func (f *largeFleet) countRegistered() int {
+	f.t.Helper()
 	registered := 0
-	for key, p := range f.records {
+	for key := range f.store.records {
 		if !strings.HasPrefix(key, storage.PrefixRegistryPage) {
 			continue
 		}
 		var page storage.RegistryPage
-		if err := protocol.Decode(p.value, &page); err != nil || !storage.FitsValueLimit(page, valueKB) {
-			t.Fatalf("%s: %v, size %d", key, err, storage.EncodedSize(page))
+		f.decode(key, &page)
+		if !storage.FitsValueLimit(page, f.settings.State.ValueKB) {
+			f.t.Fatalf("%s: size %d", key, storage.EncodedSize(page))
 		}
 		registered += len(page.Machines)
 	}
-	if registered != machines {
+	return registered
+}
+
+// submit gives a leader a job.
+func (f *largeFleet) submit(s *Scheduler, version uint64, spec protocol.Spec) {
+	spec.Team, spec.Priority, spec.MemoryGB, spec.Image, spec.EstimateS = "red", "standard", 1, "i", 100
+	f.step(s, JobChanged{JobID: spec.ID, Version: version, Record: storage.OpenJob{Spec: spec}})
+}
+
+// TestFourThousandMachines: more than four thousand machines come up within seconds and are
+// registered in small values and transactions, by far fewer operations than machines; a new leader
+// loads them, gets heartbeats of all, and places gangs and an array on them.
+func TestFourThousandMachines(t *testing.T) {
+	const machines, gangs, tasksPerGang = 4200, 200, 8
+	f := newLargeFleet(t, machines)
+	f.storeRentals()
+	first := f.startTerm(3, 0)
+	f.loadState(first)
+	f.reportAll(first)
+	f.tick(first, 3) // what is left is written
+	if limit := machines / 10; f.store.operations > limit {
+		t.Errorf("%d operations for %d machines, at most %d expected", f.store.operations, machines, limit)
+	}
+	if registered := f.countRegistered(); registered != machines {
 		t.Fatalf("%d of %d machines registered", registered, machines)
 	}
 
-	cfg.Term = 4
-	second := New(cfg, now)
-	second.Step(types, now)
+	second := f.startTerm(4, f.now)
 	for i := range gangs {
-		id := fmt.Sprintf("job-%d", i)
-		second.Step(JobChanged{JobID: id, Version: uint64(i + 1), Record: storage.OpenJob{Spec: protocol.Spec{ID: id, Class: "g", Team: "red", Shape: protocol.ShapeGang,
-			Priority: "standard", Tasks: perGang, CPUs: 6, MemoryGB: 1, SameZone: true, Image: "i", EstimateS: 100}}}, now)
-	}
-	second.Step(JobChanged{JobID: "job-9999", Version: 9999, Record: storage.OpenJob{Spec: protocol.Spec{ID: "job-9999", Class: "c", Team: "red", Shape: protocol.ShapeArray,
-		Priority: "standard", Tasks: 5000, CPUs: 8, MemoryGB: 1, Image: "i", EstimateS: 100}}}, now)
-	for key, p := range f.records {
-		if name, ok := strings.CutPrefix(key, storage.PrefixRental); ok {
-			var rental storage.Rental
-			if err := protocol.Decode(p.value, &rental); err != nil {
-				t.Fatal(err)
-			}
-			second.Step(RentalLoaded{Name: name, Version: p.version, Record: rental}, now)
-		}
-	}
-	for key, p := range f.records {
-		if name, ok := strings.CutPrefix(key, storage.PrefixRegistryPage); ok {
-			var page storage.RegistryPage
-			if err := protocol.Decode(p.value, &page); err != nil {
-				t.Fatal(err)
-			}
-			second.Step(RegistryPageLoaded{Name: name, Version: p.version, Record: page}, now)
-		}
+		f.submit(second, uint64(i+1), protocol.Spec{
+			ID: fmt.Sprintf("job-%d", i), Class: "g", Shape: protocol.ShapeGang,
+			Tasks: tasksPerGang, CPUs: 6, SameZone: true,
+		})
 	}
-	second.Step(StateLoaded{}, now)
-	hear(second, 4)
+	f.submit(second, 9999, protocol.Spec{
+		ID: "job-9999", Class: "c", Shape: protocol.ShapeArray, Tasks: 5000, CPUs: 8,
+	})
+	f.loadState(second)
+	f.reportAll(second)
 	if !second.recovery.hasEnded() {
-		t.Fatal("not recovered although all machines were heard of")
+		t.Fatal("not recovered although all machines have reported")
 	}
-	if bound := len(second.jobs.byID["job-9999"].assignments); bound != machines-gangs*perGang {
-		t.Errorf("%d tasks of the array placed beside the gangs, want %d", bound, machines-gangs*perGang)
+	assigned := len(second.jobs.find("job-9999").assignments)
+	if expected := machines - gangs*tasksPerGang; assigned != expected {
+		t.Errorf("%d tasks of the array placed beside the gangs, want %d", assigned, expected)
 	}
 	for i := range gangs {
-		if n := len(second.jobs.byID[fmt.Sprintf("job-%d", i)].assignments); n != perGang {
-			t.Fatalf("gang %d: %d of %d placed", i, n, perGang)
+		if placed := len(second.jobs.find(fmt.Sprintf("job-%d", i)).assignments); placed != tasksPerGang {
+			t.Fatalf("gang %d: %d of %d placed", i, placed, tasksPerGang)
 		}
 	}
 }
