--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -25,17 +25,16 @@
 
 // gangSearch is the search for machines for the missing tasks of a gang in a pass.
 type gangSearch struct {
-	job        *job
-	request    gangRequest
-	isGeneric  bool // the request alone decides where the tasks may go
-	preempting bool
+	job       *job
+	request   gangRequest
+	isGeneric bool // the request alone decides where the tasks may go
 }
 
 // newGangSearch returns the search for a gang's missing tasks. It reports false if it is known to
 // find nothing.
 func (p *placer) newGangSearch(j *job, missing int) (search gangSearch, ok bool) {
 	request := gangRequest{
-		placementRequest: p.newRequest(j),
+		placementRequest: newPlacementRequest(j, p.mayPreemptNow(j)),
 		tasks:            missing,
 		sameZone:         j.spec.SameZone, spreadZones: j.spec.SpreadZones,
 	}
@@ -44,7 +43,7 @@
 		request.preempting = false
 	}
 	isGeneric := j.hasNoMachineRules() && len(j.assignments) == 0
-	search = gangSearch{job: j, request: request, isGeneric: isGeneric, preempting: request.preempting}
+	search = gangSearch{job: j, request: request, isGeneric: isGeneric}
 	if (isGeneric && p.pass.unplaceableGangs[request]) || !p.mayFit(j, request.preempting) {
 		return search, false
 	}
@@ -56,7 +55,7 @@
 	if search.isGeneric {
 		p.pass.unplaceableGangs[search.request] = true
 	}
-	if search.preempting {
+	if search.request.preempting {
 		search.job.nextPreemptionSearch = p.now + limits.PreemptionSearchInterval
 	}
 }
@@ -80,7 +79,7 @@
 // findGangPlacementIn returns a placement for all missing tasks of a gang in a zone, or in any zone
 // if it is "". It returns nil if there is none.
 func (p *placer) findGangPlacementIn(zone string, search *gangSearch) *gangPlacement {
-	found := p.newGangPlacement(search.job, zone, search.preempting)
+	found := p.newGangPlacement(search.job, zone, search.request.preempting)
 	found.collectCandidates()
 	for len(found.tasks) < search.request.tasks {
 		if !found.placeNext() {
@@ -94,12 +93,12 @@
 func (p *placer) gangZones(search *gangSearch) []string {
 	j := search.job
 	fitting := map[string]int{} // tasks in each zone
-	for _, m := range p.pass.eligibleMachines(search.preempting) {
+	for _, m := range p.pass.eligibleMachines(search.request.preempting) {
 		if !j.mayUse(m) || (m.reservedFor != nil && m.reservedFor != j) {
 			continue
 		}
 		usable := m.freeResources()
-		if search.preempting {
+		if search.request.preempting {
 			usable = m.size()
 		}
 		fitting[m.zone] += usable.TasksThatFit(j.demand)
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -47,7 +47,8 @@
 	if !ok {
 		return
 	}
-	candidates := s.placement.collectCandidates(j, search.preempting)
+	preempting := search.request.preempting
+	candidates := s.placement.collectCandidates(j, preempting)
 	for ; count > 0 && j.team.fits(j.demand); count-- {
 		group := candidates.Best()
 		if group < 0 {
@@ -61,11 +62,11 @@
 		}
 		gangStopped := s.placeTask(j, best.Target, victims)
 		if gangStopped || j.hasZoneRule() { // other machines have changed, or may be used no more
-			s.placement.collectCandidates(j, search.preempting)
+			s.placement.collectCandidates(j, preempting)
 			continue
 		}
 		candidates.RemoveFirst(group)
-		if c, ok := s.placement.evaluate(j, best.Target, search.preempting, nil); ok {
+		if c, ok := s.placement.evaluate(j, best.Target, preempting, nil); ok {
 			candidates.Add(c)
 		}
 	}
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -117,33 +117,37 @@
 
 // jobSearch is the search for machines for the tasks of one job in a pass.
 type jobSearch struct {
-	job        *job
-	request    placementRequest
-	isGeneric  bool // the request alone decides where a task may go
-	preempting bool
+	job       *job
+	request   placementRequest
+	isGeneric bool // the request alone decides where a task may go
 }
 
 // newSearch returns the search for a job's tasks. It reports false if it is known to find nothing.
 func (p *placer) newSearch(j *job) (search jobSearch, ok bool) {
-	request := p.newRequest(j)
-	isGeneric := !j.hasZoneRule() && j.hasNoMachineRules()
-	if request.preempting &&
-		(p.now < j.nextPreemptionSearch || (isGeneric && p.now < p.nextPreemptionSearch[request])) {
-		request.preempting = false
+	search.job = j
+	search.request = newPlacementRequest(j, p.mayPreemptNow(j))
+	search.isGeneric = !j.hasZoneRule() && j.hasNoMachineRules()
+	if search.request.preempting && p.hasJustSearched(&search) {
+		search.request.preempting = false
 	}
-	search = jobSearch{job: j, request: request, isGeneric: isGeneric, preempting: request.preempting}
-	if (isGeneric && p.pass.unplaceable[request]) || !p.mayFit(j, request.preempting) {
-		return search, false
-	}
-	return search, true
+	ok = p.mayFit(j, search.request.preempting) && !(search.isGeneric && p.pass.unplaceable[search.request])
+	return search, ok
 }
 
-// newRequest returns the request for a task of a job.
-func (p *placer) newRequest(j *job) placementRequest {
+// newPlacementRequest returns the request for a task of a job.
+func newPlacementRequest(j *job, preempting bool) placementRequest {
 	return placementRequest{
 		demand: j.demand, team: j.team, priority: j.priority, guaranteed: j.guaranteed, spot: j.spec.Spot,
-		preempting: p.mayPreemptNow(j), gangReservation: j.mayUseGangReservation,
+		preempting: preempting, gangReservation: j.mayUseGangReservation,
+	}
+}
+
+// hasJustSearched reports whether the same search has found no tasks to preempt a short time ago.
+func (p *placer) hasJustSearched(search *jobSearch) bool {
+	if p.now < search.job.nextPreemptionSearch {
+		return true
 	}
+	return search.isGeneric && p.now < p.nextPreemptionSearch[search.request]
 }
 
 // mayFit reports whether there may be a machine for a task of the job.
@@ -156,7 +160,7 @@
 	if search.isGeneric {
 		p.pass.unplaceable[search.request] = true
 	}
-	if !search.preempting {
+	if !search.request.preempting {
 		return
 	}
 	next := p.now + limits.PreemptionSearchInterval
