--- a/cmd/quillshunt/main.go
+++ b/cmd/quillshunt/main.go
@@ -1,14 +1,15 @@
-// Command quillshunt is a cluster scheduler: it runs users' jobs on machines
-// that it rents. See README.md.
+// Command quillshunt is a cluster scheduler: it runs users' jobs on machines that it rents. See
+// README.md.
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 )
 
 func main() {
-	if err := newRoot().Execute(); err != nil {
+	if err := newRootCommand().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "quillshunt:", err)
 		os.Exit(1)
 	}
--- /dev/null
+++ b/internal/coordination/election/node_test.go
@@ -0,0 +1,234 @@
+package election
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"quillshunt/internal/limits"
+	"quillshunt/internal/standin"
+	"quillshunt/internal/storage"
+)
+
+// cluster is controllers of one state service.
+type cluster struct {
+	service *standin.StateService
+	nodes   []*node
+}
+
+// newCluster returns controllers that neither crash nor lose anything by themselves. They are not
+// started.
+func newCluster(size int, seed uint64) *cluster {
+	c := &cluster{service: standin.NewStateService()}
+	for i := range size {
+		c.addNode(rand.New(rand.NewPCG(seed, uint64(i))))
+	}
+	return c
+}
+
+// addNode adds a controller, which is not started.
+func (c *cluster) addNode(random *rand.Rand) *node {
+	n := &node{
+		name:          fmt.Sprintf("controller-%d", len(c.nodes)),
+		cluster:       c,
+		store:         &unreliableStore{service: c.service, random: random},
+		leaseDuration: limits.LeaderLease,
+		voteLease:     limits.VoteLeaseMin,
+	}
+	c.nodes = append(c.nodes, n)
+	return n
+}
+
+// leader returns the first entitled node, or nil.
+func (c *cluster) leader() *node {
+	for _, n := range c.nodes {
+		if n.entitled() != nil {
+			return n
+		}
+	}
+	return nil
+}
+
+func (c *cluster) start() {
+	for _, n := range c.nodes {
+		n.start()
+	}
+}
+
+func (c *cluster) crash() {
+	for _, n := range c.nodes {
+		n.crash()
+	}
+}
+
+// node is a controller that crashes and comes back. It is the Peers of its elector.
+type node struct {
+	name          string
+	cluster       *cluster
+	store         *unreliableStore
+	leaseDuration time.Duration
+	voteLease     time.Duration // 0: this node needs no votes, and no node of the cluster does
+	cancel        context.CancelFunc
+	done          chan struct{}
+
+	mu            sync.Mutex
+	elector       *Elector    // nil after a crash
+	leadership    *Leadership // nil while another node leads
+	busy          bool        // its process is behind
+	isolatedUntil time.Time   // no calls between it and other nodes until then
+}
+
+// start starts the node's process.
+func (n *node) start() {
+	ctx, cancel := context.WithCancel(context.Background())
+	n.cancel, n.done = cancel, make(chan struct{})
+	options := Options{
+		Node:          n.name,
+		Store:         n.store,
+		LeaseDuration: n.leaseDuration,
+		VoteLease:     n.voteLease,
+		Delay:         n.delay,
+		Lead:          n.lead,
+		Log:           slog.New(slog.DiscardHandler),
+	}
+	if n.voteLease > 0 {
+		options.Peers = n
+	}
+	e := New(options)
+	n.mu.Lock()
+	n.elector = e
+	n.mu.Unlock()
+	go func() {
+		defer close(n.done)
+		e.Run(ctx)
+	}()
+}
+
+// crash ends the node's process.
+func (n *node) crash() {
+	n.mu.Lock()
+	n.elector = nil
+	n.mu.Unlock()
+	n.cancel()
+	<-n.done
+}
+
+func (n *node) lead(ctx context.Context, l *Leadership) {
+	n.setLeadership(l)
+	<-ctx.Done()
+	n.setLeadership(nil)
+}
+
+func (n *node) setLeadership(l *Leadership) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.leadership = l
+}
+
+// running returns the elector of the node's process, or nil after a crash.
+func (n *node) running() *Elector {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.elector
+}
+
+// entitled returns the node's leadership if it is entitled, or nil.
+func (n *node) entitled() *Leadership {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.leadership != nil && n.leadership.Entitled() {
+		return n.leadership
+	}
+	return nil
+}
+
+// delay is how far the node's process is behind: a second while it is busy, else what it measures.
+func (n *node) delay(ctx context.Context) time.Duration {
+	n.mu.Lock()
+	busy := n.busy
+	n.mu.Unlock()
+	if busy {
+		return time.Second
+	}
+	return schedulingDelay(ctx)
+}
+
+func (n *node) setBusy() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.busy = true
+}
+
+// isolate cuts the node off from all other nodes until then.
+func (n *node) isolate(until time.Time) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.isolatedUntil = until
+}
+
+func (n *node) isolated() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return time.Now().Before(n.isolatedUntil)
+}
+
+// reaches reports whether there is a link between two nodes.
+func (n *node) reaches(other *node) bool { return !n.isolated() && !other.isolated() }
+
+// call delivers a request to another node after a random delay. It returns that node's elector, or
+// nil if the request is lost.
+func (n *node) call(other *node) *Elector {
+	time.Sleep(n.store.randomDelay(200, time.Millisecond))
+	if other == n || !n.reaches(other) || n.store.loses() {
+		return nil
+	}
+	return other.running()
+}
+
+func (n *node) Size() int { return len(n.cluster.nodes) - 1 }
+
+func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote {
+	votes := map[string]Vote{}
+	for _, other := range n.cluster.nodes {
+		e := n.call(other)
+		if e == nil {
+			continue
+		}
+		vote := e.Vote(heartbeat, nonces[other.name])
+		if !n.store.loses() { // else the answer is lost
+			votes[other.name] = vote
+		}
+	}
+	return votes
+}
+
+func (n *node) FindConnected(ctx context.Context) string {
+	for _, other := range n.cluster.nodes {
+		if other == n || !n.reaches(other) || n.store.happens(0.2) {
+			continue
+		}
+		if other.running() != nil && other.running().StateReachable(ctx) {
+			return other.name
+		}
+	}
+	return ""
+}
+
+// OfferLeadership delivers the offer some time later, unless it is lost.
+func (n *node) OfferLeadership(_ context.Context, name string, term, keyVersion uint64) error {
+	for _, other := range n.cluster.nodes {
+		if other.name != name || !n.reaches(other) || n.store.happens(0.2) {
+			continue
+		}
+		time.AfterFunc(n.store.randomDelay(2000, time.Millisecond), func() {
+			if e := other.running(); e != nil {
+				e.AcceptOffer(term, keyVersion)
+			}
+		})
+		return nil
+	}
+	return storage.ErrOutcomeUnknown
+}
--- /dev/null
+++ b/internal/coordination/election/voter_test.go
@@ -0,0 +1,105 @@
+package election
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"quillshunt/internal/limits"
+	"quillshunt/internal/standin"
+)
+
+// votingPeers are four other controllers, of whom two always grant their votes: with the leader's
+// own vote just enough.
+type votingPeers struct{ Peers }
+
+func (votingPeers) Size() int                            { return 4 }
+func (votingPeers) FindConnected(context.Context) string { return "" }
+func (votingPeers) RequestVotes(_ context.Context, _ uint64, nonces map[string]uint64) map[string]Vote {
+	return map[string]Vote{
+		"a": {Granted: nonces["a"] == 1, ProcessNonce: 1},
+		"b": {Granted: nonces["b"] == 1, ProcessNonce: 1},
+	}
+}
+
+// TestOwnVote: a leader's own vote counts like any other. While it does, the leader does not
+// withdraw it, and once it is withdrawn, it does not count.
+func TestOwnVote(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		service := standin.NewStateService()
+		var leadership atomic.Pointer[Leadership]
+		e := New(Options{
+			Node:          "controller-0",
+			Store:         &unreliableStore{service: service, random: rand.New(rand.NewPCG(5, 1))},
+			Peers:         votingPeers{},
+			LeaseDuration: limits.LeaderLease,
+			VoteLease:     limits.VoteLeaseMin,
+			Lead: func(ctx context.Context, l *Leadership) {
+				leadership.Store(l)
+				<-ctx.Done()
+			},
+			Log: slog.New(slog.DiscardHandler),
+		})
+		ctx, cancel := context.WithCancel(context.Background())
+		done := make(chan struct{})
+		go func() {
+			defer close(done)
+			e.Run(ctx)
+		}()
+		time.Sleep(5 * time.Second)
+		service.SetUnavailable(true) // only votes count
+		time.Sleep(2 * limits.VoteLeaseMin)
+		l := leadership.Load()
+		if l == nil || !l.Entitled() {
+			t.Fatal("not entitled by the votes of a majority")
+		}
+		if e.voter.withdraw(1 << 60) {
+			t.Error("withdrew its own vote while entitled")
+		}
+		e.voter.mu.Lock()
+		e.voter.withdrawnUpTo = 1 << 60
+		e.voter.mu.Unlock()
+		time.Sleep(limits.LeaseExpiredAfter(limits.VoteLeaseMin))
+		if l.Entitled() {
+			t.Error("entitled by less than a majority")
+		}
+		cancel()
+		<-done
+	})
+}
+
+// TestRestartedVoter: a process that has just started neither withdraws a vote, as the one before
+// it may have granted it, nor grants one to a leader that does not know it yet, as the one before
+// may have withdrawn it.
+func TestRestartedVoter(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		v := &voter{lease: limits.VoteLeaseMin, nonce: 7, startedAt: time.Now()}
+		if v.withdraw(10) {
+			t.Error("withdrew a vote right after the start")
+		}
+		if v.vote(10, 6).Granted || v.vote(10, 0).Granted {
+			t.Error("granted a vote to a leader that believes to ask another process")
+		}
+		if vote := v.vote(10, 7); !vote.Granted || vote.ProcessNonce != 7 {
+			t.Errorf("vote not granted: %+v", vote)
+		}
+		time.Sleep(limits.VoteLeaseMin)
+		if v.withdraw(10) {
+			t.Error("withdrew a vote that may be live")
+		}
+		time.Sleep(limits.VoteLeaseMin)
+		if !v.withdraw(10) {
+			t.Error("vote not withdrawn")
+		}
+		if v.vote(10, 7).Granted || v.vote(9, 7).Granted {
+			t.Error("granted a vote under a heartbeat from which it was withdrawn")
+		}
+		if !v.vote(11, 7).Granted {
+			t.Error("vote not granted under a later heartbeat")
+		}
+	})
+}
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -20,9 +20,6 @@
 	"quillshunt/internal/transport"
 )
 
-// HeartbeatResponder answers a worker's heartbeat: 200 with a body, or another status.
-type HeartbeatResponder func(status int, body []byte)
-
 // DispatcherOptions are the settings and collaborators of a Dispatcher.
 type DispatcherOptions struct {
 	Settings *config.Settings
@@ -78,7 +75,7 @@
 // Heartbeat hands a worker's heartbeat to the term. It never blocks: the answer is 503 at once if
 // this process does not lead or the mailbox is full. With sameConnection the heartbeat before on
 // the same connection was answered 200, so that the worker has got that answer.
-func (d *Dispatcher) Heartbeat(body []byte, sameConnection bool, respond HeartbeatResponder) {
+func (d *Dispatcher) Heartbeat(body []byte, sameConnection bool, respond HeartbeatResponderFunc) {
 	d.enqueue(heartbeatMessage{body: body, respond: respond, sameConnection: sameConnection})
 }
 
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -74,7 +74,7 @@
 // now is the time since the term began, which is the scheduler's clock.
 func (t *term) now() time.Duration { return time.Since(t.startedAt) }
 
-// reportLost tells the elector that the term is over: a later leader has been seen.
+// reportLost notifies the elector that the term is over: a later leader has been seen.
 func (t *term) reportLost() { t.dispatcher.termLost(t.leadership.Term) }
 
 // run is the actor's loop.
@@ -111,12 +111,12 @@
 	case observedRevisionMessage:
 		t.leadership.Observe(msg.revision)
 	case taskCountsMessage:
-		t.step(ctx, scheduler.TaskCountsRequested{ID: msg.job, ReplyTo: msg.reply})
+		t.step(ctx, scheduler.TaskCountsRequested{JobID: msg.job, ReplyTo: msg.reply})
 	case cancellationMessage:
 		t.step(ctx, msg.change)
 		msg.reply <- t.leadership.Entitled()
 	case inspectMessage:
-		t.step(ctx, scheduler.SnapshotRequested{Job: msg.job, ReplyTo: msg.reply})
+		t.step(ctx, scheduler.SnapshotRequested{JobID: msg.job, ReplyTo: msg.reply})
 	}
 }
 
--- a/internal/coordination/scheduler/inventory.go
+++ b/internal/coordination/scheduler/inventory.go
@@ -51,15 +51,17 @@
 
 func (i *machineInventory) add(name string) *machine {
 	m := &machine{
-		name:            name,
-		createdAt:       i.now,
-		leaseRenewedAt:  i.termStartedAt,
-		idleSince:       i.now,
-		lastHeartbeatAt: -never / 2,
-		assignments:     map[string]*assignment{},
-		endedTasks:      map[attemptKey]endedTask{},
-		cachedImages:    map[string]time.Duration{},
-		failedJobs:      map[string]bool{},
+		name:                name,
+		machineReachability: machineReachability{lastHeartbeatAt: -never / 2},
+		leaseState:          leaseState{leaseRenewedAt: i.termStartedAt},
+		machineLoad: machineLoad{
+			assignments:  map[string]*assignment{},
+			endedTasks:   map[attemptKey]endedTask{},
+			cachedImages: map[string]time.Duration{},
+			idleSince:    i.now,
+		},
+		machineLifecycle: machineLifecycle{createdAt: i.now},
+		machineHealth:    machineHealth{failedJobs: map[string]bool{}},
 	}
 	i.byName[name] = m
 	at, _ := slices.BinarySearchFunc(i.sorted, name, compareToName)
@@ -79,14 +81,14 @@
 
 func compareToName(m *machine, name string) int { return strings.Compare(m.name, name) }
 
-// logRemoved reports what a machine was good for.
+// logRemoved reports how long a machine lived, and how much of its time was useful.
 func (i *machineInventory) logRemoved(m *machine) {
 	lifetime := (i.now - m.createdAt).Seconds()
 	bootTime := lifetime
 	if m.hasReported && m.firstReportAt > m.createdAt {
 		bootTime = (m.firstReportAt - m.createdAt).Seconds()
 	}
-	i.logInfo("machine gone", "machine", m.name, "reason", m.deleteReason, "type", m.typeName, "spot", m.spot,
+	i.logInfo("machine gone", keyMachine, m.name, keyReason, m.deleteReason, keyType, m.typeName, keySpot, m.spot,
 		"cpus", m.size().CPUs, "life", lifetime, "boot", bootTime,
 		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
 }
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -1,11 +1,10 @@
 package scheduler
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 
 	"quillshunt/internal/coordination/resource"
-	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
@@ -50,14 +49,14 @@
 func (t *jobTable) class(name string) *jobClass {
 	class := t.classes[name]
 	if class == nil {
-		class = &jobClass{estimateRatio: 1}
+		class = newJobClass()
 		t.classes[name] = class
 	}
 	return class
 }
 
-// open adds a job that is not known yet and returns it; its finished tasks are kept in so many
-// chunks. It returns nil if the job is over, or its team is unknown.
+// open adds a job that is not known yet and returns it. Chunks is the number of chunks that its
+// finished tasks are kept in. It returns nil if the job is over, or its team is unknown.
 func (t *jobTable) open(e JobChanged, chunks int) *job {
 	spec := e.Record.Spec
 	if t.closed[e.JobID] {
@@ -68,7 +67,6 @@
 		return nil // a team that the settings no longer know; its jobs stay as they are
 	}
 	priority, _ := protocol.ParsePriority(spec.Priority)
-	words := (spec.Tasks + 63) / 64
 	j := &job{
 		id:             e.JobID,
 		spec:           spec,
@@ -77,24 +75,26 @@
 		class:          t.class(spec.Class),
 		demand:         taskDemand(&spec),
 		submittedAt:    t.now - e.SinceSubmission,
-		doneBits:       make([]uint64, words),
-		assignedBits:   make([]uint64, words),
+		done:           newBitmap(spec.Tasks),
+		assigned:       newBitmap(spec.Tasks),
 		assignments:    map[int]*assignment{},
 		stopCounts:     map[int]int{},
 		failedMachines: map[string]bool{},
 		chunks:         make([]finishedChunk, chunks),
 	}
 	j.gang = newGang(j)
-	j.deadlines = t.deadlines(j)
+	j.deadlines = deadlinesOf(j, t.cfg.Objectives)
 	t.byID[j.id] = j
-	at := sort.Search(len(t.bySubmission), func(i int) bool {
-		other := t.bySubmission[i]
-		return other.submittedAt > j.submittedAt || (other.submittedAt == j.submittedAt && other.id > j.id)
-	})
+	at, _ := slices.BinarySearchFunc(t.bySubmission, j, compareSubmissions)
 	t.bySubmission = slices.Insert(t.bySubmission, at, j)
 	return j
 }
 
+// compareSubmissions orders jobs by their submission, and those of the same time by ID.
+func compareSubmissions(a, b *job) int {
+	return cmp.Or(cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.id, b.id))
+}
+
 // close forgets a job. A late record of it does not open it again.
 func (t *jobTable) close(j *job) {
 	delete(t.byID, j.id)
@@ -104,51 +104,29 @@
 	}
 }
 
-// deadlines are the times by which the job should be complete, from its own deadline and from the
-// aims of its class.
-func (t *jobTable) deadlines(j *job) []deadline {
-	var out []deadline
-	for _, o := range t.cfg.Objectives {
-		if o.Class != j.spec.Class {
-			continue
-		}
-		switch {
-		case o.Kind == "deadline" && j.spec.DeadlineS > 0:
-			out = append(out, deadline{at: j.submittedAt + limits.Seconds(j.spec.DeadlineS*max(o.Times, 1))})
-		case o.Kind == "finished" && o.WithinS > 0:
-			out = append(out, deadline{at: j.submittedAt + limits.Seconds(o.WithinS)})
-		case o.Kind == "wait" && o.WithinS > 0:
-			out = append(out, deadline{at: j.submittedAt + limits.Seconds(o.WithinS), forStart: true})
-		}
-	}
-	if len(out) == 0 && j.spec.DeadlineS > 0 {
-		out = append(out, deadline{at: j.submittedAt + limits.Seconds(j.spec.DeadlineS)})
-	}
-	sort.Slice(out, func(a, b int) bool { return out[a].at < out[b].at })
-	return out
-}
-
 // updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits
 // in together with the team's earlier unfinished jobs.
 func (t *jobTable) updateGuarantees() {
 	for _, team := range t.teams {
 		team.claimed = resource.Vector{}
 	}
-	const eps = limits.Epsilon
 	for _, j := range t.bySubmission {
 		unfinished := float64(j.spec.Tasks - j.doneCount)
 		if j.cancelled {
 			unfinished = 0
 		}
-		claimed := j.team.claimed.Plus(resource.Vector{CPUs: unfinished * j.demand.CPUs, Accelerators: unfinished * j.demand.Accelerators})
-		j.guaranteed = claimed.CPUs <= j.team.cfg.CPUs+eps && claimed.Accelerators <= j.team.cfg.GPUs+eps
+		claimed := j.team.claimed.Plus(resource.Vector{
+			CPUs:         unfinished * j.demand.CPUs,
+			Accelerators: unfinished * j.demand.Accelerators,
+		})
+		j.guaranteed = j.team.guarantees(claimed)
 		j.team.claimed = claimed
 	}
 }
 
-// answerTaskCounts tells how many tasks of a job are done and running.
+// answerTaskCounts answers how many tasks of a job are done and running.
 func (t *jobTable) answerTaskCounts(e TaskCountsRequested) {
-	j := t.byID[e.ID]
+	j := t.byID[e.JobID]
 	if j == nil {
 		t.emit(TaskCounts{ReplyTo: e.ReplyTo})
 		return
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// reconcileListedMachine takes over what the list says about a machine.
+// reconcileListedMachine brings a machine in line with its entry in the list.
 func (s *Scheduler) reconcileListedMachine(entry *protocol.Machine) {
 	m := s.inventory.find(entry.Name)
 	if m == nil {
@@ -73,7 +73,7 @@
 		}
 		m = s.inventory.getOrAdd(entry.Name, machinePool{entry.MachineType, entry.Zone, entry.Spot})
 		m.createdAt = s.now - limits.Seconds(entry.AgeS)
-		s.adoptMachine(m)
+		s.rentals.adopt(m)
 	}
 	if !m.listed {
 		m.createdAt = min(m.createdAt, s.now-limits.Seconds(entry.AgeS))
@@ -99,10 +99,10 @@
 
 // reconcileUnlistedMachine returns a machine that the list lacks, if that shows that it is gone.
 func (s *Scheduler) reconcileUnlistedMachine(m *machine) {
-	if !s.recovery.ended && m.isUnreported() {
+	if !s.recovery.hasEnded() && m.isUnreported() {
 		// It sent heartbeats to an earlier leader, so it was listed once or is very new. Its
 		// deletion is the quickest evidence that nothing runs there.
-		s.returnMachine(m, "not listed after the take-over")
+		s.returnMachine(m, "not listed since the failover")
 		return
 	}
 	if !m.listed {
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Step takes one event. The effects are to be carried out in order.
+// Step processes one event and returns the effects that are to be executed, in order. Now is the
+// time since the term began by a clock that does not go back; if it does, the time of an earlier
+// event counts. The same events at the same times give the same effects.
 func (s *Scheduler) Step(e Event, now time.Duration) []Effect {
-	if now > s.now {
-		s.now = now
-	}
-	s.effects = nil
+	s.beginStep(now)
+	s.process(e)
+	s.tryEndRecovery()
+	s.decide()
+	s.dispatch()
+	return s.effects
+}
+
+// process hands an event to the part that it concerns.
+func (s *Scheduler) process(e Event) {
 	switch e := e.(type) {
 	case JobChanged:
 		s.jobChanged(e)
 	case JobRemoved:
-		if j := s.jobs.find(e.JobID); j != nil && !j.closing && e.Version > j.version {
-			s.closeJob(j) // somebody else removed it: not in the protocol of our nodes, but then it is over
-		}
+		s.jobRemoved(e)
 	case FinishedTasksLoaded:
-		s.finishedTasksLoaded(e)
+		s.finished.load(e)
 	case RentalLoaded:
-		s.rentalLoaded(e)
+		s.rentals.load(e)
 	case RegistryPageLoaded:
-		s.registryPageLoaded(e)
+		s.registry.load(e)
 	case StateLoaded:
-		s.logInfo("rebuilding", "jobs", s.jobs.count(), "machines", len(s.inventory.all()), "hires", len(s.rentals.byName))
-		s.recovery.loaded = true
-		s.catalog.fetchNow()
-		s.cloudList.readNow()
-		s.removeOrphanedRecords()
-		s.tick(true)
+		s.stateLoaded()
 	case HeartbeatReceived:
 		s.heartbeatReceived(e)
 	case ProbeDone:
@@ -35,7 +36,7 @@
 	case DirectCommandsDone:
 		s.directCommandsDone(e)
 	case WriteCompleted:
-		s.writeDone(e)
+		s.writeCompleted(e)
 	case RentalDone:
 		s.rentalDone(e)
 	case DeletionDone:
@@ -51,15 +52,19 @@
 	case Tick:
 		s.tick(e.Entitled)
 	}
-	if s.recovery.loaded && !s.recovery.ended {
-		s.tryEndRecovery()
-	}
-	s.decide()
-	s.dispatch()
-	return s.effects
 }
 
-// decide brings gangs in line with what is known, places what wants room and lets gangs start whose
+// stateLoaded begins the recovery of a new term, and reads what only the cloud knows.
+func (s *Scheduler) stateLoaded() {
+	s.logInfo("recovering", "jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
+	s.recovery.stateLoaded()
+	s.catalog.fetchNow()
+	s.cloudList.readNow()
+	s.finished.removeOrphanedRecords()
+	s.tick(true)
+}
+
+// decide brings gangs in line with what is known, places waiting tasks, and lets gangs start whose
 // room is confirmed.
 func (s *Scheduler) decide() {
 	s.reconcileGangs()
@@ -68,48 +73,17 @@
 	s.commitGangs()
 }
 
-func (s *Scheduler) writeDone(e WriteCompleted) {
-	p, ok := s.pendingWrites[e.ID]
-	if !ok {
-		return
-	}
-	delete(s.pendingWrites, e.ID)
-	switch p.kind {
-	case writeChunk:
-		c := &p.job.chunks[p.count]
-		c.writing = false
-		if e.OK {
-			c.version, c.durableSequence = e.Version, max(c.durableSequence, p.sequence)
-		}
-		s.tryCloseJob(p.job)
-	case writeFinal:
-		p.job.closing = false
-		if e.OK {
-			s.logInfo("job over", "job", p.job.id, "cancelled", p.job.cancelled, "tasks", p.job.spec.Tasks)
-			s.closeJob(p.job)
-			s.removeFinishedTasks(p.job.id, p.job.remainingRecordKeys)
-		}
-		// Otherwise it was cancelled meanwhile: the watch brings the new record, and finish runs again.
-	case writeRental:
-		s.rentalWritten(p, e.OK, e.Version)
-	case writeRegistration:
-		s.registryPageWritten(p, e.OK, e.Version)
-	case writeRentalRemove:
-		if e.OK {
-			delete(s.rentals.byName, p.rental)
-		} else if h := s.rentals.byName[p.rental]; h != nil {
-			h.state = rentalAnswered
-		}
-	}
-}
-
-// tick looks at everything that only time changes.
+// tick does what is due. Unless the leader is entitled, it only frees tasks whose lease has expired.
 func (s *Scheduler) tick(entitled bool) {
 	s.expireLeases()
-	s.gangs.capacityChanged = true // a machine may be usable again
+	s.placement.forgetPastSearches()
+	s.gangs.requestCommit() // a machine may be usable again
 	if !entitled {
 		return
 	}
-	s.writeFinishedTasks()
+	for _, j := range s.jobs.oldestFirst() {
+		s.tryCloseJob(j)
+	}
+	s.finished.writeChunks()
 	s.manageFleet()
 }
--- a/internal/storage/wire_test.go
+++ b/internal/storage/wire_test.go
@@ -30,7 +30,7 @@
 				"656e6461626c65f46642756e646c65606653697a654762fb0000000000000000675265636b6f6e53fb000000000000000069" +
 				"426f6f6b6d61726b53fb000000000000000066537461736853fb00000000000000006444756553fb00000000000000006943" +
 				"616e63656c6c6564f56441744d73066843616e63656c4d7307", 307},
-		{"FinalJob", FinalJob{protocol.Done}, "a1685374616e64696e6764646f6e65", 19},
+		{"FinalJob", FinalJob{protocol.JobDone}, "a1685374616e64696e6764646f6e65", 19},
 		{"Rental", Rental{"g8", "a", true, 2, true, []string{"m-1"}},
 			"a6675269676b696e6462673864596172646161684c656e6461626c65f5664e756d6265720268416e737765726564f5645269" +
 				"677381636d2d31", 85},
@@ -69,7 +69,7 @@
 		{KeyLeader, "leader"}, {KeyTerm, "term"}, {KeyLeaderHeartbeat, "beat"}, {KeyMachineTypes, "types"},
 		{OpenJobKey("job-1"), "open/job-1"}, {FinalJobKey("job-1"), "final/job-1"},
 		{FinishedTasksKey("job-1", 64), "fin/job-1/64"}, {RentalKey("h-1"), "hire/h-1"},
-		{RegistryPageKey("1-2"), "up/1-2"}, {VoteWithdrawalKey("rig-1"), "let/rig-1"},
+		{RegistryPageKey("1-2"), "up/1-2"}, {VoteWithdrawalKey("node-1"), "let/node-1"},
 		{PrefixOpenJob, "open/"}, {PrefixFinishedTasks, "fin/"}, {PrefixRental, "hire/"},
 		{PrefixRegistryPage, "up/"}, {PrefixVoteWithdrawal, "let/"},
 		{PrefixMachineTypesPart, "type/"}, {MachineTypesPartKey(7), "type/007"},
