--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -12,56 +12,71 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestNoPreemptionCycles: where one task may be stopped for another, the other may not be stopped
+// TestNoPreemptionCycles: where one task may be preempted for another, the other may not be preempted
 // for it. Without this, borrowed work of high priority and guaranteed work of another team stopped
 // each other for ever.
 func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		teams := []*team{{cfg: config.Team{CPUs: 1}, allocated: resource.Vector{CPUs: 5}}, {cfg: config.Team{CPUs: 9}, allocated: resource.Vector{CPUs: 5}}}
+		teams := []*team{
+			{cfg: config.Team{CPUs: 1}, allocated: resource.Vector{CPUs: 5}},
+			{cfg: config.Team{CPUs: 9}, allocated: resource.Vector{CPUs: 5}},
+		}
 		draw := func(name string) *assignment {
-			return &assignment{state: stateRunning, job: &job{team: teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
-				priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, name+" urgency")), guaranteed: rapid.Bool().Draw(t, name+" guaranteed")}}
+			return &assignment{state: stateRunning, job: &job{
+				team:       teams[rapid.IntRange(0, 1).Draw(t, name+" team")],
+				priority:   protocol.Priority(rapid.IntRange(0, 3).Draw(t, name+" priority")),
+				guaranteed: rapid.Bool().Draw(t, name+" guaranteed"),
+			}}
 		}
-		x, y := draw("x"), draw("y")
-		if x.job.mayPreempt(y) && y.job.mayPreempt(x) {
-			t.Fatal("circle")
+		first, second := draw("first"), draw("second")
+		if first.job.mayPreempt(second) && second.job.mayPreempt(first) {
+			t.Fatal("each may preempt the other")
 		}
 	})
 }
 
-// TestPreemptionSearchInterval: a job whose time is short and that finds nobody to stop takes free
-// room at once when there is some, and looks for tasks to stop again soon.
+// TestPreemptionSearchInterval: a job whose deadline is near and that finds nobody to preempt uses
+// free resources at once when there are some, and looks for tasks to preempt again soon.
 func TestPreemptionSearchInterval(t *testing.T) {
-	b := newSchedulerFixture(t, 1)
-	b.report(0)
-	b.job("job-1", "red", "high", 1, 8, 0)
-	d := b.direct()[0]
-	first := protocol.TaskStatus{Task: d.Commands[0].Task, Attempt: d.Commands[0].Attempt, State: protocol.TaskRunning}
-	b.sequence += 10
-	b.step(DirectCommandsDone{ID: d.ID, Machine: d.Machine, Heartbeat: &protocol.Heartbeat{Machine: d.Machine, Incarnation: 1, Sequence: b.sequence, FencingToken: 3, Tasks: []protocol.TaskStatus{first}}})
-	b.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
-	j := b.scheduler.jobs.byID["job-2"]
-	if len(j.assignments) != 0 || len(b.scheduler.placement.nextPreemptionSearch) == 0 {
-		t.Fatalf("%d tasks bound beside one that may not be stopped; %d requests remembered", len(j.assignments), len(b.scheduler.placement.nextPreemptionSearch))
+	f := newSchedulerFixture(t, 1)
+	f.report(0)
+	f.job("job-1", "red", "high", 1, 8, 0)
+	sent := f.direct()[0]
+	start := sent.Commands[0]
+	running := protocol.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: protocol.TaskRunning}
+	f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: f.heartbeat(sent.Machine, running)})
+	f.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
+	assigned := len(f.scheduler.jobs.find("job-2").assignments)
+	remembered := len(f.scheduler.placement.nextPreemptionSearch)
+	if assigned != 0 || remembered == 0 {
+		t.Fatalf("%d tasks assigned beside one that may not be preempted; %d searches remembered", assigned, remembered)
+	}
+	// Now the task on the machine may be preempted, but it is too soon to search.
+	f.scheduler.jobs.find("job-1").priority = protocol.PriorityLow
+	f.report(0, running)
+	if f.scheduler.inventory.find(sent.Machine).assignments[running.Task].stopping {
+		t.Error("preempted at once")
 	}
-	// Now the task on the machine may be stopped, but it is too soon to look.
-	b.scheduler.jobs.byID["job-1"].priority = protocol.PriorityLow
-	b.report(0, first)
-	if b.scheduler.inventory.find(d.Machine).assignments[first.Task].stopping {
-		t.Error("stopped at once")
+	f.now += limits.PreemptionSearchInterval
+	f.scheduler.placement.requestPass()
+	f.report(0, running)
+	if !f.scheduler.inventory.find(sent.Machine).assignments[running.Task].stopping {
+		t.Error("not preempted after the interval")
 	}
-	b.now += limits.PreemptionSearchInterval
-	b.scheduler.placement.requestPass()
-	b.report(0, first)
-	if !b.scheduler.inventory.find(d.Machine).assignments[first.Task].stopping {
-		t.Error("not stopped after the pause")
+}
+
+// TestFreeResourcesNeedNoSearch: a job that may not search for tasks to preempt yet uses free
+// resources.
+func TestFreeResourcesNeedNoSearch(t *testing.T) {
+	f := newSchedulerFixture(t, 1)
+	f.report(0)
+	request := placementRequest{
+		demand: resource.Vector{CPUs: 4, MemoryGB: 1}, team: f.scheduler.jobs.team("red"),
+		priority: protocol.PriorityHigh, guaranteed: true, preempting: true,
 	}
-	// Free room needs no look.
-	b = newSchedulerFixture(t, 1)
-	b.report(0)
-	b.scheduler.placement.nextPreemptionSearch[placementRequest{demand: resource.Vector{CPUs: 4, MemoryGB: 1}, team: b.scheduler.jobs.teams["red"], priority: protocol.PriorityHigh, guaranteed: true, preempting: true}] = time.Hour
-	b.job("job-2", "red", "high", 1, 4, 13)
-	if len(b.scheduler.jobs.byID["job-2"].assignments) != 1 {
-		t.Error("not placed where there is room")
+	f.scheduler.placement.nextPreemptionSearch[request] = time.Hour
+	f.job("job-2", "red", "high", 1, 4, 13)
+	if len(f.scheduler.jobs.find("job-2").assignments) != 1 {
+		t.Error("not placed although resources are free")
 	}
 }
