--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -123,3 +123,21 @@
 		t.Fatalf("%d tasks wait", got)
 	}
 }
+
+// TestOrphanOfAnOpenJob: finished tasks of a job that is open, but whose team the settings do not
+// name, are no orphans.
+func TestOrphanOfAnOpenJob(t *testing.T) {
+	f := newSchedulerFixture(t, 0)
+	s := New(f.scheduler.cfg, 0)
+	spec := protocol.Spec{ID: "job-1", Team: "gone", Priority: "low", Tasks: 2}
+	s.Step(JobChanged{JobID: "job-1", Version: 5, Record: storage.OpenJob{Spec: spec}}, 0)
+	s.Step(FinishedTasksLoaded{JobID: "job-1", Version: 6, Record: storage.FinishedTasks{Bits: "AQ"}}, 0)
+	noOpenRecord := protocol.Condition{Key: storage.OpenJobKey("job-1")}
+	for _, effect := range s.Step(StateLoaded{}, 0) {
+		if write, ok := effect.(WriteRecords); ok && write.Operations[0].Delete != "" {
+			if len(write.Conditions) != 1 || write.Conditions[0] != noOpenRecord {
+				t.Errorf("removed without a condition: %+v", write)
+			}
+		}
+	}
+}
