--- /dev/null
+++ b/internal/coordination/scheduler/bitmap_test.go
@@ -0,0 +1,46 @@
+package scheduler
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestBitmap: a bitmap is a set, and firstInNeither finds what a plain search finds.
+func TestBitmap(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		size := rapid.IntRange(1, 300).Draw(t, "size")
+		one, other := newBitmap(size), newBitmap(size)
+		taken := map[int]bool{}
+		for range rapid.IntRange(0, 2*size).Draw(t, "changes") {
+			index := rapid.IntRange(0, size-1).Draw(t, "index")
+			set := one
+			if rapid.Bool().Draw(t, "other") {
+				set = other
+			}
+			if rapid.Bool().Draw(t, "remove") {
+				set.remove(index)
+			} else {
+				set.add(index)
+			}
+			taken[index] = one.has(index) || other.has(index)
+		}
+		expect := 0
+		for taken[expect] {
+			expect++
+		}
+		start := rapid.IntRange(0, min(expect, size-1)).Draw(t, "start")
+		if got := firstInNeither(one, other, start); got != expect {
+			t.Fatalf("the lowest free index from %d on is %d, expected %d", start, got, expect)
+		}
+		index := rapid.IntRange(0, size-1).Draw(t, "last")
+		one.add(index)
+		if !one.has(index) {
+			t.Fatalf("%d is missing", index)
+		}
+		one.remove(index)
+		if one.has(index) {
+			t.Fatalf("%d is still there", index)
+		}
+	})
+}
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -123,3 +123,41 @@
 		t.Fatalf("%d tasks wait", got)
 	}
 }
+
+// TestFinalRecordWaitsForChunk: while a chunk of a job is being written, the final record is not; it
+// removes what the write has left behind.
+func TestFinalRecordWaitsForChunk(t *testing.T) {
+	f := newSchedulerFixture(t, 0)
+	f.job("job-1", "red", "standard", 10, 1, 0)
+	j := f.scheduler.jobs.find("job-1")
+	chunkKey, finalKey := storage.FinishedTasksKey("job-1", 0), storage.FinalJobKey("job-1")
+	writes := func() []WriteRecords { // of the job
+		var found []WriteRecords
+		for _, effect := range f.effects {
+			write, ok := effect.(WriteRecords)
+			if ok && (write.Operations[0].Put == chunkKey || write.Operations[0].Put == finalKey) {
+				found = append(found, write)
+			}
+		}
+		return found
+	}
+	f.scheduler.finished.recordDone(j, 0)
+	f.now += limits.ChunkWriteInterval
+	f.step(Tick{Entitled: true})
+	chunk := writes()
+	if len(chunk) != 1 || chunk[0].Operations[0].Put != chunkKey {
+		t.Fatalf("writes after a task is done: %+v", chunk)
+	}
+	for index := range 10 {
+		f.scheduler.finished.recordDone(j, index)
+	}
+	f.step(Tick{Entitled: true})
+	if got := writes(); len(got) != 0 {
+		t.Fatalf("writes while the chunk is written: %+v", got)
+	}
+	f.step(WriteCompleted{ID: chunk[0].ID, OK: true, Version: 7})
+	final := writes()
+	if len(final) != 1 || final[0].Operations[0].Put != finalKey || final[0].Operations[2].Delete != chunkKey {
+		t.Fatalf("writes after that: %+v", final)
+	}
+}
