--- /dev/null
+++ b/internal/coordination/scheduler/capacity_plan_test.go
@@ -0,0 +1,90 @@
+package scheduler
+
+import (
+	"reflect"
+	"testing"
+
+	"quillshunt/internal/limits"
+)
+
+// TestGangWithoutCapacity: once a gang has waited for long, machines are planned for all its tasks or
+// for none.
+func TestGangWithoutCapacity(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		tasks         int
+		lacksCapacity bool
+	}{
+		{"fits on the fleet", 2, false},
+		{"too large", 3, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newSchedulerFixture(t, 2)
+			for _, spot := range []bool{true, false} { // nothing can be rented
+				f.scheduler.rentals.pool(machinePool{"s8", "a", spot}).notBefore = never
+			}
+			f.report(0) // the other machine has not reported, so nothing is placed
+			f.gang("job-1", c.tasks, 8)
+			f.now += limits.GangCapacityTimeout
+			f.report(0)
+			f.scheduler.inventory.find(f.machine(1)).createdAt = f.now // it boots
+			plan := f.scheduler.planner.newPlan()
+			before := plan.snapshot()
+			j := f.scheduler.jobs.find("job-1")
+			plan.planGang(j)
+			if j.gang.lacksCapacity != c.lacksCapacity {
+				t.Errorf("lacks capacity: %v, want %v", j.gang.lacksCapacity, c.lacksCapacity)
+			}
+			if unchanged := reflect.DeepEqual(plan.snapshot(), before); unchanged != c.lacksCapacity {
+				t.Errorf("plan unchanged: %v, want %v", unchanged, c.lacksCapacity)
+			}
+		})
+	}
+}
+
+// TestTakeTasks: a machine is promised the tasks that can start on it in time, and what is left of a
+// task is carried to the next machine.
+func TestTakeTasks(t *testing.T) {
+	f := newSchedulerFixture(t, 0)
+	f.job("job-1", "red", "standard", 100, 2, 0) // tasks of 2 CPUs and 10 s
+	j := f.scheduler.jobs.find("job-1")
+	for _, c := range []struct {
+		name           string
+		usedCPUs       float64 // by tasks of 10 s that have just begun
+		readyInS       float64
+		withinS        float64
+		carry          float64
+		tasks          int
+		remainingCarry float64
+	}{
+		{"free", 0, 0, 0, 0, 4, 0},
+		{"booting", 0, 5, 0, 0, 4, 0},
+		{"half used", 4, 0, 0, 0, 2, 0},
+		{"used, long wait", 8, 0, 20, 0, 4, 0},
+		{"used, short wait", 8, 0, 5, 0, 1, 0},
+		{"used, boots for as long", 8, 5, 5, 0, 0, 0},
+		{"a fraction is left", 7, 0, 0, 0, 0, 0.5},
+		{"a fraction is carried", 7, 0, 0, 0.5, 1, 0},
+		{"as many as it holds", 0, 0, 0, 1, 4, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			offer := &capacity{
+				machineType:    f.scheduler.catalog.find("s8"),
+				readyInS:       c.readyInS,
+				usedCPUs:       c.usedCPUs,
+				busyCPUSeconds: 10 * c.usedCPUs,
+			}
+			jp := &jobPlan{job: j, tasksLeft: 100, taskSeconds: 10, zones: j.newZonePlan()}
+			carry := c.carry
+			if tasks := offer.takeTasks(jp, c.withinS, &carry); tasks != c.tasks || carry != c.remainingCarry {
+				t.Errorf("%d tasks and carry %v, want %d and %v", tasks, carry, c.tasks, c.remainingCarry)
+			}
+			if want := c.usedCPUs + float64(2*c.tasks); offer.usedCPUs != want {
+				t.Errorf("%v CPUs used, want %v", offer.usedCPUs, want)
+			}
+			if left := 100 - c.tasks; jp.tasksLeft != left {
+				t.Errorf("%d tasks left, want %d", jp.tasksLeft, left)
+			}
+		})
+	}
+}
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -74,6 +74,6 @@
 		s.placement.requestPass() // the jobs that may use the machines reserved for gangs have changed
 	}
 	plan.rent()
-	s.updateDraining()
+	s.planner.updateDraining()
 	s.returnIdleMachines()
 }
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -11,13 +11,13 @@
 // updateDraining picks machines that are not needed to be drained and returned, the most expensive
 // and emptiest first: the work would keep all of them if it were spread thin. It is decided anew with
 // every plan, so a burst of work brings them back at once.
-func (s *Scheduler) updateDraining() {
-	candidates := s.drainCandidates()
-	surplus := s.surplusCPUs(candidates)
+func (p *capacityPlanner) updateDraining() {
+	candidates := p.drainCandidates()
+	surplus := p.surplusCPUs(candidates)
 	slices.SortStableFunc(candidates, compareForDraining)
 	for _, m := range candidates {
 		size := m.size().CPUs
-		if m.freeResources().CPUs > 0 && size <= surplus && s.now > m.createdAt+limits.DrainAge {
+		if m.freeResources().CPUs > 0 && size <= surplus && p.now > m.createdAt+limits.DrainAge {
 			m.draining = true
 			surplus -= size
 		}
@@ -26,11 +26,11 @@
 
 // drainCandidates returns the machines that may be drained. What a gang waits for can't be made up for
 // by other machines.
-func (s *Scheduler) drainCandidates() []*machine {
+func (p *capacityPlanner) drainCandidates() []*machine {
 	var candidates []*machine
-	for _, m := range s.inventory.all() {
+	for _, m := range p.inventory.all() {
 		m.draining = false
-		if s.isSchedulable(m) && !m.neededByGang && !m.reservedForGangs {
+		if p.isSchedulable(m) && !m.neededByGang && !m.reservedForGangs {
 			candidates = append(candidates, m)
 		}
 	}
@@ -39,18 +39,18 @@
 
 // surplusCPUs is how many CPUs of some machines are not needed for what runs and waits, with some
 // headroom.
-func (s *Scheduler) surplusCPUs(machines []*machine) float64 {
+func (p *capacityPlanner) surplusCPUs(machines []*machine) float64 {
 	var total, used, waiting float64
 	for _, m := range machines {
 		total += m.size().CPUs
 		used += m.allocated.CPUs
 	}
-	for _, j := range s.jobs.oldestFirst() {
+	for _, j := range p.jobs.oldestFirst() {
 		if !j.cancelled {
 			waiting += float64(j.waitingTasks()) * j.demand.CPUs
 		}
 	}
-	return total - (used+waiting)*(1+s.cfg.Options.Fleet.Headroom)
+	return total - (used+waiting)*(1+p.cfg.Options.Fleet.Headroom)
 }
 
 // compareForDraining orders machines by price, the highest first, then by how much of them is in use.
