--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -123,3 +123,59 @@
 		t.Fatalf("%d tasks wait", got)
 	}
 }
+
+// TestOrphanOfAnOpenJob: finished tasks of a job that is open, but whose team the settings do not
+// name, are no orphans.
+func TestOrphanOfAnOpenJob(t *testing.T) {
+	f := newSchedulerFixture(t, 0)
+	s := New(f.scheduler.cfg, 0)
+	spec := protocol.Spec{ID: "job-1", Team: "gone", Priority: "low", Tasks: 2}
+	s.Step(JobChanged{JobID: "job-1", Version: 5, Record: storage.OpenJob{Spec: spec}}, 0)
+	s.Step(FinishedTasksLoaded{JobID: "job-1", Version: 6, Record: storage.FinishedTasks{Bits: "AQ"}}, 0)
+	noOpenRecord := protocol.Condition{Key: storage.OpenJobKey("job-1")}
+	for _, effect := range s.Step(StateLoaded{}, 0) {
+		if write, ok := effect.(WriteRecords); ok && write.Operations[0].Delete != "" {
+			if len(write.Conditions) != 1 || write.Conditions[0] != noOpenRecord {
+				t.Errorf("removed without a condition: %+v", write)
+			}
+		}
+	}
+}
+
+// TestFinalRecordWaitsForChunk: while a chunk of a job is being written, the final record is not; it
+// removes what the write has left behind.
+func TestFinalRecordWaitsForChunk(t *testing.T) {
+	f := newSchedulerFixture(t, 0)
+	f.job("job-1", "red", "standard", 10, 1, 0)
+	j := f.scheduler.jobs.find("job-1")
+	chunkKey, finalKey := storage.FinishedTasksKey("job-1", 0), storage.FinalJobKey("job-1")
+	writes := func() []WriteRecords { // of the job
+		var found []WriteRecords
+		for _, effect := range f.effects {
+			write, ok := effect.(WriteRecords)
+			if ok && (write.Operations[0].Put == chunkKey || write.Operations[0].Put == finalKey) {
+				found = append(found, write)
+			}
+		}
+		return found
+	}
+	f.scheduler.finished.recordDone(j, 0)
+	f.now += limits.ChunkWriteInterval
+	f.step(Tick{Entitled: true})
+	chunk := writes()
+	if len(chunk) != 1 || chunk[0].Operations[0].Put != chunkKey {
+		t.Fatalf("writes after a task is done: %+v", chunk)
+	}
+	for index := range 10 {
+		f.scheduler.finished.recordDone(j, index)
+	}
+	f.step(Tick{Entitled: true})
+	if got := writes(); len(got) != 0 {
+		t.Fatalf("writes while the chunk is written: %+v", got)
+	}
+	f.step(WriteCompleted{ID: chunk[0].ID, OK: true, Version: 7})
+	final := writes()
+	if len(final) != 1 || final[0].Operations[0].Put != finalKey || final[0].Operations[2].Delete != chunkKey {
+		t.Fatalf("writes after that: %+v", final)
+	}
+}
