--- a/internal/coordination/placement/weigher.go
+++ b/internal/coordination/placement/weigher.go
@@ -12,7 +12,7 @@
 	Image                          // minus the time to fetch the image
 	Packing                        // minus the CPUs that stay free
 	Price                          // minus the price of a CPU
-	Speed                          // minus the time that tasks take there, relative to the estimates
+	Speed                          // minus the run time of tasks there, relative to other machines
 	GangReservation                // 1 if the machine is reserved for gangs and the task is one of a gang
 	weigherCount
 )
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -143,7 +143,7 @@
 // heartbeat returns the next heartbeat of a machine.
 func (f *benchmarkFleet) heartbeat(m int) *protocol.Heartbeat {
 	f.sequence++
-	return report(m, f.sequence, f.tasks[m])
+	return heartbeatOf(m, f.sequence, f.tasks[m])
 }
 
 // step plays an event and carries out its effects.
@@ -182,8 +182,8 @@
 	}
 }
 
-// report returns a heartbeat of a machine.
-func report(m int, sequence uint64, tasks []protocol.TaskStatus) *protocol.Heartbeat {
+// heartbeatOf returns a heartbeat of a machine.
+func heartbeatOf(m int, sequence uint64, tasks []protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Machine: longName(m), Address: "x:1", MachineType: "s", Zone: "a",
 		Incarnation: 1, Sequence: sequence, FencingToken: 1, Tasks: tasks,
@@ -201,7 +201,7 @@
 				b.StopTimer()
 				s := reportedMachines(machines, machines-1)
 				last := HeartbeatReceived{
-					Heartbeat: report(machines-1, 1, nil), ReplyTo: machineResponder(0), Entitled: true,
+					Heartbeat: heartbeatOf(machines-1, 1, nil), ReplyTo: machineResponder(0), Entitled: true,
 				}
 				b.StartTimer()
 				s.Step(last, 0)
@@ -252,7 +252,7 @@
 	}
 	s.Step(StateLoaded{}, 0)
 	for m := range reported {
-		s.Step(HeartbeatReceived{Heartbeat: report(m, 1, nil), ReplyTo: machineResponder(m), Entitled: true}, 0)
+		s.Step(HeartbeatReceived{Heartbeat: heartbeatOf(m, 1, nil), ReplyTo: machineResponder(m), Entitled: true}, 0)
 	}
 	return s
 }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -212,8 +212,11 @@
 	return tasks
 }
 
-// hasEndedOn reports whether a machine lists a task of the gang's present attempt as ended: its
-// worker takes a start of it for a repetition.
+// mayKnowAttempt reports whether the worker of a machine may know the gang's present attempt, so that it
+// would take a start for a repetition.
+func (g *gang) mayKnowAttempt(m *machine) bool { return g.lostMachines[m.name] || g.hasEndedOn(m) }
+
+// hasEndedOn reports whether a machine lists a task of the gang's present attempt as ended.
 func (g *gang) hasEndedOn(m *machine) bool {
 	if g.state == gangWaiting {
 		return false
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -117,7 +117,6 @@
 		g.place(s.nextAttempt())
 	}
 	for _, task := range found.tasks {
-		task.machine.reservedFor = nil
 		s.assign(g.job, g.job.nextWaitingTask(), task.machine, g.attempt, stateUnsent)
 	}
 	s.placement.gangPlaced(found)
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -115,6 +115,9 @@
 
 // gangPlaced notes what the placement of a gang changes for the searches that follow in the pass.
 func (p *placer) gangPlaced(found *gangPlacement) {
+	for _, task := range found.tasks {
+		task.machine.reservedFor = nil
+	}
 	for m, view := range found.views {
 		if len(view.stopped) > 0 {
 			p.pass.addFreedMachine(m)
@@ -238,7 +241,7 @@
 	if (g.zone != "" && m.zone != g.zone) || g.zoneFull(m.zone) {
 		return
 	}
-	if g.job.gang.lostMachines[m.name] || g.job.gang.hasEndedOn(m) {
+	if g.job.gang.mayKnowAttempt(m) {
 		return
 	}
 	if c, ok := g.placer.evaluate(g.job, m, g.preempting, g.views[m]); ok {
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestGangThatCannotBeComplete: no machine is rented or kept for a gang that is spread over more
+// TestGangThatCannotBeComplete: no machine is rented or reserved for a gang that is spread over more
 // zones than there are, nor for long for one that the cloud has not enough machines for.
 func TestGangThatCannotBeComplete(t *testing.T) {
 	f := newGangFixture(t, 1)
@@ -70,8 +70,8 @@
 		}
 	}
 	for _, c := range []struct {
-		age  time.Duration
-		kept bool
+		age    time.Duration
+		needed bool
 	}{{0, true}, {limits.GangCapacityTimeout + time.Second, false}} {
 		f = newGangFixture(t, 1)
 		for _, spot := range []bool{true, false} {
@@ -88,8 +88,8 @@
 		f.now += limits.PlanInterval
 		f.reportAll()
 		f.step(Tick{Entitled: true})
-		if m := f.scheduler.inventory.find(f.machine(0)); m.neededByPlan != c.kept {
-			t.Errorf("after %v: its machine is kept: %v", c.age, m.neededByPlan)
+		if m := f.scheduler.inventory.find(f.machine(0)); m.neededByPlan != c.needed {
+			t.Errorf("after %v: its machine is needed: %v", c.age, m.neededByPlan)
 		}
 	}
 }
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -4,16 +4,17 @@
 // machines, ranks what is left on the full view, and preempts victims where the best machine is
 // short of resources: the paper's algorithm, request by request.
 func (s *Scheduler) placeTasks() {
-	if !s.placement.passNeeded || !s.recovery.hasEnded() {
+	if !s.placement.isPassRequested() || !s.recovery.hasEnded() {
 		return
 	}
-	if s.placement.collectJobs() == 0 && !s.gangs.hasRefills() {
+	jobs := s.placement.collectJobs()
+	if len(jobs) == 0 && !s.gangs.hasRefills() {
 		return
 	}
 	s.placement.beginPass()
 	s.refillGangs()
 	s.placeOverdueTasks()
-	for _, j := range s.placement.pass.jobs {
+	for _, j := range jobs {
 		if j.gang != nil {
 			s.placeGang(j)
 			continue
@@ -82,7 +83,6 @@
 			s.placement.gangStopped(victim.job)
 		}
 	}
-	m.reservedFor = nil
 	borrowed := j.team.usesBorrowed()
 	s.assign(j, j.nextWaitingTask(), m, s.nextAttempt(), stateUnsent)
 	s.placement.taskPlaced(m, victims, borrowed != j.team.usesBorrowed())
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -20,8 +20,8 @@
 	queue     *jobQueue
 	inventory *machineInventory
 
-	passNeeded bool // something changed that placement looks at
-	pass       placementPass
+	passRequested bool // something changed that placement looks at
+	pass          placementPass
 	// nextPreemptionSearch is when requests that found no tasks to preempt may look for them again:
 	// the search goes through all tasks of all machines, and in an overload many jobs search at
 	// every event. Until then they use free resources like others.
@@ -74,11 +74,15 @@
 }
 
 // requestPass lets the next step place tasks: something changed that placement looks at.
-func (p *placer) requestPass() { p.passNeeded = true }
+func (p *placer) requestPass() { p.passRequested = true }
 
-// collectJobs collects the jobs with tasks to place and returns how many there are.
-func (p *placer) collectJobs() int {
-	p.passNeeded = false
+// isPassRequested reports whether tasks may be placed that could not be placed before.
+func (p *placer) isPassRequested() bool { return p.passRequested }
+
+// collectJobs returns the jobs with tasks to place, in the order of the queue. The slice is the
+// placer's own, and valid for this pass.
+func (p *placer) collectJobs() []*job {
+	p.passRequested = false
 	pass := &p.pass
 	pass.jobs = pass.jobs[:0]
 	for _, j := range p.queue.order() {
@@ -91,7 +95,7 @@
 		pass.minDemand = pass.minDemand.Min(j.demand)
 		pass.jobs = append(pass.jobs, j)
 	}
-	return len(pass.jobs)
+	return pass.jobs
 }
 
 // beginPass collects the machines that may get tasks of the collected jobs. Reservations of the
@@ -176,8 +180,10 @@
 	maps.DeleteFunc(p.nextPreemptionSearch, func(_ placementRequest, at time.Duration) bool { return at <= p.now })
 }
 
-// taskPlaced notes what a placement changes for the searches that follow in the pass.
+// taskPlaced notes what a placement changes for the searches that follow in the pass. A reservation of
+// the machine has served its purpose.
 func (p *placer) taskPlaced(m *machine, victims []*assignment, borrowsMore bool) {
+	m.reservedFor = nil
 	if len(victims) > 0 {
 		p.pass.addFreedMachine(m) // the victims may free more than was needed
 	}
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -107,7 +107,7 @@
 func (f *largeFleet) reportAll(s *Scheduler) {
 	for i := range f.machines {
 		f.now += time.Millisecond
-		heartbeat := report(i, uint64(f.now), nil)
+		heartbeat := heartbeatOf(i, uint64(f.now), nil)
 		heartbeat.FencingToken = s.cfg.Term
 		f.step(s, HeartbeatReceived{
 			Heartbeat: heartbeat, ReplyTo: machineResponder(i), Entitled: true, SameConnection: true,
