--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -14,7 +14,7 @@
 	pool           machinePool
 	machineType    *protocol.MachineType
 	readyInS       float64 // seconds until it can start a task
-	usedCPUs       float64 // CPUs in use or promised, also by tasks that start one after the other
+	usedCPUs       float64 // CPUs in use or allocated, also to tasks that start one after the other
 	busyCPUSeconds float64 // CPU seconds that these still take
 }
 
@@ -42,11 +42,11 @@
 	return typeResources(c.machineType).Fits(j.demand) && j.mayUsePool(c.pool)
 }
 
-// takeTasks promises tasks of a job to the capacity and returns how many: those that can start within
-// some seconds, or as soon as it is ready. A part of what is in use will be free by then, as tasks end
-// one after the other. The carry is the fraction of a task that was left over before, and is left over
-// now.
-func (c *capacity) takeTasks(jp *jobPlan, withinS float64, carry *float64) int {
+// allocateTasks allocates the capacity to tasks of a job and returns how many: those that can start
+// within some seconds, or as soon as it is ready. A part of what is in use will be free by then, as
+// tasks end one after the other. The carry is the fraction of a task that other machines had left, and
+// then what is left with this one.
+func (c *capacity) allocateTasks(jp *jobPlan, withinS float64, carry *float64) int {
 	j := jp.job
 	perMachine := typeResources(c.machineType).TasksThatFit(j.demand)
 	if perMachine == 0 {
@@ -68,8 +68,8 @@
 	return tasks
 }
 
-// startableTasks is how many tasks of a job can start within some seconds, up to as many as the
-// machine holds; a fraction where tasks in use will be over by then.
+// startableTasks is how many tasks of a job can start within some seconds, at most as many as fit; a
+// fraction where running tasks are expected to end by then.
 func (c *capacity) startableTasks(j *job, perMachine int, withinS float64) float64 {
 	free := typeResources(c.machineType).CPUs - c.usedCPUs
 	if wait := withinS - c.readyInS; wait > 0 && c.busyCPUSeconds > 0 {
@@ -78,7 +78,7 @@
 	return min(max(free/c.cpusPerTask(j, perMachine), 0), float64(perMachine))
 }
 
-// cpusPerTask is how many CPUs a task counts for on a machine that holds a number of them.
+// cpusPerTask is how many CPUs a task counts for on a machine that a number of them fit on.
 func (c *capacity) cpusPerTask(j *job, perMachine int) float64 {
 	if j.demand.CPUs > 0 {
 		return j.demand.CPUs
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -12,8 +12,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// capacityPlan is one run of the planner: the capacity that is there, what of it is promised to which
-// jobs, and what is to be rented.
+// capacityPlan is one run of the planner: the capacity that is there, what of it the jobs will use, and
+// what is to be rented.
 type capacityPlan struct {
 	*capacityPlanner
 	offers         []*capacity
@@ -21,7 +21,7 @@
 	machinesInZone map[string]int          // without those that are being deleted
 	toRent         map[machinePool]float64 // a fraction if a part of a machine is enough
 
-	callsLeft       int                 // rental requests that the cloud accepts until the next plan
+	callsLeft       int                 // rental requests that the cloud accepts before the next plan
 	pendingRequests map[machinePool]int // not answered yet
 	requestsPerPool int                 // that may wait for their answers
 }
@@ -62,14 +62,8 @@
 	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() {
 		return nil
 	}
-	readyInS := 0.0
-	if !m.hasReported {
-		left, ok := p.bootTimeLeft(m)
-		if !ok {
-			return nil
-		}
-		readyInS = left
-	} else if p.isLongUnreachable(m) {
+	readyInS, ok := p.readyIn(m)
+	if !ok {
 		return nil
 	}
 	offer := &capacity{machine: m, pool: m.pool(), machineType: m.machineType, readyInS: readyInS}
@@ -79,9 +73,12 @@
 	return offer
 }
 
-// bootTimeLeft is how many seconds a machine that boots is expected to take still. It returns false
-// for one that may never come up.
-func (p *capacityPlan) bootTimeLeft(m *machine) (seconds float64, ok bool) {
+// readyIn returns in how many seconds a machine is expected to start tasks, and false if it may be
+// gone or never come up.
+func (p *capacityPlan) readyIn(m *machine) (seconds float64, ok bool) {
+	if m.hasReported {
+		return 0, !p.isLongUnreachable(m)
+	}
 	age := (p.now - m.createdAt).Seconds()
 	if left := m.machineType.BootS*limits.BootEstimateFactor - age; left >= 0 {
 		return left, true
@@ -147,8 +144,8 @@
 	jp.zones.addTasks(zone, tasks)
 }
 
-// planJob promises a job's waiting tasks to capacity that can start them in time, and adds machines
-// to rent for what is left. It returns how many tasks found neither.
+// planJob allocates capacity that can start them in time to a job's waiting tasks, and adds machines
+// to rent for the others. It returns how many tasks found neither.
 func (p *capacityPlan) planJob(j *job) (unplanned int) {
 	tasks := j.tasksWithinTeamLimit()
 	if tasks <= 0 || tasks < j.gangTasksToPlace() {
@@ -201,8 +198,8 @@
 // estimatedBootS is how many seconds a machine of a type is expected to take until it is up.
 func estimatedBootS(t *protocol.MachineType) float64 { return t.BootS * limits.BootEstimateFactor }
 
-// planOnOffers promises tasks to the capacity that is there. The fraction of a task that one machine
-// has left is carried to the next.
+// planOnOffers allocates the capacity that is there. The fraction of a task that one machine has left
+// is carried to the next.
 func (p *capacityPlan) planOnOffers(jp *jobPlan) {
 	j := jp.job
 	carry := 0.0
@@ -213,7 +210,7 @@
 		if !offer.allows(j) || jp.zones.remaining(offer.pool.zone) == 0 {
 			continue
 		}
-		tasks := offer.takeTasks(jp, jp.maxWaitS, &carry)
+		tasks := offer.allocateTasks(jp, jp.maxWaitS, &carry)
 		if tasks > 0 && j.gang != nil {
 			p.keepForGang(offer)
 		}
@@ -242,18 +239,18 @@
 				return
 			}
 		}
-		if p.addMachine(jp, pool, t) == 0 || p.toRent[pool] > float64(p.maxMachines()) {
+		if p.planNewMachine(jp, pool, t) == 0 || p.toRent[pool] > float64(p.maxMachines()) {
 			return
 		}
 	}
 }
 
-// addMachine adds a machine to rent, or the part of one that the tasks left need, and returns how
+// planNewMachine adds a machine to rent, or the part of one that the tasks left need, and returns how
 // many tasks that is.
-func (p *capacityPlan) addMachine(jp *jobPlan, pool machinePool, t *protocol.MachineType) int {
+func (p *capacityPlan) planNewMachine(jp *jobPlan, pool machinePool, t *protocol.MachineType) int {
 	j := jp.job
 	offer := newRentedCapacity(pool, t)
-	tasks := offer.takeTasks(jp, 0, new(float64))
+	tasks := offer.allocateTasks(jp, 0, new(float64))
 	if tasks == 0 {
 		return 0
 	}
@@ -317,8 +314,8 @@
 	return min(count, allowed)
 }
 
-// rent rents what is missing from the cheapest pools first, as the cloud may not accept requests
-// enough for all.
+// rent rents the missing machines, from the cheapest pools first, as the cloud may not accept requests
+// for all.
 func (p *capacityPlan) rent() {
 	for _, pool := range p.poolsByPrice() {
 		count := p.machinesToRent(pool)
--- a/internal/coordination/scheduler/capacity_plan_test.go
+++ b/internal/coordination/scheduler/capacity_plan_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestTakeTasks: a machine is promised the tasks that can start on it in time, and what is left of a
-// task is carried to the next machine.
-func TestTakeTasks(t *testing.T) {
+// TestAllocateTasks: a machine is allocated to the tasks that can start on it in time, and the fraction
+// of a task that is left is carried to the next machine.
+func TestAllocateTasks(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.job("job-1", "red", "standard", 100, 2, 0) // tasks of 2 CPUs and 10 s
 	j := f.scheduler.jobs.find("job-1")
@@ -65,7 +65,7 @@
 		{"used, boots for as long", 8, 5, 5, 0, 0, 0},
 		{"a fraction is left", 7, 0, 0, 0, 0, 0.5},
 		{"a fraction is carried", 7, 0, 0, 0.5, 1, 0},
-		{"as many as it holds", 0, 0, 0, 1, 4, 1},
+		{"as many as fit", 0, 0, 0, 1, 4, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			offer := &capacity{
@@ -76,7 +76,7 @@
 			}
 			jp := &jobPlan{job: j, tasksLeft: 100, taskSeconds: 10, zones: j.newZonePlan()}
 			carry := c.carry
-			if tasks := offer.takeTasks(jp, c.withinS, &carry); tasks != c.tasks || carry != c.remainingCarry {
+			if tasks := offer.allocateTasks(jp, c.withinS, &carry); tasks != c.tasks || carry != c.remainingCarry {
 				t.Errorf("%d tasks and carry %v, want %d and %v", tasks, carry, c.tasks, c.remainingCarry)
 			}
 			if want := c.usedCPUs + float64(2*c.tasks); offer.usedCPUs != want {
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -8,7 +8,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// cheapestPool returns the pool in which a machine for a job costs least for each task that it holds,
+// cheapestPool returns the pool in which a machine for a job costs least for each task that fits on it,
 // among those that are not known to be empty, and its machine type; nil if nothing should be rented
 // for the job now. A pool that may not be asked for more in this plan is left for a more expensive one
 // only at a similar price; otherwise it is asked again with the next plan.
