--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -69,10 +69,10 @@
 	return e.job == nil || e.job.closed || e.job.chunks[e.chunk].durableSequence >= e.sequence
 }
 
-// assign binds a task to a machine's present incarnation.
-func (s *Scheduler) assign(
-	j *job, index int, m *machine, attempt uint64, state assignmentState,
-) *assignment {
+
+	return &assignmentTable{environment: env, dispatcher: dispatcher, placement: placement, gangs: gangs}
+}
+
 	a := &assignment{
 		job:        j,
 		index:      index,
@@ -80,28 +80,15 @@
 		attempt:    attempt,
 		machine:    m,
 		state:      state,
-		assignedAt: s.now,
+		assignedAt: t.now,
 	}
 	j.addAssignment(a)
 	m.addAssignment(a)
-	s.gangs.markChanged(j.gang)
-	s.dispatcher.enqueue(m)
+	t.gangs.markChanged(j.gang)
+	t.dispatcher.enqueue(m)
 	return a
 }
 
-// release takes a task off its machine. The caller has the evidence that it is not there and cannot
-// come there: no start of this attempt is on its way, or the incarnation is over, or the machine is
-// gone.
-func (s *Scheduler) release(a *assignment) {
-	if a.machine.assignments[a.taskName] != a {
-		return // with its gang, by an earlier step of the same loop
-	}
-	s.gangs.taskLost(a)
-	a.job.removeAssignment(a)
-	a.machine.removeAssignment(a, s.now)
-	s.placement.requestPass()
-	s.gangs.requestCommit()
-}
 
 func (j *job) addAssignment(a *assignment) {
 	j.assignments[a.index] = a
@@ -134,28 +121,8 @@
 	}
 }
 
-// nextAttempt returns the next attempt number. Attempts rise across leaders because the term is their
-// high part.
-func (s *Scheduler) nextAttempt() uint64 {
-	s.attemptSequence++
-	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
-}
 
-// releaseAll takes all tasks off a machine that surely has none any more.
-func (s *Scheduler) releaseAll(m *machine) {
-	for _, a := range m.sortedAssignments() {
-		s.release(a)
-	}
-}
 
-// releaseUnsent releases the tasks of a machine of which no start has gone out.
-func (s *Scheduler) releaseUnsent(m *machine) {
-	for _, a := range m.sortedAssignments() {
-		if a.state == stateUnsent {
-			s.release(a)
-		}
-	}
-}
 
 // sortedAssignments returns the machine's assignments by job and task.
 func (m *machine) sortedAssignments() []*assignment {
@@ -168,3 +135,6 @@
 	})
 	return sorted
 }
+
+
+
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -17,13 +17,13 @@
 )
 
 // buildDirectCommands returns what a machine is told in a direct command.
-func (s *Scheduler) buildDirectCommands(m *machine) []protocol.Command {
-	return s.buildCommands(m, inDirectCommand, nil)
+func (t *assignmentTable) buildDirectCommands(m *machine) []protocol.Command {
+	return t.buildCommands(m, inDirectCommand, nil)
 }
 
 // buildCommands appends to commands what else a machine is told: first stops and the starts that are
 // repeated, then starts that fit into room that is surely free.
-func (s *Scheduler) buildCommands(
+func (t *assignmentTable) buildCommands(
 	m *machine, channel commandChannel, commands []protocol.Command,
 ) []protocol.Command {
 	assignments := m.sortedAssignments()
@@ -43,12 +43,12 @@
 	slices.SortStableFunc(assignments, func(a, b *assignment) int {
 		return cmp.Compare(b.job.priority, a.job.priority)
 	})
-	return s.appendStarts(m, assignments, channel, commands)
+	return t.appendStarts(m, assignments, channel, commands)
 }
 
 // appendStarts appends the starts of the assignments that may go out now, and releases those that the
 // machine should not get any more.
-func (s *Scheduler) appendStarts(
+func (t *assignmentTable) appendStarts(
 	m *machine, assignments []*assignment, channel commandChannel, commands []protocol.Command,
 ) []protocol.Command {
 	size, committed := m.size(), m.committedResources()
@@ -57,7 +57,7 @@
 			continue
 		}
 		if m.spotNotice || m.deleting || a.job.cancelled {
-			s.release(a)
+			t.release(a)
 			continue
 		}
 		if m.registration != registered {
@@ -71,9 +71,9 @@
 		default:
 			committed = committed.Plus(a.job.demand)
 		}
-		a.state, a.assignedAt = stateSent, s.now
+		a.state, a.assignedAt = stateSent, t.now
 		if channel == inDirectCommand {
-			a.directID = s.dispatcher.nextID()
+			a.directID = t.dispatcher.nextID()
 		}
 		commands = append(commands, a.startCommand())
 		if len(commands) >= limits.MaxCommands {
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -8,7 +8,7 @@
 	}
 	m.deleting, m.deleteReason, m.deleteRequestedAt = true, reason, -never/2
 	s.logInfo("returning", keyMachine, m.name, keyReason, reason, keyTasks, len(m.assignments))
-	s.releaseUnsent(m)
+	s.assignments.releaseUnsent(m)
 }
 
 // deletionDone handles the answer to DeleteMachines. Machines whose deletion is not confirmed stay,
@@ -30,7 +30,7 @@
 
 // forgetMachine removes a machine that is gone, with everything on it.
 func (s *Scheduler) forgetMachine(m *machine) {
-	s.releaseAll(m)
+	s.assignments.releaseAll(m)
 	s.inventory.remove(m)
 	s.registry.remove(m)
 	s.rentals.removeMachine(m)
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -126,8 +126,8 @@
 
 // dispatch sends the starts and stops of the machines that have just been decided on.
 func (s *Scheduler) dispatch() {
-	s.dispatcher.sendUrgent(s.buildDirectCommands)
-	s.dispatcher.sendWaiting(s.buildDirectCommands)
+	s.dispatcher.sendUrgent(s.assignments.buildDirectCommands)
+	s.dispatcher.sendWaiting(s.assignments.buildDirectCommands)
 }
 
 // directCommandsDone handles the answer to a direct command, or its absence.
@@ -152,7 +152,7 @@
 		m.noDirectUntil = s.now + limits.DirectCommandBackoff
 		for _, a := range m.sortedAssignments() {
 			if a.directID == e.ID && a.state == stateSent {
-				s.release(a)
+				s.assignments.release(a)
 			}
 		}
 	case heartbeat == nil:
@@ -168,8 +168,8 @@
 		// it was too early for.
 		m.markStartsUnconfirmed(e.ID)
 	default:
-		s.observeIncarnation(m, heartbeat)
-		s.setVerified(m, true)
+		s.reachability.observeIncarnation(m, heartbeat)
+		s.reachability.setVerified(m, true)
 		s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, e.ID))
 	}
 }
--- a/internal/coordination/scheduler/doc.go
+++ b/internal/coordination/scheduler/doc.go
@@ -7,7 +7,7 @@
 //
 // No task may run twice at the same time. A task is free, or assigned to one incarnation of one
 // machine's worker, and only evidence frees it: the worker reports that it is gone, the start can no
-// longer arrive, the worker's lease has expired, or the machine is deleted. See Scheduler.release
+// longer arrive, the worker's lease has expired, or the machine is deleted. See assignmentTable.release
 // and its callers. In a new term nothing is placed before recovery has ended, as tasks that earlier
 // leaders have started may be running.
 //
@@ -29,9 +29,11 @@
 //   - jobQueue: order of the jobs, guarantees, slack and aging
 //   - placer: the scheduling pass
 //   - gangTable: jobs whose tasks start together
+//   - assignmentTable: tasks on machines, from the decision to the evidence that they are gone
+//   - reachabilityTracker: which workers hear us, and whose lease is over
 //   - capacityPlanner: scale out and scale in
 //
-// What concerns many parts is a method of Scheduler: the life of a job (job_lifecycle.go), of an
-// assignment (assignment.go), and the reconciliation of a worker's tasks with the state
-// (reconcile.go).
+// What concerns many parts is a method of Scheduler: the life of a job (job_lifecycle.go) and of a
+// machine (machine_list.go, machine_removal.go, deletion.go), and the reconciliation of a worker's
+// tasks with the state (reconcile.go).
 package scheduler
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -35,10 +35,10 @@
 	g.beginStop(s.now)
 	for _, a := range g.job.sortedAssignments() {
 		if a.state == stateUnsent {
-			s.release(a)
+			s.assignments.release(a)
 			continue
 		}
-		s.stopAssignment(a, reason)
+		s.assignments.stop(a, reason)
 	}
 }
 
@@ -56,7 +56,7 @@
 // releaseGang releases all tasks of a gang of which no start has gone out.
 func (s *Scheduler) releaseGang(g *gang) {
 	for _, a := range g.job.sortedAssignments() {
-		s.release(a)
+		s.assignments.release(a)
 	}
 }
 
@@ -66,7 +66,7 @@
 		s.stopGang(a.job.gang, reason)
 		return
 	}
-	s.stopAssignment(a, reason)
+	s.assignments.stop(a, reason)
 }
 
 // gangsStillSaving reports whether gangs on a machine that is to be returned still need it to save
@@ -114,11 +114,11 @@
 		}
 	}
 	if g.state == gangWaiting {
-		g.place(s.nextAttempt())
+		g.place(s.assignments.nextAttempt())
 	}
 	for _, task := range found.tasks {
 		task.machine.reservedFor = nil
-		s.assign(g.job, g.job.nextWaitingTask(), task.machine, g.attempt, stateUnsent)
+		s.assignments.assign(g.job, g.job.nextWaitingTask(), task.machine, g.attempt, stateUnsent)
 	}
 	s.placement.gangPlaced(found)
 	s.gangs.awaitCommit(g)
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -335,13 +335,13 @@
 	b.gang("job-3", 2, 8) // does not fit
 	leaving := s.jobs.find("job-1").assignments[0]
 	leaving.state = stateRunning
-	s.stopAssignment(leaving, "for job-2")
+	s.assignments.stop(leaving, "for job-2")
 	s.jobs.find("job-2").demand.CPUs = 4
-	s.assign(s.jobs.find("job-2"), 0, m, 20, stateUnsent)
+	s.assignments.assign(s.jobs.find("job-2"), 0, m, 20, stateUnsent)
 	gang := s.jobs.find("job-3")
 	gang.demand.CPUs = 4
-	s.assign(gang, 0, m, 21, stateUnsent).committed = true
-	starts := commandsOf([]Effect{HeartbeatReply{Commands: s.buildCommands(m, inHeartbeatReply, nil)}}, protocol.CommandStart)
+	s.assignments.assign(gang, 0, m, 21, stateUnsent).committed = true
+	starts := commandsOf([]Effect{HeartbeatReply{Commands: s.assignments.buildCommands(m, inHeartbeatReply, nil)}}, protocol.CommandStart)
 	if len(starts) != 1 || starts[0].Task != "job-3/0" {
 		t.Errorf("starts: %+v", starts)
 	}
@@ -484,7 +484,7 @@
 	b.report(0, ended)
 	b.report(1, waits)
 	if b.scheduler.jobs.byID["job-1"].assignments[0] == nil {
-		b.scheduler.assign(b.scheduler.jobs.byID["job-1"], 0, b.scheduler.inventory.find(b.machine(0)), 7, stateSent)
+		b.scheduler.assignments.assign(b.scheduler.jobs.byID["job-1"], 0, b.scheduler.inventory.find(b.machine(0)), 7, stateSent)
 	}
 	b.report(0, ended)
 	if bound := b.scheduler.jobs.byID["job-1"].assignments[0]; bound != nil {
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -21,7 +21,7 @@
 	switch {
 	case m.isOutdated(heartbeat, m.heartbeatSequence):
 		s.answerOutdatedHeartbeat(e, m)
-	case !s.acceptRoute(m, e.Relayed):
+	case !s.reachability.acceptRoute(m, e.Relayed):
 		s.redirectHeartbeat(e)
 	default:
 		s.processHeartbeat(e, m)
@@ -43,8 +43,8 @@
 func (s *Scheduler) processHeartbeat(e HeartbeatReceived, m *machine) {
 	heartbeat := e.Heartbeat
 	// A heartbeat that comes after a gap may be a late one, even on its old connection.
-	s.setVerified(m, !m.fenced || (e.SameConnection && !s.isStale(m)))
-	s.observeIncarnation(m, heartbeat)
+	s.reachability.setVerified(m, !m.fenced || (e.SameConnection && !s.isStale(m)))
+	s.reachability.observeIncarnation(m, heartbeat)
 	m.heartbeatSequence, m.address = heartbeat.Sequence, heartbeat.Address
 	m.lastHeartbeatAt = s.now
 	s.registerMachine(m)
@@ -62,11 +62,11 @@
 		s.stopForSpotNotice(m)
 	}
 	if !m.verified {
-		s.releaseUnsent(m)
+		s.assignments.releaseUnsent(m)
 		s.prober.probe(m)
 	}
 	s.decide()
-	commands = s.buildCommands(m, inHeartbeatReply, commands)
+	commands = s.assignments.buildCommands(m, inHeartbeatReply, commands)
 	m.dispatchQueued, m.lastCommands = false, commands
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
 }
@@ -100,7 +100,7 @@
 	case m.hasReported && e.Heartbeat.Incarnation < m.incarnation, e.Heartbeat.Incarnation <= m.endedIncarnation:
 		s.rejectHeartbeat(e)
 		return
-	case !s.acceptRoute(m, e.Relayed):
+	case !s.reachability.acceptRoute(m, e.Relayed):
 		s.redirectHeartbeat(e)
 		return
 	}
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -31,44 +31,12 @@
 		s.logInfo("job cancelled", keyJob, j.id, "assigned", len(j.assignments))
 	}
 	if j.cancelled {
-		s.withdrawAll(j, stopReasonCancelled)
+		s.assignments.withdrawAll(j, stopReasonCancelled)
 		s.tryCloseJob(j)
 	}
 	s.placement.requestPass()
 }
 
-// withdrawAll takes all tasks of a job off their machines.
-func (s *Scheduler) withdrawAll(j *job, reason string) {
-	for _, a := range j.sortedAssignments() {
-		s.withdraw(a, reason)
-	}
-}
-
-// withdraw takes a task off its machine: at once if no command for it was sent, else by a stop.
-func (s *Scheduler) withdraw(a *assignment, reason string) {
-	if a.state == stateUnsent {
-		s.release(a)
-		return
-	}
-	s.stopAssignment(a, reason)
-}
-
-// stopAssignment has a worker told to stop a task. The task stays assigned until the worker shows
-// that it is gone.
-func (s *Scheduler) stopAssignment(a *assignment, reason string) {
-	if a.stopping {
-		return
-	}
-	a.stopping, a.stopReason = true, reason
-	s.dispatcher.enqueue(a.machine)
-	if a.job.gang != nil {
-		s.dispatcher.enqueueUrgent(a.machine)
-	}
-	a.machine.releasing = a.machine.releasing.Plus(a.job.demand)
-	s.logInfo("stopping", keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt,
-		keyMachine, a.machine.name, keyReason, reason)
-}
-
 // tryCloseJob writes a job's final record once nothing of it is left to do.
 func (s *Scheduler) tryCloseJob(j *job) {
 	if !s.mayCloseJob(j) {
@@ -121,7 +89,7 @@
 // closeJob forgets a job whose final record is durable.
 func (s *Scheduler) closeJob(j *job) {
 	j.closed = true
-	s.withdrawAll(j, "job over")
+	s.assignments.withdrawAll(j, "job over")
 	s.jobs.close(j)
 	s.queue.jobClosed(j)
 }
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -84,11 +84,11 @@
 			return
 		}
 		for _, victim := range victims {
-			s.stopAssignment(victim, "preempted for "+j.id)
+			s.assignments.stop(victim, "preempted for "+j.id)
 		}
 		m := candidates[best].Target
 		m.reservedFor = nil
-		s.assign(j, j.nextWaitingTask(), m, s.nextAttempt(), stateUnsent)
+		s.assignments.assign(j, j.nextWaitingTask(), m, s.assignments.nextAttempt(), stateUnsent)
 	}
 }
 
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -84,7 +84,7 @@
 	}
 	m.reservedFor = nil
 	borrowed := j.team.usesBorrowed()
-	s.assign(j, j.nextWaitingTask(), m, s.nextAttempt(), stateUnsent)
+	s.assignments.assign(j, j.nextWaitingTask(), m, s.assignments.nextAttempt(), stateUnsent)
 	s.placement.taskPlaced(m, victims, borrowed != j.team.usesBorrowed())
 	return gangStopped
 }
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -138,8 +138,8 @@
 		m.isOutdated(heartbeat, m.sequence) {
 		return
 	}
-	s.observeIncarnation(m, heartbeat)
-	s.setVerified(m, true)
+	s.reachability.observeIncarnation(m, heartbeat)
+	s.reachability.setVerified(m, true)
 	// Like the answer to a direct command it shows nothing of starts that went out another way and
 	// may still arrive.
 	s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.takeID()))
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -7,6 +7,27 @@
 	"quillshunt/internal/protocol"
 )
 
+// reachabilityTracker judges by the messages of workers, and by their absence, which machines hear us,
+// which way, and whose lease is over.
+type reachabilityTracker struct {
+	*environment
+	inventory   *machineInventory
+	placement   *placer
+	assignments *assignmentTable
+}
+
+// newReachabilityTracker returns a tracker of the machines of an inventory.
+func newReachabilityTracker(
+	env *environment, inventory *machineInventory, placement *placer, assignments *assignmentTable,
+) *reachabilityTracker {
+	return &reachabilityTracker{
+		environment: env,
+		inventory:   inventory,
+		placement:   placement,
+		assignments: assignments,
+	}
+}
+
 // staleAfter is how long after its last heartbeat a machine still gets tasks.
 func (e *environment) staleAfter() time.Duration {
 	return time.Duration(float64(e.heartbeatInterval) * limits.FreshHeartbeatIntervals)
@@ -33,12 +54,12 @@
 
 // setVerified notes whether answers are known to reach a machine. While they are not, it gets no new
 // tasks: heartbeats may arrive from a machine that hears nothing.
-func (s *Scheduler) setVerified(m *machine, verified bool) {
+func (r *reachabilityTracker) setVerified(m *machine, verified bool) {
 	if verified && !m.verified {
-		s.placement.requestPass()
+		r.placement.requestPass()
 	}
 	if !verified && (m.verified || m.unverifiedSince == 0) {
-		m.unverifiedSince = s.now
+		m.unverifiedSince = r.now
 	}
 	m.verified = verified
 }
@@ -46,7 +67,7 @@
 // acceptRoute notes which way a heartbeat came and reports whether it is answered. A worker that comes
 // through another controller is first told to come itself; one that was here before and now comes that
 // way, or that we did not reach either, cannot reach us. From time to time it is told to try again.
-func (s *Scheduler) acceptRoute(m *machine, relayed bool) bool {
+func (r *reachabilityTracker) acceptRoute(m *machine, relayed bool) bool {
 	if !relayed {
 		m.reportsDirectly, m.relayed, m.redirected = true, false, false
 		return true
@@ -55,63 +76,63 @@
 		m.redirected = true
 		return false
 	}
-	if m.relayed && s.now > m.relayedSince+limits.RelayRetryAfter {
+	if m.relayed && r.now > m.relayedSince+limits.RelayRetryAfter {
 		m.relayed = false
 		return false
 	}
 	if !m.relayed {
-		m.relayed, m.relayedSince = true, s.now
-		s.logWarn("heartbeats relayed", keyMachine, m.name)
+		m.relayed, m.relayedSince = true, r.now
+		r.logWarn("heartbeats relayed", keyMachine, m.name)
 	}
 	return true
 }
 
 // observeIncarnation notes the incarnation and the fencing token of a message that is not outdated.
-func (s *Scheduler) observeIncarnation(m *machine, heartbeat *protocol.Heartbeat) {
+func (r *reachabilityTracker) observeIncarnation(m *machine, heartbeat *protocol.Heartbeat) {
 	if m.hasReported && heartbeat.Incarnation > m.incarnation {
-		s.releaseEndedIncarnation(m)
+		r.releaseEndedIncarnation(m)
 	}
 	if !m.hasReported || heartbeat.Incarnation > m.incarnation {
 		m.sequence, m.heartbeatSequence = 0, 0
-		s.placement.requestPass()
+		r.placement.requestPass()
 	}
 	if !m.hasReported {
-		m.firstReportAt, m.idleSince = s.now, s.now
+		m.firstReportAt, m.idleSince = r.now, r.now
 	}
 	m.hasReported, m.incarnation = true, heartbeat.Incarnation
-	if heartbeat.FencingToken == s.cfg.Term && !m.fenced {
+	if heartbeat.FencingToken == r.cfg.Term && !m.fenced {
 		m.fenced = true
-		m.leaseRenewedAt = max(m.leaseRenewedAt, s.now)
-		s.placement.requestPass()
+		m.leaseRenewedAt = max(m.leaseRenewedAt, r.now)
+		r.placement.requestPass()
 	}
 }
 
 // releaseEndedIncarnation releases the tasks of a worker that has started anew: it has killed them.
-func (s *Scheduler) releaseEndedIncarnation(m *machine) {
+func (r *reachabilityTracker) releaseEndedIncarnation(m *machine) {
 	for _, a := range m.sortedAssignments() {
 		if a.state != stateUnsent {
-			s.logWarn("task lost, worker restarted",
+			r.logWarn("task lost, worker restarted",
 				keyMachine, m.name, keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt)
 		}
-		s.release(a)
+		r.assignments.release(a)
 	}
 	m.endedTasks = map[attemptKey]endedTask{}
 	m.cachedImages = map[string]time.Duration{}
 }
 
 // expireLeases releases the tasks of workers whose lease is surely over: they have killed them.
-func (s *Scheduler) expireLeases() {
-	for _, m := range s.inventory.all() {
-		if !s.hasNewlyExpiredLease(m) {
-			if s.isStale(m) {
-				s.releaseUnsent(m)
+func (r *reachabilityTracker) expireLeases() {
+	for _, m := range r.inventory.all() {
+		if !r.hasNewlyExpiredLease(m) {
+			if r.isStale(m) {
+				r.assignments.releaseUnsent(m)
 			}
 			continue
 		}
 		if len(m.assignments) > 0 {
-			s.logWarn("worker lease expired", keyMachine, m.name, keyTasks, len(m.assignments))
+			r.logWarn("worker lease expired", keyMachine, m.name, keyTasks, len(m.assignments))
 		}
-		s.releaseAll(m)
+		r.assignments.releaseAll(m)
 		m.endedTasks = map[attemptKey]endedTask{}
 		m.endedIncarnation = max(m.incarnation, 1)
 		if !m.hasReported {
@@ -123,7 +144,7 @@
 // hasNewlyExpiredLease reports whether a worker's lease is surely over and that was not noted yet. The
 // worker sent the last heartbeat that we answered before it arrived here, so LeaseExpiredAfter its
 // arrival the lease is over by the worker's clock and by ours.
-func (s *Scheduler) hasNewlyExpiredLease(m *machine) bool {
+func (r *reachabilityTracker) hasNewlyExpiredLease(m *machine) bool {
 	noted := m.endedIncarnation >= max(m.incarnation, 1)
-	return !noted && s.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(s.workerLease)
+	return !noted && r.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(r.workerLease)
 }
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -58,7 +58,7 @@
 	case seen && ours:
 		// The attempt had ended here before we sent it once more, as the gang's tasks share one.
 		// The start has no effect, as long as the worker is not told to forget the attempt.
-		s.release(a)
+		s.assignments.release(a)
 		ended.mustNotForget = ended.mustNotForget || startMayArrive
 		return ended, true
 	case seen:
@@ -79,9 +79,9 @@
 	ended.chunk, ended.sequence = s.finished.recordDone(j, index)
 	if other := j.assignments[index]; other != nil && other != a {
 		if other.state == stateUnsent {
-			s.release(other)
+			s.assignments.release(other)
 		} else {
-			s.stopAssignment(other, stopReasonDoneElsewhere)
+			s.assignments.stop(other, stopReasonDoneElsewhere)
 		}
 	}
 	s.tryCloseJob(j)
@@ -94,7 +94,7 @@
 	a := m.assignments[status.Task]
 	if a != nil && a.state != stateUnsent && status.Attempt > a.attempt {
 		// A later attempt than ours: attempts rise, so ours is over.
-		s.release(a)
+		s.assignments.release(a)
 		a = nil
 	}
 	switch {
@@ -103,9 +103,9 @@
 	case j != nil && j.mayAdopt(index):
 		// Running, but not by our command: of an earlier term, mostly. It is ours now.
 		if unsent := j.assignments[index]; unsent != nil {
-			s.release(unsent)
+			s.assignments.release(unsent)
 		}
-		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
+		s.updateProgress(s.assignments.assign(j, index, m, status.Attempt, stateSent), status)
 		if s.recovery.hasEnded() && !j.cancelled {
 			s.logWarn("unexpected task adopted",
 				keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, keyMachine, m.name)
@@ -113,8 +113,8 @@
 	case a != nil && a.state != stateUnsent:
 		// An older attempt is still here; our start is refused as busy. Keep the one that is here.
 		newer := a.attempt
-		s.release(a)
-		s.updateProgress(s.assign(j, index, m, status.Attempt, stateSent), status)
+		s.assignments.release(a)
+		s.updateProgress(s.assignments.assign(j, index, m, status.Attempt, stateSent), status)
 		s.logWarn("older attempt still there",
 			keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, "newer", newer, keyMachine, m.name)
 	default:
@@ -151,9 +151,9 @@
 		case a.startMayArriveAfter(directID):
 			continue
 		case directID == 0:
-			s.setVerified(m, false) // our answer did not reach it
+			s.reachability.setVerified(m, false) // our answer did not reach it
 		}
-		s.release(a)
+		s.assignments.release(a)
 	}
 }
 
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -38,6 +38,8 @@
 	dispatcher       *commandDispatcher
 	placement        *placer
 	gangs            *gangTable
+	assignments      *assignmentTable
+	reachability     *reachabilityTracker
 	gangReservations *gangReservations
 	recovery         *recoveryState
 	prober           *machineProber
@@ -45,8 +47,7 @@
 	planner          *capacityPlanner
 	cloudList        *machineListReader
 
-	attemptSequence uint64        // low part of the attempt numbers of this term
-	nextSummaryAt   time.Duration // when the summary line is due
+	nextSummaryAt time.Duration // when the summary line is due
 }
 
 // New returns the scheduler of a term that begins now.
@@ -61,6 +62,8 @@
 	dispatcher := newCommandDispatcher(env)
 	placement := newPlacer(env, queue, inventory)
 	gangs := newGangTable(env)
+	assignments := newAssignmentTable(env, dispatcher, placement, gangs)
+	reachability := newReachabilityTracker(env, inventory, placement, assignments)
 	gangReservations := newGangReservations(env, jobs, inventory, catalog)
 	recovery := newRecoveryState(env, inventory)
 	prober := newMachineProber(env, inventory, recovery)
@@ -78,6 +81,8 @@
 		dispatcher:       dispatcher,
 		placement:        placement,
 		gangs:            gangs,
+		assignments:      assignments,
+		reachability:     reachability,
 		gangReservations: gangReservations,
 		recovery:         recovery,
 		prober:           prober,
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -13,7 +13,7 @@
 	m.spotNotice = true
 	m.spotNoticeEnds = s.now + limits.Seconds(*heartbeat.SpotNoticeS)
 	s.logInfo("spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
-	s.releaseUnsent(m)
+	s.assignments.releaseUnsent(m)
 }
 
 // stopForSpotNotice stops tasks on a machine that the cloud takes back: those with checkpoints in time
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -43,7 +43,7 @@
 		s.gangs.markChanged(a.job.gang)
 	}
 	if a.job.cancelled {
-		s.stopAssignment(a, stopReasonCancelled)
+		s.assignments.stop(a, stopReasonCancelled)
 	}
 }
 
@@ -87,7 +87,7 @@
 func (s *Scheduler) taskEnded(a *assignment, status *protocol.TaskStatus) endedTask {
 	j, m := a.job, a.machine
 	runTime := a.runTime(s.now)
-	s.release(a)
+	s.assignments.release(a)
 	s.gangs.taskEnded(a, status)
 	ended := endedTask{mustNotForget: a.startUnconfirmed}
 	switch status.Reason {
