--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -7,8 +7,6 @@
 	"time"
 
 	"quillshunt/internal/coordination/resource"
-	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
 )
 
 // assignmentState is how far a task has come on its machine.
@@ -69,27 +67,6 @@
 	return e.job == nil || e.job.closed || e.job.chunks[e.chunk].durableSequence >= e.sequence
 }
 
-
-	return &assignmentTable{environment: env, dispatcher: dispatcher, placement: placement, gangs: gangs}
-}
-
-	a := &assignment{
-		job:        j,
-		index:      index,
-		taskName:   protocol.TaskName(j.id, index),
-		attempt:    attempt,
-		machine:    m,
-		state:      state,
-		assignedAt: t.now,
-	}
-	j.addAssignment(a)
-	m.addAssignment(a)
-	t.gangs.markChanged(j.gang)
-	t.dispatcher.enqueue(m)
-	return a
-}
-
-
 func (j *job) addAssignment(a *assignment) {
 	j.assignments[a.index] = a
 	j.assigned.add(a.index)
@@ -121,9 +98,6 @@
 	}
 }
 
-
-
-
 // sortedAssignments returns the machine's assignments by job and task.
 func (m *machine) sortedAssignments() []*assignment {
 	sorted := make([]*assignment, 0, len(m.assignments))
@@ -135,6 +109,3 @@
 	})
 	return sorted
 }
-
-
-
--- a/internal/coordination/scheduler/assignment_table.go
+++ b/internal/coordination/scheduler/assignment_table.go
@@ -1,5 +1,10 @@
 package scheduler
 
+import (
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+)
+
 // assignmentTable binds tasks to machines and frees them. The assignments themselves are kept by their
 // jobs and machines.
 type assignmentTable struct {
@@ -14,11 +19,28 @@
 func newAssignmentTable(
 	env *environment, dispatcher *commandDispatcher, placement *placer, gangs *gangTable,
 ) *assignmentTable {
+	return &assignmentTable{environment: env, dispatcher: dispatcher, placement: placement, gangs: gangs}
+}
 
 // assign binds a task to a machine's present incarnation.
 func (t *assignmentTable) assign(
 	j *job, index int, m *machine, attempt uint64, state assignmentState,
 ) *assignment {
+	a := &assignment{
+		job:        j,
+		index:      index,
+		taskName:   protocol.TaskName(j.id, index),
+		attempt:    attempt,
+		machine:    m,
+		state:      state,
+		assignedAt: t.now,
+	}
+	j.addAssignment(a)
+	m.addAssignment(a)
+	t.gangs.markChanged(j.gang)
+	t.dispatcher.enqueue(m)
+	return a
+}
 
 // release takes a task off its machine. The caller has the evidence that it is not there and cannot
 // come there: no start of this attempt is on its way, or the incarnation is over, or the machine is
