--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -202,6 +202,7 @@
 	begun := f.submit("begun", "red", "standard", 100, 0)
 	begun.doneCount = 20
 	waiting := f.submit("waiting", "red", "low", 10, 0)
+	f.submit("of its group", "red", "low", 10, 0).doneCount = 10 // so the group has got more than the others
 	behind := f.submit("behind", "blue", "standard", 100, 0)
 	behind.doneCount = 10
 	f.env.now = time.Hour
