--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -7,8 +7,6 @@
 	"time"
 
 	"quillshunt/internal/coordination/resource"
-	"quillshunt/internal/limits"
-	"quillshunt/internal/protocol"
 )
 
 // assignmentState is how far a task has come on its machine.
@@ -69,40 +67,6 @@
 	return e.job == nil || e.job.closed || e.job.chunks[e.chunk].durableSequence >= e.sequence
 }
 
-// assign binds a task to a machine's present incarnation.
-func (s *Scheduler) assign(
-	j *job, index int, m *machine, attempt uint64, state assignmentState,
-) *assignment {
-	a := &assignment{
-		job:        j,
-		index:      index,
-		taskName:   protocol.TaskName(j.id, index),
-		attempt:    attempt,
-		machine:    m,
-		state:      state,
-		assignedAt: s.now,
-	}
-	j.addAssignment(a)
-	m.addAssignment(a)
-	s.gangs.markChanged(j.gang)
-	s.dispatcher.enqueue(m)
-	return a
-}
-
-// release takes a task off its machine. The caller has the evidence that it is not there and cannot
-// come there: no start of this attempt is on its way, or the incarnation is over, or the machine is
-// gone.
-func (s *Scheduler) release(a *assignment) {
-	if a.machine.assignments[a.taskName] != a {
-		return // with its gang, by an earlier step of the same loop
-	}
-	s.gangs.taskLost(a)
-	a.job.removeAssignment(a)
-	a.machine.removeAssignment(a, s.now)
-	s.placement.requestPass()
-	s.gangs.requestCommit()
-}
-
 func (j *job) addAssignment(a *assignment) {
 	j.assignments[a.index] = a
 	j.assigned.add(a.index)
@@ -134,29 +98,6 @@
 	}
 }
 
-// nextAttempt returns the next attempt number. Attempts rise across leaders because the term is their
-// high part.
-func (s *Scheduler) nextAttempt() uint64 {
-	s.attemptSequence++
-	return s.cfg.Term<<limits.AttemptTermShift | s.attemptSequence
-}
-
-// releaseAll takes all tasks off a machine that surely has none any more.
-func (s *Scheduler) releaseAll(m *machine) {
-	for _, a := range m.sortedAssignments() {
-		s.release(a)
-	}
-}
-
-// releaseUnsent releases the tasks of a machine of which no start has gone out.
-func (s *Scheduler) releaseUnsent(m *machine) {
-	for _, a := range m.sortedAssignments() {
-		if a.state == stateUnsent {
-			s.release(a)
-		}
-	}
-}
-
 // sortedAssignments returns the machine's assignments by job and task.
 func (m *machine) sortedAssignments() []*assignment {
 	sorted := make([]*assignment, 0, len(m.assignments))
