--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -267,7 +267,7 @@
 	f.report(1, waiting)
 	j := f.scheduler.jobs.find("job-1")
 	if j.assignments[0] == nil {
-		f.scheduler.assign(j, 0, f.scheduler.inventory.find(f.machine(0)), 7, stateSent)
+		f.scheduler.assignments.assign(j, 0, f.scheduler.inventory.find(f.machine(0)), 7, stateSent)
 	}
 	f.report(0, ended)
 	if assigned := j.assignments[0]; assigned != nil {
