--- a/internal/coordination/scheduler/health_test.go
+++ b/internal/coordination/scheduler/health_test.go
@@ -51,10 +51,10 @@
 	f, _, j := newFailureFixture(t)
 	slow, usual := f.findMachine(2), f.findMachine(3)
 	for range 6 {
-		f.scheduler.learnRunTime(j, usual, 10)
+		j.learnRunTime(usual, 10)
 	}
 	for range limits.SlowMachineTasks {
-		f.scheduler.learnRunTime(j, slow, 60)
+		j.learnRunTime(slow, 60)
 	}
 	if !slow.isSlow() {
 		t.Error("a slow machine is not found")
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -24,14 +24,14 @@
 		if m.assignments[a.taskName] != a || a.stopping || a.state == stateUnsent {
 			continue // also those that were released with their gang
 		}
-		if s.mustStopBefore(a, remaining) {
+		if s.mustStopFor(a, remaining) {
 			s.stopTask(a, "spot notice")
 		}
 	}
 }
 
-// mustStopBefore reports whether a task on a machine with that many seconds left has to stop now.
-func (s *Scheduler) mustStopBefore(a *assignment, remaining float64) bool {
+// mustStopFor reports whether a task has to stop now as its machine is there for that many seconds only.
+func (s *Scheduler) mustStopFor(a *assignment, remaining float64) bool {
 	if a.job.spec.CheckpointS > 0 {
 		margin := limits.SpotNoticeSaveIntervals * s.heartbeatInterval.Seconds()
 		return remaining < a.job.spec.SaveS+margin
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -52,7 +52,7 @@
 	if a.state == stateGathering {
 		return
 	}
-	s.learnFetchTime(a)
+	a.learnFetchTime(s.now)
 	a.state = stateGathering
 	s.gangs.taskGathering(a.job.gang)
 }
@@ -63,7 +63,7 @@
 		return
 	}
 	if a.state != stateGathering {
-		s.learnFetchTime(a)
+		a.learnFetchTime(s.now)
 	}
 	a.state, a.runningSince = stateRunning, s.now
 	spec := &a.job.spec
@@ -76,11 +76,11 @@
 }
 
 // learnFetchTime adds the time that a task waited for its image to what is known of its class.
-func (s *Scheduler) learnFetchTime(a *assignment) {
-	seconds := (s.now - a.assignedAt).Seconds()
+func (a *assignment) learnFetchTime(now time.Duration) {
+	seconds := (now - a.assignedAt).Seconds()
 	a.job.class.learnFetchTime(seconds)
 	a.machine.fetchCPUSeconds += seconds * a.job.demand.CPUs
-	a.machine.cachedImages[a.job.spec.Image] = s.now
+	a.machine.cachedImages[a.job.spec.Image] = now
 }
 
 // taskEnded handles the end of one of our tasks, or the refusal of its start.
@@ -131,13 +131,13 @@
 	ended.job = j
 	ended.chunk, ended.sequence = s.finished.recordDone(j, a.index)
 	if runTime > 0 && !doneWithGang {
-		s.learnRunTime(j, m, runTime)
+		j.learnRunTime(m, runTime)
 	}
 }
 
 // learnRunTime adds a task's run time, in seconds, to what is known of its class, its job and its
 // machine.
-func (s *Scheduler) learnRunTime(j *job, m *machine, runTime float64) {
+func (j *job) learnRunTime(m *machine, runTime float64) {
 	if j.spec.EstimateS > 0 {
 		j.class.learnRunTime(runTime / j.spec.EstimateS)
 	}
