--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -6,14 +6,13 @@
 	"math"
 	"slices"
 	"strings"
-	"time"
 
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 )
 
-// capacityPlan is one run of the planner: the capacity that is there, what of it is promised to which
-// jobs, and what is to be rented.
+// capacityPlan is one run of the planner: the capacity that is there, what of it the jobs will use, and
+// what is to be rented.
 type capacityPlan struct {
 	*capacityPlanner
 	offers         []*capacity
@@ -21,7 +20,7 @@
 	machinesInZone map[string]int          // without those that are being deleted
 	toRent         map[machinePool]float64 // a fraction if a part of a machine is enough
 
-	callsLeft       int                 // rental requests that the cloud accepts until the next plan
+	callsLeft       int                 // rental requests that the cloud accepts before the next plan
 	pendingRequests map[machinePool]int // not answered yet
 	requestsPerPool int                 // that may wait for their answers
 }
@@ -62,14 +61,8 @@
 	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() {
 		return nil
 	}
-	readyInS := 0.0
-	if !m.hasReported {
-		left, ok := p.bootTimeLeft(m)
-		if !ok {
-			return nil
-		}
-		readyInS = left
-	} else if p.isLongUnreachable(m) {
+	readyInS, ok := p.readyIn(m)
+	if !ok {
 		return nil
 	}
 	offer := &capacity{machine: m, pool: m.pool(), machineType: m.machineType, readyInS: readyInS}
@@ -79,9 +72,12 @@
 	return offer
 }
 
-// bootTimeLeft is how many seconds a machine that boots is expected to take still. It returns false
-// for one that may never come up.
-func (p *capacityPlan) bootTimeLeft(m *machine) (seconds float64, ok bool) {
+// readyIn returns in how many seconds a machine is expected to start tasks, and false if it may be
+// gone or never come up.
+func (p *capacityPlan) readyIn(m *machine) (seconds float64, ok bool) {
+	if m.hasReported {
+		return 0, !p.isLongUnreachable(m)
+	}
 	age := (p.now - m.createdAt).Seconds()
 	if left := m.machineType.BootS*limits.BootEstimateFactor - age; left >= 0 {
 		return left, true
@@ -132,143 +128,9 @@
 	}
 }
 
-// jobPlan is what is left to plan of one job.
-type jobPlan struct {
-	job         *job
-	tasksLeft   int
-	taskSeconds float64 // that a task is expected to use its resources
-	maxWaitS    float64 // seconds within which tasks should start on capacity that is there
-	zones       *zonePlan
-}
-
-// planned notes that some tasks are planned in a zone.
-func (jp *jobPlan) planned(zone string, tasks int) {
-	jp.tasksLeft -= tasks
-	jp.zones.addTasks(zone, tasks)
-}
-
-// planJob promises a job's waiting tasks to capacity that can start them in time, and adds machines
-// to rent for what is left. It returns how many tasks found neither.
-func (p *capacityPlan) planJob(j *job) (unplanned int) {
-	tasks := j.tasksWithinTeamLimit()
-	if tasks <= 0 || tasks < j.gangTasksToPlace() {
-		return 0
-	}
-	jp := jobPlan{
-		job:         j,
-		tasksLeft:   tasks,
-		taskSeconds: j.occupancy(),
-		maxWaitS:    p.maxWaitS(j),
-		zones:       j.newZonePlan(),
-	}
-	if j.gang != nil && j.spec.SameZone && !p.chooseGangZone(&jp) {
-		return jp.tasksLeft
-	}
-	p.planOnOffers(&jp)
-	p.planOnNewMachines(&jp)
-	return jp.tasksLeft
-}
-
-// tasksWithinTeamLimit is how many of the waiting tasks the team's limit lets start now; the others
-// need no machine yet.
-func (j *job) tasksWithinTeamLimit() int {
-	tasks := j.waitingTasks()
-	if j.demand.CPUs > 0 {
-		tasks = min(tasks, int((j.team.cfg.CPUsMax-j.team.allocated.CPUs)/j.demand.CPUs+limits.Epsilon))
-	}
-	return tasks
-}
-
-// maxWaitS is within how many seconds tasks of a job should start on capacity that is there. What
-// starts before a new machine can be up needs none. What has waited as long already can't wait as
-// long again, or a queue that is always as long would never be worked off.
-func (p *capacityPlan) maxWaitS(j *job) float64 {
-	wait := max(p.maxPlannedWait(j), p.catalog.quickestBoot(j))
-	return max(wait-(p.now-j.submittedAt).Seconds(), 0)
-}
-
-// maxPlannedWait is how many seconds a job's tasks are planned to wait for capacity: a share of the
-// time that they have.
-func (p *capacityPlan) maxPlannedWait(j *job) float64 {
-	fleet := &p.cfg.Options.Fleet
-	wait := time.Duration(fleet.MaxPlannedWait).Seconds()
-	if slack, late := p.queue.slack(j); !late && slack != never {
-		wait = min(wait, max(slack.Seconds(), 0)*fleet.PlannedWaitSlackRatio)
-	}
-	return wait
-}
-
 // estimatedBootS is how many seconds a machine of a type is expected to take until it is up.
 func estimatedBootS(t *protocol.MachineType) float64 { return t.BootS * limits.BootEstimateFactor }
 
-// planOnOffers promises tasks to the capacity that is there. The fraction of a task that one machine
-// has left is carried to the next.
-func (p *capacityPlan) planOnOffers(jp *jobPlan) {
-	j := jp.job
-	carry := 0.0
-	for _, offer := range p.offers {
-		if jp.tasksLeft == 0 {
-			return
-		}
-		if !offer.allows(j) || jp.zones.remaining(offer.pool.zone) == 0 {
-			continue
-		}
-		tasks := offer.takeTasks(jp, jp.maxWaitS, &carry)
-		if tasks > 0 && j.gang != nil {
-			p.keepForGang(offer)
-		}
-	}
-}
-
-// keepForGang makes sure that a machine with tasks of a gang is there: it is not drained, or it is
-// rented as a whole.
-func (p *capacityPlan) keepForGang(offer *capacity) {
-	if offer.machine != nil {
-		offer.machine.neededByGang = true
-		return
-	}
-	p.roundUp(offer.pool)
-}
-
-// planOnNewMachines adds machines to rent for the tasks that are left, as long as there are pools to
-// rent from.
-func (p *capacityPlan) planOnNewMachines(jp *jobPlan) {
-	zoneAllowed := func(zone string) bool { return jp.zones.remaining(zone) > 0 }
-	var pool machinePool
-	var t *protocol.MachineType
-	for jp.tasksLeft > 0 {
-		if t == nil || !p.mayRent(pool) || !zoneAllowed(pool.zone) {
-			if pool, t = p.cheapestPool(jp.job, zoneAllowed); t == nil {
-				return
-			}
-		}
-		if p.addMachine(jp, pool, t) == 0 || p.toRent[pool] > float64(p.maxMachines()) {
-			return
-		}
-	}
-}
-
-// addMachine adds a machine to rent, or the part of one that the tasks left need, and returns how
-// many tasks that is.
-func (p *capacityPlan) addMachine(jp *jobPlan, pool machinePool, t *protocol.MachineType) int {
-	j := jp.job
-	offer := newRentedCapacity(pool, t)
-	tasks := offer.takeTasks(jp, 0, new(float64))
-	if tasks == 0 {
-		return 0
-	}
-	p.machinesInZone[pool.zone]++
-	tasksPerMachine := typeResources(t).TasksThatFit(j.demand)
-	p.toRent[pool] += float64(tasks) / float64(tasksPerMachine)
-	if j.gang != nil || p.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionalRentalDelay {
-		p.roundUp(pool)
-	}
-	if tasks < tasksPerMachine {
-		p.offers = append(p.offers, offer) // the jobs behind may use the rest of this machine
-	}
-	return tasks
-}
-
 // roundUp rounds up how many machines of a pool are to be rented: a gang needs all of its machines,
 // and a job that has waited for long for a part of one would otherwise wait until other machines are
 // free.
@@ -317,8 +179,8 @@
 	return min(count, allowed)
 }
 
-// rent rents what is missing from the cheapest pools first, as the cloud may not accept requests
-// enough for all.
+// rent rents the missing machines, from the cheapest pools first, as the cloud may not accept requests
+// for all.
 func (p *capacityPlan) rent() {
 	for _, pool := range p.poolsByPrice() {
 		count := p.machinesToRent(pool)
