--- a/internal/coordination/scheduler/machine_removal_test.go
+++ b/internal/coordination/scheduler/machine_removal_test.go
@@ -24,71 +24,91 @@
 	}
 }
 
-// TestRemovalReason: each reason to return a machine holds from its limit on, and not before.
-func TestRemovalReason(t *testing.T) {
-	const now = 10 * time.Minute
+// removalCase is a state of a machine and of the fleet, and why the machine is returned.
+type removalCase struct {
+	name   string
+	survey fleetSurvey
+	change func(*machine)
+	reason string
+}
+
+// removalTestTime is late enough in the term that no timeout counts from its start.
+const removalTestTime = 10 * time.Minute
+
+// run checks the reason for a machine that was up until it was changed.
+func (c removalCase) run(t *testing.T) {
+	f := newSchedulerFixture(t, 1)
+	f.report(0)
+	m := f.findMachine(0)
+	f.scheduler.now, m.lastHeartbeatAt = removalTestTime, removalTestTime
+	c.change(m)
+	if got := f.scheduler.removalReason(m, c.survey); got != c.reason {
+		t.Errorf("reason %q, want %q", got, c.reason)
+	}
+}
+
+// TestRemovalOfUnreachableMachines: a machine is returned once it has been unreachable for too long;
+// that is longer where many are unreachable at once.
+func TestRemovalOfUnreachableMachines(t *testing.T) {
 	workerLease := 14 * time.Second
 	timeout := time.Duration(float64(workerLease) * limits.UnreachableLeaseShare)
 	correlatedTimeout := limits.CorrelatedUnreachableLeases * limits.LeaseExpiredAfter(workerLease)
 	few := fleetSurvey{reported: 40, unreachable: 1, unreported: 1}
 	many := fleetSurvey{reported: 40, unreachable: 20, unreported: 20}
 	lastHeartbeat := func(age time.Duration) func(*machine) {
-		return func(m *machine) { m.lastHeartbeatAt = now - age }
+		return func(m *machine) { m.lastHeartbeatAt = removalTestTime - age }
 	}
-	for _, c := range []struct {
-		name   string
-		survey fleetSurvey
-		change func(*machine)
-		want   string
-	}{
+	for _, c := range []removalCase{
 		{"up", few, func(*machine) {}, ""},
 		{"late", few, lastHeartbeat(timeout), ""},
 		{"unreachable", few, lastHeartbeat(timeout + 1), "unreachable"},
-		{"unreachable with many others", many, lastHeartbeat(correlatedTimeout), ""},
-		{"unreachable with many others for long", many, lastHeartbeat(correlatedTimeout + 1), "unreachable"},
+		{"with many others", many, lastHeartbeat(correlatedTimeout), ""},
+		{"with many others for long", many, lastHeartbeat(correlatedTimeout + 1), "unreachable"},
 		{"unverified", few, func(m *machine) {
-			m.verified, m.unverifiedSince = false, now-timeout-1
+			m.verified, m.unverifiedSince = false, removalTestTime-timeout-1
 		}, "unreachable"},
 		{"boots", few, func(m *machine) {
-			m.hasReported, m.registration, m.createdAt = false, unregistered, now-limits.MinBootTimeout
+			m.hasReported, m.registration = false, unregistered
+			m.createdAt = removalTestTime - limits.MinBootTimeout
 		}, ""},
 		{"did not boot", few, func(m *machine) {
-			m.hasReported, m.registration, m.createdAt = false, unregistered, now-limits.MinBootTimeout-1
+			m.hasReported, m.registration = false, unregistered
+			m.createdAt = removalTestTime - limits.MinBootTimeout - 1
 		}, "never came up"},
 		{"known to an earlier leader only", few, func(m *machine) {
 			m.hasReported = false
 		}, "no heartbeat since the failover"},
-		{"faulty", few, func(m *machine) {
-			m.consecutiveFailures, m.failedJobs["job-1"] = limits.FaultyFailures, true
-		}, "fails its tasks"},
-		{"slow", few, func(m *machine) {
-			m.speedCount, m.speedSum = limits.SlowMachineTasks, 1e6
-		}, "slow"},
-		{"faulty and slow", few, func(m *machine) {
-			m.consecutiveFailures, m.failedJobs["job-1"] = limits.FaultyFailures, true
-			m.speedCount, m.speedSum = limits.SlowMachineTasks, 1e6
-		}, "fails its tasks"},
-		{"spot notice", few, func(m *machine) { m.spotNotice = true }, "spot notice"},
-		{"spot notice with a task", few, func(m *machine) {
+	} {
+		t.Run(c.name, c.run)
+	}
+}
+
+// TestRemovalOfReachableMachines: a machine that is up is returned if it is of no use.
+func TestRemovalOfReachableMachines(t *testing.T) {
+	survey := fleetSurvey{reported: 40}
+	fault := func(m *machine) {
+		m.consecutiveFailures, m.failedJobs["job-1"] = limits.FaultyFailures, true
+	}
+	slow := func(m *machine) { m.speedCount, m.speedSum = limits.SlowMachineTasks, 1e6 }
+	assign := func(m *machine, j *job, state assignmentState) {
+		m.assignments["job-1/0"] = &assignment{job: j, machine: m, state: state}
+	}
+	for _, c := range []removalCase{
+		{"faulty", survey, fault, "fails its tasks"},
+		{"slow", survey, slow, "slow"},
+		{"faulty and slow", survey, func(m *machine) { fault(m); slow(m) }, "fails its tasks"},
+		{"spot notice", survey, func(m *machine) { m.spotNotice = true }, "spot notice"},
+		{"spot notice with a task", survey, func(m *machine) {
 			m.spotNotice = true
-			m.assignments["job-1/0"] = &assignment{job: &job{}, machine: m, state: stateRunning}
+			assign(m, &job{}, stateRunning)
 		}, ""},
-		{"cancelled task", few, func(m *machine) {
-			m.assignments["job-1/0"] = &assignment{job: &job{cancelled: true}, machine: m, state: stateRunning}
+		{"cancelled task", survey, func(m *machine) {
+			assign(m, &job{cancelled: true}, stateRunning)
 		}, "cancelled task does not stop"},
-		{"cancelled task that was not sent", few, func(m *machine) {
-			m.assignments["job-1/0"] = &assignment{job: &job{cancelled: true}, machine: m, state: stateUnsent}
+		{"cancelled task that was not sent", survey, func(m *machine) {
+			assign(m, &job{cancelled: true}, stateUnsent)
 		}, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newSchedulerFixture(t, 1)
-			f.report(0)
-			m := f.findMachine(0)
-			f.scheduler.now, m.lastHeartbeatAt = now, now
-			c.change(m)
-			if got := f.scheduler.removalReason(m, c.survey); got != c.want {
-				t.Errorf("reason %q, want %q", got, c.want)
-			}
-		})
+		t.Run(c.name, c.run)
 	}
 }
