--- /dev/null
+++ b/internal/coordination/scheduler/filter_test.go
@@ -0,0 +1,110 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"quillshunt/internal/config"
+	"quillshunt/internal/coordination/placement"
+	"quillshunt/internal/coordination/resource"
+	"quillshunt/internal/protocol"
+)
+
+// newTestMachine is a machine with some CPUs that has no tasks.
+func newTestMachine(name, zone string, cpus float64) *machine {
+	return &machine{
+		name: name, typeName: "s", zone: zone,
+		machineType: &protocol.MachineType{Name: "s", CPUs: cpus, MemoryGB: 64, FetchGBPerS: 1, Price: 1, SpotPrice: 1},
+		machineLoad: machineLoad{assignments: map[string]*assignment{}},
+	}
+}
+
+// runTask lets a task of a job run on the machine since the beginning of the term.
+func (m *machine) runTask(j *job, index int) *assignment {
+	a := &assignment{job: j, index: index, taskName: protocol.TaskName(j.id, index), machine: m, state: stateRunning}
+	if j.assignments == nil {
+		j.assignments = map[int]*assignment{}
+	}
+	j.assignments[index] = a
+	m.assignments[a.taskName] = a
+	m.allocated = m.allocated.Plus(j.demand)
+	return a
+}
+
+// TestEvaluateViews: a request that may preempt is filtered on the normal view, any other on the full
+// view; scores are those of the full view.
+func TestEvaluateViews(t *testing.T) {
+	env := &environment{now: 10 * time.Second, cfg: Config{Options: config.DefaultOptions()}}
+	placer := newPlacer(env, nil, nil)
+	owner := &team{cfg: config.Team{CPUs: 8, CPUsMax: 8}}
+	low := &job{id: "job-1", team: owner, priority: protocol.PriorityLow, demand: resource.Vector{CPUs: 6}}
+	high := &job{id: "job-2", team: owner, priority: protocol.PriorityHigh, demand: resource.Vector{CPUs: 4}}
+	full, empty := newTestMachine("m-1", "a", 8), newTestMachine("m-2", "a", 8)
+	full.runTask(low, 0)
+	for _, c := range []struct {
+		name           string
+		machine        *machine
+		preempting     bool
+		wantOK         bool
+		wantOvercommit float64
+	}{
+		{"free resources", empty, false, true, 0},
+		{"free resources, may preempt", empty, true, true, 0},
+		{"no free resources", full, false, false, 0},
+		{"no free resources, may preempt", full, true, true, -1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, ok := placer.evaluate(high, c.machine, c.preempting, nil)
+			if ok != c.wantOK || got.Scores[placement.Overcommit] != c.wantOvercommit {
+				t.Fatalf("candidate %v, overcommit %v", ok, got.Scores[placement.Overcommit])
+			}
+			if costs := got.Scores[placement.PreemptionCost] < 0; costs != (c.wantOvercommit < 0) {
+				t.Errorf("preemption cost %v", got.Scores[placement.PreemptionCost])
+			}
+			if free := c.machine.freeResources().CPUs; ok && got.Scores[placement.Packing] != 4-free {
+				t.Errorf("packing %v with %v CPUs free on the full view", got.Scores[placement.Packing], free)
+			}
+		})
+	}
+	if _, ok := placer.evaluate(low, full, true, nil); ok {
+		t.Error("a job may preempt its own task")
+	}
+}
+
+// TestMayUsePool: the spec, and the rules for zones together with the tasks that are assigned.
+func TestMayUsePool(t *testing.T) {
+	inZones := func(zones ...string) map[int]*assignment {
+		assignments := map[int]*assignment{}
+		for i, zone := range zones {
+			assignments[i] = &assignment{machine: &machine{zone: zone}}
+		}
+		return assignments
+	}
+	pool := machinePool{typeName: "s", zone: "a"}
+	for _, c := range []struct {
+		name        string
+		spec        protocol.Spec
+		assignments map[int]*assignment
+		pool        machinePool
+		want        bool
+	}{
+		{"no rules", protocol.Spec{}, nil, pool, true},
+		{"spot not allowed", protocol.Spec{}, nil, machinePool{"s", "a", true}, false},
+		{"spot allowed", protocol.Spec{Spot: true}, nil, machinePool{"s", "a", true}, true},
+		{"other zone", protocol.Spec{Zone: "b"}, nil, pool, false},
+		{"other type", protocol.Spec{MachineTypes: []string{"b"}}, nil, pool, false},
+		{"allowed type", protocol.Spec{MachineTypes: []string{"b", "s"}}, nil, pool, true},
+		{"same zone, first task", protocol.Spec{SameZone: true, Tasks: 3}, nil, pool, true},
+		{"same zone, others there", protocol.Spec{SameZone: true, Tasks: 3}, inZones("a", "a"), pool, true},
+		{"same zone, others elsewhere", protocol.Spec{SameZone: true, Tasks: 3}, inZones("b"), pool, false},
+		{"spread, less than half there", protocol.Spec{SpreadZones: true, Tasks: 3}, inZones("a", "b"), pool, true},
+		{"spread, half there", protocol.Spec{SpreadZones: true, Tasks: 3}, inZones("a", "a"), pool, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			j := &job{spec: c.spec, assignments: c.assignments}
+			if got := j.mayUsePool(c.pool); got != c.want {
+				t.Errorf("may use %+v: %v", c.pool, got)
+			}
+		})
+	}
+}
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"quillshunt/internal/config"
+	"quillshunt/internal/coordination/resource"
 	"quillshunt/internal/limits"
 	"quillshunt/internal/protocol"
 	"quillshunt/internal/storage"
@@ -93,3 +94,59 @@
 		}
 	}
 }
+
+// TestGangReservationZone: machines for gangs that must be in one zone stay where they were reserved
+// before; otherwise they are reserved where most machines are that may be.
+func TestGangReservationZone(t *testing.T) {
+	machines := []*machine{
+		newTestMachine("m-0", "a", 8),
+		newTestMachine("m-1", "b", 8), newTestMachine("m-2", "b", 8),
+		newTestMachine("m-3", "c", 8), newTestMachine("m-4", "c", 8), newTestMachine("m-5", "c", 8),
+	}
+	machines[3].deleting, machines[4].spot = true, true
+	j := &job{spec: protocol.Spec{SameZone: true}, demand: resource.Vector{CPUs: 8}}
+	env := &environment{}
+	r := newGangReservations(env, nil, &machineInventory{environment: env, sorted: machines}, nil)
+	for _, c := range []struct {
+		name, previous, reservedMachine string
+		want                            string
+	}{
+		{name: "no zone yet", want: "b"},
+		{name: "reserved before", previous: "a", reservedMachine: "m-0", want: "a"},
+		{name: "nothing left there", previous: "c", want: "b"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for _, m := range machines {
+				m.wasReservedForGangs = m.name == c.reservedMachine
+			}
+			if got := r.chooseZone(&gangDemand{newestJob: j, zone: c.previous}); got != c.want {
+				t.Errorf("zone %q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+// TestGangReservationShare: machines are reserved up to a share of all; more are needed by the plan, and
+// what is missing then is reported.
+func TestGangReservationShare(t *testing.T) {
+	var machines []*machine
+	for _, name := range []string{"m-0", "m-1", "m-2", "m-3"} {
+		machines = append(machines, newTestMachine(name, "a", 8))
+	}
+	j := &job{demand: resource.Vector{CPUs: 8}}
+	env := &environment{}
+	r := newGangReservations(env, nil, &machineInventory{environment: env, sorted: machines}, nil)
+	missing := r.reserve(&gangDemand{newestJob: j, largestCPUs: 24, peaks: []demandPeak{{cpus: 16}}})
+	reserved, needed := 0, 0
+	for _, m := range machines {
+		if m.reservedForGangs {
+			reserved++
+		}
+		if m.neededByPlan {
+			needed++
+		}
+	}
+	if want := int(limits.GangReservationShare * 4); reserved != want || needed != 4 || missing != 8 {
+		t.Errorf("%d reserved, want %d; %d needed, %v CPUs missing", reserved, want, needed, missing)
+	}
+}
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -80,3 +80,43 @@
 		t.Error("not placed although resources are free")
 	}
 }
+
+// TestPreemptionCost: the cost is the work since the last checkpoint, or all of it without one, and rises
+// with each earlier stop; of a gang it is that of all its tasks.
+func TestPreemptionCost(t *testing.T) {
+	cfg := Config{Options: config.DefaultOptions()}
+	cfg.Options.Preemption.RestartWeight = 4
+	p := newPlacer(&environment{now: 30 * time.Second, cfg: cfg}, nil, nil)
+	for _, c := range []struct {
+		name        string
+		state       assignmentState
+		checkpointS float64
+		stops       int
+		gangTasks   int
+		want        float64
+	}{
+		{name: "not running yet", state: stateFetching, want: 2},
+		{name: "no checkpoints", state: stateRunning, want: 2 * (30 + 1)},
+		{name: "checkpoints", state: stateRunning, checkpointS: 7, want: 2 * (2 + 1)},
+		{name: "stopped twice before", state: stateRunning, stops: 2, want: 2 * (30 + 1) * (1 + 4*2)},
+		{name: "gang", state: stateRunning, gangTasks: 3, want: 3 * 2 * (30 + 1)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			j := &job{
+				id: "job-1", demand: resource.Vector{CPUs: 2}, stopCounts: map[int]int{0: c.stops},
+				spec: protocol.Spec{Tasks: max(c.gangTasks, 1), CheckpointS: c.checkpointS},
+			}
+			if c.gangTasks > 0 {
+				j.spec.Shape = protocol.ShapeGang
+				j.gang = newGang(j)
+			}
+			m := newTestMachine("m-1", "a", 8)
+			for i := range j.spec.Tasks {
+				m.runTask(j, i).state = c.state
+			}
+			if got := p.preemptionCost(j.assignments[0]); got != c.want {
+				t.Errorf("cost %v, want %v", got, c.want)
+			}
+		})
+	}
+}
