--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -14,10 +14,8 @@
 // only at a similar price; otherwise it is asked again with the next plan.
 func (p *capacityPlan) cheapestPool(
 	j *job, zoneAllowed func(zone string) bool,
-) (pool machinePool, machineType *protocol.MachineType) {
-	cheapest := math.Inf(1)     // of the pools that may be asked
-	cheapestBusy := math.Inf(1) // of those that have been asked for enough
-	cheapestOfAll := math.Inf(1)
+) (machinePool, *protocol.MachineType) {
+	search := poolSearch{cost: math.Inf(1), busyCost: math.Inf(1), lowestCost: math.Inf(1)}
 	for _, t := range p.catalog.all() {
 		tasksPerMachine := typeResources(t).TasksThatFit(j.demand)
 		if tasksPerMachine == 0 {
@@ -25,30 +23,42 @@
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				candidate := machinePool{t.Name, zone, spot}
-				if !j.mayUsePool(candidate) {
+				pool := machinePool{t.Name, zone, spot}
+				if !j.mayUsePool(pool) {
 					continue
 				}
 				cost := priceOf(t, spot) / float64(tasksPerMachine) * p.zoneSpreadFactor(zone)
-				cheapestOfAll = min(cheapestOfAll, cost)
-				switch p.availability(candidate, zoneAllowed) {
-				case poolBusy:
-					cheapestBusy = min(cheapestBusy, cost)
-				case poolAvailable:
-					if cost < cheapest {
-						cheapest, pool, machineType = cost, candidate, t
-					}
-				}
+				search.consider(pool, t, cost, p.availability(pool, zoneAllowed))
 			}
 		}
 	}
-	if machineType == nil || cheapest > limits.SimilarPriceRatio*cheapestBusy {
-		return pool, nil
+	if search.machineType == nil || search.cost > limits.SimilarPriceRatio*search.busyCost ||
+		p.waitsForCheaperPool(j, search.cost, search.lowestCost) {
+		return machinePool{}, nil
 	}
-	if p.waitsForCheaperPool(j, cheapest, cheapestOfAll) {
-		return pool, nil
+	return search.pool, search.machineType
+}
+
+// poolSearch is the search for the cheapest pool. Costs are those of a task.
+type poolSearch struct {
+	pool        machinePool           // the cheapest that is available
+	machineType *protocol.MachineType // of that pool; nil if there is none
+	cost        float64               // of that pool
+	busyCost    float64               // of the cheapest busy pool
+	lowestCost  float64               // of the cheapest pool, whether it is available or not
+}
+
+// consider adds a pool to the search.
+func (s *poolSearch) consider(
+	pool machinePool, t *protocol.MachineType, cost float64, availability poolAvailability,
+) {
+	s.lowestCost = min(s.lowestCost, cost)
+	switch {
+	case availability == poolBusy:
+		s.busyCost = min(s.busyCost, cost)
+	case availability == poolAvailable && cost < s.cost:
+		s.pool, s.machineType, s.cost = pool, t, cost
 	}
-	return pool, machineType
 }
 
 // poolAvailability is whether a pool may be asked for machines in this plan.
@@ -56,8 +66,8 @@
 
 const (
 	poolAvailable poolAvailability = iota
-	poolBusy                       // it has been asked for enough, or has no zone for the job's tasks
-	poolRefused                    // it has refused lately
+	poolBusy                       // asked for enough in this plan, or in a zone that is not allowed
+	poolRefused                    // has refused machines lately
 )
 
 // availability returns whether a pool may be asked for machines for a job.
