--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -1,16 +1,28 @@
 package scheduler
 
+import (
+	"time"
+
+	"quillshunt/internal/limits"
+)
+
 // returnMachine returns a machine to the cloud. There is no way back from that, as the request may be
 // carried out at any time.
 func (s *Scheduler) returnMachine(m *machine, reason string) {
 	if m.deleting {
 		return
 	}
-	m.deleting, m.deleteReason, m.deleteRequestedAt = true, reason, -never/2
+	m.deleting, m.deleteReason = true, reason
+	m.deletionInFlight, m.nextDeletionAt = false, s.now
 	s.logInfo("returning", keyMachine, m.name, keyReason, reason, keyTasks, len(m.assignments))
 	s.assignments.releaseUnsent(m)
 }
 
+// isDeletionDue reports whether the cloud is to be asked now to delete the machine.
+func (m *machine) isDeletionDue(now time.Duration) bool {
+	return m.deleting && !m.deletionInFlight && now >= m.nextDeletionAt
+}
+
 // deletionDone handles the answer to DeleteMachines. Machines whose deletion is not confirmed stay,
 // with their tasks, and are deleted again.
 func (s *Scheduler) deletionDone(e DeletionDone) {
@@ -21,7 +33,7 @@
 		case e.OK:
 			s.forgetMachine(m)
 		default:
-			m.deleteRequestedAt = s.now
+			m.deletionInFlight, m.nextDeletionAt = false, s.now+limits.CloudRetryInterval
 		}
 	}
 	s.placement.requestPass()
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -30,8 +30,8 @@
 		if len(names) == limits.MaxDeleteSize {
 			break
 		}
-		if m.deleting && s.now >= m.deleteRequestedAt+limits.CloudRetryInterval {
-			m.deleteRequestedAt = never / 2 // until the answer comes
+		if m.isDeletionDue(s.now) {
+			m.deletionInFlight = true
 			names = append(names, m.name)
 		}
 	}
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -21,14 +21,14 @@
 
 // recordFailure attributes the failure of a task to the machine, or to the job if it fails on all
 // machines.
-func (s *Scheduler) recordFailure(j *job, m *machine) {
+func (i *machineInventory) recordFailure(j *job, m *machine) {
 	j.failedMachines[m.name] = true
 	if len(j.failedMachines) >= limits.JobFaultMachines {
 		// It fails wherever it goes, with no success between. It waits longer and longer, and its
 		// failures count against no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
-		j.retryAt = s.now + j.backoff
-		s.inventory.forgiveFailures(j.id)
+		j.retryAt = i.now + j.backoff
+		i.forgiveFailures(j.id)
 		return
 	}
 	m.consecutiveFailures++
--- a/internal/coordination/scheduler/health_test.go
+++ b/internal/coordination/scheduler/health_test.go
@@ -26,13 +26,13 @@
 // no machine faulty, and waits longer each time.
 func TestFaultyMachines(t *testing.T) {
 	f, failing, other := newFailureFixture(t)
-	f.scheduler.recordFailure(failing, f.findMachine(0))
-	f.scheduler.recordFailure(other, f.findMachine(0))
+	f.scheduler.inventory.recordFailure(failing, f.findMachine(0))
+	f.scheduler.inventory.recordFailure(other, f.findMachine(0))
 	if !f.findMachine(0).isFaulty() {
 		t.Error("not faulty after failing two jobs")
 	}
 	for i := 1; i < 5; i++ {
-		f.scheduler.recordFailure(failing, f.findMachine(i))
+		f.scheduler.inventory.recordFailure(failing, f.findMachine(i))
 	}
 	for i := 1; i < 5; i++ {
 		if f.findMachine(i).isFaulty() {
@@ -40,7 +40,7 @@
 		}
 	}
 	first := failing.backoff
-	f.scheduler.recordFailure(failing, f.findMachine(1))
+	f.scheduler.inventory.recordFailure(failing, f.findMachine(1))
 	if first < limits.JobBackoffMin || failing.backoff <= first || failing.retryAt <= f.scheduler.now {
 		t.Errorf("delays %v, then %v", first, failing.backoff)
 	}
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -81,9 +81,10 @@
 	spotNotice     bool // the cloud takes it back soon
 	spotNoticeEnds time.Duration
 
-	deleting          bool
-	deleteReason      string
-	deleteRequestedAt time.Duration
+	deleting         bool // is to be deleted; there is no way back
+	deleteReason     string
+	deletionInFlight bool          // the cloud has been asked and has not answered
+	nextDeletionAt   time.Duration // the cloud is not asked before this
 }
 
 // machineHealth is how the machine's tasks went.
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -96,7 +96,7 @@
 	case protocol.ReasonError:
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
 		s.logWarn("task failed", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt, keyMachine, m.name)
-		s.recordFailure(j, m)
+		s.inventory.recordFailure(j, m)
 	case protocol.ReasonPeers, protocol.ReasonIncomplete:
 		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
