--- a/internal/coordination/scheduler/doc.go
+++ b/internal/coordination/scheduler/doc.go
@@ -14,8 +14,9 @@
 // # Parts
 //
 // The Scheduler is a thin coordinator. The state belongs to parts, each a type in a file of its
-// name. The fields of a part are touched only by its own methods. A part may have a pointer to a
-// part that stands above it in this list, never the other way:
+// name. The fields of a part are touched only by its own methods, which TestPartsOwnTheirFields
+// checks. A part may have a pointer to a part that stands above it in this list, never the other
+// way:
 //
 //   - environment and outbox: settings, time, effects, and what each pending write is for
 //   - jobTable: open jobs, their teams and classes
@@ -28,7 +29,7 @@
 //   - machineProber: requests to machines whose tasks are not known
 //   - jobQueue: order of the jobs, guarantees, slack and aging
 //   - placer: the scheduling pass
-//   - gangTable: jobs whose tasks start together
+//   - gangTable, gangReservations: jobs whose tasks start together, and machines that are kept for them
 //   - assignmentTable: tasks on machines, from the decision to the evidence that they are gone
 //   - reachabilityTracker: which workers hear us, and whose lease is over
 //   - capacityPlanner: scale out and scale in
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -228,7 +228,7 @@
 // collectCandidates looks at all machines.
 func (g *gangPlacement) collectCandidates() {
 	g.candidates.Clear()
-	for _, m := range g.placer.pass.eligibleMachines(g.preempting) {
+	for _, m := range g.placer.eligibleMachines(g.preempting) {
 		g.addCandidate(m)
 	}
 }
--- a/internal/coordination/scheduler/jobs_test.go
+++ b/internal/coordination/scheduler/jobs_test.go
@@ -28,7 +28,8 @@
 	if f.jobs.find("middle") != nil || open("middle", "red", 0) != nil {
 		t.Error("a job that is over is opened again")
 	}
-	if got := ids(f.jobs.oldestFirst()); got != "[old young]" || f.jobs.find("old") != old || f.jobs.find("young") != young {
+	if got := ids(f.jobs.oldestFirst()); got != "[old young]" ||
+		f.jobs.find("old") != old || f.jobs.find("young") != young {
 		t.Errorf("after the end of one: %s", got)
 	}
 }
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -4,7 +4,7 @@
 // machines, ranks what is left on the full view, and preempts victims where the best machine is
 // short of resources: the paper's algorithm, request by request.
 func (s *Scheduler) placeTasks() {
-	if !s.placement.passNeeded || !s.recovery.hasEnded() {
+	if !s.placement.isPassNeeded() || !s.recovery.hasEnded() {
 		return
 	}
 	if s.placement.collectJobs() == 0 && !s.gangs.hasRefills() {
@@ -13,7 +13,7 @@
 	s.placement.beginPass()
 	s.refillGangs()
 	s.placeOverdueTasks()
-	for _, j := range s.placement.pass.jobs {
+	for _, j := range s.placement.jobsToPlace() {
 		if j.gang != nil {
 			s.placeGang(j)
 			continue
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -76,6 +76,17 @@
 // requestPass lets the next step place tasks: something changed that placement looks at.
 func (p *placer) requestPass() { p.passNeeded = true }
 
+// isPassNeeded reports whether something changed since the last pass that placement looks at.
+func (p *placer) isPassNeeded() bool { return p.passNeeded }
+
+// jobsToPlace returns the jobs that were collected for the pass, in order.
+func (p *placer) jobsToPlace() []*job { return p.pass.jobs }
+
+// eligibleMachines returns the machines of the pass that a task may go to.
+func (p *placer) eligibleMachines(preempting bool) []*machine {
+	return p.pass.eligibleMachines(preempting)
+}
+
 // collectJobs collects the jobs with tasks to place and returns how many there are.
 func (p *placer) collectJobs() int {
 	p.passNeeded = false
--- a/internal/coordination/scheduler/snapshot_test.go
+++ b/internal/coordination/scheduler/snapshot_test.go
@@ -23,7 +23,8 @@
 	}
 	f.report(0)
 	f.report(1)
-	if got := explain("job-1"); !strings.Contains(got, "16 on machines") || !strings.Contains(got, "0 of these with room") {
+	if got := explain("job-1"); !strings.Contains(got, "16 on machines") ||
+		!strings.Contains(got, "0 of these with room") {
 		t.Errorf("full machines: %s", got)
 	}
 	f.job("job-2", "blue", "standard", 1, 101, 0)
