--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -26,17 +26,7 @@
 			finished.add(rapid.IntRange(0, tasks-2).Draw(t, "task"))
 		}
 		store := &memoryStore{records: map[string]storedRecord{storage.OpenJobKey(job): {version: 1}}, version: 10}
-		s := New(Config{
-			Term:    3,
-			Teams:   []config.Team{{Name: "red", CPUsMax: 100}},
-			Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
-			State:   state,
-			Options: config.DefaultOptions(),
-		}, 0)
-		s.Step(JobChanged{JobID: job, Version: 1, Record: storage.OpenJob{Spec: protocol.Spec{
-			ID: job, Class: "c", Team: "red", Shape: protocol.ShapeArray, Priority: "standard", Tasks: tasks,
-			CPUs: 1, EstimateS: 10,
-		}}}, 0)
+		s := newSchedulerOfOneJob(state, job, tasks)
 		loadFinishedTasks(s, store, job, finished, tasks, before)
 		orphan := storage.FinishedTasks{} // of a job that is over, left behind by an earlier version
 		orphanVersion := store.put(storage.FinishedTasksKey("job-9", 0), orphan)
@@ -80,6 +70,22 @@
 	})
 }
 
+// newSchedulerOfOneJob returns a scheduler that has loaded a job array, and nothing else yet.
+func newSchedulerOfOneJob(state config.State, job string, tasks int) *Scheduler {
+	s := New(Config{
+		Term:    3,
+		Teams:   []config.Team{{Name: "red", CPUsMax: 100}},
+		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
+		State:   state,
+		Options: config.DefaultOptions(),
+	}, 0)
+	s.Step(JobChanged{JobID: job, Version: 1, Record: storage.OpenJob{Spec: protocol.Spec{
+		ID: job, Class: "c", Team: "red", Shape: protocol.ShapeArray, Priority: "standard", Tasks: tasks,
+		CPUs: 1, EstimateS: 10,
+	}}}, 0)
+	return s
+}
+
 // loadFinishedTasks stores and loads the finished tasks of a job in records of some size.
 func loadFinishedTasks(s *Scheduler, store *memoryStore, job string, finished bitmap, tasks, size int) {
 	for base := 0; base < tasks; base += size {
