--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -79,6 +79,11 @@
 // isPassRequested reports whether tasks may be placed that could not be placed before.
 func (p *placer) isPassRequested() bool { return p.passRequested }
 
+// eligibleMachines returns the machines of the pass that a task may go to.
+func (p *placer) eligibleMachines(preempting bool) []*machine {
+	return p.pass.eligibleMachines(preempting)
+}
+
 // collectJobs returns the jobs with tasks to place, in the order of the queue. The slice is the
 // placer's own, and valid for this pass.
 func (p *placer) collectJobs() []*job {
