--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -30,7 +30,7 @@
 
 	// Set when the order of the queue is made; see jobQueue.order.
 	guaranteed            bool // fits into its team's guarantee together with the team's earlier unfinished jobs
-	underserved           bool // its group has got too little of what is due to it
+	underserved           bool // its group has got too little of its aging credit
 	mayUseGangReservation bool // may use machines that are kept for gangs
 
 	done                bitmap
@@ -65,7 +65,7 @@
 func (j *job) begunTasks() int { return j.doneCount + len(j.assignments) }
 
 // outwaitsGangReservation reports whether the job may use machines that are kept for gangs: gangs
-// may, and jobs that have waited for so long that room must not be kept from them any longer.
+// may, and jobs that have waited for so long that machines must not be kept from them any longer.
 func (j *job) outwaitsGangReservation(now time.Duration) bool {
 	return j.gang != nil || now > max(j.submittedAt, j.lastAssignedAt)+limits.GangReservationYieldAge
 }
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -7,7 +7,7 @@
 	"quillshunt/internal/limits"
 )
 
-// jobQueue is the order in which jobs get room.
+// jobQueue is the order in which waiting jobs are placed.
 type jobQueue struct {
 	*environment
 	jobs *jobTable
@@ -73,7 +73,7 @@
 	q.invalidate()
 }
 
-// order returns the jobs in the order in which they get room; see queueEntry.before. The slice is
+// order returns the jobs in the order in which they are placed; see queueEntry.before. The slice is
 // the queue's own.
 //
 // The order is kept for a short while, as slacks change slowly; a new job makes it anew. It also
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -65,7 +65,7 @@
 }
 
 // decide brings gangs in line with what is known, places waiting tasks, and lets gangs start whose
-// room is confirmed.
+// tasks all have their machines.
 func (s *Scheduler) decide() {
 	s.reconcileGangs()
 	s.placeTasks()
