--- a/internal/coordination/scheduler/simulation_controller_test.go
+++ b/internal/coordination/scheduler/simulation_controller_test.go
@@ -10,6 +10,7 @@
 	"quillshunt/internal/storage"
 )
 
+// simulatedController is a controller in a term in which it leads.
 type simulatedController struct {
 	term          uint64
 	scheduler     *Scheduler
--- a/internal/coordination/scheduler/simulation_days_test.go
+++ b/internal/coordination/scheduler/simulation_days_test.go
@@ -114,6 +114,7 @@
 	}
 }
 
+// simulatedJob is what is true of a job, whatever the leaders know.
 type simulatedJob struct {
 	spec        protocol.Spec
 	done        map[int]bool
@@ -126,6 +127,7 @@
 	return s.jobs[id]
 }
 
+// submitRandomJob writes the record of a new job.
 func (s *simulation) submitRandomJob() {
 	s.jobSequence++
 	id := fmt.Sprintf("job-%06d", s.jobSequence)
@@ -134,7 +136,7 @@
 		ID:          id,
 		Class:       pick("x", "y"),
 		Team:        pick("red", "blue"),
-		Shape:       "sweep",
+		Shape:       protocol.ShapeArray,
 		Priority:    pick("low", "standard", "high", "production"),
 		Tasks:       1 + s.random.IntN(8),
 		CPUs:        float64(1 + s.random.IntN(4)),
--- a/internal/coordination/scheduler/simulation_test.go
+++ b/internal/coordination/scheduler/simulation_test.go
@@ -22,19 +22,19 @@
 	records         map[string]storedRecord
 	revision        uint64
 	term            uint64
-	leaders         []*simulatedController
+	leaders         []*simulatedController // of all terms, the newest last
 	machines        map[string]*simulatedMachine
 	machineSequence int
-	rentals         map[string][]string
+	rentals         map[string][]string // machines that were given for each request
 	types           []protocol.MachineType
 	teams           []config.Team
 	workers         config.Workers
 	jobs            map[string]*simulatedJob
 	jobSequence     int
-	deliveries      []delivery
+	deliveries      []delivery      // in the order in which they were asked for
 	alwaysFailing   map[string]bool // jobs whose tasks fail on every machine
 	gangs           map[string]*simulatedGang
-	seen            *gangEvents
+	seen            *gangEvents // shared by all days of a test
 }
 
 // chance reports whether something happens that has this probability.
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -17,6 +17,7 @@
 	heartbeatRetry    = time.Second            // until the next heartbeat after one that failed
 )
 
+// simulatedMachine is a machine of the cloud and the worker on it.
 type simulatedMachine struct {
 	protocol.Machine
 	bootedAt         time.Duration
@@ -60,6 +61,7 @@
 	return found, otherAttempt
 }
 
+// simulatedTask is an attempt of a task that a worker knows.
 type simulatedTask struct {
 	name      string
 	attempt   uint64
