--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -79,7 +79,8 @@
 		return err
 	}
 	if m.MaxSockets < limits.MinSockets {
-		return fmt.Errorf("facts.machine_limits.max_sockets: must be at least %d, got %d", limits.MinSockets, m.MaxSockets)
+		return fmt.Errorf("facts.machine_limits.max_sockets: must be at least %d, got %d",
+			limits.MinSockets, m.MaxSockets)
 	}
 	return nil
 }
--- a/internal/config/options_renamed.go
+++ b/internal/config/options_renamed.go
@@ -78,7 +78,8 @@
 			continue
 		}
 		if contains(text, r.newName) {
-			return nil, fmt.Errorf("%s and %s are the same option; remove the first, its old name", r.oldName, r.newName)
+			return nil, fmt.Errorf("%s and %s are the same option; remove the first, its old name",
+				r.oldName, r.newName)
 		}
 		old = append(old, r)
 	}
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -82,7 +82,7 @@
 // ProbeDone is the outcome of a ProbeMachine.
 type ProbeDone struct {
 	Machine   string
-	Heartbeat *protocol.Heartbeat // made after the worker had seen the fencing token of this term; nil without an answer
+	Heartbeat *protocol.Heartbeat // made after the worker had seen our fencing token; nil without an answer
 	Took      time.Duration       // from the first request to the last answer
 	NotSent   bool                // the controller lacked the time or a socket, so a missing answer says nothing
 }
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -27,7 +27,11 @@
 
 // newFinishedTaskWriter returns a writer of the finished tasks of the table's jobs.
 func newFinishedTaskWriter(env *environment, jobs *jobTable) *finishedTaskWriter {
-	return &finishedTaskWriter{environment: env, jobs: jobs, tasksPerChunk: storage.TasksPerChunk(env.cfg.State.ValueKB)}
+	return &finishedTaskWriter{
+		environment:   env,
+		jobs:          jobs,
+		tasksPerChunk: storage.TasksPerChunk(env.cfg.State.ValueKB),
+	}
 }
 
 // finishedChunk is a part of a job's finished tasks as the state service keeps it.
--- a/internal/coordination/scheduler/parts_test.go
+++ b/internal/coordination/scheduler/parts_test.go
@@ -40,7 +40,8 @@
 				}
 				part := pointers[inner.Sel.Name]
 				if part != owner && fields[part][outer.Sel.Name] {
-					t.Errorf("%s: %s touches %s.%s", files.Position(outer.Pos()), function.Name.Name, part, outer.Sel.Name)
+					t.Errorf("%s: %s touches %s.%s",
+						files.Position(outer.Pos()), function.Name.Name, part, outer.Sel.Name)
 				}
 				return true
 			})
--- a/internal/coordination/scheduler/reservation_test.go
+++ b/internal/coordination/scheduler/reservation_test.go
@@ -21,7 +21,10 @@
 		want            []string
 	}{
 		{name: "most free resources first", tasks: 2, maxReservations: 9, want: []string{"m-1", "m-3"}},
-		{name: "reserved before first", reservedBefore: "m-0", tasks: 2, maxReservations: 9, want: []string{"m-0", "m-1"}},
+		{
+			name: "reserved before first", reservedBefore: "m-0",
+			tasks: 2, maxReservations: 9, want: []string{"m-0", "m-1"},
+		},
 		{name: "in the zone with most", sameZone: true, tasks: 2, maxReservations: 9, want: []string{"m-2", "m-3"}},
 		{name: "up to the share", tasks: 2, maxReservations: 1, want: []string{"m-1"}},
 		{name: "never enough", tasks: 5, maxReservations: 9},
--- a/internal/coordination/scheduler/simulation_days_test.go
+++ b/internal/coordination/scheduler/simulation_days_test.go
@@ -269,9 +269,10 @@
 		text += fmt.Sprintf("team %s allocated %+v\n", team.Name, scheduler.jobs.teams[team.Name].allocated)
 	}
 	for _, m := range scheduler.inventory.all() {
-		text += fmt.Sprintf("%s %s %s spot %v reported %v fenced %v registration %d schedulable %v deleting %v faulty %v ",
-			m.name, m.typeName, m.zone, m.spot, m.hasReported, m.fenced, m.registration,
-			scheduler.isSchedulable(m), m.deleting, m.isFaulty())
+		text += fmt.Sprintf("%s %s %s spot %v reported %v fenced %v ",
+			m.name, m.typeName, m.zone, m.spot, m.hasReported, m.fenced)
+		text += fmt.Sprintf("registration %d schedulable %v deleting %v faulty %v ",
+			m.registration, scheduler.isSchedulable(m), m.deleting, m.isFaulty())
 		text += fmt.Sprintf("last heartbeat %v incarnation %d ended incarnation %d tasks %d allocated %+v free %+v\n",
 			m.lastHeartbeatAt, m.incarnation, m.endedIncarnation, len(m.assignments), m.allocated, m.freeResources())
 	}
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -28,9 +28,12 @@
 		settings: Config{
 			Teams:    []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}},
 			CloudRPS: 5,
-			Workers:  config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)},
-			State:    config.State{WriteRPS: 15, ValueKB: 2, TxnOps: 4},
-			Options:  config.DefaultOptions(),
+			Workers: config.Workers{
+				ReportS: 2, LeaseS: 14, CancelS: 34,
+				GangWaitS: seconds(20), GangPeerS: seconds(4),
+			},
+			State:   config.State{WriteRPS: 15, ValueKB: 2, TxnOps: 4},
+			Options: config.DefaultOptions(),
 		},
 		machines: machines,
 		store:    &memoryStore{records: map[string]storedRecord{}, version: 100},
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -46,7 +46,7 @@
 			if rest, ours := strings.CutPrefix(name, "quillshunt/internal/"); ours && layer[rest] >= own {
 				t.Errorf("%s imports %s", path, rest)
 			}
-			if pkg == "coordination/scheduler" && (name == "time" || name == "net" || name == "math/rand/v2") && name != "time" {
+			if pkg == "coordination/scheduler" && (name == "net" || name == "math/rand/v2") {
 				t.Errorf("%s imports %s: the scheduler is deterministic", path, name)
 			}
 		}
--- a/internal/transport/decoder_test.go
+++ b/internal/transport/decoder_test.go
@@ -143,6 +143,7 @@
 func TestMalformedMessages(t *testing.T) {
 	const (
 		postHead    = "POST / HTTP/1.1\r\n"
+		lengthHead  = postHead + "Content-Length: 1\r\n"
 		chunkedHead = postHead + "Transfer-Encoding: chunked\r\n\r\n"
 	)
 	long := strings.Repeat("x", limits.MaxHeadBytes+10)
@@ -150,8 +151,8 @@
 		input string
 		want  error
 	}{
-		"conflicting lengths":  {postHead + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", ErrMalformed},
-		"length and chunked":   {postHead + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
+		"conflicting lengths":  {lengthHead + "Content-Length: 2\r\n\r\nab", ErrMalformed},
+		"length and chunked":   {lengthHead + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
 		"list of lengths":      {postHead + "Content-Length: 1, 1\r\n\r\na", ErrMalformed},
 		"signed length":        {postHead + "Content-Length: +1\r\n\r\na", ErrMalformed},
 		"other coding":         {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -23,7 +23,7 @@
 	Addr        string        // to listen on
 	MaxConns    int           // connections at once
 	MaxMachines int           // of these, connections of machines; 0: all
-	MachineIdle time.Duration // closes a silent machine's connection, if less than ConnIdleTimeout; 0: no limit of its own
+	MachineIdle time.Duration // closes an idle machine's connection, if less than ConnIdleTimeout; 0: no own limit
 	Sockets     *SocketBudget // which connections count against; nil: none
 	Handle      Handler
 	Log         *slog.Logger
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -82,27 +82,11 @@
 		t.Fatalf("%d connections to workers, of %d sockets with %d kept free", n, total, headroom)
 	}
 
-	// An inbound connection that finds no room is closed and comes again, while idle connections to
-	// workers are closed.
-	connect := func(path string) (int, *Client) {
-		for {
-			if status, c := getStatus(front.Addr(), path); status != 0 {
-				return status, c
-			}
-			n := sockets.Excess()
-			if n == 0 {
-				t.Fatalf("%s: closed, but no connection should be given up", path)
-			}
-			for n > 0 && len(direct) > 0 {
-				n -= direct[0].Close()
-				direct = direct[1:]
-			}
-		}
-	}
+	inbound := &pressingClients{t: t, addr: front.Addr(), sockets: sockets, direct: direct}
 	var kept []*Client
 	served := 0
 	for range 2 * maxMachines {
-		if status, c := connect("/v1/report"); status == http.StatusOK {
+		if status, c := inbound.connect("/v1/report"); status == http.StatusOK {
 			served++
 			kept = append(kept, c)
 		}
@@ -111,7 +95,7 @@
 		t.Errorf("%d machines served, want %d", served, maxMachines)
 	}
 	for range maxConns - maxMachines - 1 {
-		status, c := connect("/v2/runs/job-1")
+		status, c := inbound.connect("/v2/runs/job-1")
 		if status != http.StatusOK {
 			t.Fatalf("a user got %d", status)
 		}
@@ -122,7 +106,7 @@
 	for status := 0; status != http.StatusOK; {
 		status, _ = getStatus(front.Addr(), "/v1/report")
 	}
-	for _, c := range append(kept, direct...) {
+	for _, c := range append(kept, inbound.direct...) {
 		c.Close()
 	}
 }
@@ -144,3 +128,30 @@
 		clients = append(clients, c)
 	}
 }
+
+// pressingClients open inbound connections until they get one: a connection that finds no room is
+// closed and comes again, while idle connections to workers are closed.
+type pressingClients struct {
+	t       *testing.T
+	addr    string
+	sockets *SocketBudget
+	direct  []*Client // to workers
+}
+
+// connect asks for a path and returns the status of the first answer.
+func (p *pressingClients) connect(path string) (int, *Client) {
+	p.t.Helper()
+	for {
+		if status, c := getStatus(p.addr, path); status != 0 {
+			return status, c
+		}
+		n := p.sockets.Excess()
+		if n == 0 {
+			p.t.Fatalf("%s: closed, but no connection should be given up", path)
+		}
+		for n > 0 && len(p.direct) > 0 {
+			n -= p.direct[0].Close()
+			p.direct = p.direct[1:]
+		}
+	}
+}
