--- a/internal/coordination/scheduler/simulation_days_test.go
+++ b/internal/coordination/scheduler/simulation_days_test.go
@@ -114,6 +114,7 @@
 	}
 }
 
+// simulatedJob is what is true of a job, whatever the leaders know.
 type simulatedJob struct {
 	spec        protocol.Spec
 	done        map[int]bool
@@ -126,6 +127,7 @@
 	return s.jobs[id]
 }
 
+// submitRandomJob writes the record of a new job.
 func (s *simulation) submitRandomJob() {
 	s.jobSequence++
 	id := fmt.Sprintf("job-%06d", s.jobSequence)
@@ -134,7 +136,7 @@
 		ID:          id,
 		Class:       pick("x", "y"),
 		Team:        pick("red", "blue"),
-		Shape:       "sweep",
+		Shape:       protocol.ShapeArray,
 		Priority:    pick("low", "standard", "high", "production"),
 		Tasks:       1 + s.random.IntN(8),
 		CPUs:        float64(1 + s.random.IntN(4)),
@@ -269,9 +271,10 @@
 		text += fmt.Sprintf("team %s allocated %+v\n", team.Name, scheduler.jobs.teams[team.Name].allocated)
 	}
 	for _, m := range scheduler.inventory.all() {
-		text += fmt.Sprintf("%s %s %s spot %v reported %v fenced %v registration %d schedulable %v deleting %v faulty %v ",
-			m.name, m.typeName, m.zone, m.spot, m.hasReported, m.fenced, m.registration,
-			scheduler.isSchedulable(m), m.deleting, m.isFaulty())
+		text += fmt.Sprintf("%s %s %s spot %v reported %v fenced %v ",
+			m.name, m.typeName, m.zone, m.spot, m.hasReported, m.fenced)
+		text += fmt.Sprintf("registration %d schedulable %v deleting %v faulty %v ",
+			m.registration, scheduler.isSchedulable(m), m.deleting, m.isFaulty())
 		text += fmt.Sprintf("last heartbeat %v incarnation %d ended incarnation %d tasks %d allocated %+v free %+v\n",
 			m.lastHeartbeatAt, m.incarnation, m.endedIncarnation, len(m.assignments), m.allocated, m.freeResources())
 	}
