--- a/internal/coordination/scheduler/gang_placement_test.go
+++ b/internal/coordination/scheduler/gang_placement_test.go
@@ -125,13 +125,13 @@
 	f.gang("job-3", 2, 8) // does not fit
 	stopping := s.jobs.find("job-1").assignments[0]
 	stopping.state = stateRunning
-	s.stopAssignment(stopping, "for job-2")
+	s.assignments.stop(stopping, "for job-2")
 	s.jobs.find("job-2").demand.CPUs = 4
-	s.assign(s.jobs.find("job-2"), 0, m, 20, stateUnsent)
+	s.assignments.assign(s.jobs.find("job-2"), 0, m, 20, stateUnsent)
 	gang := s.jobs.find("job-3")
 	gang.demand.CPUs = 4
-	s.assign(gang, 0, m, 21, stateUnsent).committed = true
-	reply := HeartbeatReply{Commands: s.buildCommands(m, inHeartbeatReply, nil)}
+	s.assignments.assign(gang, 0, m, 21, stateUnsent).committed = true
+	reply := HeartbeatReply{Commands: s.assignments.buildCommands(m, inHeartbeatReply, nil)}
 	starts := commandsOf([]Effect{reply}, protocol.CommandStart)
 	if len(starts) != 1 || starts[0].Task != "job-3/0" {
 		t.Errorf("starts: %+v", starts)
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -13,7 +13,7 @@
 	m.spotNotice = true
 	m.spotNoticeEnds = s.now + limits.Seconds(*heartbeat.SpotNoticeS)
 	s.logInfo("spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
-	s.releaseUnsent(m)
+	s.assignments.releaseUnsent(m)
 }
 
 // stopForSpotNotice stops tasks on a machine that the cloud takes back: those with checkpoints in time
@@ -24,14 +24,14 @@
 		if m.assignments[a.taskName] != a || a.stopping || a.state == stateUnsent {
 			continue // also those that were released with their gang
 		}
-		if s.mustStopBefore(a, remaining) {
+		if s.mustStopFor(a, remaining) {
 			s.stopTask(a, "spot notice")
 		}
 	}
 }
 
-// mustStopBefore reports whether a task on a machine with that many seconds left has to stop now.
-func (s *Scheduler) mustStopBefore(a *assignment, remaining float64) bool {
+// mustStopFor reports whether a task has to stop now as its machine is there for that many seconds only.
+func (s *Scheduler) mustStopFor(a *assignment, remaining float64) bool {
 	if a.job.spec.CheckpointS > 0 {
 		margin := limits.SpotNoticeSaveIntervals * s.heartbeatInterval.Seconds()
 		return remaining < a.job.spec.SaveS+margin
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -65,7 +65,7 @@
 }
 
 // decide brings gangs in line with what is known, places waiting tasks, and lets gangs start whose
-// room is confirmed.
+// tasks all have their machines.
 func (s *Scheduler) decide() {
 	s.reconcileGangs()
 	s.placeTasks()
@@ -75,7 +75,7 @@
 
 // tick does what is due. Unless the leader is entitled, it only frees tasks whose lease has expired.
 func (s *Scheduler) tick(entitled bool) {
-	s.expireLeases()
+	s.reachability.expireLeases()
 	s.placement.forgetPastSearches()
 	s.gangs.requestCommit() // a machine may be usable again
 	if !entitled {
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -43,7 +43,7 @@
 		s.gangs.markChanged(a.job.gang)
 	}
 	if a.job.cancelled {
-		s.stopAssignment(a, stopReasonCancelled)
+		s.assignments.stop(a, stopReasonCancelled)
 	}
 }
 
@@ -52,7 +52,7 @@
 	if a.state == stateGathering {
 		return
 	}
-	s.learnFetchTime(a)
+	a.learnFetchTime(s.now)
 	a.state = stateGathering
 	s.gangs.taskGathering(a.job.gang)
 }
@@ -63,7 +63,7 @@
 		return
 	}
 	if a.state != stateGathering {
-		s.learnFetchTime(a)
+		a.learnFetchTime(s.now)
 	}
 	a.state, a.runningSince = stateRunning, s.now
 	spec := &a.job.spec
@@ -76,18 +76,18 @@
 }
 
 // learnFetchTime adds the time that a task waited for its image to what is known of its class.
-func (s *Scheduler) learnFetchTime(a *assignment) {
-	seconds := (s.now - a.assignedAt).Seconds()
+func (a *assignment) learnFetchTime(now time.Duration) {
+	seconds := (now - a.assignedAt).Seconds()
 	a.job.class.learnFetchTime(seconds)
 	a.machine.fetchCPUSeconds += seconds * a.job.demand.CPUs
-	a.machine.cachedImages[a.job.spec.Image] = s.now
+	a.machine.cachedImages[a.job.spec.Image] = now
 }
 
 // taskEnded handles the end of one of our tasks, or the refusal of its start.
 func (s *Scheduler) taskEnded(a *assignment, status *protocol.TaskStatus) endedTask {
 	j, m := a.job, a.machine
 	runTime := a.runTime(s.now)
-	s.release(a)
+	s.assignments.release(a)
 	s.gangs.taskEnded(a, status)
 	ended := endedTask{mustNotForget: a.startUnconfirmed}
 	switch status.Reason {
@@ -96,7 +96,7 @@
 	case protocol.ReasonError:
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
 		s.logWarn("task failed", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt, keyMachine, m.name)
-		s.recordFailure(j, m)
+		s.inventory.recordFailure(j, m)
 	case protocol.ReasonPeers, protocol.ReasonIncomplete:
 		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
@@ -131,13 +131,13 @@
 	ended.job = j
 	ended.chunk, ended.sequence = s.finished.recordDone(j, a.index)
 	if runTime > 0 && !doneWithGang {
-		s.learnRunTime(j, m, runTime)
+		j.learnRunTime(m, runTime)
 	}
 }
 
 // learnRunTime adds a task's run time, in seconds, to what is known of its class, its job and its
 // machine.
-func (s *Scheduler) learnRunTime(j *job, m *machine, runTime float64) {
+func (j *job) learnRunTime(m *machine, runTime float64) {
 	if j.spec.EstimateS > 0 {
 		j.class.learnRunTime(runTime / j.spec.EstimateS)
 	}
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -28,9 +28,12 @@
 		settings: Config{
 			Teams:    []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}},
 			CloudRPS: 5,
-			Workers:  config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)},
-			State:    config.State{WriteRPS: 15, ValueKB: 2, TxnOps: 4},
-			Options:  config.DefaultOptions(),
+			Workers: config.Workers{
+				ReportS: 2, LeaseS: 14, CancelS: 34,
+				GangWaitS: seconds(20), GangPeerS: seconds(4),
+			},
+			State:   config.State{WriteRPS: 15, ValueKB: 2, TxnOps: 4},
+			Options: config.DefaultOptions(),
 		},
 		machines: machines,
 		store:    &memoryStore{records: map[string]storedRecord{}, version: 100},
@@ -107,7 +110,7 @@
 func (f *largeFleet) reportAll(s *Scheduler) {
 	for i := range f.machines {
 		f.now += time.Millisecond
-		heartbeat := report(i, uint64(f.now), nil)
+		heartbeat := heartbeatOf(i, uint64(f.now), nil)
 		heartbeat.FencingToken = s.cfg.Term
 		f.step(s, HeartbeatReceived{
 			Heartbeat: heartbeat, ReplyTo: machineResponder(i), Entitled: true, SameConnection: true,
