--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -40,7 +40,7 @@
 
 	// The services around the controller.
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
-	cloud := leader.NewCloud(s.External.Cloud, s.Facts.Cloud.RPS, dialer)
+	cloud := leader.NewCloudClient(s.External.Cloud, s.Facts.Cloud.RPS, dialer)
 	peers, err := peer.Dial(s.Members, dialer)
 	if err != nil {
 		return nil, err
--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -13,7 +13,7 @@
 // heartbeat to the leader or redirects the worker.
 func (g *Gateway) handleHeartbeat(req *transport.Message, rsp *transport.Responder) {
 	if g.dispatcher.IsLeader() {
-		g.dispatcher.Heartbeat(req.Body, sameConnection(rsp), func(status int, body []byte) {
+		g.dispatcher.HandleHeartbeat(req.Body, sameConnection(rsp), func(status int, body []byte) {
 			rsp.Respond(status, body, 0)
 		})
 		return
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -152,7 +152,7 @@
 		Settings: f.settings,
 		Options:  config.DefaultOptions(),
 		Store:    store,
-		Cloud:    leader.NewCloud(cloudAddress, 100, nil),
+		Cloud:    leader.NewCloudClient(cloudAddress, 100, nil),
 		Sockets:  sockets,
 		Log:      log,
 	})
--- a/internal/coordination/leader/cloud.go
+++ b/internal/coordination/leader/cloud_client.go
@@ -18,26 +18,26 @@
 // noCapacityReason is the reason that the cloud gives when it has no machines of the requested kind.
 const noCapacityReason = "no capacity"
 
-// Cloud calls the cloud within its request rate. Only the leader calls it, but two terms may overlap
+// CloudClient calls the cloud within its request rate. Only the leader calls it, but two terms may overlap
 // for a moment, so it uses a little less than the whole rate. It is safe for concurrent use.
-type Cloud struct {
-	client  *transport.Client
-	limiter *rate.Limiter
-	slots   chan struct{} // bounds the calls in flight
+type CloudClient struct {
+	client    *transport.Client
+	limiter   *rate.Limiter
+	callSlots chan struct{} // bounds the calls in flight
 }
 
-// NewCloud returns a client of the cloud at an address, which allows rps requests per second. A nil
+// NewCloudClient returns a client of the cloud at an address, which allows rps requests per second. A nil
 // dialer dials TCP.
-func NewCloud(address string, rps float64, dialer transport.Dialer) *Cloud {
-	return &Cloud{
-		client:  transport.NewClient(address, 2, limits.MaxUpstreamBytes).WithDialer(dialer),
-		limiter: rate.NewLimiter(rate.Limit(rps*limits.CloudRateShare), max(1, int(rps))),
-		slots:   make(chan struct{}, limits.MaxCloudCalls),
+func NewCloudClient(address string, rps float64, dialer transport.Dialer) *CloudClient {
+	return &CloudClient{
+		client:    transport.NewClient(address, 2, limits.MaxUpstreamBytes).WithDialer(dialer),
+		limiter:   rate.NewLimiter(rate.Limit(rps*limits.CloudRateShare), max(1, int(rps))),
+		callSlots: make(chan struct{}, limits.MaxCloudCalls),
 	}
 }
 
-// MachineTypes reads the machine types that the cloud offers. There is at least one.
-func (c *Cloud) MachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
+// ListMachineTypes reads the machine types that the cloud offers. There is at least one.
+func (c *CloudClient) ListMachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
 	body, err := c.call(ctx, "types", http.MethodGet, "/machine_types", nil)
 	if err != nil {
 		return nil, err
@@ -52,10 +52,10 @@
 	return list.Types, nil
 }
 
-// Rent sends a rental request and returns the names of the machines. A request that is repeated
+// RentMachines sends a rental request and returns the names of the machines. A request that is repeated
 // with the same name rents only once. The errors that wrap errNoCapacity or errRentalRejected are
 // final; with any other the request may have been carried out, or may still be.
-func (c *Cloud) Rent(ctx context.Context, request protocol.RentalRequest) ([]string, error) {
+func (c *CloudClient) RentMachines(ctx context.Context, request protocol.RentalRequest) ([]string, error) {
 	body, err := c.call(ctx, "rental", http.MethodPost, "/rentals", protocol.Encode(request))
 	var unexpected *statusError
 	if errors.As(err, &unexpected) {
@@ -76,15 +76,15 @@
 	return reply.Machines, nil
 }
 
-// Delete returns machines to the cloud. It is idempotent.
-func (c *Cloud) Delete(ctx context.Context, machines []string) error {
+// DeleteMachines returns machines to the cloud. It is idempotent.
+func (c *CloudClient) DeleteMachines(ctx context.Context, machines []string) error {
 	body := protocol.Encode(protocol.DeleteRequest{Machines: machines})
 	_, err := c.call(ctx, "delete", http.MethodPost, "/rentals/delete", body)
 	return err
 }
 
-// Machines reads the list of all machines, page by page.
-func (c *Cloud) Machines(ctx context.Context) ([]protocol.Machine, error) {
+// ListMachines reads the list of all machines, page by page.
+func (c *CloudClient) ListMachines(ctx context.Context) ([]protocol.Machine, error) {
 	var machines []protocol.Machine
 	since := ""
 	for {
@@ -110,13 +110,13 @@
 
 // call sends one request, named for errors, and returns the body of the answer. A status other than
 // 200 is a statusError.
-func (c *Cloud) call(ctx context.Context, request, method, target string, body []byte) ([]byte, error) {
+func (c *CloudClient) call(ctx context.Context, request, method, target string, body []byte) ([]byte, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("cloud: rate: %w", err)
 	}
 	select {
-	case c.slots <- struct{}{}:
-		defer func() { <-c.slots }()
+	case c.callSlots <- struct{}{}:
+		defer func() { <-c.callSlots }()
 	case <-ctx.Done():
 		return nil, fmt.Errorf("cloud: %w", ctx.Err())
 	}
--- a/internal/coordination/leader/cloud_test.go
+++ b/internal/coordination/leader/cloud_client_test.go
@@ -16,8 +16,8 @@
 
 const testCloudRPS = 1000
 
-// TestRentErrors: the caller can tell the answers of the cloud apart that end a rental request.
-func TestRentErrors(t *testing.T) {
+// TestRentMachinesErrors: the caller can tell the answers of the cloud apart that end a rental request.
+func TestRentMachinesErrors(t *testing.T) {
 	reason := func(text string) any { return map[string]string{"error": text} }
 	for _, c := range []struct {
 		name     string
@@ -39,9 +39,9 @@
 		{"over the rate", http.StatusTooManyRequests, nil, "cloud: rental: status 429", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cloud := NewCloud(startServer(t, alwaysRespond(c.status, c.body)), testCloudRPS, nil)
+			cloud := NewCloudClient(startServer(t, alwaysRespond(c.status, c.body)), testCloudRPS, nil)
 			defer cloud.client.Close()
-			machines, err := cloud.Rent(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
+			machines, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
 			if got := errorText(err); got != c.err {
 				t.Errorf("error %q, expected %q", got, c.err)
 			}
@@ -57,18 +57,18 @@
 	}
 }
 
-// TestRentMalformedReply: an answer that cannot be read does not end a rental request.
-func TestRentMalformedReply(t *testing.T) {
-	cloud := NewCloud(startServer(t, alwaysRespond(http.StatusOK, []int{1})), testCloudRPS, nil)
+// TestRentMachinesMalformedReply: an answer that cannot be read does not end a rental request.
+func TestRentMachinesMalformedReply(t *testing.T) {
+	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, []int{1})), testCloudRPS, nil)
 	defer cloud.client.Close()
-	_, err := cloud.Rent(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
+	_, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
 	if err == nil || errors.Is(err, errNoCapacity) || errors.Is(err, errRentalRejected) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// TestMachinesReadsAllPages: the list goes on after the last name of a page that is truncated.
-func TestMachinesReadsAllPages(t *testing.T) {
+// TestListMachinesReadsAllPages: the list goes on after the last name of a page that is truncated.
+func TestListMachinesReadsAllPages(t *testing.T) {
 	pages := map[string]protocol.MachineList{
 		"":    {Machines: []protocol.Machine{{Name: "m-1"}, {Name: "m 2"}}, Truncated: true},
 		"m 2": {Machines: []protocol.Machine{{Name: "m-3"}}},
@@ -82,9 +82,9 @@
 		}
 		rsp.Respond(http.StatusOK, protocol.Encode(page), 0)
 	})
-	cloud := NewCloud(address, testCloudRPS, nil)
+	cloud := NewCloudClient(address, testCloudRPS, nil)
 	defer cloud.client.Close()
-	machines, err := cloud.Machines(context.Background())
+	machines, err := cloud.ListMachines(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,11 +97,11 @@
 	}
 }
 
-// TestMachineTypesNotEmpty: a list without machine types is an error.
-func TestMachineTypesNotEmpty(t *testing.T) {
-	cloud := NewCloud(startServer(t, alwaysRespond(http.StatusOK, protocol.MachineTypeList{})), testCloudRPS, nil)
+// TestListMachineTypesRejectsEmptyList: a list without machine types is an error.
+func TestListMachineTypesRejectsEmptyList(t *testing.T) {
+	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, protocol.MachineTypeList{})), testCloudRPS, nil)
 	defer cloud.client.Close()
-	if _, err := cloud.MachineTypes(context.Background()); errorText(err) != "cloud: no machine types" {
+	if _, err := cloud.ListMachineTypes(context.Background()); errorText(err) != "cloud: no machine types" {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/coordination/leader/cloud_effects.go
+++ b/internal/coordination/leader/cloud_effects.go
@@ -10,7 +10,7 @@
 )
 
 // executeRental sends a rental request and retries it until the cloud has answered.
-func (t *term) executeRental(ctx context.Context, request protocol.RentalRequest) {
+func (t *termActor) executeRental(ctx context.Context, request protocol.RentalRequest) {
 	var backoff storage.Backoff
 	for {
 		if done, ok := t.tryRental(ctx, request); ok {
@@ -24,11 +24,11 @@
 }
 
 // tryRental sends a rental request once. It returns false if the outcome is not known yet.
-func (t *term) tryRental(ctx context.Context, request protocol.RentalRequest) (scheduler.RentalDone, bool) {
+func (t *termActor) tryRental(ctx context.Context, request protocol.RentalRequest) (scheduler.RentalDone, bool) {
 	if !t.leadership.Entitled() {
 		return scheduler.RentalDone{}, false
 	}
-	machines, err := t.dispatcher.cloud.Rent(ctx, request)
+	machines, err := t.dispatcher.cloud.RentMachines(ctx, request)
 	switch {
 	case err == nil:
 		return scheduler.RentalDone{Name: request.Name, Machines: machines, OK: true}, true
@@ -43,10 +43,10 @@
 }
 
 // executeDeletion returns machines. The scheduler repeats it until it is confirmed.
-func (t *term) executeDeletion(ctx context.Context, machines []string) {
+func (t *termActor) executeDeletion(ctx context.Context, machines []string) {
 	done := scheduler.DeletionDone{Machines: machines}
 	if t.leadership.Entitled() {
-		err := t.dispatcher.cloud.Delete(ctx, machines)
+		err := t.dispatcher.cloud.DeleteMachines(ctx, machines)
 		if err != nil {
 			t.log.Info("deletion not confirmed", "machines", len(machines), "err", err)
 		}
@@ -55,9 +55,9 @@
 	t.sendEvent(ctx, done)
 }
 
-// executeMachineList reads the cloud's list of machines.
-func (t *term) executeMachineList(ctx context.Context) {
-	machines, err := t.dispatcher.cloud.Machines(ctx)
+// executeListMachines reads the cloud's list of machines.
+func (t *termActor) executeListMachines(ctx context.Context) {
+	machines, err := t.dispatcher.cloud.ListMachines(ctx)
 	if err != nil {
 		t.log.Debug("machine list failed", "err", err)
 		t.sendEvent(ctx, scheduler.MachinesListed{})
--- a/internal/coordination/leader/direct_commands.go
+++ b/internal/coordination/leader/direct_commands.go
@@ -13,7 +13,7 @@
 )
 
 // executeDirectCommands sends commands to a worker without waiting for its next heartbeat.
-func (t *term) executeDirectCommands(
+func (t *termActor) executeDirectCommands(
 	ctx context.Context, effect scheduler.SendDirectCommands, worker *transport.Client,
 ) {
 	done := scheduler.DirectCommandsDone{ID: effect.ID, Machine: effect.Machine}
@@ -38,7 +38,7 @@
 	case errors.As(err, &rejected):
 		done.NotExecuted = true
 		if rejected.heartbeat.FencingToken > t.leadership.Term {
-			t.reportLost()
+			t.reportTermLost()
 		}
 	default:
 		t.log.Debug("direct command failed", "machine", effect.Machine, "err", err)
--- a/internal/coordination/leader/direct_commands_test.go
+++ b/internal/coordination/leader/direct_commands_test.go
@@ -72,21 +72,21 @@
 		{"no longer entitled", startWorker(t, http.StatusOK, heartbeat(1)), false, true, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			lost := false
+			termLost := false
 			until := time.Now().Add(time.Hour)
 			if !c.entitled {
 				until = time.Now()
 			}
-			actor := newTestTerm(election.NewLeadership(1, 1, until))
-			actor.dispatcher.termLost = func(uint64) { lost = true }
+			actor := newTestActor(election.NewLeadership(1, 1, until))
+			actor.dispatcher.onTermLost = func(uint64) { termLost = true }
 			effect := scheduler.SendDirectCommands{ID: 5, Machine: "m-1"}
 			actor.executeDirectCommands(context.Background(), effect, c.worker)
 			done := (<-actor.mailbox).(eventMessage).event.(scheduler.DirectCommandsDone)
 			if done.ID != 5 || done.Machine != "m-1" {
 				t.Errorf("outcome of %d on %q", done.ID, done.Machine)
 			}
-			if done.NotExecuted != c.notExecuted || (done.Heartbeat != nil) != c.heartbeat || lost != c.termLost {
-				t.Errorf("outcome %+v, term lost %v", done, lost)
+			if done.NotExecuted != c.notExecuted || (done.Heartbeat != nil) != c.heartbeat || termLost != c.termLost {
+				t.Errorf("outcome %+v, term lost %v", done, termLost)
 			}
 		})
 	}
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -25,7 +25,7 @@
 	Settings *config.Settings
 	Options  config.Options // of the operators
 	Store    *storage.Store
-	Cloud    *Cloud
+	Cloud    *CloudClient
 	Sockets  *transport.SocketBudget // nil: unlimited
 	Dialer   transport.Dialer        // for connections to workers; nil: TCP
 	Log      *slog.Logger
@@ -34,49 +34,49 @@
 // Dispatcher delivers messages to the actor of the current term, if this process leads. It outlives
 // terms and is safe for concurrent use.
 type Dispatcher struct {
-	settings *config.Settings
-	options  config.Options
-	store    *storage.Store
-	cloud    *Cloud
-	sockets  *transport.SocketBudget // or nil
-	dialer   transport.Dialer        // for connections to workers
-	log      *slog.Logger
-	termLost func(term uint64)
-	term     atomic.Pointer[term] // nil while this process does not lead
+	settings   *config.Settings
+	options    config.Options
+	store      *storage.Store
+	cloud      *CloudClient
+	sockets    *transport.SocketBudget // or nil
+	dialer     transport.Dialer        // for connections to workers
+	log        *slog.Logger
+	onTermLost func(term uint64)
+	current    atomic.Pointer[termActor] // nil while this process does not lead
 }
 
 // NewDispatcher returns a Dispatcher that has no term yet.
 func NewDispatcher(o DispatcherOptions) *Dispatcher {
 	return &Dispatcher{
-		settings: o.Settings,
-		options:  o.Options,
-		store:    o.Store,
-		cloud:    o.Cloud,
-		sockets:  o.Sockets,
-		dialer:   o.Dialer,
-		log:      o.Log,
-		termLost: func(uint64) {},
+		settings:   o.Settings,
+		options:    o.Options,
+		store:      o.Store,
+		cloud:      o.Cloud,
+		sockets:    o.Sockets,
+		dialer:     o.Dialer,
+		log:        o.Log,
+		onTermLost: func(uint64) {},
 	}
 }
 
 // OnTermLost sets the function that is called when a term turns out to be over. It must be called
 // before the first term.
-func (d *Dispatcher) OnTermLost(termLost func(term uint64)) { d.termLost = termLost }
+func (d *Dispatcher) OnTermLost(termLost func(term uint64)) { d.onTermLost = termLost }
 
 // IsLeader reports whether this process leads, as far as it knows.
-func (d *Dispatcher) IsLeader() bool { return d.term.Load() != nil }
+func (d *Dispatcher) IsLeader() bool { return d.current.Load() != nil }
 
 // Entitled reports whether this process is surely the leader at this moment.
 func (d *Dispatcher) Entitled() bool {
-	t := d.term.Load()
+	t := d.current.Load()
 	return t != nil && t.leadership.Entitled()
 }
 
-// Heartbeat hands a worker's heartbeat to the term. It never blocks: the answer is 503 at once if
+// HandleHeartbeat hands a worker's heartbeat to the term. It never blocks: the answer is 503 at once if
 // this process does not lead or the mailbox is full. With sameConnection the heartbeat before on
 // the same connection was answered 200, so that the worker has got that answer.
-func (d *Dispatcher) Heartbeat(body []byte, sameConnection bool, respond HeartbeatResponderFunc) {
-	d.enqueue(heartbeatMessage{body: body, respond: respond, sameConnection: sameConnection})
+func (d *Dispatcher) HandleHeartbeat(body []byte, sameConnection bool, respond HeartbeatResponderFunc) {
+	d.enqueueHeartbeat(heartbeatMessage{body: body, respond: respond, sameConnection: sameConnection})
 }
 
 // RelayedHeartbeat handles a heartbeat that came through another controller, and returns the answer.
@@ -86,7 +86,7 @@
 		body   []byte
 	}
 	responses := make(chan response, 1)
-	d.enqueue(heartbeatMessage{
+	d.enqueueHeartbeat(heartbeatMessage{
 		body:           body,
 		respond:        func(status int, body []byte) { responses <- response{status, body} },
 		relayed:        true,
@@ -100,8 +100,8 @@
 	}
 }
 
-func (d *Dispatcher) enqueue(msg heartbeatMessage) {
-	t := d.term.Load()
+func (d *Dispatcher) enqueueHeartbeat(msg heartbeatMessage) {
+	t := d.current.Load()
 	if t == nil {
 		msg.respond(http.StatusServiceUnavailable, nil)
 		return
@@ -116,7 +116,7 @@
 
 // TaskCounts returns the task counts of a job if this process leads and knows the job.
 func (d *Dispatcher) TaskCounts(ctx context.Context, job string) (peer.TaskCounts, bool) {
-	t := d.term.Load()
+	t := d.current.Load()
 	if t == nil {
 		return peer.TaskCounts{}, false
 	}
@@ -133,7 +133,7 @@
 // the record in the state service. The term's own watch may not see the record until long after,
 // when the state service refuses this controller or all of them.
 func (d *Dispatcher) ConfirmCancellation(ctx context.Context, job string, version uint64, record []byte) bool {
-	t := d.term.Load()
+	t := d.current.Load()
 	if t == nil {
 		return false
 	}
@@ -150,7 +150,7 @@
 
 // Inspect returns the status of the term if this process leads, and why a job waits if one is named.
 func (d *Dispatcher) Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
-	t := d.term.Load()
+	t := d.current.Load()
 	if t == nil {
 		return nil, false
 	}
@@ -169,19 +169,19 @@
 // end with the context, and what they may still send is fenced by the term: by the leader's guard
 // on writes, by the fencing token at workers, and by request names that are never used again.
 func (d *Dispatcher) RunTerm(ctx context.Context, leadership *election.Leadership) {
-	t := newTerm(d, leadership)
-	d.term.Store(t)
-	defer d.term.Store(nil)
-	defer t.drain()
+	t := newTermActor(d, leadership)
+	d.current.Store(t)
+	defer d.current.Store(nil)
+	defer t.rejectQueuedHeartbeats()
 	defer t.workerClients.closeAll()
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	revision, ok := t.load(ctx)
+	revision, ok := t.loadState(ctx)
 	if !ok {
 		return
 	}
-	w := &writer{term: t}
+	w := &writer{actor: t}
 	go w.run(ctx)
 	go t.watchOpenJobs(ctx, revision)
 	t.run(ctx)
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -7,9 +7,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// execute carries out one effect. What needs I/O runs in a goroutine of its own that reports its
+// executeEffect carries out one effect. What needs I/O runs in a goroutine of its own that reports its
 // outcome as an event; RunTerm says why nobody waits for these.
-func (t *term) execute(ctx context.Context, effect scheduler.Effect) {
+func (t *termActor) executeEffect(ctx context.Context, effect scheduler.Effect) {
 	switch effect := effect.(type) {
 	case scheduler.HeartbeatReply:
 		t.answerHeartbeat(effect)
@@ -24,7 +24,7 @@
 	case scheduler.DeleteMachines:
 		go t.executeDeletion(ctx, effect.Machines)
 	case scheduler.ListMachines:
-		go t.executeMachineList(ctx)
+		go t.executeListMachines(ctx)
 	case scheduler.FetchMachineTypes:
 		go t.refreshMachineTypes(ctx)
 	case scheduler.TaskCounts:
@@ -32,12 +32,12 @@
 	case scheduler.SnapshotTaken:
 		effect.ReplyTo <- effect.Snapshot
 	case scheduler.LogEntry:
-		t.logEntry(ctx, effect)
+		t.writeLogEntry(ctx, effect)
 	}
 }
 
 // answerHeartbeat answers a worker. Its lease is renewed only by a leader that is still entitled.
-func (t *term) answerHeartbeat(reply scheduler.HeartbeatReply) {
+func (t *termActor) answerHeartbeat(reply scheduler.HeartbeatReply) {
 	switch {
 	case reply.Redirect:
 		reply.ReplyTo.Redirect(protocol.Redirect{Leader: t.dispatcher.settings.NodeName})
@@ -48,8 +48,8 @@
 	}
 }
 
-// logEntry writes a line of the scheduler's log. The summary line also gets the resource usage.
-func (t *term) logEntry(ctx context.Context, entry scheduler.LogEntry) {
+// writeLogEntry writes a line of the scheduler's log. The summary line also gets the resource usage.
+func (t *termActor) writeLogEntry(ctx context.Context, entry scheduler.LogEntry) {
 	if entry.Message == scheduler.SummaryMessage {
 		entry.Args = append(entry.Args, t.resourceUsage()...)
 	}
--- a/internal/coordination/leader/same_record.go
+++ b/internal/coordination/leader/equal_records.go
@@ -6,9 +6,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// sameRecord reports whether two encoded records mean the same: the state service may encode numbers
+// equalRecords reports whether two encoded records mean the same: the state service may encode numbers
 // in another form.
-func sameRecord(a, b protocol.Raw) bool {
+func equalRecords(a, b protocol.Raw) bool {
 	var x, y any
 	if protocol.Decode(a, &x) != nil || protocol.Decode(b, &y) != nil {
 		return false
--- a/internal/coordination/leader/load.go
+++ b/internal/coordination/leader/load.go
@@ -12,9 +12,9 @@
 	"quillshunt/internal/storage"
 )
 
-// load hands the scheduler what earlier terms left in the state service, and retries until that
+// loadState hands the scheduler what earlier terms left in the state service, and retries until that
 // has been read. It returns the revision of the open jobs, or false when the context ends first.
-func (t *term) load(ctx context.Context) (revision uint64, ok bool) {
+func (t *termActor) loadState(ctx context.Context) (revision uint64, ok bool) {
 	var backoff storage.Backoff
 	for {
 		revision, events, err := t.readRecords(ctx)
@@ -35,32 +35,32 @@
 
 // readRecords reads the open jobs, their finished tasks, the rentals and the machine registry, in
 // the order in which the scheduler needs them.
-func (t *term) readRecords(ctx context.Context) (revision uint64, events []scheduler.Event, err error) {
+func (t *termActor) readRecords(ctx context.Context) (revision uint64, events []scheduler.Event, err error) {
 	store := t.dispatcher.store
 	revision, events, err = t.readOpenJobs(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
-	finishedTasks := func(key string, version uint64, record storage.FinishedTasks) {
+	addFinishedTasks := func(key string, version uint64, record storage.FinishedTasks) {
 		if id, _, ok := storage.ParseFinishedTasksKey(key); ok {
 			events = append(events, scheduler.FinishedTasksLoaded{JobID: id, Version: version, Record: record})
 		}
 	}
-	if err := listRecords(ctx, store, storage.PrefixFinishedTasks, finishedTasks); err != nil {
+	if err := listRecords(ctx, store, storage.PrefixFinishedTasks, addFinishedTasks); err != nil {
 		return 0, nil, err
 	}
-	rental := func(key string, version uint64, record storage.Rental) {
+	addRental := func(key string, version uint64, record storage.Rental) {
 		name := strings.TrimPrefix(key, storage.PrefixRental)
 		events = append(events, scheduler.RentalLoaded{Name: name, Version: version, Record: record})
 	}
-	if err := listRecords(ctx, store, storage.PrefixRental, rental); err != nil {
+	if err := listRecords(ctx, store, storage.PrefixRental, addRental); err != nil {
 		return 0, nil, err
 	}
-	registryPage := func(key string, version uint64, record storage.RegistryPage) {
+	addRegistryPage := func(key string, version uint64, record storage.RegistryPage) {
 		name := strings.TrimPrefix(key, storage.PrefixRegistryPage)
 		events = append(events, scheduler.RegistryPageLoaded{Name: name, Version: version, Record: record})
 	}
-	if err := listRecords(ctx, store, storage.PrefixRegistryPage, registryPage); err != nil {
+	if err := listRecords(ctx, store, storage.PrefixRegistryPage, addRegistryPage); err != nil {
 		return 0, nil, err
 	}
 	return revision, events, nil
@@ -82,7 +82,7 @@
 }
 
 // readOpenJobs reads all open jobs, and the revision from which a watch misses no change.
-func (t *term) readOpenJobs(ctx context.Context) (revision uint64, events []scheduler.Event, err error) {
+func (t *termActor) readOpenJobs(ctx context.Context) (revision uint64, events []scheduler.Event, err error) {
 	revision, err = t.dispatcher.store.List(ctx, storage.PrefixOpenJob, func(kv protocol.KeyValue) error {
 		change, err := t.decodeOpenJob(kv.Key, kv.Value, kv.Version)
 		if err != nil {
@@ -95,7 +95,7 @@
 }
 
 // decodeOpenJob turns the record of an open job into an event.
-func (t *term) decodeOpenJob(key string, data protocol.Raw, version uint64) (scheduler.JobChanged, error) {
+func (t *termActor) decodeOpenJob(key string, data protocol.Raw, version uint64) (scheduler.JobChanged, error) {
 	var record storage.OpenJob
 	if err := protocol.Decode(data, &record); err != nil {
 		return scheduler.JobChanged{}, fmt.Errorf("%s: %w", key, err)
--- a/internal/coordination/leader/machine_types.go
+++ b/internal/coordination/leader/machine_types.go
@@ -12,8 +12,8 @@
 
 // refreshMachineTypes reads the machine types from the cloud and stores them in the state service,
 // from where all controllers read them.
-func (t *term) refreshMachineTypes(ctx context.Context) {
-	types, err := t.dispatcher.cloud.MachineTypes(ctx)
+func (t *termActor) refreshMachineTypes(ctx context.Context) {
+	types, err := t.dispatcher.cloud.ListMachineTypes(ctx)
 	if err != nil {
 		t.log.Info("no machine types", "err", err)
 		t.sendEvent(ctx, scheduler.MachineTypesFetched{})
@@ -35,7 +35,7 @@
 
 // writeMachineTypes stores the machine types unless only their prices have changed. If the term is
 // over it reports that and gives up without an error.
-func (t *term) writeMachineTypes(ctx context.Context, types []protocol.MachineType) error {
+func (t *termActor) writeMachineTypes(ctx context.Context, types []protocol.MachineType) error {
 	store := t.dispatcher.store
 	stored, err := store.ReadMachineTypes(ctx)
 	if err != nil && !errors.Is(err, storage.ErrNoMachineTypes) {
@@ -48,7 +48,7 @@
 		_, err := store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
-			t.reportLost()
+			t.reportTermLost()
 			return nil
 		}
 		if err != nil {
--- a/internal/coordination/leader/messages.go
+++ b/internal/coordination/leader/messages.go
@@ -16,7 +16,7 @@
 	respond        HeartbeatResponderFunc
 	arrivedAt      time.Time
 	relayed        bool // came through another controller
-	sameConnection bool // see Dispatcher.Heartbeat
+	sameConnection bool // see Dispatcher.HandleHeartbeat
 }
 
 // eventMessage is an event for the scheduler: a changed job, or the outcome of an effect.
@@ -52,7 +52,7 @@
 func (inspectMessage) isMessage()          {}
 
 // send puts a message into the mailbox. It waits while the mailbox is full.
-func (t *term) send(ctx context.Context, msg message) {
+func (t *termActor) send(ctx context.Context, msg message) {
 	select {
 	case t.mailbox <- msg:
 	case <-ctx.Done():
@@ -60,22 +60,22 @@
 }
 
 // sendEvent puts an event for the scheduler into the mailbox. It waits while the mailbox is full.
-func (t *term) sendEvent(ctx context.Context, event scheduler.Event) {
+func (t *termActor) sendEvent(ctx context.Context, event scheduler.Event) {
 	t.send(ctx, eventMessage{event})
 }
 
 // request sends a message to the actor and waits for the reply. The reply channel must have a
 // buffer, as nobody reads from it once the context is over.
-func request[T any](ctx context.Context, t *term, msg message, reply <-chan T) (answer T, ok bool) {
+func request[T any](ctx context.Context, t *termActor, msg message, replies <-chan T) (reply T, ok bool) {
 	select {
 	case t.mailbox <- msg:
 	case <-ctx.Done():
-		return answer, false
+		return reply, false
 	}
 	select {
-	case answer = <-reply:
-		return answer, true
+	case reply = <-replies:
+		return reply, true
 	case <-ctx.Done():
-		return answer, false
+		return reply, false
 	}
 }
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -15,14 +15,14 @@
 
 // executeProbe asks a machine for its tasks and shows it the fencing token of this term. After that
 // earlier leaders cannot change any more what it answered.
-func (t *term) executeProbe(ctx context.Context, probe scheduler.ProbeMachine) {
+func (t *termActor) executeProbe(ctx context.Context, probe scheduler.ProbeMachine) {
 	select {
 	case t.probeSlots <- struct{}{}:
 		defer func() { <-t.probeSlots }()
 	case <-ctx.Done():
 		return
 	}
-	if t.heartbeatsAreSlow() {
+	if t.hasRecentSlowHeartbeat() {
 		// A waiting heartbeat proves as much as a probe, and it may be late for the worker's lease.
 		// The probe can be sent later.
 		t.sendEvent(ctx, scheduler.ProbeDone{Machine: probe.Machine, NotSent: true})
@@ -45,8 +45,8 @@
 	})
 }
 
-// heartbeatsAreSlow reports whether a heartbeat has waited long in the mailbox a short while ago.
-func (t *term) heartbeatsAreSlow() bool {
+// hasRecentSlowHeartbeat reports whether a heartbeat has waited long in the mailbox a short while ago.
+func (t *termActor) hasRecentSlowHeartbeat() bool {
 	slowAt := t.lastSlowHeartbeatAt.Load()
 	return slowAt != 0 && t.now()-time.Duration(slowAt) < limits.SlowHeartbeatMemory
 }
@@ -54,7 +54,7 @@
 // probeWorker asks a worker for its incarnation, sends it an empty list of commands with this term's
 // fencing token, and returns the heartbeat that it answers with. Without an error the heartbeat is
 // not nil.
-func (t *term) probeWorker(ctx context.Context, worker *transport.Client) (*protocol.Heartbeat, error) {
+func (t *termActor) probeWorker(ctx context.Context, worker *transport.Client) (*protocol.Heartbeat, error) {
 	answer, err := worker.Do(ctx, http.MethodGet, "/status", nil)
 	if err != nil {
 		return nil, err
--- a/internal/coordination/leader/probes_test.go
+++ b/internal/coordination/leader/probes_test.go
@@ -11,10 +11,10 @@
 	"quillshunt/internal/limits"
 )
 
-// newTestTerm returns a term without a scheduler, whose mailbox has room for one message.
-func newTestTerm(leadership *election.Leadership) *term {
-	return &term{
-		dispatcher: &Dispatcher{termLost: func(uint64) {}},
+// newTestActor returns a term without a scheduler, whose mailbox has room for one message.
+func newTestActor(leadership *election.Leadership) *termActor {
+	return &termActor{
+		dispatcher: &Dispatcher{onTermLost: func(uint64) {}},
 		leadership: leadership,
 		mailbox:    make(chan message, 1),
 		probeSlots: make(chan struct{}, 1),
@@ -23,10 +23,10 @@
 	}
 }
 
-// TestProbesYieldToHeartbeats: while heartbeats wait in the mailbox, probes are not sent, and that
+// TestProbeNotSentAfterSlowHeartbeat: while heartbeats wait in the mailbox, probes are not sent, and that
 // says nothing about their machines.
-func TestProbesYieldToHeartbeats(t *testing.T) {
-	actor := newTestTerm(election.NewLeadership(1, 1, time.Now().Add(time.Hour)))
+func TestProbeNotSentAfterSlowHeartbeat(t *testing.T) {
+	actor := newTestActor(election.NewLeadership(1, 1, time.Now().Add(time.Hour)))
 	actor.startedAt = time.Now().Add(-time.Minute)
 	for _, c := range []struct {
 		name              string
--- a/internal/coordination/leader/status.go
+++ b/internal/coordination/leader/status.go
@@ -6,7 +6,7 @@
 )
 
 // statusReply turns a snapshot into the answer for operators.
-func (t *term) statusReply(snapshot scheduler.Snapshot) *peerpb.StatusReply {
+func (t *termActor) statusReply(snapshot scheduler.Snapshot) *peerpb.StatusReply {
 	reply := &peerpb.StatusReply{
 		Leader:      t.dispatcher.settings.NodeName,
 		Term:        snapshot.Term,
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term_actor.go
@@ -14,9 +14,9 @@
 	"quillshunt/internal/transport"
 )
 
-// term is the actor of one term. What run and the methods it calls use is owned by the actor's
+// termActor is the actor of one term. What run and the methods it calls use is owned by the actor's
 // goroutine, but for the fields that say otherwise.
-type term struct {
+type termActor struct {
 	dispatcher *Dispatcher          // immutable here
 	leadership *election.Leadership // safe for concurrent use
 	startedAt  time.Time            // immutable
@@ -25,32 +25,32 @@
 	mailbox       chan message
 	scheduler     *scheduler.Scheduler
 	writes        writeQueue
-	writer        chan scheduler.WriteRecords // to the writer's goroutine
+	toWriter      chan scheduler.WriteRecords // to the writer's goroutine
 	workerClients workerClientPool
 	probeSlots    chan struct{} // bounds the probes in flight: a failover probes all machines at once
 
-	longestWait time.Duration // longest wait of a heartbeat in the mailbox since the last summary
+	longestMailboxWait time.Duration // longest wait of a heartbeat in the mailbox since the last summary
 	// lastSlowHeartbeatAt is when a heartbeat was last handled that had waited for longer than
 	// SlowHeartbeatWait, in nanoseconds since the term began. Probes read it too.
 	lastSlowHeartbeatAt atomic.Int64
 	lastCounters        resourceCounters
 }
 
-// newTerm returns the actor of a term that begins now.
-func newTerm(d *Dispatcher, leadership *election.Leadership) *term {
+// newTermActor returns the actor of a term that begins now.
+func newTermActor(d *Dispatcher, leadership *election.Leadership) *termActor {
 	facts := &d.settings.Facts
 	shares := limits.DivideSockets(facts.Machine.MaxSockets, len(d.settings.Members))
 	options := d.options
 	if options.Fleet.MaxMachines == 0 {
 		options.Fleet.MaxMachines = shares.MaxMachines
 	}
-	return &term{
+	return &termActor{
 		dispatcher: d,
 		leadership: leadership,
 		startedAt:  time.Now(),
 		log:        d.log.With("term", leadership.Term),
 		mailbox:    make(chan message, limits.MailboxSize(shares)),
-		writer:     make(chan scheduler.WriteRecords),
+		toWriter:   make(chan scheduler.WriteRecords),
 		probeSlots: make(chan struct{}, shares.Probes),
 		workerClients: workerClientPool{
 			newClient:  d.newWorkerClient,
@@ -72,37 +72,37 @@
 }
 
 // now is the time since the term began, which is the scheduler's clock.
-func (t *term) now() time.Duration { return time.Since(t.startedAt) }
+func (t *termActor) now() time.Duration { return time.Since(t.startedAt) }
 
-// reportLost notifies the elector that the term is over: a later leader has been seen.
-func (t *term) reportLost() { t.dispatcher.termLost(t.leadership.Term) }
+// reportTermLost notifies the elector that the term is over: a later leader has been seen.
+func (t *termActor) reportTermLost() { t.dispatcher.onTermLost(t.leadership.Term) }
 
 // run is the actor's loop.
-func (t *term) run(ctx context.Context) {
+func (t *termActor) run(ctx context.Context) {
 	tick := time.NewTicker(limits.TickInterval)
 	defer tick.Stop()
 	for {
-		var writer chan scheduler.WriteRecords // nil, which is never ready, while nothing is to be written
-		next, waiting := t.writes.first()
+		var toWriter chan scheduler.WriteRecords // nil, which is never ready, while nothing is to be written
+		next, waiting := t.writes.peek()
 		if waiting {
-			writer = t.writer
+			toWriter = t.toWriter
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case writer <- next:
-			t.writes.removeFirst()
+		case toWriter <- next:
+			t.writes.pop()
 		case <-tick.C:
-			t.workerClients.close(t.dispatcher.sockets.Excess())
+			t.workerClients.evict(t.dispatcher.sockets.Excess())
 			t.step(ctx, scheduler.Tick{Entitled: t.leadership.Entitled()})
 		case msg := <-t.mailbox:
-			t.handle(ctx, msg)
+			t.handleMessage(ctx, msg)
 		}
 	}
 }
 
-// handle processes one message.
-func (t *term) handle(ctx context.Context, msg message) {
+// handleMessage processes one message.
+func (t *termActor) handleMessage(ctx context.Context, msg message) {
 	switch msg := msg.(type) {
 	case heartbeatMessage:
 		t.handleHeartbeat(ctx, msg)
@@ -121,9 +121,9 @@
 }
 
 // handleHeartbeat decodes a worker's heartbeat and hands it to the scheduler.
-func (t *term) handleHeartbeat(ctx context.Context, msg heartbeatMessage) {
+func (t *termActor) handleHeartbeat(ctx context.Context, msg heartbeatMessage) {
 	wait := time.Since(msg.arrivedAt)
-	t.longestWait = max(t.longestWait, wait)
+	t.longestMailboxWait = max(t.longestMailboxWait, wait)
 	if wait > limits.SlowHeartbeatWait {
 		t.lastSlowHeartbeatAt.Store(int64(t.now()))
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	if heartbeat.FencingToken > t.leadership.Term {
-		t.reportLost() // the worker has seen a later leader
+		t.reportTermLost() // the worker has seen a later leader
 	}
 	t.step(ctx, scheduler.HeartbeatReceived{
 		Heartbeat:      &heartbeat,
@@ -145,14 +145,14 @@
 }
 
 // step hands an event to the scheduler and executes the effects.
-func (t *term) step(ctx context.Context, event scheduler.Event) {
+func (t *termActor) step(ctx context.Context, event scheduler.Event) {
 	for _, effect := range t.scheduler.Step(event, t.now()) {
-		t.execute(ctx, effect)
+		t.executeEffect(ctx, effect)
 	}
 }
 
-// drain answers the heartbeats that are left in the mailbox.
-func (t *term) drain() {
+// rejectQueuedHeartbeats answers the heartbeats that are left in the mailbox.
+func (t *termActor) rejectQueuedHeartbeats() {
 	for {
 		select {
 		case msg := <-t.mailbox:
--- a/internal/coordination/leader/usage.go
+++ b/internal/coordination/leader/usage.go
@@ -17,7 +17,7 @@
 // resourceUsage returns, as arguments of the summary line, how the process stands against its
 // limits: the messages in the mailbox and their longest wait, processor time as a share of a core,
 // heap memory, and the changes sent to and calls refused by the state service since the line before.
-func (t *term) resourceUsage() []any {
+func (t *termActor) resourceUsage() []any {
 	last := t.lastCounters
 	t.lastCounters = resourceCounters{at: time.Now()}
 	t.lastCounters.writes, t.lastCounters.refused = t.dispatcher.store.Counters()
@@ -25,12 +25,12 @@
 	metrics.Read(heap)
 	args := []any{
 		"mailbox", len(t.mailbox),
-		"longest_wait", t.longestWait.Round(time.Millisecond),
+		"longest_wait", t.longestMailboxWait.Round(time.Millisecond),
 		"heap_mb", heap[0].Value.Uint64() >> 20,
 		"writes", t.lastCounters.writes - last.writes,
 		"refused", t.lastCounters.refused - last.refused,
 	}
-	t.longestWait = 0
+	t.longestMailboxWait = 0
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return args
--- a/internal/coordination/leader/watch.go
+++ b/internal/coordination/leader/watch.go
@@ -12,7 +12,7 @@
 
 // watchOpenJobs sends the actor every change of the open jobs after a revision, until the context
 // ends.
-func (t *term) watchOpenJobs(ctx context.Context, revision uint64) {
+func (t *termActor) watchOpenJobs(ctx context.Context, revision uint64) {
 	var backoff storage.Backoff
 	for ctx.Err() == nil {
 		reply, err := t.dispatcher.store.Watch(ctx, storage.PrefixOpenJob, revision)
@@ -25,7 +25,7 @@
 			revision = max(revision, reply.Revision)
 			t.send(ctx, observedRevisionMessage{revision})
 		case errors.Is(err, storage.ErrCompacted):
-			current, err := t.resendOpenJobs(ctx)
+			current, err := t.relistOpenJobs(ctx)
 			if err != nil {
 				backoff.Wait(ctx)
 				continue
@@ -39,7 +39,7 @@
 }
 
 // sendJobChange sends the actor one change of an open job.
-func (t *term) sendJobChange(ctx context.Context, change protocol.Change) {
+func (t *termActor) sendJobChange(ctx context.Context, change protocol.Change) {
 	if change.Delete != "" {
 		id := strings.TrimPrefix(change.Delete, storage.PrefixOpenJob)
 		t.sendEvent(ctx, scheduler.JobRemoved{JobID: id, Version: change.Version})
@@ -53,9 +53,9 @@
 	t.sendEvent(ctx, event)
 }
 
-// resendOpenJobs reads all open jobs and sends them to the actor, for when changes since the last
+// relistOpenJobs reads all open jobs and sends them to the actor, for when changes since the last
 // revision are no longer kept. It returns the revision from which the watch continues.
-func (t *term) resendOpenJobs(ctx context.Context) (uint64, error) {
+func (t *termActor) relistOpenJobs(ctx context.Context) (uint64, error) {
 	revision, events, err := t.readOpenJobs(ctx)
 	if err != nil {
 		return 0, err
--- a/internal/coordination/leader/worker_clients.go
+++ b/internal/coordination/leader/worker_clients.go
@@ -25,7 +25,7 @@
 	client := p.byAddress[address]
 	if client == nil {
 		if len(p.byAddress) >= p.maxClients {
-			p.close(1)
+			p.evict(1)
 		}
 		client = p.newClient(address)
 		p.byAddress[address] = client
@@ -33,9 +33,9 @@
 	return client
 }
 
-// close drops clients in any order until at least n kept connections are closed; a client without
+// evict drops clients in any order until at least n kept connections are closed; a client without
 // one counts as well. Connections are cheap to make again.
-func (p *workerClientPool) close(n int) {
+func (p *workerClientPool) evict(n int) {
 	for address, client := range p.byAddress {
 		if n <= 0 {
 			return
@@ -46,4 +46,4 @@
 }
 
 // closeAll drops all clients.
-func (p *workerClientPool) closeAll() { p.close(math.MaxInt) }
+func (p *workerClientPool) closeAll() { p.evict(math.MaxInt) }
--- a/internal/coordination/leader/write_queue.go
+++ b/internal/coordination/leader/write_queue.go
@@ -4,8 +4,8 @@
 
 // writeQueue holds the writes that wait for the writer. It is owned by the term's actor.
 type writeQueue struct {
-	urgent []scheduler.WriteRecords
-	bulk   []scheduler.WriteRecords // sent only while no other write waits
+	regular []scheduler.WriteRecords
+	bulk    []scheduler.WriteRecords // sent only while no other write waits
 }
 
 // add appends a write.
@@ -13,29 +13,29 @@
 	if write.Bulk {
 		q.bulk = append(q.bulk, write)
 	} else {
-		q.urgent = append(q.urgent, write)
+		q.regular = append(q.regular, write)
 	}
 }
 
-// first returns the write that is to be sent next, or false if none waits.
-func (q *writeQueue) first() (scheduler.WriteRecords, bool) {
-	queue := q.next()
+// peek returns the write that is to be sent next, or false if none waits.
+func (q *writeQueue) peek() (scheduler.WriteRecords, bool) {
+	queue := q.activeQueue()
 	if len(*queue) == 0 {
 		return scheduler.WriteRecords{}, false
 	}
 	return (*queue)[0], true
 }
 
-// removeFirst removes the write that first returned.
-func (q *writeQueue) removeFirst() {
-	queue := q.next()
+// pop removes the write that peek returned.
+func (q *writeQueue) pop() {
+	queue := q.activeQueue()
 	*queue = (*queue)[1:]
 }
 
-// next is the queue that the next write comes from.
-func (q *writeQueue) next() *[]scheduler.WriteRecords {
-	if len(q.urgent) > 0 {
-		return &q.urgent
+// activeQueue is the queue that the next write comes from.
+func (q *writeQueue) activeQueue() *[]scheduler.WriteRecords {
+	if len(q.regular) > 0 {
+		return &q.regular
 	}
 	return &q.bulk
 }
--- a/internal/coordination/leader/write_queue_test.go
+++ b/internal/coordination/leader/write_queue_test.go
@@ -15,12 +15,12 @@
 	}
 	var ids []uint64
 	for {
-		write, ok := queue.first()
+		write, ok := queue.peek()
 		if !ok {
 			break
 		}
 		ids = append(ids, write.ID)
-		queue.removeFirst()
+		queue.pop()
 	}
 	if !slices.Equal(ids, []uint64{2, 4, 1, 3}) {
 		t.Errorf("order %v", ids)
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -12,7 +12,7 @@
 
 // writer executes the writes of a term, several in one transaction, each under the leader's guard. A
 // write without a known outcome is repeated unchanged until the outcome is known.
-type writer struct{ term *term }
+type writer struct{ actor *termActor }
 
 // run executes writes until the context ends or the term is found to be over.
 func (w *writer) run(ctx context.Context) {
@@ -22,13 +22,13 @@
 			select {
 			case <-ctx.Done():
 				return
-			case write := <-w.term.writer:
+			case write := <-w.actor.toWriter:
 				leftOver = &write
 			}
 		}
 		var batch []scheduler.WriteRecords
 		batch, leftOver = w.collectBatch(*leftOver)
-		if !w.execute(ctx, batch) {
+		if !w.commit(ctx, batch) {
 			return
 		}
 	}
@@ -39,14 +39,14 @@
 func (w *writer) collectBatch(
 	first scheduler.WriteRecords,
 ) (batch []scheduler.WriteRecords, leftOver *scheduler.WriteRecords) {
-	maxOperations := w.term.dispatcher.store.Settings().TxnOps
+	maxOperations := w.actor.dispatcher.store.Settings().TxnOps
 	maxConditions := maxOperations * limits.ConditionsPerOperation
 	batch = append(batch, first)
 	operations := len(first.Operations)
 	conditions := 1 + len(first.Conditions) // with the leader's guard
 	for operations < maxOperations {
 		select {
-		case write := <-w.term.writer:
+		case write := <-w.actor.toWriter:
 			operations += len(write.Operations)
 			conditions += len(write.Conditions)
 			if operations > maxOperations || conditions > maxConditions {
@@ -60,40 +60,40 @@
 	return batch, nil
 }
 
-// execute writes a batch in one transaction, or one by one if that fails for a part of it. It
+// commit writes a batch in one transaction, or one by one if that fails for a part of it. It
 // returns false when the context or the term is over.
-func (w *writer) execute(ctx context.Context, batch []scheduler.WriteRecords) bool {
+func (w *writer) commit(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	var backoff storage.Backoff
-	txn := w.transaction(batch)
+	txn := w.buildTransaction(batch)
 	for {
-		revision, err := w.term.dispatcher.store.CompareAndSwap(ctx, txn)
+		revision, err := w.actor.dispatcher.store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		switch {
 		case err == nil:
 			for _, write := range batch {
-				w.term.sendEvent(ctx, scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision})
+				w.actor.sendEvent(ctx, scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision})
 			}
 			return true
 		case errors.As(err, &conflict):
 			if conflict.Has(storage.KeyLeader) {
-				w.term.reportLost()
+				w.actor.reportTermLost()
 				return false
 			}
 			if len(batch) > 1 {
-				return w.executeEach(ctx, batch)
+				return w.commitEach(ctx, batch)
 			}
 			// An earlier try of this same write may have been executed although its answer was lost.
 			var completed scheduler.WriteCompleted
-			if completed, err = w.outcomeOf(ctx, batch[0]); err == nil {
-				w.term.sendEvent(ctx, completed)
+			if completed, err = w.readOutcome(ctx, batch[0]); err == nil {
+				w.actor.sendEvent(ctx, completed)
 				return true
 			}
 		case errors.Is(err, storage.ErrBadRequest):
-			w.term.log.Error("write rejected", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
+			w.actor.log.Error("write rejected", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
 			if len(batch) > 1 {
-				return w.executeEach(ctx, batch)
+				return w.commitEach(ctx, batch)
 			}
-			w.term.sendEvent(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
+			w.actor.sendEvent(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
 			return true
 		}
 		w.logRetry(err, txn)
@@ -103,9 +103,9 @@
 	}
 }
 
-// transaction joins the writes of a batch under the leader's guard.
-func (w *writer) transaction(batch []scheduler.WriteRecords) protocol.Transaction {
-	txn := protocol.Transaction{Conditions: []protocol.Condition{w.term.leadership.Guard()}}
+// buildTransaction joins the writes of a batch under the leader's guard.
+func (w *writer) buildTransaction(batch []scheduler.WriteRecords) protocol.Transaction {
+	txn := protocol.Transaction{Conditions: []protocol.Condition{w.actor.leadership.Guard()}}
 	for _, write := range batch {
 		txn.Conditions = append(txn.Conditions, write.Conditions...)
 		txn.Operations = append(txn.Operations, write.Operations...)
@@ -113,10 +113,10 @@
 	return txn
 }
 
-// executeEach writes the parts of a batch one by one.
-func (w *writer) executeEach(ctx context.Context, batch []scheduler.WriteRecords) bool {
+// commitEach writes the parts of a batch one by one.
+func (w *writer) commitEach(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	for _, write := range batch {
-		if !w.execute(ctx, []scheduler.WriteRecords{write}) {
+		if !w.commit(ctx, []scheduler.WriteRecords{write}) {
 			return false
 		}
 	}
@@ -127,10 +127,10 @@
 // the writer should keep within it.
 func (w *writer) logRetry(err error, txn protocol.Transaction) {
 	if errors.Is(err, storage.ErrRateLimited) {
-		w.term.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
+		w.actor.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
 		return
 	}
-	w.term.log.Debug("write failed", "err", err, "key", firstKey(txn))
+	w.actor.log.Debug("write failed", "err", err, "key", firstKey(txn))
 }
 
 // firstKey identifies a transaction in the log.
@@ -149,16 +149,16 @@
 	return op.Delete
 }
 
-// outcomeOf reads back the records of a write whose conditions failed: it is completed if the state
+// readOutcome reads back the records of a write whose conditions failed: it is completed if the state
 // service shows already what it was to bring about.
-func (w *writer) outcomeOf(ctx context.Context, write scheduler.WriteRecords) (scheduler.WriteCompleted, error) {
+func (w *writer) readOutcome(ctx context.Context, write scheduler.WriteRecords) (scheduler.WriteCompleted, error) {
 	var revision uint64
 	for _, op := range write.Operations {
-		stored, err := w.term.dispatcher.store.Get(ctx, operationKey(op))
+		stored, err := w.actor.dispatcher.store.Get(ctx, operationKey(op))
 		if err != nil {
 			return scheduler.WriteCompleted{}, err
 		}
-		if !alreadyApplied(op, stored) {
+		if !isApplied(op, stored) {
 			return scheduler.WriteCompleted{ID: write.ID}, nil
 		}
 		revision = max(revision, stored.Version)
@@ -166,10 +166,10 @@
 	return scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision}, nil
 }
 
-// alreadyApplied reports whether a stored record is what an operation was to bring about.
-func alreadyApplied(op protocol.Operation, stored protocol.KeyValue) bool {
+// isApplied reports whether a stored record is what an operation was to bring about.
+func isApplied(op protocol.Operation, stored protocol.KeyValue) bool {
 	if op.Delete != "" {
 		return stored.Version == 0
 	}
-	return stored.Version != 0 && sameRecord(stored.Value, op.Value)
+	return stored.Version != 0 && equalRecords(stored.Value, op.Value)
 }
--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -20,9 +20,9 @@
 // writerFixture is the writer of a term whose leader key is in a stand-in of the state service.
 type writerFixture struct {
 	*writer
-	t     *testing.T
-	state *standin.StateService
-	lost  bool // the term was reported as lost
+	t        *testing.T
+	state    *standin.StateService
+	termLost bool // the term was reported as lost
 }
 
 func newWriterFixture(t *testing.T) *writerFixture {
@@ -31,12 +31,12 @@
 	server := f.state.Server(freeAddress(t), slog.New(slog.DiscardHandler))
 	runServer(t, server)
 	leadership := election.NewLeadership(1, f.put(storage.KeyLeader, 1), time.Now().Add(time.Hour))
-	actor := newTestTerm(leadership)
+	actor := newTestActor(leadership)
 	actor.mailbox = make(chan message, 10)
-	actor.writer = make(chan scheduler.WriteRecords, 10)
-	actor.dispatcher.termLost = func(uint64) { f.lost = true }
+	actor.toWriter = make(chan scheduler.WriteRecords, 10)
+	actor.dispatcher.onTermLost = func(uint64) { f.termLost = true }
 	actor.dispatcher.store = storage.New(server.Addr(), config.State{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 4})
-	f.writer = &writer{term: actor}
+	f.writer = &writer{actor: actor}
 	return f
 }
 
@@ -52,11 +52,11 @@
 	return reply.Revision
 }
 
-// completed returns the outcomes that were reported, by the writes' ids.
-func (f *writerFixture) completed() map[uint64]scheduler.WriteCompleted {
+// drainOutcomes returns the outcomes that were reported, by the writes' ids.
+func (f *writerFixture) drainOutcomes() map[uint64]scheduler.WriteCompleted {
 	outcomes := map[uint64]scheduler.WriteCompleted{}
-	for len(f.term.mailbox) > 0 {
-		outcome := (<-f.term.mailbox).(eventMessage).event.(scheduler.WriteCompleted)
+	for len(f.actor.mailbox) > 0 {
+		outcome := (<-f.actor.mailbox).(eventMessage).event.(scheduler.WriteCompleted)
 		outcomes[outcome.ID] = outcome
 	}
 	return outcomes
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestBatchesWithinLimits: a batch joins the writes that wait, up to the operations and conditions
+// TestCollectBatchWithinLimits: a batch joins the writes that wait, up to the operations and conditions
 // that the state service accepts in one transaction.
-func TestBatchesWithinLimits(t *testing.T) {
+func TestCollectBatchWithinLimits(t *testing.T) {
 	write := func(id uint64, operations, conditions int) scheduler.WriteRecords {
 		return scheduler.WriteRecords{
 			ID:         id,
@@ -99,7 +99,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newWriterFixture(t)
 			for _, write := range c.writes[1:] {
-				f.term.writer <- write
+				f.actor.toWriter <- write
 			}
 			batch, leftOver := f.collectBatch(c.writes[0])
 			var ids []uint64
@@ -116,16 +116,16 @@
 	}
 }
 
-// TestConflictFailsOnlyItsWrite: a batch whose conditions fail is written one by one, so that only
+// TestConflictInBatchFailsOneWrite: a batch whose conditions fail is written one by one, so that only
 // the write fails that the failed condition belongs to.
-func TestConflictFailsOnlyItsWrite(t *testing.T) {
+func TestConflictInBatchFailsOneWrite(t *testing.T) {
 	f := newWriterFixture(t)
 	f.put("b", 100)
 	batch := []scheduler.WriteRecords{createKey(1, "a"), createKey(2, "b"), createKey(3, "c")}
-	if !f.execute(context.Background(), batch) {
+	if !f.commit(context.Background(), batch) {
 		t.Fatal("the term is over")
 	}
-	outcomes := f.completed()
+	outcomes := f.drainOutcomes()
 	for _, write := range batch {
 		if outcome, ok := outcomes[write.ID]; !ok || outcome.OK != (write.ID != 2) {
 			t.Errorf("write %d: %+v", write.ID, outcome)
@@ -137,31 +137,31 @@
 	}
 }
 
-// TestWriteExecutedBefore: a write whose answer was lost is completed when it is tried again.
-func TestWriteExecutedBefore(t *testing.T) {
+// TestRetryOfAppliedWrite: a write whose answer was lost is completed when it is tried again.
+func TestRetryOfAppliedWrite(t *testing.T) {
 	f := newWriterFixture(t)
 	version := f.put("a", 1) // as the write has it
-	if !f.execute(context.Background(), []scheduler.WriteRecords{createKey(1, "a")}) {
+	if !f.commit(context.Background(), []scheduler.WriteRecords{createKey(1, "a")}) {
 		t.Fatal("the term is over")
 	}
-	if got := f.completed()[1]; !got.OK || got.Version != version {
+	if got := f.drainOutcomes()[1]; !got.OK || got.Version != version {
 		t.Errorf("outcome %+v, expected version %d", got, version)
 	}
 }
 
-// TestWriterOfLostTerm: once there is another leader, nothing is written and the term is reported as
+// TestWriterStopsAfterTermLost: once there is another leader, nothing is written and the term is reported as
 // lost.
-func TestWriterOfLostTerm(t *testing.T) {
+func TestWriterStopsAfterTermLost(t *testing.T) {
 	f := newWriterFixture(t)
 	f.put(storage.KeyLeader, 2)
 	for _, size := range []int{1, 2} {
 		t.Run(fmt.Sprintf("batch of %d", size), func(t *testing.T) {
-			f.lost = false
+			f.termLost = false
 			batch := []scheduler.WriteRecords{createKey(1, "a"), createKey(2, "b")}[:size]
-			if f.execute(context.Background(), batch) || !f.lost {
-				t.Errorf("the writer goes on, lost %v", f.lost)
+			if f.commit(context.Background(), batch) || !f.termLost {
+				t.Errorf("the writer goes on, lost %v", f.termLost)
 			}
-			if outcomes := f.completed(); len(outcomes) > 0 {
+			if outcomes := f.drainOutcomes(); len(outcomes) > 0 {
 				t.Errorf("outcomes %v", outcomes)
 			}
 			if _, found := f.state.Get("a"); found {
