--- a/internal/coordination/leader/cloud_client.go
+++ b/internal/coordination/leader/cloud_client.go
@@ -110,7 +110,7 @@
 
 // call sends one request, named for errors, and returns the body of the answer. A status other than
 // 200 is a statusError.
-func (c *CloudClient) call(ctx context.Context, request, method, target string, body []byte) ([]byte, error) {
+func (c *CloudClient) call(ctx context.Context, operation, method, target string, body []byte) ([]byte, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("cloud: rate: %w", err)
 	}
@@ -128,7 +128,7 @@
 	}
 	if answer.Status != http.StatusOK {
 		return nil, &statusError{
-			service: "cloud", request: request, status: answer.Status, reason: errorReason(answer.Body),
+			service: "cloud", operation: operation, status: answer.Status, reason: errorReason(answer.Body),
 		}
 	}
 	return answer.Body, nil
--- a/internal/coordination/leader/direct_commands.go
+++ b/internal/coordination/leader/direct_commands.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
-		return nil, &statusError{service: "worker", request: "do", status: answer.Status}
+		return nil, &statusError{service: "worker", operation: "do", status: answer.Status}
 	}
 	var heartbeat protocol.Heartbeat
 	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
--- a/internal/coordination/leader/equal_records.go
+++ b/internal/coordination/leader/equal_records.go
@@ -13,11 +13,11 @@
 	if protocol.Decode(a, &x) != nil || protocol.Decode(b, &y) != nil {
 		return false
 	}
-	return reflect.DeepEqual(normalizeNumbers(x), normalizeNumbers(y))
+	return reflect.DeepEqual(wholeNumbersToFloat(x), wholeNumbersToFloat(y))
 }
 
-// normalizeNumbers turns all whole numbers of a decoded value into floating-point ones.
-func normalizeNumbers(v any) any {
+// wholeNumbersToFloat turns all whole numbers of a decoded value into floating-point ones.
+func wholeNumbersToFloat(v any) any {
 	switch v := v.(type) {
 	case uint64:
 		return float64(v)
@@ -26,13 +26,13 @@
 	case []any:
 		out := make([]any, len(v))
 		for i := range v {
-			out[i] = normalizeNumbers(v[i])
+			out[i] = wholeNumbersToFloat(v[i])
 		}
 		return out
 	case map[any]any:
 		out := make(map[any]any, len(v))
 		for k, e := range v {
-			out[k] = normalizeNumbers(e)
+			out[k] = wholeNumbersToFloat(e)
 		}
 		return out
 	}
--- a/internal/coordination/leader/errors.go
+++ b/internal/coordination/leader/errors.go
@@ -21,14 +21,14 @@
 
 // statusError is an answer of the cloud or a worker with a status that the request does not expect.
 type statusError struct {
-	service string // "cloud" or "worker"
-	request string
-	status  int
-	reason  string // given by the service, or ""
+	service   string // "cloud" or "worker"
+	operation string
+	status    int
+	reason    string // given by the service, or ""
 }
 
 func (e *statusError) Error() string {
-	text := fmt.Sprintf("%s: %s: status %d", e.service, e.request, e.status)
+	text := fmt.Sprintf("%s: %s: status %d", e.service, e.operation, e.status)
 	if e.reason != "" {
 		text += ": " + e.reason
 	}
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	if answer.Status != http.StatusOK {
-		return nil, &statusError{service: "worker", request: "status", status: answer.Status}
+		return nil, &statusError{service: "worker", operation: "status", status: answer.Status}
 	}
 	var heartbeat protocol.Heartbeat
 	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -16,18 +16,18 @@
 
 // run executes writes until the context ends or the term is found to be over.
 func (w *writer) run(ctx context.Context) {
-	var leftOver *scheduler.WriteRecords // received, but too large for the batch before
+	var overflow *scheduler.WriteRecords // received, but too large for the batch before
 	for {
-		if leftOver == nil {
+		if overflow == nil {
 			select {
 			case <-ctx.Done():
 				return
 			case write := <-w.actor.toWriter:
-				leftOver = &write
+				overflow = &write
 			}
 		}
 		var batch []scheduler.WriteRecords
-		batch, leftOver = w.collectBatch(*leftOver)
+		batch, overflow = w.collectBatch(*overflow)
 		if !w.commit(ctx, batch) {
 			return
 		}
@@ -38,7 +38,7 @@
 // in one transaction. It also returns the write that was received but did not fit, or nil.
 func (w *writer) collectBatch(
 	first scheduler.WriteRecords,
-) (batch []scheduler.WriteRecords, leftOver *scheduler.WriteRecords) {
+) (batch []scheduler.WriteRecords, overflow *scheduler.WriteRecords) {
 	maxOperations := w.actor.dispatcher.store.Settings().TxnOps
 	maxConditions := maxOperations * limits.ConditionsPerOperation
 	batch = append(batch, first)
--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -85,7 +85,7 @@
 		name     string
 		writes   []scheduler.WriteRecords
 		batch    []uint64
-		leftOver uint64
+		overflow uint64
 	}{
 		{"one", []scheduler.WriteRecords{write(1, 1, 0)}, []uint64{1}, 0},
 		{"all that wait", []scheduler.WriteRecords{write(1, 1, 1), write(2, 2, 1)}, []uint64{1, 2}, 0},
@@ -101,16 +101,16 @@
 			for _, write := range c.writes[1:] {
 				f.actor.toWriter <- write
 			}
-			batch, leftOver := f.collectBatch(c.writes[0])
+			batch, overflow := f.collectBatch(c.writes[0])
 			var ids []uint64
 			for _, write := range batch {
 				ids = append(ids, write.ID)
 			}
-			if !slices.Equal(ids, c.batch) || (leftOver != nil) != (c.leftOver != 0) {
-				t.Errorf("batch %v, left over %v", ids, leftOver)
+			if !slices.Equal(ids, c.batch) || (overflow != nil) != (c.overflow != 0) {
+				t.Errorf("batch %v, left over %v", ids, overflow)
 			}
-			if leftOver != nil && leftOver.ID != c.leftOver {
-				t.Errorf("write %d left over, expected %d", leftOver.ID, c.leftOver)
+			if overflow != nil && overflow.ID != c.overflow {
+				t.Errorf("write %d left over, expected %d", overflow.ID, c.overflow)
 			}
 		})
 	}
