--- a/internal/coordination/leader/cloud_client.go
+++ b/internal/coordination/leader/cloud_client.go
@@ -15,19 +15,20 @@
 	"quillshunt/internal/transport"
 )
 
-// noCapacityReason is the reason that the cloud gives when it has no machines of the requested kind.
+// noCapacityReason is the reason in the cloud's reply when it has no machines of the requested kind.
 const noCapacityReason = "no capacity"
 
-// CloudClient calls the cloud within its request rate. Only the leader calls it, but two terms may overlap
-// for a moment, so it uses a little less than the whole rate. It is safe for concurrent use.
+// CloudClient calls the API of the cloud and keeps within its rate limit. Only the leader calls the
+// cloud, but at a failover the terms of two leaders may overlap briefly. Each client therefore uses
+// only CloudRateShare of the limit. It is safe for concurrent use.
 type CloudClient struct {
 	client    *transport.Client
 	limiter   *rate.Limiter
-	callSlots chan struct{} // bounds the calls in flight
+	callSlots chan struct{} // limits concurrent calls
 }
 
-// NewCloudClient returns a client of the cloud at an address, which allows rps requests per second. A nil
-// dialer dials TCP.
+// NewCloudClient returns a client of the cloud at an address. The cloud allows rps requests per
+// second. If dialer is nil, connections use TCP.
 func NewCloudClient(address string, rps float64, dialer transport.Dialer) *CloudClient {
 	return &CloudClient{
 		client:    transport.NewClient(address, 2, limits.MaxUpstreamBytes).WithDialer(dialer),
@@ -36,34 +37,35 @@
 	}
 }
 
-// ListMachineTypes reads the machine types that the cloud offers. There is at least one.
+// ListMachineTypes returns the machine types that the cloud offers. An empty list is an error.
 func (c *CloudClient) ListMachineTypes(ctx context.Context) ([]protocol.MachineType, error) {
-	body, err := c.call(ctx, "types", http.MethodGet, "/machine_types", nil)
+	body, err := c.call(ctx, "list machine types", http.MethodGet, "/machine_types", nil)
 	if err != nil {
 		return nil, err
 	}
 	var list protocol.MachineTypeList
 	if err := protocol.Decode(body, &list); err != nil {
-		return nil, fmt.Errorf("cloud: types: %w", err)
+		return nil, fmt.Errorf("cloud: list machine types: decode reply: %w", err)
 	}
 	if len(list.Types) == 0 {
-		return nil, errors.New("cloud: no machine types")
+		return nil, errors.New("cloud: list machine types: empty list")
 	}
 	return list.Types, nil
 }
 
-// RentMachines sends a rental request and returns the names of the machines. A request that is repeated
-// with the same name rents only once. The errors that wrap errNoCapacity or errRentalRejected are
-// final; with any other the request may have been carried out, or may still be.
+// RentMachines sends a rental request and returns the names of the rented machines. The request name
+// makes the call idempotent: a repeated request rents no further machines. After an error that wraps
+// errNoCapacity or errRentalRejected the request is certainly not executed. After any other error it
+// may have been executed, or may still be.
 func (c *CloudClient) RentMachines(ctx context.Context, request protocol.RentalRequest) ([]string, error) {
-	body, err := c.call(ctx, "rental", http.MethodPost, "/rentals", protocol.Encode(request))
+	body, err := c.call(ctx, "rent machines", http.MethodPost, "/rentals", protocol.Encode(request))
 	var unexpected *statusError
 	if errors.As(err, &unexpected) {
 		switch {
 		case unexpected.status == http.StatusServiceUnavailable && unexpected.reason == noCapacityReason:
-			return nil, fmt.Errorf("rental %s: %w", request.Name, errNoCapacity)
+			return nil, fmt.Errorf("cloud: rent machines: request %s: %w", request.Name, errNoCapacity)
 		case unexpected.status == http.StatusBadRequest:
-			return nil, fmt.Errorf("rental %s: %w", request.Name, errRentalRejected)
+			return nil, fmt.Errorf("cloud: rent machines: request %s: %w", request.Name, errRentalRejected)
 		}
 	}
 	if err != nil {
@@ -71,19 +73,19 @@
 	}
 	var reply protocol.RentalReply
 	if err := protocol.Decode(body, &reply); err != nil {
-		return nil, fmt.Errorf("cloud: rental: %w", err)
+		return nil, fmt.Errorf("cloud: rent machines: decode reply: %w", err)
 	}
 	return reply.Machines, nil
 }
 
-// DeleteMachines returns machines to the cloud. It is idempotent.
+// DeleteMachines ends the rental of machines. The call is idempotent.
 func (c *CloudClient) DeleteMachines(ctx context.Context, machines []string) error {
 	body := protocol.Encode(protocol.DeleteRequest{Machines: machines})
-	_, err := c.call(ctx, "delete", http.MethodPost, "/rentals/delete", body)
+	_, err := c.call(ctx, "delete machines", http.MethodPost, "/rentals/delete", body)
 	return err
 }
 
-// ListMachines reads the list of all machines, page by page.
+// ListMachines returns all machines in the cloud's list of rentals. It reads the list page by page.
 func (c *CloudClient) ListMachines(ctx context.Context) ([]protocol.Machine, error) {
 	var machines []protocol.Machine
 	since := ""
@@ -92,13 +94,13 @@
 		if since != "" {
 			target += "&Since=" + url.QueryEscape(since)
 		}
-		body, err := c.call(ctx, "list", http.MethodGet, target, nil)
+		body, err := c.call(ctx, "list machines", http.MethodGet, target, nil)
 		if err != nil {
 			return nil, err
 		}
 		var page protocol.MachineList
 		if err := protocol.Decode(body, &page); err != nil {
-			return nil, fmt.Errorf("cloud: list: %w", err)
+			return nil, fmt.Errorf("cloud: list machines: decode reply: %w", err)
 		}
 		machines = append(machines, page.Machines...)
 		if !page.Truncated || len(page.Machines) == 0 {
@@ -108,17 +110,18 @@
 	}
 }
 
-// call sends one request, named for errors, and returns the body of the answer. A status other than
-// 200 is a statusError.
+// call sends one request and returns the body of the reply. It waits for the rate limiter and for a
+// free call slot first. Errors mention the operation; a reply with a status other than 200 is returned
+// as a statusError.
 func (c *CloudClient) call(ctx context.Context, operation, method, target string, body []byte) ([]byte, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return nil, fmt.Errorf("cloud: rate: %w", err)
+		return nil, fmt.Errorf("cloud: %s: wait for the rate limiter: %w", operation, err)
 	}
 	select {
 	case c.callSlots <- struct{}{}:
 		defer func() { <-c.callSlots }()
 	case <-ctx.Done():
-		return nil, fmt.Errorf("cloud: %w", ctx.Err())
+		return nil, fmt.Errorf("cloud: %s: wait for a call slot: %w", operation, ctx.Err())
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.CloudTimeout)
 	defer cancel()
@@ -134,7 +137,7 @@
 	return answer.Body, nil
 }
 
-// errorReason reads the reason out of the body of a failed request, or returns "".
+// errorReason returns the reason in the body of an error reply, or "" if there is none.
 func errorReason(body []byte) string {
 	var reply struct {
 		Error string `cbor:"error"`
--- a/internal/coordination/leader/cloud_client_test.go
+++ b/internal/coordination/leader/cloud_client_test.go
@@ -16,7 +16,8 @@
 
 const testCloudRPS = 1000
 
-// TestRentMachinesErrors: the caller can tell the answers of the cloud apart that end a rental request.
+// TestRentMachinesErrors: the error tells whether a rental request has failed for good (no capacity,
+// malformed request) or has to be repeated.
 func TestRentMachinesErrors(t *testing.T) {
 	reason := func(text string) any { return map[string]string{"error": text} }
 	for _, c := range []struct {
@@ -24,50 +25,58 @@
 		status   int
 		body     any
 		err      string
-		sentinel error // that the error wraps, or nil
+		sentinel error // expected to be wrapped by the error, or nil
 	}{
 		{"rented", http.StatusOK, protocol.RentalReply{Machines: []string{"m-1"}}, "", nil},
 		{
 			"no capacity", http.StatusServiceUnavailable, reason("no capacity"),
-			"rental r-1: cloud: no capacity", errNoCapacity,
+			"cloud: rent machines: request r-1: no capacity", errNoCapacity,
 		},
 		{
 			"unavailable for another reason", http.StatusServiceUnavailable, reason("overloaded"),
-			"cloud: rental: status 503: overloaded", nil,
+			"cloud: rent machines: unexpected status 503: overloaded", nil,
+		},
+		{
+			"rejected", http.StatusBadRequest, nil,
+			"cloud: rent machines: request r-1: rejected as malformed", errRentalRejected,
+		},
+		{
+			"rate limit exceeded", http.StatusTooManyRequests, nil,
+			"cloud: rent machines: unexpected status 429", nil,
 		},
-		{"rejected", http.StatusBadRequest, nil, "rental r-1: cloud: request rejected", errRentalRejected},
-		{"over the rate", http.StatusTooManyRequests, nil, "cloud: rental: status 429", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cloud := NewCloudClient(startServer(t, alwaysRespond(c.status, c.body)), testCloudRPS, nil)
 			defer cloud.client.Close()
 			machines, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
 			if got := errorText(err); got != c.err {
-				t.Errorf("error %q, expected %q", got, c.err)
+				t.Errorf("error %q, want %q", got, c.err)
 			}
 			for _, sentinel := range []error{errNoCapacity, errRentalRejected} {
 				if errors.Is(err, sentinel) != (c.sentinel == sentinel) {
-					t.Errorf("error %q wraps %q: %v", err, sentinel, errors.Is(err, sentinel))
+					t.Errorf("error %q wraps %q: %v, want %v", err, sentinel, errors.Is(err, sentinel), c.sentinel == sentinel)
 				}
 			}
 			if rented := slices.Equal(machines, []string{"m-1"}); rented != (c.err == "") {
-				t.Errorf("machines %q", machines)
+				t.Errorf("machines %q with error %q", machines, c.err)
 			}
 		})
 	}
 }
 
-// TestRentMachinesMalformedReply: an answer that cannot be read does not end a rental request.
+// TestRentMachinesMalformedReply: a reply that cannot be decoded leaves the outcome of the request
+// unknown, so that it is repeated.
 func TestRentMachinesMalformedReply(t *testing.T) {
 	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, []int{1})), testCloudRPS, nil)
 	defer cloud.client.Close()
 	_, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
 	if err == nil || errors.Is(err, errNoCapacity) || errors.Is(err, errRentalRejected) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one that does not end the request", err)
 	}
 }
 
-// TestListMachinesReadsAllPages: the list goes on after the last name of a page that is truncated.
+// TestListMachinesReadsAllPages: after a truncated page, the next request starts after the last name of
+// that page.
 func TestListMachinesReadsAllPages(t *testing.T) {
 	pages := map[string]protocol.MachineList{
 		"":    {Machines: []protocol.Machine{{Name: "m-1"}, {Name: "m 2"}}, Truncated: true},
@@ -93,15 +102,15 @@
 		names = append(names, m.Name)
 	}
 	if !slices.Equal(names, []string{"m-1", "m 2", "m-3"}) {
-		t.Errorf("machines %q", names)
+		t.Errorf("machines %q, want those of both pages", names)
 	}
 }
 
-// TestListMachineTypesRejectsEmptyList: a list without machine types is an error.
+// TestListMachineTypesRejectsEmptyList: an empty list of machine types is an error.
 func TestListMachineTypesRejectsEmptyList(t *testing.T) {
 	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, protocol.MachineTypeList{})), testCloudRPS, nil)
 	defer cloud.client.Close()
-	if _, err := cloud.ListMachineTypes(context.Background()); errorText(err) != "cloud: no machine types" {
-		t.Errorf("error %v", err)
+	if _, err := cloud.ListMachineTypes(context.Background()); errorText(err) != "cloud: list machine types: empty list" {
+		t.Errorf("error %v, want the one for an empty list", err)
 	}
 }
--- a/internal/coordination/leader/cloud_effects.go
+++ b/internal/coordination/leader/cloud_effects.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/storage"
 )
 
-// executeRental sends a rental request and retries it until the cloud has answered.
+// executeRental sends a rental request and retries it until its outcome is known or the context ends.
 func (t *termActor) executeRental(ctx context.Context, request protocol.RentalRequest) {
 	var backoff storage.Backoff
 	for {
@@ -23,7 +23,8 @@
 	}
 }
 
-// tryRental sends a rental request once. It returns false if the outcome is not known yet.
+// tryRental sends a rental request once. It returns false if the request must be repeated: its outcome
+// is unknown, or it was not sent because the leadership is not valid at the moment.
 func (t *termActor) tryRental(ctx context.Context, request protocol.RentalRequest) (scheduler.RentalDone, bool) {
 	if !t.leadership.Entitled() {
 		return scheduler.RentalDone{}, false
@@ -35,31 +36,31 @@
 	case errors.Is(err, errNoCapacity):
 		return scheduler.RentalDone{Name: request.Name, NoCapacity: true}, true
 	case errors.Is(err, errRentalRejected):
-		t.log.Error("rental rejected", "request", request.Name)
+		t.log.Error("rental request rejected by the cloud", "request", request.Name, "err", err)
 		return scheduler.RentalDone{Name: request.Name, NoCapacity: true}, true
 	}
-	t.log.Info("rental not answered", "request", request.Name, "err", err)
+	t.log.Info("rental request failed; retrying", "request", request.Name, "err", err)
 	return scheduler.RentalDone{}, false
 }
 
-// executeDeletion returns machines. The scheduler repeats it until it is confirmed.
+// executeDeletion asks the cloud once to delete machines. The scheduler repeats a failed deletion.
 func (t *termActor) executeDeletion(ctx context.Context, machines []string) {
 	done := scheduler.DeletionDone{Machines: machines}
 	if t.leadership.Entitled() {
 		err := t.dispatcher.cloud.DeleteMachines(ctx, machines)
 		if err != nil {
-			t.log.Info("deletion not confirmed", "machines", len(machines), "err", err)
+			t.log.Info("deletion of machines not confirmed by the cloud", "machines", len(machines), "err", err)
 		}
 		done.OK = err == nil
 	}
 	t.sendEvent(ctx, done)
 }
 
-// executeListMachines reads the cloud's list of machines.
+// executeListMachines reads the list of rented machines from the cloud and sends it to the scheduler.
 func (t *termActor) executeListMachines(ctx context.Context) {
 	machines, err := t.dispatcher.cloud.ListMachines(ctx)
 	if err != nil {
-		t.log.Debug("machine list failed", "err", err)
+		t.log.Debug("failed to list machines", "err", err)
 		t.sendEvent(ctx, scheduler.MachinesListed{})
 		return
 	}
--- a/internal/coordination/leader/direct_commands.go
+++ b/internal/coordination/leader/direct_commands.go
@@ -12,7 +12,8 @@
 	"quillshunt/internal/transport"
 )
 
-// executeDirectCommands sends commands to a worker without waiting for its next heartbeat.
+// executeDirectCommands sends commands to a worker at once, instead of in the reply to its next
+// heartbeat.
 func (t *termActor) executeDirectCommands(
 	ctx context.Context, effect scheduler.SendDirectCommands, worker *transport.Client,
 ) {
@@ -41,14 +42,15 @@
 			t.reportTermLost()
 		}
 	default:
-		t.log.Debug("direct command failed", "machine", effect.Machine, "err", err)
+		t.log.Debug("direct commands not confirmed by the worker", "machine", effect.Machine, "err", err)
 	}
 	t.sendEvent(ctx, done)
 }
 
-// sendDirectCommands sends commands to a worker and returns the heartbeat that it answers with after
-// them. The error is a commandsRejectedError if the worker executed none, and wraps
-// transport.ErrNotSent if it saw none; with any other the commands may have been executed.
+// sendDirectCommands sends commands to a worker and returns the heartbeat in its reply, which shows
+// the worker's state after the commands. The error is a commandsRejectedError if the worker rejected
+// the commands, and wraps transport.ErrNotSent if the request was not sent. After any other error the
+// commands may have been executed.
 func sendDirectCommands(
 	ctx context.Context, worker *transport.Client, commands protocol.DirectCommands,
 ) (*protocol.Heartbeat, error) {
@@ -57,11 +59,11 @@
 		return nil, err
 	}
 	if answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
-		return nil, &statusError{service: "worker", operation: "do", status: answer.Status}
+		return nil, &statusError{service: "worker", operation: "send commands", status: answer.Status}
 	}
 	var heartbeat protocol.Heartbeat
 	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
-		return nil, fmt.Errorf("worker: do: %w", err)
+		return nil, fmt.Errorf("worker: send commands: decode reply: %w", err)
 	}
 	if answer.Status == http.StatusConflict {
 		return nil, &commandsRejectedError{&heartbeat}
--- a/internal/coordination/leader/direct_commands_test.go
+++ b/internal/coordination/leader/direct_commands_test.go
@@ -14,8 +14,8 @@
 	"quillshunt/internal/transport"
 )
 
-// TestSendDirectCommands: the caller can tell apart whether a worker executed commands, executed
-// none, or may have executed them.
+// TestSendDirectCommands: the result tells whether the worker executed the commands, rejected them, or
+// may have executed them.
 func TestSendDirectCommands(t *testing.T) {
 	after := protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 3, FencingToken: 9}
 	for _, c := range []struct {
@@ -26,31 +26,31 @@
 		rejected bool
 	}{
 		{"executed", http.StatusOK, after, "", false},
-		{"rejected", http.StatusConflict, after, "worker: do: status 409: no command executed", true},
-		{"another status", http.StatusInternalServerError, nil, "worker: do: status 500", false},
+		{"rejected", http.StatusConflict, after, "worker: send commands: status 409: no command executed", true},
+		{"unexpected status", http.StatusInternalServerError, nil, "worker: send commands: unexpected status 500", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			worker := startWorker(t, c.status, c.body)
 			heartbeat, err := sendDirectCommands(context.Background(), worker, protocol.DirectCommands{})
 			if got := errorText(err); got != c.err {
-				t.Errorf("error %q, expected %q", got, c.err)
+				t.Errorf("error %q, want %q", got, c.err)
 			}
 			var rejected *commandsRejectedError
 			if errors.As(err, &rejected) != c.rejected {
-				t.Errorf("error %v: rejected %v", err, !c.rejected)
+				t.Errorf("error %v is a commandsRejectedError: %v, want %v", err, !c.rejected, c.rejected)
 			}
 			if c.rejected {
 				heartbeat = rejected.heartbeat
 			}
 			if c.body != nil && heartbeat.FencingToken != after.FencingToken {
-				t.Errorf("heartbeat %+v", heartbeat)
+				t.Errorf("heartbeat %+v, want %+v", heartbeat, after)
 			}
 		})
 	}
 }
 
-// TestExecuteDirectCommands: the scheduler learns what is known of the outcome, and the elector that
-// a worker has seen a later leader.
+// TestExecuteDirectCommands: the outcome is sent to the scheduler, and the elector is notified that the
+// term is over if the worker has seen the fencing token of a later leader.
 func TestExecuteDirectCommands(t *testing.T) {
 	heartbeat := func(token uint64) protocol.Heartbeat {
 		return protocol.Heartbeat{Machine: "m-1", Address: "a:1", FencingToken: token}
@@ -69,7 +69,7 @@
 		{"rejected for a later leader", startWorker(t, http.StatusConflict, heartbeat(2)), true, true, false, true},
 		{"outcome unknown", startWorker(t, http.StatusInternalServerError, nil), true, false, false, false},
 		{"not sent", unreachable, true, true, false, false},
-		{"no longer entitled", startWorker(t, http.StatusOK, heartbeat(1)), false, true, false, false},
+		{"leadership no longer valid", startWorker(t, http.StatusOK, heartbeat(1)), false, true, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			termLost := false
@@ -83,10 +83,11 @@
 			actor.executeDirectCommands(context.Background(), effect, c.worker)
 			done := (<-actor.mailbox).(eventMessage).event.(scheduler.DirectCommandsDone)
 			if done.ID != 5 || done.Machine != "m-1" {
-				t.Errorf("outcome of %d on %q", done.ID, done.Machine)
+				t.Errorf("outcome for ID %d on machine %q, want ID 5 on m-1", done.ID, done.Machine)
 			}
 			if done.NotExecuted != c.notExecuted || (done.Heartbeat != nil) != c.heartbeat || termLost != c.termLost {
-				t.Errorf("outcome %+v, term lost %v", done, termLost)
+				t.Errorf("outcome %+v, term reported as lost: %v; want not executed %v, heartbeat %v, lost %v",
+					done, termLost, c.notExecuted, c.heartbeat, c.termLost)
 			}
 		})
 	}
--- a/internal/coordination/leader/errors.go
+++ b/internal/coordination/leader/errors.go
@@ -8,38 +8,38 @@
 	"quillshunt/internal/protocol"
 )
 
-// Errors of the cloud and of workers that callers tell apart. Those of the connection are of
+// Errors of calls to the cloud and to workers that callers check for. Connection errors are defined in
 // package transport.
 var (
 	// errNoCapacity means that the cloud has no machines of the requested kind.
-	errNoCapacity = errors.New("cloud: no capacity")
-	// errRentalRejected means that the cloud treats a rental request as malformed.
-	errRentalRejected = errors.New("cloud: request rejected")
-	// errNotEntitled means that the term was no longer entitled when a worker was to be called.
-	errNotEntitled = errors.New("no longer entitled")
+	errNoCapacity = errors.New("no capacity")
+	// errRentalRejected means that the cloud rejected a rental request as malformed.
+	errRentalRejected = errors.New("rejected as malformed")
+	// errNotEntitled means that a worker was not called because the leadership is no longer valid.
+	errNotEntitled = errors.New("leadership is no longer valid")
 )
 
-// statusError is an answer of the cloud or a worker with a status that the request does not expect.
+// statusError is a reply of the cloud or a worker with a status that the operation does not expect.
 type statusError struct {
 	service   string // "cloud" or "worker"
-	operation string
+	operation string // such as "rent machines"
 	status    int
-	reason    string // given by the service, or ""
+	reason    string // from the body of the reply, or ""
 }
 
 func (e *statusError) Error() string {
-	text := fmt.Sprintf("%s: %s: status %d", e.service, e.operation, e.status)
+	text := fmt.Sprintf("%s: %s: unexpected status %d", e.service, e.operation, e.status)
 	if e.reason != "" {
 		text += ": " + e.reason
 	}
 	return text
 }
 
-// commandsRejectedError means that a worker executed none of the commands sent to it.
+// commandsRejectedError means that a worker rejected a list of commands and executed none of them.
 type commandsRejectedError struct {
-	heartbeat *protocol.Heartbeat // the state of the worker instead
+	heartbeat *protocol.Heartbeat // the worker's current state, from the reply
 }
 
 func (e *commandsRejectedError) Error() string {
-	return fmt.Sprintf("worker: do: status %d: no command executed", http.StatusConflict)
+	return fmt.Sprintf("worker: send commands: status %d: no command executed", http.StatusConflict)
 }
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -13,8 +13,8 @@
 	"quillshunt/internal/transport"
 )
 
-// executeProbe asks a machine for its tasks and shows it the fencing token of this term. After that
-// earlier leaders cannot change any more what it answered.
+// executeProbe asks the worker on a machine for its tasks and sends it this term's fencing token. From
+// then on the worker rejects commands of earlier terms, so that these cannot outdate its reply.
 func (t *termActor) executeProbe(ctx context.Context, probe scheduler.ProbeMachine) {
 	select {
 	case t.probeSlots <- struct{}{}:
@@ -23,8 +23,8 @@
 		return
 	}
 	if t.hasRecentSlowHeartbeat() {
-		// A waiting heartbeat proves as much as a probe, and it may be late for the worker's lease.
-		// The probe can be sent later.
+		// A queued heartbeat gives the scheduler the same information as a probe, and its reply must
+		// reach the worker before the worker's lease expires. The probe can be sent later.
 		t.sendEvent(ctx, scheduler.ProbeDone{Machine: probe.Machine, NotSent: true})
 		return
 	}
@@ -35,7 +35,7 @@
 	startedAt := time.Now()
 	heartbeat, err := t.probeWorker(probeCtx, worker)
 	if err != nil {
-		t.log.Debug("probe failed", "machine", probe.Machine, "err", err)
+		t.log.Debug("probe of machine failed", "machine", probe.Machine, "err", err)
 	}
 	t.sendEvent(ctx, scheduler.ProbeDone{
 		Machine:   probe.Machine,
@@ -45,29 +45,30 @@
 	})
 }
 
-// hasRecentSlowHeartbeat reports whether a heartbeat has waited long in the mailbox a short while ago.
+// hasRecentSlowHeartbeat reports whether, within the last SlowHeartbeatMemory, a heartbeat was handled
+// that had waited in the mailbox for longer than SlowHeartbeatWait.
 func (t *termActor) hasRecentSlowHeartbeat() bool {
 	slowAt := t.lastSlowHeartbeatAt.Load()
 	return slowAt != 0 && t.now()-time.Duration(slowAt) < limits.SlowHeartbeatMemory
 }
 
 // probeWorker asks a worker for its incarnation, sends it an empty list of commands with this term's
-// fencing token, and returns the heartbeat that it answers with. Without an error the heartbeat is
-// not nil.
+// fencing token, and returns the heartbeat in the second reply. If the error is nil, the heartbeat is
+// not.
 func (t *termActor) probeWorker(ctx context.Context, worker *transport.Client) (*protocol.Heartbeat, error) {
 	answer, err := worker.Do(ctx, http.MethodGet, "/status", nil)
 	if err != nil {
 		return nil, err
 	}
 	if answer.Status != http.StatusOK {
-		return nil, &statusError{service: "worker", operation: "status", status: answer.Status}
+		return nil, &statusError{service: "worker", operation: "get status", status: answer.Status}
 	}
 	var heartbeat protocol.Heartbeat
 	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
-		return nil, fmt.Errorf("worker: status: %w", err)
+		return nil, fmt.Errorf("worker: get status: decode reply: %w", err)
 	}
 	if !t.leadership.Entitled() {
-		return nil, fmt.Errorf("worker: %w", errNotEntitled)
+		return nil, fmt.Errorf("worker: send commands: %w", errNotEntitled)
 	}
 	return sendDirectCommands(ctx, worker, protocol.DirectCommands{
 		FencingToken: t.leadership.Term,
--- a/internal/coordination/leader/probes_test.go
+++ b/internal/coordination/leader/probes_test.go
@@ -11,7 +11,7 @@
 	"quillshunt/internal/limits"
 )
 
-// newTestActor returns a term without a scheduler, whose mailbox has room for one message.
+// newTestActor returns an actor without a scheduler. Its mailbox has room for one message.
 func newTestActor(leadership *election.Leadership) *termActor {
 	return &termActor{
 		dispatcher: &Dispatcher{onTermLost: func(uint64) {}},
@@ -23,26 +23,26 @@
 	}
 }
 
-// TestProbeNotSentAfterSlowHeartbeat: while heartbeats wait in the mailbox, probes are not sent, and that
-// says nothing about their machines.
+// TestProbeNotSentAfterSlowHeartbeat: shortly after a heartbeat had to wait long in the mailbox, probes
+// are reported as not sent, so that the scheduler does not take their machines for unreachable.
 func TestProbeNotSentAfterSlowHeartbeat(t *testing.T) {
 	actor := newTestActor(election.NewLeadership(1, 1, time.Now().Add(time.Hour)))
 	actor.startedAt = time.Now().Add(-time.Minute)
 	for _, c := range []struct {
-		name              string
-		sinceSlow         time.Duration
-		heartbeatsAreSlow bool
+		name      string
+		sinceSlow time.Duration
+		notSent   bool
 	}{
-		{"heartbeats wait", 0, true},
-		{"heartbeats waited long ago", 2 * limits.SlowHeartbeatMemory, false},
+		{"slow heartbeat just now", 0, true},
+		{"last slow heartbeat long ago", 2 * limits.SlowHeartbeatMemory, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			actor.lastSlowHeartbeatAt.Store(int64(actor.now() - c.sinceSlow))
-			// Nothing listens at the address: a probe that is sent is refused.
+			// No server listens at the address, so a probe that is sent fails at the connection.
 			actor.executeProbe(context.Background(), scheduler.ProbeMachine{Machine: "m-1", Address: "127.0.0.1:1"})
 			done := (<-actor.mailbox).(eventMessage).event.(scheduler.ProbeDone)
-			if done.NotSent != c.heartbeatsAreSlow || done.Machine != "m-1" {
-				t.Errorf("probe done: %+v", done)
+			if done.NotSent != c.notSent || done.Machine != "m-1" {
+				t.Errorf("outcome %+v, want machine m-1 and NotSent %v", done, c.notSent)
 			}
 		})
 	}
