--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -1,6 +1,7 @@
-// Package leader runs the terms in which this controller leads. In each term one actor owns the
-// scheduler, and goroutines execute the effects that the scheduler decides on. Everything reaches
-// the actor as a message, and the actor never blocks on I/O.
+// Package leader runs the scheduler while this controller is the leader. Each term has one actor: a
+// goroutine that owns the scheduler and receives all input as messages. The scheduler decides on
+// effects, such as writes and calls; other goroutines execute those that need I/O, so that the actor
+// never blocks on I/O.
 package leader
 
 import (
@@ -20,10 +21,10 @@
 	"quillshunt/internal/transport"
 )
 
-// DispatcherOptions are the settings and collaborators of a Dispatcher.
+// DispatcherOptions are the settings and dependencies of a Dispatcher.
 type DispatcherOptions struct {
 	Settings *config.Settings
-	Options  config.Options // of the operators
+	Options  config.Options // set by the operators
 	Store    *storage.Store
 	Cloud    *CloudClient
 	Sockets  *transport.SocketBudget // nil: unlimited
@@ -31,8 +32,8 @@
 	Log      *slog.Logger
 }
 
-// Dispatcher delivers messages to the actor of the current term, if this process leads. It outlives
-// terms and is safe for concurrent use.
+// Dispatcher runs the actor of each term and passes messages to the actor of the current term, if this
+// process leads. One Dispatcher serves all terms of the process. It is safe for concurrent use.
 type Dispatcher struct {
 	settings   *config.Settings
 	options    config.Options
@@ -45,7 +46,7 @@
 	current    atomic.Pointer[termActor] // nil while this process does not lead
 }
 
-// NewDispatcher returns a Dispatcher that has no term yet.
+// NewDispatcher returns a Dispatcher. RunTerm starts its first term.
 func NewDispatcher(o DispatcherOptions) *Dispatcher {
 	return &Dispatcher{
 		settings:   o.Settings,
@@ -59,27 +60,31 @@
 	}
 }
 
-// OnTermLost sets the function that is called when a term turns out to be over. It must be called
-// before the first term.
+// OnTermLost sets the function that is called when a write or a worker shows that there is a later
+// leader, so that the term is over. It must be called before the first RunTerm.
 func (d *Dispatcher) OnTermLost(termLost func(term uint64)) { d.onTermLost = termLost }
 
-// IsLeader reports whether this process leads, as far as it knows.
+// IsLeader reports whether this process runs a term. Another controller may have become the leader
+// without this process having noticed it; see Entitled.
 func (d *Dispatcher) IsLeader() bool { return d.current.Load() != nil }
 
-// Entitled reports whether this process is surely the leader at this moment.
+// Entitled reports whether this process is certainly the leader at this moment, because its leadership
+// is still valid.
 func (d *Dispatcher) Entitled() bool {
 	t := d.current.Load()
 	return t != nil && t.leadership.Entitled()
 }
 
-// HandleHeartbeat hands a worker's heartbeat to the term. It never blocks: the answer is 503 at once if
-// this process does not lead or the mailbox is full. With sameConnection the heartbeat before on
-// the same connection was answered 200, so that the worker has got that answer.
+// HandleHeartbeat passes a worker's heartbeat to the actor. It never blocks: if this process does not
+// lead or the mailbox is full, the heartbeat is answered with 503 at once. sameConnection means that
+// the previous heartbeat on the same connection was answered with 200 and that the worker, as it has
+// sent another one, has received that reply.
 func (d *Dispatcher) HandleHeartbeat(body []byte, sameConnection bool, respond HeartbeatResponderFunc) {
 	d.enqueueHeartbeat(heartbeatMessage{body: body, respond: respond, sameConnection: sameConnection})
 }
 
-// RelayedHeartbeat handles a heartbeat that came through another controller, and returns the answer.
+// RelayedHeartbeat passes a worker's heartbeat that another controller has relayed to the actor, and
+// returns the status and body of the reply. See HandleHeartbeat for sameConnection.
 func (d *Dispatcher) RelayedHeartbeat(ctx context.Context, body []byte, sameConnection bool) (int, []byte) {
 	type response struct {
 		status int
@@ -114,7 +119,8 @@
 	}
 }
 
-// TaskCounts returns the task counts of a job if this process leads and knows the job.
+// TaskCounts returns the numbers of done and running tasks of a job. It returns false if this process
+// does not lead, does not know the job or does not reply in time.
 func (d *Dispatcher) TaskCounts(ctx context.Context, job string) (peer.TaskCounts, bool) {
 	t := d.current.Load()
 	if t == nil {
@@ -127,11 +133,11 @@
 	return peer.TaskCounts{Done: counts.Done, Running: counts.Running}, ok && counts.Known
 }
 
-// ConfirmCancellation hands the record of a cancelled job to the term, for a controller that is
-// about to confirm the cancellation to the user. It reports whether the term was entitled after its
-// scheduler had processed the record: then no other controller was, and every later leader reads
-// the record in the state service. The term's own watch may not see the record until long after,
-// when the state service refuses this controller or all of them.
+// ConfirmCancellation passes the record of a cancelled job to the scheduler, before a controller
+// confirms the cancellation to the user. It reports whether the leadership was still valid after the
+// scheduler had processed the record. If so, no other controller was the leader then, and every later
+// leader reads the record from the state service. Waiting for the leader's own watch could take long,
+// as the state service may refuse the requests of this controller or of all controllers.
 func (d *Dispatcher) ConfirmCancellation(ctx context.Context, job string, version uint64, record []byte) bool {
 	t := d.current.Load()
 	if t == nil {
@@ -148,7 +154,8 @@
 	return ok && entitled
 }
 
-// Inspect returns the status of the term if this process leads, and why a job waits if one is named.
+// Inspect returns the status of the current term, or false if this process does not lead. If a job is
+// named, the status explains why it waits.
 func (d *Dispatcher) Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
 	t := d.current.Load()
 	if t == nil {
@@ -162,12 +169,13 @@
 	return t.statusReply(snapshot), true
 }
 
-// RunTerm runs a term until its context ends or its state cannot be loaded before that.
+// RunTerm runs the actor of a term until the context ends.
 //
-// It does not wait for the goroutines that execute effects, write records and watch jobs: they may
-// hang in a call, and the elector campaigns for the next term only after RunTerm has returned. They
-// end with the context, and what they may still send is fenced by the term: by the leader's guard
-// on writes, by the fencing token at workers, and by request names that are never used again.
+// It does not wait for the goroutines that execute effects, write records and watch jobs. They may be
+// blocked in a call, and the elector does not campaign for the next term before RunTerm has returned.
+// They end with the context. Requests that they still send are fenced by the term: writes by the
+// condition on the leader key, commands by the fencing token, and rental requests by names that are
+// never used again.
 func (d *Dispatcher) RunTerm(ctx context.Context, leadership *election.Leadership) {
 	t := newTermActor(d, leadership)
 	d.current.Store(t)
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -7,8 +7,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// executeEffect carries out one effect. What needs I/O runs in a goroutine of its own that reports its
-// outcome as an event; RunTerm says why nobody waits for these.
+// executeEffect executes one effect of the scheduler. Effects that need I/O run in goroutines of their
+// own, which send the outcome as an event. RunTerm documents why it does not wait for these.
 func (t *termActor) executeEffect(ctx context.Context, effect scheduler.Effect) {
 	switch effect := effect.(type) {
 	case scheduler.HeartbeatReply:
@@ -36,7 +36,8 @@
 	}
 }
 
-// answerHeartbeat answers a worker. Its lease is renewed only by a leader that is still entitled.
+// answerHeartbeat replies to a worker's heartbeat. It renews the worker's lease only if the leadership
+// is still valid.
 func (t *termActor) answerHeartbeat(reply scheduler.HeartbeatReply) {
 	switch {
 	case reply.Redirect:
@@ -48,7 +49,7 @@
 	}
 }
 
-// writeLogEntry writes a line of the scheduler's log. The summary line also gets the resource usage.
+// writeLogEntry writes a log entry of the scheduler. It adds the resource usage to the summary entry.
 func (t *termActor) writeLogEntry(ctx context.Context, entry scheduler.LogEntry) {
 	if entry.Message == scheduler.SummaryMessage {
 		entry.Args = append(entry.Args, t.resourceUsage()...)
--- a/internal/coordination/leader/equal_records.go
+++ b/internal/coordination/leader/equal_records.go
@@ -6,8 +6,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// equalRecords reports whether two encoded records mean the same: the state service may encode numbers
-// in another form.
+// equalRecords reports whether two encoded records have the same content. The bytes may differ, as the
+// state service may encode numbers differently, for example an integer as a float.
 func equalRecords(a, b protocol.Raw) bool {
 	var x, y any
 	if protocol.Decode(a, &x) != nil || protocol.Decode(b, &y) != nil {
@@ -16,7 +16,7 @@
 	return reflect.DeepEqual(wholeNumbersToFloat(x), wholeNumbersToFloat(y))
 }
 
-// wholeNumbersToFloat turns all whole numbers of a decoded value into floating-point ones.
+// wholeNumbersToFloat converts all integers in a decoded value to float64, also nested ones.
 func wholeNumbersToFloat(v any) any {
 	switch v := v.(type) {
 	case uint64:
--- a/internal/coordination/leader/heartbeat_responder.go
+++ b/internal/coordination/leader/heartbeat_responder.go
@@ -7,21 +7,21 @@
 	"quillshunt/internal/protocol"
 )
 
-// HeartbeatResponderFunc answers a worker's heartbeat over HTTP: 200 with a body, or another status.
-// It is called once, by any goroutine.
+// HeartbeatResponderFunc sends the HTTP reply to a worker's heartbeat. It is called exactly once, from
+// any goroutine.
 type HeartbeatResponderFunc func(status int, body []byte)
 
 var _ scheduler.HeartbeatResponder = HeartbeatResponderFunc(nil)
 
-// Accept renews the worker's lease and gives it commands.
+// Accept replies with 200 and the commands for the worker, which renews the worker's lease.
 func (r HeartbeatResponderFunc) Accept(reply protocol.HeartbeatReply) {
 	r(http.StatusOK, protocol.Encode(reply))
 }
 
-// Redirect sends the worker to a controller.
+// Redirect replies with 421 and names the leader, to which the worker is to send its heartbeats.
 func (r HeartbeatResponderFunc) Redirect(redirect protocol.Redirect) {
 	r(http.StatusMisdirectedRequest, protocol.Encode(redirect))
 }
 
-// Reject renews no lease; the worker may try another controller.
+// Reject replies with 503, which does not renew the lease. The worker may try another controller.
 func (r HeartbeatResponderFunc) Reject() { r(http.StatusServiceUnavailable, nil) }
--- a/internal/coordination/leader/load.go
+++ b/internal/coordination/leader/load.go
@@ -12,8 +12,9 @@
 	"quillshunt/internal/storage"
 )
 
-// loadState hands the scheduler what earlier terms left in the state service, and retries until that
-// has been read. It returns the revision of the open jobs, or false when the context ends first.
+// loadState reads the records of earlier terms from the state service and passes them to the scheduler.
+// It retries until all have been read. It returns the revision at which a watch of the open jobs has to
+// start, or false if the context ends first.
 func (t *termActor) loadState(ctx context.Context) (revision uint64, ok bool) {
 	var backoff storage.Backoff
 	for {
@@ -26,15 +27,16 @@
 			t.leadership.Observe(revision)
 			return revision, true
 		}
-		t.log.Warn("cannot load jobs", "err", err)
+		t.log.Warn("failed to load the scheduler's state; retrying", "err", err)
 		if !backoff.Wait(ctx) {
 			return 0, false
 		}
 	}
 }
 
-// readRecords reads the open jobs, their finished tasks, the rentals and the machine registry, in
-// the order in which the scheduler needs them.
+// readRecords reads the open jobs, the finished tasks, the rentals and the machine registry. It returns
+// them as events, in the order in which the scheduler must process them, and the revision at which a
+// watch of the open jobs has to start.
 func (t *termActor) readRecords(ctx context.Context) (revision uint64, events []scheduler.Event, err error) {
 	store := t.dispatcher.store
 	revision, events, err = t.readOpenJobs(ctx)
@@ -66,14 +68,14 @@
 	return revision, events, nil
 }
 
-// listRecords reads all records of one kind.
+// listRecords reads and decodes all records whose keys have a prefix, and calls each for every record.
 func listRecords[T any](
 	ctx context.Context, store *storage.Store, prefix string, each func(key string, version uint64, record T),
 ) error {
 	_, err := store.List(ctx, prefix, func(kv protocol.KeyValue) error {
 		var record T
 		if err := protocol.Decode(kv.Value, &record); err != nil {
-			return fmt.Errorf("%s: %w", kv.Key, err)
+			return fmt.Errorf("decode record %s: %w", kv.Key, err)
 		}
 		each(kv.Key, kv.Version, record)
 		return nil
@@ -81,7 +83,8 @@
 	return err
 }
 
-// readOpenJobs reads all open jobs, and the revision from which a watch misses no change.
+// readOpenJobs reads all open jobs and returns them as events. A watch that starts at the returned
+// revision misses no later change.
 func (t *termActor) readOpenJobs(ctx context.Context) (revision uint64, events []scheduler.Event, err error) {
 	revision, err = t.dispatcher.store.List(ctx, storage.PrefixOpenJob, func(kv protocol.KeyValue) error {
 		change, err := t.decodeOpenJob(kv.Key, kv.Value, kv.Version)
@@ -94,11 +97,11 @@
 	return revision, events, err
 }
 
-// decodeOpenJob turns the record of an open job into an event.
+// decodeOpenJob decodes the record of an open job into an event.
 func (t *termActor) decodeOpenJob(key string, data protocol.Raw, version uint64) (scheduler.JobChanged, error) {
 	var record storage.OpenJob
 	if err := protocol.Decode(data, &record); err != nil {
-		return scheduler.JobChanged{}, fmt.Errorf("%s: %w", key, err)
+		return scheduler.JobChanged{}, fmt.Errorf("decode open job %s: %w", key, err)
 	}
 	change := scheduler.JobChanged{
 		JobID:           strings.TrimPrefix(key, storage.PrefixOpenJob),
@@ -107,14 +110,15 @@
 		SinceSubmission: max(sinceUnixMilli(record.SubmittedAtMs), 0),
 	}
 	if record.CancelledAtMs != 0 {
-		// The time is that of another controller's clock. Each of the two clocks may be off by the skew.
+		// CancelledAtMs is the time of another controller's clock. Each of the two clocks may be off by
+		// SkewMs, so twice that is added: SinceCancellation must not be too short.
 		skew := limits.Seconds(t.dispatcher.settings.Facts.SkewMs / 1000)
 		change.SinceCancellation = max(sinceUnixMilli(record.CancelledAtMs)+2*skew, 0)
 	}
 	return change, nil
 }
 
-// sinceUnixMilli is the time since a Unix time in milliseconds; negative if that is yet to come.
+// sinceUnixMilli returns the time since a Unix time in milliseconds. It is negative for a future time.
 func sinceUnixMilli(ms int64) time.Duration {
 	return time.Duration(time.Now().UnixMilli()-ms) * time.Millisecond
 }
--- a/internal/coordination/leader/machine_types.go
+++ b/internal/coordination/leader/machine_types.go
@@ -10,12 +10,12 @@
 	"quillshunt/internal/storage"
 )
 
-// refreshMachineTypes reads the machine types from the cloud and stores them in the state service,
-// from where all controllers read them.
+// refreshMachineTypes reads the machine types from the cloud, sends them to the scheduler and stores
+// them in the state service, where all controllers read them. It retries only the storing.
 func (t *termActor) refreshMachineTypes(ctx context.Context) {
 	types, err := t.dispatcher.cloud.ListMachineTypes(ctx)
 	if err != nil {
-		t.log.Info("no machine types", "err", err)
+		t.log.Info("failed to list machine types", "err", err)
 		t.sendEvent(ctx, scheduler.MachineTypesFetched{})
 		return
 	}
@@ -26,15 +26,16 @@
 		if err == nil {
 			return
 		}
-		t.log.Debug("machine types not stored", "err", err)
+		t.log.Debug("failed to store machine types; retrying", "err", err)
 		if !backoff.Wait(ctx) {
 			return
 		}
 	}
 }
 
-// writeMachineTypes stores the machine types unless only their prices have changed. If the term is
-// over it reports that and gives up without an error.
+// writeMachineTypes stores the machine types if they differ from the stored ones in more than prices.
+// If another controller has become the leader, it reports the term as lost, writes nothing more and
+// returns nil.
 func (t *termActor) writeMachineTypes(ctx context.Context, types []protocol.MachineType) error {
 	store := t.dispatcher.store
 	stored, err := store.ReadMachineTypes(ctx)
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// equalExceptPrices reports whether two machine types differ at most in their prices, which change
-// all the time.
+// equalExceptPrices reports whether two machine types are equal apart from prices. Prices change too
+// often to store each change.
 func equalExceptPrices(a, b protocol.MachineType) bool {
 	return a.Name == b.Name && a.CPUs == b.CPUs && a.Accelerators == b.Accelerators &&
 		a.MemoryGB == b.MemoryGB && slices.Equal(a.Zones, b.Zones)
--- a/internal/coordination/leader/messages.go
+++ b/internal/coordination/leader/messages.go
@@ -7,38 +7,39 @@
 	"quillshunt/internal/coordination/scheduler"
 )
 
-// message is what the mailbox of a term carries. Its types are those of this file.
+// message is a message in the mailbox of an actor. Its types are declared in this file.
 type message interface{ isMessage() }
 
 // heartbeatMessage is a worker's heartbeat.
 type heartbeatMessage struct {
-	body           []byte // not decoded yet: the actor decodes all heartbeats, relayed ones included
+	body           []byte // encoded; the actor decodes direct and relayed heartbeats
 	respond        HeartbeatResponderFunc
 	arrivedAt      time.Time
-	relayed        bool // came through another controller
+	relayed        bool // received and relayed by another controller
 	sameConnection bool // see Dispatcher.HandleHeartbeat
 }
 
-// eventMessage is an event for the scheduler: a changed job, or the outcome of an effect.
+// eventMessage passes an event to the scheduler: a change of an open job or the outcome of an effect.
 type eventMessage struct{ event scheduler.Event }
 
-// observedRevisionMessage follows all changes of open jobs up to a revision.
+// observedRevisionMessage is sent after the events for all changes of open jobs up to a revision.
 type observedRevisionMessage struct{ revision uint64 }
 
-// taskCountsMessage asks for the task counts of a job.
+// taskCountsMessage requests the task counts of a job.
 type taskCountsMessage struct {
 	job   string
 	reply chan scheduler.TaskCounts
 }
 
-// cancellationMessage is the record of a cancelled job. The reply is whether the term was entitled
-// after the scheduler had processed the record.
+// cancellationMessage passes the record of a cancelled job to the scheduler. The reply tells whether
+// the leadership was still valid after the scheduler had processed the record.
 type cancellationMessage struct {
 	change scheduler.JobChanged
 	reply  chan bool
 }
 
-// inspectMessage asks for a snapshot, with an explanation why a job waits if one is named.
+// inspectMessage requests a snapshot of the scheduler. If a job is named, the snapshot explains why it
+// waits.
 type inspectMessage struct {
 	job   string
 	reply chan scheduler.Snapshot
@@ -51,7 +52,7 @@
 func (cancellationMessage) isMessage()     {}
 func (inspectMessage) isMessage()          {}
 
-// send puts a message into the mailbox. It waits while the mailbox is full.
+// send puts a message into the mailbox. It blocks while the mailbox is full, until the context ends.
 func (t *termActor) send(ctx context.Context, msg message) {
 	select {
 	case t.mailbox <- msg:
@@ -59,13 +60,13 @@
 	}
 }
 
-// sendEvent puts an event for the scheduler into the mailbox. It waits while the mailbox is full.
+// sendEvent puts an event for the scheduler into the mailbox. It blocks like send.
 func (t *termActor) sendEvent(ctx context.Context, event scheduler.Event) {
 	t.send(ctx, eventMessage{event})
 }
 
-// request sends a message to the actor and waits for the reply. The reply channel must have a
-// buffer, as nobody reads from it once the context is over.
+// request sends a message to the actor and waits for the reply. It returns false if the context ends
+// first. The reply channel must be buffered, so that the actor never blocks on a late reply.
 func request[T any](ctx context.Context, t *termActor, msg message, replies <-chan T) (reply T, ok bool) {
 	select {
 	case t.mailbox <- msg:
--- a/internal/coordination/leader/server_test.go
+++ b/internal/coordination/leader/server_test.go
@@ -12,7 +12,8 @@
 	"quillshunt/internal/transport"
 )
 
-// startServer serves requests on the loopback until the test ends, and returns the address.
+// startServer starts an HTTP server on the loopback interface and returns its address. The server runs
+// until the test ends.
 func startServer(t *testing.T, handle transport.Handler) string {
 	t.Helper()
 	server := transport.NewServer(transport.ServerOptions{
@@ -22,7 +23,7 @@
 	return server.Addr()
 }
 
-// freeAddress returns an address on the loopback that nobody listens on.
+// freeAddress returns an unused address on the loopback interface.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +34,7 @@
 	return listener.Addr().String()
 }
 
-// runServer runs a server until the test ends. It returns when the server accepts connections.
+// runServer runs a server until the test ends. It returns once the server accepts connections.
 func runServer(t *testing.T, server *transport.Server) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -55,14 +56,16 @@
 	}
 }
 
-// alwaysRespond answers each request with a status and a body, which is encoded as CBOR.
+// alwaysRespond returns a handler that answers every request with the same status and body. It encodes
+// the body as CBOR.
 func alwaysRespond(status int, body any) transport.Handler {
 	return func(_ *transport.Message, rsp *transport.Responder) {
 		rsp.Respond(status, protocol.Encode(body), 0)
 	}
 }
 
-// startWorker serves requests like alwaysRespond and returns a client of the server.
+// startWorker starts a server that answers every request with the same status and body, and returns a
+// client of it.
 func startWorker(t *testing.T, status int, body any) *transport.Client {
 	t.Helper()
 	worker := transport.NewClient(startServer(t, alwaysRespond(status, body)), 1, limits.MaxBodyBytes)
@@ -70,7 +73,7 @@
 	return worker
 }
 
-// errorText is the text of an error, or "".
+// errorText returns the text of an error, or "" for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/coordination/leader/status.go
+++ b/internal/coordination/leader/status.go
@@ -5,7 +5,7 @@
 	"quillshunt/internal/coordination/scheduler"
 )
 
-// statusReply turns a snapshot into the answer for operators.
+// statusReply converts a snapshot of the scheduler to the status message for operators.
 func (t *termActor) statusReply(snapshot scheduler.Snapshot) *peerpb.StatusReply {
 	reply := &peerpb.StatusReply{
 		Leader:      t.dispatcher.settings.NodeName,
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -14,10 +14,11 @@
 	"quillshunt/internal/transport"
 )
 
-// termActor is the actor of one term. What run and the methods it calls use is owned by the actor's
-// goroutine, but for the fields that say otherwise.
+// termActor owns the scheduler during one term and processes the messages in its mailbox. Apart from
+// channels and fields marked otherwise, only the goroutine that executes Dispatcher.RunTerm uses the
+// fields.
 type termActor struct {
-	dispatcher *Dispatcher          // immutable here
+	dispatcher *Dispatcher          // safe for concurrent use
 	leadership *election.Leadership // safe for concurrent use
 	startedAt  time.Time            // immutable
 	log        *slog.Logger         // safe for concurrent use
@@ -25,18 +26,19 @@
 	mailbox       chan message
 	scheduler     *scheduler.Scheduler
 	writes        writeQueue
-	toWriter      chan scheduler.WriteRecords // to the writer's goroutine
+	toWriter      chan scheduler.WriteRecords // received by the writer's goroutine
 	workerClients workerClientPool
-	probeSlots    chan struct{} // bounds the probes in flight: a failover probes all machines at once
+	probeSlots    chan struct{} // limits concurrent probes: a new leader probes all machines at once
 
-	longestMailboxWait time.Duration // longest wait of a heartbeat in the mailbox since the last summary
-	// lastSlowHeartbeatAt is when a heartbeat was last handled that had waited for longer than
-	// SlowHeartbeatWait, in nanoseconds since the term began. Probes read it too.
+	longestMailboxWait time.Duration // of a heartbeat, since the last summary log entry
+	// lastSlowHeartbeatAt is when the actor last handled a heartbeat that had waited in the mailbox for
+	// longer than SlowHeartbeatWait, in nanoseconds since the term began; 0 if none has. Goroutines
+	// that probe machines read it.
 	lastSlowHeartbeatAt atomic.Int64
-	lastCounters        resourceCounters
+	lastCounters        resourceCounters // at the last summary log entry
 }
 
-// newTermActor returns the actor of a term that begins now.
+// newTermActor returns the actor of a term that starts now.
 func newTermActor(d *Dispatcher, leadership *election.Leadership) *termActor {
 	facts := &d.settings.Facts
 	shares := limits.DivideSockets(facts.Machine.MaxSockets, len(d.settings.Members))
@@ -71,18 +73,18 @@
 	}
 }
 
-// now is the time since the term began, which is the scheduler's clock.
+// now returns the time since the term started. The scheduler uses it as its clock.
 func (t *termActor) now() time.Duration { return time.Since(t.startedAt) }
 
-// reportTermLost notifies the elector that the term is over: a later leader has been seen.
+// reportTermLost notifies the elector that there is a later leader, so that the term is over.
 func (t *termActor) reportTermLost() { t.dispatcher.onTermLost(t.leadership.Term) }
 
-// run is the actor's loop.
+// run processes messages, sends writes to the writer and ticks the scheduler until the context ends.
 func (t *termActor) run(ctx context.Context) {
 	tick := time.NewTicker(limits.TickInterval)
 	defer tick.Stop()
 	for {
-		var toWriter chan scheduler.WriteRecords // nil, which is never ready, while nothing is to be written
+		var toWriter chan scheduler.WriteRecords // nil, and thus never ready, if no write waits
 		next, waiting := t.writes.peek()
 		if waiting {
 			toWriter = t.toWriter
@@ -120,7 +122,7 @@
 	}
 }
 
-// handleHeartbeat decodes a worker's heartbeat and hands it to the scheduler.
+// handleHeartbeat decodes a worker's heartbeat and passes it to the scheduler.
 func (t *termActor) handleHeartbeat(ctx context.Context, msg heartbeatMessage) {
 	wait := time.Since(msg.arrivedAt)
 	t.longestMailboxWait = max(t.longestMailboxWait, wait)
@@ -133,7 +135,7 @@
 		return
 	}
 	if heartbeat.FencingToken > t.leadership.Term {
-		t.reportTermLost() // the worker has seen a later leader
+		t.reportTermLost() // the worker has seen the token of a later leader
 	}
 	t.step(ctx, scheduler.HeartbeatReceived{
 		Heartbeat:      &heartbeat,
@@ -144,14 +146,14 @@
 	})
 }
 
-// step hands an event to the scheduler and executes the effects.
+// step passes an event to the scheduler and executes the resulting effects.
 func (t *termActor) step(ctx context.Context, event scheduler.Event) {
 	for _, effect := range t.scheduler.Step(event, t.now()) {
 		t.executeEffect(ctx, effect)
 	}
 }
 
-// rejectQueuedHeartbeats answers the heartbeats that are left in the mailbox.
+// rejectQueuedHeartbeats answers the heartbeats left in the mailbox with 503.
 func (t *termActor) rejectQueuedHeartbeats() {
 	for {
 		select {
--- a/internal/coordination/leader/usage.go
+++ b/internal/coordination/leader/usage.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// resourceCounters are the counters of the process at the time of a summary line.
+// resourceCounters are the process's cumulative counters at the time of a summary entry in the log.
 type resourceCounters struct {
 	at              time.Time
-	cpu             time.Duration
-	writes, refused int64
+	cpu             time.Duration // processor time used
+	writes, refused int64         // see storage.Store.Counters
 }
 
-// resourceUsage returns, as arguments of the summary line, how the process stands against its
-// limits: the messages in the mailbox and their longest wait, processor time as a share of a core,
-// heap memory, and the changes sent to and calls refused by the state service since the line before.
+// resourceUsage returns the resource usage of the process as arguments of the log's summary entry: the
+// number of messages in the mailbox, the longest wait of a heartbeat there, heap memory, the cores
+// used, and the operations sent to and calls refused by the state service. All but the number of
+// messages and the heap cover the time since the previous summary.
 func (t *termActor) resourceUsage() []any {
 	last := t.lastCounters
 	t.lastCounters = resourceCounters{at: time.Now()}
--- a/internal/coordination/leader/watch.go
+++ b/internal/coordination/leader/watch.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/storage"
 )
 
-// watchOpenJobs sends the actor every change of the open jobs after a revision, until the context
-// ends.
+// watchOpenJobs watches the open jobs and sends the actor each change after a revision, until the
+// context ends.
 func (t *termActor) watchOpenJobs(ctx context.Context, revision uint64) {
 	var backoff storage.Backoff
 	for ctx.Err() == nil {
@@ -32,13 +32,14 @@
 			}
 			revision = current
 		default:
-			t.log.Debug("watch failed", "err", err)
+			t.log.Debug("watch of open jobs failed; retrying", "err", err)
 			backoff.Wait(ctx)
 		}
 	}
 }
 
-// sendJobChange sends the actor one change of an open job.
+// sendJobChange sends one change of an open job to the actor. A record that cannot be decoded is
+// logged and skipped.
 func (t *termActor) sendJobChange(ctx context.Context, change protocol.Change) {
 	if change.Delete != "" {
 		id := strings.TrimPrefix(change.Delete, storage.PrefixOpenJob)
@@ -47,14 +48,14 @@
 	}
 	event, err := t.decodeOpenJob(change.Put, change.Value, change.Version)
 	if err != nil {
-		t.log.Error("bad job record", "err", err)
+		t.log.Error("failed to decode a changed job; change ignored", "err", err)
 		return
 	}
 	t.sendEvent(ctx, event)
 }
 
-// relistOpenJobs reads all open jobs and sends them to the actor, for when changes since the last
-// revision are no longer kept. It returns the revision from which the watch continues.
+// relistOpenJobs reads all open jobs and sends them to the actor, after the state service has compacted
+// the changes since the last revision. It returns the revision at which the watch continues.
 func (t *termActor) relistOpenJobs(ctx context.Context) (uint64, error) {
 	revision, events, err := t.readOpenJobs(ctx)
 	if err != nil {
--- a/internal/coordination/leader/worker_clients.go
+++ b/internal/coordination/leader/worker_clients.go
@@ -7,20 +7,22 @@
 	"quillshunt/internal/transport"
 )
 
-// workerClientPool keeps a client, with its connection, for each worker that direct commands are
-// sent to. It is owned by the term's actor; the clients are safe for concurrent use.
+// workerClientPool keeps the clients, and with them the idle connections, of workers to which direct
+// commands are sent. Only the actor's goroutine may use the pool; the clients are safe for concurrent
+// use.
 type workerClientPool struct {
 	newClient  func(address string) *transport.Client
 	byAddress  map[string]*transport.Client
 	maxClients int
 }
 
-// newWorkerClient returns a client of a worker that keeps one connection.
+// newWorkerClient returns a client of a worker. It keeps at most one idle connection.
 func (d *Dispatcher) newWorkerClient(address string) *transport.Client {
 	return transport.NewClient(address, 1, limits.MaxBodyBytes).WithSockets(d.sockets).WithDialer(d.dialer)
 }
 
-// get returns the client of a worker's address.
+// get returns the client for a worker's address. It creates one if needed, and evicts another if the
+// pool is full.
 func (p *workerClientPool) get(address string) *transport.Client {
 	client := p.byAddress[address]
 	if client == nil {
@@ -33,8 +35,8 @@
 	return client
 }
 
-// evict drops clients in any order until at least n kept connections are closed; a client without
-// one counts as well. Connections are cheap to make again.
+// evict removes clients in any order until it has closed n idle connections. A client without an idle
+// connection counts as one. Any client will do, as a new connection costs little.
 func (p *workerClientPool) evict(n int) {
 	for address, client := range p.byAddress {
 		if n <= 0 {
@@ -45,5 +47,5 @@
 	}
 }
 
-// closeAll drops all clients.
+// closeAll removes all clients and closes their idle connections.
 func (p *workerClientPool) closeAll() { p.evict(math.MaxInt) }
--- a/internal/coordination/leader/write_queue_test.go
+++ b/internal/coordination/leader/write_queue_test.go
@@ -7,7 +7,7 @@
 	"quillshunt/internal/coordination/scheduler"
 )
 
-// TestWriteQueueOrder: bulk writes wait for all others, and each kind keeps its order.
+// TestWriteQueueOrder: regular writes come before bulk writes, and each kind is first in, first out.
 func TestWriteQueueOrder(t *testing.T) {
 	var queue writeQueue
 	for _, write := range []scheduler.WriteRecords{{ID: 1, Bulk: true}, {ID: 2}, {ID: 3, Bulk: true}, {ID: 4}} {
@@ -23,6 +23,6 @@
 		queue.pop()
 	}
 	if !slices.Equal(ids, []uint64{2, 4, 1, 3}) {
-		t.Errorf("order %v", ids)
+		t.Errorf("order %v, want 2, 4, 1, 3", ids)
 	}
 }
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -10,13 +10,14 @@
 	"quillshunt/internal/storage"
 )
 
-// writer executes the writes of a term, several in one transaction, each under the leader's guard. A
-// write without a known outcome is repeated unchanged until the outcome is known.
+// writer sends the writes of a term to the state service. It joins waiting writes into one transaction,
+// and makes each transaction conditional on the leader key, so that it fails once there is another
+// leader. A transaction with an unknown outcome is repeated unchanged until the outcome is known.
 type writer struct{ actor *termActor }
 
-// run executes writes until the context ends or the term is found to be over.
+// run sends writes until the context ends or a write shows that there is another leader.
 func (w *writer) run(ctx context.Context) {
-	var overflow *scheduler.WriteRecords // received, but too large for the batch before
+	var overflow *scheduler.WriteRecords // received, but did not fit into the last batch
 	for {
 		if overflow == nil {
 			select {
@@ -34,8 +35,9 @@
 	}
 }
 
-// collectBatch adds writes that wait already to the first one, within what the state service accepts
-// in one transaction. It also returns the write that was received but did not fit, or nil.
+// collectBatch returns a batch of the first write and of those that wait already, up to the operations
+// and conditions that the state service accepts in one transaction. It also returns the write that was
+// received but did not fit into the batch, or nil.
 func (w *writer) collectBatch(
 	first scheduler.WriteRecords,
 ) (batch []scheduler.WriteRecords, overflow *scheduler.WriteRecords) {
@@ -43,7 +45,7 @@
 	maxConditions := maxOperations * limits.ConditionsPerOperation
 	batch = append(batch, first)
 	operations := len(first.Operations)
-	conditions := 1 + len(first.Conditions) // with the leader's guard
+	conditions := 1 + len(first.Conditions) // the first is for the leader key
 	for operations < maxOperations {
 		select {
 		case write := <-w.actor.toWriter:
@@ -60,8 +62,9 @@
 	return batch, nil
 }
 
-// commit writes a batch in one transaction, or one by one if that fails for a part of it. It
-// returns false when the context or the term is over.
+// commit writes a batch in one transaction and sends the outcomes to the scheduler. If a condition
+// fails or the transaction is rejected as malformed, it writes the batch one by one. It returns false
+// if the context ends or there is another leader.
 func (w *writer) commit(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	var backoff storage.Backoff
 	txn := w.buildTransaction(batch)
@@ -82,14 +85,16 @@
 			if len(batch) > 1 {
 				return w.commitEach(ctx, batch)
 			}
-			// An earlier try of this same write may have been executed although its answer was lost.
+			// The condition may have failed because an earlier attempt of this write was executed,
+			// although its reply was lost.
 			var completed scheduler.WriteCompleted
 			if completed, err = w.readOutcome(ctx, batch[0]); err == nil {
 				w.actor.sendEvent(ctx, completed)
 				return true
 			}
 		case errors.Is(err, storage.ErrBadRequest):
-			w.actor.log.Error("write rejected", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
+			w.actor.log.Error("transaction rejected by the state service",
+				"err", err, "operations", len(txn.Operations), "first_key", firstKey(txn))
 			if len(batch) > 1 {
 				return w.commitEach(ctx, batch)
 			}
@@ -103,7 +108,8 @@
 	}
 }
 
-// buildTransaction joins the writes of a batch under the leader's guard.
+// buildTransaction joins the writes of a batch into one transaction, with the condition on the leader
+// key.
 func (w *writer) buildTransaction(batch []scheduler.WriteRecords) protocol.Transaction {
 	txn := protocol.Transaction{Conditions: []protocol.Condition{w.actor.leadership.Guard()}}
 	for _, write := range batch {
@@ -113,7 +119,8 @@
 	return txn
 }
 
-// commitEach writes the parts of a batch one by one.
+// commitEach commits each write of a batch in a transaction of its own, in order. It returns false like
+// commit.
 func (w *writer) commitEach(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	for _, write := range batch {
 		if !w.commit(ctx, []scheduler.WriteRecords{write}) {
@@ -123,17 +130,18 @@
 	return true
 }
 
-// logRetry logs that a transaction is tried again. That the rate is exceeded gets a higher level, as
-// the writer should keep within it.
+// logRetry logs that a transaction will be retried. An exceeded rate limit is logged at a higher level,
+// as the writer is expected to keep within the limit.
 func (w *writer) logRetry(err error, txn protocol.Transaction) {
 	if errors.Is(err, storage.ErrRateLimited) {
-		w.actor.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
+		w.actor.log.Info("transaction exceeded the rate limit; retrying",
+			"err", err, "operations", len(txn.Operations), "first_key", firstKey(txn))
 		return
 	}
-	w.actor.log.Debug("write failed", "err", err, "key", firstKey(txn))
+	w.actor.log.Debug("transaction not confirmed; retrying", "err", err, "first_key", firstKey(txn))
 }
 
-// firstKey identifies a transaction in the log.
+// firstKey returns the key of a transaction's first operation, which identifies it in the log.
 func firstKey(txn protocol.Transaction) string {
 	if len(txn.Operations) == 0 {
 		return ""
@@ -141,7 +149,7 @@
 	return operationKey(txn.Operations[0])
 }
 
-// operationKey is the key that an operation writes or deletes.
+// operationKey returns the key that an operation puts or deletes.
 func operationKey(op protocol.Operation) string {
 	if op.Put != "" {
 		return op.Put
@@ -149,8 +157,8 @@
 	return op.Delete
 }
 
-// readOutcome reads back the records of a write whose conditions failed: it is completed if the state
-// service shows already what it was to bring about.
+// readOutcome determines the outcome of a write whose conditions failed, by reading its records. The
+// write counts as completed if all its operations are applied already.
 func (w *writer) readOutcome(ctx context.Context, write scheduler.WriteRecords) (scheduler.WriteCompleted, error) {
 	var revision uint64
 	for _, op := range write.Operations {
@@ -166,7 +174,7 @@
 	return scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision}, nil
 }
 
-// isApplied reports whether a stored record is what an operation was to bring about.
+// isApplied reports whether a stored record shows the result of an operation.
 func isApplied(op protocol.Operation, stored protocol.KeyValue) bool {
 	if op.Delete != "" {
 		return stored.Version == 0
--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -17,12 +17,13 @@
 	"quillshunt/internal/storage"
 )
 
-// writerFixture is the writer of a term whose leader key is in a stand-in of the state service.
+// writerFixture is a writer that is connected to an in-memory state service, which contains the leader
+// key of its term.
 type writerFixture struct {
 	*writer
 	t        *testing.T
 	state    *standin.StateService
-	termLost bool // the term was reported as lost
+	termLost bool // the writer reported that the term is over
 }
 
 func newWriterFixture(t *testing.T) *writerFixture {
@@ -47,12 +48,12 @@
 		Operations: []protocol.Operation{{Put: key, Value: protocol.Encode(value)}},
 	})
 	if status != http.StatusOK {
-		f.t.Fatalf("put %s: %d", key, status)
+		f.t.Fatalf("put %s: status %d", key, status)
 	}
 	return reply.Revision
 }
 
-// drainOutcomes returns the outcomes that were reported, by the writes' ids.
+// drainOutcomes removes the outcomes from the mailbox and returns them by write ID.
 func (f *writerFixture) drainOutcomes() map[uint64]scheduler.WriteCompleted {
 	outcomes := map[uint64]scheduler.WriteCompleted{}
 	for len(f.actor.mailbox) > 0 {
@@ -62,7 +63,7 @@
 	return outcomes
 }
 
-// createKey is a write that creates a key, and fails if there is one.
+// createKey returns a write that creates a key and fails if the key exists.
 func createKey(id uint64, key string) scheduler.WriteRecords {
 	return scheduler.WriteRecords{
 		ID:         id,
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestCollectBatchWithinLimits: a batch joins the writes that wait, up to the operations and conditions
-// that the state service accepts in one transaction.
+// TestCollectBatchWithinLimits: a batch contains the writes that wait, up to the operations and
+// conditions that the state service accepts in one transaction.
 func TestCollectBatchWithinLimits(t *testing.T) {
 	write := func(id uint64, operations, conditions int) scheduler.WriteRecords {
 		return scheduler.WriteRecords{
@@ -87,10 +88,10 @@
 		batch    []uint64
 		overflow uint64
 	}{
-		{"one", []scheduler.WriteRecords{write(1, 1, 0)}, []uint64{1}, 0},
-		{"all that wait", []scheduler.WriteRecords{write(1, 1, 1), write(2, 2, 1)}, []uint64{1, 2}, 0},
+		{"one write", []scheduler.WriteRecords{write(1, 1, 0)}, []uint64{1}, 0},
+		{"all waiting writes", []scheduler.WriteRecords{write(1, 1, 1), write(2, 2, 1)}, []uint64{1, 2}, 0},
 		{
-			"full of operations: the next one is not received",
+			"maximum of operations reached: the next write is not received",
 			[]scheduler.WriteRecords{write(1, 2, 0), write(2, 2, 0), write(3, 1, 0)}, []uint64{1, 2}, 0,
 		},
 		{"too many operations", []scheduler.WriteRecords{write(1, 3, 0), write(2, 2, 0)}, []uint64{1}, 2},
@@ -107,50 +108,51 @@
 				ids = append(ids, write.ID)
 			}
 			if !slices.Equal(ids, c.batch) || (overflow != nil) != (c.overflow != 0) {
-				t.Errorf("batch %v, left over %v", ids, overflow)
+				t.Errorf("batch %v, overflow %v; want batch %v, overflow %d", ids, overflow, c.batch, c.overflow)
 			}
 			if overflow != nil && overflow.ID != c.overflow {
-				t.Errorf("write %d left over, expected %d", overflow.ID, c.overflow)
+				t.Errorf("overflow is write %d, want %d", overflow.ID, c.overflow)
 			}
 		})
 	}
 }
 
-// TestConflictInBatchFailsOneWrite: a batch whose conditions fail is written one by one, so that only
-// the write fails that the failed condition belongs to.
+// TestConflictInBatchFailsOneWrite: if a condition of a batch fails, the writes are committed one by
+// one, so that only the write with that condition fails.
 func TestConflictInBatchFailsOneWrite(t *testing.T) {
 	f := newWriterFixture(t)
 	f.put("b", 100)
 	batch := []scheduler.WriteRecords{createKey(1, "a"), createKey(2, "b"), createKey(3, "c")}
 	if !f.commit(context.Background(), batch) {
-		t.Fatal("the term is over")
+		t.Fatal("writer stopped, want it to continue")
 	}
 	outcomes := f.drainOutcomes()
 	for _, write := range batch {
 		if outcome, ok := outcomes[write.ID]; !ok || outcome.OK != (write.ID != 2) {
-			t.Errorf("write %d: %+v", write.ID, outcome)
+			t.Errorf("write %d: outcome %+v, want OK %v", write.ID, outcome, write.ID != 2)
 		}
 	}
 	stored, _ := f.state.Get("c")
 	if outcomes[3].Version != stored.Version {
-		t.Errorf("version %d, stored with %d", outcomes[3].Version, stored.Version)
+		t.Errorf("reported version %d, stored version %d", outcomes[3].Version, stored.Version)
 	}
 }
 
-// TestRetryOfAppliedWrite: a write whose answer was lost is completed when it is tried again.
+// TestRetryOfAppliedWrite: a write that was executed although its reply was lost counts as completed
+// when its retry fails with a conflict.
 func TestRetryOfAppliedWrite(t *testing.T) {
 	f := newWriterFixture(t)
-	version := f.put("a", 1) // as the write has it
+	version := f.put("a", 1) // the value that the write puts
 	if !f.commit(context.Background(), []scheduler.WriteRecords{createKey(1, "a")}) {
-		t.Fatal("the term is over")
+		t.Fatal("writer stopped, want it to continue")
 	}
 	if got := f.drainOutcomes()[1]; !got.OK || got.Version != version {
-		t.Errorf("outcome %+v, expected version %d", got, version)
+		t.Errorf("outcome %+v, want OK and version %d", got, version)
 	}
 }
 
-// TestWriterStopsAfterTermLost: once there is another leader, nothing is written and the term is reported as
-// lost.
+// TestWriterStopsAfterTermLost: once there is another leader, the writer writes nothing, reports that the
+// term is over and stops.
 func TestWriterStopsAfterTermLost(t *testing.T) {
 	f := newWriterFixture(t)
 	f.put(storage.KeyLeader, 2)
@@ -159,13 +161,13 @@
 			f.termLost = false
 			batch := []scheduler.WriteRecords{createKey(1, "a"), createKey(2, "b")}[:size]
 			if f.commit(context.Background(), batch) || !f.termLost {
-				t.Errorf("the writer goes on, lost %v", f.termLost)
+				t.Errorf("writer continued or did not report the end of the term (reported: %v)", f.termLost)
 			}
 			if outcomes := f.drainOutcomes(); len(outcomes) > 0 {
-				t.Errorf("outcomes %v", outcomes)
+				t.Errorf("outcomes %v, want none", outcomes)
 			}
 			if _, found := f.state.Get("a"); found {
-				t.Error("a record was written")
+				t.Error("record written after the end of the term")
 			}
 		})
 	}
