--- a/internal/coordination/leader/cloud_client_test.go
+++ b/internal/coordination/leader/cloud_client_test.go
@@ -54,11 +54,11 @@
 			}
 			for _, sentinel := range []error{errNoCapacity, errRentalRejected} {
 				if errors.Is(err, sentinel) != (c.sentinel == sentinel) {
-					t.Errorf("error %q wraps %q: %v, want %v", err, sentinel, errors.Is(err, sentinel), c.sentinel == sentinel)
+					t.Errorf("error %q wraps %q: want %v", err, sentinel, c.sentinel == sentinel)
 				}
 			}
 			if rented := slices.Equal(machines, []string{"m-1"}); rented != (c.err == "") {
-				t.Errorf("machines %q with error %q", machines, c.err)
+				t.Errorf("machines %q with error %v", machines, err)
 			}
 		})
 	}
@@ -110,7 +110,8 @@
 func TestListMachineTypesRejectsEmptyList(t *testing.T) {
 	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, protocol.MachineTypeList{})), testCloudRPS, nil)
 	defer cloud.client.Close()
-	if _, err := cloud.ListMachineTypes(context.Background()); errorText(err) != "cloud: list machine types: empty list" {
-		t.Errorf("error %v, want the one for an empty list", err)
+	const want = "cloud: list machine types: empty list"
+	if _, err := cloud.ListMachineTypes(context.Background()); errorText(err) != want {
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
--- a/internal/coordination/leader/direct_commands_test.go
+++ b/internal/coordination/leader/direct_commands_test.go
@@ -27,7 +27,10 @@
 	}{
 		{"executed", http.StatusOK, after, "", false},
 		{"rejected", http.StatusConflict, after, "worker: send commands: status 409: no command executed", true},
-		{"unexpected status", http.StatusInternalServerError, nil, "worker: send commands: unexpected status 500", false},
+		{
+			"unexpected status", http.StatusInternalServerError, nil,
+			"worker: send commands: unexpected status 500", false,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			worker := startWorker(t, c.status, c.body)
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -46,7 +46,7 @@
 	current    atomic.Pointer[termActor] // nil while this process does not lead
 }
 
-// NewDispatcher returns a Dispatcher. RunTerm starts its first term.
+// NewDispatcher returns a Dispatcher that does not lead yet.
 func NewDispatcher(o DispatcherOptions) *Dispatcher {
 	return &Dispatcher{
 		settings:   o.Settings,
@@ -68,8 +68,8 @@
 // without this process having noticed it; see Entitled.
 func (d *Dispatcher) IsLeader() bool { return d.current.Load() != nil }
 
-// Entitled reports whether this process is certainly the leader at this moment, because its leadership
-// is still valid.
+// Entitled reports whether this process is certainly the leader at this moment: its leadership is
+// still valid, so that no other controller can have become the leader.
 func (d *Dispatcher) Entitled() bool {
 	t := d.current.Load()
 	return t != nil && t.leadership.Entitled()
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -14,7 +14,8 @@
 )
 
 // executeProbe asks the worker on a machine for its tasks and sends it this term's fencing token. From
-// then on the worker rejects commands of earlier terms, so that these cannot outdate its reply.
+// then on the worker rejects commands of earlier terms, so that earlier leaders can no longer change
+// what it has reported.
 func (t *termActor) executeProbe(ctx context.Context, probe scheduler.ProbeMachine) {
 	select {
 	case t.probeSlots <- struct{}{}:
@@ -53,8 +54,8 @@
 }
 
 // probeWorker asks a worker for its incarnation, sends it an empty list of commands with this term's
-// fencing token, and returns the heartbeat in the second reply. If the error is nil, the heartbeat is
-// not.
+// fencing token, and returns the heartbeat in the second reply. The heartbeat is not nil if the error
+// is nil.
 func (t *termActor) probeWorker(ctx context.Context, worker *transport.Client) (*protocol.Heartbeat, error) {
 	answer, err := worker.Do(ctx, http.MethodGet, "/status", nil)
 	if err != nil {
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// collectBatch returns a batch of the first write and of those that wait already, up to the operations
-// and conditions that the state service accepts in one transaction. It also returns the write that was
-// received but did not fit into the batch, or nil.
+// collectBatch returns a batch of the first write and the writes that are already waiting, up to the
+// numbers of operations and conditions that the state service accepts in one transaction. It also
+// returns the write that was received but did not fit into the batch, or nil.
 func (w *writer) collectBatch(
 	first scheduler.WriteRecords,
 ) (batch []scheduler.WriteRecords, overflow *scheduler.WriteRecords) {
@@ -63,8 +63,8 @@
 }
 
 // commit writes a batch in one transaction and sends the outcomes to the scheduler. If a condition
-// fails or the transaction is rejected as malformed, it writes the batch one by one. It returns false
-// if the context ends or there is another leader.
+// fails or the transaction is rejected as malformed, it commits each write by itself, so that only the
+// writes at fault fail. It returns false if the context ends or there is another leader.
 func (w *writer) commit(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	var backoff storage.Backoff
 	txn := w.buildTransaction(batch)
@@ -174,7 +174,7 @@
 	return scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision}, nil
 }
 
-// isApplied reports whether a stored record shows the result of an operation.
+// isApplied reports whether a stored record is the result of an operation.
 func isApplied(op protocol.Operation, stored protocol.KeyValue) bool {
 	if op.Delete != "" {
 		return stored.Version == 0
