--- a/internal/coordination/leader/errors.go
+++ b/internal/coordination/leader/errors.go
@@ -15,7 +15,7 @@
 	errNoCapacity = errors.New("no capacity")
 	// errRentalRejected means that the cloud rejected a rental request as malformed.
 	errRentalRejected = errors.New("rejected as malformed")
-	// errNotEntitled means that a worker was not called because the leadership is no longer valid.
+	// errNotEntitled means that no commands were sent because the leadership is no longer valid.
 	errNotEntitled = errors.New("leadership is no longer valid")
 )
 
