--- a/internal/coordination/scheduler/capacity_plan_test.go
+++ b/internal/coordination/scheduler/capacity_plan_test.go
@@ -24,7 +24,7 @@
 				f.scheduler.rentals.pool(machinePool{"s8", "a", spot}).notBefore = never
 			}
 			f.report(0) // the other machine has not reported, so nothing is placed
-			f.gang("job-1", c.tasks, 8)
+			f.submitGang("job-1", c.tasks, 8)
 			f.now += limits.GangCapacityTimeout
 			f.report(0)
 			f.scheduler.inventory.find(f.machine(1)).createdAt = f.now // it boots
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -34,7 +34,7 @@
 	if overcommitted && !preempting {
 		return c, false
 	}
-	if m.isReservedForOthers(j) || !j.mayUse(m) || planned.tasksOn(m) >= limits.MaxTasksPerMachine {
+	if m.isReservedForOthers(j) || !j.mayUse(m) || planned.taskCount(m) >= limits.MaxTasksPerMachine {
 		return c, false
 	}
 	if overcommitted && !freeOnNormalView(j, m, planned).Fits(j.demand) {
@@ -55,7 +55,7 @@
 func freeOnNormalView(j *job, m *machine, planned *plannedView) resource.Vector {
 	free := planned.freeResources(m)
 	for _, a := range m.assignments {
-		if !planned.isStopped(a) && j.mayPreempt(a) {
+		if !planned.isVictim(a) && j.mayPreempt(a) {
 			free = free.Plus(a.job.demand)
 		}
 	}
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -44,10 +44,10 @@
 	state   gangState
 	attempt uint64
 
-	completeBy    time.Duration   // when the first task may give up waiting for the others; 0 while none waits
-	lostMachines  map[string]bool // machines that lost a task of this attempt: their workers may know the attempt
-	abortReason   string          // why this attempt must end, learned from the end of one task; "" if unknown
-	stopStartedAt time.Duration
+	completionDeadline    time.Duration   // when the first task may give up waiting for the others; 0 while none waits
+	machinesWithLostTasks map[string]bool // machines that lost a task of this attempt: their workers may know the attempt
+	abortReason           string          // why this attempt must end, learned from the end of one task; "" if unknown
+	stopStartedAt         time.Duration
 
 	lacksCapacity bool // the last plan found no machines for all its tasks
 
@@ -60,11 +60,11 @@
 	if !j.spec.Gang() {
 		return nil
 	}
-	return &gang{job: j, lostMachines: map[string]bool{}}
+	return &gang{job: j, machinesWithLostTasks: map[string]bool{}}
 }
 
 // place begins an attempt for a gang that waits. A gang that gathers keeps its attempt.
-func (g *gang) place(attempt uint64) { g.state, g.attempt = gangPlaced, attempt }
+func (g *gang) beginAttempt(attempt uint64) { g.state, g.attempt = gangPlaced, attempt }
 
 // commit lets the starts of tasks go out, as the resources for them are confirmed.
 func (g *gang) commit(tasks []*assignment) {
@@ -77,12 +77,12 @@
 }
 
 // observe takes over what the assignments show.
-func (g *gang) observe(summary gangSummary) {
-	if summary.sent == 0 {
+func (g *gang) applySummary(summary gangSummary) {
+	if summary.sentStarts == 0 {
 		return
 	}
 	g.attempt = summary.attempt
-	if summary.started {
+	if summary.seenRunning {
 		g.state = gangRunning
 		return
 	}
@@ -92,7 +92,7 @@
 // taskLost notes that a task is not on its machine any more.
 func (g *gang) taskLost(a *assignment) {
 	if a.state != stateUnsent {
-		g.lostMachines[a.machine.name] = true
+		g.machinesWithLostTasks[a.machine.name] = true
 	}
 }
 
@@ -117,30 +117,30 @@
 
 // reset makes a gang wait for its next attempt.
 func (g *gang) reset() {
-	*g = gang{job: g.job, lostMachines: map[string]bool{}, awaitsCommit: g.awaitsCommit}
+	*g = gang{job: g.job, machinesWithLostTasks: map[string]bool{}, awaitsCommit: g.awaitsCommit}
 }
 
 // gangAction is what is to be done with a gang.
 type gangAction uint8
 
 const (
-	gangContinue gangAction = iota
-	gangStop                // stop all tasks
-	gangAbort               // end all tasks without saving
-	gangRelease             // release all tasks, of which no start has gone out
-	gangRefill              // replace lost tasks
+	gangContinue    gangAction = iota
+	gangStop                   // stop all tasks
+	gangAbort                  // end all tasks without saving
+	gangRelease                // release all tasks, of which no start has gone out
+	gangReplaceLost            // replace lost tasks
 )
 
 // next takes over what the assignments show and returns what is to be done, and why. Until the
 // recovery has ended, other tasks of the gang may not have been heard of yet.
-func (g *gang) next(summary gangSummary, recoveryEnded bool) (action gangAction, reason string) {
+func (g *gang) nextAction(summary gangSummary, recoveryEnded bool) (action gangAction, reason string) {
 	if g.state == gangStopping {
 		return gangStop, "the gang is stopped"
 	}
-	if summary.stopped {
+	if summary.hasStopping {
 		return gangStop, "another task of the gang is stopped"
 	}
-	g.observe(summary)
+	g.applySummary(summary)
 	if !recoveryEnded {
 		return gangContinue, ""
 	}
@@ -154,16 +154,16 @@
 		return gangContinue, ""
 	case g.state == gangRunning:
 		return gangAbort, "another task of the gang is gone"
-	case summary.sent == 0:
+	case summary.sentStarts == 0:
 		return gangRelease, "" // no worker knows of it yet, so it is placed anew as a whole
 	}
-	return gangRefill, ""
+	return gangReplaceLost, ""
 }
 
 // missing is how many tasks are to be placed now: all of a gang that waits, and those that were lost
 // before the start.
-func (g *gang) missing() int {
-	if g.isOver() || g.state == gangRunning || g.state == gangStopping {
+func (g *gang) missingTasks() int {
+	if g.isFinished() || g.state == gangRunning || g.state == gangStopping {
 		return 0
 	}
 	return g.job.spec.Tasks - len(g.job.assignments)
@@ -171,18 +171,18 @@
 
 // isOver reports whether nothing is left to decide: the job is over, or its tasks are being removed
 // for good.
-func (g *gang) isOver() bool {
+func (g *gang) isFinished() bool {
 	j := g.job
 	return j.closed || j.cancelled || j.doneCount == j.spec.Tasks
 }
 
 // gangSummary is what the assignments of a gang show together.
 type gangSummary struct {
-	sent          int    // tasks whose start has gone out
+	sentStarts    int    // tasks whose start has gone out
 	attempt       uint64 // of those
 	mixedAttempts bool   // they are not of one attempt
-	started       bool   // one was seen running
-	stopped       bool   // one is stopped
+	seenRunning   bool   // one was seen running
+	hasStopping   bool   // one is stopped
 }
 
 func (g *gang) summarize() gangSummary {
@@ -191,11 +191,11 @@
 		if a.state == stateUnsent {
 			continue
 		}
-		summary.mixedAttempts = summary.mixedAttempts || (summary.sent > 0 && a.attempt != summary.attempt)
-		summary.sent++
+		summary.mixedAttempts = summary.mixedAttempts || (summary.sentStarts > 0 && a.attempt != summary.attempt)
+		summary.sentStarts++
 		summary.attempt = max(summary.attempt, a.attempt)
-		summary.started = summary.started || a.state == stateRunning || a.state == stateSaving
-		summary.stopped = summary.stopped || a.state == stateSaving || a.stopping
+		summary.seenRunning = summary.seenRunning || a.state == stateRunning || a.state == stateSaving
+		summary.hasStopping = summary.hasStopping || a.state == stateSaving || a.stopping
 	}
 	return summary
 }
@@ -214,10 +214,12 @@
 
 // mayKnowAttempt reports whether the worker of a machine may know the gang's present attempt, so that it
 // would take a start for a repetition.
-func (g *gang) mayKnowAttempt(m *machine) bool { return g.lostMachines[m.name] || g.hasEndedOn(m) }
+func (g *gang) mayKnowAttempt(m *machine) bool {
+	return g.machinesWithLostTasks[m.name] || g.hasEndedTaskOn(m)
+}
 
 // hasEndedOn reports whether a machine lists a task of the gang's present attempt as ended.
-func (g *gang) hasEndedOn(m *machine) bool {
+func (g *gang) hasEndedTaskOn(m *machine) bool {
 	if g.state == gangWaiting {
 		return false
 	}
--- a/internal/coordination/scheduler/gang_fixture_test.go
+++ b/internal/coordination/scheduler/gang_fixture_test.go
@@ -9,7 +9,7 @@
 )
 
 // gang submits a gang.
-func (f *schedulerFixture) gang(id string, tasks int, cpus float64, change ...func(*protocol.Spec)) {
+func (f *schedulerFixture) submitGang(id string, tasks int, cpus float64, change ...func(*protocol.Spec)) {
 	f.version++
 	spec := protocol.Spec{
 		ID: id, Class: "g", Team: "red", Shape: protocol.ShapeGang, Priority: "standard", Tasks: tasks,
@@ -40,10 +40,10 @@
 
 // newStartedGang is a gang, job-1, that fills some of the machines, a machine for each of its tasks,
 // and whose starts have arrived.
-func newStartedGang(t *testing.T, machines, tasks int) *gangFixture {
+func newFixtureWithStartedGang(t *testing.T, machines, tasks int) *gangFixture {
 	f := newGangFixture(t, machines)
-	f.gang("job-1", tasks, 8)
-	f.deliver(f.effects)
+	f.submitGang("job-1", tasks, 8)
+	f.deliverDirectCommands(f.effects)
 	return f
 }
 
@@ -54,14 +54,14 @@
 	for i := range f.tasks {
 		commands := f.report(i, f.tasks[i]...)
 		effects := f.effects
-		f.carryOut(i, commands)
-		f.deliver(effects)
+		f.executeCommands(i, commands)
+		f.deliverDirectCommands(effects)
 	}
 }
 
 // deliver lets machines carry out and answer the direct commands among some effects, and those that
 // come of the answers.
-func (f *gangFixture) deliver(effects []Effect) {
+func (f *gangFixture) deliverDirectCommands(effects []Effect) {
 	for _, effect := range effects {
 		sent, ok := effect.(SendDirectCommands)
 		if !ok {
@@ -71,14 +71,14 @@
 		for f.machine(i) != sent.Machine {
 			i++
 		}
-		f.carryOut(i, sent.Commands)
+		f.executeCommands(i, sent.Commands)
 		heartbeat := f.heartbeat(sent.Machine, f.tasks[i]...)
-		f.deliver(f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: heartbeat}))
+		f.deliverDirectCommands(f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: heartbeat}))
 	}
 }
 
 // carryOut carries out starts and forgets on a machine. Stops are left to the test.
-func (f *gangFixture) carryOut(i int, commands []protocol.Command) {
+func (f *gangFixture) executeCommands(i int, commands []protocol.Command) {
 	for _, command := range commands {
 		index := slices.IndexFunc(f.tasks[i], func(task protocol.TaskStatus) bool {
 			return task.Task == command.Task && task.Attempt == command.Attempt
@@ -94,7 +94,7 @@
 }
 
 // setState sets the state of every task of a job that has not ended.
-func (f *gangFixture) setState(job string, state protocol.TaskState) {
+func (f *gangFixture) setTaskStates(job string, state protocol.TaskState) {
 	for _, tasks := range f.tasks {
 		for i := range tasks {
 			if id, _, _ := protocol.ParseTaskName(tasks[i].Task); id == job && tasks[i].State != protocol.TaskEnded {
@@ -127,7 +127,7 @@
 }
 
 // commandsOf collects the commands of a verb among some effects, direct ones and those of answers.
-func commandsOf(effects []Effect, verb protocol.CommandVerb) []protocol.Command {
+func commandsWithVerb(effects []Effect, verb protocol.CommandVerb) []protocol.Command {
 	var found []protocol.Command
 	for _, effect := range effects {
 		var commands []protocol.Command
@@ -147,7 +147,7 @@
 }
 
 // checkNoFailure checks that no failure counts against a machine and a job.
-func (f *gangFixture) checkNoFailure(machine int, job string) {
+func (f *gangFixture) checkNoFailureCounted(machine int, job string) {
 	f.t.Helper()
 	if failures := f.scheduler.inventory.find(f.machine(machine)).consecutiveFailures; failures != 0 {
 		f.t.Errorf("counted as %d failures of the machine", failures)
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -4,7 +4,7 @@
 // their tasks.
 func (s *Scheduler) reconcileGangs() {
 	for g := s.gangs.nextChanged(); g != nil; g = s.gangs.nextChanged() {
-		if !g.isOver() {
+		if !g.isFinished() {
 			s.reconcileGang(g)
 		}
 	}
@@ -16,15 +16,15 @@
 		s.placement.requestPass()
 		return
 	}
-	switch action, reason := g.next(g.summarize(), s.recovery.hasEnded()); action {
+	switch action, reason := g.nextAction(g.summarize(), s.recovery.hasEnded()); action {
 	case gangStop:
 		s.stopGang(g, reason)
 	case gangAbort:
 		s.abortGang(g, reason)
 	case gangRelease:
 		s.releaseGang(g)
-	case gangRefill:
-		s.gangs.requestRefill(g)
+	case gangReplaceLost:
+		s.gangs.requestReplacement(g)
 		s.placement.requestPass()
 	}
 }
@@ -71,11 +71,11 @@
 
 // gangsStillSaving reports whether gangs on a machine that is to be returned still need it to save
 // their work. They are stopped first.
-func (s *Scheduler) gangsStillSaving(m *machine) bool {
+func (s *Scheduler) stopGangsAndCheckSaving(m *machine) bool {
 	saving := false
 	for _, a := range m.sortedAssignments() {
 		g := a.job.gang
-		if g == nil || g.isOver() || (a.state != stateRunning && a.state != stateSaving) {
+		if g == nil || g.isFinished() || (a.state != stateRunning && a.state != stateSaving) {
 			continue
 		}
 		s.stopGang(g, "its machine is returned")
@@ -114,7 +114,7 @@
 		}
 	}
 	if g.state == gangWaiting {
-		g.place(s.assignments.nextAttempt())
+		g.beginAttempt(s.assignments.nextAttempt())
 	}
 	for _, task := range found.tasks {
 		s.assignments.assign(g.job, g.job.nextWaitingTask(), task.machine, g.attempt, stateUnsent)
@@ -125,12 +125,12 @@
 
 // refillGangs replaces tasks that gangs lost before their start. A gang that can't be complete in
 // time is stopped and waits again.
-func (s *Scheduler) refillGangs() {
-	for _, g := range s.gangs.takeRefills() {
-		if g.isOver() || g.state != gangGathering || g.missing() == 0 {
+func (s *Scheduler) replaceLostGangTasks() {
+	for _, g := range s.gangs.takeReplacementRequests() {
+		if g.isFinished() || g.state != gangGathering || g.missingTasks() == 0 {
 			continue
 		}
-		if !s.gangs.canComplete(g) || !s.placeGang(g.job) {
+		if !s.gangs.canCompleteInTime(g) || !s.placeGang(g.job) {
 			s.stopGang(g, "no machine for a lost task of the gang")
 		}
 	}
--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -12,11 +12,11 @@
 // TestGangReplacement: a task that is lost while the gang gathers gets another machine under the
 // same attempt number, never the one that may know that attempt; under a new leader as well, which
 // learns the number from heartbeats.
-func TestGangReplacement(t *testing.T) {
-	f := newStartedGang(t, 3, 2)
+func TestLostGangTaskReplaced(t *testing.T) {
+	f := newFixtureWithStartedGang(t, 3, 2)
 	lostOn, attempt := f.findTask("job-1/0")
 	other, _ := f.findTask("job-1/1")
-	f.setState("job-1", protocol.TaskGathering)
+	f.setTaskStates("job-1", protocol.TaskGathering)
 	f.reportAll()
 	// No fault of the machine, which has the image and would be the best.
 	f.endTask(lostOn, "job-1/0", protocol.ReasonNoRoom)
@@ -32,18 +32,18 @@
 
 // TestGangNotReplacedTooLate: without a machine for a lost task the whole gang is stopped, and waits
 // again under a new attempt.
-func TestGangNotReplacedTooLate(t *testing.T) {
-	f := newStartedGang(t, 2, 2)
+func TestGangStoppedWithoutReplacement(t *testing.T) {
+	f := newFixtureWithStartedGang(t, 2, 2)
 	lostOn, attempt := f.findTask("job-1/0")
 	other, _ := f.findTask("job-1/1")
-	f.setState("job-1", protocol.TaskGathering)
+	f.setTaskStates("job-1", protocol.TaskGathering)
 	f.reportAll()
 	f.endTask(lostOn, "job-1/0", protocol.ReasonError)
 	f.report(lostOn, f.tasks[lostOn]...)
-	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 1 || stops[0].Task != "job-1/1" {
+	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 1 || stops[0].Task != "job-1/1" {
 		t.Fatalf("stops: %+v", f.effects)
 	}
-	f.deliver(f.effects)
+	f.deliverDirectCommands(f.effects)
 	f.endTask(other, "job-1/1", protocol.ReasonStopped)
 	f.reportAll()
 	f.reportAll()
@@ -55,22 +55,22 @@
 // TestGangLostWhileRunning: what is left of a gang that lost a task is ended at once, and the next
 // attempt starts only when the last task of the old one is gone: a task that is still on its
 // machine would run twice.
-func TestGangLostWhileRunning(t *testing.T) {
-	f := newStartedGang(t, 3, 2)
+func TestGangAbortedAfterTaskLoss(t *testing.T) {
+	f := newFixtureWithStartedGang(t, 3, 2)
 	lostOn, attempt := f.findTask("job-1/0")
 	other, _ := f.findTask("job-1/1")
-	f.setState("job-1", protocol.TaskRunning)
+	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	f.tasks[lostOn] = nil
 	f.report(lostOn)
-	stops := commandsOf(f.effects, protocol.CommandStop)
+	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 1 || stops[0].Task != "job-1/1" || *stops[0].GraceS != 0 {
 		t.Fatalf("stops: %+v", stops)
 	}
-	f.deliver(f.effects)
+	f.deliverDirectCommands(f.effects)
 	for range 3 {
 		f.reportAll()
-		if starts := commandsOf(f.effects, protocol.CommandStart); len(starts) != 0 {
+		if starts := commandsWithVerb(f.effects, protocol.CommandStart); len(starts) != 0 {
 			t.Fatalf("started while a task is there: %+v", starts)
 		}
 	}
@@ -80,20 +80,20 @@
 	if machine, again := f.findTask("job-1/0"); machine < 0 || again <= attempt {
 		t.Errorf("next attempt: on %d, %x after %x", machine, again, attempt)
 	}
-	f.checkNoFailure(other, "job-1")
+	f.checkNoFailureCounted(other, "job-1")
 }
 
 // TestGangStopsAsAWhole: a notice for one machine stops the gang on all, in one step, with time to
 // save, however many direct commands are on their way.
 func TestGangStopsAsAWhole(t *testing.T) {
-	f := newStartedGang(t, 3, 3)
-	f.setState("job-1", protocol.TaskRunning)
+	f := newFixtureWithStartedGang(t, 3, 3)
+	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	f.scheduler.dispatcher.inFlight = limits.MaxDirectCommands
 	heartbeat := f.heartbeat(f.machine(1), f.tasks[1]...)
 	heartbeat.SpotNoticeS = seconds(2)
 	f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: heartbeat})
-	stops := commandsOf(f.effects, protocol.CommandStop)
+	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 3 {
 		t.Fatalf("stops: %+v", stops)
 	}
@@ -106,12 +106,12 @@
 
 // TestGangStopGoesOnAfterTakeOver: a new leader that finds a task of a gang saving stops the rest,
 // before it knows all machines.
-func TestGangStopGoesOnAfterTakeOver(t *testing.T) {
+func TestGangStopContinuesAfterFailover(t *testing.T) {
 	f := newSchedulerFixture(t, 3)
-	f.gang("job-1", 2, 8)
+	f.submitGang("job-1", 2, 8)
 	f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskRunning})
 	f.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskSaving})
-	stops := commandsOf(f.effects, protocol.CommandStop)
+	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 2 || f.scheduler.recovery.hasEnded() {
 		t.Fatalf("stops: %+v", stops)
 	}
@@ -119,18 +119,18 @@
 
 // TestGangAfterTakeOver: a new leader completes a gang that gathers, under the number that its
 // heartbeats show; it ends one that ran and has lost a task.
-func TestGangAfterTakeOver(t *testing.T) {
+func TestGangAfterFailover(t *testing.T) {
 	for _, c := range []struct {
 		state     protocol.TaskState
 		completed bool
 	}{{protocol.TaskGathering, true}, {protocol.TaskRunning, false}} {
 		t.Run(string(c.state), func(t *testing.T) {
 			f := newSchedulerFixture(t, 2)
-			f.gang("job-1", 2, 8)
+			f.submitGang("job-1", 2, 8)
 			f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: c.state})
 			f.report(1)
-			starts := commandsOf(f.effects, protocol.CommandStart)
-			stops := commandsOf(f.effects, protocol.CommandStop)
+			starts := commandsWithVerb(f.effects, protocol.CommandStart)
+			stops := commandsWithVerb(f.effects, protocol.CommandStop)
 			switch {
 			case c.completed && (len(starts) != 1 || starts[0].Attempt != 7 || starts[0].Task != "job-1/1"):
 				t.Errorf("not completed: %+v", f.effects)
@@ -144,9 +144,9 @@
 // TestGangDone: when one task is done all are, so the job is, also while heartbeats of the others are
 // still to come; but their tasks stay assigned.
 func TestGangDone(t *testing.T) {
-	f := newStartedGang(t, 2, 2)
+	f := newFixtureWithStartedGang(t, 2, 2)
 	machine, _ := f.findTask("job-1/0")
-	f.setState("job-1", protocol.TaskRunning)
+	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	f.endTask(machine, "job-1/0", protocol.ReasonDone)
 	f.report(machine, f.tasks[machine]...)
@@ -163,8 +163,8 @@
 	if allocated := f.scheduler.jobs.team("red").allocated; allocated.CPUs != 8 {
 		t.Errorf("the other task counts no more: %+v", allocated)
 	}
-	f.gang("job-2", 2, 8)
-	if starts := commandsOf(f.effects, protocol.CommandStart); len(starts) != 0 {
+	f.submitGang("job-2", 2, 8)
+	if starts := commandsWithVerb(f.effects, protocol.CommandStart); len(starts) != 0 {
 		t.Errorf("its machine was given away: %+v", starts)
 	}
 }
@@ -174,35 +174,35 @@
 func TestGangIncomplete(t *testing.T) {
 	// There is a machine for another task in place of the one that gave up; but the rest will give up
 	// as well.
-	f := newStartedGang(t, 3, 2)
+	f := newFixtureWithStartedGang(t, 3, 2)
 	first, attempt := f.findTask("job-1/0")
 	second, _ := f.findTask("job-1/1")
-	f.setState("job-1", protocol.TaskGathering)
+	f.setTaskStates("job-1", protocol.TaskGathering)
 	f.reportAll()
 	f.endTask(first, "job-1/0", protocol.ReasonIncomplete)
 	f.report(first, f.tasks[first]...)
-	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 1 {
+	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 1 {
 		t.Fatalf("the other task still waits: %+v", f.effects)
 	}
-	f.deliver(f.effects)
+	f.deliverDirectCommands(f.effects)
 	f.endTask(second, "job-1/1", protocol.ReasonStopped)
 	f.reportAll()
 	f.reportAll()
 	if machine, again := f.findTask("job-1/0"); machine < 0 || again <= attempt {
 		t.Errorf("not started again: %d %x", machine, again)
 	}
-	f.checkNoFailure(first, "job-1")
+	f.checkNoFailureCounted(first, "job-1")
 }
 
 // TestGangCancelled: a cancelled gang is ended in every state, at once and without saving.
 func TestGangCancelled(t *testing.T) {
 	for _, state := range []protocol.TaskState{protocol.TaskFetching, protocol.TaskGathering, protocol.TaskRunning} {
 		t.Run(string(state), func(t *testing.T) {
-			f := newStartedGang(t, 2, 2)
-			f.setState("job-1", state)
+			f := newFixtureWithStartedGang(t, 2, 2)
+			f.setTaskStates("job-1", state)
 			f.reportAll()
 			f.cancel("job-1", 0)
-			stops := commandsOf(f.effects, protocol.CommandStop)
+			stops := commandsWithVerb(f.effects, protocol.CommandStop)
 			if len(stops) != 2 || *stops[0].GraceS != 0 {
 				t.Errorf("stops %+v", stops)
 			}
@@ -212,26 +212,26 @@
 
 // TestGangOfSeveralAttempts: tasks of one gang that show different attempts never find each other,
 // so all are stopped.
-func TestGangOfSeveralAttempts(t *testing.T) {
+func TestGangWithMixedAttempts(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
-	f.gang("job-1", 2, 8)
+	f.submitGang("job-1", 2, 8)
 	f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskGathering})
 	f.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.TaskGathering})
-	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 2 {
+	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 2 {
 		t.Errorf("stops: %+v", f.effects)
 	}
 }
 
 // TestGangSavesBeforeItsMachineGoes: a machine that fails its tasks is returned only after gangs on
 // it have had the time to save.
-func TestGangSavesBeforeItsMachineGoes(t *testing.T) {
-	f := newStartedGang(t, 2, 2)
-	f.setState("job-1", protocol.TaskRunning)
+func TestGangSavesBeforeMachineIsReturned(t *testing.T) {
+	f := newFixtureWithStartedGang(t, 2, 2)
+	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	m := f.scheduler.inventory.find(f.machine(0))
 	m.consecutiveFailures, m.failedJobs = limits.FaultyFailures, map[string]bool{"job-9": true}
 	f.step(Tick{Entitled: true})
-	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 2 || m.deleting {
+	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 2 || m.deleting {
 		t.Fatalf("stops: %+v, deleting %v", stops, m.deleting)
 	}
 	for range 12 {
@@ -251,18 +251,18 @@
 	ended := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskEnded, Reason: protocol.ReasonNoRoom}
 	waiting := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskGathering}
 	f := newSchedulerFixture(t, 3)
-	f.gang("job-1", 2, 8)
+	f.submitGang("job-1", 2, 8)
 	f.report(0, ended)
 	f.report(1, waiting)
 	f.report(2)
-	if starts := commandsOf(f.effects, protocol.CommandStart); len(starts) != 1 || starts[0].Attempt != 7 {
+	if starts := commandsWithVerb(f.effects, protocol.CommandStart); len(starts) != 1 || starts[0].Attempt != 7 {
 		t.Fatalf("starts: %+v", f.effects)
 	}
 	if m := f.scheduler.jobs.find("job-1").assignments[0].machine; m.name != f.machine(2) {
 		t.Errorf("replaced on %s", m.name)
 	}
 	f = newSchedulerFixture(t, 2)
-	f.gang("job-1", 2, 8)
+	f.submitGang("job-1", 2, 8)
 	f.report(0, ended)
 	f.report(1, waiting)
 	j := f.scheduler.jobs.find("job-1")
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -27,7 +27,7 @@
 type gangSearch struct {
 	job       *job
 	request   gangRequest
-	isGeneric bool // the request alone decides where the tasks may go
+	cacheable bool // the request alone decides where the tasks may go
 }
 
 // newGangSearch returns the search for a gang's missing tasks. It reports false if it is known to
@@ -43,7 +43,7 @@
 		request.preempting = false
 	}
 	isGeneric := j.hasNoMachineRules() && len(j.assignments) == 0
-	search = gangSearch{job: j, request: request, isGeneric: isGeneric}
+	search = gangSearch{job: j, request: request, cacheable: isGeneric}
 	if (isGeneric && p.pass.unplaceableGangs[request]) || !p.mayFit(j, request.preempting) {
 		return search, false
 	}
@@ -52,7 +52,7 @@
 
 // gangSearchFailed notes that a search found no machines for all tasks of a gang.
 func (p *placer) gangSearchFailed(search *gangSearch) {
-	if search.isGeneric {
+	if search.cacheable {
 		p.pass.unplaceableGangs[search.request] = true
 	}
 	if search.request.preempting {
@@ -119,7 +119,7 @@
 		task.machine.reservedFor = nil
 	}
 	for m, view := range found.views {
-		if len(view.stopped) > 0 {
+		if len(view.victims) > 0 {
 			p.pass.addFreedMachine(m)
 		}
 	}
@@ -129,10 +129,10 @@
 // plannedView is what the placement of a gang has planned for a machine so far. A nil view has
 // nothing planned.
 type plannedView struct {
-	promised resource.Vector // to tasks of the gang
-	freed    resource.Vector // by victims
-	tasks    int             // of the gang
-	stopped  map[*assignment]bool
+	plannedDemand  resource.Vector // to tasks of the gang
+	freedByVictims resource.Vector // by victims
+	tasks          int             // of the gang
+	victims        map[*assignment]bool
 }
 
 // freeResources is what may still be promised on the machine.
@@ -140,11 +140,11 @@
 	if v == nil {
 		return m.freeResources()
 	}
-	return m.freeResources().Minus(v.promised).Plus(v.freed)
+	return m.freeResources().Minus(v.plannedDemand).Plus(v.freedByVictims)
 }
 
 // tasksOn is how many tasks the machine would have.
-func (v *plannedView) tasksOn(m *machine) int {
+func (v *plannedView) taskCount(m *machine) int {
 	if v == nil {
 		return m.taskCount()
 	}
@@ -152,22 +152,22 @@
 }
 
 // isStopped reports whether a task is planned to be stopped.
-func (v *plannedView) isStopped(a *assignment) bool { return v != nil && v.stopped[a] }
+func (v *plannedView) isVictim(a *assignment) bool { return v != nil && v.victims[a] }
 
 // addTask plans a task of a demand on the machine.
 func (v *plannedView) addTask(demand resource.Vector) {
-	v.promised = v.promised.Plus(demand)
+	v.plannedDemand = v.plannedDemand.Plus(demand)
 	v.tasks++
 }
 
 // addVictim plans the stop of a task on the machine.
 func (v *plannedView) addVictim(a *assignment) {
-	if v.stopped == nil {
-		v.stopped = map[*assignment]bool{}
+	if v.victims == nil {
+		v.victims = map[*assignment]bool{}
 	}
-	if !v.stopped[a] && !a.stopping {
-		v.stopped[a] = true
-		v.freed = v.freed.Plus(a.job.demand)
+	if !v.victims[a] && !a.stopping {
+		v.victims[a] = true
+		v.freedByVictims = v.freedByVictims.Plus(a.job.demand)
 	}
 }
 
@@ -177,14 +177,14 @@
 	placer     *placer
 	job        *job
 	preempting bool
-	zone       string // the only one, or ""
+	onlyZone   string // the only one, or ""
 
 	candidates  placement.Groups[*machine]
 	views       map[*machine]*plannedView
 	tasksInZone map[string]int // of the gang, planned or assigned
 
-	tasks []taskPlacement
-	cost  float64 // of preempting the victims
+	tasks          []taskPlacement
+	preemptionCost float64 // of preempting the victims
 }
 
 // taskPlacement is where a task of a gang goes, and what is preempted for it.
@@ -196,7 +196,7 @@
 // newGangPlacement returns a placement without planned tasks.
 func (p *placer) newGangPlacement(j *job, zone string, preempting bool) *gangPlacement {
 	g := &gangPlacement{
-		placer: p, job: j, preempting: preempting, zone: zone,
+		placer: p, job: j, preempting: preempting, onlyZone: zone,
 		candidates:  placement.NewGroups(compareNames),
 		views:       map[*machine]*plannedView{},
 		tasksInZone: map[string]int{},
@@ -211,7 +211,7 @@
 // fetch the image, then by the number of machines.
 func (g *gangPlacement) cheaperThan(other *gangPlacement) bool {
 	return cmp.Or(
-		cmp.Compare(g.cost, other.cost),
+		cmp.Compare(g.preemptionCost, other.preemptionCost),
 		cmp.Compare(g.imageFetches(), other.imageFetches()),
 		cmp.Compare(len(g.views), len(other.views)),
 	) < 0
@@ -238,7 +238,7 @@
 
 // addCandidate adds a machine to the candidates if a task may go there.
 func (g *gangPlacement) addCandidate(m *machine) {
-	if (g.zone != "" && m.zone != g.zone) || g.zoneFull(m.zone) {
+	if (g.onlyZone != "" && m.zone != g.onlyZone) || g.isZoneFull(m.zone) {
 		return
 	}
 	if g.job.gang.mayKnowAttempt(m) {
@@ -250,7 +250,7 @@
 }
 
 // zoneFull reports whether a gang that is spread over zones may have no more tasks in one.
-func (g *gangPlacement) zoneFull(zone string) bool {
+func (g *gangPlacement) isZoneFull(zone string) bool {
 	return g.job.spec.SpreadZones && g.tasksInZone[zone] >= g.job.maxTasksPerZone()
 }
 
@@ -273,7 +273,7 @@
 	for _, victim := range victims {
 		g.addVictim(victim)
 	}
-	if len(victims) > 0 || g.zoneFull(m.zone) {
+	if len(victims) > 0 || g.isZoneFull(m.zone) {
 		g.collectCandidates() // other machines have changed, or may be used no more
 	} else {
 		g.addCandidate(m)
@@ -283,7 +283,7 @@
 
 // addVictim counts the resources that a victim frees; of a gang, on all its machines.
 func (g *gangPlacement) addVictim(victim *assignment) {
-	g.cost += g.placer.preemptionCost(victim)
+	g.preemptionCost += g.placer.preemptionCost(victim)
 	if victim.job.gang == nil {
 		g.viewOf(victim.machine).addVictim(victim)
 		return
--- a/internal/coordination/scheduler/gang_placement_test.go
+++ b/internal/coordination/scheduler/gang_placement_test.go
@@ -9,15 +9,15 @@
 
 // TestGangTogether: a gang gets all its machines in one pass and one attempt number, or none; a
 // smaller one behind it is not kept waiting.
-func TestGangTogether(t *testing.T) {
+func TestGangPlacedAllOrNothing(t *testing.T) {
 	f := newGangFixture(t, 2)
-	f.gang("job-1", 5, 4)
+	f.submitGang("job-1", 5, 4)
 	assigned := len(f.scheduler.jobs.find("job-1").assignments)
-	if got := commandsOf(f.effects, protocol.CommandStart); len(got) != 0 || assigned != 0 {
+	if got := commandsWithVerb(f.effects, protocol.CommandStart); len(got) != 0 || assigned != 0 {
 		t.Fatalf("a part of a gang that does not fit was started: %+v", got)
 	}
-	f.gang("job-2", 4, 4)
-	got := commandsOf(f.effects, protocol.CommandStart)
+	f.submitGang("job-2", 4, 4)
+	got := commandsWithVerb(f.effects, protocol.CommandStart)
 	if len(got) != 4 {
 		t.Fatalf("starts: %+v", got)
 	}
@@ -34,26 +34,26 @@
 func TestGangWaitsForConfirmedResources(t *testing.T) {
 	f := newGangFixture(t, 2)
 	f.job("job-1", "red", "low", 2, 6, 0)
-	f.deliver(f.effects)
-	f.setState("job-1", protocol.TaskRunning)
+	f.deliverDirectCommands(f.effects)
+	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
-	f.gang("job-2", 2, 8, func(s *protocol.Spec) { s.Priority, s.DeadlineS = "high", 12 })
-	stops := commandsOf(f.effects, protocol.CommandStop)
+	f.submitGang("job-2", 2, 8, func(s *protocol.Spec) { s.Priority, s.DeadlineS = "high", 12 })
+	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 2 {
 		t.Fatalf("stops: %+v", f.effects)
 	}
-	f.deliver(f.effects)
+	f.deliverDirectCommands(f.effects)
 	f.endTask(0, "job-1/0", protocol.ReasonStopped)
 	f.endTask(0, "job-1/1", protocol.ReasonStopped)
 	f.report(0, f.tasks[0]...)
-	if got := commandsOf(f.effects, protocol.CommandStart); len(got) != 0 {
+	if got := commandsWithVerb(f.effects, protocol.CommandStart); len(got) != 0 {
 		t.Fatalf("started while the other machine is not free: %+v", got)
 	}
 	f.endTask(1, "job-1/0", protocol.ReasonStopped)
 	f.endTask(1, "job-1/1", protocol.ReasonStopped)
 	f.report(1, f.tasks[1]...)
 	got := 0
-	for _, start := range commandsOf(f.effects, protocol.CommandStart) {
+	for _, start := range commandsWithVerb(f.effects, protocol.CommandStart) {
 		if id, _, _ := protocol.ParseTaskName(start.Task); id == "job-2" {
 			got++
 		}
@@ -65,11 +65,11 @@
 
 // TestGangVictim: a gang that is preempted counts once, with the cost of all its tasks, and frees
 // resources on all its machines.
-func TestGangVictim(t *testing.T) {
+func TestGangPreemptedAsAWhole(t *testing.T) {
 	f := newGangFixture(t, 2)
-	f.gang("job-1", 4, 4, func(s *protocol.Spec) { s.Priority, s.CheckpointS, s.SaveS = "low", 0, 0 })
-	f.deliver(f.effects)
-	f.setState("job-1", protocol.TaskRunning)
+	f.submitGang("job-1", 4, 4, func(s *protocol.Spec) { s.Priority, s.CheckpointS, s.SaveS = "low", 0, 0 })
+	f.deliverDirectCommands(f.effects)
+	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	for range 3 {
 		f.now += time.Second
@@ -83,7 +83,7 @@
 		t.Fatalf("victims: %+v, cost of a task %v", options, oneTask)
 	}
 	f.job("job-3", "red", "high", 2, 8, 12)
-	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 4 {
+	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 4 {
 		t.Errorf("stops: %+v", stops)
 	}
 	if assigned := len(f.scheduler.jobs.find("job-3").assignments); assigned != 2 {
@@ -92,7 +92,7 @@
 }
 
 // TestGangRunnable: a gang must fit into its team's limit as a whole, an array with one task.
-func TestGangRunnable(t *testing.T) {
+func TestGangMustFitTeamLimit(t *testing.T) {
 	types := []protocol.MachineType{{Name: "s8", CPUs: 8, Accelerators: 2, MemoryGB: 32, Zones: []string{"a"}}}
 	spec := protocol.Spec{Shape: protocol.ShapeGang, Tasks: 4, CPUs: 8, Accelerators: 1, MemoryGB: 1}
 	for _, c := range []struct {
@@ -122,7 +122,7 @@
 	f.job("job-1", "red", "low", 1, 4, 0)
 	f.job("job-2", "red", "high", 1, 64, 0) // fits no machine; assigned by hand below
 	s, m := f.scheduler, f.scheduler.inventory.find(f.machine(0))
-	f.gang("job-3", 2, 8) // does not fit
+	f.submitGang("job-3", 2, 8) // does not fit
 	stopping := s.jobs.find("job-1").assignments[0]
 	stopping.state = stateRunning
 	s.assignments.stop(stopping, "for job-2")
@@ -132,7 +132,7 @@
 	gang.demand.CPUs = 4
 	s.assignments.assign(gang, 0, m, 21, stateUnsent).committed = true
 	reply := HeartbeatReply{Commands: s.assignments.buildCommands(m, inHeartbeatReply, nil)}
-	starts := commandsOf([]Effect{reply}, protocol.CommandStart)
+	starts := commandsWithVerb([]Effect{reply}, protocol.CommandStart)
 	if len(starts) != 1 || starts[0].Task != "job-3/0" {
 		t.Errorf("starts: %+v", starts)
 	}
--- a/internal/coordination/scheduler/gang_plan.go
+++ b/internal/coordination/scheduler/gang_plan.go
@@ -30,8 +30,8 @@
 
 // planSnapshot is what planning a gang changes of a plan.
 type planSnapshot struct {
-	toRent map[machinePool]float64
-	offers []capacityState
+	toRent      map[machinePool]float64
+	offerStates []capacityState
 }
 
 // snapshot returns what rollBack needs to undo the planning of a gang.
@@ -40,15 +40,15 @@
 	for i, offer := range p.offers {
 		offers[i] = offer.state()
 	}
-	return planSnapshot{toRent: maps.Clone(p.toRent), offers: offers}
+	return planSnapshot{toRent: maps.Clone(p.toRent), offerStates: offers}
 }
 
 // rollBack undoes what was planned since a snapshot, apart from the count of machines in zones.
 func (p *capacityPlan) rollBack(before planSnapshot) {
 	p.toRent = before.toRent
-	p.offers = p.offers[:len(before.offers)]
+	p.offers = p.offers[:len(before.offerStates)]
 	for i, offer := range p.offers {
-		offer.restore(before.offers[i])
+		offer.restore(before.offerStates[i])
 	}
 }
 
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -64,11 +64,11 @@
 
 // gangDemand is what gangs of a kind needed lately.
 type gangDemand struct {
-	newestJob   *job
-	largestCPUs float64      // CPUs of the largest gang
-	peaks       []demandPeak // most CPUs used or waited for at once; newest last, falling
-	zone        string       // where machines are reserved for gangs that must be in one zone
-	seenAt      time.Duration
+	newestJob    *job
+	largestCPUs  float64      // CPUs of the largest gang
+	peaks        []demandPeak // most CPUs used or waited for at once; newest last, falling
+	reservedZone string       // where machines are reserved for gangs that must be in one zone
+	lastSeenAt   time.Duration
 }
 
 // demandPeak is how many CPUs were used or waited for at a time.
@@ -93,9 +93,9 @@
 
 // gangShortage is what the machines lack that can be reserved for gangs of a kind.
 type gangShortage struct {
-	job  *job   // like the newest of these gangs, without tasks that are assigned
-	zone string // where machines are missing; "" if in any
-	cpus float64
+	templateJob *job   // like the newest of these gangs, without tasks that are assigned
+	zone        string // where machines are missing; "" if in any
+	missingCPUs float64
 }
 
 // hasDemand reports whether machines may be reserved for gangs.
@@ -111,8 +111,8 @@
 	for _, kind := range slices.SortedFunc(maps.Keys(r.demand), gangKind.compare) {
 		d := r.demand[kind]
 		if missing := r.reserve(d); missing > 0 {
-			another := &job{spec: d.newestJob.spec, demand: d.newestJob.demand, class: d.newestJob.class}
-			shortages = append(shortages, gangShortage{another, d.zone, missing})
+			template := &job{spec: d.newestJob.spec, demand: d.newestJob.demand, class: d.newestJob.class}
+			shortages = append(shortages, gangShortage{template, d.reservedZone, missing})
 		}
 	}
 	return shortages
@@ -122,8 +122,8 @@
 func (s *Scheduler) reserveForGangs(plan *capacityPlan) {
 	for _, shortage := range s.gangReservations.update() {
 		zoneAllowed := func(zone string) bool { return shortage.zone == "" || zone == shortage.zone }
-		if pool, t := plan.cheapestPool(shortage.job, zoneAllowed); t != nil {
-			plan.rentAtLeast(pool, math.Ceil(shortage.cpus/max(t.CPUs, 1)))
+		if pool, t := plan.cheapestPool(shortage.templateJob, zoneAllowed); t != nil {
+			plan.rentAtLeast(pool, math.Ceil(shortage.missingCPUs/max(t.CPUs, 1)))
 		}
 	}
 }
@@ -143,11 +143,11 @@
 			d = &gangDemand{}
 			r.demand[kind] = d
 		}
-		d.newestJob, d.seenAt = j, r.now
+		d.newestJob, d.lastSeenAt = j, r.now
 		d.largestCPUs = max(d.largestCPUs, cpus)
 	}
 	for kind, d := range r.demand {
-		if r.now > d.seenAt+limits.GangDemandWindow {
+		if r.now > d.lastSeenAt+limits.GangDemandWindow {
 			delete(r.demand, kind)
 			continue
 		}
@@ -171,7 +171,7 @@
 func (r *gangReservations) reserve(d *gangDemand) (missingCPUs float64) {
 	missingCPUs = d.cpusToReserve()
 	if d.newestJob.spec.SameZone {
-		d.zone = r.chooseZone(d)
+		d.reservedZone = r.chooseZone(d)
 	}
 	candidates, allCPUs := r.candidates(d)
 	reservableCPUs := allCPUs * limits.GangReservationShare
@@ -195,7 +195,7 @@
 func (r *gangReservations) candidates(d *gangDemand) (candidates []*machine, allCPUs float64) {
 	for _, m := range r.inventory.all() {
 		allCPUs += m.size().CPUs
-		if !m.reservedForGangs && r.reservable(d, m) {
+		if !m.reservedForGangs && r.canReserve(d, m) {
 			candidates = append(candidates, m)
 		}
 	}
@@ -210,11 +210,11 @@
 }
 
 // reservable reports whether a machine may be reserved for gangs of a kind; also one that boots.
-func (r *gangReservations) reservable(d *gangDemand, m *machine) bool {
+func (r *gangReservations) canReserve(d *gangDemand, m *machine) bool {
 	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() || (m.hasReported && !r.isSchedulable(m)) {
 		return false
 	}
-	if d.zone != "" && m.zone != d.zone {
+	if d.reservedZone != "" && m.zone != d.reservedZone {
 		return false
 	}
 	return d.newestJob.specAllows(m.pool()) && m.size().Fits(d.newestJob.demand)
@@ -224,10 +224,10 @@
 // some are already, or where most machines are that may be reserved.
 func (r *gangReservations) chooseZone(d *gangDemand) string {
 	reserved, reservable := map[string]int{}, map[string]int{}
-	previous := d.zone
-	d.zone = ""
+	previous := d.reservedZone
+	d.reservedZone = ""
 	for _, m := range r.inventory.all() {
-		if !r.reservable(d, m) {
+		if !r.canReserve(d, m) {
 			continue
 		}
 		reservable[m.zone]++
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -17,9 +17,9 @@
 func TestGangReservations(t *testing.T) {
 	f := newGangFixture(t, 2)
 	f.scheduler.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "g", WithinS: 2, Share: 0.9}}
-	f.gang("job-1", 2, 2)
-	f.deliver(f.effects)
-	f.setState("job-1", protocol.TaskRunning)
+	f.submitGang("job-1", 2, 2)
+	f.deliverDirectCommands(f.effects)
+	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	f.step(Tick{Entitled: true})
 	f.now += limits.PlanInterval
@@ -35,7 +35,7 @@
 		t.Fatal("no machine is reserved")
 	}
 	f.job("job-2", "red", "standard", 16, 1, 0)
-	f.deliver(f.effects)
+	f.deliverDirectCommands(f.effects)
 	free := 0.0
 	for _, m := range f.scheduler.inventory.all() {
 		if m.reservedForGangs {
@@ -48,7 +48,7 @@
 	for end := f.now + limits.GangReservationYieldAge + 2*time.Second; f.now < end; f.now += time.Second {
 		f.reportAll()
 		f.step(Tick{Entitled: true})
-		f.deliver(f.effects)
+		f.deliverDirectCommands(f.effects)
 	}
 	if assigned := len(f.scheduler.jobs.find("job-2").assignments); assigned < 12 {
 		t.Errorf("still reserved for gangs although the job has waited for long: %d tasks assigned", assigned)
@@ -57,9 +57,9 @@
 
 // TestGangThatCannotBeComplete: no machine is rented or reserved for a gang that is spread over more
 // zones than there are, nor for long for one that the cloud has not enough machines for.
-func TestGangThatCannotBeComplete(t *testing.T) {
+func TestNoMachinesForUnplaceableGang(t *testing.T) {
 	f := newGangFixture(t, 1)
-	f.gang("job-1", 4, 8, func(s *protocol.Spec) { s.SpreadZones = true })
+	f.submitGang("job-1", 4, 8, func(s *protocol.Spec) { s.SpreadZones = true })
 	for range 3 {
 		f.now += limits.PlanInterval
 		f.step(Tick{Entitled: true})
@@ -119,7 +119,7 @@
 			for _, m := range machines {
 				m.wasReservedForGangs = m.name == c.reservedMachine
 			}
-			if got := r.chooseZone(&gangDemand{newestJob: j, zone: c.previous}); got != c.want {
+			if got := r.chooseZone(&gangDemand{newestJob: j, reservedZone: c.previous}); got != c.want {
 				t.Errorf("zone %q, want %q", got, c.want)
 			}
 		})
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -12,10 +12,10 @@
 // gangTable holds the gangs about which something is to be decided.
 type gangTable struct {
 	*environment
-	changed      []*gang // to be looked at by reconcileGangs
-	uncommitted  []*gang // with tasks whose starts wait for commitGangs
-	refills      []*gang // that lost a task before their start
-	commitNeeded bool    // resources may have become free since the last commitGangs
+	changed             []*gang // to be looked at by reconcileGangs
+	uncommitted         []*gang // with tasks whose starts wait for commitGangs
+	awaitingReplacement []*gang // that lost a task before their start
+	commitNeeded        bool    // resources may have become free since the last commitGangs
 }
 
 // newGangTable returns a table without gangs.
@@ -56,30 +56,32 @@
 }
 
 // taskGathering notes that a task waits for the others, at most since the heartbeat before.
-func (t *gangTable) taskGathering(g *gang) {
-	if g != nil && g.completeBy == 0 {
-		g.completeBy = t.now + optionalSeconds(t.cfg.Workers.GangWaitS) - t.staleAfter()
+func (t *gangTable) setCompletionDeadline(g *gang) {
+	if g != nil && g.completionDeadline == 0 {
+		g.completionDeadline = t.now + optionalSeconds(t.cfg.Workers.GangWaitS) - t.staleAfter()
 	}
 }
 
 // requestRefill lets the next pass look for machines for the tasks that a gang has lost.
-func (t *gangTable) requestRefill(g *gang) { t.refills = append(t.refills, g) }
+func (t *gangTable) requestReplacement(g *gang) {
+	t.awaitingReplacement = append(t.awaitingReplacement, g)
+}
 
 // hasRefills reports whether gangs wait for a task in place of a lost one.
-func (t *gangTable) hasRefills() bool { return len(t.refills) > 0 }
+func (t *gangTable) hasReplacementRequests() bool { return len(t.awaitingReplacement) > 0 }
 
 // takeRefills removes the gangs that wait for a task in place of a lost one, and returns them.
-func (t *gangTable) takeRefills() []*gang {
-	refills := t.refills
-	t.refills = nil
-	return refills
+func (t *gangTable) takeReplacementRequests() []*gang {
+	requests := t.awaitingReplacement
+	t.awaitingReplacement = nil
+	return requests
 }
 
 // canComplete reports whether a gang that has lost a task can be complete in time if the task is
 // placed now.
-func (t *gangTable) canComplete(g *gang) bool {
+func (t *gangTable) canCompleteInTime(g *gang) bool {
 	fetch := limits.Seconds(g.job.class.fetchSeconds)
-	late := g.completeBy != 0 && t.now+fetch > g.completeBy
+	late := g.completionDeadline != 0 && t.now+fetch > g.completionDeadline
 	return !late && t.now >= g.job.retryAt
 }
 
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -8,7 +8,7 @@
 
 // TestGangNext: what is to be done with a gang, and its state after that, for what its assignments
 // show.
-func TestGangNext(t *testing.T) {
+func TestGangNextAction(t *testing.T) {
 	sent := func(state assignmentState, attempt uint64) *assignment {
 		return &assignment{state: state, attempt: attempt}
 	}
@@ -30,7 +30,7 @@
 		{name: "one start sent", state: gangPlaced, assignments: []*assignment{sent(stateSent, 7), unsent},
 			wantAction: gangContinue, wantState: gangGathering},
 		{name: "gathering, one lost", state: gangGathering, assignments: []*assignment{sent(stateGathering, 7)},
-			wantAction: gangRefill, wantState: gangGathering},
+			wantAction: gangReplaceLost, wantState: gangGathering},
 		{name: "seen running", state: gangGathering,
 			assignments: []*assignment{sent(stateRunning, 7), sent(stateGathering, 7)},
 			wantAction:  gangContinue, wantState: gangRunning},
@@ -60,7 +60,7 @@
 				j.assignments[i] = a
 			}
 			g := &gang{job: j, state: c.state, abortReason: c.abortReason}
-			action, _ := g.next(g.summarize(), !c.recovering)
+			action, _ := g.nextAction(g.summarize(), !c.recovering)
 			if action != c.wantAction || g.state != c.wantState {
 				t.Errorf("action %d, state %s; want %d, %s", action, g.state, c.wantAction, c.wantState)
 			}
@@ -98,10 +98,10 @@
 	j := &job{spec: protocol.Spec{Shape: protocol.ShapeGang, Tasks: 2}}
 	g := &gang{
 		job: j, state: gangStopping, attempt: 7, abortReason: "incomplete", awaitsCommit: true,
-		lostMachines: map[string]bool{"m-1": true},
+		machinesWithLostTasks: map[string]bool{"m-1": true},
 	}
 	g.reset()
-	if g.state != gangWaiting || g.attempt != 0 || g.abortReason != "" || len(g.lostMachines) != 0 {
+	if g.state != gangWaiting || g.attempt != 0 || g.abortReason != "" || len(g.machinesWithLostTasks) != 0 {
 		t.Errorf("after the reset: %+v", g)
 	}
 	if g.job != j || !g.awaitsCommit {
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -56,7 +56,7 @@
 // waitingTasks is how many tasks wait for a machine now.
 func (j *job) waitingTasks() int {
 	if j.gang != nil {
-		return j.gang.missing()
+		return j.gang.missingTasks()
 	}
 	return j.spec.Tasks - j.doneCount - len(j.assignments)
 }
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -85,11 +85,11 @@
 	case s.unreachableTooLong(m, survey):
 		return "unreachable"
 	case m.isFaulty():
-		if !s.gangsStillSaving(m) {
+		if !s.stopGangsAndCheckSaving(m) {
 			return "fails its tasks"
 		}
 	case m.isSlow():
-		if !s.gangsStillSaving(m) {
+		if !s.stopGangsAndCheckSaving(m) {
 			return "slow"
 		}
 	case m.spotNotice && len(m.assignments) == 0 && m.resultsDurable():
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -8,11 +8,11 @@
 		return
 	}
 	jobs := s.placement.collectJobs()
-	if len(jobs) == 0 && !s.gangs.hasRefills() {
+	if len(jobs) == 0 && !s.gangs.hasReplacementRequests() {
 		return
 	}
 	s.placement.beginPass()
-	s.refillGangs()
+	s.replaceLostGangTasks()
 	s.placeOverdueTasks()
 	for _, j := range jobs {
 		if j.gang != nil {
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -54,7 +54,7 @@
 	}
 	a.learnFetchTime(s.now)
 	a.state = stateGathering
-	s.gangs.taskGathering(a.job.gang)
+	s.gangs.setCompletionDeadline(a.job.gang)
 }
 
 // taskRunning notes that a task runs.
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -35,7 +35,7 @@
 	var options []preemptionOption
 	gangs := map[*job]int{} // their indexes in options
 	for _, a := range m.sortedAssignments() {
-		if planned.isStopped(a) || !j.mayPreempt(a) {
+		if planned.isVictim(a) || !j.mayPreempt(a) {
 			continue
 		}
 		if a.job.gang != nil {
