--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -8,54 +8,58 @@
 	"quillshunt/internal/protocol"
 )
 
-// gangState is where a gang stands.
+// gangState is a gang's state in its life cycle; see gang for the transitions.
 type gangState uint8
 
 const (
-	gangWaiting   gangState = iota // none of its tasks is assigned to a machine
-	gangPlaced                     // all its tasks are assigned, and no start has gone out
-	gangGathering                  // starts have gone out, and none of its tasks was seen running
-	gangRunning                    // it was seen running, so all its tasks had started
-	gangStopping                   // all its tasks are stopped; it starts again once the last is gone
+	gangWaiting   gangState = iota // no task is assigned to a machine
+	gangPlaced                     // all tasks are assigned; no start command has been sent
+	gangGathering                  // start commands have been sent; no task has been reported running
+	gangRunning                    // a task has been reported running, which implies that all have started
+	gangStopping                   // all tasks are being stopped; once all are released, the gang waits again
 )
 
 func (g gangState) String() string {
 	return [...]string{"waiting", "placed", "gathering", "running", "stopping"}[g]
 }
 
-// gang is a job whose tasks run at the same time or not at all. It decides what becomes of its tasks
-// together: every change of one of its assignments puts it on a list (gangTable.markChanged), and
-// reconcileGangs looks at the gang as a whole before the next placement.
+// gang is the gang scheduling state of a job whose tasks run at the same time or not at all. Each
+// change of one of the job's assignments marks the gang as changed (gangTable.markChanged), and
+// reconcileGangs decides for all tasks of the gang together before the next placement.
 //
-// Its tasks share one attempt number, also a task that takes the place of a lost one before the
-// start. An assignment is therefore known by machine, incarnation and attempt, and the next attempt
-// begins only when no task is assigned any more.
+// All tasks of a gang have the same attempt number, including one that replaces a lost task before
+// the gang runs. An assignment is therefore identified by machine, incarnation and attempt, and the
+// next attempt begins only when no task is assigned.
 //
-// Its state changes only by these methods:
+// Only these methods change the state:
 //
-//	waiting -> placed                     place
+//	waiting -> placed                     beginAttempt
 //	placed -> gathering                   commit
-//	any but stopping -> gathering         observe: a start has gone out
-//	any but stopping -> running           observe, taskEnded: it was seen running
+//	any but stopping -> gathering         applySummary: a start command has been sent
+//	any but stopping -> running           applySummary, taskEnded: the gang has run
 //	any -> stopping                       beginStop
-//	any -> waiting                        reset: no task is assigned any more
+//	any -> waiting                        reset: no task is assigned
 type gang struct {
 	job     *job
 	state   gangState
 	attempt uint64
 
-	completionDeadline    time.Duration   // when the first task may give up waiting for the others; 0 while none waits
-	machinesWithLostTasks map[string]bool // machines that lost a task of this attempt: their workers may know the attempt
-	abortReason           string          // why this attempt must end, learned from the end of one task; "" if unknown
+	// completionDeadline is the earliest time at which a gathering task may stop waiting for the
+	// others; 0 while no task gathers.
+	completionDeadline time.Duration
+	// machinesWithLostTasks are the machines that lost a task of this attempt. Their workers may
+	// know the attempt.
+	machinesWithLostTasks map[string]bool
+	abortReason           string // why this attempt must end, as the end of a task showed; "" if it need not end
 	stopStartedAt         time.Duration
 
-	lacksCapacity bool // the last plan found no machines for all its tasks
+	lacksCapacity bool // the last capacity plan found no machines for all tasks
 
-	changed      bool // is on the list for reconcileGangs
-	awaitsCommit bool // is on the list for commitGangs
+	changed      bool // is in gangTable.changed, for reconcileGangs
+	awaitsCommit bool // is in gangTable.uncommitted, for commitGangs
 }
 
-// newGang returns the gang of a job, or nil if its tasks are independent.
+// newGang returns the gang of a job, or nil if the job's tasks are independent.
 func newGang(j *job) *gang {
 	if !j.spec.Gang() {
 		return nil
@@ -63,10 +67,11 @@
 	return &gang{job: j, machinesWithLostTasks: map[string]bool{}}
 }
 
-// place begins an attempt for a gang that waits. A gang that gathers keeps its attempt.
+// beginAttempt records that all tasks of a waiting gang are being assigned under a new attempt
+// number. A gathering gang keeps its number when lost tasks are replaced.
 func (g *gang) beginAttempt(attempt uint64) { g.state, g.attempt = gangPlaced, attempt }
 
-// commit lets the starts of tasks go out, as the resources for them are confirmed.
+// commit allows the start commands of tasks to be sent. The resources for them are confirmed free.
 func (g *gang) commit(tasks []*assignment) {
 	for _, a := range tasks {
 		a.committed = true
@@ -76,7 +81,7 @@
 	}
 }
 
-// observe takes over what the assignments show.
+// applySummary updates the attempt and the state from the states of the assignments.
 func (g *gang) applySummary(summary gangSummary) {
 	if summary.sentStarts == 0 {
 		return
@@ -89,56 +94,58 @@
 	g.state = max(g.state, gangGathering)
 }
 
-// taskLost notes that a task is not on its machine any more.
+// taskLost records the machine of a task that has left it, if a start command had been sent.
 func (g *gang) taskLost(a *assignment) {
 	if a.state != stateUnsent {
 		g.machinesWithLostTasks[a.machine.name] = true
 	}
 }
 
-// taskEnded notes what the reason for which a task ended tells of the gang.
+// taskEnded updates the gang from the reason for which one of its tasks ended.
 func (g *gang) taskEnded(a *assignment, reason protocol.EndReason) {
 	switch {
 	case reason == protocol.ReasonIncomplete:
-		g.abortReason = "the gang was not complete in time"
+		g.abortReason = "a task stopped waiting for the rest of the gang"
 	case reason == protocol.ReasonPeers && g.state < gangRunning:
-		g.state = gangRunning // it had started, although no heartbeat showed that
+		g.state = gangRunning // the gang had started, although no heartbeat reported a running task
 	case reason == protocol.ReasonStopped && !a.stopping:
-		g.abortReason = "stopped by an earlier leader"
+		g.abortReason = "a task was stopped by an earlier leader"
 	}
 }
 
-// beginStop notes when the gang was first stopped.
+// beginStop enters the stopping state and records the time, unless the gang is stopping already.
 func (g *gang) beginStop(now time.Duration) {
 	if g.state != gangStopping {
 		g.state, g.stopStartedAt = gangStopping, now
 	}
 }
 
-// reset makes a gang wait for its next attempt.
+// reset returns the gang to the waiting state and discards all data of the last attempt. The gang
+// stays in gangTable.uncommitted if it is there.
 func (g *gang) reset() {
 	*g = gang{job: g.job, machinesWithLostTasks: map[string]bool{}, awaitsCommit: g.awaitsCommit}
 }
 
-// gangAction is what is to be done with a gang.
+// gangAction is what reconcileGang does with a gang.
 type gangAction uint8
 
 const (
-	gangContinue    gangAction = iota
-	gangStop                   // stop all tasks
-	gangAbort                  // end all tasks without saving
-	gangRelease                // release all tasks, of which no start has gone out
-	gangReplaceLost            // replace lost tasks
+	gangContinue    gangAction = iota // change nothing
+	gangStop                          // stop all tasks
+	gangAbort                         // stop all tasks without saving
+	gangRelease                       // release all tasks; no start command has been sent
+	gangReplaceLost                   // find machines for lost tasks
 )
 
-// next takes over what the assignments show and returns what is to be done, and why. Until the
-// recovery has ended, other tasks of the gang may not have been heard of yet.
+// nextAction applies the summary to the gang and returns the action to take and its reason. During
+// recovery after a failover only a stop is decided, because tasks that are not assigned may still be
+// reported by machines that have sent no heartbeat yet.
 func (g *gang) nextAction(summary gangSummary, recoveryEnded bool) (action gangAction, reason string) {
 	if g.state == gangStopping {
-		return gangStop, "the gang is stopped"
+		return gangStop, "the gang is being stopped"
 	}
 	if summary.hasStopping {
-		return gangStop, "another task of the gang is stopped"
+		return gangStop, "another task of the gang is being stopped"
 	}
 	g.applySummary(summary)
 	if !recoveryEnded {
@@ -147,21 +154,21 @@
 	missing := g.job.spec.Tasks - len(g.job.assignments)
 	switch {
 	case summary.mixedAttempts:
-		return gangStop, "tasks of several attempts"
+		return gangStop, "the tasks of the gang have different attempt numbers"
 	case g.abortReason != "":
 		return gangStop, g.abortReason
 	case missing == 0:
 		return gangContinue, ""
 	case g.state == gangRunning:
-		return gangAbort, "another task of the gang is gone"
+		return gangAbort, "another task of the gang was lost"
 	case summary.sentStarts == 0:
-		return gangRelease, "" // no worker knows of it yet, so it is placed anew as a whole
+		return gangRelease, "" // no worker knows the attempt, so all tasks can be placed again
 	}
 	return gangReplaceLost, ""
 }
 
-// missing is how many tasks are to be placed now: all of a gang that waits, and those that were lost
-// before the start.
+// missingTasks returns how many tasks have to be placed now: all tasks of a waiting gang, and tasks
+// that were lost before the gang ran.
 func (g *gang) missingTasks() int {
 	if g.isFinished() || g.state == gangRunning || g.state == gangStopping {
 		return 0
@@ -169,22 +176,23 @@
 	return g.job.spec.Tasks - len(g.job.assignments)
 }
 
-// isOver reports whether nothing is left to decide: the job is over, or its tasks are being removed
-// for good.
+// isFinished reports whether the gang needs no more decisions: its job is closed or done, or is
+// cancelled, so that its remaining tasks are being removed.
 func (g *gang) isFinished() bool {
 	j := g.job
 	return j.closed || j.cancelled || j.doneCount == j.spec.Tasks
 }
 
-// gangSummary is what the assignments of a gang show together.
+// gangSummary combines the states of a gang's assignments whose start commands have been sent.
 type gangSummary struct {
-	sentStarts    int    // tasks whose start has gone out
-	attempt       uint64 // of those
-	mixedAttempts bool   // they are not of one attempt
-	seenRunning   bool   // one was seen running
-	hasStopping   bool   // one is stopped
+	sentStarts    int    // number of these assignments
+	attempt       uint64 // their highest attempt number
+	mixedAttempts bool   // their attempt numbers differ
+	seenRunning   bool   // at least one has been reported running or saving
+	hasStopping   bool   // at least one is being stopped or is saving
 }
 
+// summarize returns the summary of the gang's assignments.
 func (g *gang) summarize() gangSummary {
 	var summary gangSummary
 	for _, a := range g.job.assignments {
@@ -200,7 +208,7 @@
 	return summary
 }
 
-// uncommittedTasks returns the tasks of a gang that are assigned and may not start yet.
+// uncommittedTasks returns the assigned tasks whose start commands may not be sent yet, by index.
 func (g *gang) uncommittedTasks() []*assignment {
 	var tasks []*assignment
 	for _, a := range g.job.assignments {
@@ -212,13 +220,13 @@
 	return tasks
 }
 
-// mayKnowAttempt reports whether the worker of a machine may know the gang's present attempt, so that it
-// would take a start for a repetition.
+// mayKnowAttempt reports whether the worker of a machine may know the gang's current attempt. Such a
+// worker would treat a start command of this attempt as a duplicate.
 func (g *gang) mayKnowAttempt(m *machine) bool {
 	return g.machinesWithLostTasks[m.name] || g.hasEndedTaskOn(m)
 }
 
-// hasEndedOn reports whether a machine lists a task of the gang's present attempt as ended.
+// hasEndedTaskOn reports whether a machine lists a task of the gang's current attempt as ended.
 func (g *gang) hasEndedTaskOn(m *machine) bool {
 	if g.state == gangWaiting {
 		return false
@@ -231,8 +239,8 @@
 	return false
 }
 
-// committedResources is what is used by tasks that are on the machine or on their way, and by those
-// that were committed to it.
+// committedResources returns the resources of the tasks whose start commands have been sent to the
+// machine, and of gang tasks whose start commands may be sent.
 func (m *machine) committedResources() resource.Vector {
 	var committed resource.Vector
 	for _, a := range m.assignments {
@@ -243,8 +251,9 @@
 	return committed
 }
 
-// hasUnsentGangStop reports whether the stop of a gang's task has not gone out to the machine. It
-// can't wait: a gang of which some tasks are stopped too late loses the work of all.
+// hasUnsentGangStop reports whether a stop command for a gang's task has not been sent to the machine
+// yet. These commands are urgent: if one task of a gang is stopped too late, the work of all its
+// tasks is lost.
 func (m *machine) hasUnsentGangStop() bool {
 	for _, a := range m.assignments {
 		if a.job.gang != nil && a.stopping && !a.stopSent {
@@ -254,8 +263,8 @@
 	return false
 }
 
-// hasUnsentGangCommand reports whether a start or stop of a gang's task has not gone out to the
-// machine.
+// hasUnsentGangCommand reports whether a start or stop command for a gang's task may be sent to the
+// machine and has not been sent yet.
 func (m *machine) hasUnsentGangCommand() bool {
 	for _, a := range m.assignments {
 		if a.job.gang == nil {
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// reconcileGangs brings all gangs of which something has changed in line with what is known of
-// their tasks.
+// reconcileGangs decides, for each gang whose assignments have changed, whether to stop, abort or
+// release its tasks, or to replace lost ones.
 func (s *Scheduler) reconcileGangs() {
 	for g := s.gangs.nextChanged(); g != nil; g = s.gangs.nextChanged() {
 		if !g.isFinished() {
@@ -10,6 +10,8 @@
 	}
 }
 
+// reconcileGang carries out the next action of a gang. A gang without assigned tasks is reset, so that
+// the next placement pass can place it.
 func (s *Scheduler) reconcileGang(g *gang) {
 	if len(g.job.assignments) == 0 {
 		g.reset()
@@ -29,8 +31,8 @@
 	}
 }
 
-// stopGang stops all tasks of a gang, never a part of them: they save together or not at all. Tasks
-// whose start has not gone out are released.
+// stopGang stops all tasks of a gang, because a gang's work can only be saved by all its tasks
+// together. Tasks whose start commands have not been sent are released.
 func (s *Scheduler) stopGang(g *gang, reason string) {
 	g.beginStop(s.now)
 	for _, a := range g.job.sortedAssignments() {
@@ -42,25 +44,26 @@
 	}
 }
 
-// abortGang ends what is left of a gang that has lost a task after its start. Its work since the
-// last checkpoint is lost already; the rest would only wait until they notice, so that the next
-// attempt would begin later.
+// abortGang stops the remaining tasks, without saving, of a gang that lost a task while it ran. The
+// work since the last checkpoint is lost in any case. Without the abort the remaining tasks would run
+// until they notice the loss, which would delay the next attempt.
 func (s *Scheduler) abortGang(g *gang, reason string) {
 	for _, a := range g.job.assignments {
 		a.withoutSaving = true
 	}
-	s.logWarn("gang lost a task", keyJob, g.job.id, keyAttempt, g.attempt, "left", len(g.job.assignments))
+	s.logWarn("gang aborted", keyJob, g.job.id, keyAttempt, g.attempt, "remaining", len(g.job.assignments),
+		keyReason, reason)
 	s.stopGang(g, reason)
 }
 
-// releaseGang releases all tasks of a gang of which no start has gone out.
+// releaseGang releases all tasks of a gang. None of their start commands has been sent.
 func (s *Scheduler) releaseGang(g *gang) {
 	for _, a := range g.job.sortedAssignments() {
 		s.assignments.release(a)
 	}
 }
 
-// stopTask stops a task, and with it the gang that it belongs to.
+// stopTask stops a task, or all tasks of its gang if it belongs to one.
 func (s *Scheduler) stopTask(a *assignment, reason string) {
 	if a.job.gang != nil {
 		s.stopGang(a.job.gang, reason)
@@ -69,8 +72,8 @@
 	s.assignments.stop(a, reason)
 }
 
-// gangsStillSaving reports whether gangs on a machine that is to be returned still need it to save
-// their work. They are stopped first.
+// stopGangsAndCheckSaving stops all gangs that run on a machine that is to be returned. It reports
+// whether one of them may still need the machine to save its work.
 func (s *Scheduler) stopGangsAndCheckSaving(m *machine) bool {
 	saving := false
 	for _, a := range m.sortedAssignments() {
@@ -78,13 +81,14 @@
 		if g == nil || g.isFinished() || (a.state != stateRunning && a.state != stateSaving) {
 			continue
 		}
-		s.stopGang(g, "its machine is returned")
+		s.stopGang(g, "a machine of the gang is being returned")
 		saving = saving || s.now < s.gangs.saveDeadline(g)
 	}
 	return saving
 }
 
-// placeGang places all missing tasks of a gang, or none. It reports whether nothing is missing now.
+// placeGang places all missing tasks of a gang, or none. It reports whether all tasks are assigned
+// now.
 func (s *Scheduler) placeGang(j *job) bool {
 	missing := j.waitingTasks()
 	if missing == 0 {
@@ -106,7 +110,8 @@
 	return true
 }
 
-// applyGangPlacement stops the victims and assigns the missing tasks of a gang.
+// applyGangPlacement stops the victims of a placement and assigns the gang's missing tasks. The start
+// commands wait until commitGangs has confirmed that the resources are free.
 func (s *Scheduler) applyGangPlacement(g *gang, found *gangPlacement) {
 	for _, task := range found.tasks {
 		for _, victim := range task.victims {
@@ -123,20 +128,21 @@
 	s.gangs.awaitCommit(g)
 }
 
-// refillGangs replaces tasks that gangs lost before their start. A gang that can't be complete in
-// time is stopped and waits again.
+// replaceLostGangTasks places tasks that gangs lost while they gathered. A gang that can't get all its
+// tasks in time is stopped; it is placed again once all its tasks are released.
 func (s *Scheduler) replaceLostGangTasks() {
 	for _, g := range s.gangs.takeReplacementRequests() {
 		if g.isFinished() || g.state != gangGathering || g.missingTasks() == 0 {
 			continue
 		}
 		if !s.gangs.canCompleteInTime(g) || !s.placeGang(g.job) {
-			s.stopGang(g, "no machine for a lost task of the gang")
+			s.stopGang(g, "a lost task of the gang cannot be replaced in time")
 		}
 	}
 }
 
-// commitGangs sends the starts of gangs whose resources are confirmed.
+// commitGangs allows the start commands of gangs whose resources are confirmed free, and queues the
+// machines concerned for dispatch.
 func (s *Scheduler) commitGangs() {
 	for _, a := range s.gangs.commit() {
 		s.dispatcher.enqueue(a.machine)
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -9,13 +9,13 @@
 	"quillshunt/internal/limits"
 )
 
-// The paper's extension to runs that are placed and stopped as a whole (section 5.1): the request
-// for a gang looks for one machine after the other by the plain filter, ranking and choice of
-// victims, on views that count what the tasks before it were planned to use, and takes effect only
-// if all of them found a machine.
+// Gang placement follows the paper's extension for runs that are placed and stopped as a whole
+// (section 5.1). The tasks of a gang are placed one after the other, with the same filtering, ranking
+// and choice of victims as independent tasks. Each step takes into account what the gang's earlier
+// tasks are planned to use. The placement takes effect only if every task has found a machine.
 
-// gangRequest is what decides whether a gang can be placed, for gangs without particular
-// requirements.
+// gangRequest identifies the properties that decide whether a gang can be placed, if its job has no
+// other placement constraints. It is the key under which failed searches of a pass are cached.
 type gangRequest struct {
 	placementRequest
 	tasks       int
@@ -23,15 +23,15 @@
 	spreadZones bool
 }
 
-// gangSearch is the search for machines for the missing tasks of a gang in a pass.
+// gangSearch is the search for machines for a gang's missing tasks in a placement pass.
 type gangSearch struct {
 	job       *job
 	request   gangRequest
-	cacheable bool // the request alone decides where the tasks may go
+	cacheable bool // gangs with an equal request would get the same result
 }
 
-// newGangSearch returns the search for a gang's missing tasks. It reports false if it is known to
-// find nothing.
+// newGangSearch returns the search for a gang's missing tasks. It returns false if the search cannot
+// succeed.
 func (p *placer) newGangSearch(j *job, missing int) (search gangSearch, ok bool) {
 	request := gangRequest{
 		placementRequest: newPlacementRequest(j, p.mayPreemptNow(j)),
@@ -50,7 +50,7 @@
 	return search, true
 }
 
-// gangSearchFailed notes that a search found no machines for all tasks of a gang.
+// gangSearchFailed records that a search did not find machines for all missing tasks of a gang.
 func (p *placer) gangSearchFailed(search *gangSearch) {
 	if search.cacheable {
 		p.pass.unplaceableGangs[search.request] = true
@@ -60,8 +60,8 @@
 	}
 }
 
-// findGangPlacement returns a placement for all missing tasks of a gang, or nil: of the zones that
-// can run all of them, in the one where it is cheapest.
+// findGangPlacement returns a placement for all missing tasks of a gang, or nil. For a gang that must
+// be in one zone it returns the cheapest placement among all zones.
 func (p *placer) findGangPlacement(search *gangSearch) *gangPlacement {
 	if !search.job.spec.SameZone {
 		return p.findGangPlacementIn("", search)
@@ -76,8 +76,8 @@
 	return best
 }
 
-// findGangPlacementIn returns a placement for all missing tasks of a gang in a zone, or in any zone
-// if it is "". It returns nil if there is none.
+// findGangPlacementIn returns a placement for all missing tasks of a gang in one zone, or across all
+// zones if zone is "". It returns nil if there is none.
 func (p *placer) findGangPlacementIn(zone string, search *gangSearch) *gangPlacement {
 	found := p.newGangPlacement(search.job, zone, search.request.preempting)
 	found.collectCandidates()
@@ -89,10 +89,11 @@
 	return found
 }
 
-// gangZones returns the zones that may be able to run all missing tasks of a gang, by name.
+// gangZones returns the sorted names of the zones that may have resources for all missing tasks of a
+// gang. A search with preemption assumes that all other tasks can be preempted.
 func (p *placer) gangZones(search *gangSearch) []string {
 	j := search.job
-	fitting := map[string]int{} // tasks in each zone
+	fitting := map[string]int{} // number of tasks that fit, by zone
 	for _, m := range p.pass.eligibleMachines(search.request.preempting) {
 		if !j.mayUse(m) || (m.reservedFor != nil && m.reservedFor != j) {
 			continue
@@ -113,7 +114,8 @@
 	return zones
 }
 
-// gangPlaced notes what the placement of a gang changes for the searches that follow in the pass.
+// gangPlaced updates the state of the pass after a gang was placed: the machines it uses are no longer
+// reserved, its victims have freed resources, and requests that failed may succeed now.
 func (p *placer) gangPlaced(found *gangPlacement) {
 	for _, task := range found.tasks {
 		task.machine.reservedFor = nil
@@ -126,16 +128,16 @@
 	p.pass.clearUnplaceable()
 }
 
-// plannedView is what the placement of a gang has planned for a machine so far. A nil view has
-// nothing planned.
+// plannedView describes what an incomplete gang placement plans to change on one machine. In a nil
+// view nothing is planned.
 type plannedView struct {
-	plannedDemand  resource.Vector // to tasks of the gang
-	freedByVictims resource.Vector // by victims
-	tasks          int             // of the gang
-	victims        map[*assignment]bool
+	plannedDemand  resource.Vector      // demand of the gang's tasks planned here
+	freedByVictims resource.Vector      // demand of the tasks planned to be stopped
+	tasks          int                  // number of the gang's tasks planned here
+	victims        map[*assignment]bool // tasks planned to be stopped
 }
 
-// freeResources is what may still be promised on the machine.
+// freeResources returns the machine's free resources after the planned changes.
 func (v *plannedView) freeResources(m *machine) resource.Vector {
 	if v == nil {
 		return m.freeResources()
@@ -143,7 +145,7 @@
 	return m.freeResources().Minus(v.plannedDemand).Plus(v.freedByVictims)
 }
 
-// tasksOn is how many tasks the machine would have.
+// taskCount returns how many tasks the machine would have with the planned tasks, victims included.
 func (v *plannedView) taskCount(m *machine) int {
 	if v == nil {
 		return m.taskCount()
@@ -151,16 +153,17 @@
 	return m.taskCount() + v.tasks
 }
 
-// isStopped reports whether a task is planned to be stopped.
+// isVictim reports whether a task is planned to be stopped.
 func (v *plannedView) isVictim(a *assignment) bool { return v != nil && v.victims[a] }
 
-// addTask plans a task of a demand on the machine.
+// addTask adds a planned task with the given demand.
 func (v *plannedView) addTask(demand resource.Vector) {
 	v.plannedDemand = v.plannedDemand.Plus(demand)
 	v.tasks++
 }
 
-// addVictim plans the stop of a task on the machine.
+// addVictim adds a task that is planned to be stopped. Tasks that are stopping already are ignored, as
+// their resources count as free.
 func (v *plannedView) addVictim(a *assignment) {
 	if v.victims == nil {
 		v.victims = map[*assignment]bool{}
@@ -171,29 +174,30 @@
 	}
 }
 
-// gangPlacement is a placement of the missing tasks of a gang, while it is made and once it is
-// complete. Nothing of it takes effect by itself.
+// gangPlacement is a complete or incomplete plan where to run the missing tasks of a gang. It changes
+// nothing until applyGangPlacement is called.
 type gangPlacement struct {
 	placer     *placer
 	job        *job
 	preempting bool
-	onlyZone   string // the only one, or ""
+	onlyZone   string // the zone in which all tasks must be; "" if any zone is allowed
 
 	candidates  placement.Groups[*machine]
 	views       map[*machine]*plannedView
-	tasksInZone map[string]int // of the gang, planned or assigned
+	tasksInZone map[string]int // planned or assigned tasks of the gang, by zone
 
 	tasks          []taskPlacement
-	preemptionCost float64 // of preempting the victims
+	preemptionCost float64 // of all victims
 }
 
-// taskPlacement is where a task of a gang goes, and what is preempted for it.
+// taskPlacement is the machine for a task of a gang, and the tasks to preempt for it.
 type taskPlacement struct {
 	machine *machine
 	victims []*assignment
 }
 
-// newGangPlacement returns a placement without planned tasks.
+// newGangPlacement returns a placement without planned tasks. Tasks of the gang that are assigned
+// already count for their zones.
 func (p *placer) newGangPlacement(j *job, zone string, preempting bool) *gangPlacement {
 	g := &gangPlacement{
 		placer: p, job: j, preempting: preempting, onlyZone: zone,
@@ -207,8 +211,8 @@
 	return g
 }
 
-// cheaperThan compares two placements by the cost of preemption, then by how many machines have to
-// fetch the image, then by the number of machines.
+// cheaperThan compares two placements by the cost of preemption, then by the number of machines that
+// have to fetch the image, then by the number of machines.
 func (g *gangPlacement) cheaperThan(other *gangPlacement) bool {
 	return cmp.Or(
 		cmp.Compare(g.preemptionCost, other.preemptionCost),
@@ -217,7 +221,7 @@
 	) < 0
 }
 
-// imageFetches is on how many machines the gang would wait for its image.
+// imageFetches returns the number of machines that would have to fetch the gang's image.
 func (g *gangPlacement) imageFetches() int {
 	fetches := 0
 	for m := range g.views {
@@ -228,7 +232,7 @@
 	return fetches
 }
 
-// collectCandidates looks at all machines.
+// collectCandidates rebuilds the candidates from all eligible machines.
 func (g *gangPlacement) collectCandidates() {
 	g.candidates.Clear()
 	for _, m := range g.placer.eligibleMachines(g.preempting) {
@@ -236,7 +240,7 @@
 	}
 }
 
-// addCandidate adds a machine to the candidates if a task may go there.
+// addCandidate adds a machine to the candidates if a task of the gang may be placed there.
 func (g *gangPlacement) addCandidate(m *machine) {
 	if (g.onlyZone != "" && m.zone != g.onlyZone) || g.isZoneFull(m.zone) {
 		return
@@ -249,12 +253,14 @@
 	}
 }
 
-// zoneFull reports whether a gang that is spread over zones may have no more tasks in one.
+// isZoneFull reports whether a zone has the maximum number of tasks of a gang that must be spread over
+// zones.
 func (g *gangPlacement) isZoneFull(zone string) bool {
 	return g.job.spec.SpreadZones && g.tasksInZone[zone] >= g.job.maxTasksPerZone()
 }
 
-// placeNext plans the next task on the best candidate. It reports false if there is none.
+// placeNext plans the next task on the best candidate. It returns false if there is no candidate, or
+// no tasks to preempt there.
 func (g *gangPlacement) placeNext() bool {
 	group := g.candidates.Best()
 	if group < 0 {
@@ -274,14 +280,15 @@
 		g.addVictim(victim)
 	}
 	if len(victims) > 0 || g.isZoneFull(m.zone) {
-		g.collectCandidates() // other machines have changed, or may be used no more
+		g.collectCandidates() // victims may free resources on other machines, and a full zone is excluded
 	} else {
 		g.addCandidate(m)
 	}
 	return true
 }
 
-// addVictim counts the resources that a victim frees; of a gang, on all its machines.
+// addVictim adds the cost and the freed resources of a victim. If the victim belongs to a gang, the
+// resources of all tasks of that gang are freed.
 func (g *gangPlacement) addVictim(victim *assignment) {
 	g.preemptionCost += g.placer.preemptionCost(victim)
 	if victim.job.gang == nil {
@@ -293,7 +300,7 @@
 	}
 }
 
-// viewOf returns the view of a machine, which is made if there is none.
+// viewOf returns the view of a machine, and creates it if there is none.
 func (g *gangPlacement) viewOf(m *machine) *plannedView {
 	view := g.views[m]
 	if view == nil {
--- a/internal/coordination/scheduler/gang_plan.go
+++ b/internal/coordination/scheduler/gang_plan.go
@@ -8,9 +8,9 @@
 	"quillshunt/internal/limits"
 )
 
-// planGang plans the missing tasks of a gang together. Machines are rented and kept for a gang that
-// finds a part of them only for a while: the cloud may have the rest soon, but a gang that can't be
-// complete must not cost money for ever.
+// planGang plans capacity for all missing tasks of a gang. If the plan covers only some of the tasks,
+// it is kept until GangCapacityTimeout after the submission, because the cloud may soon have the rest.
+// After that it is rolled back: a gang that cannot start must not cause costs indefinitely.
 func (p *capacityPlan) planGang(j *job) {
 	g := j.gang
 	g.lacksCapacity = !p.hasEnoughZones(j)
@@ -28,13 +28,13 @@
 	}
 }
 
-// planSnapshot is what planning a gang changes of a plan.
+// planSnapshot is a copy of the parts of a plan that planning a gang changes.
 type planSnapshot struct {
 	toRent      map[machinePool]float64
 	offerStates []capacityState
 }
 
-// snapshot returns what rollBack needs to undo the planning of a gang.
+// snapshot returns the state of the plan to which rollBack can return.
 func (p *capacityPlan) snapshot() planSnapshot {
 	offers := make([]capacityState, len(p.offers))
 	for i, offer := range p.offers {
@@ -43,7 +43,7 @@
 	return planSnapshot{toRent: maps.Clone(p.toRent), offerStates: offers}
 }
 
-// rollBack undoes what was planned since a snapshot, apart from the count of machines in zones.
+// rollBack restores the plan to a snapshot, except for the count of machines by zone.
 func (p *capacityPlan) rollBack(before planSnapshot) {
 	p.toRent = before.toRent
 	p.offers = p.offers[:len(before.offerStates)]
@@ -52,8 +52,8 @@
 	}
 }
 
-// gangTasksToPlace is how many tasks must be placed together: the missing ones of a gang, or none
-// in particular.
+// gangTasksToPlace returns how many tasks of the job must be placed together: all missing tasks of a
+// gang, or 0 for independent tasks.
 func (j *job) gangTasksToPlace() int {
 	if j.gang == nil {
 		return 0
@@ -61,9 +61,8 @@
 	return j.waitingTasks()
 }
 
-// chooseGangZone chooses the zone in which a gang is planned that must be in one: the one whose
-// machines can start most of its tasks in time, unless it falls short and has nothing to rent; else
-// the one of the cheapest pool. It returns false if there is none.
+// chooseGangZone chooses the zone for a gang that must be in one zone, unless it has one already. It
+// returns false if no zone is suitable.
 func (p *capacityPlan) chooseGangZone(jp *jobPlan) bool {
 	if jp.zones.onlyZone != "" {
 		return true
@@ -72,7 +71,9 @@
 	return jp.zones.onlyZone != ""
 }
 
-// bestGangZone returns the zone for chooseGangZone, or "".
+// bestGangZone returns the zone whose existing and pending machines can start most of the gang's tasks
+// in time. Zones that cannot start all tasks are skipped if no machine can be rented there. If no zone
+// is left, it returns the zone of the cheapest pool, or "" if nothing can be rented.
 func (p *capacityPlan) bestGangZone(jp *jobPlan) string {
 	startable := p.startableTasksByZone(jp)
 	best, most := "", 0.0
@@ -97,7 +98,8 @@
 	return pool.zone
 }
 
-// startableTasksByZone is how many tasks of a job the capacity that is there can start in time.
+// startableTasksByZone returns how many tasks of a job the capacity in the plan can start in time, by
+// zone.
 func (p *capacityPlan) startableTasksByZone(jp *jobPlan) map[string]float64 {
 	startable := map[string]float64{}
 	for _, offer := range p.offers {
@@ -109,8 +111,8 @@
 	return startable
 }
 
-// hasEnoughZones reports whether a gang that is spread over zones could have all its tasks on
-// machines if these had unlimited capacity.
+// hasEnoughZones reports whether there are enough zones with a suitable machine type for a gang that
+// must be spread over zones, if each zone had unlimited capacity.
 func (p *capacityPlan) hasEnoughZones(j *job) bool {
 	if !j.spec.SpreadZones {
 		return true
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -11,11 +11,11 @@
 	"quillshunt/internal/limits"
 )
 
-// gangReservations reserves machines for gangs that should start sooner than a machine boots.
-// Independent tasks would fill these machines, as they use whatever is free, and a gang can't
-// preempt work of its own priority. So as much is reserved as gangs lately used or waited for at
-// once, and the size of the largest one more. Jobs that wait for long may use it all the same (see
-// job.outwaitsGangReservation).
+// gangReservations reserves machines for gangs that should start sooner than a machine boots. Without
+// reservations independent tasks would use all free resources, and a gang can't preempt work of its
+// own priority. The reserved capacity is the peak that gangs recently used or waited for at the same
+// time, plus the size of the largest gang. Jobs that have waited for GangReservationYieldAge may use
+// reserved machines too.
 type gangReservations struct {
 	*environment
 	jobs      *jobTable
@@ -25,7 +25,7 @@
 	demand map[gangKind]*gangDemand
 }
 
-// newGangReservations returns the reservations for gangs of a job table, without any demand.
+// newGangReservations returns reservations for the gangs of a job table; no demand is recorded yet.
 func newGangReservations(
 	env *environment, jobs *jobTable, inventory *machineInventory, catalog *typeCatalog,
 ) *gangReservations {
@@ -38,13 +38,13 @@
 	}
 }
 
-// gangKind is what decides which machines gangs may use. Gangs that may use the same ones share what
-// is reserved.
+// gangKind holds the job properties that decide which machines a gang may use. Gangs of the same kind
+// share reserved machines.
 type gangKind struct {
 	spot     bool
 	zone     string
 	sameZone bool
-	types    string // names of machine types
+	types    string // allowed machine types, separated by commas
 }
 
 // gangKind returns the kind of the job's gang.
@@ -52,7 +52,7 @@
 	return gangKind{j.spec.Spot, j.spec.Zone, j.spec.SameZone, strings.Join(j.spec.MachineTypes, ",")}
 }
 
-// compare orders kinds.
+// compare defines a total order of kinds, so that reservations are made in the same order each time.
 func (k gangKind) compare(other gangKind) int {
 	return cmp.Or(
 		strings.Compare(k.zone, other.zone),
@@ -62,22 +62,23 @@
 	)
 }
 
-// gangDemand is what gangs of a kind needed lately.
+// gangDemand is the recent demand of gangs of one kind.
 type gangDemand struct {
 	newestJob    *job
-	largestCPUs  float64      // CPUs of the largest gang
-	peaks        []demandPeak // most CPUs used or waited for at once; newest last, falling
-	reservedZone string       // where machines are reserved for gangs that must be in one zone
-	lastSeenAt   time.Duration
+	largestCPUs  float64       // CPUs of the largest gang since the kind was first seen
+	peaks        []demandPeak  // sliding window maximum of the CPUs; oldest first, CPUs strictly decreasing
+	reservedZone string        // zone of the reserved machines, for gangs that must be in one zone
+	lastSeenAt   time.Duration // when there was last an open job of this kind
 }
 
-// demandPeak is how many CPUs were used or waited for at a time.
+// demandPeak is the number of CPUs that all gangs of a kind used or waited for at some time.
 type demandPeak struct {
 	at   time.Duration
 	cpus float64
 }
 
-// recordPeak notes how many CPUs gangs of this kind use or wait for now.
+// recordPeak records how many CPUs the gangs of this kind use or wait for now, and discards what is
+// older than GangDemandWindow.
 func (d *gangDemand) recordPeak(now time.Duration, cpus float64) {
 	for len(d.peaks) > 0 && d.peaks[len(d.peaks)-1].cpus <= cpus {
 		d.peaks = d.peaks[:len(d.peaks)-1]
@@ -88,20 +89,21 @@
 	}
 }
 
-// cpusToReserve is the highest peak, and the size of the largest gang more.
+// cpusToReserve returns the highest peak in the window plus the size of the largest gang.
 func (d *gangDemand) cpusToReserve() float64 { return d.peaks[0].cpus + d.largestCPUs }
 
-// gangShortage is what the machines lack that can be reserved for gangs of a kind.
+// gangShortage is the capacity that could not be reserved for gangs of a kind because there are too
+// few suitable machines.
 type gangShortage struct {
-	templateJob *job   // like the newest of these gangs, without tasks that are assigned
-	zone        string // where machines are missing; "" if in any
-	missingCPUs float64
+	templateJob *job    // has the spec, demand and class of the newest of these gangs, but no assignments
+	zone        string  // where machines are missing; "" if any zone is suitable
+	missingCPUs float64 // CPUs of the machines to rent
 }
 
-// hasDemand reports whether machines may be reserved for gangs.
+// hasDemand reports whether there is recent demand of gangs for which machines may be reserved.
 func (r *gangReservations) hasDemand() bool { return len(r.demand) > 0 }
 
-// update reserves machines anew, and returns what is missing.
+// update replaces all reservations according to the current demand, and returns the shortages.
 func (r *gangReservations) update() []gangShortage {
 	for _, m := range r.inventory.all() {
 		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
@@ -118,7 +120,8 @@
 	return shortages
 }
 
-// reserveForGangs reserves machines for gangs, and plans to rent those that are missing.
+// reserveForGangs updates the reservations for gangs, and adds machines to rent for the shortages to
+// the plan.
 func (s *Scheduler) reserveForGangs(plan *capacityPlan) {
 	for _, shortage := range s.gangReservations.update() {
 		zoneAllowed := func(zone string) bool { return shortage.zone == "" || zone == shortage.zone }
@@ -128,7 +131,8 @@
 	}
 }
 
-// updateDemand works out what gangs need that machines should be reserved for.
+// updateDemand records the current demand of gangs that need reservations, by kind, and removes kinds
+// without a job for GangDemandWindow.
 func (r *gangReservations) updateDemand() {
 	cpusNow := map[gangKind]float64{}
 	for _, j := range r.jobs.oldestFirst() {
@@ -155,8 +159,8 @@
 	}
 }
 
-// needsReservation reports whether a gang's tasks should start sooner than a machine that is rented
-// for it would be up.
+// needsReservation reports whether a gang's tasks should start sooner than a newly rented machine
+// would be up.
 func (r *gangReservations) needsReservation(j *job) bool {
 	for _, d := range j.deadlines {
 		if d.forStart && (d.at-j.submittedAt).Seconds() < r.catalog.quickestBoot(j) {
@@ -166,8 +170,9 @@
 	return false
 }
 
-// reserve reserves machines for gangs of a kind, at most a share of all, and returns how many CPUs
-// are missing. Machines beyond the share are not returned to the cloud, but every job may use them.
+// reserve reserves machines for gangs of a kind, and returns how many CPUs are missing. The reserved
+// CPUs are at most GangReservationShare of all CPUs. Further machines that the gangs need are marked
+// as needed, so that they are not returned to the cloud, but every job may use them.
 func (r *gangReservations) reserve(d *gangDemand) (missingCPUs float64) {
 	missingCPUs = d.cpusToReserve()
 	if d.newestJob.spec.SameZone {
@@ -190,8 +195,9 @@
 	return missingCPUs
 }
 
-// candidates returns the machines that may be reserved for gangs of a kind, the best first, and the
-// CPUs of all machines.
+// candidates returns the machines that may be reserved for gangs of a kind, and the CPUs of all
+// machines. Machines that were reserved before come first, then those that run tasks of gangs, then
+// those with most CPUs free.
 func (r *gangReservations) candidates(d *gangDemand) (candidates []*machine, allCPUs float64) {
 	for _, m := range r.inventory.all() {
 		allCPUs += m.size().CPUs
@@ -209,7 +215,8 @@
 	return candidates, allCPUs
 }
 
-// reservable reports whether a machine may be reserved for gangs of a kind; also one that boots.
+// canReserve reports whether a machine may be reserved for gangs of a kind. Booting machines may be
+// reserved too.
 func (r *gangReservations) canReserve(d *gangDemand, m *machine) bool {
 	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() || (m.hasReported && !r.isSchedulable(m)) {
 		return false
@@ -220,8 +227,9 @@
 	return d.newestJob.specAllows(m.pool()) && m.size().Fits(d.newestJob.demand)
 }
 
-// chooseZone returns the zone in which machines are reserved for gangs that must be in one: where
-// some are already, or where most machines are that may be reserved.
+// chooseZone returns the zone in which to reserve machines for gangs that must be in one zone: the
+// previous zone if a machine that was reserved there may still be, or else the zone with most machines
+// that may be reserved. It clears the previous zone of the demand.
 func (r *gangReservations) chooseZone(d *gangDemand) string {
 	reserved, reservable := map[string]int{}, map[string]int{}
 	previous := d.reservedZone
@@ -257,7 +265,7 @@
 	return false
 }
 
-// compareBool orders false before true.
+// compareBool compares two booleans; false is less than true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -9,19 +9,20 @@
 	"quillshunt/internal/protocol"
 )
 
-// gangTable holds the gangs about which something is to be decided.
+// gangTable holds the gangs that need a decision.
 type gangTable struct {
 	*environment
-	changed             []*gang // to be looked at by reconcileGangs
-	uncommitted         []*gang // with tasks whose starts wait for commitGangs
-	awaitingReplacement []*gang // that lost a task before their start
+	changed             []*gang // to be reconciled by reconcileGangs
+	uncommitted         []*gang // whose start commands commitGangs may allow once resources are free
+	awaitingReplacement []*gang // that lost tasks before they ran, for replaceLostGangTasks
 	commitNeeded        bool    // resources may have become free since the last commitGangs
 }
 
-// newGangTable returns a table without gangs.
+// newGangTable returns an empty table.
 func newGangTable(env *environment) *gangTable { return &gangTable{environment: env} }
 
-// markChanged notes that a gang must be looked at again. Nil stands for independent tasks.
+// markChanged requests that reconcileGangs checks a gang. A nil gang, which a job with independent
+// tasks has, is ignored.
 func (t *gangTable) markChanged(g *gang) {
 	if g != nil && !g.changed {
 		g.changed = true
@@ -29,7 +30,7 @@
 	}
 }
 
-// nextChanged removes the first of the changed gangs from the list and returns it, or nil.
+// nextChanged removes the first changed gang from the list and returns it, or nil if there is none.
 func (t *gangTable) nextChanged() *gang {
 	if len(t.changed) == 0 {
 		return nil
@@ -40,7 +41,7 @@
 	return g
 }
 
-// taskLost notes that a task is not on its machine any more.
+// taskLost tells the gang of an assignment, if there is one, that the task has left its machine.
 func (t *gangTable) taskLost(a *assignment) {
 	if g := a.job.gang; g != nil {
 		g.taskLost(a)
@@ -48,47 +49,48 @@
 	}
 }
 
-// taskEnded notes for which reason a task has ended.
+// taskEnded tells the gang of an assignment, if there is one, why the task ended.
 func (t *gangTable) taskEnded(a *assignment, status *protocol.TaskStatus) {
 	if g := a.job.gang; g != nil {
 		g.taskEnded(a, status.Reason)
 	}
 }
 
-// taskGathering notes that a task waits for the others, at most since the heartbeat before.
+// setCompletionDeadline sets the gang's deadline when its first task reports that it waits for the
+// others. The task may have waited since the heartbeat before, so staleAfter is subtracted.
 func (t *gangTable) setCompletionDeadline(g *gang) {
 	if g != nil && g.completionDeadline == 0 {
 		g.completionDeadline = t.now + optionalSeconds(t.cfg.Workers.GangWaitS) - t.staleAfter()
 	}
 }
 
-// requestRefill lets the next pass look for machines for the tasks that a gang has lost.
+// requestReplacement requests machines for a gang's lost tasks in the next placement pass.
 func (t *gangTable) requestReplacement(g *gang) {
 	t.awaitingReplacement = append(t.awaitingReplacement, g)
 }
 
-// hasRefills reports whether gangs wait for a task in place of a lost one.
+// hasReplacementRequests reports whether a gang waits for machines for lost tasks.
 func (t *gangTable) hasReplacementRequests() bool { return len(t.awaitingReplacement) > 0 }
 
-// takeRefills removes the gangs that wait for a task in place of a lost one, and returns them.
+// takeReplacementRequests removes and returns the gangs that wait for machines for lost tasks.
 func (t *gangTable) takeReplacementRequests() []*gang {
 	requests := t.awaitingReplacement
 	t.awaitingReplacement = nil
 	return requests
 }
 
-// canComplete reports whether a gang that has lost a task can be complete in time if the task is
-// placed now.
+// canCompleteInTime reports whether a gang that has lost a task may place it again now, and the task
+// can fetch its image before the first waiting task gives up.
 func (t *gangTable) canCompleteInTime(g *gang) bool {
 	fetch := limits.Seconds(g.job.class.fetchSeconds)
 	late := g.completionDeadline != 0 && t.now+fetch > g.completionDeadline
 	return !late && t.now >= g.job.retryAt
 }
 
-// requestCommit lets the next step look at gangs that wait for free resources.
+// requestCommit lets the next commit check the gangs that wait for free resources.
 func (t *gangTable) requestCommit() { t.commitNeeded = true }
 
-// awaitCommit puts a gang on the list of those whose starts wait for free resources.
+// awaitCommit adds a gang to those whose start commands wait for free resources.
 func (t *gangTable) awaitCommit(g *gang) {
 	if !g.awaitsCommit {
 		g.awaitsCommit = true
@@ -97,9 +99,10 @@
 	t.requestCommit()
 }
 
-// commit commits the tasks of gangs once the resources for all of them are confirmed, so that two
-// gangs can't each hold what the other lacks, and returns these tasks. What a committed task needs is
-// kept for it even before its start is sent.
+// commit allows the start commands of each gang for whose tasks all resources are confirmed free, and
+// returns these tasks. A gang gets all its resources at once, so that two gangs can't deadlock, each
+// with resources that the other needs. The resources of a committed task are reserved for it even
+// before its start command is sent.
 func (t *gangTable) commit() []*assignment {
 	if !t.commitNeeded {
 		return nil
@@ -119,8 +122,8 @@
 	return committed
 }
 
-// resourcesConfirmed reports whether every machine of the tasks surely has the resources for them
-// now.
+// resourcesConfirmed reports whether every machine of the tasks is registered, may get tasks, and has
+// enough free resources for them. A stopping task counts as using its resources until it is released.
 func (t *gangTable) resourcesConfirmed(tasks []*assignment) bool {
 	demand := map[*machine]resource.Vector{}
 	for _, a := range tasks {
@@ -137,13 +140,14 @@
 	return true
 }
 
-// saveDeadline is until when a stopped gang may need the machine of a task to save its work.
+// saveDeadline returns the time until which a stopping gang may need its machines to save its work.
+// It includes the time in which the other tasks notice that one was stopped (gang_peer_s).
 func (t *gangTable) saveDeadline(g *gang) time.Duration {
 	peers := optionalSeconds(t.cfg.Workers.GangPeerS)
 	return g.stopStartedAt + limits.Seconds(g.job.spec.SaveS) + limits.SaveMargin + peers
 }
 
-// optionalSeconds is a setting in seconds that may be left out.
+// optionalSeconds converts an optional setting in seconds to a duration; a missing setting is 0.
 func optionalSeconds(setting *float64) time.Duration {
 	if setting == nil {
 		return 0
