--- a/internal/coordination/scheduler/gang_fixture_test.go
+++ b/internal/coordination/scheduler/gang_fixture_test.go
@@ -8,7 +8,7 @@
 	"quillshunt/internal/storage"
 )
 
-// gang submits a gang.
+// submitGang submits a gang of team red with standard priority; change may modify its specification.
 func (f *schedulerFixture) submitGang(id string, tasks int, cpus float64, change ...func(*protocol.Spec)) {
 	f.version++
 	spec := protocol.Spec{
@@ -21,13 +21,14 @@
 	f.step(JobChanged{JobID: id, Version: 100 + f.version, Record: storage.OpenJob{Spec: spec}})
 }
 
-// gangFixture is a schedulerFixture whose workers are played: each carries out its commands and
-// reports the tasks that it has.
+// gangFixture is a schedulerFixture with simulated workers: each executes the start and forget commands
+// that it receives, and lists its tasks in its heartbeats.
 type gangFixture struct {
 	*schedulerFixture
-	tasks [][]protocol.TaskStatus // on each machine
+	tasks [][]protocol.TaskStatus // the tasks on each machine
 }
 
+// newGangFixture returns a fixture whose machines have sent two heartbeats.
 func newGangFixture(t *testing.T, machines int) *gangFixture {
 	f := &gangFixture{
 		schedulerFixture: newSchedulerFixture(t, machines),
@@ -38,8 +39,8 @@
 	return f
 }
 
-// newStartedGang is a gang, job-1, that fills some of the machines, a machine for each of its tasks,
-// and whose starts have arrived.
+// newFixtureWithStartedGang returns a fixture with a gang, job-1, each task of which fills a machine.
+// The workers have received its start commands.
 func newFixtureWithStartedGang(t *testing.T, machines, tasks int) *gangFixture {
 	f := newGangFixture(t, machines)
 	f.submitGang("job-1", tasks, 8)
@@ -47,8 +48,8 @@
 	return f
 }
 
-// reportAll lets every machine send a heartbeat and carry out the commands of the answer, and the
-// direct commands that come of it.
+// reportAll sends a heartbeat from every machine, executes the commands in its reply, and delivers the
+// direct commands that result from the heartbeat.
 func (f *gangFixture) reportAll() {
 	f.t.Helper()
 	for i := range f.tasks {
@@ -59,8 +60,8 @@
 	}
 }
 
-// deliver lets machines carry out and answer the direct commands among some effects, and those that
-// come of the answers.
+// deliverDirectCommands executes the direct commands among some effects on their machines and passes
+// the answers to the scheduler. It does the same with the direct commands that result from them.
 func (f *gangFixture) deliverDirectCommands(effects []Effect) {
 	for _, effect := range effects {
 		sent, ok := effect.(SendDirectCommands)
@@ -77,7 +78,7 @@
 	}
 }
 
-// carryOut carries out starts and forgets on a machine. Stops are left to the test.
+// executeCommands executes start and forget commands on a machine. The test handles stop commands.
 func (f *gangFixture) executeCommands(i int, commands []protocol.Command) {
 	for _, command := range commands {
 		index := slices.IndexFunc(f.tasks[i], func(task protocol.TaskStatus) bool {
@@ -93,7 +94,7 @@
 	}
 }
 
-// setState sets the state of every task of a job that has not ended.
+// setTaskStates sets the state of all tasks of a job that have not ended.
 func (f *gangFixture) setTaskStates(job string, state protocol.TaskState) {
 	for _, tasks := range f.tasks {
 		for i := range tasks {
@@ -104,7 +105,7 @@
 	}
 }
 
-// endTask ends a task on a machine.
+// endTask marks a task on a machine as ended for a reason.
 func (f *gangFixture) endTask(machine int, task string, reason protocol.EndReason) {
 	for i := range f.tasks[machine] {
 		if f.tasks[machine][i].Task == task {
@@ -113,8 +114,8 @@
 	}
 }
 
-// findTask returns the machine that has a task that has not ended, and its attempt; -1 if there is
-// none.
+// findTask returns the machine on which a task has not ended, and the task's attempt number. The
+// machine is -1 if there is none.
 func (f *gangFixture) findTask(name string) (machine int, attempt uint64) {
 	for i := range f.tasks {
 		for _, task := range f.tasks[i] {
@@ -126,7 +127,8 @@
 	return -1, 0
 }
 
-// commandsOf collects the commands of a verb among some effects, direct ones and those of answers.
+// commandsWithVerb returns the commands with a verb among some effects, from both direct commands and
+// heartbeat replies.
 func commandsWithVerb(effects []Effect, verb protocol.CommandVerb) []protocol.Command {
 	var found []protocol.Command
 	for _, effect := range effects {
@@ -146,13 +148,13 @@
 	return found
 }
 
-// checkNoFailure checks that no failure counts against a machine and a job.
+// checkNoFailureCounted checks that no failure has been recorded for a machine or a job.
 func (f *gangFixture) checkNoFailureCounted(machine int, job string) {
 	f.t.Helper()
 	if failures := f.scheduler.inventory.find(f.machine(machine)).consecutiveFailures; failures != 0 {
-		f.t.Errorf("counted as %d failures of the machine", failures)
+		f.t.Errorf("machine %d has %d consecutive failures, want none", machine, failures)
 	}
 	if failed := f.scheduler.jobs.find(job).failedMachines; len(failed) != 0 {
-		f.t.Errorf("counted as a failure of the job: %v", failed)
+		f.t.Errorf("%s has failed on machines %v, want none", job, failed)
 	}
 }
--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -9,8 +9,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestGangReplacement: a task that is lost while the gang gathers gets another machine under the
-// same attempt number, never the one that may know that attempt; under a new leader as well, which
+// TestLostGangTaskReplaced checks that a task that is lost while its gang gathers is placed on another
+// machine with the same attempt number. The machine that lost it may know that attempt, and its worker
+// would take a new start command for a duplicate. See TestGangAfterFailover for a new leader, which
 // learns the number from heartbeats.
 func TestLostGangTaskReplaced(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 3, 2)
@@ -18,20 +19,22 @@
 	other, _ := f.findTask("job-1/1")
 	f.setTaskStates("job-1", protocol.TaskGathering)
 	f.reportAll()
-	// No fault of the machine, which has the image and would be the best.
+	// ReasonNoRoom doesn't count as a failure of the machine, so the scheduler would prefer it again: it
+	// has the image.
 	f.endTask(lostOn, "job-1/0", protocol.ReasonNoRoom)
 	f.reportAll()
 	again, same := f.findTask("job-1/0")
 	if again == lostOn || again == other || again < 0 || same != attempt {
-		t.Fatalf("replaced on %d by attempt %x; lost on %d, attempt %x", again, same, lostOn, attempt)
+		t.Fatalf("task replaced on machine %d with attempt %x; lost on machine %d with attempt %x",
+			again, same, lostOn, attempt)
 	}
 	if stays, _ := f.findTask("job-1/1"); stays != other || f.scheduler.jobs.find("job-1").assignments[1].stopping {
-		t.Error("the task that waits was stopped")
+		t.Error("the gathering task was stopped")
 	}
 }
 
-// TestGangNotReplacedTooLate: without a machine for a lost task the whole gang is stopped, and waits
-// again under a new attempt.
+// TestGangStoppedWithoutReplacement checks that the whole gang is stopped if there is no machine for a
+// lost task, and that it gets a new attempt number afterwards.
 func TestGangStoppedWithoutReplacement(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 2, 2)
 	lostOn, attempt := f.findTask("job-1/0")
@@ -41,20 +44,20 @@
 	f.endTask(lostOn, "job-1/0", protocol.ReasonError)
 	f.report(lostOn, f.tasks[lostOn]...)
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 1 || stops[0].Task != "job-1/1" {
-		t.Fatalf("stops: %+v", f.effects)
+		t.Fatalf("want one stop command, for job-1/1; effects: %+v", f.effects)
 	}
 	f.deliverDirectCommands(f.effects)
 	f.endTask(other, "job-1/1", protocol.ReasonStopped)
 	f.reportAll()
 	f.reportAll()
 	if j := f.scheduler.jobs.find("job-1"); j.gang.attempt == attempt {
-		t.Errorf("the same attempt again: %+v", j.gang)
+		t.Errorf("the gang has the same attempt number as before: %+v", j.gang)
 	}
 }
 
-// TestGangLostWhileRunning: what is left of a gang that lost a task is ended at once, and the next
-// attempt starts only when the last task of the old one is gone: a task that is still on its
-// machine would run twice.
+// TestGangAbortedAfterTaskLoss checks that the remaining tasks of a running gang are stopped without
+// saving when one task is lost, and that the next attempt starts only when no task of the old attempt
+// is left on a machine. Otherwise a task could run twice at the same time.
 func TestGangAbortedAfterTaskLoss(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 3, 2)
 	lostOn, attempt := f.findTask("job-1/0")
@@ -65,26 +68,27 @@
 	f.report(lostOn)
 	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 1 || stops[0].Task != "job-1/1" || *stops[0].GraceS != 0 {
-		t.Fatalf("stops: %+v", stops)
+		t.Fatalf("stop commands %+v, want one without a grace period, for job-1/1", stops)
 	}
 	f.deliverDirectCommands(f.effects)
 	for range 3 {
 		f.reportAll()
 		if starts := commandsWithVerb(f.effects, protocol.CommandStart); len(starts) != 0 {
-			t.Fatalf("started while a task is there: %+v", starts)
+			t.Fatalf("start commands while a task of the old attempt is on a machine: %+v", starts)
 		}
 	}
 	f.endTask(other, "job-1/1", protocol.ReasonPeers)
 	f.reportAll()
 	f.reportAll()
 	if machine, again := f.findTask("job-1/0"); machine < 0 || again <= attempt {
-		t.Errorf("next attempt: on %d, %x after %x", machine, again, attempt)
+		t.Errorf("job-1/0 on machine %d with attempt %x; want it on a machine with an attempt after %x",
+			machine, again, attempt)
 	}
 	f.checkNoFailureCounted(other, "job-1")
 }
 
-// TestGangStopsAsAWhole: a notice for one machine stops the gang on all, in one step, with time to
-// save, however many direct commands are on their way.
+// TestGangStopsAsAWhole checks that a spot notice for one machine stops all tasks of the gang in the
+// same step and with time to save, even when the limit of direct commands in flight is reached.
 func TestGangStopsAsAWhole(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 3, 3)
 	f.setTaskStates("job-1", protocol.TaskRunning)
@@ -95,17 +99,17 @@
 	f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: heartbeat})
 	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 3 {
-		t.Fatalf("stops: %+v", stops)
+		t.Fatalf("want 3 stop commands, got %+v", stops)
 	}
 	for _, stop := range stops {
 		if *stop.GraceS < 3 {
-			t.Errorf("no time to save: %+v", stop)
+			t.Errorf("grace period too short to save: %+v", stop)
 		}
 	}
 }
 
-// TestGangStopGoesOnAfterTakeOver: a new leader that finds a task of a gang saving stops the rest,
-// before it knows all machines.
+// TestGangStopContinuesAfterFailover checks that a new leader that finds a task of a gang saving stops
+// the other tasks too, even during recovery, when not all machines have sent a heartbeat.
 func TestGangStopContinuesAfterFailover(t *testing.T) {
 	f := newSchedulerFixture(t, 3)
 	f.submitGang("job-1", 2, 8)
@@ -113,12 +117,13 @@
 	f.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskSaving})
 	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 2 || f.scheduler.recovery.hasEnded() {
-		t.Fatalf("stops: %+v", stops)
+		t.Fatalf("want 2 stop commands during recovery, got %+v; recovery ended: %v",
+			stops, f.scheduler.recovery.hasEnded())
 	}
 }
 
-// TestGangAfterTakeOver: a new leader completes a gang that gathers, under the number that its
-// heartbeats show; it ends one that ran and has lost a task.
+// TestGangAfterFailover checks that a new leader completes a gathering gang with the attempt number
+// that the heartbeats report, but stops a running gang that has lost a task.
 func TestGangAfterFailover(t *testing.T) {
 	for _, c := range []struct {
 		state     protocol.TaskState
@@ -133,16 +138,16 @@
 			stops := commandsWithVerb(f.effects, protocol.CommandStop)
 			switch {
 			case c.completed && (len(starts) != 1 || starts[0].Attempt != 7 || starts[0].Task != "job-1/1"):
-				t.Errorf("not completed: %+v", f.effects)
+				t.Errorf("want one start command, for job-1/1 with attempt 7; effects: %+v", f.effects)
 			case !c.completed && (len(starts) != 0 || len(stops) != 1):
-				t.Errorf("not ended: %+v", f.effects)
+				t.Errorf("want one stop command and no start command; effects: %+v", f.effects)
 			}
 		})
 	}
 }
 
-// TestGangDone: when one task is done all are, so the job is, also while heartbeats of the others are
-// still to come; but their tasks stay assigned.
+// TestGangDone checks that the job is done as soon as one task of the gang is reported done, because
+// all tasks of a gang end together. The other tasks stay assigned until their machines report them.
 func TestGangDone(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 2, 2)
 	machine, _ := f.findTask("job-1/0")
@@ -158,22 +163,22 @@
 		}
 	}
 	if !final {
-		t.Fatalf("no final record: %+v", f.effects)
+		t.Fatalf("no final record written; effects: %+v", f.effects)
 	}
 	if allocated := f.scheduler.jobs.team("red").allocated; allocated.CPUs != 8 {
-		t.Errorf("the other task counts no more: %+v", allocated)
+		t.Errorf("team has %+v allocated, want 8 CPUs for the other task", allocated)
 	}
 	f.submitGang("job-2", 2, 8)
 	if starts := commandsWithVerb(f.effects, protocol.CommandStart); len(starts) != 0 {
-		t.Errorf("its machine was given away: %+v", starts)
+		t.Errorf("job-2 started although a machine still has a task of job-1: %+v", starts)
 	}
 }
 
-// TestGangIncomplete: a gang whose tasks gave up waiting is neither the machines' fault nor the
-// job's, and starts again as a whole.
+// TestGangIncomplete checks that a gang whose tasks stop waiting for each other starts again as a whole,
+// and that this counts neither as a failure of a machine nor of the job.
 func TestGangIncomplete(t *testing.T) {
-	// There is a machine for another task in place of the one that gave up; but the rest will give up
-	// as well.
+	// The third machine could run a replacement for the task that stopped waiting, but the other task
+	// will soon stop waiting as well.
 	f := newFixtureWithStartedGang(t, 3, 2)
 	first, attempt := f.findTask("job-1/0")
 	second, _ := f.findTask("job-1/1")
@@ -182,19 +187,21 @@
 	f.endTask(first, "job-1/0", protocol.ReasonIncomplete)
 	f.report(first, f.tasks[first]...)
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 1 {
-		t.Fatalf("the other task still waits: %+v", f.effects)
+		t.Fatalf("want one stop command, for the other task; effects: %+v", f.effects)
 	}
 	f.deliverDirectCommands(f.effects)
 	f.endTask(second, "job-1/1", protocol.ReasonStopped)
 	f.reportAll()
 	f.reportAll()
 	if machine, again := f.findTask("job-1/0"); machine < 0 || again <= attempt {
-		t.Errorf("not started again: %d %x", machine, again)
+		t.Errorf("job-1/0 on machine %d with attempt %x; want it on a machine with an attempt after %x",
+			machine, again, attempt)
 	}
 	f.checkNoFailureCounted(first, "job-1")
 }
 
-// TestGangCancelled: a cancelled gang is ended in every state, at once and without saving.
+// TestGangCancelled checks that all tasks of a cancelled gang are stopped in the same step and without
+// saving, in every task state before the end.
 func TestGangCancelled(t *testing.T) {
 	for _, state := range []protocol.TaskState{protocol.TaskFetching, protocol.TaskGathering, protocol.TaskRunning} {
 		t.Run(string(state), func(t *testing.T) {
@@ -204,26 +211,26 @@
 			f.cancel("job-1", 0)
 			stops := commandsWithVerb(f.effects, protocol.CommandStop)
 			if len(stops) != 2 || *stops[0].GraceS != 0 {
-				t.Errorf("stops %+v", stops)
+				t.Errorf("stop commands %+v, want 2 without a grace period", stops)
 			}
 		})
 	}
 }
 
-// TestGangOfSeveralAttempts: tasks of one gang that show different attempts never find each other,
-// so all are stopped.
+// TestGangWithMixedAttempts checks that all tasks of a gang are stopped if they report different
+// attempt numbers: tasks of different attempts would never connect to each other.
 func TestGangWithMixedAttempts(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	f.submitGang("job-1", 2, 8)
 	f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskGathering})
 	f.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.TaskGathering})
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 2 {
-		t.Errorf("stops: %+v", f.effects)
+		t.Errorf("want 2 stop commands; effects: %+v", f.effects)
 	}
 }
 
-// TestGangSavesBeforeItsMachineGoes: a machine that fails its tasks is returned only after gangs on
-// it have had the time to save.
+// TestGangSavesBeforeMachineIsReturned checks that a faulty machine is returned only after gangs on it
+// have had time to save.
 func TestGangSavesBeforeMachineIsReturned(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 2, 2)
 	f.setTaskStates("job-1", protocol.TaskRunning)
@@ -232,7 +239,7 @@
 	m.consecutiveFailures, m.failedJobs = limits.FaultyFailures, map[string]bool{"job-9": true}
 	f.step(Tick{Entitled: true})
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 2 || m.deleting {
-		t.Fatalf("stops: %+v, deleting %v", stops, m.deleting)
+		t.Fatalf("stop commands %+v, want 2; machine is being returned: %v, want false", stops, m.deleting)
 	}
 	for range 12 {
 		f.now += time.Second
@@ -240,13 +247,14 @@
 		f.step(Tick{Entitled: true})
 	}
 	if !m.deleting {
-		t.Error("the machine is not returned although the time to save is over")
+		t.Error("the machine is not returned after the time to save is over")
 	}
 }
 
-// TestGangAttemptKnownToWorker: a machine that lists a task of the attempt as ended takes no start
-// of it for a new one. A new leader, which does not remember where tasks were lost, sends the
-// replacement elsewhere; and if such a start goes out, the task does not stay assigned.
+// TestGangAttemptKnownToWorker checks that a lost task is not placed on a machine that lists a task of
+// the same attempt as ended, because the worker would treat the start command as a duplicate. A new
+// leader knows this only from the list in the heartbeat. If such a start command is sent anyway, the
+// task must not stay assigned.
 func TestGangAttemptKnownToWorker(t *testing.T) {
 	ended := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskEnded, Reason: protocol.ReasonNoRoom}
 	waiting := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskGathering}
@@ -256,10 +264,10 @@
 	f.report(1, waiting)
 	f.report(2)
 	if starts := commandsWithVerb(f.effects, protocol.CommandStart); len(starts) != 1 || starts[0].Attempt != 7 {
-		t.Fatalf("starts: %+v", f.effects)
+		t.Fatalf("want one start command with attempt 7; effects: %+v", f.effects)
 	}
 	if m := f.scheduler.jobs.find("job-1").assignments[0].machine; m.name != f.machine(2) {
-		t.Errorf("replaced on %s", m.name)
+		t.Errorf("task replaced on %s, want %s", m.name, f.machine(2))
 	}
 	f = newSchedulerFixture(t, 2)
 	f.submitGang("job-1", 2, 8)
@@ -271,6 +279,6 @@
 	}
 	f.report(0, ended)
 	if assigned := j.assignments[0]; assigned != nil {
-		t.Errorf("still assigned: %+v", assigned)
+		t.Errorf("job-1/0 is still assigned: %+v", assigned)
 	}
 }
--- a/internal/coordination/scheduler/gang_placement_test.go
+++ b/internal/coordination/scheduler/gang_placement_test.go
@@ -7,30 +7,30 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestGangTogether: a gang gets all its machines in one pass and one attempt number, or none; a
-// smaller one behind it is not kept waiting.
+// TestGangPlacedAllOrNothing checks that all tasks of a gang are placed in one pass with the same attempt
+// number, or none of them, and that a gang that doesn't fit doesn't block a smaller one behind it.
 func TestGangPlacedAllOrNothing(t *testing.T) {
 	f := newGangFixture(t, 2)
 	f.submitGang("job-1", 5, 4)
 	assigned := len(f.scheduler.jobs.find("job-1").assignments)
 	if got := commandsWithVerb(f.effects, protocol.CommandStart); len(got) != 0 || assigned != 0 {
-		t.Fatalf("a part of a gang that does not fit was started: %+v", got)
+		t.Fatalf("%d tasks of a gang that does not fit are assigned; start commands: %+v", assigned, got)
 	}
 	f.submitGang("job-2", 4, 4)
 	got := commandsWithVerb(f.effects, protocol.CommandStart)
 	if len(got) != 4 {
-		t.Fatalf("starts: %+v", got)
+		t.Fatalf("start commands %+v, want 4", got)
 	}
 	for _, start := range got {
 		if start.Attempt != got[0].Attempt {
-			t.Errorf("attempts differ: %+v", got)
+			t.Errorf("attempt numbers differ: %+v", got)
 		}
 	}
 }
 
-// TestGangWaitsForConfirmedResources: a gang that preempts others sends no start before the last of
-// them is known to be gone, so that it never has a part of its machines while another job has the
-// rest.
+// TestGangWaitsForConfirmedResources checks that no start command of a gang is sent until all tasks that
+// it preempts are reported ended. Otherwise the gang could hold some of its machines while another job
+// holds the rest.
 func TestGangWaitsForConfirmedResources(t *testing.T) {
 	f := newGangFixture(t, 2)
 	f.job("job-1", "red", "low", 2, 6, 0)
@@ -40,14 +40,14 @@
 	f.submitGang("job-2", 2, 8, func(s *protocol.Spec) { s.Priority, s.DeadlineS = "high", 12 })
 	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 2 {
-		t.Fatalf("stops: %+v", f.effects)
+		t.Fatalf("want 2 stop commands; effects: %+v", f.effects)
 	}
 	f.deliverDirectCommands(f.effects)
 	f.endTask(0, "job-1/0", protocol.ReasonStopped)
 	f.endTask(0, "job-1/1", protocol.ReasonStopped)
 	f.report(0, f.tasks[0]...)
 	if got := commandsWithVerb(f.effects, protocol.CommandStart); len(got) != 0 {
-		t.Fatalf("started while the other machine is not free: %+v", got)
+		t.Fatalf("start commands while the second machine is not free: %+v", got)
 	}
 	f.endTask(1, "job-1/0", protocol.ReasonStopped)
 	f.endTask(1, "job-1/1", protocol.ReasonStopped)
@@ -59,12 +59,12 @@
 		}
 	}
 	if got != 2 {
-		t.Fatalf("%d starts once both machines are free: %+v", got, f.effects)
+		t.Fatalf("%d start commands for job-2 with both machines free, want 2; effects: %+v", got, f.effects)
 	}
 }
 
-// TestGangVictim: a gang that is preempted counts once, with the cost of all its tasks, and frees
-// resources on all its machines.
+// TestGangPreemptedAsAWhole checks that a gang is a single preemption option, with the cost of all its
+// tasks, and that its preemption frees resources on all its machines.
 func TestGangPreemptedAsAWhole(t *testing.T) {
 	f := newGangFixture(t, 2)
 	f.submitGang("job-1", 4, 4, func(s *protocol.Spec) { s.Priority, s.CheckpointS, s.SaveS = "low", 0, 0 })
@@ -80,18 +80,20 @@
 	options := f.scheduler.placement.preemptionOptions(f.scheduler.jobs.find("job-2"), m, nil)
 	oneTask := f.scheduler.placement.taskPreemptionCost(f.scheduler.jobs.find("job-1").assignments[0])
 	if len(options) != 1 || options[0].Resources.CPUs != 8 || options[0].Cost < 3.9*oneTask {
-		t.Fatalf("victims: %+v, cost of a task %v", options, oneTask)
+		t.Fatalf("preemption options %+v, want one with 8 CPUs and the cost of 4 tasks; one task costs %v",
+			options, oneTask)
 	}
 	f.job("job-3", "red", "high", 2, 8, 12)
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 4 {
-		t.Errorf("stops: %+v", stops)
+		t.Errorf("stop commands %+v, want 4", stops)
 	}
 	if assigned := len(f.scheduler.jobs.find("job-3").assignments); assigned != 2 {
-		t.Errorf("%d of 2 tasks are assigned to the machines that the gang leaves", assigned)
+		t.Errorf("%d of 2 tasks are assigned to the machines of the preempted gang", assigned)
 	}
 }
 
-// TestGangRunnable: a gang must fit into its team's limit as a whole, an array with one task.
+// TestGangMustFitTeamLimit checks that CanEverRun compares the team's limit with the demand of all tasks
+// of a gang, but with that of a single task of an array.
 func TestGangMustFitTeamLimit(t *testing.T) {
 	types := []protocol.MachineType{{Name: "s8", CPUs: 8, Accelerators: 2, MemoryGB: 32, Zones: []string{"a"}}}
 	spec := protocol.Spec{Shape: protocol.ShapeGang, Tasks: 4, CPUs: 8, Accelerators: 1, MemoryGB: 1}
@@ -105,24 +107,24 @@
 		{"too few accelerators", 32, 3, false},
 	} {
 		if got := CanEverRun(&spec, types, c.cpusLimit, c.gpusLimit); got != c.want {
-			t.Errorf("%s: gang can run: %v", c.name, got)
+			t.Errorf("%s: CanEverRun of the gang is %v, want %v", c.name, got, c.want)
 		}
 	}
 	spec.Shape = protocol.ShapeArray
 	if !CanEverRun(&spec, types, 8, 1) {
-		t.Error("array refused")
+		t.Error("CanEverRun of an array is false with a limit of one task, want true")
 	}
 }
 
-// TestCommittedResourcesAreKept: the start of a more urgent task, which was promised resources that
-// are not free yet, does not use those that a gang was committed to.
+// TestCommittedResourcesAreKept checks that resources committed to a gang's task are not used to start a
+// task of higher priority that still waits for the resources of a stopping task.
 func TestCommittedResourcesAreKept(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
 	f.job("job-1", "red", "low", 1, 4, 0)
-	f.job("job-2", "red", "high", 1, 64, 0) // fits no machine; assigned by hand below
+	f.job("job-2", "red", "high", 1, 64, 0) // fits on no machine; the test assigns it below
 	s, m := f.scheduler, f.scheduler.inventory.find(f.machine(0))
-	f.submitGang("job-3", 2, 8) // does not fit
+	f.submitGang("job-3", 2, 8) // does not fit; the test assigns one task below
 	stopping := s.jobs.find("job-1").assignments[0]
 	stopping.state = stateRunning
 	s.assignments.stop(stopping, "for job-2")
@@ -134,6 +136,6 @@
 	reply := HeartbeatReply{Commands: s.assignments.buildCommands(m, inHeartbeatReply, nil)}
 	starts := commandsWithVerb([]Effect{reply}, protocol.CommandStart)
 	if len(starts) != 1 || starts[0].Task != "job-3/0" {
-		t.Errorf("starts: %+v", starts)
+		t.Errorf("start commands %+v, want one, for job-3/0", starts)
 	}
 }
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -229,7 +229,7 @@
 
 // chooseZone returns the zone in which to reserve machines for gangs that must be in one zone: the
 // previous zone if a machine that was reserved there may still be, or else the zone with most machines
-// that may be reserved. It clears the previous zone of the demand.
+// that may be reserved. It clears d.reservedZone, which the caller sets to the result.
 func (r *gangReservations) chooseZone(d *gangDemand) string {
 	reserved, reservable := map[string]int{}, map[string]int{}
 	previous := d.reservedZone
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -12,8 +12,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestGangReservations: where gangs should start sooner than a machine boots, independent tasks leave
-// as much free as gangs lately used, until they have waited for long.
+// TestGangReservations checks that independent tasks leave as many CPUs free as gangs recently used, if
+// these gangs should start sooner than a machine boots, and that a job that has waited for
+// GangReservationYieldAge may use the reserved machines.
 func TestGangReservations(t *testing.T) {
 	f := newGangFixture(t, 2)
 	f.scheduler.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "g", WithinS: 2, Share: 0.9}}
@@ -43,7 +44,7 @@
 		}
 	}
 	if free < 4 {
-		t.Fatalf("independent tasks use what is reserved: %v CPUs left", free)
+		t.Fatalf("independent tasks use reserved machines: %v CPUs are free there, want at least 4", free)
 	}
 	for end := f.now + limits.GangReservationYieldAge + 2*time.Second; f.now < end; f.now += time.Second {
 		f.reportAll()
@@ -51,12 +52,14 @@
 		f.deliverDirectCommands(f.effects)
 	}
 	if assigned := len(f.scheduler.jobs.find("job-2").assignments); assigned < 12 {
-		t.Errorf("still reserved for gangs although the job has waited for long: %d tasks assigned", assigned)
+		t.Errorf("%d tasks of the waiting job are assigned, want at least 12: it may use reserved machines now",
+			assigned)
 	}
 }
 
-// TestGangThatCannotBeComplete: no machine is rented or reserved for a gang that is spread over more
-// zones than there are, nor for long for one that the cloud has not enough machines for.
+// TestNoMachinesForUnplaceableGang checks that no machine is rented for a gang that must be spread over
+// more zones than there are, and that machines are kept for a gang for which the cloud has too few only
+// until GangCapacityTimeout.
 func TestNoMachinesForUnplaceableGang(t *testing.T) {
 	f := newGangFixture(t, 1)
 	f.submitGang("job-1", 4, 8, func(s *protocol.Spec) { s.SpreadZones = true })
@@ -66,7 +69,7 @@
 		for _, effect := range f.effects {
 			write, ok := effect.(WriteRecords)
 			if ok && strings.HasPrefix(write.Operations[0].Put, storage.PrefixRental) {
-				t.Fatalf("rented for a gang that no zones can hold: %+v", write)
+				t.Fatalf("machines rented for a gang that cannot be spread over the zones: %+v", write)
 			}
 		}
 	}
@@ -90,13 +93,15 @@
 		f.reportAll()
 		f.step(Tick{Entitled: true})
 		if m := f.scheduler.inventory.find(f.machine(0)); m.neededByPlan != c.needed {
-			t.Errorf("after %v: its machine is needed: %v", c.age, m.neededByPlan)
+			t.Errorf("%v after the submission: machine needed by the plan: %v, want %v",
+				c.age, m.neededByPlan, c.needed)
 		}
 	}
 }
 
-// TestGangReservationZone: machines for gangs that must be in one zone stay where they were reserved
-// before; otherwise they are reserved where most machines are that may be.
+// TestGangReservationZone checks the zone in which machines are reserved for gangs that must be in one
+// zone: the previous zone if machines are still reserved there, or else the zone with most machines
+// that may be reserved.
 func TestGangReservationZone(t *testing.T) {
 	machines := []*machine{
 		newTestMachine("m-0", "a", 8),
@@ -111,9 +116,9 @@
 		name, previous, reservedMachine string
 		want                            string
 	}{
-		{name: "no zone yet", want: "b"},
-		{name: "reserved before", previous: "a", reservedMachine: "m-0", want: "a"},
-		{name: "nothing left there", previous: "c", want: "b"},
+		{name: "no previous zone", want: "b"},
+		{name: "machine reserved in the previous zone", previous: "a", reservedMachine: "m-0", want: "a"},
+		{name: "no reserved machine left in the previous zone", previous: "c", want: "b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, m := range machines {
@@ -126,8 +131,8 @@
 	}
 }
 
-// TestGangReservationShare: machines are reserved up to a share of all; more are needed by the plan, and
-// what is missing then is reported.
+// TestGangReservationShare checks that at most GangReservationShare of all machines are reserved, that
+// further machines are only marked as needed by the plan, and that the CPUs still missing are returned.
 func TestGangReservationShare(t *testing.T) {
 	var machines []*machine
 	for _, name := range []string{"m-0", "m-1", "m-2", "m-3"} {
@@ -147,6 +152,7 @@
 		}
 	}
 	if want := int(limits.GangReservationShare * 4); reserved != want || needed != 4 || missing != 8 {
-		t.Errorf("%d reserved, want %d; %d needed, %v CPUs missing", reserved, want, needed, missing)
+		t.Errorf("%d machines reserved, %d needed, %v CPUs missing; want %d, 4 and 8",
+			reserved, needed, missing, want)
 	}
 }
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -6,8 +6,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestGangNext: what is to be done with a gang, and its state after that, for what its assignments
-// show.
+// TestGangNextAction checks the action that is chosen for a gang, and the gang's state after that,
+// for combinations of its previous state and the states of its assignments.
 func TestGangNextAction(t *testing.T) {
 	sent := func(state assignmentState, attempt uint64) *assignment {
 		return &assignment{state: state, attempt: attempt}
@@ -18,7 +18,7 @@
 		name        string
 		state       gangState
 		abortReason string
-		assignments []*assignment // of two tasks
+		assignments []*assignment // the gang has two tasks
 		recovering  bool
 		wantAction  gangAction
 		wantState   gangState
@@ -39,7 +39,7 @@
 		{name: "running, one lost, recovery not ended", state: gangWaiting,
 			assignments: []*assignment{sent(stateRunning, 7)}, recovering: true,
 			wantAction: gangContinue, wantState: gangRunning},
-		{name: "gave up", state: gangGathering, abortReason: "incomplete",
+		{name: "abort reason known", state: gangGathering, abortReason: "incomplete",
 			assignments: []*assignment{sent(stateGathering, 7)},
 			wantAction:  gangStop, wantState: gangGathering},
 		{name: "two attempts", state: gangWaiting,
@@ -62,13 +62,14 @@
 			g := &gang{job: j, state: c.state, abortReason: c.abortReason}
 			action, _ := g.nextAction(g.summarize(), !c.recovering)
 			if action != c.wantAction || g.state != c.wantState {
-				t.Errorf("action %d, state %s; want %d, %s", action, g.state, c.wantAction, c.wantState)
+				t.Errorf("action %d, state %s; want action %d, state %s", action, g.state, c.wantAction, c.wantState)
 			}
 		})
 	}
 }
 
-// TestGangTaskEnded: what the end of one task tells of the gang.
+// TestGangTaskEnded checks how the reason for which one task ended changes the gang's state and its
+// abort reason.
 func TestGangTaskEnded(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -77,8 +78,8 @@
 		wantState gangState
 		wantAbort bool
 	}{
-		{"not complete in time", protocol.ReasonIncomplete, false, gangGathering, true},
-		{"another one ended, so it had started", protocol.ReasonPeers, false, gangRunning, false},
+		{"gang not complete in time", protocol.ReasonIncomplete, false, gangGathering, true},
+		{"another task ended, so the gang had started", protocol.ReasonPeers, false, gangRunning, false},
 		{"stopped by an earlier leader", protocol.ReasonStopped, false, gangGathering, true},
 		{"stopped by this leader", protocol.ReasonStopped, true, gangGathering, false},
 		{"failed", protocol.ReasonError, false, gangGathering, false},
@@ -87,13 +88,15 @@
 			g := &gang{state: gangGathering}
 			g.taskEnded(&assignment{stopping: c.stopping}, c.reason)
 			if g.state != c.wantState || (g.abortReason != "") != c.wantAbort {
-				t.Errorf("state %s, abort reason %q", g.state, g.abortReason)
+				t.Errorf("state %s, abort reason %q; want state %s, an abort reason: %v",
+					g.state, g.abortReason, c.wantState, c.wantAbort)
 			}
 		})
 	}
 }
 
-// TestGangReset: a gang that starts again knows nothing of the attempt before, but stays on its list.
+// TestGangReset checks that a reset discards all data of the last attempt, but keeps the job and the
+// flag that the gang is in the list for commitGangs.
 func TestGangReset(t *testing.T) {
 	j := &job{spec: protocol.Spec{Shape: protocol.ShapeGang, Tasks: 2}}
 	g := &gang{
@@ -102,9 +105,9 @@
 	}
 	g.reset()
 	if g.state != gangWaiting || g.attempt != 0 || g.abortReason != "" || len(g.machinesWithLostTasks) != 0 {
-		t.Errorf("after the reset: %+v", g)
+		t.Errorf("data of the last attempt left after the reset: %+v", g)
 	}
 	if g.job != j || !g.awaitsCommit {
-		t.Errorf("job or list forgotten: %+v", g)
+		t.Errorf("job or awaitsCommit lost in the reset: %+v", g)
 	}
 }
