--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -50,7 +50,7 @@
 	// machinesWithLostTasks are the machines that lost a task of this attempt. Their workers may
 	// know the attempt.
 	machinesWithLostTasks map[string]bool
-	abortReason           string // why this attempt must end, as the end of a task showed; "" if it need not end
+	abortReason           string // why this attempt must be stopped, set when a task ends; "" if it need not be
 	stopStartedAt         time.Duration
 
 	lacksCapacity bool // the last capacity plan found no machines for all tasks
@@ -67,8 +67,8 @@
 	return &gang{job: j, machinesWithLostTasks: map[string]bool{}}
 }
 
-// beginAttempt records that all tasks of a waiting gang are being assigned under a new attempt
-// number. A gathering gang keeps its number when lost tasks are replaced.
+// beginAttempt changes a waiting gang to the placed state with a new attempt number. A gathering gang
+// keeps its number when lost tasks are replaced.
 func (g *gang) beginAttempt(attempt uint64) { g.state, g.attempt = gangPlaced, attempt }
 
 // commit allows the start commands of tasks to be sent. The resources for them are confirmed free.
@@ -138,8 +138,8 @@
 )
 
 // nextAction applies the summary to the gang and returns the action to take and its reason. During
-// recovery after a failover only a stop is decided, because tasks that are not assigned may still be
-// reported by machines that have sent no heartbeat yet.
+// recovery after a failover it only continues a stop that has begun, because tasks that seem to be
+// missing may still be reported by machines that have sent no heartbeat yet.
 func (g *gang) nextAction(summary gangSummary, recoveryEnded bool) (action gangAction, reason string) {
 	if g.state == gangStopping {
 		return gangStop, "the gang is being stopped"
@@ -240,7 +240,7 @@
 }
 
 // committedResources returns the resources of the tasks whose start commands have been sent to the
-// machine, and of gang tasks whose start commands may be sent.
+// machine, and of gang tasks whose start commands are allowed to be sent.
 func (m *machine) committedResources() resource.Vector {
 	var committed resource.Vector
 	for _, a := range m.assignments {
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -212,7 +212,7 @@
 }
 
 // cheaperThan compares two placements by the cost of preemption, then by the number of machines that
-// have to fetch the image, then by the number of machines.
+// have to fetch the image, then by the number of machines used.
 func (g *gangPlacement) cheaperThan(other *gangPlacement) bool {
 	return cmp.Or(
 		cmp.Compare(g.preemptionCost, other.preemptionCost),
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -68,7 +68,7 @@
 	largestCPUs  float64       // CPUs of the largest gang since the kind was first seen
 	peaks        []demandPeak  // sliding window maximum of the CPUs; oldest first, CPUs strictly decreasing
 	reservedZone string        // zone of the reserved machines, for gangs that must be in one zone
-	lastSeenAt   time.Duration // when there was last an open job of this kind
+	lastSeenAt   time.Duration // when a gang of this kind last needed a reservation
 }
 
 // demandPeak is the number of CPUs that all gangs of a kind used or waited for at some time.
@@ -131,8 +131,8 @@
 	}
 }
 
-// updateDemand records the current demand of gangs that need reservations, by kind, and removes kinds
-// without a job for GangDemandWindow.
+// updateDemand records the current demand, by kind, of gangs that need reservations. It removes kinds
+// that have had no such gang for GangDemandWindow.
 func (r *gangReservations) updateDemand() {
 	cpusNow := map[gangKind]float64{}
 	for _, j := range r.jobs.oldestFirst() {
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -41,7 +41,8 @@
 	return g
 }
 
-// taskLost tells the gang of an assignment, if there is one, that the task has left its machine.
+// taskLost records in an assignment's gang, if it has one, that the task has left its machine, and marks
+// the gang as changed.
 func (t *gangTable) taskLost(a *assignment) {
 	if g := a.job.gang; g != nil {
 		g.taskLost(a)
@@ -49,15 +50,15 @@
 	}
 }
 
-// taskEnded tells the gang of an assignment, if there is one, why the task ended.
+// taskEnded updates an assignment's gang, if it has one, from the reason for which the task ended.
 func (t *gangTable) taskEnded(a *assignment, status *protocol.TaskStatus) {
 	if g := a.job.gang; g != nil {
 		g.taskEnded(a, status.Reason)
 	}
 }
 
-// setCompletionDeadline sets the gang's deadline when its first task reports that it waits for the
-// others. The task may have waited since the heartbeat before, so staleAfter is subtracted.
+// setCompletionDeadline sets the gang's deadline when its first task is reported gathering. The task may
+// have been waiting since the previous heartbeat, so staleAfter is subtracted.
 func (t *gangTable) setCompletionDeadline(g *gang) {
 	if g != nil && g.completionDeadline == 0 {
 		g.completionDeadline = t.now + optionalSeconds(t.cfg.Workers.GangWaitS) - t.staleAfter()
