--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -23,12 +23,12 @@
 	// has the image.
 	f.endTask(lostOn, "job-1/0", protocol.ReasonNoRoom)
 	f.reportAll()
-	again, same := f.findTask("job-1/0")
-	if again == lostOn || again == other || again < 0 || same != attempt {
+	replacedOn, newAttempt := f.findTask("job-1/0")
+	if replacedOn == lostOn || replacedOn == other || replacedOn < 0 || newAttempt != attempt {
 		t.Fatalf("task replaced on machine %d with attempt %x; lost on machine %d with attempt %x",
-			again, same, lostOn, attempt)
+			replacedOn, newAttempt, lostOn, attempt)
 	}
-	if stays, _ := f.findTask("job-1/1"); stays != other || f.scheduler.jobs.find("job-1").assignments[1].stopping {
+	if otherNow, _ := f.findTask("job-1/1"); otherNow != other || f.scheduler.jobs.find("job-1").assignments[1].stopping {
 		t.Error("the gathering task was stopped")
 	}
 }
@@ -80,9 +80,9 @@
 	f.endTask(other, "job-1/1", protocol.ReasonPeers)
 	f.reportAll()
 	f.reportAll()
-	if machine, again := f.findTask("job-1/0"); machine < 0 || again <= attempt {
+	if machine, nextAttempt := f.findTask("job-1/0"); machine < 0 || nextAttempt <= attempt {
 		t.Errorf("job-1/0 on machine %d with attempt %x; want it on a machine with an attempt after %x",
-			machine, again, attempt)
+			machine, nextAttempt, attempt)
 	}
 	f.checkNoFailureCounted(other, "job-1")
 }
@@ -193,9 +193,9 @@
 	f.endTask(second, "job-1/1", protocol.ReasonStopped)
 	f.reportAll()
 	f.reportAll()
-	if machine, again := f.findTask("job-1/0"); machine < 0 || again <= attempt {
+	if machine, nextAttempt := f.findTask("job-1/0"); machine < 0 || nextAttempt <= attempt {
 		t.Errorf("job-1/0 on machine %d with attempt %x; want it on a machine with an attempt after %x",
-			machine, again, attempt)
+			machine, nextAttempt, attempt)
 	}
 	f.checkNoFailureCounted(first, "job-1")
 }
