--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestLostGangTaskReplaced checks that a task that is lost while its gang gathers is placed on another
-// machine with the same attempt number. The machine that lost it may know that attempt, and its worker
-// would take a new start command for a duplicate. See TestGangAfterFailover for a new leader, which
+// machine with the same attempt number. The worker that lost it may know that attempt, and would treat
+// a new start command as a duplicate. TestGangAfterFailover checks the same for a new leader, which
 // learns the number from heartbeats.
 func TestLostGangTaskReplaced(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 3, 2)
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestGangDone checks that the job is done as soon as one task of the gang is reported done, because
-// all tasks of a gang end together. The other tasks stay assigned until their machines report them.
+// TestGangDone checks that the job is done as soon as one task of the gang is reported done, because a
+// gang's tasks complete together. The other tasks stay assigned until their machines report them.
 func TestGangDone(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 2, 2)
 	machine, _ := f.findTask("job-1/0")
@@ -201,7 +201,7 @@
 }
 
 // TestGangCancelled checks that all tasks of a cancelled gang are stopped in the same step and without
-// saving, in every task state before the end.
+// saving, whether they fetch their image, gather or run.
 func TestGangCancelled(t *testing.T) {
 	for _, state := range []protocol.TaskState{protocol.TaskFetching, protocol.TaskGathering, protocol.TaskRunning} {
 		t.Run(string(state), func(t *testing.T) {
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -58,8 +58,8 @@
 }
 
 // TestNoMachinesForUnplaceableGang checks that no machine is rented for a gang that must be spread over
-// more zones than there are, and that machines are kept for a gang for which the cloud has too few only
-// until GangCapacityTimeout.
+// more zones than there are. It also checks that machines are kept for a gang for which the cloud has
+// too few, but only until GangCapacityTimeout after the submission.
 func TestNoMachinesForUnplaceableGang(t *testing.T) {
 	f := newGangFixture(t, 1)
 	f.submitGang("job-1", 4, 8, func(s *protocol.Spec) { s.SpreadZones = true })
