--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("task replaced on machine %d with attempt %x; lost on machine %d with attempt %x",
 			replacedOn, newAttempt, lostOn, attempt)
 	}
-	if otherNow, _ := f.findTask("job-1/1"); otherNow != other || f.scheduler.jobs.find("job-1").assignments[1].stopping {
+	if machine, _ := f.findTask("job-1/1"); machine != other || f.scheduler.jobs.find("job-1").assignments[1].stopping {
 		t.Error("the gathering task was stopped")
 	}
 }
