--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -90,10 +90,10 @@
 	delete(m.assignments, a.taskName)
 	m.allocated = m.allocated.Minus(a.job.demand)
 	if a.stopping {
-		m.releasing = m.releasing.Minus(a.job.demand)
+		m.stoppingResources = m.stoppingResources.Minus(a.job.demand)
 	}
 	if len(m.assignments) == 0 {
-		m.allocated, m.releasing = resource.Vector{}, resource.Vector{} // no rounding is carried on
+		m.allocated, m.stoppingResources = resource.Vector{}, resource.Vector{} // no rounding is carried on
 		m.idleSince = now
 	}
 }
--- a/internal/coordination/scheduler/assignment_table.go
+++ b/internal/coordination/scheduler/assignment_table.go
@@ -99,7 +99,7 @@
 	if a.job.gang != nil {
 		t.dispatcher.enqueueUrgent(a.machine)
 	}
-	a.machine.releasing = a.machine.releasing.Plus(a.job.demand)
+	a.machine.stoppingResources = a.machine.stoppingResources.Plus(a.job.demand)
 	t.logInfo("stopping", keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt,
 		keyMachine, a.machine.name, keyReason, reason)
 }
--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -20,7 +20,7 @@
 	f.report(0, task)
 	f.cancel("job-1", 0)
 	m := f.scheduler.inventory.find(f.machine(0))
-	m.spotNotice, m.spotNoticeEnds = true, time.Hour
+	m.spotNotice, m.spotReclaimAt = true, time.Hour
 	for end := f.now + 20*time.Second; f.now < end; f.now += time.Second {
 		f.report(0, task)
 		f.step(Tick{Entitled: true})
--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -33,7 +33,7 @@
 func (c *typeCatalog) isEmpty() bool { return len(c.byName) == 0 }
 
 // quickestBoot is how many seconds the quickest machine that the job may use takes until it is up.
-func (c *typeCatalog) quickestBoot(j *job) float64 {
+func (c *typeCatalog) minBootS(j *job) float64 {
 	least := math.Inf(1)
 	for _, t := range c.sorted {
 		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
@@ -44,7 +44,7 @@
 }
 
 // fetchNow makes the next fetchIfDue fetch the types.
-func (c *typeCatalog) fetchNow() { c.nextFetchAt = 0 }
+func (c *typeCatalog) requestFetch() { c.nextFetchAt = 0 }
 
 // fetchIfDue fetches the types if the last ones are old.
 func (c *typeCatalog) fetchIfDue() {
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -51,7 +51,7 @@
 func (t *assignmentTable) appendStarts(
 	m *machine, assignments []*assignment, channel commandChannel, commands []protocol.Command,
 ) []protocol.Command {
-	size, committed := m.size(), m.committedResources()
+	capacity, committed := m.capacity(), m.committedResources()
 	for _, a := range assignments {
 		if a.state != stateUnsent {
 			continue
@@ -66,14 +66,14 @@
 		switch {
 		case a.committed:
 			// Its room is kept; see commitGangs.
-		case a.job.gang != nil || !size.Fits(committed.Plus(a.job.demand)):
+		case a.job.gang != nil || !capacity.Fits(committed.Plus(a.job.demand)):
 			continue // its room is not confirmed yet
 		default:
 			committed = committed.Plus(a.job.demand)
 		}
 		a.state, a.assignedAt = stateSent, t.now
 		if channel == inDirectCommand {
-			a.directID = t.dispatcher.nextID()
+			a.directID = t.dispatcher.peekNextID()
 		}
 		commands = append(commands, a.startCommand())
 		if len(commands) >= limits.MaxCommands {
@@ -111,7 +111,7 @@
 
 // repeatableCommands returns the commands of the last answer, without the starts that are not needed
 // any more or have arrived since.
-func (m *machine) repeatableCommands() []protocol.Command {
+func (m *machine) commandsToRepeat() []protocol.Command {
 	var commands []protocol.Command
 	for _, command := range m.lastCommands {
 		if command.Verb == protocol.CommandStart && !m.awaitsStart(command) {
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -31,7 +31,7 @@
 		switch {
 		case m == nil:
 		case e.OK:
-			s.forgetMachine(m)
+			s.removeMachine(m)
 		default:
 			m.deletionInFlight, m.nextDeletionAt = false, s.now+limits.CloudRetryInterval
 		}
@@ -41,7 +41,7 @@
 }
 
 // forgetMachine removes a machine that is gone, with everything on it.
-func (s *Scheduler) forgetMachine(m *machine) {
+func (s *Scheduler) removeMachine(m *machine) {
 	s.assignments.releaseAll(m)
 	s.inventory.remove(m)
 	s.registry.remove(m)
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -12,11 +12,11 @@
 // that this controller is behind, and then the rest goes out in the answers to the next heartbeats.
 type commandDispatcher struct {
 	*environment
-	lastID   uint64     // of direct commands
-	inFlight int        // direct commands that are not answered yet
-	waiting  []*machine // with commands that did not go out yet
-	deferred int        // of waiting, how many were held back by earlier calls
-	urgent   []*machine // that have to be told of a gang's stop
+	lastID        uint64     // of direct commands
+	inFlight      int        // direct commands that are not answered yet
+	waiting       []*machine // with commands that did not go out yet
+	deferredCount int        // of waiting, how many were held back by earlier calls
+	urgent        []*machine // that have to be told of a gang's stop
 }
 
 // newCommandDispatcher returns a dispatcher without commands.
@@ -36,27 +36,27 @@
 func (d *commandDispatcher) enqueueUrgent(m *machine) { d.urgent = append(d.urgent, m) }
 
 // nextID returns the ID that the next direct command gets.
-func (d *commandDispatcher) nextID() uint64 { return d.lastID + 1 }
+func (d *commandDispatcher) peekNextID() uint64 { return d.lastID + 1 }
 
 // takeID returns an ID that no other direct command has.
-func (d *commandDispatcher) takeID() uint64 {
+func (d *commandDispatcher) allocateID() uint64 {
 	d.lastID++
 	return d.lastID
 }
 
 // canSend reports whether a machine takes a direct command now.
-func (d *commandDispatcher) canSend(m *machine) bool {
+func (d *commandDispatcher) canSendTo(m *machine) bool {
 	known := m.address != "" && m.hasReported && m.fenced && m.hasLiveIncarnation()
-	fresh := d.now >= m.noDirectUntil && !d.isStale(m)
-	return known && fresh && m.directID == 0 && !m.relayed && !m.deleting
+	fresh := d.now >= m.directBackoffUntil && !d.isStale(m)
+	return known && fresh && m.pendingDirectID == 0 && !m.relayed && !m.deleting
 }
 
 // send sends commands to a machine that can take them.
 func (d *commandDispatcher) send(m *machine, commands []protocol.Command) {
-	m.directID = d.takeID()
+	m.pendingDirectID = d.allocateID()
 	d.inFlight++
 	d.emit(SendDirectCommands{
-		ID:          m.directID,
+		ID:          m.pendingDirectID,
 		Machine:     m.name,
 		Address:     m.address,
 		Incarnation: m.incarnation,
@@ -66,19 +66,19 @@
 
 // answered notes that a direct command is over. It reports whether the machine, nil if it is gone, still
 // waited for that.
-func (d *commandDispatcher) answered(m *machine, id uint64) bool {
+func (d *commandDispatcher) recordAnswer(m *machine, id uint64) bool {
 	d.inFlight--
-	if m == nil || m.directID != id {
+	if m == nil || m.pendingDirectID != id {
 		return false
 	}
-	m.directID = 0
+	m.pendingDirectID = 0
 	return true
 }
 
 // sendCorrections sends commands about tasks that should not be on a machine; if it is not possible
 // now, its next heartbeat brings them up again.
 func (d *commandDispatcher) sendCorrections(m *machine, commands []protocol.Command) {
-	if len(commands) > 0 && d.canSend(m) {
+	if len(commands) > 0 && d.canSendTo(m) {
 		d.send(m, commands)
 	}
 }
@@ -90,7 +90,7 @@
 	urgent := d.urgent
 	d.urgent = nil
 	for _, m := range urgent {
-		if m.hasUnsentGangStop() && d.canSend(m) {
+		if m.hasUnsentGangStop() && d.canSendTo(m) {
 			d.send(m, build(m))
 		}
 	}
@@ -103,19 +103,19 @@
 		return
 	}
 	waiting := d.waiting
-	slices.SortFunc(waiting[d.deferred:], compareNames)
-	d.waiting, d.deferred = nil, 0
+	slices.SortFunc(waiting[d.deferredCount:], compareNames)
+	d.waiting, d.deferredCount = nil, 0
 	for i, m := range waiting {
 		if d.inFlight >= limits.MaxDirectCommands {
 			d.waiting = waiting[i:]
-			d.deferred = len(d.waiting)
+			d.deferredCount = len(d.waiting)
 			return
 		}
 		if !m.dispatchQueued {
 			continue // the answer to a heartbeat has brought them
 		}
 		m.dispatchQueued = false
-		if !d.canSend(m) {
+		if !d.canSendTo(m) {
 			continue
 		}
 		if commands := build(m); len(commands) > 0 {
@@ -133,7 +133,7 @@
 // directCommandsDone handles the answer to a direct command, or its absence.
 func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
 	m := s.inventory.find(e.Machine)
-	if !s.dispatcher.answered(m, e.ID) {
+	if !s.dispatcher.recordAnswer(m, e.ID) {
 		return
 	}
 	s.reconcileDirectCommands(m, e)
@@ -149,7 +149,7 @@
 	switch {
 	case e.NotExecuted:
 		// Nothing reached the worker, or it executed nothing: these starts cannot arrive any more.
-		m.noDirectUntil = s.now + limits.DirectCommandBackoff
+		m.directBackoffUntil = s.now + limits.DirectCommandBackoff
 		for _, a := range m.sortedAssignments() {
 			if a.directID == e.ID && a.state == stateSent {
 				s.assignments.release(a)
@@ -159,11 +159,11 @@
 		// It may be carried out at any time while the incarnation and the term last. The next
 		// answers to heartbeats repeat the starts, which is harmless, and the tasks stay assigned
 		// until they show up or the incarnation ends.
-		m.noDirectUntil = s.now + limits.DirectCommandBackoff
+		m.directBackoffUntil = s.now + limits.DirectCommandBackoff
 		m.markStartsUnconfirmed(e.ID)
 	case heartbeat.Machine != e.Machine || !heartbeat.Valid():
 		// It proves nothing.
-	case m.isOutdated(heartbeat, m.sequence):
+	case m.isOutdated(heartbeat, m.taskListSequence):
 		// A later message was here first and has shown what became of the tasks, except of one that
 		// it was too early for.
 		m.markStartsUnconfirmed(e.ID)
--- a/internal/coordination/scheduler/dispatcher_test.go
+++ b/internal/coordination/scheduler/dispatcher_test.go
@@ -41,7 +41,7 @@
 }
 
 // next takes the oldest direct command that is in flight.
-func (c *startCounter) next() SendDirectCommands {
+func (c *startCounter) takeOldest() SendDirectCommands {
 	direct := c.inFlight[0]
 	c.inFlight = c.inFlight[1:]
 	return direct
@@ -71,10 +71,10 @@
 		t.Errorf("%d tasks started, not one more by the answer to a heartbeat", len(counter.starts))
 	}
 	for len(counter.inFlight) > 0 {
-		direct := counter.next()
+		direct := counter.takeOldest()
 		heartbeat := f.heartbeat(direct.Machine)
 		for _, start := range direct.Commands {
-			heartbeat.Tasks = append(heartbeat.Tasks, running(start))
+			heartbeat.Tasks = append(heartbeat.Tasks, runningStatus(start))
 		}
 		f.now -= 9 * time.Millisecond // all within the time in which these machines are not stale
 		counter.collect(f.step(DirectCommandsDone{ID: direct.ID, Machine: direct.Machine, Heartbeat: heartbeat}))
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -19,7 +19,7 @@
 	if len(direct) != 1 || verbs(direct[0].Commands, protocol.CommandStart) != 8 {
 		t.Fatalf("starts: %+v", f.effects)
 	}
-	done, other := completed(direct[0].Commands[0]), running(direct[0].Commands[1])
+	done, other := completedStatus(direct[0].Commands[0]), runningStatus(direct[0].Commands[1])
 	if done.Task != "job-1/0" || other.Task != "job-1/1" {
 		t.Fatalf("starts in another order: %+v", direct[0].Commands)
 	}
@@ -52,9 +52,9 @@
 	f.report(0)
 	f.job("job-1", "red", "standard", 2, 1, 0)
 	starts := f.direct()[0].Commands
-	tasks := []protocol.TaskStatus{completed(starts[0])}
+	tasks := []protocol.TaskStatus{completedStatus(starts[0])}
 	for _, start := range starts[1:] {
-		tasks = append(tasks, running(start))
+		tasks = append(tasks, runningStatus(start))
 	}
 	written := time.Duration(0)
 	for began := f.now; f.now < began+2*limits.MaxChunkWriteDelay && written == 0; f.now += time.Second {
@@ -76,12 +76,12 @@
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
 	m := f.scheduler.inventory.find(f.machine(0))
-	m.noDirectUntil = time.Hour // commands go out in answers to heartbeats only
+	m.directBackoffUntil = time.Hour // commands go out in answers to heartbeats only
 	f.job("job-1", "red", "standard", 1, 1, 0)
 	if n := verbs(f.report(0), protocol.CommandStart); n != 1 {
 		t.Fatalf("%d starts", n)
 	}
-	m.noDirectUntil, m.directID = 0, 77
+	m.directBackoffUntil, m.pendingDirectID = 0, 77
 	f.step(DirectCommandsDone{ID: 77, Machine: m.name, Heartbeat: f.heartbeat(f.machine(0))})
 	if len(m.assignments) != 1 {
 		t.Fatal("released by the answer to a direct command")
@@ -90,7 +90,7 @@
 	if len(m.assignments) != 1 {
 		t.Fatal("released by the answer to a probe")
 	}
-	m.noDirectUntil = time.Hour
+	m.directBackoffUntil = time.Hour
 	// Our answer was lost, so the machine is unverified and gets no start yet.
 	if n := verbs(f.report(0), protocol.CommandStart); n != 0 || len(m.assignments) != 0 {
 		t.Fatalf("after a heartbeat without it: %d starts, %d assigned", n, len(m.assignments))
@@ -122,7 +122,7 @@
 		attempt = a.attempt
 	}
 	// Its next heartbeats come on other connections. One task that it had got all the same is done.
-	done := completed(protocol.Command{Task: "job-1/0", Attempt: max(attempt, 1)})
+	done := completedStatus(protocol.Command{Task: "job-1/0", Attempt: max(attempt, 1)})
 	deleted := false
 	for range 20 {
 		f.now += time.Second
@@ -151,7 +151,7 @@
 // of them, no lease is extended, and a leader that does not know a machine that is gone does not add it.
 func TestLateCopies(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	earlierTerm := f.heartbeatWith(0, 50, running(protocol.Command{Task: "job-1/0", Attempt: 1}))
+	earlierTerm := f.heartbeatWithSequence(0, 50, runningStatus(protocol.Command{Task: "job-1/0", Attempt: 1}))
 	earlierTerm.FencingToken = 2
 	checkCopiesOfEarlierTerm(t, f, earlierTerm)
 	checkOvertakingCopy(t, f)
@@ -163,7 +163,7 @@
 func (f *schedulerFixture) answerCopy(heartbeat *protocol.Heartbeat, relayed bool) HeartbeatReply {
 	f.t.Helper()
 	copied := *heartbeat
-	return f.reply(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &copied})
+	return f.replyTo(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &copied})
 }
 
 // checkCopiesOfEarlierTerm: a heartbeat of an earlier term adds no machine that is not known; of one that
@@ -193,10 +193,10 @@
 func checkOvertakingCopy(t *testing.T, f *schedulerFixture) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
-	m.noDirectUntil = time.Hour
+	m.directBackoffUntil = time.Hour
 	f.report(0)
 	f.report(0)
-	original := f.heartbeatWith(0, f.sequence)
+	original := f.heartbeatWithSequence(0, f.sequence)
 	m.registration = registered
 	if reply := f.answerCopy(original, false); verbs(reply.Commands, protocol.CommandStart) != 1 {
 		t.Errorf("the original brings %+v", reply.Commands)
@@ -217,11 +217,11 @@
 	f.sequence = 60
 	f.report(0)
 	lastHeartbeatAt, leaseRenewedAt := m.lastHeartbeatAt, m.leaseRenewedAt
-	newest := f.heartbeatWith(0, f.sequence)
+	newest := f.heartbeatWithSequence(0, f.sequence)
 	if !f.answerCopy(newest, false).Accepted {
 		t.Error("the original behind a copy is not answered")
 	}
-	if f.answerCopy(f.heartbeatWith(0, 40), true).Accepted {
+	if f.answerCopy(f.heartbeatWithSequence(0, 40), true).Accepted {
 		t.Error("an older one is answered")
 	}
 	f.now += 30 * time.Second
@@ -278,7 +278,7 @@
 // renewed lease; so with a worker that has seen a later leader.
 func TestNotEntitled(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	heartbeat, laterTerm := f.heartbeatWith(0, 50), f.heartbeatWith(0, 50)
+	heartbeat, laterTerm := f.heartbeatWithSequence(0, 50), f.heartbeatWithSequence(0, 50)
 	laterTerm.FencingToken = 4
 	for _, e := range []HeartbeatReceived{{Heartbeat: heartbeat}, {Heartbeat: laterTerm, Entitled: true}} {
 		for _, reply := range effectsOf[HeartbeatReply](f.step(e)) {
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -73,8 +73,8 @@
 		scores[placement.GangReservation] = 1
 	}
 	scores[placement.Speed] = -1
-	if m.speedCount >= limits.MinSpeedSamples {
-		meanSpeed := m.speedSum / float64(m.speedCount)
+	if m.runTimeRatioCount >= limits.MinSpeedSamples {
+		meanSpeed := m.runTimeRatioSum / float64(m.runTimeRatioCount)
 		scores[placement.Speed] = -math.Round(meanSpeed/limits.SpeedStep) * limits.SpeedStep
 	}
 }
@@ -103,7 +103,7 @@
 
 // mayUse reports whether the job's tasks may run on the machine, whatever else runs there.
 func (j *job) mayUse(m *machine) bool {
-	return j.mayUsePool(m.pool()) && m.size().Fits(j.demand) && !j.avoids(m)
+	return j.mayUsePool(m.pool()) && m.capacity().Fits(j.demand) && !j.avoids(m)
 }
 
 // mayUsePool reports whether the job's next task may run on a machine of the pool: the job's spec
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -8,8 +8,8 @@
 	s.cloudList.readIfDue()
 	s.logSummaryIfDue()
 	s.registry.writePages()
-	s.removeFaultyMachines()
-	s.prober.probeDue()
+	s.returnUnusableMachines()
+	s.prober.probeDueMachines()
 	if s.knowsFleet() && s.planner.startIfDue() {
 		s.planCapacity()
 	}
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -99,7 +99,7 @@
 		}
 		usable := m.freeResources()
 		if search.request.preempting {
-			usable = m.size()
+			usable = m.capacity()
 		}
 		fitting[m.zone] += usable.TasksThatFit(j.demand)
 	}
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -159,7 +159,7 @@
 // for it would be up.
 func (r *gangReservations) needsReservation(j *job) bool {
 	for _, d := range j.deadlines {
-		if d.forStart && (d.at-j.submittedAt).Seconds() < r.catalog.quickestBoot(j) {
+		if d.forStart && (d.at-j.submittedAt).Seconds() < r.catalog.minBootS(j) {
 			return true
 		}
 	}
@@ -179,7 +179,7 @@
 		if missingCPUs <= 0 {
 			break
 		}
-		cpus := m.size().CPUs
+		cpus := m.capacity().CPUs
 		missingCPUs -= cpus
 		m.neededByPlan = true
 		if reservableCPUs >= cpus {
@@ -194,7 +194,7 @@
 // CPUs of all machines.
 func (r *gangReservations) candidates(d *gangDemand) (candidates []*machine, allCPUs float64) {
 	for _, m := range r.inventory.all() {
-		allCPUs += m.size().CPUs
+		allCPUs += m.capacity().CPUs
 		if !m.reservedForGangs && r.reservable(d, m) {
 			candidates = append(candidates, m)
 		}
@@ -217,7 +217,7 @@
 	if d.zone != "" && m.zone != d.zone {
 		return false
 	}
-	return d.newestJob.specAllows(m.pool()) && m.size().Fits(d.newestJob.demand)
+	return d.newestJob.specAllows(m.pool()) && m.capacity().Fits(d.newestJob.demand)
 }
 
 // chooseZone returns the zone in which machines are reserved for gangs that must be in one: where
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -10,7 +10,8 @@
 
 // isSlow reports whether a machine takes far longer for its tasks than others do for the same jobs.
 func (m *machine) isSlow() bool {
-	return m.speedCount >= limits.SlowMachineTasks && m.speedSum > limits.SlowMachineFactor*float64(m.speedCount)
+	return m.runTimeRatioCount >= limits.SlowMachineTasks &&
+		m.runTimeRatioSum > limits.SlowMachineFactor*float64(m.runTimeRatioCount)
 }
 
 // recordSuccess notes that a task completed on the machine.
@@ -28,7 +29,7 @@
 		// failures count against no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
 		j.retryAt = i.now + j.backoff
-		i.forgiveFailures(j.id)
+		i.discardFailures(j.id)
 		return
 	}
 	m.consecutiveFailures++
@@ -36,7 +37,7 @@
 }
 
 // forgiveFailures makes the failures of a job count against no machine.
-func (i *machineInventory) forgiveFailures(jobID string) {
+func (i *machineInventory) discardFailures(jobID string) {
 	for _, m := range i.sorted {
 		delete(m.failedJobs, jobID)
 	}
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -48,9 +48,9 @@
 	m.heartbeatSequence, m.address = heartbeat.Sequence, heartbeat.Address
 	m.lastHeartbeatAt = s.now
 	s.registerMachine(m)
-	s.noteSpotNotice(m, heartbeat)
+	s.recordSpotNotice(m, heartbeat)
 	var commands []protocol.Command
-	if heartbeat.Sequence > m.sequence { // else the answer to a direct command has overtaken it
+	if heartbeat.Sequence > m.taskListSequence { // else the answer to a direct command has overtaken it
 		commands = s.reconcileTasks(m, heartbeat, 0)
 	}
 	if s.holdsCancelledTask(m, s.cancelReplyDeadline) {
@@ -59,7 +59,7 @@
 	}
 	m.leaseRenewedAt = s.now
 	if m.spotNotice {
-		s.stopForSpotNotice(m)
+		s.stopTasksForSpotNotice(m)
 	}
 	if !m.verified {
 		s.assignments.releaseUnsent(m)
@@ -81,7 +81,7 @@
 		s.rejectHeartbeat(e)
 		return
 	}
-	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: m.repeatableCommands()})
+	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: m.commandsToRepeat()})
 }
 
 // answerUnfencedHeartbeat answers a heartbeat of a worker that has not seen our term. It may be a late
--- a/internal/coordination/scheduler/inventory.go
+++ b/internal/coordination/scheduler/inventory.go
@@ -89,7 +89,7 @@
 		bootTime = (m.firstReportAt - m.createdAt).Seconds()
 	}
 	i.logInfo("machine gone", keyMachine, m.name, keyReason, m.deleteReason, keyType, m.typeName, keySpot, m.spot,
-		"cpus", m.size().CPUs, "life", lifetime, "boot", bootTime,
+		"cpus", m.capacity().CPUs, "life", lifetime, "boot", bootTime,
 		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
 }
 
--- a/internal/coordination/scheduler/inventory_test.go
+++ b/internal/coordination/scheduler/inventory_test.go
@@ -38,8 +38,8 @@
 	}
 	catalog.fetched(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8}}})
 	inventory.updateTypes()
-	if m.size().CPUs != 8 {
-		t.Errorf("size %+v once the type is known", m.size())
+	if m.capacity().CPUs != 8 {
+		t.Errorf("size %+v once the type is known", m.capacity())
 	}
 	inventory.remove(m)
 	if got := names(); !slices.Equal(got, []string{"m-1", "m-3"}) || inventory.find("m-2") != nil {
--- a/internal/coordination/scheduler/job_plan.go
+++ b/internal/coordination/scheduler/job_plan.go
@@ -58,7 +58,7 @@
 // starts before a new machine can be up needs none. What has waited as long already can't wait as
 // long again, or a queue that is always as long would never be worked off.
 func (p *capacityPlan) maxWaitS(j *job) float64 {
-	wait := max(p.maxPlannedWait(j), p.catalog.quickestBoot(j))
+	wait := max(p.maxPlannedWait(j), p.catalog.minBootS(j))
 	return max(wait-(p.now-j.submittedAt).Seconds(), 0)
 }
 
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -20,7 +20,7 @@
 	machineLoad
 	machineLifecycle
 	machineHealth
-	planMarks
+	planningState
 }
 
 // machineReachability is what a worker has shown us in our term, and which way its messages come.
@@ -28,7 +28,7 @@
 	hasReported       bool // we have its task list in our term
 	fenced            bool // its worker has seen our term, so no earlier leader can add tasks
 	incarnation       uint64
-	sequence          uint64        // of the newest task list, from a heartbeat or a direct command
+	taskListSequence  uint64        // of the newest task list, from a heartbeat or a direct command
 	heartbeatSequence uint64        // of the newest heartbeat
 	lastHeartbeatAt   time.Duration // arrival of that
 	firstReportAt     time.Duration
@@ -52,20 +52,20 @@
 
 // machineCommands is what the worker was told and has to be told.
 type machineCommands struct {
-	lastCommands   []protocol.Command // answer to the newest heartbeat
-	dispatchQueued bool               // has commands that did not go out yet
-	directID       uint64             // a direct command that is not answered yet, or 0
-	noDirectUntil  time.Duration      // no direct commands before this
+	lastCommands       []protocol.Command // answer to the newest heartbeat
+	dispatchQueued     bool               // has commands that did not go out yet
+	pendingDirectID    uint64             // a direct command that is not answered yet, or 0
+	directBackoffUntil time.Duration      // no direct commands before this
 }
 
 // machineLoad is what is on the machine, or on its way to it.
 type machineLoad struct {
-	assignments  map[string]*assignment // by the task's name
-	endedTasks   map[attemptKey]endedTask
-	allocated    resource.Vector          // of all assignments
-	releasing    resource.Vector          // the part of allocated whose tasks were told to stop
-	cachedImages map[string]time.Duration // when each was last seen
-	idleSince    time.Duration            // when the last assignment ended
+	assignments       map[string]*assignment // by the task's name
+	endedTasks        map[attemptKey]endedTask
+	allocated         resource.Vector          // of all assignments
+	stoppingResources resource.Vector          // the part of allocated whose tasks were told to stop
+	cachedImages      map[string]time.Duration // when each was last seen
+	idleSince         time.Duration            // when the last assignment ended
 }
 
 // machineLifecycle is the way of a machine from its rental to its deletion.
@@ -78,8 +78,8 @@
 	listed       bool // was in the cloud's list
 	missingLists int  // lists in a row that lack it since
 
-	spotNotice     bool // the cloud takes it back soon
-	spotNoticeEnds time.Duration
+	spotNotice    bool // the cloud takes it back soon
+	spotReclaimAt time.Duration
 
 	deleting         bool // is to be deleted; there is no way back
 	deleteReason     string
@@ -91,15 +91,15 @@
 type machineHealth struct {
 	consecutiveFailures int
 	failedJobs          map[string]bool // jobs that failed in these
-	speedSum            float64         // of run times, relative to those of the same job elsewhere
-	speedCount          int
+	runTimeRatioSum     float64         // of run times, relative to those of the same job elsewhere
+	runTimeRatioCount   int
 	usefulCPUSeconds    float64 // of tasks that completed
 	wastedCPUSeconds    float64 // of tasks that did not
 	fetchCPUSeconds     float64 // of waiting for images
 }
 
 // planMarks is what the placement pass and the capacity plan intend for the machine.
-type planMarks struct {
+type planningState struct {
 	reservedFor         *job // in this pass; see reserveForJob
 	wasReserved         bool // in the pass before
 	neededByPlan        bool // the last plan counts on it
@@ -115,7 +115,7 @@
 }
 
 // size is what the machine has; nothing if its type is not known.
-func (m *machine) size() resource.Vector {
+func (m *machine) capacity() resource.Vector {
 	if m.machineType == nil {
 		return resource.Vector{}
 	}
@@ -125,7 +125,7 @@
 // freeResources is what tasks may be assigned to: what is free, and what tasks that were told to stop
 // will leave. A start is sent only once they have left; see appendStarts.
 func (m *machine) freeResources() resource.Vector {
-	return m.size().Minus(m.allocated).Plus(m.releasing)
+	return m.capacity().Minus(m.allocated).Plus(m.stoppingResources)
 }
 
 // price is what the machine costs an hour; 0 if its type is not known.
@@ -137,7 +137,7 @@
 }
 
 // pricePerCPU is what each CPU of the machine costs an hour.
-func (m *machine) pricePerCPU() float64 { return m.price() / max(m.size().CPUs, 1) }
+func (m *machine) pricePerCPU() float64 { return m.price() / max(m.capacity().CPUs, 1) }
 
 // priceOf is what a machine of a type costs an hour.
 func priceOf(t *protocol.MachineType, spot bool) float64 {
@@ -152,7 +152,7 @@
 
 // mayHoldEarlierTasks reports whether tasks of earlier terms may be on the machine that we have not
 // heard of: an earlier leader may have sent it starts that arrive until its worker has seen our term.
-func (m *machine) mayHoldEarlierTasks() bool { return !m.fenced && m.registration != unregistered }
+func (m *machine) mayHoldEarlierTermTasks() bool { return !m.fenced && m.registration != unregistered }
 
 // pool is the pool that the machine was rented from.
 func (m *machine) pool() machinePool { return machinePool{m.typeName, m.zone, m.spot} }
--- a/internal/coordination/scheduler/machine_fixture_test.go
+++ b/internal/coordination/scheduler/machine_fixture_test.go
@@ -14,7 +14,7 @@
 }
 
 // heartbeatWith is like heartbeat, with that sequence number.
-func (f *schedulerFixture) heartbeatWith(
+func (f *schedulerFixture) heartbeatWithSequence(
 	i int, sequence uint64, tasks ...protocol.TaskStatus,
 ) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
@@ -30,7 +30,7 @@
 }
 
 // reply handles a heartbeat and returns the answer to it.
-func (f *schedulerFixture) reply(e HeartbeatReceived) HeartbeatReply {
+func (f *schedulerFixture) replyTo(e HeartbeatReceived) HeartbeatReply {
 	f.t.Helper()
 	replies := effectsOf[HeartbeatReply](f.step(e))
 	if len(replies) == 0 {
@@ -43,12 +43,12 @@
 func (f *schedulerFixture) tick() []Effect { return f.step(Tick{Entitled: true}) }
 
 // running returns the status of a task that runs as it was told to start.
-func running(start protocol.Command) protocol.TaskStatus {
+func runningStatus(start protocol.Command) protocol.TaskStatus {
 	return protocol.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: protocol.TaskRunning}
 }
 
 // completed returns the status of a task that is done as it was told to start.
-func completed(start protocol.Command) protocol.TaskStatus {
+func completedStatus(start protocol.Command) protocol.TaskStatus {
 	return protocol.TaskStatus{
 		Task: start.Task, Attempt: start.Attempt, State: protocol.TaskEnded, Reason: protocol.ReasonDone,
 	}
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -20,7 +20,7 @@
 }
 
 // readNow makes the next readIfDue read the list, unless a read is under way.
-func (r *machineListReader) readNow() { r.nextAt = 0 }
+func (r *machineListReader) requestRead() { r.nextAt = 0 }
 
 // readIfDue reads the list if the last one is old and no read is under way.
 func (r *machineListReader) readIfDue() {
--- a/internal/coordination/scheduler/machine_list_test.go
+++ b/internal/coordination/scheduler/machine_list_test.go
@@ -10,7 +10,7 @@
 
 // TestMachineList: a machine that the cloud lists is adopted if no answer to a rental can be on its way,
 // and returned once it has failed or is no longer listed.
-func TestMachineList(t *testing.T) {
+func TestReconcileMachineList(t *testing.T) {
 	const lag = 2 * time.Second
 	old := (3 * lag).Seconds()
 	for _, c := range []struct {
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -7,7 +7,7 @@
 )
 
 // fleetSurvey counts machines, without those that are being deleted.
-type fleetSurvey struct {
+type reachabilityCounts struct {
 	reported    int // sent heartbeats in our term
 	unreachable int // of these: have begun to be unreachable
 	unverified  int // of these: may not hear us
@@ -15,34 +15,36 @@
 }
 
 // surveyFleet counts the machines.
-func (s *Scheduler) surveyFleet() fleetSurvey {
-	var survey fleetSurvey
+func (s *Scheduler) countReachability() reachabilityCounts {
+	var counts reachabilityCounts
 	for _, m := range s.inventory.all() {
 		switch {
 		case m.deleting:
 		case m.hasReported:
-			survey.reported++
+			counts.reported++
 			if s.now > s.lastReachableAt(m)+s.staleAfter() {
-				survey.unreachable++
+				counts.unreachable++
 			}
 			if !m.verified {
-				survey.unverified++
+				counts.unverified++
 			}
 		case m.isUnreported():
-			survey.unreported++
+			counts.unreported++
 		}
 	}
-	return survey
+	return counts
 }
 
 // hasCorrelatedUnreachable reports whether so many machines are unreachable that the network is to
 // blame. They may come back sooner than others would boot. Machines count that have only just begun to
 // be unreachable, as otherwise the first of them would be returned one by one.
-func (f fleetSurvey) hasCorrelatedUnreachable() bool { return isCorrelated(f.unreachable, f.reported) }
+func (f reachabilityCounts) hasCorrelatedUnreachable() bool {
+	return isCorrelated(f.unreachable, f.reported)
+}
 
 // hasCorrelatedUnreported reports whether so many machines have not reported to us that the network
 // may be to blame.
-func (f fleetSurvey) hasCorrelatedUnreported() bool {
+func (f reachabilityCounts) hasCorrelatedUnreported() bool {
 	return isCorrelated(f.unreported, f.unreported+f.reported)
 }
 
@@ -54,10 +56,10 @@
 }
 
 // removeFaultyMachines returns machines that do not serve.
-func (s *Scheduler) removeFaultyMachines() {
-	survey := s.surveyFleet()
-	s.prober.updateUnverified(survey.unverified, survey.reported)
-	s.recovery.updateUnreported(survey.unreported, survey.reported)
+func (s *Scheduler) returnUnusableMachines() {
+	counts := s.countReachability()
+	s.prober.updateUnverified(counts.unverified, counts.reported)
+	s.recovery.updateUnreported(counts.unreported, counts.reported)
 	for _, m := range s.inventory.all() {
 		if m.deleting {
 			continue
@@ -65,24 +67,24 @@
 		if m.spotNotice {
 			s.finished.expediteResults(m)
 		}
-		if reason := s.removalReason(m, survey); reason != "" {
+		if reason := s.returnReason(m, counts); reason != "" {
 			s.returnMachine(m, reason)
 		}
 	}
 }
 
 // removalReason returns why a machine is to be returned, or "" if it is not.
-func (s *Scheduler) removalReason(m *machine, survey fleetSurvey) string {
+func (s *Scheduler) returnReason(m *machine, counts reachabilityCounts) string {
 	switch {
 	case m.isUnreported():
-		if s.unreportedTooLong(m, survey) {
+		if s.unreportedTooLong(m, counts) {
 			return "no heartbeat since the failover"
 		}
 	case !m.hasReported:
 		if s.bootTimedOut(m) {
 			return "never came up"
 		}
-	case s.unreachableTooLong(m, survey):
+	case s.unreachableTooLong(m, counts):
 		return "unreachable"
 	case m.isFaulty():
 		if !s.gangsStillSaving(m) {
@@ -102,7 +104,7 @@
 
 // unreportedTooLong reports whether a machine that sent heartbeats to an earlier leader is given up: it
 // neither sends us any nor answers probes.
-func (s *Scheduler) unreportedTooLong(m *machine, survey fleetSurvey) bool {
+func (s *Scheduler) unreportedTooLong(m *machine, counts reachabilityCounts) bool {
 	// While it may hold tasks nothing is placed anywhere. If only a few machines don't answer, losing
 	// them costs less than the wait.
 	if s.recovery.hasFewUnreported() && m.missedProbes >= limits.UnreportedProbeMisses {
@@ -110,7 +112,7 @@
 	}
 	timeout := time.Duration(limits.RecoveryTimeoutIntervals * float64(s.heartbeatInterval))
 	timeout = max(timeout, limits.RecoveryTimeout)
-	if survey.hasCorrelatedUnreported() {
+	if counts.hasCorrelatedUnreported() {
 		timeout = max(timeout, s.unreachableTimeout())
 	}
 	return s.now > s.termStartedAt+timeout
@@ -128,13 +130,13 @@
 
 // unreachableTooLong reports whether a machine is given up that has reported in our term. Where many
 // are unreachable at once, they are kept for longer.
-func (s *Scheduler) unreachableTooLong(m *machine, survey fleetSurvey) bool {
+func (s *Scheduler) unreachableTooLong(m *machine, counts reachabilityCounts) bool {
 	unreachableFor := s.now - s.lastReachableAt(m)
 	if unreachableFor <= s.unreachableTimeout() {
 		return false
 	}
-	grace := limits.CorrelatedUnreachableLeases * limits.LeaseExpiredAfter(s.workerLease)
-	return !survey.hasCorrelatedUnreachable() || unreachableFor > grace
+	correlatedTimeout := limits.CorrelatedUnreachableLeases * limits.LeaseExpiredAfter(s.workerLease)
+	return !counts.hasCorrelatedUnreachable() || unreachableFor > correlatedTimeout
 }
 
 // unreachableTimeout is how long a machine may be unreachable before it is given up, if not many are.
--- a/internal/coordination/scheduler/machine_removal_test.go
+++ b/internal/coordination/scheduler/machine_removal_test.go
@@ -9,7 +9,7 @@
 
 // TestUnreachableIsNotIdle: machines that all become unreachable, as when the leader itself is
 // isolated, are not returned as idle.
-func TestUnreachableIsNotIdle(t *testing.T) {
+func TestUnreachableMachinesNotReturnedAsIdle(t *testing.T) {
 	f := newSchedulerFixture(t, 8)
 	for i := range 8 {
 		f.report(i)
@@ -25,55 +25,55 @@
 }
 
 // removalCase is a state of a machine and of the fleet, and why the machine is returned.
-type removalCase struct {
+type returnCase struct {
 	name   string
-	survey fleetSurvey
+	counts reachabilityCounts
 	change func(*machine)
 	reason string
 }
 
 // removalTestTime is late enough in the term that no timeout counts from its start.
-const removalTestTime = 10 * time.Minute
+const returnTestTime = 10 * time.Minute
 
 // run checks the reason for a machine that was up until it was changed.
-func (c removalCase) run(t *testing.T) {
+func (c returnCase) run(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
 	m := f.findMachine(0)
-	f.scheduler.now, m.lastHeartbeatAt = removalTestTime, removalTestTime
+	f.scheduler.now, m.lastHeartbeatAt = returnTestTime, returnTestTime
 	c.change(m)
-	if got := f.scheduler.removalReason(m, c.survey); got != c.reason {
+	if got := f.scheduler.returnReason(m, c.counts); got != c.reason {
 		t.Errorf("reason %q, want %q", got, c.reason)
 	}
 }
 
 // TestRemovalOfUnreachableMachines: a machine is returned once it has been unreachable for too long;
 // that is longer where many are unreachable at once.
-func TestRemovalOfUnreachableMachines(t *testing.T) {
+func TestReturnOfUnreachableMachines(t *testing.T) {
 	workerLease := 14 * time.Second
 	timeout := time.Duration(float64(workerLease) * limits.UnreachableLeaseShare)
 	correlatedTimeout := limits.CorrelatedUnreachableLeases * limits.LeaseExpiredAfter(workerLease)
-	few := fleetSurvey{reported: 40, unreachable: 1, unreported: 1}
-	many := fleetSurvey{reported: 40, unreachable: 20, unreported: 20}
+	few := reachabilityCounts{reported: 40, unreachable: 1, unreported: 1}
+	many := reachabilityCounts{reported: 40, unreachable: 20, unreported: 20}
 	lastHeartbeat := func(age time.Duration) func(*machine) {
-		return func(m *machine) { m.lastHeartbeatAt = removalTestTime - age }
+		return func(m *machine) { m.lastHeartbeatAt = returnTestTime - age }
 	}
-	for _, c := range []removalCase{
+	for _, c := range []returnCase{
 		{"up", few, func(*machine) {}, ""},
 		{"late", few, lastHeartbeat(timeout), ""},
 		{"unreachable", few, lastHeartbeat(timeout + 1), "unreachable"},
 		{"with many others", many, lastHeartbeat(correlatedTimeout), ""},
 		{"with many others for long", many, lastHeartbeat(correlatedTimeout + 1), "unreachable"},
 		{"unverified", few, func(m *machine) {
-			m.verified, m.unverifiedSince = false, removalTestTime-timeout-1
+			m.verified, m.unverifiedSince = false, returnTestTime-timeout-1
 		}, "unreachable"},
 		{"boots", few, func(m *machine) {
 			m.hasReported, m.registration = false, unregistered
-			m.createdAt = removalTestTime - limits.MinBootTimeout
+			m.createdAt = returnTestTime - limits.MinBootTimeout
 		}, ""},
 		{"did not boot", few, func(m *machine) {
 			m.hasReported, m.registration = false, unregistered
-			m.createdAt = removalTestTime - limits.MinBootTimeout - 1
+			m.createdAt = returnTestTime - limits.MinBootTimeout - 1
 		}, "never came up"},
 		{"known to an earlier leader only", few, func(m *machine) {
 			m.hasReported = false
@@ -84,28 +84,28 @@
 }
 
 // TestRemovalOfReachableMachines: a machine that is up is returned if it is of no use.
-func TestRemovalOfReachableMachines(t *testing.T) {
-	survey := fleetSurvey{reported: 40}
+func TestReturnOfReachableMachines(t *testing.T) {
+	counts := reachabilityCounts{reported: 40}
 	fault := func(m *machine) {
 		m.consecutiveFailures, m.failedJobs["job-1"] = limits.FaultyFailures, true
 	}
-	slow := func(m *machine) { m.speedCount, m.speedSum = limits.SlowMachineTasks, 1e6 }
+	slow := func(m *machine) { m.runTimeRatioCount, m.runTimeRatioSum = limits.SlowMachineTasks, 1e6 }
 	assign := func(m *machine, j *job, state assignmentState) {
 		m.assignments["job-1/0"] = &assignment{job: j, machine: m, state: state}
 	}
-	for _, c := range []removalCase{
-		{"faulty", survey, fault, "fails its tasks"},
-		{"slow", survey, slow, "slow"},
-		{"faulty and slow", survey, func(m *machine) { fault(m); slow(m) }, "fails its tasks"},
-		{"spot notice", survey, func(m *machine) { m.spotNotice = true }, "spot notice"},
-		{"spot notice with a task", survey, func(m *machine) {
+	for _, c := range []returnCase{
+		{"faulty", counts, fault, "fails its tasks"},
+		{"slow", counts, slow, "slow"},
+		{"faulty and slow", counts, func(m *machine) { fault(m); slow(m) }, "fails its tasks"},
+		{"spot notice", counts, func(m *machine) { m.spotNotice = true }, "spot notice"},
+		{"spot notice with a task", counts, func(m *machine) {
 			m.spotNotice = true
 			assign(m, &job{}, stateRunning)
 		}, ""},
-		{"cancelled task", survey, func(m *machine) {
+		{"cancelled task", counts, func(m *machine) {
 			assign(m, &job{cancelled: true}, stateRunning)
 		}, "cancelled task does not stop"},
-		{"cancelled task that was not sent", survey, func(m *machine) {
+		{"cancelled task that was not sent", counts, func(m *machine) {
 			assign(m, &job{cancelled: true}, stateUnsent)
 		}, ""},
 	} {
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -14,7 +14,7 @@
 	*environment
 	inventory      *machineInventory
 	recovery       *recoveryState
-	budget         probeBudget
+	limiter        probeLimiter
 	manyUnverified bool // more machines are unverified than can be without a common cause
 }
 
@@ -24,7 +24,7 @@
 		environment: env,
 		inventory:   inventory,
 		recovery:    recovery,
-		budget:      newProbeBudget(env.cfg.CoreShare),
+		limiter:     newProbeLimiter(env.cfg.CoreShare),
 	}
 }
 
@@ -32,20 +32,20 @@
 // machines at once; most of them send heartbeats within seconds, and a controller that probes them
 // all meanwhile has no processor left for these heartbeats, for its lease and for its votes. How much
 // it has shows in how long a probe takes: a worker answers in milliseconds.
-type probeBudget struct {
+type probeLimiter struct {
 	rate       float64 // probes a second, while they are answered at once
 	tokens     float64
 	refilledAt time.Duration
 	slowUntil  time.Duration // probes are slowed down until then
 }
 
-func newProbeBudget(coreShare float64) probeBudget {
+func newProbeLimiter(coreShare float64) probeLimiter {
 	rate := limits.ProbeRate(coreShare)
-	return probeBudget{rate: rate, tokens: rate * limits.TickInterval.Seconds()}
+	return probeLimiter{rate: rate, tokens: rate * limits.TickInterval.Seconds()}
 }
 
 // refill adds what the time since the last refill allows; what is not used in a second is lost.
-func (b *probeBudget) refill(now time.Duration) {
+func (b *probeLimiter) refill(now time.Duration) {
 	rate := b.rate
 	if now < b.slowUntil {
 		rate *= limits.ProbeSlowdown
@@ -55,7 +55,7 @@
 }
 
 // spend reports whether a probe may go out now, and counts it if so.
-func (b *probeBudget) spend() bool {
+func (b *probeLimiter) allow() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -71,11 +71,11 @@
 
 // probeDue probes the machines that may hold tasks of earlier terms and those that may not hear our
 // answers, as far as the budget goes. Those come first that were not probed for longest.
-func (p *machineProber) probeDue() {
-	p.budget.refill(p.now)
+func (p *machineProber) probeDueMachines() {
+	p.limiter.refill(p.now)
 	var due []*machine
 	for _, m := range p.inventory.all() {
-		if (!p.recovery.hasEnded() && m.mayHoldEarlierTasks()) || (m.hasReported && !m.verified) {
+		if (!p.recovery.hasEnded() && m.mayHoldEarlierTermTasks()) || (m.hasReported && !m.verified) {
 			due = append(due, m)
 		}
 	}
@@ -87,7 +87,7 @@
 
 // probe probes a machine if its time has come and the budget allows it.
 func (p *machineProber) probe(m *machine) {
-	if p.mayVerifyByItself(m) || m.address == "" || m.deleting || p.now < m.nextProbeAt || !p.budget.spend() {
+	if p.inVerificationGracePeriod(m) || m.address == "" || m.deleting || p.now < m.nextProbeAt || !p.limiter.allow() {
 		return
 	}
 	m.nextProbeAt = p.now + limits.ProbeInterval
@@ -97,22 +97,22 @@
 // mayVerifyByItself reports whether a probe of an unverified machine can wait. Where many machines are
 // unverified at once, as after they all had to find their leader again, the next heartbeats on their
 // new connections verify most of them for nothing.
-func (p *machineProber) mayVerifyByItself(m *machine) bool {
+func (p *machineProber) inVerificationGracePeriod(m *machine) bool {
 	grace := time.Duration(limits.UnverifiedGraceIntervals * float64(p.heartbeatInterval))
 	return m.hasReported && m.fenced && p.manyUnverified && p.now < m.unverifiedSince+grace
 }
 
 // done notes how a probe went. Probes are slowed down after one that took this controller long, or
 // that it could not send; one that was not answered says nothing about that.
-func (p *machineProber) done(e ProbeDone) {
+func (p *machineProber) recordOutcome(e ProbeDone) {
 	answeredLate := e.Heartbeat != nil && e.Took > limits.SlowHeartbeatWait
 	if e.NotSent || answeredLate {
-		p.budget.slowUntil = p.now + limits.ProbeInterval
+		p.limiter.slowUntil = p.now + limits.ProbeInterval
 	}
 }
 
 // missed notes that a machine did not answer a probe.
-func (p *machineProber) missed(m *machine) {
+func (p *machineProber) recordMiss(m *machine) {
 	m.missedProbes++
 	if p.recovery.hasFewUnreported() && !m.hasReported && m.missedProbes < limits.UnreportedProbeMisses {
 		m.nextProbeAt = p.now // all placement waits for it
@@ -123,24 +123,24 @@
 // probeDone handles the answer to a probe. The task list was made after the worker had seen our term,
 // so no command of an earlier leader can add to it. It renews no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
-	s.prober.done(e)
+	s.prober.recordOutcome(e)
 	m, heartbeat := s.inventory.find(e.Machine), e.Heartbeat
 	if m == nil {
 		return
 	}
 	if heartbeat == nil {
 		if !e.NotSent {
-			s.prober.missed(m)
+			s.prober.recordMiss(m)
 		}
 		return
 	}
 	if heartbeat.Machine != e.Machine || !heartbeat.Valid() || heartbeat.FencingToken != s.cfg.Term ||
-		m.isOutdated(heartbeat, m.sequence) {
+		m.isOutdated(heartbeat, m.taskListSequence) {
 		return
 	}
 	s.reachability.observeIncarnation(m, heartbeat)
 	s.reachability.setVerified(m, true)
 	// Like the answer to a direct command it shows nothing of starts that went out another way and
 	// may still arrive.
-	s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.takeID()))
+	s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.allocateID()))
 }
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -12,7 +12,7 @@
 
 // newFailover returns the scheduler of a leader that has just replaced another, with machines whose
 // heartbeats are rare.
-func newFailover(machines int, coreShare float64) *Scheduler {
+func newSchedulerAfterFailover(machines int, coreShare float64) *Scheduler {
 	s := New(Config{
 		Term:      3,
 		Teams:     []config.Team{{Name: "red", CPUs: 8, CPUsMax: 100}},
@@ -29,7 +29,7 @@
 }
 
 // probeAnswerer answers the probes of a scheduler and counts them.
-type probeAnswerer struct {
+type probeResponder struct {
 	t         *testing.T
 	scheduler *Scheduler
 	machines  int
@@ -39,7 +39,7 @@
 }
 
 // answer answers the probes among the effects. It fails if a machine is probed again before all were.
-func (a *probeAnswerer) answer(effects []Effect, now time.Duration) {
+func (a *probeResponder) answer(effects []Effect, now time.Duration) {
 	a.t.Helper()
 	for _, probe := range effectsOf[ProbeMachine](effects) {
 		a.sent++
@@ -58,7 +58,7 @@
 // all at once, and slower once that takes it long; those that never answer do not keep it from probing
 // the others. Seen on controllers that spent their processor on probes while heartbeats and the lease
 // waited.
-func TestProbesArePaced(t *testing.T) {
+func TestProbeRateLimit(t *testing.T) {
 	const machines, coreShare = 1000, 0.05
 	for _, c := range []struct {
 		name  string
@@ -71,8 +71,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rate := limits.ProbeRate(coreShare)
-			s := newFailover(machines, coreShare)
-			answerer := &probeAnswerer{t: t, scheduler: s, machines: machines, took: c.took, probed: map[string]int{}}
+			s := newSchedulerAfterFailover(machines, coreShare)
+			answerer := &probeResponder{t: t, scheduler: s, machines: machines, took: c.took, probed: map[string]int{}}
 			now := time.Duration(0)
 			answerer.answer(s.Step(StateLoaded{}, now), now)
 			for len(answerer.probed) < machines {
@@ -118,7 +118,7 @@
 // TestUnverifiedTogether: a machine whose answers may not arrive is probed at once, but not hundreds
 // that come on new connections together: their next heartbeats verify them, and who stays unverified
 // is probed then. Probes of all kept a small controller from answering heartbeats, for minutes.
-func TestUnverifiedTogether(t *testing.T) {
+func TestCorrelatedUnverifiedMachinesNotProbedAtOnce(t *testing.T) {
 	for _, n := range []int{1, 40} {
 		t.Run(fmt.Sprintf("%d unverified", n), func(t *testing.T) {
 			f := newSchedulerFixture(t, 40)
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -93,7 +93,7 @@
 		r.releaseEndedIncarnation(m)
 	}
 	if !m.hasReported || heartbeat.Incarnation > m.incarnation {
-		m.sequence, m.heartbeatSequence = 0, 0
+		m.taskListSequence, m.heartbeatSequence = 0, 0
 		r.placement.requestPass()
 	}
 	if !m.hasReported {
@@ -145,6 +145,6 @@
 // worker sent the last heartbeat that we answered before it arrived here, so LeaseExpiredAfter its
 // arrival the lease is over by the worker's clock and by ours.
 func (r *reachabilityTracker) hasNewlyExpiredLease(m *machine) bool {
-	noted := m.endedIncarnation >= max(m.incarnation, 1)
-	return !noted && r.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(r.workerLease)
+	alreadyNoted := m.endedIncarnation >= max(m.incarnation, 1)
+	return !alreadyNoted && r.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(r.workerLease)
 }
--- a/internal/coordination/scheduler/reachability_test.go
+++ b/internal/coordination/scheduler/reachability_test.go
@@ -41,7 +41,7 @@
 			for i, h := range c.heartbeats {
 				f.now += h.after
 				received := HeartbeatReceived{Entitled: true, Relayed: h.relayed, Heartbeat: f.heartbeat(f.machine(0))}
-				if reply := f.reply(received); reply.Redirect != h.redirected || reply.Accepted == h.redirected {
+				if reply := f.replyTo(received); reply.Redirect != h.redirected || reply.Accepted == h.redirected {
 					t.Errorf("heartbeat %d: %+v", i, reply)
 				}
 			}
@@ -55,7 +55,7 @@
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
 	f.job("job-1", "red", "standard", 1, 1, 0)
-	f.report(0, running(f.direct()[0].Commands[0]))
+	f.report(0, runningStatus(f.direct()[0].Commands[0]))
 	m := f.scheduler.inventory.find(f.machine(0))
 	expires := m.leaseRenewedAt + limits.LeaseExpiredAfter(f.scheduler.workerLease)
 	f.now = expires - 10*time.Millisecond - 1 // a step takes 10 ms
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -6,7 +6,7 @@
 // about tasks that should not be there. The message is a heartbeat, or with directID set the answer to
 // that direct command.
 func (s *Scheduler) reconcileTasks(m *machine, heartbeat *protocol.Heartbeat, directID uint64) []protocol.Command {
-	m.sequence = heartbeat.Sequence
+	m.taskListSequence = heartbeat.Sequence
 	var commands []protocol.Command
 	listed := make(map[string]bool, len(heartbeat.Tasks))
 	endedTasks := make(map[attemptKey]endedTask, len(m.endedTasks))
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -46,7 +46,7 @@
 	}
 	for _, m := range r.inventory.all() {
 		leaseFrom := max(r.termStartedAt, m.leaseRenewedAt)
-		if m.mayHoldEarlierTasks() && r.now < leaseFrom+limits.LeaseExpiredAfter(r.workerLease) {
+		if m.mayHoldEarlierTermTasks() && r.now < leaseFrom+limits.LeaseExpiredAfter(r.workerLease) {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -61,9 +61,9 @@
 		return n
 	}
 	f.now = 13 * time.Second
-	unfenced := f.heartbeatWith(1, 9, running(protocol.Command{Task: "job-1/0", Attempt: 7}))
+	unfenced := f.heartbeatWithSequence(1, 9, runningStatus(protocol.Command{Task: "job-1/0", Attempt: 7}))
 	unfenced.FencingToken = 2
-	if !f.reply(HeartbeatReceived{Entitled: true, Heartbeat: unfenced}).Accepted {
+	if !f.replyTo(HeartbeatReceived{Entitled: true, Heartbeat: unfenced}).Accepted {
 		t.Fatal("not accepted")
 	}
 	for end := f.now + lease; f.now < end; {
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -38,12 +38,12 @@
 // machineRegistry is the durable record of the machines that may hold tasks.
 type machineRegistry struct {
 	*environment
-	inventory *machineInventory
-	pages     []*registryPage // in the order in which they were made
-	current   *registryPage   // that new machines go on
-	sequence  uint64          // of the names of this term's pages
-	dirty     bool            // some page has machines that are not written yet
-	writtenAt time.Duration
+	inventory    *machineInventory
+	pages        []*registryPage // in the order in which they were made
+	current      *registryPage   // that new machines go on
+	pageSequence uint64          // of the names of this term's pages
+	dirty        bool            // some page has machines that are not written yet
+	writtenAt    time.Duration
 }
 
 // newMachineRegistry returns a registry without pages.
@@ -74,7 +74,7 @@
 	m.registration = registering
 	entry := storage.RegisteredMachine{Machine: m.name, Address: m.address}
 	size := storage.EncodedSize(entry) + limits.RegistryEntryOverhead
-	page := r.pageFor(size)
+	page := r.pageWithRoom(size)
 	page.encodedSize += size
 	page.record.Machines = append(page.record.Machines, entry)
 	page.liveMachines++
@@ -84,19 +84,19 @@
 }
 
 // pageFor returns the current page, or a new one if an entry of that size does not fit.
-func (r *machineRegistry) pageFor(size int) *registryPage {
-	full := r.current
-	if full != nil && float64(full.encodedSize+size) <= r.cfg.State.ValueKB*1024 {
-		return full
+func (r *machineRegistry) pageWithRoom(size int) *registryPage {
+	previous := r.current
+	if previous != nil && float64(previous.encodedSize+size) <= r.cfg.State.ValueKB*1024 {
+		return previous
 	}
-	r.sequence++
+	r.pageSequence++
 	r.current = &registryPage{
-		name:        fmt.Sprintf("%d-%d", r.cfg.Term, r.sequence),
+		name:        fmt.Sprintf("%d-%d", r.cfg.Term, r.pageSequence),
 		encodedSize: limits.RegistryEntryOverhead,
 	}
 	r.pages = append(r.pages, r.current)
-	if full != nil {
-		r.removeIfEmpty(full)
+	if previous != nil {
+		r.removeIfEmpty(previous)
 	}
 	return r.current
 }
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -13,7 +13,7 @@
 
 // TestRegisteredBeforeStart: a machine gets its first task only once the state service knows that it
 // may have one; otherwise a new leader would not look for it there.
-func TestRegisteredBeforeStart(t *testing.T) {
+func TestNoStartBeforeRegistration(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.job("job-1", "red", "standard", 1, 1, 0)
 	f.step(RentalLoaded{Name: "h-2-1", Version: 7, Record: answeredRental("s8", 1, f.machine)})
@@ -78,7 +78,7 @@
 // TestRegistrationsTogether: machines of several rentals that come up at once are registered by few
 // writes, each within the size of a value; none is registered before its rental's record names it, as
 // a successor ignores registrations that no rental accounts for; and a successor finds all of them.
-func TestRegistrationsTogether(t *testing.T) {
+func TestRegistrationsAreBatched(t *testing.T) {
 	const rentals, each = 4, 50
 	f := newSchedulerFixture(t, 0)
 	for i := range rentals {
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -70,7 +70,7 @@
 		if fitting >= j.waitingTasks() {
 			break
 		}
-		fitting += m.size().TasksThatFit(j.demand)
+		fitting += m.capacity().TasksThatFit(j.demand)
 		freeCPUs += m.freeResources().CPUs
 		picked = append(picked, m)
 	}
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -16,7 +16,7 @@
 	surplus := p.surplusCPUs(candidates)
 	slices.SortStableFunc(candidates, compareForDraining)
 	for _, m := range candidates {
-		size := m.size().CPUs
+		size := m.capacity().CPUs
 		if m.freeResources().CPUs > 0 && size <= surplus && p.now > m.createdAt+limits.DrainAge {
 			m.draining = true
 			surplus -= size
@@ -42,7 +42,7 @@
 func (p *capacityPlanner) surplusCPUs(machines []*machine) float64 {
 	var total, used, waiting float64
 	for _, m := range machines {
-		total += m.size().CPUs
+		total += m.capacity().CPUs
 		used += m.allocated.CPUs
 	}
 	for _, j := range p.jobs.oldestFirst() {
@@ -58,7 +58,7 @@
 	if priceA, priceB := a.pricePerCPU(), b.pricePerCPU(); priceA != priceB {
 		return cmp.Compare(priceB, priceA)
 	}
-	return cmp.Compare(a.allocated.CPUs/max(a.size().CPUs, 1), b.allocated.CPUs/max(b.size().CPUs, 1))
+	return cmp.Compare(a.allocated.CPUs/max(a.capacity().CPUs, 1), b.allocated.CPUs/max(b.capacity().CPUs, 1))
 }
 
 // returnIdleMachines returns machines that have been without work for long enough and that the plan
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -56,7 +56,7 @@
 		Zone:         m.zone,
 		Spot:         m.spot,
 		State:        s.machineState(m),
-		CPUs:         m.size().CPUs,
+		CPUs:         m.capacity().CPUs,
 		UsedCPUs:     m.allocated.CPUs,
 		Tasks:        len(m.assignments),
 		HeartbeatAge: s.now - max(m.lastHeartbeatAt, s.termStartedAt),
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -58,8 +58,8 @@
 func (s *Scheduler) stateLoaded() {
 	s.logInfo("recovering", "jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
 	s.recovery.stateLoaded()
-	s.catalog.fetchNow()
-	s.cloudList.readNow()
+	s.catalog.requestFetch()
+	s.cloudList.requestRead()
 	s.finished.removeOrphanedRecords()
 	s.tick(true)
 }
--- a/internal/coordination/scheduler/summary.go
+++ b/internal/coordination/scheduler/summary.go
@@ -26,7 +26,7 @@
 		if !m.verified {
 			unverified++
 		}
-		cpus += m.size().CPUs
+		cpus += m.capacity().CPUs
 		usedCPUs += m.allocated.CPUs
 	}
 	for _, j := range s.jobs.oldestFirst() {
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -142,8 +142,8 @@
 		j.class.learnRunTime(runTime / j.spec.EstimateS)
 	}
 	if j.runCount >= limits.MinRunTimeSamples && j.gang == nil { // a gang runs at the speed of its slowest machine
-		m.speedCount++
-		m.speedSum += runTime / (j.runSum / float64(j.runCount))
+		m.runTimeRatioCount++
+		m.runTimeRatioSum += runTime / (j.runSum / float64(j.runCount))
 	}
 	j.runSum += runTime
 	j.runCount++
