--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -5,7 +5,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// heartbeatReceived handles a worker's heartbeat, and answers it with commands if we may act.
+// heartbeatReceived handles a worker's heartbeat. The reply carries commands if the leader is entitled to
+// act and the worker has seen this term's fencing token.
 func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
 	heartbeat := e.Heartbeat
 	switch {
@@ -28,21 +29,23 @@
 	}
 }
 
-// rejectHeartbeat answers a heartbeat so that it renews no lease.
+// rejectHeartbeat answers a heartbeat without renewing the worker's lease.
 func (s *Scheduler) rejectHeartbeat(e HeartbeatReceived) {
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 }
 
-// redirectHeartbeat tells a worker whose heartbeat came through another controller to come here itself.
+// redirectHeartbeat tells a worker whose heartbeat was relayed by another controller to send its
+// heartbeats to this controller directly.
 func (s *Scheduler) redirectHeartbeat(e HeartbeatReceived) {
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Redirect: true})
 }
 
-// processHeartbeat handles a heartbeat that is newer than all others of its machine: it brings what we
-// know of the machine in line, lets the scheduler decide, and answers with the commands that follow.
+// processHeartbeat handles a heartbeat that is newer than all others from its machine. It updates the
+// machine's state, runs the scheduler's decisions, and replies with the resulting commands.
 func (s *Scheduler) processHeartbeat(e HeartbeatReceived, m *machine) {
 	heartbeat := e.Heartbeat
-	// A heartbeat that comes after a gap may be a late one, even on its old connection.
+	// A heartbeat after a gap may have been delayed, even on the same connection, and then does not show
+	// that the worker still receives replies.
 	s.reachability.setVerified(m, !m.fenced || (e.SameConnection && !s.isStale(m)))
 	s.reachability.observeIncarnation(m, heartbeat)
 	m.heartbeatSequence, m.address = heartbeat.Sequence, heartbeat.Address
@@ -50,7 +53,7 @@
 	s.registerMachine(m)
 	s.recordSpotNotice(m, heartbeat)
 	var commands []protocol.Command
-	if heartbeat.Sequence > m.taskListSequence { // else the answer to a direct command has overtaken it
+	if heartbeat.Sequence > m.taskListSequence { // else a newer direct reply has been processed already
 		commands = s.reconcileTasks(m, heartbeat, 0)
 	}
 	if s.holdsCancelledTask(m, s.cancelReplyDeadline) {
@@ -71,9 +74,10 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
 }
 
-// answerOutdatedHeartbeat answers a heartbeat that is late or repeated: the worker waits for no answer
-// to it, and its task list is old. But if it is the newest one and has only just been answered, that
-// may have been a copy that overtook it, and the worker waits for this answer.
+// answerOutdatedHeartbeat answers a delayed or duplicate heartbeat. It is normally rejected, as its task
+// list is old and the worker no longer waits for the answer. The exception is a duplicate of the newest
+// heartbeat, answered less than HeartbeatAnswerTimeout ago: the first answer may have gone to a copy, so
+// that the worker still waits for this one. It repeats the commands of the first.
 func (s *Scheduler) answerOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
 	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
 	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout
@@ -84,10 +88,10 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: m.commandsToRepeat()})
 }
 
-// answerUnfencedHeartbeat answers a heartbeat of a worker that has not seen our term. It may be a late
-// copy of one from before: the machine may be dead or deleted since, so nothing is believed of it but
-// that a worker that hears the answer lives on. If it does, its next heartbeat shows our term, which no
-// copy can.
+// answerUnfencedHeartbeat answers a heartbeat that carries the fencing token of an earlier term. It may
+// be a delayed copy from a machine that has failed or was deleted since, so its contents are ignored. The
+// answer renews the lease of a worker that receives it, which is why the lease counts as renewed. The
+// worker's next heartbeat then carries this term's token, which a delayed copy cannot.
 func (s *Scheduler) answerUnfencedHeartbeat(e HeartbeatReceived) {
 	m := s.inventory.find(e.Heartbeat.Machine)
 	switch {
@@ -105,8 +109,8 @@
 		return
 	}
 	if !m.fenced {
-		// Otherwise it was sent before the machine saw our term, and observeIncarnation has noted when
-		// we heard of that.
+		// If the machine is fenced, this heartbeat was sent before the worker saw this term's token. The
+		// renewal time that observeIncarnation recorded then is late enough to cover it.
 		m.leaseRenewedAt = s.now
 	}
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true})
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -7,12 +7,12 @@
 	"quillshunt/internal/protocol"
 )
 
-// machine is what the scheduler knows of one machine and the worker on it. Its fields are grouped by
-// concern.
+// machine is the scheduler's state of one machine and of the worker that runs on it. Its fields are
+// grouped by concern.
 type machine struct {
 	name, address, typeName, zone string
 	spot                          bool
-	machineType                   *protocol.MachineType // nil if the catalog does not have it
+	machineType                   *protocol.MachineType // nil if the catalog does not contain the type
 
 	machineReachability
 	leaseState
@@ -23,98 +23,100 @@
 	planningState
 }
 
-// machineReachability is what a worker has shown us in our term, and which way its messages come.
+// machineReachability is what the worker has reported in this term, and by which route its messages
+// arrive.
 type machineReachability struct {
-	hasReported       bool // we have its task list in our term
-	fenced            bool // its worker has seen our term, so no earlier leader can add tasks
+	hasReported       bool // the worker has sent a task list in this term
+	fenced            bool // the worker has seen this term's fencing token and rejects commands of earlier leaders
 	incarnation       uint64
-	taskListSequence  uint64        // of the newest task list, from a heartbeat or a direct command
-	heartbeatSequence uint64        // of the newest heartbeat
-	lastHeartbeatAt   time.Duration // arrival of that
+	taskListSequence  uint64        // sequence number of the newest task list, from a heartbeat or a direct reply
+	heartbeatSequence uint64        // sequence number of the newest heartbeat
+	lastHeartbeatAt   time.Duration // arrival time of the newest heartbeat
 	firstReportAt     time.Duration
 
-	verified        bool          // a round trip was seen since the last sign that answers may not arrive
-	unverifiedSince time.Duration // since when it is not verified
-	missedProbes    int           // probes that it did not answer in our term
-	nextProbeAt     time.Duration // no probe before this
+	verified        bool          // replies are known to reach the worker; see setVerified
+	unverifiedSince time.Duration // when verified last became false
+	missedProbes    int           // probes without an answer in this term
+	nextProbeAt     time.Duration // earliest time of the next probe
 
-	reportsDirectly bool          // has sent a heartbeat to us itself in our term
-	relayed         bool          // its last heartbeat came through another controller
-	relayedSince    time.Duration // when that began
-	redirected      bool          // was told once to send its heartbeats here itself
+	reportsDirectly bool          // has sent a heartbeat to this controller directly in this term
+	relayed         bool          // the last heartbeat was relayed by another controller
+	relayedSince    time.Duration // when heartbeats began to be relayed
+	redirected      bool          // was told once to send its heartbeats to this controller directly
 }
 
-// leaseState is the time for which a worker may go on with its tasks without hearing from us.
+// leaseState is the state of the worker's lease: how long the worker may keep running its tasks without
+// an answer from the leader.
 type leaseState struct {
-	leaseRenewedAt   time.Duration // the last answer that may have renewed it
-	endedIncarnation uint64        // incarnations up to this one are surely over
+	leaseRenewedAt   time.Duration // time of the last answer that may have renewed the lease
+	endedIncarnation uint64        // this incarnation and all earlier ones are known to have ended
 }
 
-// machineCommands is what the worker was told and has to be told.
+// machineCommands tracks the commands that were sent to the worker and those still to be sent.
 type machineCommands struct {
-	lastCommands       []protocol.Command // answer to the newest heartbeat
-	dispatchQueued     bool               // has commands that did not go out yet
-	pendingDirectID    uint64             // a direct command that is not answered yet, or 0
-	directBackoffUntil time.Duration      // no direct commands before this
+	lastCommands       []protocol.Command // commands in the answer to the newest heartbeat
+	dispatchQueued     bool               // the machine may have unsent commands and is in the dispatcher's queue
+	pendingDirectID    uint64             // ID of the direct command that is not answered yet, or 0
+	directBackoffUntil time.Duration      // no direct commands are sent before this time
 }
 
-// machineLoad is what is on the machine, or on its way to it.
+// machineLoad is the tasks on the machine, or on their way to it, and the resources that they use.
 type machineLoad struct {
-	assignments       map[string]*assignment // by the task's name
+	assignments       map[string]*assignment // by task name
 	endedTasks        map[attemptKey]endedTask
-	allocated         resource.Vector          // of all assignments
-	stoppingResources resource.Vector          // the part of allocated whose tasks were told to stop
-	cachedImages      map[string]time.Duration // when each was last seen
+	allocated         resource.Vector          // total demand of all assignments
+	stoppingResources resource.Vector          // the part of allocated whose tasks are being stopped
+	cachedImages      map[string]time.Duration // when each image was last seen in the machine's cache
 	idleSince         time.Duration            // when the last assignment ended
 }
 
-// machineLifecycle is the way of a machine from its rental to its deletion.
+// machineLifecycle is the machine's state between its rental and its deletion.
 type machineLifecycle struct {
-	rental       string // name of the rental that accounts for it; "" if there is none yet
+	rental       string // name of the rental whose record names the machine; "" if there is none yet
 	registration registration
-	registryPage *registryPage // that names it
+	registryPage *registryPage // the page that lists the machine
 	createdAt    time.Duration
 
-	listed       bool // was in the cloud's list
-	missingLists int  // lists in a row that lack it since
+	listed       bool // has appeared in the cloud's machine list
+	missingLists int  // consecutive lists without the machine, after it had appeared
 
-	spotNotice    bool // the cloud takes it back soon
-	spotReclaimAt time.Duration
+	spotNotice    bool          // the cloud has announced that it will reclaim the spot instance
+	spotReclaimAt time.Duration // when the cloud reclaims it
 
-	deleting         bool // is to be deleted; there is no way back
+	deleting         bool // is to be deleted; this is never reversed
 	deleteReason     string
-	deletionInFlight bool          // the cloud has been asked and has not answered
-	nextDeletionAt   time.Duration // the cloud is not asked before this
+	deletionInFlight bool          // a deletion request to the cloud is not answered yet
+	nextDeletionAt   time.Duration // earliest time of the next deletion request
 }
 
-// machineHealth is how the machine's tasks went.
+// machineHealth is statistics on the outcome of the machine's tasks.
 type machineHealth struct {
 	consecutiveFailures int
-	failedJobs          map[string]bool // jobs that failed in these
-	runTimeRatioSum     float64         // of run times, relative to those of the same job elsewhere
+	failedJobs          map[string]bool // jobs of the consecutive failures
+	runTimeRatioSum     float64         // of run times relative to those of the same job's tasks on other machines
 	runTimeRatioCount   int
-	usefulCPUSeconds    float64 // of tasks that completed
-	wastedCPUSeconds    float64 // of tasks that did not
-	fetchCPUSeconds     float64 // of waiting for images
+	usefulCPUSeconds    float64 // used by tasks that completed
+	wastedCPUSeconds    float64 // used by tasks that did not complete
+	fetchCPUSeconds     float64 // allocated while tasks fetched their images
 }
 
-// planMarks is what the placement pass and the capacity plan intend for the machine.
+// planningState is the intentions of the placement pass and of the capacity plan for the machine.
 type planningState struct {
-	reservedFor         *job // in this pass; see reserveForJob
-	wasReserved         bool // in the pass before
-	neededByPlan        bool // the last plan counts on it
-	neededByGang        bool // the last plan counts on it for a gang that waits
+	reservedFor         *job // reserved by the current placement pass; see reserveForJob
+	wasReserved         bool // was reserved by the previous placement pass
+	neededByPlan        bool // the last capacity plan uses the machine
+	neededByGang        bool // the last capacity plan uses the machine for a waiting gang
 	reservedForGangs    bool // see reserveForGangs
-	wasReservedForGangs bool // by the plan before
-	draining            bool // to be emptied and returned, unless work comes
+	wasReservedForGangs bool // was reserved for gangs by the previous capacity plan
+	draining            bool // gets no new tasks and is returned once empty, unless its capacity is needed again
 }
 
-// typeResources is what a machine of a type has.
+// typeResources returns the resources of a machine of the given type.
 func typeResources(t *protocol.MachineType) resource.Vector {
 	return resource.Vector{CPUs: t.CPUs, Accelerators: t.Accelerators, MemoryGB: t.MemoryGB}
 }
 
-// size is what the machine has; nothing if its type is not known.
+// capacity returns the machine's total resources, or zero if its type is unknown.
 func (m *machine) capacity() resource.Vector {
 	if m.machineType == nil {
 		return resource.Vector{}
@@ -122,13 +124,13 @@
 	return typeResources(m.machineType)
 }
 
-// freeResources is what tasks may be assigned to: what is free, and what tasks that were told to stop
-// will leave. A start is sent only once they have left; see appendStarts.
+// freeResources returns the resources that new assignments may use: those that are free now and those
+// of tasks that are being stopped. A start is sent only once such tasks have ended; see appendStarts.
 func (m *machine) freeResources() resource.Vector {
 	return m.capacity().Minus(m.allocated).Plus(m.stoppingResources)
 }
 
-// price is what the machine costs an hour; 0 if its type is not known.
+// price returns the machine's price per hour, or 0 if its type is unknown.
 func (m *machine) price() float64 {
 	if m.machineType == nil {
 		return 0
@@ -136,10 +138,10 @@
 	return priceOf(m.machineType, m.spot)
 }
 
-// pricePerCPU is what each CPU of the machine costs an hour.
+// pricePerCPU returns the machine's price per CPU and hour.
 func (m *machine) pricePerCPU() float64 { return m.price() / max(m.capacity().CPUs, 1) }
 
-// priceOf is what a machine of a type costs an hour.
+// priceOf returns the price per hour of a machine type, as a spot or an on-demand instance.
 func priceOf(t *protocol.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -147,12 +149,14 @@
 	return t.Price
 }
 
-// isUnreported reports whether the machine sent heartbeats to an earlier leader and none to us.
+// isUnreported reports whether the machine has sent heartbeats to an earlier leader, and was registered for
+// that, but has sent no task list in this term.
 func (m *machine) isUnreported() bool { return !m.hasReported && m.registration != unregistered }
 
-// mayHoldEarlierTasks reports whether tasks of earlier terms may be on the machine that we have not
-// heard of: an earlier leader may have sent it starts that arrive until its worker has seen our term.
+// mayHoldEarlierTermTasks reports whether the machine may hold tasks of earlier terms that this leader
+// does not know. Starts from an earlier leader may still arrive until the worker has seen this term's
+// fencing token.
 func (m *machine) mayHoldEarlierTermTasks() bool { return !m.fenced && m.registration != unregistered }
 
-// pool is the pool that the machine was rented from.
+// pool returns the pool that the machine was rented from.
 func (m *machine) pool() machinePool { return machinePool{m.typeName, m.zone, m.spot} }
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -7,22 +7,22 @@
 	"quillshunt/internal/protocol"
 )
 
-// machineListReader reads the cloud's list of machines from time to time, one read at a time.
+// machineListReader reads the cloud's machine list at regular intervals, one read at a time.
 type machineListReader struct {
 	*environment
 	nextAt   time.Duration
 	inFlight bool
 }
 
-// newMachineListReader returns a reader that has not read a list yet.
+// newMachineListReader returns a reader whose first read is due at once.
 func newMachineListReader(env *environment) *machineListReader {
 	return &machineListReader{environment: env}
 }
 
-// readNow makes the next readIfDue read the list, unless a read is under way.
+// requestRead makes the next call of readIfDue read the list, unless a read is in flight.
 func (r *machineListReader) requestRead() { r.nextAt = 0 }
 
-// readIfDue reads the list if the last one is old and no read is under way.
+// readIfDue starts a read of the list if one is due and none is in flight.
 func (r *machineListReader) readIfDue() {
 	if r.now < r.nextAt || r.inFlight {
 		return
@@ -31,7 +31,7 @@
 	r.emit(ListMachines{})
 }
 
-// readDone notes that a read is over; after a failure the next one follows soon.
+// readDone records the outcome of a read and schedules the next one, sooner if it failed.
 func (r *machineListReader) readDone(ok bool) {
 	r.inFlight = false
 	r.nextAt = r.now + limits.MachineListInterval
@@ -40,8 +40,7 @@
 	}
 }
 
-// machinesListed handles the answer to ListMachines: it brings the inventory in line with the
-// cloud's list.
+// machinesListed handles the outcome of ListMachines and reconciles the inventory with the cloud's list.
 func (s *Scheduler) machinesListed(e MachinesListed) {
 	s.cloudList.readDone(e.OK)
 	if !e.OK {
@@ -64,7 +63,8 @@
 	}
 }
 
-// reconcileListedMachine brings a machine in line with its entry in the list.
+// reconcileListedMachine updates a machine from its entry in the cloud's list. A machine that is not in
+// the inventory is adopted if shouldAdoptListed allows it.
 func (s *Scheduler) reconcileListedMachine(entry *protocol.Machine) {
 	m := s.inventory.find(entry.Name)
 	if m == nil {
@@ -87,28 +87,31 @@
 	}
 }
 
-// shouldAdoptListed reports whether a machine that the cloud lists and nobody else has named is
-// ours to look after.
+// shouldAdoptListed reports whether to adopt a machine that is in the cloud's list but in no record and
+// has sent no heartbeat. Until the leases of earlier terms have expired, such a machine is adopted in any
+// state, and later only while it is running.
 func (s *Scheduler) shouldAdoptListed(entry *protocol.Machine) bool {
 	if entry.AgeS < (3 * s.cfg.ListLag).Seconds() {
-		return false // the answer to a rental of ours may be on its way
+		return false // it may belong to a rental of this term whose answer has not arrived yet
 	}
 	earlierLeasesOver := s.now >= s.termStartedAt+limits.LeaseExpiredAfter(s.workerLease)
 	return !earlierLeasesOver || entry.State == protocol.MachineRunning
 }
 
-// reconcileUnlistedMachine returns a machine that the list lacks, if that shows that it is gone.
+// reconcileUnlistedMachine handles a machine that is missing from the cloud's list. The machine is
+// returned if it probably no longer exists.
 func (s *Scheduler) reconcileUnlistedMachine(m *machine) {
 	if !s.recovery.hasEnded() && m.isUnreported() {
-		// It sent heartbeats to an earlier leader, so it was listed once or is very new. Its
-		// deletion is the quickest evidence that nothing runs there.
+		// It sent heartbeats to an earlier leader, so it has been in the list before or is very new.
+		// A confirmed deletion is the fastest way to establish that no task runs on it.
 		s.returnMachine(m, "not listed since the failover")
 		return
 	}
 	if !m.listed {
-		return // it may be too new for the list
+		return // it may be too new to appear in the list
 	}
-	// It was listed before: gone, unless this list is an old one. Deleting it makes sure.
+	// It has been listed before, so it no longer exists unless this list is outdated. A confirmed
+	// deletion makes certain that it is gone.
 	m.missingLists++
 	if m.missingLists >= limits.MissingListsBeforeDelete && s.isStale(m) {
 		s.returnMachine(m, "no longer listed")
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -7,8 +7,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// reachabilityTracker judges by the messages of workers, and by their absence, which machines hear us,
-// which way, and whose lease is over.
+// reachabilityTracker determines, from messages of workers and their absence, which workers receive the
+// leader's replies, whether their heartbeats arrive directly or relayed, and which leases have expired.
 type reachabilityTracker struct {
 	*environment
 	inventory   *machineInventory
@@ -16,7 +16,7 @@
 	assignments *assignmentTable
 }
 
-// newReachabilityTracker returns a tracker of the machines of an inventory.
+// newReachabilityTracker returns a tracker for the machines in the inventory.
 func newReachabilityTracker(
 	env *environment, inventory *machineInventory, placement *placer, assignments *assignmentTable,
 ) *reachabilityTracker {
@@ -28,19 +28,19 @@
 	}
 }
 
-// staleAfter is how long after its last heartbeat a machine still gets tasks.
+// staleAfter returns the age of a machine's last heartbeat above which the machine gets no new tasks.
 func (e *environment) staleAfter() time.Duration {
 	return time.Duration(float64(e.heartbeatInterval) * limits.FreshHeartbeatIntervals)
 }
 
-// isStale reports whether a machine's last heartbeat is too old for it to get tasks.
+// isStale reports whether a machine's last heartbeat is too old for the machine to get new tasks.
 func (e *environment) isStale(m *machine) bool { return e.now > m.lastHeartbeatAt+e.staleAfter() }
 
-// hasLiveIncarnation reports whether the worker's incarnation that we know may still run tasks.
+// hasLiveIncarnation reports whether the worker's last known incarnation may still run tasks.
 func (m *machine) hasLiveIncarnation() bool { return m.incarnation > m.endedIncarnation }
 
-// isOutdated reports whether a message is no newer than the one of the machine with that sequence
-// number, or of an incarnation that is over.
+// isOutdated reports whether a message comes from an incarnation that has ended or was replaced, or has a
+// sequence number that is not above newest, the highest one that was processed.
 func (m *machine) isOutdated(heartbeat *protocol.Heartbeat, newest uint64) bool {
 	if heartbeat.Incarnation <= m.endedIncarnation {
 		return true
@@ -52,8 +52,8 @@
 		(heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= newest)
 }
 
-// setVerified notes whether answers are known to reach a machine. While they are not, it gets no new
-// tasks: heartbeats may arrive from a machine that hears nothing.
+// setVerified records whether replies are known to reach a machine. An unverified machine gets no new
+// tasks, because its heartbeats may arrive although it receives no replies.
 func (r *reachabilityTracker) setVerified(m *machine, verified bool) {
 	if verified && !m.verified {
 		r.placement.requestPass()
@@ -64,9 +64,11 @@
 	m.verified = verified
 }
 
-// acceptRoute notes which way a heartbeat came and reports whether it is answered. A worker that comes
-// through another controller is first told to come itself; one that was here before and now comes that
-// way, or that we did not reach either, cannot reach us. From time to time it is told to try again.
+// acceptRoute records whether a heartbeat was relayed by another controller, and reports whether to
+// accept it; otherwise the caller redirects the worker to this controller. The first relayed heartbeat of
+// a worker is redirected, unless the worker has reported directly in this term or has missed a probe: then
+// it probably cannot reach this controller. Later ones are accepted, except for one redirect each time
+// that RelayRetryAfter has passed.
 func (r *reachabilityTracker) acceptRoute(m *machine, relayed bool) bool {
 	if !relayed {
 		m.reportsDirectly, m.relayed, m.redirected = true, false, false
@@ -82,12 +84,13 @@
 	}
 	if !m.relayed {
 		m.relayed, m.relayedSince = true, r.now
-		r.logWarn("heartbeats relayed", keyMachine, m.name)
+		r.logWarn("worker heartbeats relayed by another controller", keyMachine, m.name)
 	}
 	return true
 }
 
-// observeIncarnation notes the incarnation and the fencing token of a message that is not outdated.
+// observeIncarnation updates the machine from the incarnation and the fencing token of a message that is
+// not outdated.
 func (r *reachabilityTracker) observeIncarnation(m *machine, heartbeat *protocol.Heartbeat) {
 	if m.hasReported && heartbeat.Incarnation > m.incarnation {
 		r.releaseEndedIncarnation(m)
@@ -107,11 +110,12 @@
 	}
 }
 
-// releaseEndedIncarnation releases the tasks of a worker that has started anew: it has killed them.
+// releaseEndedIncarnation releases the tasks of a worker that has started a new incarnation. The worker
+// has killed the tasks of the previous one.
 func (r *reachabilityTracker) releaseEndedIncarnation(m *machine) {
 	for _, a := range m.sortedAssignments() {
 		if a.state != stateUnsent {
-			r.logWarn("task lost, worker restarted",
+			r.logWarn("task lost", keyReason, "worker started a new incarnation",
 				keyMachine, m.name, keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt)
 		}
 		r.assignments.release(a)
@@ -120,7 +124,8 @@
 	m.cachedImages = map[string]time.Duration{}
 }
 
-// expireLeases releases the tasks of workers whose lease is surely over: they have killed them.
+// expireLeases releases the tasks of workers whose lease has expired, as such workers have killed their
+// tasks. It also releases unsent tasks of stale machines.
 func (r *reachabilityTracker) expireLeases() {
 	for _, m := range r.inventory.all() {
 		if !r.hasNewlyExpiredLease(m) {
@@ -136,14 +141,14 @@
 		m.endedTasks = map[attemptKey]endedTask{}
 		m.endedIncarnation = max(m.incarnation, 1)
 		if !m.hasReported {
-			m.endedIncarnation = 0 // we do not know which incarnation it was; see recoveryState.tryEnd
+			m.endedIncarnation = 0 // the expired incarnation is unknown; see recoveryState.tryEnd
 		}
 	}
 }
 
-// hasNewlyExpiredLease reports whether a worker's lease is surely over and that was not noted yet. The
-// worker sent the last heartbeat that we answered before it arrived here, so LeaseExpiredAfter its
-// arrival the lease is over by the worker's clock and by ours.
+// hasNewlyExpiredLease reports whether a worker's lease has expired and the expiry was not processed yet.
+// The lease runs from when the worker sent the last answered heartbeat, which is before its arrival here.
+// LeaseExpiredAfter that arrival, the lease has therefore expired by the worker's clock and the leader's.
 func (r *reachabilityTracker) hasNewlyExpiredLease(m *machine) bool {
 	alreadyNoted := m.endedIncarnation >= max(m.incarnation, 1)
 	return !alreadyNoted && r.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(r.workerLease)
