--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -6,25 +6,25 @@
 	"quillshunt/internal/limits"
 )
 
-// returnMachine returns a machine to the cloud. There is no way back from that, as the request may be
-// carried out at any time.
+// returnMachine marks a machine for deletion by the cloud. This is never reversed, because a deletion
+// request that was sent may be executed at any time.
 func (s *Scheduler) returnMachine(m *machine, reason string) {
 	if m.deleting {
 		return
 	}
 	m.deleting, m.deleteReason = true, reason
 	m.deletionInFlight, m.nextDeletionAt = false, s.now
-	s.logInfo("returning", keyMachine, m.name, keyReason, reason, keyTasks, len(m.assignments))
+	s.logInfo("returning machine", keyMachine, m.name, keyReason, reason, keyTasks, len(m.assignments))
 	s.assignments.releaseUnsent(m)
 }
 
-// isDeletionDue reports whether the cloud is to be asked now to delete the machine.
+// isDeletionDue reports whether to send a deletion request for the machine to the cloud now.
 func (m *machine) isDeletionDue(now time.Duration) bool {
 	return m.deleting && !m.deletionInFlight && now >= m.nextDeletionAt
 }
 
-// deletionDone handles the answer to DeleteMachines. Machines whose deletion is not confirmed stay,
-// with their tasks, and are deleted again.
+// deletionDone handles the outcome of DeleteMachines. Machines whose deletion is not confirmed stay in the
+// inventory with their tasks, and the deletion is retried after CloudRetryInterval.
 func (s *Scheduler) deletionDone(e DeletionDone) {
 	for _, name := range e.Machines {
 		m := s.inventory.find(name)
@@ -40,7 +40,7 @@
 	s.rentals.reconcileAll()
 }
 
-// forgetMachine removes a machine that is gone, with everything on it.
+// removeMachine removes a machine whose deletion is confirmed, and releases its tasks.
 func (s *Scheduler) removeMachine(m *machine) {
 	s.assignments.releaseAll(m)
 	s.inventory.remove(m)
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -2,31 +2,31 @@
 
 import "quillshunt/internal/limits"
 
-// isFaulty reports whether a machine should get no more tasks: it has failed several in a row, and not
-// just those of a job that fails everywhere.
+// isFaulty reports whether a machine should get no more tasks, because several tasks in a row have failed
+// on it and not all of them belong to jobs that fail on other machines too.
 func (m *machine) isFaulty() bool {
 	return m.consecutiveFailures >= limits.FaultyFailures && len(m.failedJobs) > 0
 }
 
-// isSlow reports whether a machine takes far longer for its tasks than others do for the same jobs.
+// isSlow reports whether tasks run far longer on this machine than tasks of the same jobs on others.
 func (m *machine) isSlow() bool {
 	return m.runTimeRatioCount >= limits.SlowMachineTasks &&
 		m.runTimeRatioSum > limits.SlowMachineFactor*float64(m.runTimeRatioCount)
 }
 
-// recordSuccess notes that a task completed on the machine.
+// recordSuccess records that a task completed on the machine.
 func (m *machine) recordSuccess(cpuSeconds float64) {
 	m.consecutiveFailures, m.failedJobs = 0, map[string]bool{}
 	m.usefulCPUSeconds += cpuSeconds
 }
 
-// recordFailure attributes the failure of a task to the machine, or to the job if it fails on all
-// machines.
+// recordFailure counts the failure of a task against the machine, or against the job once the job has
+// failed on JobFaultMachines machines.
 func (i *machineInventory) recordFailure(j *job, m *machine) {
 	j.failedMachines[m.name] = true
 	if len(j.failedMachines) >= limits.JobFaultMachines {
-		// It fails wherever it goes, with no success between. It waits longer and longer, and its
-		// failures count against no machine.
+		// The job has failed on several machines without a success in between. It is retried with an
+		// exponential backoff, and its failures count against no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
 		j.retryAt = i.now + j.backoff
 		i.discardFailures(j.id)
@@ -36,7 +36,7 @@
 	m.failedJobs[j.id] = true
 }
 
-// forgiveFailures makes the failures of a job count against no machine.
+// discardFailures removes a job from the recorded failures of all machines.
 func (i *machineInventory) discardFailures(jobID string) {
 	for _, m := range i.sorted {
 		delete(m.failedJobs, jobID)
--- a/internal/coordination/scheduler/inventory.go
+++ b/internal/coordination/scheduler/inventory.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// machineInventory holds the machines that are known: those of this term's and earlier terms' rentals,
-// those that the cloud lists, and those that sent a heartbeat.
+// machineInventory holds all known machines: those of rentals from this term and earlier terms, those
+// adopted from the cloud's list, and those that have sent a heartbeat.
 type machineInventory struct {
 	*environment
 	catalog *typeCatalog
 	byName  map[string]*machine
 	sorted  []*machine      // by name
-	deleted map[string]bool // machines whose deletion was confirmed; late lists and heartbeats may still name them
+	deleted map[string]bool // names of deleted machines; late lists and heartbeats may still contain them
 }
 
-// newMachineInventory returns an inventory without machines.
+// newMachineInventory returns an empty inventory.
 func newMachineInventory(env *environment, catalog *typeCatalog) *machineInventory {
 	return &machineInventory{
 		environment: env,
@@ -26,17 +26,17 @@
 	}
 }
 
-// find returns the machine of a name, or nil.
+// find returns the machine with the given name, or nil.
 func (i *machineInventory) find(name string) *machine { return i.byName[name] }
 
 // all returns the machines, sorted by name. Callers must not change the slice.
 func (i *machineInventory) all() []*machine { return i.sorted }
 
-// isDeleted reports whether the deletion of a machine of this name was confirmed in this term.
+// isDeleted reports whether the deletion of the machine with this name was confirmed in this term.
 func (i *machineInventory) isDeleted(name string) bool { return i.deleted[name] }
 
-// getOrAdd returns the machine of a name and adds it if it is not known. The pool is noted unless it
-// is the zero value.
+// getOrAdd returns the machine with the given name, and adds it if it is unknown. It sets the machine's
+// pool unless the given one is the zero value.
 func (i *machineInventory) getOrAdd(name string, pool machinePool) *machine {
 	m := i.byName[name]
 	if m == nil {
@@ -69,7 +69,7 @@
 	return m
 }
 
-// remove forgets a machine whose deletion is confirmed. Its name is remembered as deleted.
+// remove removes a machine whose deletion is confirmed, and records its name as deleted.
 func (i *machineInventory) remove(m *machine) {
 	i.logRemoved(m)
 	delete(i.byName, m.name)
@@ -81,19 +81,20 @@
 
 func compareToName(m *machine, name string) int { return strings.Compare(m.name, name) }
 
-// logRemoved reports how long a machine lived, and how much of its time was useful.
+// logRemoved logs how long a deleted machine existed and how much of its CPU time was useful. For a
+// machine that never reported, all of its lifetime is logged as boot time.
 func (i *machineInventory) logRemoved(m *machine) {
 	lifetime := (i.now - m.createdAt).Seconds()
 	bootTime := lifetime
 	if m.hasReported && m.firstReportAt > m.createdAt {
 		bootTime = (m.firstReportAt - m.createdAt).Seconds()
 	}
-	i.logInfo("machine gone", keyMachine, m.name, keyReason, m.deleteReason, keyType, m.typeName, keySpot, m.spot,
-		"cpus", m.capacity().CPUs, "life", lifetime, "boot", bootTime,
-		"useful", m.usefulCPUSeconds, "wasted", m.wastedCPUSeconds, "fetched", m.fetchCPUSeconds)
+	i.logInfo("machine deleted", keyMachine, m.name, keyReason, m.deleteReason, keyType, m.typeName, keySpot, m.spot,
+		"cpus", m.capacity().CPUs, "lifetime_s", lifetime, "boot_s", bootTime,
+		"useful_cpu_s", m.usefulCPUSeconds, "wasted_cpu_s", m.wastedCPUSeconds, "image_fetch_cpu_s", m.fetchCPUSeconds)
 }
 
-// updateTypes looks up the type of each machine again after the catalog has changed.
+// updateTypes looks up each machine's type again after the catalog has changed.
 func (i *machineInventory) updateTypes() {
 	for _, m := range i.sorted {
 		m.machineType = i.catalog.find(m.typeName)
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -6,15 +6,15 @@
 	"quillshunt/internal/limits"
 )
 
-// fleetSurvey counts machines, without those that are being deleted.
+// fleetSurvey counts the machines that are not being deleted, by how they reach the leader.
 type reachabilityCounts struct {
-	reported    int // sent heartbeats in our term
-	unreachable int // of these: have begun to be unreachable
-	unverified  int // of these: may not hear us
+	reported    int // have reported in this term
+	unreachable int // of reported: silent or unverified for longer than staleAfter
+	unverified  int // of reported: not known to receive replies
 	unreported  int // sent heartbeats to an earlier leader only
 }
 
-// surveyFleet counts the machines.
+// surveyFleet counts the machines in the inventory.
 func (s *Scheduler) countReachability() reachabilityCounts {
 	var counts reachabilityCounts
 	for _, m := range s.inventory.all() {
@@ -35,27 +35,28 @@
 	return counts
 }
 
-// hasCorrelatedUnreachable reports whether so many machines are unreachable that the network is to
-// blame. They may come back sooner than others would boot. Machines count that have only just begun to
-// be unreachable, as otherwise the first of them would be returned one by one.
+// hasCorrelatedUnreachable reports whether so many machines are unreachable that a network fault is the
+// likely cause. Such machines may come back sooner than replacements would boot. The count includes
+// machines that have been unreachable for less than unreachableTimeout: otherwise the first machines to
+// exceed it would be returned one by one before the common cause shows.
 func (f reachabilityCounts) hasCorrelatedUnreachable() bool {
 	return isCorrelated(f.unreachable, f.reported)
 }
 
-// hasCorrelatedUnreported reports whether so many machines have not reported to us that the network
-// may be to blame.
+// hasCorrelatedUnreported reports whether so many machines have not reported in this term that a network
+// fault may be the cause.
 func (f reachabilityCounts) hasCorrelatedUnreported() bool {
 	return isCorrelated(f.unreported, f.unreported+f.reported)
 }
 
-// isCorrelated reports whether so many of all machines are affected that they must have a common
-// cause.
+// isCorrelated reports whether so many of all machines are affected that a common cause is likely.
 func isCorrelated(affected, all int) bool {
 	return affected > limits.CorrelatedUnreachableMin &&
 		float64(affected) > limits.CorrelatedUnreachableShare*float64(all)
 }
 
-// removeFaultyMachines returns machines that do not serve.
+// removeFaultyMachines returns machines that cannot run tasks any more, or not reliably. It also
+// updates the counts of unverified and unreported machines that the prober and recovery use.
 func (s *Scheduler) returnUnusableMachines() {
 	counts := s.countReachability()
 	s.prober.updateUnverified(counts.unverified, counts.reported)
@@ -73,7 +74,7 @@
 	}
 }
 
-// removalReason returns why a machine is to be returned, or "" if it is not.
+// removalReason returns the reason for which a machine is to be returned to the cloud, or "" if there is none.
 func (s *Scheduler) returnReason(m *machine, counts reachabilityCounts) string {
 	switch {
 	case m.isUnreported():
@@ -102,11 +103,11 @@
 	return ""
 }
 
-// unreportedTooLong reports whether a machine that sent heartbeats to an earlier leader is given up: it
-// neither sends us any nor answers probes.
+// unreportedTooLong reports whether to return a machine that sent heartbeats to an earlier leader but none
+// in this term: after a timeout, or after UnreportedProbeMisses unanswered probes if few are unreported.
 func (s *Scheduler) unreportedTooLong(m *machine, counts reachabilityCounts) bool {
-	// While it may hold tasks nothing is placed anywhere. If only a few machines don't answer, losing
-	// them costs less than the wait.
+	// No task is placed on any machine while this one may hold tasks of earlier terms. If only a few
+	// machines do not answer, losing them costs less than waiting for them.
 	if s.recovery.hasFewUnreported() && m.missedProbes >= limits.UnreportedProbeMisses {
 		return true
 	}
@@ -118,7 +119,7 @@
 	return s.now > s.termStartedAt+timeout
 }
 
-// bootTimedOut reports whether a machine that has not come up is given up.
+// bootTimedOut reports whether a machine that has never sent a heartbeat has taken too long to boot.
 func (s *Scheduler) bootTimedOut(m *machine) bool {
 	timeout := limits.MinBootTimeout
 	if m.machineType != nil {
@@ -128,8 +129,8 @@
 	return s.now > max(m.createdAt, s.termStartedAt)+timeout
 }
 
-// unreachableTooLong reports whether a machine is given up that has reported in our term. Where many
-// are unreachable at once, they are kept for longer.
+// unreachableTooLong reports whether a machine that has reported in this term has been unreachable for so
+// long that it is to be returned. If many machines are unreachable at once, they are kept for longer.
 func (s *Scheduler) unreachableTooLong(m *machine, counts reachabilityCounts) bool {
 	unreachableFor := s.now - s.lastReachableAt(m)
 	if unreachableFor <= s.unreachableTimeout() {
@@ -139,12 +140,14 @@
 	return !counts.hasCorrelatedUnreachable() || unreachableFor > correlatedTimeout
 }
 
-// unreachableTimeout is how long a machine may be unreachable before it is given up, if not many are.
+// unreachableTimeout returns how long a machine may be unreachable before it is returned, unless many
+// machines are unreachable at once.
 func (s *Scheduler) unreachableTimeout() time.Duration {
 	return time.Duration(float64(s.workerLease) * limits.UnreachableLeaseShare)
 }
 
-// lastReachableAt is when a machine that has reported last showed that it hears us.
+// lastReachableAt returns when a machine that has reported was last known to be reachable: at its last
+// heartbeat, or when it became unverified if that was earlier. It is never before the start of the term.
 func (s *Scheduler) lastReachableAt(m *machine) time.Duration {
 	at := m.lastHeartbeatAt
 	if !m.verified {
@@ -153,7 +156,7 @@
 	return max(at, s.termStartedAt)
 }
 
-// resultsDurable reports whether all results that the machine lists are written down.
+// resultsDurable reports whether the results of all ended tasks that the machine lists are stored durably.
 func (m *machine) resultsDurable() bool {
 	for _, ended := range m.endedTasks {
 		if !ended.isDurable() {
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -10,43 +10,43 @@
 	"quillshunt/internal/storage"
 )
 
-// registration is whether the state service knows that a machine may hold tasks. A machine gets none
-// before, so that a successor knows where to look.
+// registration is how far a machine is recorded in the state service as one that may hold tasks. A machine
+// gets no tasks before it is registered, so that the next leader knows which machines to check.
 type registration uint8
 
 const (
 	unregistered registration = iota
-	registering               // in the record in memory
-	registered                // durable
+	registering               // on a page whose write is not confirmed yet
+	registered                // on a page in the state service
 )
 
-// registryPage is a record of registered machines, of whatever rentals: those that come up while one
-// is written go into the next write together, so that a thousand machines that come up at once cost
-// some tens of changes. A page is filled until it is as large as a value may be, and removed once its
-// machines are gone. A machine that is gone is taken off its rental's record, not off the page: what
-// no rental accounts for, a successor ignores.
+// registryPage is a record in the state service that lists registered machines, of any number of rentals.
+// Machines that come up while a page is being written share the next write, so that registering a thousand
+// machines at once takes only some tens of writes. A page is filled up to the maximum size of a value, and
+// removed once all its machines are deleted. A deleted machine is removed from its rental's record but not
+// from the page: the next leader ignores listed machines that no rental's record contains.
 type registryPage struct {
 	name         string
 	record       storage.RegistryPage
-	encodedSize  int // of the value, in bytes, rounded up
+	encodedSize  int // upper bound for the encoded record in bytes; 0 on a loaded page
 	version      uint64
-	liveMachines int // machines of it that are not gone
-	dirty        bool
-	writing      bool
+	liveMachines int  // listed machines that are not deleted
+	dirty        bool // lists machines that are not written yet
+	writing      bool // a write is in flight
 }
 
-// machineRegistry is the durable record of the machines that may hold tasks.
+// machineRegistry manages the durable record of the machines that may hold tasks.
 type machineRegistry struct {
 	*environment
 	inventory    *machineInventory
-	pages        []*registryPage // in the order in which they were made
-	current      *registryPage   // that new machines go on
-	pageSequence uint64          // of the names of this term's pages
-	dirty        bool            // some page has machines that are not written yet
-	writtenAt    time.Duration
+	pages        []*registryPage // in order of creation
+	current      *registryPage   // the page that new machines are added to
+	pageSequence uint64          // number of the last page of this term; part of its name
+	dirty        bool            // at least one page is dirty
+	writtenAt    time.Duration   // when pages were last written
 }
 
-// newMachineRegistry returns a registry without pages.
+// newMachineRegistry returns an empty registry.
 func newMachineRegistry(env *environment, inventory *machineInventory) *machineRegistry {
 	return &machineRegistry{
 		environment: env,
@@ -55,8 +55,8 @@
 	}
 }
 
-// load adds a page of an earlier term. Its machines must be in the inventory already: those of no
-// rental are gone.
+// load adds a page that an earlier leader wrote. The machines of all rentals must be in the inventory
+// already. Listed machines that are not there belong to no rental, as they were deleted, and are ignored.
 func (r *machineRegistry) load(e RegistryPageLoaded) {
 	page := &registryPage{name: e.Name, record: e.Record, version: e.Version}
 	r.pages = append(r.pages, page)
@@ -69,7 +69,7 @@
 	r.removeIfEmpty(page)
 }
 
-// add enters an unregistered machine on the current page and writes it when its time has come.
+// add puts an unregistered machine on the current page and writes the page if a write is due.
 func (r *machineRegistry) add(m *machine) {
 	m.registration = registering
 	entry := storage.RegisteredMachine{Machine: m.name, Address: m.address}
@@ -83,7 +83,7 @@
 	r.writePages()
 }
 
-// pageFor returns the current page, or a new one if an entry of that size does not fit.
+// pageWithRoom returns the current page, or a new one if an entry of the given size does not fit.
 func (r *machineRegistry) pageWithRoom(size int) *registryPage {
 	previous := r.current
 	if previous != nil && float64(previous.encodedSize+size) <= r.cfg.State.ValueKB*1024 {
@@ -101,8 +101,8 @@
 	return r.current
 }
 
-// writePages writes the pages with new machines, at most once every RegistryWriteInterval; the next
-// tick or the answer to the last write goes on with it.
+// writePages writes the dirty pages, at most once every RegistryWriteInterval. Pages that remain dirty are
+// written after a later tick or when a write in flight completes.
 func (r *machineRegistry) writePages() {
 	if !r.dirty || r.now < r.writtenAt+limits.RegistryWriteInterval {
 		return
@@ -123,15 +123,14 @@
 	}
 }
 
-// pageWritten notes the outcome of the write of a page. It returns the machines that are registered
-// from now on.
+// pageWritten records the outcome of a page write and returns the machines that it has registered.
 func (r *machineRegistry) pageWritten(write registryPageWrite, ok bool, version uint64) []*machine {
 	page := write.page
 	page.writing = false
 	if !ok {
-		// Only we write pages of our term, so this cannot be; the machines stay unregistered and get
-		// no tasks.
-		r.logWarn("registry page refused", "page", page.name)
+		// Only this leader writes the pages of its term, so a conflict is not expected. If one occurs,
+		// the machines are not registered and get no tasks.
+		r.logWarn("write of registry page rejected", "page", page.name)
 		return nil
 	}
 	page.version = version
@@ -147,7 +146,7 @@
 	return added
 }
 
-// remove removes a machine that is gone from its page.
+// remove decrements the machine count of a deleted machine's page, and removes the page if it was the last.
 func (r *machineRegistry) remove(m *machine) {
 	if page := m.registryPage; page != nil {
 		page.liveMachines--
@@ -155,7 +154,8 @@
 	}
 }
 
-// removeIfEmpty removes a page of whose machines none is left.
+// removeIfEmpty removes a page, also from the state service, once all its machines are deleted. It keeps
+// the current page, and pages that are dirty or being written.
 func (r *machineRegistry) removeIfEmpty(page *registryPage) {
 	if page.liveMachines > 0 || page.writing || page.dirty || page == r.current {
 		return
@@ -171,8 +171,8 @@
 	r.pages = slices.DeleteFunc(r.pages, func(other *registryPage) bool { return other == page })
 }
 
-// registerMachine sees to it that the state service knows that a machine may get tasks from now on.
-// The written record of a rental must name it first.
+// registerMachine registers a machine so that it may get tasks. The durable record of a rental must contain
+// the machine first; a machine without a rental is adopted into one.
 func (s *Scheduler) registerMachine(m *machine) {
 	if m.rental == "" {
 		s.rentals.adopt(m)
@@ -182,7 +182,7 @@
 	}
 }
 
-// registryPageWritten handles the outcome of the write of a page: its machines may get starts.
+// registryPageWritten handles the outcome of a page write: starts may go to the machines that it registered.
 func (s *Scheduler) registryPageWritten(write registryPageWrite, ok bool, version uint64) {
 	for _, m := range s.registry.pageWritten(write, ok, version) {
 		s.gangs.requestCommit()
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -5,24 +5,26 @@
 	"quillshunt/internal/protocol"
 )
 
-// noteSpotNotice notes that the cloud takes a spot instance back soon. It gets no more tasks.
+// recordSpotNotice records, from a heartbeat, that the cloud will reclaim the spot instance soon. The
+// machine gets no more tasks.
 func (s *Scheduler) recordSpotNotice(m *machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.SpotNoticeS == nil || m.spotNotice {
 		return
 	}
 	m.spotNotice = true
 	m.spotReclaimAt = s.now + limits.Seconds(*heartbeat.SpotNoticeS)
-	s.logInfo("spot notice", "machine", m.name, "seconds", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
+	s.logInfo("spot notice received",
+		"machine", m.name, "reclaim_in_s", *heartbeat.SpotNoticeS, "tasks", len(m.assignments))
 	s.assignments.releaseUnsent(m)
 }
 
-// stopForSpotNotice stops tasks on a machine that the cloud takes back: those with checkpoints in time
-// to save, the others at once if they cannot complete before.
+// stopTasksForSpotNotice stops tasks on a machine that the cloud is about to reclaim. Tasks with
+// checkpoints are stopped in time to save one, other tasks at once if they cannot complete before.
 func (s *Scheduler) stopTasksForSpotNotice(m *machine) {
 	remaining := (m.spotReclaimAt - s.now).Seconds()
 	for _, a := range m.sortedAssignments() {
 		if m.assignments[a.taskName] != a || a.stopping || a.state == stateUnsent {
-			continue // also those that were released with their gang
+			continue // an earlier iteration may have released the task with its gang
 		}
 		if s.mustStopBeforeReclaim(a, remaining) {
 			s.stopTask(a, "spot notice")
@@ -30,7 +32,8 @@
 	}
 }
 
-// mustStopFor reports whether a task has to stop now as its machine is there for that many seconds only.
+// mustStopBeforeReclaim reports whether a task has to stop now, given the seconds that remain until the
+// cloud reclaims its machine.
 func (s *Scheduler) mustStopBeforeReclaim(a *assignment, remaining float64) bool {
 	if a.job.spec.CheckpointS > 0 {
 		margin := limits.SpotNoticeSaveIntervals * s.heartbeatInterval.Seconds()
