--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -10,7 +10,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// typeCatalog holds the machine types that the cloud offers, and fetches them anew from time to time.
+// typeCatalog holds the machine types that the cloud offers, and refreshes them at regular intervals.
 type typeCatalog struct {
 	*environment
 	byName      map[string]*protocol.MachineType
@@ -18,12 +18,12 @@
 	nextFetchAt time.Duration
 }
 
-// newTypeCatalog returns a catalog without types.
+// newTypeCatalog returns an empty catalog.
 func newTypeCatalog(env *environment) *typeCatalog {
 	return &typeCatalog{environment: env, byName: map[string]*protocol.MachineType{}}
 }
 
-// find returns the type of a name, or nil if the cloud does not offer it.
+// find returns the type with the given name, or nil if the cloud does not offer it.
 func (c *typeCatalog) find(name string) *protocol.MachineType { return c.byName[name] }
 
 // all returns the types, sorted by name. Callers must not change the slice.
@@ -32,7 +32,8 @@
 // isEmpty reports whether no types have been fetched yet.
 func (c *typeCatalog) isEmpty() bool { return len(c.byName) == 0 }
 
-// quickestBoot is how many seconds the quickest machine that the job may use takes until it is up.
+// minBootS returns the shortest estimated boot time, in seconds, of the machine types on which the job's
+// tasks fit and may run. It is infinite if there are none.
 func (c *typeCatalog) minBootS(j *job) float64 {
 	least := math.Inf(1)
 	for _, t := range c.sorted {
@@ -43,10 +44,11 @@
 	return least
 }
 
-// fetchNow makes the next fetchIfDue fetch the types.
+// requestFetch makes the next call of fetchIfDue fetch the types.
 func (c *typeCatalog) requestFetch() { c.nextFetchAt = 0 }
 
-// fetchIfDue fetches the types if the last ones are old.
+// fetchIfDue fetches the types if a fetch is due. Unless fetched reschedules it, the next one is due after
+// CloudTimeout.
 func (c *typeCatalog) fetchIfDue() {
 	if c.now < c.nextFetchAt {
 		return
@@ -55,8 +57,8 @@
 	c.emit(FetchMachineTypes{})
 }
 
-// fetched replaces the types by those that were fetched; after a failure the old ones stay and are
-// fetched again soon. It reports whether there are new ones.
+// fetched replaces the types with the fetched ones and reports true. After a failed fetch it keeps the old
+// types, schedules a retry after CloudRetryInterval and reports false.
 func (c *typeCatalog) fetched(e MachineTypesFetched) bool {
 	if !e.OK {
 		c.nextFetchAt = c.now + limits.CloudRetryInterval
@@ -75,7 +77,7 @@
 	return true
 }
 
-// machineTypesFetched handles the answer to FetchMachineTypes.
+// machineTypesFetched handles the outcome of FetchMachineTypes.
 func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
 	if !s.catalog.fetched(e) {
 		return
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -8,7 +8,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// commandChannel is the way on which commands go to a worker.
+// commandChannel is how commands are delivered to a worker.
 type commandChannel uint8
 
 const (
@@ -16,13 +16,13 @@
 	inDirectCommand
 )
 
-// buildDirectCommands returns what a machine is told in a direct command.
+// buildDirectCommands returns the commands to send to a machine directly.
 func (t *assignmentTable) buildDirectCommands(m *machine) []protocol.Command {
 	return t.buildCommands(m, inDirectCommand, nil)
 }
 
-// buildCommands appends to commands what else a machine is told: first stops and the starts that are
-// repeated, then starts that fit into room that is surely free.
+// buildCommands appends the commands of a machine's assignments to commands: first stops and repeated
+// starts, then, by priority, new starts whose demand fits the resources that are known to be free.
 func (t *assignmentTable) buildCommands(
 	m *machine, channel commandChannel, commands []protocol.Command,
 ) []protocol.Command {
@@ -46,8 +46,8 @@
 	return t.appendStarts(m, assignments, channel, commands)
 }
 
-// appendStarts appends the starts of the assignments that may go out now, and releases those that the
-// machine should not get any more.
+// appendStarts appends the starts of unsent assignments that may be sent now. It releases unsent assignments
+// of cancelled jobs, and all of them if the machine is to be deleted or has a spot notice.
 func (t *assignmentTable) appendStarts(
 	m *machine, assignments []*assignment, channel commandChannel, commands []protocol.Command,
 ) []protocol.Command {
@@ -61,13 +61,13 @@
 			continue
 		}
 		if m.registration != registered {
-			continue // a successor would not know that tasks can be here
+			continue // the next leader would not know that tasks may be here
 		}
 		switch {
 		case a.committed:
-			// Its room is kept; see commitGangs.
+			// committedResources includes its demand already; see commitGangs.
 		case a.job.gang != nil || !capacity.Fits(committed.Plus(a.job.demand)):
-			continue // its room is not confirmed yet
+			continue // its resources are not confirmed to be free yet
 		default:
 			committed = committed.Plus(a.job.demand)
 		}
@@ -83,10 +83,10 @@
 	return commands
 }
 
-// needsStartRepeated reports whether a start that may have got lost is sent once more. The attempt
-// stays the same, so it has no effect if the first start has arrived, or arrives later. With a stop
-// behind it, it only makes the worker know the attempt. A cancelled job's task is not started even
-// so; removeFaultyMachines sees to its machine.
+// needsStartRepeated reports whether to repeat a start that may have been lost. The repeated start has the
+// same attempt number, so it has no effect if the first one has arrived or arrives later. If a stop follows
+// it, the task does not run, but the worker learns of the attempt. The start of a cancelled job's task is
+// never repeated; if the task does not stop in time, returnUnusableMachines returns its machine.
 func (a *assignment) needsStartRepeated() bool {
 	return a.state == stateSent && a.startUnconfirmed && !a.job.cancelled && !a.job.closed
 }
@@ -95,7 +95,7 @@
 	return protocol.Command{Verb: protocol.CommandStart, Task: a.taskName, Attempt: a.attempt}
 }
 
-// stopCommand returns the stop of a task, with the time that it has to save its work.
+// stopCommand returns the command to stop a task, with the time that the task has to save a checkpoint.
 func (a *assignment) stopCommand() protocol.Command {
 	grace := 0.0
 	if a.savesOnStop() {
@@ -104,13 +104,13 @@
 	return protocol.Command{Verb: protocol.CommandStop, Task: a.taskName, Attempt: a.attempt, GraceS: &grace}
 }
 
-// savesOnStop reports whether a task that is stopped should save its work before it ends.
+// savesOnStop reports whether a stopped task should save a checkpoint before it ends.
 func (a *assignment) savesOnStop() bool {
 	return a.job.spec.CheckpointS > 0 && !a.job.cancelled && !a.withoutSaving && a.stopReason != stopReasonDoneElsewhere
 }
 
-// repeatableCommands returns the commands of the last answer, without the starts that are not needed
-// any more or have arrived since.
+// commandsToRepeat returns the commands of the last heartbeat reply, without starts that have arrived since
+// or are no longer needed.
 func (m *machine) commandsToRepeat() []protocol.Command {
 	var commands []protocol.Command
 	for _, command := range m.lastCommands {
@@ -122,7 +122,7 @@
 	return commands
 }
 
-// awaitsStart reports whether a start that was sent earlier should still arrive.
+// awaitsStart reports whether a start that was sent earlier is still needed and has not been confirmed.
 func (m *machine) awaitsStart(start protocol.Command) bool {
 	a := m.assignments[start.Task]
 	return a != nil && a.attempt == start.Attempt && a.state == stateSent && !a.stopping &&
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -7,24 +7,24 @@
 	"quillshunt/internal/protocol"
 )
 
-// commandDispatcher sends commands to workers directly, without waiting for their heartbeats. At most
-// limits.MaxDirectCommands are in flight: a worker answers in milliseconds, so more than that means
-// that this controller is behind, and then the rest goes out in the answers to the next heartbeats.
+// commandDispatcher sends commands to workers directly, without waiting for their heartbeats. It stops at
+// limits.MaxDirectCommands in flight. A worker answers within milliseconds, so that many unanswered ones
+// mean that the controller is overloaded; the other commands go out in the replies to the next heartbeats.
 type commandDispatcher struct {
 	*environment
-	lastID        uint64     // of direct commands
-	inFlight      int        // direct commands that are not answered yet
-	waiting       []*machine // with commands that did not go out yet
-	deferredCount int        // of waiting, how many were held back by earlier calls
-	urgent        []*machine // that have to be told of a gang's stop
+	lastID        uint64     // last allocated ID of a direct command
+	inFlight      int        // direct commands without an answer yet
+	waiting       []*machine // machines that may have unsent commands
+	deferredCount int        // length of the prefix of waiting that earlier calls of sendWaiting did not reach
+	urgent        []*machine // machines that may have an unsent stop of a gang's task
 }
 
-// newCommandDispatcher returns a dispatcher without commands.
+// newCommandDispatcher returns a dispatcher with no machines waiting.
 func newCommandDispatcher(env *environment) *commandDispatcher {
 	return &commandDispatcher{environment: env}
 }
 
-// enqueue notes that a machine has commands that did not go out yet.
+// enqueue queues a machine that has unsent commands.
 func (d *commandDispatcher) enqueue(m *machine) {
 	if !m.dispatchQueued {
 		m.dispatchQueued = true
@@ -32,26 +32,26 @@
 	}
 }
 
-// enqueueUrgent notes that a machine has to be told of a gang's stop.
+// enqueueUrgent queues a machine that has an unsent stop of a gang's task.
 func (d *commandDispatcher) enqueueUrgent(m *machine) { d.urgent = append(d.urgent, m) }
 
-// nextID returns the ID that the next direct command gets.
+// peekNextID returns the ID of the next direct command without allocating it.
 func (d *commandDispatcher) peekNextID() uint64 { return d.lastID + 1 }
 
-// takeID returns an ID that no other direct command has.
+// allocateID returns a new ID, which no other direct command has.
 func (d *commandDispatcher) allocateID() uint64 {
 	d.lastID++
 	return d.lastID
 }
 
-// canSend reports whether a machine takes a direct command now.
+// canSendTo reports whether a direct command may be sent to a machine now.
 func (d *commandDispatcher) canSendTo(m *machine) bool {
 	known := m.address != "" && m.hasReported && m.fenced && m.hasLiveIncarnation()
 	fresh := d.now >= m.directBackoffUntil && !d.isStale(m)
 	return known && fresh && m.pendingDirectID == 0 && !m.relayed && !m.deleting
 }
 
-// send sends commands to a machine that can take them.
+// send sends commands to a machine for which canSendTo holds.
 func (d *commandDispatcher) send(m *machine, commands []protocol.Command) {
 	m.pendingDirectID = d.allocateID()
 	d.inFlight++
@@ -64,8 +64,8 @@
 	})
 }
 
-// answered notes that a direct command is over. It reports whether the machine, nil if it is gone, still
-// waited for that.
+// recordAnswer records that a direct command was answered or has failed. It reports whether the command was
+// still pending on the machine; m is nil if the machine was deleted.
 func (d *commandDispatcher) recordAnswer(m *machine, id uint64) bool {
 	d.inFlight--
 	if m == nil || m.pendingDirectID != id {
@@ -75,17 +75,18 @@
 	return true
 }
 
-// sendCorrections sends commands about tasks that should not be on a machine; if it is not possible
-// now, its next heartbeat brings them up again.
+// sendCorrections sends commands for tasks that should not be on a machine. If a direct command cannot be
+// sent now, the commands are dropped, and the next heartbeat of the machine produces them again.
 func (d *commandDispatcher) sendCorrections(m *machine, commands []protocol.Command) {
 	if len(commands) > 0 && d.canSendTo(m) {
 		d.send(m, commands)
 	}
 }
 
-// sendUrgent sends the stops of gangs ahead of all else, however many commands are in flight: a gang
-// of which one task is told too late loses the work of all. A machine that takes no direct command
-// now is told in the answer to its next heartbeat, or once the command in flight is answered.
+// sendUrgent sends the stops of gang tasks before all other commands and regardless of the limit on
+// commands in flight: if one task of a gang is stopped too late, the work of all its tasks is lost. A
+// machine to which no direct command can be sent now gets its stops in the reply to its next heartbeat, or
+// once its pending direct command is answered.
 func (d *commandDispatcher) sendUrgent(build func(*machine) []protocol.Command) {
 	urgent := d.urgent
 	d.urgent = nil
@@ -96,8 +97,8 @@
 	}
 }
 
-// sendWaiting sends what the machines that wait have to be told, those first that have waited for
-// longest.
+// sendWaiting sends the commands of the queued machines. Machines that earlier calls did not reach come
+// first, the others follow by name.
 func (d *commandDispatcher) sendWaiting(build func(*machine) []protocol.Command) {
 	if len(d.waiting) == 0 || d.inFlight >= limits.MaxDirectCommands {
 		return
@@ -112,7 +113,7 @@
 			return
 		}
 		if !m.dispatchQueued {
-			continue // the answer to a heartbeat has brought them
+			continue // its commands were sent in the reply to a heartbeat
 		}
 		m.dispatchQueued = false
 		if !d.canSendTo(m) {
@@ -124,31 +125,31 @@
 	}
 }
 
-// dispatch sends the starts and stops of the machines that have just been decided on.
+// dispatch sends the unsent starts and stops directly, as far as possible.
 func (s *Scheduler) dispatch() {
 	s.dispatcher.sendUrgent(s.assignments.buildDirectCommands)
 	s.dispatcher.sendWaiting(s.assignments.buildDirectCommands)
 }
 
-// directCommandsDone handles the answer to a direct command, or its absence.
+// directCommandsDone handles the outcome of a direct command: its answer, or that there was none.
 func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
 	m := s.inventory.find(e.Machine)
 	if !s.dispatcher.recordAnswer(m, e.ID) {
 		return
 	}
 	s.reconcileDirectCommands(m, e)
-	if m.hasUnsentGangCommand() { // came up while this command was in flight
+	if m.hasUnsentGangCommand() { // added while this command was in flight
 		s.dispatcher.enqueue(m)
 		s.dispatcher.enqueueUrgent(m)
 	}
 }
 
-// reconcileDirectCommands learns from the outcome of a direct command what became of its starts.
+// reconcileDirectCommands updates a machine's assignments from the outcome of a direct command.
 func (s *Scheduler) reconcileDirectCommands(m *machine, e DirectCommandsDone) {
 	heartbeat := e.Heartbeat
 	switch {
 	case e.NotExecuted:
-		// Nothing reached the worker, or it executed nothing: these starts cannot arrive any more.
+		// The commands were not sent, or the worker rejected them, so their starts can no longer arrive.
 		m.directBackoffUntil = s.now + limits.DirectCommandBackoff
 		for _, a := range m.sortedAssignments() {
 			if a.directID == e.ID && a.state == stateSent {
@@ -156,16 +157,16 @@
 			}
 		}
 	case heartbeat == nil:
-		// It may be carried out at any time while the incarnation and the term last. The next
-		// answers to heartbeats repeat the starts, which is harmless, and the tasks stay assigned
-		// until they show up or the incarnation ends.
+		// The worker may still execute the commands, at any time until its incarnation or the term
+		// ends. The tasks stay assigned until the worker lists them or its incarnation ends. Meanwhile
+		// the replies to its heartbeats repeat the starts, which has no effect on a started task.
 		m.directBackoffUntil = s.now + limits.DirectCommandBackoff
 		m.markStartsUnconfirmed(e.ID)
 	case heartbeat.Machine != e.Machine || !heartbeat.Valid():
-		// It proves nothing.
+		// An invalid answer shows nothing about the tasks.
 	case m.isOutdated(heartbeat, m.taskListSequence):
-		// A later message was here first and has shown what became of the tasks, except of one that
-		// it was too early for.
+		// A newer message was processed first. It has shown the state of the tasks, unless the worker
+		// sent it before it received their starts.
 		m.markStartsUnconfirmed(e.ID)
 	default:
 		s.reachability.observeIncarnation(m, heartbeat)
@@ -174,7 +175,8 @@
 	}
 }
 
-// markStartsUnconfirmed notes that it is unknown whether the starts of a direct command have arrived.
+// markStartsUnconfirmed marks the starts of a direct command as sent without confirmation: they may or may
+// not have arrived.
 func (m *machine) markStartsUnconfirmed(directID uint64) {
 	for _, a := range m.assignments {
 		if a.directID == directID {
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -8,17 +8,17 @@
 	"quillshunt/internal/limits"
 )
 
-// machineProber asks machines for their tasks instead of waiting for their heartbeats. The answer also
-// shows that messages reach the machine and that its worker has seen our term.
+// machineProber requests the task lists of machines instead of waiting for their heartbeats. An answer also
+// shows that messages reach the machine and that its worker has seen this term's fencing token.
 type machineProber struct {
 	*environment
 	inventory      *machineInventory
 	recovery       *recoveryState
 	limiter        probeLimiter
-	manyUnverified bool // more machines are unverified than can be without a common cause
+	manyUnverified bool // so many machines are unverified that a common cause is likely
 }
 
-// newMachineProber returns a prober whose rate fits the share of a core that this controller has.
+// newMachineProber returns a prober whose rate limit depends on the controller's share of a CPU core.
 func newMachineProber(env *environment, inventory *machineInventory, recovery *recoveryState) *machineProber {
 	return &machineProber{
 		environment: env,
@@ -28,15 +28,15 @@
 	}
 }
 
-// probeBudget bounds how many probes a second go out. A failover may have to learn of thousands of
-// machines at once; most of them send heartbeats within seconds, and a controller that probes them
-// all meanwhile has no processor left for these heartbeats, for its lease and for its votes. How much
-// it has shows in how long a probe takes: a worker answers in milliseconds.
+// probeLimiter is a token bucket that limits the rate of probes. After a failover, thousands of machines
+// have to report. Most of them send heartbeats within seconds, and a controller that probed all of them at
+// once would have no CPU time left for these heartbeats, its leader lease and its votes. A probe that takes
+// long shows that the controller lacks CPU time, because workers answer within milliseconds.
 type probeLimiter struct {
-	rate       float64 // probes a second, while they are answered at once
-	tokens     float64
+	rate       float64 // probes per second, while probes are not slowed down
+	tokens     float64 // probes that may be sent now
 	refilledAt time.Duration
-	slowUntil  time.Duration // probes are slowed down until then
+	slowUntil  time.Duration // the rate is reduced by ProbeSlowdown until this time
 }
 
 func newProbeLimiter(coreShare float64) probeLimiter {
@@ -44,7 +44,7 @@
 	return probeLimiter{rate: rate, tokens: rate * limits.TickInterval.Seconds()}
 }
 
-// refill adds what the time since the last refill allows; what is not used in a second is lost.
+// refill adds the tokens for the time since the last refill, up to the tokens of one second.
 func (b *probeLimiter) refill(now time.Duration) {
 	rate := b.rate
 	if now < b.slowUntil {
@@ -54,7 +54,7 @@
 	b.refilledAt = now
 }
 
-// spend reports whether a probe may go out now, and counts it if so.
+// allow reports whether a probe may be sent now, and takes a token if so.
 func (b *probeLimiter) allow() bool {
 	if b.tokens < 1 {
 		return false
@@ -63,14 +63,15 @@
 	return true
 }
 
-// updateUnverified notes how many of the machines that have reported are unverified.
+// updateUnverified determines from the counts of unverified machines and of all machines that have
+// reported whether a common cause is likely.
 func (p *machineProber) updateUnverified(unverified, reported int) {
 	share := limits.CorrelatedUnverifiedShare * float64(reported)
 	p.manyUnverified = unverified > limits.CorrelatedUnreachableMin && float64(unverified) > share
 }
 
-// probeDue probes the machines that may hold tasks of earlier terms and those that may not hear our
-// answers, as far as the budget goes. Those come first that were not probed for longest.
+// probeDueMachines probes the machines that may hold tasks of earlier terms, until recovery has ended, and
+// the unverified ones, as far as the rate limit allows. Machines whose probe was due first come first.
 func (p *machineProber) probeDueMachines() {
 	p.limiter.refill(p.now)
 	var due []*machine
@@ -85,7 +86,8 @@
 	}
 }
 
-// probe probes a machine if its time has come and the budget allows it.
+// probe probes a machine if a probe is due and the rate limit allows it. It skips machines that have no
+// address, are being deleted, or are in the verification grace period.
 func (p *machineProber) probe(m *machine) {
 	if p.inVerificationGracePeriod(m) || m.address == "" || m.deleting || p.now < m.nextProbeAt || !p.limiter.allow() {
 		return
@@ -94,16 +96,16 @@
 	p.emit(ProbeMachine{Machine: m.name, Address: m.address})
 }
 
-// mayVerifyByItself reports whether a probe of an unverified machine can wait. Where many machines are
-// unverified at once, as after they all had to find their leader again, the next heartbeats on their
-// new connections verify most of them for nothing.
+// inVerificationGracePeriod reports whether to delay the probe of an unverified machine. If many machines
+// are unverified at once, for example because all of them have reconnected to the leader, the next heartbeats
+// on the new connections verify most of them without a probe.
 func (p *machineProber) inVerificationGracePeriod(m *machine) bool {
 	grace := time.Duration(limits.UnverifiedGraceIntervals * float64(p.heartbeatInterval))
 	return m.hasReported && m.fenced && p.manyUnverified && p.now < m.unverifiedSince+grace
 }
 
-// done notes how a probe went. Probes are slowed down after one that took this controller long, or
-// that it could not send; one that was not answered says nothing about that.
+// recordOutcome slows down probes after one that could not be sent or was answered late, as this controller
+// is then short of CPU time or sockets. A probe without an answer says nothing about the controller.
 func (p *machineProber) recordOutcome(e ProbeDone) {
 	answeredLate := e.Heartbeat != nil && e.Took > limits.SlowHeartbeatWait
 	if e.NotSent || answeredLate {
@@ -111,17 +113,18 @@
 	}
 }
 
-// missed notes that a machine did not answer a probe.
+// recordMiss records that a machine did not answer a probe. If recovery waits for only a few machines, the
+// next probe follows at once, until UnreportedProbeMisses is reached.
 func (p *machineProber) recordMiss(m *machine) {
 	m.missedProbes++
 	if p.recovery.hasFewUnreported() && !m.hasReported && m.missedProbes < limits.UnreportedProbeMisses {
-		m.nextProbeAt = p.now // all placement waits for it
+		m.nextProbeAt = p.now // all placement waits until the machine answers or is returned
 		p.probe(m)
 	}
 }
 
-// probeDone handles the answer to a probe. The task list was made after the worker had seen our term,
-// so no command of an earlier leader can add to it. It renews no lease.
+// probeDone handles the outcome of a probe. The worker made the task list after it had seen this term's
+// fencing token, so no command of an earlier leader can add tasks to it. A probe renews no lease.
 func (s *Scheduler) probeDone(e ProbeDone) {
 	s.prober.recordOutcome(e)
 	m, heartbeat := s.inventory.find(e.Machine), e.Heartbeat
@@ -140,7 +143,7 @@
 	}
 	s.reachability.observeIncarnation(m, heartbeat)
 	s.reachability.setVerified(m, true)
-	// Like the answer to a direct command it shows nothing of starts that went out another way and
-	// may still arrive.
+	// The new ID matches no assignment. As with a direct reply, the task list shows nothing about starts
+	// that were sent in other messages and may still arrive.
 	s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.allocateID()))
 }
