--- a/internal/coordination/scheduler/catalog_test.go
+++ b/internal/coordination/scheduler/catalog_test.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestCatalogFetches: types are fetched at once, again after MachineTypesInterval, and sooner after a
-// failure, which leaves the old ones in place.
+// TestCatalogFetches checks that machine types are fetched at once in a new term, again after
+// MachineTypesInterval, and after CloudRetryInterval if a fetch failed, which keeps the old types.
 func TestCatalogFetches(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -30,17 +30,17 @@
 				return len(effectsOf[FetchMachineTypes](env.effects)) > 0
 			}
 			if !catalog.isEmpty() || !fetches(0) || fetches(time.Millisecond) {
-				t.Error("not fetched once at the beginning")
+				t.Error("types are not fetched exactly once at the start of the term")
 			}
 			catalog.fetched(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "a"}}})
 			if changed := catalog.fetched(c.outcome); changed != c.outcome.OK {
-				t.Errorf("new types: %v", changed)
+				t.Errorf("fetched = %v, want %v", changed, c.outcome.OK)
 			}
 			if len(catalog.all()) != c.types || catalog.isEmpty() {
-				t.Errorf("%d types", len(catalog.all()))
+				t.Errorf("catalog has %d types, want %d", len(catalog.all()), c.types)
 			}
 			if fetches(env.now+c.interval-1) || !fetches(env.now+1) {
-				t.Errorf("not fetched after %v", c.interval)
+				t.Errorf("next fetch is not exactly %v after the last outcome", c.interval)
 			}
 		})
 	}
--- a/internal/coordination/scheduler/dispatcher_test.go
+++ b/internal/coordination/scheduler/dispatcher_test.go
@@ -8,14 +8,14 @@
 	"quillshunt/internal/protocol"
 )
 
-// startCounter counts the starts that machines get, and keeps the direct commands in flight.
+// startCounter counts the starts that are sent, and collects the direct commands in flight.
 type startCounter struct {
 	t        *testing.T
 	starts   map[string]int // by task
 	inFlight []SendDirectCommands
 }
 
-// collect counts the starts among the effects. It fails if too many direct commands are in flight.
+// collect counts the starts among the effects. The test fails if too many direct commands are in flight.
 func (c *startCounter) collect(effects []Effect) {
 	c.t.Helper()
 	for _, effect := range effects {
@@ -28,7 +28,7 @@
 		}
 	}
 	if len(c.inFlight) > limits.MaxDirectCommands {
-		c.t.Fatalf("%d direct commands in flight", len(c.inFlight))
+		c.t.Fatalf("%d direct commands in flight, want at most %d", len(c.inFlight), limits.MaxDirectCommands)
 	}
 }
 
@@ -40,21 +40,21 @@
 	}
 }
 
-// next takes the oldest direct command that is in flight.
+// takeOldest removes and returns the oldest direct command in flight.
 func (c *startCounter) takeOldest() SendDirectCommands {
 	direct := c.inFlight[0]
 	c.inFlight = c.inFlight[1:]
 	return direct
 }
 
-// TestDirectCommandsAreBounded: however many machines get tasks at once, the number of direct commands
-// in flight is bounded. The other machines get their starts with the answers to their next heartbeats,
-// or directly once earlier commands are answered; each start goes out once.
+// TestDirectCommandsAreBounded checks that the number of direct commands in flight is bounded when many
+// machines get tasks at once. The other machines get their starts in the replies to their next heartbeats, or
+// directly once earlier commands are answered. Each start is sent once.
 func TestDirectCommandsAreBounded(t *testing.T) {
 	const machines = 3 * limits.MaxDirectCommands
 	f := newSchedulerFixture(t, machines)
 	f.scheduler.jobs.teams["red"].cfg.CPUsMax = 8 * machines
-	for range 2 { // the second verifies the machines
+	for range 2 { // the second heartbeat verifies the machine
 		for i := range machines {
 			f.report(i)
 		}
@@ -63,12 +63,13 @@
 	f.job("job-1", "red", "standard", machines, 8, 0)
 	counter.collect(f.effects)
 	if len(counter.inFlight) != limits.MaxDirectCommands {
-		t.Fatalf("%d direct commands for %d machines", len(counter.inFlight), machines)
+		t.Fatalf("%d direct commands in flight for %d machines, want %d",
+			len(counter.inFlight), machines, limits.MaxDirectCommands)
 	}
 	last := HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: f.heartbeat(f.machine(machines - 1))}
 	counter.collect(f.step(last))
 	if len(counter.starts) != limits.MaxDirectCommands+1 {
-		t.Errorf("%d tasks started, not one more by the answer to a heartbeat", len(counter.starts))
+		t.Errorf("%d tasks started after a heartbeat reply, want %d", len(counter.starts), limits.MaxDirectCommands+1)
 	}
 	for len(counter.inFlight) > 0 {
 		direct := counter.takeOldest()
@@ -76,15 +77,15 @@
 		for _, start := range direct.Commands {
 			heartbeat.Tasks = append(heartbeat.Tasks, runningStatus(start))
 		}
-		f.now -= 9 * time.Millisecond // all within the time in which these machines are not stale
+		f.now -= 9 * time.Millisecond // keeps all answers within the time before these machines are stale
 		counter.collect(f.step(DirectCommandsDone{ID: direct.ID, Machine: direct.Machine, Heartbeat: heartbeat}))
 	}
 	if len(counter.starts) != machines {
-		t.Errorf("%d tasks started, not %d", len(counter.starts), machines)
+		t.Errorf("%d tasks started, want %d", len(counter.starts), machines)
 	}
 	for task, n := range counter.starts {
 		if n != 1 {
-			t.Errorf("%s was started %d times", task, n)
+			t.Errorf("task %s was started %d times, want once", task, n)
 		}
 	}
 }
--- a/internal/coordination/scheduler/health_test.go
+++ b/internal/coordination/scheduler/health_test.go
@@ -6,7 +6,7 @@
 	"quillshunt/internal/limits"
 )
 
-// newFailureFixture returns a fixture with five machines that have reported and two jobs.
+// newFailureFixture returns a fixture with two jobs and five machines that have reported.
 func newFailureFixture(t *testing.T) (f *schedulerFixture, one, other *job) {
 	f = newSchedulerFixture(t, 5)
 	for i := range 5 {
@@ -17,36 +17,37 @@
 	return f, f.scheduler.jobs.find("job-1"), f.scheduler.jobs.find("job-2")
 }
 
-// findMachine returns what the scheduler knows of a machine.
+// findMachine returns the scheduler's state of machine i.
 func (f *schedulerFixture) findMachine(i int) *machine {
 	return f.scheduler.inventory.find(f.machine(i))
 }
 
-// TestFaultyMachines: a machine that fails what others do is faulty; a job that fails everywhere makes
-// no machine faulty, and waits longer each time.
+// TestFaultyMachines checks that a machine on which several jobs fail is faulty. A job that fails on every
+// machine makes none of them faulty; it is retried with an increasing delay.
 func TestFaultyMachines(t *testing.T) {
 	f, failing, other := newFailureFixture(t)
 	f.scheduler.inventory.recordFailure(failing, f.findMachine(0))
 	f.scheduler.inventory.recordFailure(other, f.findMachine(0))
 	if !f.findMachine(0).isFaulty() {
-		t.Error("not faulty after failing two jobs")
+		t.Error("machine 0 is not faulty after failures of two jobs")
 	}
 	for i := 1; i < 5; i++ {
 		f.scheduler.inventory.recordFailure(failing, f.findMachine(i))
 	}
 	for i := 1; i < 5; i++ {
 		if f.findMachine(i).isFaulty() {
-			t.Errorf("machine %d is faulty because of a job that fails everywhere", i)
+			t.Errorf("machine %d is faulty because of a job that fails on every machine", i)
 		}
 	}
 	first := failing.backoff
 	f.scheduler.inventory.recordFailure(failing, f.findMachine(1))
 	if first < limits.JobBackoffMin || failing.backoff <= first || failing.retryAt <= f.scheduler.now {
-		t.Errorf("delays %v, then %v", first, failing.backoff)
+		t.Errorf("retry delay of the job does not increase: %v, then %v", first, failing.backoff)
 	}
 }
 
-// TestSlowMachines: a machine that takes far longer than others for tasks of the same job is slow.
+// TestSlowMachines checks that a machine is slow if tasks run far longer on it than tasks of the same job on
+// others.
 func TestSlowMachines(t *testing.T) {
 	f, _, j := newFailureFixture(t)
 	slow, usual := f.findMachine(2), f.findMachine(3)
@@ -57,9 +58,9 @@
 		j.learnRunTime(slow, 60)
 	}
 	if !slow.isSlow() {
-		t.Error("a slow machine is not found")
+		t.Error("machine with long run times is not slow")
 	}
 	if usual.isSlow() {
-		t.Error("a machine that runs tasks in the usual time counts as slow")
+		t.Error("machine with usual run times is slow")
 	}
 }
--- a/internal/coordination/scheduler/inventory_test.go
+++ b/internal/coordination/scheduler/inventory_test.go
@@ -7,11 +7,11 @@
 	"quillshunt/internal/protocol"
 )
 
-// newTestEnvironment returns the environment of a term that began at 0.
+// newTestEnvironment returns the environment of a term that started at time 0.
 func newTestEnvironment() *environment { return New(Config{Term: 3}, 0).environment }
 
-// TestInventory: machines are sorted by name, those that are removed are remembered, and types that
-// become known later are looked up again.
+// TestInventory checks that machines are sorted by name, that removed machines are recorded as deleted, and
+// that machine types are looked up again once the catalog contains them.
 func TestInventory(t *testing.T) {
 	env := newTestEnvironment()
 	catalog := newTypeCatalog(env)
@@ -27,25 +27,25 @@
 		return names
 	}
 	if got := names(); !slices.Equal(got, []string{"m-1", "m-2", "m-3"}) {
-		t.Errorf("machines %v", got)
+		t.Errorf("machines %v are not sorted by name", got)
 	}
 	m := inventory.find("m-2")
 	if inventory.getOrAdd("m-2", machinePool{}) != m || m.pool() != pool {
-		t.Errorf("found again as %+v", m.pool())
+		t.Errorf("getOrAdd changed the existing machine; its pool is %+v, want %+v", m.pool(), pool)
 	}
 	if m.machineType != nil {
-		t.Errorf("type %+v of an empty catalog", m.machineType)
+		t.Errorf("machine type %+v although the catalog is empty", m.machineType)
 	}
 	catalog.fetched(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8}}})
 	inventory.updateTypes()
 	if m.capacity().CPUs != 8 {
-		t.Errorf("size %+v once the type is known", m.capacity())
+		t.Errorf("capacity %+v after the type was added, want 8 CPUs", m.capacity())
 	}
 	inventory.remove(m)
 	if got := names(); !slices.Equal(got, []string{"m-1", "m-3"}) || inventory.find("m-2") != nil {
-		t.Errorf("machines %v after one is removed", got)
+		t.Errorf("machines %v after m-2 was removed", got)
 	}
 	if !inventory.isDeleted("m-2") || inventory.isDeleted("m-1") {
-		t.Error("not remembered which machine was deleted")
+		t.Error("the removed machine is not the one that is recorded as deleted")
 	}
 }
--- a/internal/coordination/scheduler/machine_fixture_test.go
+++ b/internal/coordination/scheduler/machine_fixture_test.go
@@ -2,7 +2,7 @@
 
 import "quillshunt/internal/protocol"
 
-// effectsOf returns the effects of one type.
+// effectsOf returns the effects of type E.
 func effectsOf[E Effect](effects []Effect) []E {
 	var found []E
 	for _, effect := range effects {
@@ -13,7 +13,7 @@
 	return found
 }
 
-// heartbeatWith is like heartbeat, with that sequence number.
+// heartbeatWithSequence returns a heartbeat of machine i with the given sequence number.
 func (f *schedulerFixture) heartbeatWithSequence(
 	i int, sequence uint64, tasks ...protocol.TaskStatus,
 ) *protocol.Heartbeat {
@@ -29,25 +29,25 @@
 	}
 }
 
-// reply handles a heartbeat and returns the answer to it.
+// replyTo processes a heartbeat and returns the reply to it.
 func (f *schedulerFixture) replyTo(e HeartbeatReceived) HeartbeatReply {
 	f.t.Helper()
 	replies := effectsOf[HeartbeatReply](f.step(e))
 	if len(replies) == 0 {
-		f.t.Fatal("not answered")
+		f.t.Fatal("heartbeat has no reply")
 	}
 	return replies[0]
 }
 
-// tick lets the scheduler look at everything that only time changes, and returns the effects.
+// tick processes a Tick of an entitled leader and returns its effects.
 func (f *schedulerFixture) tick() []Effect { return f.step(Tick{Entitled: true}) }
 
-// running returns the status of a task that runs as it was told to start.
+// runningStatus returns the status of a running task that was started by the given command.
 func runningStatus(start protocol.Command) protocol.TaskStatus {
 	return protocol.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: protocol.TaskRunning}
 }
 
-// completed returns the status of a task that is done as it was told to start.
+// completedStatus returns the status of a completed task that was started by the given command.
 func completedStatus(start protocol.Command) protocol.TaskStatus {
 	return protocol.TaskStatus{
 		Task: start.Task, Attempt: start.Attempt, State: protocol.TaskEnded, Reason: protocol.ReasonDone,
--- a/internal/coordination/scheduler/machine_removal_test.go
+++ b/internal/coordination/scheduler/machine_removal_test.go
@@ -7,8 +7,8 @@
 	"quillshunt/internal/limits"
 )
 
-// TestUnreachableIsNotIdle: machines that all become unreachable, as when the leader itself is
-// isolated, are not returned as idle.
+// TestUnreachableMachinesNotReturnedAsIdle checks that machines are not returned as idle when all of them
+// become unreachable at once, for example because the leader is isolated from the network.
 func TestUnreachableMachinesNotReturnedAsIdle(t *testing.T) {
 	f := newSchedulerFixture(t, 8)
 	for i := range 8 {
@@ -18,13 +18,13 @@
 		f.now += time.Second
 		for _, effect := range f.step(Tick{Entitled: true}) {
 			if deletion, ok := effect.(DeleteMachines); ok && f.now < 50*time.Second {
-				t.Fatalf("at %v: returned %v", f.now, deletion.Machines)
+				t.Fatalf("at %v: unreachable machines %v are returned", f.now, deletion.Machines)
 			}
 		}
 	}
 }
 
-// removalCase is a state of a machine and of the fleet, and why the machine is returned.
+// returnCase is a state of a machine and of the fleet, and the expected reason to return the machine.
 type returnCase struct {
 	name   string
 	counts reachabilityCounts
@@ -32,10 +32,10 @@
 	reason string
 }
 
-// removalTestTime is late enough in the term that no timeout counts from its start.
+// returnTestTime is late enough in the term that all timeouts that run from its start have passed.
 const returnTestTime = 10 * time.Minute
 
-// run checks the reason for a machine that was up until it was changed.
+// run checks the return reason of a reachable machine after c.change has modified it.
 func (c returnCase) run(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
@@ -43,12 +43,12 @@
 	f.scheduler.now, m.lastHeartbeatAt = returnTestTime, returnTestTime
 	c.change(m)
 	if got := f.scheduler.returnReason(m, c.counts); got != c.reason {
-		t.Errorf("reason %q, want %q", got, c.reason)
+		t.Errorf("return reason %q, want %q", got, c.reason)
 	}
 }
 
-// TestRemovalOfUnreachableMachines: a machine is returned once it has been unreachable for too long;
-// that is longer where many are unreachable at once.
+// TestReturnOfUnreachableMachines checks that a machine is returned once it has been unreachable for too
+// long, and that the timeout is longer if many machines are unreachable at once.
 func TestReturnOfUnreachableMachines(t *testing.T) {
 	workerLease := 14 * time.Second
 	timeout := time.Duration(float64(workerLease) * limits.UnreachableLeaseShare)
@@ -59,23 +59,23 @@
 		return func(m *machine) { m.lastHeartbeatAt = returnTestTime - age }
 	}
 	for _, c := range []returnCase{
-		{"up", few, func(*machine) {}, ""},
-		{"late", few, lastHeartbeat(timeout), ""},
-		{"unreachable", few, lastHeartbeat(timeout + 1), "unreachable"},
-		{"with many others", many, lastHeartbeat(correlatedTimeout), ""},
-		{"with many others for long", many, lastHeartbeat(correlatedTimeout + 1), "unreachable"},
-		{"unverified", few, func(m *machine) {
+		{"reachable", few, func(*machine) {}, ""},
+		{"last heartbeat at the timeout", few, lastHeartbeat(timeout), ""},
+		{"last heartbeat past the timeout", few, lastHeartbeat(timeout + 1), "unreachable"},
+		{"at the correlated timeout", many, lastHeartbeat(correlatedTimeout), ""},
+		{"past the correlated timeout", many, lastHeartbeat(correlatedTimeout + 1), "unreachable"},
+		{"unverified past the timeout", few, func(m *machine) {
 			m.verified, m.unverifiedSince = false, returnTestTime-timeout-1
 		}, "unreachable"},
-		{"boots", few, func(m *machine) {
+		{"booting", few, func(m *machine) {
 			m.hasReported, m.registration = false, unregistered
 			m.createdAt = returnTestTime - limits.MinBootTimeout
 		}, ""},
-		{"did not boot", few, func(m *machine) {
+		{"boot timed out", few, func(m *machine) {
 			m.hasReported, m.registration = false, unregistered
 			m.createdAt = returnTestTime - limits.MinBootTimeout - 1
 		}, "never came up"},
-		{"known to an earlier leader only", few, func(m *machine) {
+		{"reported to an earlier leader only", few, func(m *machine) {
 			m.hasReported = false
 		}, "no heartbeat since the failover"},
 	} {
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestRemovalOfReachableMachines: a machine that is up is returned if it is of no use.
+// TestReturnOfReachableMachines checks that a reachable machine is returned if it fails its tasks, is slow,
+// will be reclaimed or holds a cancelled task that does not stop.
 func TestReturnOfReachableMachines(t *testing.T) {
 	counts := reachabilityCounts{reported: 40}
 	fault := func(m *machine) {
@@ -105,7 +106,7 @@
 		{"cancelled task", counts, func(m *machine) {
 			assign(m, &job{cancelled: true}, stateRunning)
 		}, "cancelled task does not stop"},
-		{"cancelled task that was not sent", counts, func(m *machine) {
+		{"cancelled task with an unsent start", counts, func(m *machine) {
 			assign(m, &job{cancelled: true}, stateUnsent)
 		}, ""},
 	} {
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// newFailover returns the scheduler of a leader that has just replaced another, with machines whose
-// heartbeats are rare.
+// newSchedulerAfterFailover returns the scheduler of a new leader that has loaded the records of the given
+// number of machines. Heartbeats are a minute apart, so they do not replace probes.
 func newSchedulerAfterFailover(machines int, coreShare float64) *Scheduler {
 	s := New(Config{
 		Term:      3,
@@ -28,17 +28,18 @@
 	return s
 }
 
-// probeAnswerer answers the probes of a scheduler and counts them.
+// probeResponder answers the probes of a scheduler and counts them.
 type probeResponder struct {
 	t         *testing.T
 	scheduler *Scheduler
 	machines  int
-	took      time.Duration // 0: probes are not answered
+	took      time.Duration // duration of each probe; 0 if probes are not answered
 	probed    map[string]int
 	sent      int
 }
 
-// answer answers the probes among the effects. It fails if a machine is probed again before all were.
+// answer answers the probes among the effects. The test fails if a machine is probed again before every
+// machine was probed once.
 func (a *probeResponder) answer(effects []Effect, now time.Duration) {
 	a.t.Helper()
 	for _, probe := range effectsOf[ProbeMachine](effects) {
@@ -48,22 +49,22 @@
 		}
 		done := ProbeDone{Machine: probe.Machine}
 		if a.took > 0 {
-			done.Took, done.Heartbeat = a.took, &protocol.Heartbeat{} // proves nothing
+			done.Took, done.Heartbeat = a.took, &protocol.Heartbeat{} // invalid, so it is ignored
 		}
 		a.scheduler.Step(done, now)
 	}
 }
 
-// TestProbesArePaced: after a failover a small controller probes its machines one after the other, not
-// all at once, and slower once that takes it long; those that never answer do not keep it from probing
-// the others. Seen on controllers that spent their processor on probes while heartbeats and the lease
-// waited.
+// TestProbeRateLimit checks that a controller with a small share of a CPU core does not probe all machines at
+// once after a failover, and that it slows down when probes take long. Machines that never answer must not
+// delay the probes of the others. Without the limit, controllers spent their CPU time on probes while
+// heartbeats and the renewal of the leader lease were delayed.
 func TestProbeRateLimit(t *testing.T) {
 	const machines, coreShare = 1000, 0.05
 	for _, c := range []struct {
 		name  string
 		took  time.Duration
-		share float64 // of the full rate
+		share float64 // expected share of the full probe rate
 	}{
 		{"answered at once", time.Millisecond, 1},
 		{"answered late", time.Second, limits.ProbeSlowdown},
@@ -80,7 +81,7 @@
 				answerer.answer(s.Step(Tick{Entitled: true}, now), now)
 				most := rate*limits.TickInterval.Seconds() + rate*c.share*now.Seconds()
 				if float64(answerer.sent) > most+1 {
-					t.Fatalf("%d probes within %v, at most %v are allowed", answerer.sent, now, most)
+					t.Fatalf("%d probes within %v, want at most %v", answerer.sent, now, most)
 				}
 				latest := machines/(rate*c.share) + 2*limits.TickInterval.Seconds()
 				if now.Seconds() > latest {
@@ -91,9 +92,9 @@
 	}
 }
 
-// TestLastUnreportedProbedAgain: all placement waits for the last machine that a new leader has not
-// heard of, so a probe that it did not answer is followed by the next at once. Where many have not
-// reported, as during a network partition, their probes keep to their pace.
+// TestLastUnreportedProbedAgain checks that a missed probe is followed by another at once if only a few
+// machines are unreported, because all placement waits for them after a failover. If many are unreported, as
+// during a network partition, probes keep to their interval.
 func TestLastUnreportedProbedAgain(t *testing.T) {
 	for _, c := range []struct{ unreported, again int }{{1, 1}, {20, 0}} {
 		t.Run(fmt.Sprintf("%d unreported", c.unreported), func(t *testing.T) {
@@ -109,15 +110,16 @@
 				}
 			}
 			if again != c.again {
-				t.Errorf("probed %d times right after a probe without an answer, not %d times", again, c.again)
+				t.Errorf("%d probes right after a missed probe, want %d", again, c.again)
 			}
 		})
 	}
 }
 
-// TestUnverifiedTogether: a machine whose answers may not arrive is probed at once, but not hundreds
-// that come on new connections together: their next heartbeats verify them, and who stays unverified
-// is probed then. Probes of all kept a small controller from answering heartbeats, for minutes.
+// TestCorrelatedUnverifiedMachinesNotProbedAtOnce checks that a single unverified machine is probed at once,
+// but not many machines that become unverified together by new connections. Their next heartbeats verify
+// most of them, and those that stay unverified are probed then. Without the delay, the probes kept a
+// controller with a small share of a CPU core from answering heartbeats for minutes.
 func TestCorrelatedUnverifiedMachinesNotProbedAtOnce(t *testing.T) {
 	for _, n := range []int{1, 40} {
 		t.Run(fmt.Sprintf("%d unverified", n), func(t *testing.T) {
@@ -126,7 +128,7 @@
 				for i := range 40 {
 					f.report(i)
 				}
-				f.now += 2 * time.Second // the probes of the failover are long over
+				f.now += 2 * time.Second // after all probes of the failover
 			}
 			probes := func(e Event) int { return len(effectsOf[ProbeMachine](f.step(e))) }
 			early := 0
@@ -139,12 +141,12 @@
 				}
 			}
 			if n == 1 && early != 1 {
-				t.Errorf("one unverified machine is probed %d times at once", early)
+				t.Errorf("single unverified machine is probed %d times at once, want 1", early)
 			}
 			if n > 1 && early > n/4 {
-				t.Errorf("%d of %d machines that are unverified together are probed at once", early, n)
+				t.Errorf("%d of %d machines that became unverified together are probed at once", early, n)
 			}
-			// The others are verified by heartbeats; one stays unverified and is probed.
+			// All but one are verified by heartbeats. The last one stays unverified and must be probed.
 			for i := range n - 1 {
 				f.report(i)
 			}
--- a/internal/coordination/scheduler/reachability_test.go
+++ b/internal/coordination/scheduler/reachability_test.go
@@ -8,8 +8,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestRelayedHeartbeats: a worker whose heartbeats come through another controller is told once to come
-// itself, unless it is known that it cannot reach us or we it, and again after RelayRetryAfter.
+// TestRelayedHeartbeats checks that a worker whose heartbeats are relayed is redirected to the leader once,
+// and again after RelayRetryAfter. The first redirect is skipped if the worker has reported directly before
+// or has missed a probe.
 func TestRelayedHeartbeats(t *testing.T) {
 	type heartbeat struct {
 		after      time.Duration
@@ -18,18 +19,18 @@
 	}
 	for _, c := range []struct {
 		name       string
-		missed     bool // a probe was not answered before
+		missed     bool // the worker has missed a probe before
 		heartbeats []heartbeat
 	}{
-		{"never reached us", false, []heartbeat{
+		{"has never reported directly", false, []heartbeat{
 			{0, true, true}, {time.Second, true, false}, {time.Second, true, false},
 			{limits.RelayRetryAfter, true, true}, {time.Second, true, false},
 		}},
-		{"reached us before", false, []heartbeat{
+		{"has reported directly before", false, []heartbeat{
 			{0, false, false}, {time.Second, true, false}, {limits.RelayRetryAfter + time.Second, true, true},
 		}},
-		{"not reached by a probe", true, []heartbeat{{0, true, false}}},
-		{"comes itself again", false, []heartbeat{
+		{"has missed a probe", true, []heartbeat{{0, true, false}}},
+		{"reports directly again", false, []heartbeat{
 			{0, true, true}, {time.Second, true, false}, {time.Second, false, false}, {time.Second, true, false},
 		}},
 	} {
@@ -42,15 +43,15 @@
 				f.now += h.after
 				received := HeartbeatReceived{Entitled: true, Relayed: h.relayed, Heartbeat: f.heartbeat(f.machine(0))}
 				if reply := f.replyTo(received); reply.Redirect != h.redirected || reply.Accepted == h.redirected {
-					t.Errorf("heartbeat %d: %+v", i, reply)
+					t.Errorf("heartbeat %d: reply %+v, want redirected = %v", i, reply, h.redirected)
 				}
 			}
 		})
 	}
 }
 
-// TestLeaseExpiry: the tasks of a machine that sends no more heartbeats are released once its worker's
-// lease is surely over, and not before.
+// TestLeaseExpiry checks that the tasks of a machine that has stopped sending heartbeats are released once
+// its worker's lease has expired on both clocks, and not before.
 func TestLeaseExpiry(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
@@ -61,17 +62,17 @@
 	f.now = expires - 10*time.Millisecond - 1 // a step takes 10 ms
 	f.tick()
 	if len(m.assignments) != 1 || !m.hasLiveIncarnation() {
-		t.Fatal("released before the lease is over")
+		t.Fatal("task released before the lease has expired")
 	}
 	f.now = expires - 10*time.Millisecond
 	f.tick()
 	if len(m.assignments) != 0 || m.hasLiveIncarnation() {
-		t.Fatal("not released although the lease is over")
+		t.Fatal("task not released although the lease has expired")
 	}
 }
 
-// TestOutdatedMessages: a message of an earlier incarnation, or one that is not newer than the newest of
-// its incarnation, is outdated.
+// TestOutdatedMessages checks that a message is outdated if its incarnation has ended or was replaced, or
+// if its sequence number is not above the newest one of the incarnation.
 func TestOutdatedMessages(t *testing.T) {
 	reported := &machine{machineReachability: machineReachability{hasReported: true, incarnation: 3}}
 	expired := &machine{
@@ -96,7 +97,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			heartbeat := &protocol.Heartbeat{Incarnation: c.incarnation, Sequence: c.sequence}
 			if got := c.machine.isOutdated(heartbeat, 7); got != c.outdated {
-				t.Errorf("outdated %v", got)
+				t.Errorf("isOutdated = %v, want %v", got, c.outdated)
 			}
 		})
 	}
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestRegisteredBeforeStart: a machine gets its first task only once the state service knows that it
-// may have one; otherwise a new leader would not look for it there.
+// TestNoStartBeforeRegistration checks that a machine gets its first start only once its registration is in
+// the state service. Otherwise the next leader would not know that tasks may run there.
 func TestNoStartBeforeRegistration(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.job("job-1", "red", "standard", 1, 1, 0)
@@ -25,15 +25,15 @@
 		}
 	}
 	if registration == nil || verbs(commands, protocol.CommandStart) != 0 || len(f.direct()) != 0 {
-		t.Fatalf("before the registration: %+v %+v", commands, f.effects)
+		t.Fatalf("registration not written, or start sent before it: commands %+v, effects %+v", commands, f.effects)
 	}
 	f.step(WriteCompleted{ID: registration.ID, OK: true, Version: 9})
 	if direct := f.direct(); len(direct) != 1 || verbs(direct[0].Commands, protocol.CommandStart) != 1 {
-		t.Fatalf("after the registration: %+v", f.effects)
+		t.Fatalf("want one direct start after the registration, got effects %+v", f.effects)
 	}
 }
 
-// registryWrites returns the writes of pages of registered machines among the effects.
+// registryWrites returns the writes of registry pages among the effects of the last event.
 func (f *schedulerFixture) registryWrites() []WriteRecords {
 	var writes []WriteRecords
 	for _, write := range effectsOf[WriteRecords](f.effects) {
@@ -44,8 +44,8 @@
 	return writes
 }
 
-// registerAll lets machines come up one after the other, confirms all writes of registry pages, and
-// returns these. The versions of the records begin at 101.
+// registerAll sends a first heartbeat from each machine, one after the other. It confirms all writes of
+// registry pages, with versions from 101, and returns them.
 func (f *schedulerFixture) registerAll(machines int) []WriteRecords {
 	var writes []WriteRecords
 	for i := range machines {
@@ -61,7 +61,7 @@
 	return writes
 }
 
-// decodeLastPages returns the last page that was written to each key.
+// decodeLastPages returns the last registry page that was written to each key.
 func decodeLastPages(t *testing.T, writes []WriteRecords) map[string]storage.RegistryPage {
 	t.Helper()
 	pages := map[string]storage.RegistryPage{}
@@ -75,9 +75,10 @@
 	return pages
 }
 
-// TestRegistrationsTogether: machines of several rentals that come up at once are registered by few
-// writes, each within the size of a value; none is registered before its rental's record names it, as
-// a successor ignores registrations that no rental accounts for; and a successor finds all of them.
+// TestRegistrationsAreBatched checks that machines of several rentals that come up at once are registered
+// with few writes, each within the maximum size of a value, and that the next leader finds all of them. No
+// machine is registered before the durable record of its rental contains it, as the next leader ignores
+// registrations of machines that no rental's record contains.
 func TestRegistrationsAreBatched(t *testing.T) {
 	const rentals, each = 4, 50
 	f := newSchedulerFixture(t, 0)
@@ -89,7 +90,7 @@
 	unwritten.answerDurable = false // its answer is being written
 	writes := f.registerAll(rentals * each)
 	if len(writes) > 8 {
-		t.Errorf("%d writes for %d machines", len(writes), rentals*each)
+		t.Errorf("%d registry writes for %d machines, want at most 8", len(writes), rentals*each)
 	}
 	successor := newSchedulerFixture(t, 0)
 	for i := range rentals {
@@ -98,26 +99,26 @@
 	}
 	for key, page := range decodeLastPages(t, writes) {
 		if !storage.FitsValueLimit(page, f.scheduler.cfg.State.ValueKB) {
-			t.Errorf("a page of %d bytes", storage.EncodedSize(page))
+			t.Errorf("registry page of %d bytes exceeds the maximum size of a value", storage.EncodedSize(page))
 		}
 		successor.step(RegistryPageLoaded{Name: key, Version: 9, Record: page})
 	}
 	for i := range rentals * each {
 		written := i < (rentals-1)*each
 		if got := f.scheduler.inventory.find(f.machine(i)).registration == registered; got != written {
-			t.Fatalf("machine %d registered: %v, its rental's record written: %v", i, got, written)
+			t.Fatalf("machine %d: registered = %v, rental's record durable = %v", i, got, written)
 		}
 		m := successor.scheduler.inventory.find(f.machine(i))
 		if found := m.registration == registered && m.address != ""; found != written {
-			t.Fatalf("machine %d at the successor: registration %v, address %q", i, m.registration, m.address)
+			t.Fatalf("machine %d at the next leader: registration %v, address %q", i, m.registration, m.address)
 		}
 	}
-	// Once the record is written the others are registered too.
+	// Once the write of the last rental's record completes, its machines are registered too.
 	unwritten.writing = true
 	f.scheduler.pendingWrites[9999] = rentalWrite{rental: unwritten.name, answered: true}
 	f.now += limits.RegistryWriteInterval
 	f.step(WriteCompleted{ID: 9999, OK: true, Version: uint64(101 + len(writes))})
 	if len(f.registryWrites()) == 0 {
-		t.Error("not registered when the rental's record is written")
+		t.Error("machines not registered after their rental's record was written")
 	}
 }
