--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -6,7 +6,7 @@
 	"quillshunt/internal/limits"
 )
 
-// fleetSurvey counts the machines that are not being deleted, by how they reach the leader.
+// reachabilityCounts counts the machines that are not being deleted, by how they reach the leader.
 type reachabilityCounts struct {
 	reported    int // have reported in this term
 	unreachable int // of reported: silent or unverified for longer than staleAfter
@@ -14,7 +14,7 @@
 	unreported  int // sent heartbeats to an earlier leader only
 }
 
-// surveyFleet counts the machines in the inventory.
+// countReachability counts the machines in the inventory.
 func (s *Scheduler) countReachability() reachabilityCounts {
 	var counts reachabilityCounts
 	for _, m := range s.inventory.all() {
@@ -55,7 +55,7 @@
 		float64(affected) > limits.CorrelatedUnreachableShare*float64(all)
 }
 
-// removeFaultyMachines returns machines that cannot run tasks any more, or not reliably. It also
+// returnUnusableMachines returns machines that cannot run tasks any more, or not reliably. It also
 // updates the counts of unverified and unreported machines that the prober and recovery use.
 func (s *Scheduler) returnUnusableMachines() {
 	counts := s.countReachability()
@@ -74,7 +74,7 @@
 	}
 }
 
-// removalReason returns the reason for which a machine is to be returned to the cloud, or "" if there is none.
+// returnReason returns the reason for which a machine is to be returned to the cloud, or "" if there is none.
 func (s *Scheduler) returnReason(m *machine, counts reachabilityCounts) string {
 	switch {
 	case m.isUnreported():
