--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -33,7 +33,7 @@
 	t         *testing.T
 	scheduler *Scheduler
 	machines  int
-	took      time.Duration // duration of each probe; 0 if probes are not answered
+	elapsed   time.Duration // duration of each probe; 0 if probes are not answered
 	probed    map[string]int
 	sent      int
 }
@@ -48,8 +48,8 @@
 			a.t.Errorf("%s is probed again while others have not been probed", probe.Machine)
 		}
 		done := ProbeDone{Machine: probe.Machine}
-		if a.took > 0 {
-			done.Took, done.Heartbeat = a.took, &protocol.Heartbeat{} // invalid, so it is ignored
+		if a.elapsed > 0 {
+			done.Took, done.Heartbeat = a.elapsed, &protocol.Heartbeat{} // invalid, so it is ignored
 		}
 		a.scheduler.Step(done, now)
 	}
@@ -73,19 +73,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			rate := limits.ProbeRate(coreShare)
 			s := newSchedulerAfterFailover(machines, coreShare)
-			answerer := &probeResponder{t: t, scheduler: s, machines: machines, took: c.took, probed: map[string]int{}}
+			responder := &probeResponder{
+				t: t, scheduler: s, machines: machines, elapsed: c.took, probed: map[string]int{},
+			}
 			now := time.Duration(0)
-			answerer.answer(s.Step(StateLoaded{}, now), now)
-			for len(answerer.probed) < machines {
+			responder.answer(s.Step(StateLoaded{}, now), now)
+			for len(responder.probed) < machines {
 				now += limits.TickInterval
-				answerer.answer(s.Step(Tick{Entitled: true}, now), now)
+				responder.answer(s.Step(Tick{Entitled: true}, now), now)
 				most := rate*limits.TickInterval.Seconds() + rate*c.share*now.Seconds()
-				if float64(answerer.sent) > most+1 {
-					t.Fatalf("%d probes within %v, want at most %v", answerer.sent, now, most)
+				if float64(responder.sent) > most+1 {
+					t.Fatalf("%d probes within %v, want at most %v", responder.sent, now, most)
 				}
 				latest := machines/(rate*c.share) + 2*limits.TickInterval.Seconds()
 				if now.Seconds() > latest {
-					t.Fatalf("after %v only %d of %d machines were probed", now, len(answerer.probed), machines)
+					t.Fatalf("after %v only %d of %d machines were probed", now, len(responder.probed), machines)
 				}
 			}
 		})
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -150,6 +150,6 @@
 // The lease runs from when the worker sent the last answered heartbeat, which is before its arrival here.
 // LeaseExpiredAfter that arrival, the lease has therefore expired by the worker's clock and the leader's.
 func (r *reachabilityTracker) hasNewlyExpiredLease(m *machine) bool {
-	alreadyNoted := m.endedIncarnation >= max(m.incarnation, 1)
-	return !alreadyNoted && r.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(r.workerLease)
+	alreadyProcessed := m.endedIncarnation >= max(m.incarnation, 1)
+	return !alreadyProcessed && r.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(r.workerLease)
 }
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -26,13 +26,13 @@
 // removed once all its machines are deleted. A deleted machine is removed from its rental's record but not
 // from the page: the next leader ignores listed machines that no rental's record contains.
 type registryPage struct {
-	name         string
-	record       storage.RegistryPage
-	encodedSize  int // upper bound for the encoded record in bytes; 0 on a loaded page
-	version      uint64
-	liveMachines int  // listed machines that are not deleted
-	dirty        bool // lists machines that are not written yet
-	writing      bool // a write is in flight
+	name          string
+	record        storage.RegistryPage
+	encodedSize   int // upper bound for the encoded record in bytes; 0 on a loaded page
+	version       uint64
+	liveMachines  int  // listed machines that are not deleted
+	dirty         bool // lists machines that are not written yet
+	writeInFlight bool // a write is in flight
 }
 
 // machineRegistry manages the durable record of the machines that may hold tasks.
@@ -43,7 +43,7 @@
 	current      *registryPage   // the page that new machines are added to
 	pageSequence uint64          // number of the last page of this term; part of its name
 	dirty        bool            // at least one page is dirty
-	writtenAt    time.Duration   // when pages were last written
+	lastWriteAt  time.Duration   // when pages were last written
 }
 
 // newMachineRegistry returns an empty registry.
@@ -51,7 +51,7 @@
 	return &machineRegistry{
 		environment: env,
 		inventory:   inventory,
-		writtenAt:   env.now - limits.RegistryWriteInterval,
+		lastWriteAt: env.now - limits.RegistryWriteInterval,
 	}
 }
 
@@ -104,16 +104,16 @@
 // writePages writes the dirty pages, at most once every RegistryWriteInterval. Pages that remain dirty are
 // written after a later tick or when a write in flight completes.
 func (r *machineRegistry) writePages() {
-	if !r.dirty || r.now < r.writtenAt+limits.RegistryWriteInterval {
+	if !r.dirty || r.now < r.lastWriteAt+limits.RegistryWriteInterval {
 		return
 	}
-	r.dirty, r.writtenAt = false, r.now
+	r.dirty, r.lastWriteAt = false, r.now
 	for _, page := range r.pages {
-		if !page.dirty || page.writing {
+		if !page.dirty || page.writeInFlight {
 			r.dirty = r.dirty || page.dirty
 			continue
 		}
-		page.dirty, page.writing = false, true
+		page.dirty, page.writeInFlight = false, true
 		key := storage.RegistryPageKey(page.name)
 		r.write(
 			registryPageWrite{page: page, machines: len(page.record.Machines)},
@@ -126,7 +126,7 @@
 // pageWritten records the outcome of a page write and returns the machines that it has registered.
 func (r *machineRegistry) pageWritten(write registryPageWrite, ok bool, version uint64) []*machine {
 	page := write.page
-	page.writing = false
+	page.writeInFlight = false
 	if !ok {
 		// Only this leader writes the pages of its term, so a conflict is not expected. If one occurs,
 		// the machines are not registered and get no tasks.
@@ -157,7 +157,7 @@
 // removeIfEmpty removes a page, also from the state service, once all its machines are deleted. It keeps
 // the current page, and pages that are dirty or being written.
 func (r *machineRegistry) removeIfEmpty(page *registryPage) {
-	if page.liveMachines > 0 || page.writing || page.dirty || page == r.current {
+	if page.liveMachines > 0 || page.writeInFlight || page.dirty || page == r.current {
 		return
 	}
 	if page.version != 0 {
