--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -53,7 +53,7 @@
 }
 
 // setVerified records whether replies are known to reach a machine. An unverified machine gets no new
-// tasks, because its heartbeats may arrive although it receives no replies.
+// tasks, because arriving heartbeats alone do not show that it receives the replies.
 func (r *reachabilityTracker) setVerified(m *machine, verified bool) {
 	if verified && !m.verified {
 		r.placement.requestPass()
