--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -17,12 +17,13 @@
 	"quillshunt/internal/storage"
 )
 
-// writerFixture is the writer of a term whose leader key is in a stand-in of the state service.
+// writerFixture is a writer that is connected to an in-memory state service, which contains the leader
+// key of its term.
 type writerFixture struct {
 	*writer
-	t     *testing.T
-	state *standin.StateService
-	lost  bool // the term was reported as lost
+	t        *testing.T
+	state    *standin.StateService
+	termLost bool // the writer reported that the term is over
 }
 
 func newWriterFixture(t *testing.T) *writerFixture {
@@ -31,12 +32,12 @@
 	server := f.state.Server(freeAddress(t), slog.New(slog.DiscardHandler))
 	runServer(t, server)
 	leadership := election.NewLeadership(1, f.put(storage.KeyLeader, 1), time.Now().Add(time.Hour))
-	actor := newTestTerm(leadership)
+	actor := newTestActor(leadership)
 	actor.mailbox = make(chan message, 10)
-	actor.writer = make(chan scheduler.WriteRecords, 10)
-	actor.dispatcher.termLost = func(uint64) { f.lost = true }
+	actor.toWriter = make(chan scheduler.WriteRecords, 10)
+	actor.dispatcher.onTermLost = func(uint64) { f.termLost = true }
 	actor.dispatcher.store = storage.New(server.Addr(), config.State{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 4})
-	f.writer = &writer{term: actor}
+	f.writer = &writer{actor: actor}
 	return f
 }
 
@@ -47,22 +48,22 @@
 		Operations: []protocol.Operation{{Put: key, Value: protocol.Encode(value)}},
 	})
 	if status != http.StatusOK {
-		f.t.Fatalf("put %s: %d", key, status)
+		f.t.Fatalf("put %s: status %d", key, status)
 	}
 	return reply.Revision
 }
 
-// completed returns the outcomes that were reported, by the writes' ids.
-func (f *writerFixture) completed() map[uint64]scheduler.WriteCompleted {
+// drainOutcomes removes the outcomes from the mailbox and returns them by write ID.
+func (f *writerFixture) drainOutcomes() map[uint64]scheduler.WriteCompleted {
 	outcomes := map[uint64]scheduler.WriteCompleted{}
-	for len(f.term.mailbox) > 0 {
-		outcome := (<-f.term.mailbox).(eventMessage).event.(scheduler.WriteCompleted)
+	for len(f.actor.mailbox) > 0 {
+		outcome := (<-f.actor.mailbox).(eventMessage).event.(scheduler.WriteCompleted)
 		outcomes[outcome.ID] = outcome
 	}
 	return outcomes
 }
 
-// createKey is a write that creates a key, and fails if there is one.
+// createKey returns a write that creates a key and fails if the key exists.
 func createKey(id uint64, key string) scheduler.WriteRecords {
 	return scheduler.WriteRecords{
 		ID:         id,
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestBatchesWithinLimits: a batch joins the writes that wait, up to the operations and conditions
-// that the state service accepts in one transaction.
-func TestBatchesWithinLimits(t *testing.T) {
+// TestCollectBatchWithinLimits: a batch contains the writes that wait, up to the operations and
+// conditions that the state service accepts in one transaction.
+func TestCollectBatchWithinLimits(t *testing.T) {
 	write := func(id uint64, operations, conditions int) scheduler.WriteRecords {
 		return scheduler.WriteRecords{
 			ID:         id,
@@ -85,12 +86,12 @@
 		name     string
 		writes   []scheduler.WriteRecords
 		batch    []uint64
-		leftOver uint64
+		overflow uint64
 	}{
-		{"one", []scheduler.WriteRecords{write(1, 1, 0)}, []uint64{1}, 0},
-		{"all that wait", []scheduler.WriteRecords{write(1, 1, 1), write(2, 2, 1)}, []uint64{1, 2}, 0},
+		{"one write", []scheduler.WriteRecords{write(1, 1, 0)}, []uint64{1}, 0},
+		{"all waiting writes", []scheduler.WriteRecords{write(1, 1, 1), write(2, 2, 1)}, []uint64{1, 2}, 0},
 		{
-			"full of operations: the next one is not received",
+			"maximum of operations reached: the next write is not received",
 			[]scheduler.WriteRecords{write(1, 2, 0), write(2, 2, 0), write(3, 1, 0)}, []uint64{1, 2}, 0,
 		},
 		{"too many operations", []scheduler.WriteRecords{write(1, 3, 0), write(2, 2, 0)}, []uint64{1}, 2},
@@ -99,73 +100,74 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newWriterFixture(t)
 			for _, write := range c.writes[1:] {
-				f.term.writer <- write
+				f.actor.toWriter <- write
 			}
-			batch, leftOver := f.collectBatch(c.writes[0])
+			batch, overflow := f.collectBatch(c.writes[0])
 			var ids []uint64
 			for _, write := range batch {
 				ids = append(ids, write.ID)
 			}
-			if !slices.Equal(ids, c.batch) || (leftOver != nil) != (c.leftOver != 0) {
-				t.Errorf("batch %v, left over %v", ids, leftOver)
+			if !slices.Equal(ids, c.batch) || (overflow != nil) != (c.overflow != 0) {
+				t.Errorf("batch %v, overflow %v; want batch %v, overflow %d", ids, overflow, c.batch, c.overflow)
 			}
-			if leftOver != nil && leftOver.ID != c.leftOver {
-				t.Errorf("write %d left over, expected %d", leftOver.ID, c.leftOver)
+			if overflow != nil && overflow.ID != c.overflow {
+				t.Errorf("overflow is write %d, want %d", overflow.ID, c.overflow)
 			}
 		})
 	}
 }
 
-// TestConflictFailsOnlyItsWrite: a batch whose conditions fail is written one by one, so that only
-// the write fails that the failed condition belongs to.
-func TestConflictFailsOnlyItsWrite(t *testing.T) {
+// TestConflictInBatchFailsOneWrite: if a condition of a batch fails, the writes are committed one by
+// one, so that only the write with that condition fails.
+func TestConflictInBatchFailsOneWrite(t *testing.T) {
 	f := newWriterFixture(t)
 	f.put("b", 100)
 	batch := []scheduler.WriteRecords{createKey(1, "a"), createKey(2, "b"), createKey(3, "c")}
-	if !f.execute(context.Background(), batch) {
-		t.Fatal("the term is over")
+	if !f.commit(context.Background(), batch) {
+		t.Fatal("writer stopped, want it to continue")
 	}
-	outcomes := f.completed()
+	outcomes := f.drainOutcomes()
 	for _, write := range batch {
 		if outcome, ok := outcomes[write.ID]; !ok || outcome.OK != (write.ID != 2) {
-			t.Errorf("write %d: %+v", write.ID, outcome)
+			t.Errorf("write %d: outcome %+v, want OK %v", write.ID, outcome, write.ID != 2)
 		}
 	}
 	stored, _ := f.state.Get("c")
 	if outcomes[3].Version != stored.Version {
-		t.Errorf("version %d, stored with %d", outcomes[3].Version, stored.Version)
+		t.Errorf("reported version %d, stored version %d", outcomes[3].Version, stored.Version)
 	}
 }
 
-// TestWriteExecutedBefore: a write whose answer was lost is completed when it is tried again.
-func TestWriteExecutedBefore(t *testing.T) {
+// TestRetryOfAppliedWrite: a write that was executed although its reply was lost counts as completed
+// when its retry fails with a conflict.
+func TestRetryOfAppliedWrite(t *testing.T) {
 	f := newWriterFixture(t)
-	version := f.put("a", 1) // as the write has it
-	if !f.execute(context.Background(), []scheduler.WriteRecords{createKey(1, "a")}) {
-		t.Fatal("the term is over")
+	version := f.put("a", 1) // the value that the write puts
+	if !f.commit(context.Background(), []scheduler.WriteRecords{createKey(1, "a")}) {
+		t.Fatal("writer stopped, want it to continue")
 	}
-	if got := f.completed()[1]; !got.OK || got.Version != version {
-		t.Errorf("outcome %+v, expected version %d", got, version)
+	if got := f.drainOutcomes()[1]; !got.OK || got.Version != version {
+		t.Errorf("outcome %+v, want OK and version %d", got, version)
 	}
 }
 
-// TestWriterOfLostTerm: once there is another leader, nothing is written and the term is reported as
-// lost.
-func TestWriterOfLostTerm(t *testing.T) {
+// TestWriterStopsAfterTermLost: once there is another leader, the writer writes nothing, reports that the
+// term is over and stops.
+func TestWriterStopsAfterTermLost(t *testing.T) {
 	f := newWriterFixture(t)
 	f.put(storage.KeyLeader, 2)
 	for _, size := range []int{1, 2} {
 		t.Run(fmt.Sprintf("batch of %d", size), func(t *testing.T) {
-			f.lost = false
+			f.termLost = false
 			batch := []scheduler.WriteRecords{createKey(1, "a"), createKey(2, "b")}[:size]
-			if f.execute(context.Background(), batch) || !f.lost {
-				t.Errorf("the writer goes on, lost %v", f.lost)
+			if f.commit(context.Background(), batch) || !f.termLost {
+				t.Errorf("writer continued or did not report the end of the term (reported: %v)", f.termLost)
 			}
-			if outcomes := f.completed(); len(outcomes) > 0 {
-				t.Errorf("outcomes %v", outcomes)
+			if outcomes := f.drainOutcomes(); len(outcomes) > 0 {
+				t.Errorf("outcomes %v, want none", outcomes)
 			}
 			if _, found := f.state.Get("a"); found {
-				t.Error("a record was written")
+				t.Error("record written after the end of the term")
 			}
 		})
 	}
