--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -22,7 +22,7 @@
 
 // groupProgress is the aging credit of a group's jobs, in tasks, and how many of these tasks have
 // begun.
-type groupProgress struct{ credit, begun int }
+type groupProgress struct{ credit, started int }
 
 // agingCredit is how many tasks of a job should have begun by now. The order of the queue favours
 // jobs that are urgent, small and on time; under lasting overload the others would never begin. So a
@@ -39,17 +39,17 @@
 
 // overdueTasks is how many tasks a job gets before all others: the first if it has not begun, else
 // what it is behind its credit with while its group is underserved.
-func (q *jobQueue) overdueTasks(j *job) int {
-	overdue := min(q.agingCredit(j)-j.begunTasks(), j.waitingTasks())
+func (q *jobQueue) starvedTasks(j *job) int {
+	starved := min(q.agingCredit(j)-j.startedTasks(), j.waitingTasks())
 	switch {
-	case overdue <= 0:
+	case starved <= 0:
 		return 0
-	case j.begunTasks() == 0:
+	case j.startedTasks() == 0:
 		return 1
 	case q.servedShare(j) >= limits.UnderservedShare:
 		return 0
 	}
-	return overdue
+	return starved
 }
 
 // servedShare is the share of the credit of a job's group that has begun.
@@ -58,24 +58,24 @@
 	if progress.credit == 0 {
 		return 1
 	}
-	return float64(progress.begun) / float64(progress.credit)
+	return float64(progress.started) / float64(progress.credit)
 }
 
 // updateOverdue works out which jobs are overdue, in order: those that have not begun first, then
 // those whose group has got the smallest share of its credit, then the oldest, so that jobs are
 // completed rather than all of them begun.
-func (q *jobQueue) updateOverdue() {
+func (q *jobQueue) updateStarvedJobs() {
 	q.updateGroupProgress()
-	q.overdue = q.overdue[:0]
+	q.starved = q.starved[:0]
 	for _, j := range q.jobs.oldestFirst() {
 		j.underserved = q.agingCredit(j) > 0 && q.servedShare(j) < limits.UnderservedShare
-		if q.overdueTasks(j) > 0 {
-			q.overdue = append(q.overdue, j)
+		if q.starvedTasks(j) > 0 {
+			q.starved = append(q.starved, j)
 		}
 	}
-	hasBegun := func(j *job) int { return min(j.begunTasks(), 1) }
-	slices.SortStableFunc(q.overdue, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(hasBegun(a), hasBegun(b)), cmp.Compare(q.servedShare(a), q.servedShare(b)))
+	startedRank := func(j *job) int { return min(j.startedTasks(), 1) }
+	slices.SortStableFunc(q.starved, func(a, b *job) int {
+		return cmp.Or(cmp.Compare(startedRank(a), startedRank(b)), cmp.Compare(q.servedShare(a), q.servedShare(b)))
 	})
 }
 
@@ -87,7 +87,7 @@
 		if credit := q.agingCredit(j); credit > 0 {
 			progress := q.progress[j.group()]
 			progress.credit += credit
-			progress.begun += min(credit, j.begunTasks())
+			progress.started += min(credit, j.startedTasks())
 			q.progress[j.group()] = progress
 		}
 	}
--- a/internal/coordination/scheduler/cancel_deadlines.go
+++ b/internal/coordination/scheduler/cancel_deadlines.go
@@ -25,7 +25,7 @@
 	window := limits.CancelHeartbeatWindow(cancelLimit, e.workerLease)
 	early := j.cancelledAt + time.Duration(limits.CancelDeleteShare*float64(window))
 	late := j.cancelledAt + time.Duration(limits.CancelDeleteLatestShare*float64(cancelLimit))
-	return max(early, min(j.cancelSeenAt+limits.CancelStopGrace, late))
+	return max(early, min(j.cancelObservedAt+limits.CancelStopGrace, late))
 }
 
 // cancelReplyDeadline is until when the heartbeats of such a machine are answered. If its deletion is
--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -25,9 +25,9 @@
 
 // addAssignment counts what an assignment of the machine uses.
 func (c *capacity) addAssignment(a *assignment, now time.Duration) {
-	left := a.job.occupancy()
+	left := a.job.expectedOccupancySeconds()
 	if a.state == stateRunning {
-		left = a.job.estimate()
+		left = a.job.estimatedRunSeconds()
 		left = max(left-(now-a.runningSince).Seconds(), limits.MinRemainingShare*left)
 	}
 	c.usedCPUs += a.job.demand.CPUs
@@ -36,7 +36,7 @@
 
 // allows reports whether tasks of a job may be placed there.
 func (c *capacity) allows(j *job) bool {
-	if c.machine != nil && (j.avoids(c.machine) || (c.machine.reservedForGangs && !j.mayUseGangReservation)) {
+	if c.machine != nil && (j.excludesMachine(c.machine) || (c.machine.reservedForGangs && !j.mayUseGangReservation)) {
 		return false
 	}
 	return typeResources(c.machineType).Fits(j.demand) && j.mayUsePool(c.pool)
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -17,7 +17,7 @@
 	groups := &p.pass.groups
 	groups.Clear()
 	for _, m := range p.pass.eligibleMachines(preempting) {
-		if c, ok := p.evaluate(j, m, preempting, nil); ok {
+		if c, ok := p.filterAndScore(j, m, preempting, nil); ok {
 			groups.Add(c)
 		}
 	}
@@ -28,7 +28,7 @@
 // (Algorithm 2 of the paper). A request that may preempt is filtered on the normal view, any other
 // on the full view; scores are those of the full view. Planned is what the placement of a gang has
 // decided for the machine so far, or nil.
-func (p *placer) evaluate(j *job, m *machine, preempting bool, planned *plannedView) (c candidate, ok bool) {
+func (p *placer) filterAndScore(j *job, m *machine, preempting bool, planned *plannedView) (c candidate, ok bool) {
 	free := planned.freeResources(m) // on the full view
 	overcommitted := !free.Fits(j.demand)
 	if overcommitted && !preempting {
@@ -37,7 +37,7 @@
 	if m.isReservedForOthers(j) || !j.mayUse(m) || planned.tasksOn(m) >= limits.MaxTasksPerMachine {
 		return c, false
 	}
-	if overcommitted && !freeOnNormalView(j, m, planned).Fits(j.demand) {
+	if overcommitted && !freeWithPreemption(j, m, planned).Fits(j.demand) {
 		return c, false
 	}
 	c.Target = m
@@ -47,12 +47,12 @@
 			c.Scores[placement.PreemptionCost] -= option.Cost
 		}
 	}
-	weighMachine(j, m, free, &c.Scores)
+	scoreMachine(j, m, free, &c.Scores)
 	return c, true
 }
 
 // freeOnNormalView is what is free on a machine without the tasks that may be preempted for a job.
-func freeOnNormalView(j *job, m *machine, planned *plannedView) resource.Vector {
+func freeWithPreemption(j *job, m *machine, planned *plannedView) resource.Vector {
 	free := planned.freeResources(m)
 	for _, a := range m.assignments {
 		if !planned.isStopped(a) && j.mayPreempt(a) {
@@ -63,7 +63,7 @@
 }
 
 // weighMachine sets the scores that don't depend on preemption.
-func weighMachine(j *job, m *machine, free resource.Vector, scores *placement.Scores) {
+func scoreMachine(j *job, m *machine, free resource.Vector, scores *placement.Scores) {
 	if _, cached := m.cachedImages[j.spec.Image]; !cached {
 		scores[placement.Image] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.MinImageFetchRate)
 	}
@@ -103,7 +103,7 @@
 
 // mayUse reports whether the job's tasks may run on the machine, whatever else runs there.
 func (j *job) mayUse(m *machine) bool {
-	return j.mayUsePool(m.pool()) && m.size().Fits(j.demand) && !j.avoids(m)
+	return j.mayUsePool(m.pool()) && m.size().Fits(j.demand) && !j.excludesMachine(m)
 }
 
 // mayUsePool reports whether the job's next task may run on a machine of the pool: the job's spec
@@ -148,6 +148,6 @@
 
 // avoids reports whether the job's tasks don't use a machine because tasks have failed there. Once
 // they fail everywhere, any machine will do.
-func (j *job) avoids(m *machine) bool {
+func (j *job) excludesMachine(m *machine) bool {
 	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
 }
--- a/internal/coordination/scheduler/filter_test.go
+++ b/internal/coordination/scheduler/filter_test.go
@@ -54,7 +54,7 @@
 		{"no free resources, may preempt", full, true, true, -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, ok := placer.evaluate(high, c.machine, c.preempting, nil)
+			got, ok := placer.filterAndScore(high, c.machine, c.preempting, nil)
 			if ok != c.wantOK || got.Scores[placement.Overcommit] != c.wantOvercommit {
 				t.Fatalf("candidate %v, overcommit %v", ok, got.Scores[placement.Overcommit])
 			}
@@ -66,7 +66,7 @@
 			}
 		})
 	}
-	if _, ok := placer.evaluate(low, full, true, nil); ok {
+	if _, ok := placer.filterAndScore(low, full, true, nil); ok {
 		t.Error("a job may preempt its own task")
 	}
 }
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -75,7 +75,7 @@
 	})
 	chunk := e.Record.Base / w.tasksPerChunk
 	if e.Record.Base%w.tasksPerChunk != 0 || chunk >= len(j.chunks) {
-		j.otherRecordKeys = append(j.otherRecordKeys, key)
+		j.earlierRecordKeys = append(j.earlierRecordKeys, key)
 		return
 	}
 	j.chunks[chunk].version = e.Version
@@ -105,7 +105,7 @@
 
 // recordKeys returns the keys of all records of a job's finished tasks.
 func (w *finishedTaskWriter) recordKeys(j *job) []string {
-	keys := append([]string(nil), j.otherRecordKeys...)
+	keys := append([]string(nil), j.earlierRecordKeys...)
 	for chunk := range j.chunks {
 		if j.chunks[chunk].version != 0 {
 			keys = append(keys, storage.FinishedTasksKey(j.id, chunk*w.tasksPerChunk))
@@ -225,7 +225,7 @@
 	if j.waitingTasks() > 0 {
 		return false
 	}
-	occupancy := limits.Seconds(j.occupancy())
+	occupancy := limits.Seconds(j.expectedOccupancySeconds())
 	for _, a := range j.assignments {
 		if a.assignedAt+occupancy > w.now+limits.MaxChunkWriteDelay {
 			return false
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -39,7 +39,7 @@
 		sameZone:         j.spec.SameZone, spreadZones: j.spec.SpreadZones,
 	}
 	request.gangReservation = true
-	if p.now < j.nextPreemptionSearch {
+	if p.now < j.nextPreemptionSearchAt {
 		request.preempting = false
 	}
 	isGeneric := j.hasNoMachineRules() && len(j.assignments) == 0
@@ -56,7 +56,7 @@
 		p.pass.unplaceableGangs[search.request] = true
 	}
 	if search.request.preempting {
-		search.job.nextPreemptionSearch = p.now + limits.PreemptionSearchInterval
+		search.job.nextPreemptionSearchAt = p.now + limits.PreemptionSearchInterval
 	}
 }
 
@@ -244,7 +244,7 @@
 	if g.job.gang.mayKnowAttempt(m) {
 		return
 	}
-	if c, ok := g.placer.evaluate(g.job, m, g.preempting, g.views[m]); ok {
+	if c, ok := g.placer.filterAndScore(g.job, m, g.preempting, g.views[m]); ok {
 		g.candidates.Add(c)
 	}
 }
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -135,7 +135,7 @@
 		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !r.needsReservation(j) {
 			continue
 		}
-		cpus := j.demandOf(j.spec.Tasks).CPUs
+		cpus := j.demandOfTasks(j.spec.Tasks).CPUs
 		kind := j.gangKind()
 		cpusNow[kind] += cpus
 		d := r.demand[kind]
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -24,7 +24,7 @@
 		// The time to stop the tasks counts from when the user may first have been told, also across
 		// a failover. If it is over already, no leader knew of the cancellation, as it would have let
 		// the leases expire in time; so the user was not told, and the time begins now.
-		j.cancelled, j.cancelledAt, j.cancelSeenAt = true, s.now, s.now
+		j.cancelled, j.cancelledAt, j.cancelObservedAt = true, s.now, s.now
 		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
 			j.cancelledAt -= e.SinceCancellation
 		}
--- a/internal/coordination/scheduler/job_lifecycle_test.go
+++ b/internal/coordination/scheduler/job_lifecycle_test.go
@@ -45,7 +45,7 @@
 
 // TestOwnRemovalIsAwaited: the removal of the open record by our own final write closes the job only
 // when that write is completed.
-func TestOwnRemovalIsAwaited(t *testing.T) {
+func TestRemovalByOwnFinalWrite(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
 	f.job("job-1", "red", "standard", 1, 100, 0) // too large for any machine
--- a/internal/coordination/scheduler/job_plan.go
+++ b/internal/coordination/scheduler/job_plan.go
@@ -32,7 +32,7 @@
 	jp := jobPlan{
 		job:         j,
 		tasksLeft:   tasks,
-		taskSeconds: j.occupancy(),
+		taskSeconds: j.expectedOccupancySeconds(),
 		maxWaitS:    p.maxWaitS(j),
 		zones:       j.newZonePlan(),
 	}
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -108,19 +108,19 @@
 // in together with the team's earlier unfinished jobs.
 func (t *jobTable) updateGuarantees() {
 	for _, team := range t.teams {
-		team.claimed = resource.Vector{}
+		team.unfinishedDemand = resource.Vector{}
 	}
 	for _, j := range t.bySubmission {
 		unfinished := float64(j.spec.Tasks - j.doneCount)
 		if j.cancelled {
 			unfinished = 0
 		}
-		claimed := j.team.claimed.Plus(resource.Vector{
+		unfinishedDemand := j.team.unfinishedDemand.Plus(resource.Vector{
 			CPUs:         unfinished * j.demand.CPUs,
 			Accelerators: unfinished * j.demand.Accelerators,
 		})
-		j.guaranteed = j.team.guarantees(claimed)
-		j.team.claimed = claimed
+		j.guaranteed = j.team.guaranteeCovers(unfinishedDemand)
+		j.team.unfinishedDemand = unfinishedDemand
 	}
 }
 
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -22,17 +22,17 @@
 	placed, stopped := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		quick, naive := newPartlyFullFleet(seed), newPartlyFullFleet(seed)
-		before := len(describeAssignments(quick))
-		quick.placement.requestPass()
-		quick.placeTasks()
+		optimized, naive := newPartlyFullFleet(seed), newPartlyFullFleet(seed)
+		before := len(describeAssignments(optimized))
+		optimized.placement.requestPass()
+		optimized.placeTasks()
 		naive.placeTasksNaively()
-		got, want := describeAssignments(quick), describeAssignments(naive)
+		got, want := describeAssignments(optimized), describeAssignments(naive)
 		if !slices.Equal(got, want) {
-			t.Fatalf("quick:\n%v\nnaive:\n%v", got, want)
+			t.Fatalf("optimized:\n%v\nnaive:\n%v", got, want)
 		}
 		placed += len(got) - before
-		for _, m := range quick.inventory.all() {
+		for _, m := range optimized.inventory.all() {
 			for _, a := range m.assignments {
 				if a.stopping {
 					stopped++
@@ -50,9 +50,9 @@
 func (s *Scheduler) placeTasksNaively() {
 	order := s.queue.order()
 	s.placement.beginPass() // for reservations; the list of machines is not used
-	for _, j := range s.queue.overdueJobs() {
-		if overdue := s.queue.overdueTasks(j); overdue > 0 && j.team.fits(j.demand) && s.now >= j.retryAt {
-			s.placeJobNaively(j, overdue)
+	for _, j := range s.queue.starvedJobs() {
+		if starved := s.queue.starvedTasks(j); starved > 0 && j.team.withinLimit(j.demand) && s.now >= j.retryAt {
+			s.placeJobNaively(j, starved)
 			s.placement.reserveForJob(j)
 		}
 	}
@@ -65,13 +65,13 @@
 
 func (s *Scheduler) placeJobNaively(j *job, count int) {
 	preempting := s.placement.mayPreemptNow(j)
-	for ; count > 0 && j.team.fits(j.demand); count-- {
+	for ; count > 0 && j.team.withinLimit(j.demand); count-- {
 		var candidates []candidate
 		for _, m := range s.inventory.all() {
 			if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
 				continue
 			}
-			if c, ok := s.placement.evaluate(j, m, preempting, nil); ok {
+			if c, ok := s.placement.filterAndScore(j, m, preempting, nil); ok {
 				candidates = append(candidates, c)
 			}
 		}
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -13,7 +13,7 @@
 	}
 	s.placement.beginPass()
 	s.refillGangs()
-	s.placeOverdueTasks()
+	s.placeStarvedTasks()
 	for _, j := range jobs {
 		if j.gang != nil {
 			s.placeGang(j)
@@ -25,10 +25,10 @@
 
 // placeOverdueTasks places the tasks that are due whatever else waits. Machines are reserved for
 // those that find none.
-func (s *Scheduler) placeOverdueTasks() {
-	for _, j := range s.queue.overdueJobs() {
-		overdue := s.queue.overdueTasks(j)
-		if overdue <= 0 || !j.withinTeamLimit() || s.now < j.retryAt {
+func (s *Scheduler) placeStarvedTasks() {
+	for _, j := range s.queue.starvedJobs() {
+		starved := s.queue.starvedTasks(j)
+		if starved <= 0 || !j.withinTeamLimit() || s.now < j.retryAt {
 			continue
 		}
 		if j.gang != nil {
@@ -36,7 +36,7 @@
 			s.placement.reserveForGang(j)
 			continue
 		}
-		s.placeJob(j, overdue)
+		s.placeJob(j, starved)
 		s.placement.reserveForJob(j)
 	}
 }
@@ -50,7 +50,7 @@
 	}
 	preempting := search.request.preempting
 	candidates := s.placement.collectCandidates(j, preempting)
-	for ; count > 0 && j.team.fits(j.demand); count-- {
+	for ; count > 0 && j.team.withinLimit(j.demand); count-- {
 		group := candidates.Best()
 		if group < 0 {
 			s.placement.searchFailed(&search)
@@ -67,7 +67,7 @@
 			continue
 		}
 		candidates.RemoveFirst(group)
-		if c, ok := s.placement.evaluate(j, best.Target, preempting, nil); ok {
+		if c, ok := s.placement.filterAndScore(j, best.Target, preempting, nil); ok {
 			candidates.Add(c)
 		}
 	}
@@ -83,8 +83,8 @@
 			s.placement.gangStopped(victim.job)
 		}
 	}
-	borrowed := j.team.usesBorrowed()
+	borrowed := j.team.isBorrowing()
 	s.assignments.assign(j, j.nextWaitingTask(), m, s.assignments.nextAttempt(), stateUnsent)
-	s.placement.taskPlaced(m, victims, borrowed != j.team.usesBorrowed())
+	s.placement.taskPlaced(m, victims, borrowed != j.team.isBorrowing())
 	return gangStopped
 }
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -25,7 +25,7 @@
 	// nextPreemptionSearch is when requests that found no tasks to preempt may look for them again:
 	// the search goes through all tasks of all machines, and in an overload many jobs search at
 	// every event. Until then they use free resources like others.
-	nextPreemptionSearch map[placementRequest]time.Duration
+	nextPreemptionSearchAt map[placementRequest]time.Duration
 }
 
 // placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
@@ -69,7 +69,7 @@
 			unplaceableGangs: map[gangRequest]bool{},
 			groups:           placement.NewGroups(compareNames),
 		},
-		nextPreemptionSearch: map[placementRequest]time.Duration{},
+		nextPreemptionSearchAt: map[placementRequest]time.Duration{},
 	}
 }
 
@@ -125,21 +125,21 @@
 }
 
 // jobSearch is the search for machines for the tasks of one job in a pass.
-type jobSearch struct {
+type placementSearch struct {
 	job       *job
 	request   placementRequest
-	isGeneric bool // the request alone decides where a task may go
+	cacheable bool // the request alone decides where a task may go
 }
 
 // newSearch returns the search for a job's tasks. It reports false if it is known to find nothing.
-func (p *placer) newSearch(j *job) (search jobSearch, ok bool) {
+func (p *placer) newSearch(j *job) (search placementSearch, ok bool) {
 	search.job = j
 	search.request = newPlacementRequest(j, p.mayPreemptNow(j))
-	search.isGeneric = !j.hasZoneRule() && j.hasNoMachineRules()
-	if search.request.preempting && p.hasJustSearched(&search) {
+	search.cacheable = !j.hasZoneRule() && j.hasNoMachineRules()
+	if search.request.preempting && p.isPreemptionSearchThrottled(&search) {
 		search.request.preempting = false
 	}
-	ok = p.mayFit(j, search.request.preempting) && !(search.isGeneric && p.pass.unplaceable[search.request])
+	ok = p.mayFit(j, search.request.preempting) && !(search.cacheable && p.pass.unplaceable[search.request])
 	return search, ok
 }
 
@@ -152,11 +152,11 @@
 }
 
 // hasJustSearched reports whether the same search has found no tasks to preempt a short time ago.
-func (p *placer) hasJustSearched(search *jobSearch) bool {
-	if p.now < search.job.nextPreemptionSearch {
+func (p *placer) isPreemptionSearchThrottled(search *placementSearch) bool {
+	if p.now < search.job.nextPreemptionSearchAt {
 		return true
 	}
-	return search.isGeneric && p.now < p.nextPreemptionSearch[search.request]
+	return search.cacheable && p.now < p.nextPreemptionSearchAt[search.request]
 }
 
 // mayFit reports whether there may be a machine for a task of the job.
@@ -165,24 +165,24 @@
 }
 
 // searchFailed notes that a search found no machine for a task.
-func (p *placer) searchFailed(search *jobSearch) {
-	if search.isGeneric {
+func (p *placer) searchFailed(search *placementSearch) {
+	if search.cacheable {
 		p.pass.unplaceable[search.request] = true
 	}
 	if !search.request.preempting {
 		return
 	}
 	next := p.now + limits.PreemptionSearchInterval
-	if search.isGeneric {
-		p.nextPreemptionSearch[search.request] = next
+	if search.cacheable {
+		p.nextPreemptionSearchAt[search.request] = next
 	} else {
-		search.job.nextPreemptionSearch = next
+		search.job.nextPreemptionSearchAt = next
 	}
 }
 
 // forgetPastSearches drops the requests that may look for tasks to preempt again.
-func (p *placer) forgetPastSearches() {
-	maps.DeleteFunc(p.nextPreemptionSearch, func(_ placementRequest, at time.Duration) bool { return at <= p.now })
+func (p *placer) pruneExpiredSearchIntervals() {
+	maps.DeleteFunc(p.nextPreemptionSearchAt, func(_ placementRequest, at time.Duration) bool { return at <= p.now })
 }
 
 // taskPlaced notes what a placement changes for the searches that follow in the pass. A reservation of
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -15,7 +15,7 @@
 	entries        []queueEntry // kept for its memory
 	ordered        []*job       // nil if it is to be made anew; see order
 	orderedAt      time.Duration
-	overdue        []*job                     // those of them that get tasks before all others; see updateOverdue
+	starved        []*job                     // those of them that get tasks before all others; see updateOverdue
 	progress       map[jobGroup]groupProgress // of all jobs of this term
 	closedProgress map[jobGroup]groupProgress // of the jobs that are over
 }
@@ -66,8 +66,8 @@
 	if !j.cancelled {
 		progress := q.closedProgress[j.group()]
 		q.closedProgress[j.group()] = groupProgress{
-			credit: progress.credit + j.spec.Tasks,
-			begun:  progress.begun + j.spec.Tasks,
+			credit:  progress.credit + j.spec.Tasks,
+			started: progress.started + j.spec.Tasks,
 		}
 	}
 	q.invalidate()
@@ -90,7 +90,7 @@
 			continue
 		}
 		// The same for all of its tasks, until the order is made anew.
-		j.mayUseGangReservation = j.outwaitsGangReservation(q.now)
+		j.mayUseGangReservation = j.eligibleForGangReservation(q.now)
 		entries = append(entries, q.newEntry(j))
 	}
 	sort.SliceStable(entries, func(a, b int) bool { return entries[a].before(&entries[b]) })
@@ -98,7 +98,7 @@
 	for i := range entries {
 		q.ordered = append(q.ordered, entries[i].job)
 	}
-	q.updateOverdue()
+	q.updateStarvedJobs()
 	return q.ordered
 }
 
@@ -106,18 +106,18 @@
 func (q *jobQueue) newEntry(j *job) queueEntry {
 	slack, late := q.slack(j)
 	weight := (min(slack, limits.SlackCap) + limits.SlackBase).Seconds()
-	work := float64(j.waitingTasks()) * j.estimate() * j.demand.CPUs * weight
+	work := float64(j.waitingTasks()) * j.estimatedRunSeconds() * j.demand.CPUs * weight
 	return queueEntry{job: j, late: late, slack: slack, work: work}
 }
 
 // overdueJobs returns the jobs that get tasks before all others, in order; see overdueTasks. The
 // slice is the queue's own, and as old as the order.
-func (q *jobQueue) overdueJobs() []*job { return q.overdue }
+func (q *jobQueue) starvedJobs() []*job { return q.starved }
 
 // slack is how long a job can still wait and meet the next of its deadlines. Late means that all of
 // them are out of reach; the slack is then negative, and lower for older jobs.
 func (q *jobQueue) slack(j *job) (slack time.Duration, late bool) {
-	estimate := limits.Seconds(j.estimate())
+	estimate := limits.Seconds(j.estimatedRunSeconds())
 	for _, d := range j.deadlines {
 		left := d.at - q.now
 		if d.forStart {
--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -99,7 +99,7 @@
 }
 
 // TestQueueOrderIsKept: the order is made anew for a new job, and otherwise only after a while.
-func TestQueueOrderIsKept(t *testing.T) {
+func TestQueueOrderIsCached(t *testing.T) {
 	f := newQueueFixture()
 	f.env.now = time.Second
 	first := f.submit("a", "blue", "standard", 5, 1000)
@@ -160,13 +160,13 @@
 
 // TestOverdueTasks: a job that has not begun is overdue with its first task from one age on, and with
 // the others one by one from a later one on, while its group has got too little.
-func TestOverdueTasks(t *testing.T) {
+func TestStarvedTasks(t *testing.T) {
 	half := limits.AllTasksCreditAge + limits.AllTasksCreditSpan/2
 	tests := []struct {
 		name    string
 		age     time.Duration
 		done    int
-		overdue int
+		starved int
 	}{
 		{"young", limits.FirstTaskCreditAge, 0, 0},
 		{"not begun", limits.FirstTaskCreditAge + 1, 0, 1},
@@ -185,10 +185,10 @@
 			j.doneCount = test.done
 			f.env.now = test.age
 			f.queue.order()
-			if got := f.queue.overdueTasks(j); got != test.overdue {
-				t.Errorf("%d tasks overdue, expected %d", got, test.overdue)
+			if got := f.queue.starvedTasks(j); got != test.starved {
+				t.Errorf("%d tasks overdue, expected %d", got, test.starved)
 			}
-			if listed := slices.Contains(f.queue.overdueJobs(), j); listed != (test.overdue > 0) {
+			if listed := slices.Contains(f.queue.starvedJobs(), j); listed != (test.starved > 0) {
 				t.Errorf("among the overdue jobs: %v", listed)
 			}
 		})
@@ -197,7 +197,7 @@
 
 // TestOverdueOrder: jobs that have not begun come first, then those of the group that has got least;
 // what a closed job has got counts for its group.
-func TestOverdueOrder(t *testing.T) {
+func TestStarvedJobsOrder(t *testing.T) {
 	f := newQueueFixture()
 	begun := f.submit("begun", "red", "standard", 100, 0)
 	begun.doneCount = 20
@@ -207,7 +207,7 @@
 	behind.doneCount = 10
 	f.env.now = time.Hour
 	f.queue.order()
-	if got := f.queue.overdueJobs(); !slices.Equal(got, []*job{waiting, behind, begun}) {
+	if got := f.queue.starvedJobs(); !slices.Equal(got, []*job{waiting, behind, begun}) {
 		t.Errorf("overdue jobs: %v", ids(got))
 	}
 	closed := f.submit("closed", "red", "standard", 100, 0)
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -10,8 +10,8 @@
 // finds none with enough, so that smaller tasks do not use them up bit by bit for ever.
 func (p *placer) reserveForJob(j *job) {
 	pass := &p.pass
-	count := min(p.queue.overdueTasks(j), pass.reservationsLeft)
-	if count <= 0 || !j.team.fits(j.demand) {
+	count := min(p.queue.starvedTasks(j), pass.reservationsLeft)
+	if count <= 0 || !j.team.withinLimit(j.demand) {
 		return
 	}
 	candidates := pass.reservationCandidates[:0]
@@ -45,7 +45,7 @@
 	var best []*machine
 	mostFreeCPUs := -1.0
 	for _, zone := range slices.Sorted(maps.Keys(machinesByZone)) {
-		picked, freeCPUs := pickForGang(j, machinesByZone[zone])
+		picked, freeCPUs := selectForGang(j, machinesByZone[zone])
 		if freeCPUs > mostFreeCPUs {
 			best, mostFreeCPUs = picked, freeCPUs
 		}
@@ -63,7 +63,7 @@
 
 // pickForGang picks the machines that should be the first with free resources for all tasks of a
 // gang, and returns how many CPUs are free there. It returns -1 if they could never run all tasks.
-func pickForGang(j *job, machines []*machine) (picked []*machine, freeCPUs float64) {
+func selectForGang(j *job, machines []*machine) (picked []*machine, freeCPUs float64) {
 	slices.SortStableFunc(machines, compareReservations)
 	fitting := 0
 	for _, m := range machines {
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -36,5 +36,5 @@
 		margin := limits.SpotNoticeSaveIntervals * s.heartbeatInterval.Seconds()
 		return remaining < a.job.spec.SaveS+margin
 	}
-	return a.job.estimate()-a.runTime(s.now) > remaining
+	return a.job.estimatedRunSeconds()-a.runTime(s.now) > remaining
 }
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -76,7 +76,7 @@
 // tick does what is due. Unless the leader is entitled, it only frees tasks whose lease has expired.
 func (s *Scheduler) tick(entitled bool) {
 	s.reachability.expireLeases()
-	s.placement.forgetPastSearches()
+	s.placement.pruneExpiredSearchIntervals()
 	s.gangs.requestCommit() // a machine may be usable again
 	if !entitled {
 		return
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -78,7 +78,7 @@
 // learnFetchTime adds the time that a task waited for its image to what is known of its class.
 func (a *assignment) learnFetchTime(now time.Duration) {
 	seconds := (now - a.assignedAt).Seconds()
-	a.job.class.learnFetchTime(seconds)
+	a.job.class.recordFetchTime(seconds)
 	a.machine.fetchCPUSeconds += seconds * a.job.demand.CPUs
 	a.machine.cachedImages[a.job.spec.Image] = now
 }
@@ -139,12 +139,12 @@
 // machine.
 func (j *job) learnRunTime(m *machine, runTime float64) {
 	if j.spec.EstimateS > 0 {
-		j.class.learnRunTime(runTime / j.spec.EstimateS)
+		j.class.recordRunTimeRatio(runTime / j.spec.EstimateS)
 	}
-	if j.runCount >= limits.MinRunTimeSamples && j.gang == nil { // a gang runs at the speed of its slowest machine
+	if j.runTimeSamples >= limits.MinRunTimeSamples && j.gang == nil { // a gang runs at the speed of its slowest machine
 		m.speedCount++
-		m.speedSum += runTime / (j.runSum / float64(j.runCount))
+		m.speedSum += runTime / (j.runTimeSum / float64(j.runTimeSamples))
 	}
-	j.runSum += runTime
-	j.runCount++
+	j.runTimeSum += runTime
+	j.runTimeSamples++
 }
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -68,7 +68,7 @@
 	if a.job.priority < j.priority {
 		return j.guaranteed || !a.job.guaranteed || a.job.team == j.team
 	}
-	return a.job.team != j.team && j.guaranteed && !a.job.guaranteed && a.job.team.usesBorrowed()
+	return a.job.team != j.team && j.guaranteed && !a.job.guaranteed && a.job.team.isBorrowing()
 }
 
 // preemptionCost is the work that preempting a task would waste; of a gang, the work of all its
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -47,7 +47,7 @@
 	f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: f.heartbeat(sent.Machine, running)})
 	f.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
 	assigned := len(f.scheduler.jobs.find("job-2").assignments)
-	remembered := len(f.scheduler.placement.nextPreemptionSearch)
+	remembered := len(f.scheduler.placement.nextPreemptionSearchAt)
 	if assigned != 0 || remembered == 0 {
 		t.Fatalf("%d tasks assigned beside one that may not be preempted; %d searches remembered", assigned, remembered)
 	}
@@ -74,7 +74,7 @@
 		demand: resource.Vector{CPUs: 4, MemoryGB: 1}, team: f.scheduler.jobs.team("red"),
 		priority: protocol.PriorityHigh, guaranteed: true, preempting: true,
 	}
-	f.scheduler.placement.nextPreemptionSearch[request] = time.Hour
+	f.scheduler.placement.nextPreemptionSearchAt[request] = time.Hour
 	f.job("job-2", "red", "high", 1, 4, 13)
 	if len(f.scheduler.jobs.find("job-2").assignments) != 1 {
 		t.Error("not placed although resources are free")
