--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -10,24 +10,25 @@
 	"quillshunt/internal/limits"
 )
 
-// jobGroup names the jobs of a class and team of about the same size. Such a group must not be left
-// behind as a whole under lasting overload.
+// jobGroup identifies the jobs of one class and team that have about the same number of tasks. Progress
+// is counted for each group, so that no kind of job starves as a whole during a long overload.
 type jobGroup struct {
 	class     *jobClass
 	team      *team
-	sizeClass int // of the number of tasks, in bits
+	sizeClass int // bit length of the number of tasks, so each size class spans a factor of two
 }
 
+// group returns the group that the job belongs to.
 func (j *job) group() jobGroup { return jobGroup{j.class, j.team, bits.Len(uint(j.spec.Tasks))} }
 
-// groupProgress is the aging credit of a group's jobs, in tasks, and how many of these tasks have
-// begun.
+// groupProgress is the sum of the aging credit of a group's jobs, in tasks, and how much of it has been
+// used by tasks that have started.
 type groupProgress struct{ credit, started int }
 
-// agingCredit is how many tasks of a job should have begun by now. The order of the queue favours
-// jobs that are urgent, small and on time; under lasting overload the others would never begin. So a
-// job gets credit for its first task at one age, and for the others one by one from a later age on,
-// whatever else waits.
+// agingCredit returns how many tasks of a job should have started by now. The queue order favors urgent
+// and small jobs and those that can meet a deadline, so during a long overload other jobs would never
+// start. Each job therefore gets credit for its first task at FirstTaskCreditAge, and for the others
+// one by one during AllTasksCreditSpan after AllTasksCreditAge, whatever else is waiting.
 func (q *jobQueue) agingCredit(j *job) int {
 	age := q.now - j.submittedAt
 	if age <= limits.FirstTaskCreditAge || j.cancelled || j.closed {
@@ -37,8 +38,9 @@
 	return max(1, int(math.Ceil(min(share, 1)*float64(j.spec.Tasks))))
 }
 
-// overdueTasks is how many tasks a job gets before all others: the first if it has not begun, else
-// what it is behind its credit with while its group is underserved.
+// starvedTasks returns how many tasks of a job are placed before those of all other jobs. A job with
+// credit that has started no task gets one. A job that has started gets the unused rest of its credit
+// if its group is underserved, otherwise none.
 func (q *jobQueue) starvedTasks(j *job) int {
 	starved := min(q.agingCredit(j)-j.startedTasks(), j.waitingTasks())
 	switch {
@@ -52,7 +54,8 @@
 	return starved
 }
 
-// servedShare is the share of the credit of a job's group that has begun.
+// servedShare returns which share of the aging credit of a job's group has been used by started tasks. It
+// is 1 for a group without credit.
 func (q *jobQueue) servedShare(j *job) float64 {
 	progress := q.progress[j.group()]
 	if progress.credit == 0 {
@@ -61,9 +64,9 @@
 	return float64(progress.started) / float64(progress.credit)
 }
 
-// updateOverdue works out which jobs are overdue, in order: those that have not begun first, then
-// those whose group has got the smallest share of its credit, then the oldest, so that jobs are
-// completed rather than all of them begun.
+// updateStarvedJobs lists the jobs with starved tasks and sorts them: jobs that have not started first,
+// then those of the group with the smallest served share, then the oldest. Among equals the oldest job
+// gets all its tasks first, so that jobs complete one after another instead of all making slow progress.
 func (q *jobQueue) updateStarvedJobs() {
 	q.updateGroupProgress()
 	q.starved = q.starved[:0]
@@ -79,7 +82,7 @@
 	})
 }
 
-// updateGroupProgress adds up the credit of each group of jobs, and what of it has begun.
+// updateGroupProgress recomputes the credit of each group and how much of it started tasks have used.
 func (q *jobQueue) updateGroupProgress() {
 	clear(q.progress)
 	maps.Copy(q.progress, q.closedProgress)
--- a/internal/coordination/scheduler/deadline.go
+++ b/internal/coordination/scheduler/deadline.go
@@ -9,21 +9,21 @@
 	"quillshunt/internal/limits"
 )
 
-// The kinds of objectives that set a deadline.
+// Kinds of objectives in the settings that set a deadline.
 const (
-	objectiveDeadline = "deadline" // done within the job's own deadline, or a multiple of it
-	objectiveFinished = "finished" // done within a time after the submission
-	objectiveWait     = "wait"     // started within a time after the submission
+	objectiveDeadline = "deadline" // completed within the job's own deadline, or a multiple of it
+	objectiveFinished = "finished" // completed within a given time after submission
+	objectiveWait     = "wait"     // started within a given time after submission
 )
 
-// deadline is a time that a job should meet, by its completion or by the start of its tasks.
+// deadline is a time by which a job should complete or, if forStart is set, start its tasks.
 type deadline struct {
 	at       time.Duration
 	forStart bool
 }
 
-// deadlinesOf returns the deadlines of a job that the objectives of its class set, earliest first.
-// Without any it is the job's own deadline, if it has one.
+// deadlinesOf returns the deadlines that the objectives of a job's class set, earliest first. If they
+// set none, it returns the deadline of the job's spec, if there is one.
 func deadlinesOf(j *job, objectives []config.Objective) []deadline {
 	var deadlines []deadline
 	add := func(seconds float64, forStart bool) {
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -9,51 +9,51 @@
 	"quillshunt/internal/protocol"
 )
 
-// job is a job that is not over: its open record, and what became of its tasks in this term. A task
-// is waiting, assigned to a machine, or done.
+// job is the scheduler's state of an open job: the content of its open record, and the state of its
+// tasks in this term. Each task is waiting, assigned to a machine, or done.
 type job struct {
 	id               string
-	gang             *gang // nil if its tasks are independent
+	gang             *gang // nil if the tasks are independent of each other
 	spec             protocol.Spec
 	priority         protocol.Priority
 	team             *team
 	class            *jobClass
-	demand           resource.Vector // of one task
-	version          uint64          // of the open record
+	demand           resource.Vector // resources that one task needs
+	version          uint64          // version of the open record
 	submittedAt      time.Duration
 	deadlines        []deadline // earliest first
 	cancelled        bool
-	cancelledAt      time.Duration // when its user may first have been told
-	cancelObservedAt time.Duration // when this leader learned of it
-	closing          bool          // its final record is being written
-	closed           bool          // its final record is written
+	cancelledAt      time.Duration // earliest time at which the user may have been told of the cancellation
+	cancelObservedAt time.Duration // when this leader learned of the cancellation
+	closing          bool          // the write of its final record is in flight
+	closed           bool          // its final record is durable, or its open record was removed
 
-	// Set when the order of the queue is made; see jobQueue.order.
-	guaranteed            bool // fits into its team's guarantee together with the team's earlier unfinished jobs
-	underserved           bool // its group has got too little of its aging credit
-	mayUseGangReservation bool // may use machines that are kept for gangs
+	// Updated whenever the queue is sorted; see jobQueue.order.
+	guaranteed            bool // the team's guarantee covers it and the team's earlier unfinished jobs
+	underserved           bool // too few tasks of its group have started for the group's aging credit
+	mayUseGangReservation bool // may use machines that are reserved for gangs
 
 	done                bitmap
 	doneCount           int
 	assigned            bitmap
-	assignments         map[int]*assignment // by index of the task
+	assignments         map[int]*assignment // by task index
 	lastAssignedAt      time.Duration
-	nextWaitingHint     int         // no task below is waiting
-	stopCounts          map[int]int // how often the scheduler has stopped a task, by its index
+	nextWaitingHint     int         // no task with a lower index is waiting
+	stopCounts          map[int]int // how often the scheduler has stopped each task, by task index
 	chunks              []finishedChunk
-	earlierRecordKeys   []string // keys of records of finished tasks that are no chunks of this term
-	remainingRecordKeys []string // keys to be removed after the final record was written
+	earlierRecordKeys   []string // keys of finished-task records that do not match the chunks of this term
+	remainingRecordKeys []string // keys of finished-task records to delete once the final record is written
 
-	runTimeSum     float64         // of the run times of done tasks, in seconds
-	runTimeSamples int             // of these tasks
-	failedMachines map[string]bool // machines that failed a task since the last success
-	backoff        time.Duration   // the last wait after failures on many machines
-	retryAt        time.Duration   // no task is placed before
+	runTimeSum     float64         // sum of the measured run times of completed tasks, in seconds
+	runTimeSamples int             // number of run times in runTimeSum
+	failedMachines map[string]bool // machines on which a task has failed since the last successful task
+	backoff        time.Duration   // most recent delay after failures on many machines
+	retryAt        time.Duration   // no task is placed before this time
 
-	nextPreemptionSearchAt time.Duration // the placement does not look for tasks to stop for it before
+	nextPreemptionSearchAt time.Duration // no search for tasks to preempt before this time
 }
 
-// waitingTasks is how many tasks wait for a machine now.
+// waitingTasks returns the number of tasks that are waiting for a machine.
 func (j *job) waitingTasks() int {
 	if j.gang != nil {
 		return j.gang.missing()
@@ -61,20 +61,21 @@
 	return j.spec.Tasks - j.doneCount - len(j.assignments)
 }
 
-// begunTasks is how many tasks are done or on machines.
+// startedTasks returns the number of tasks that are done or assigned to machines.
 func (j *job) startedTasks() int { return j.doneCount + len(j.assignments) }
 
-// outwaitsGangReservation reports whether the job may use machines that are kept for gangs: gangs
-// may, and jobs that have waited for so long that machines must not be kept from them any longer.
+// eligibleForGangReservation reports whether the job may use machines that are reserved for gangs.
+// Gangs always may. Other jobs may once GangReservationYieldAge has passed since their submission or
+// the last assignment of one of their tasks, so that the reservation does not starve them.
 func (j *job) eligibleForGangReservation(now time.Duration) bool {
 	return j.gang != nil || now > max(j.submittedAt, j.lastAssignedAt)+limits.GangReservationYieldAge
 }
 
-// demandOf is the demand of that many of its tasks.
+// demandOfTasks returns the resources that the given number of the job's tasks need together.
 func (j *job) demandOfTasks(tasks int) resource.Vector { return j.demand.Times(float64(tasks)) }
 
-// withinTeamLimit reports whether its team's limit lets a task of it start now; of a gang, all that
-// wait.
+// withinTeamLimit reports whether the team's limit leaves room for one more task of the job or, if the
+// job is a gang, for all its waiting tasks.
 func (j *job) withinTeamLimit() bool {
 	if j.gang != nil {
 		return j.team.withinLimit(j.demandOfTasks(j.waitingTasks()))
@@ -82,7 +83,8 @@
 	return j.team.withinLimit(j.demand)
 }
 
-// nextWaitingTask is the lowest task that is neither done nor assigned, or -1.
+// nextWaitingTask returns the lowest index of a task that is neither done nor assigned, or -1 if there
+// is none.
 func (j *job) nextWaitingTask() int {
 	index := firstInNeither(j.done, j.assigned, j.nextWaitingHint)
 	if index >= j.spec.Tasks {
@@ -93,7 +95,7 @@
 	return index
 }
 
-// sortedAssignments returns the assignments of its tasks, by index.
+// sortedAssignments returns the assignments of the job's tasks, ordered by task index.
 func (j *job) sortedAssignments() []*assignment {
 	sorted := make([]*assignment, 0, len(j.assignments))
 	for _, a := range j.assignments {
--- a/internal/coordination/scheduler/job_class.go
+++ b/internal/coordination/scheduler/job_class.go
@@ -2,42 +2,44 @@
 
 import "quillshunt/internal/limits"
 
-// jobClass is what was learned of the tasks of a class of jobs in this term.
+// jobClass holds the statistics of the tasks of one class of jobs, as measured in this term.
 type jobClass struct {
-	runTimeRatio float64 // mean of run time over the submitter's estimate
+	runTimeRatio float64 // moving average of the measured run time divided by the submitter's estimate
 	runSamples   int
-	fetchSeconds float64 // mean wait for an image, in seconds
+	fetchSeconds float64 // moving average of the time that a task waits for its image, in seconds
 	fetchSamples int
 }
 
-// newJobClass returns a class of which nothing was learned yet.
+// newJobClass returns a class without measurements. Until there are some, estimates of submitters are
+// taken as they are.
 func newJobClass() *jobClass { return &jobClass{runTimeRatio: 1} }
 
-// learnFetchTime adds how long a task waited for its image, in seconds.
+// recordFetchTime updates fetchSeconds with the time that a task waited for its image.
 func (c *jobClass) recordFetchTime(seconds float64) {
 	c.fetchSamples++
 	weight := max(1/float64(c.fetchSamples), limits.RunTimeLearningRate)
 	c.fetchSeconds += weight * (seconds - c.fetchSeconds)
 }
 
-// learnRunTime adds a task's run time over the submitter's estimate.
+// recordRunTimeRatio updates runTimeRatio with a task's run time divided by the submitter's estimate.
 func (c *jobClass) recordRunTimeRatio(ratio float64) {
 	c.runSamples++
 	weight := max(1/float64(c.runSamples), limits.RunTimeLearningRate)
 	c.runTimeRatio += weight * (ratio - c.runTimeRatio)
 }
 
-// estimate is how long a task of the job is expected to run, in seconds. The tasks that are done are
-// weighed against those on machines, which count as what is known of the class: the first to be done
-// are the shortest, and alone they would make the rest look short.
+// estimatedRunSeconds returns the expected run time of one task of the job. It is the mean of the
+// measured run times of completed tasks and of a prior, the submitter's estimate corrected by the
+// class's ratio, which counts once for each task on a machine and EstimatePriorTasks times more.
+// Without the prior the estimate would be too low early on, as the shortest tasks complete first.
 func (j *job) estimatedRunSeconds() float64 {
 	prior := j.spec.EstimateS * j.class.runTimeRatio
 	open := float64(len(j.assignments) + limits.EstimatePriorTasks)
 	return max((j.runTimeSum+prior*open)/(float64(j.runTimeSamples)+open), limits.MinRunTime)
 }
 
-// occupancy is how long a task is expected to occupy its machine, in seconds: its run time and the
-// wait for its image.
+// expectedOccupancySeconds returns how long one task is expected to occupy its machine: the wait for
+// its image and the run time.
 func (j *job) expectedOccupancySeconds() float64 {
 	return j.estimatedRunSeconds() + j.class.fetchSeconds
 }
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -6,7 +6,8 @@
 	"quillshunt/internal/storage"
 )
 
-// jobChanged brings a job in line with its open record.
+// jobChanged applies a new version of a job's open record and opens the job if it is not known yet.
+// Older versions are ignored.
 func (s *Scheduler) jobChanged(e JobChanged) {
 	j := s.jobs.find(e.JobID)
 	if j == nil {
@@ -21,9 +22,10 @@
 	}
 	j.version = e.Version
 	if e.Record.Cancelled && !j.cancelled {
-		// The time to stop the tasks counts from when the user may first have been told, also across
-		// a failover. If it is over already, no leader knew of the cancellation, as it would have let
-		// the leases expire in time; so the user was not told, and the time begins now.
+		// The period within which the tasks must end (CancelS) starts when the user may first have been
+		// told of the cancellation, also if that was before a failover. If the period is already over,
+		// no leader has seen the cancellation: it would have let the workers' leases expire in time.
+		// The user has not been told then, so the period starts now.
 		j.cancelled, j.cancelledAt, j.cancelObservedAt = true, s.now, s.now
 		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
 			j.cancelledAt -= e.SinceCancellation
@@ -37,7 +39,8 @@
 	s.placement.requestPass()
 }
 
-// tryCloseJob writes a job's final record once nothing of it is left to do.
+// tryCloseJob starts the write of a job's final record if mayCloseJob allows it. The same transaction
+// deletes the open record and as many finished-task records as the transaction limit allows.
 func (s *Scheduler) tryCloseJob(j *job) {
 	if !s.mayCloseJob(j) {
 		return
@@ -50,7 +53,7 @@
 		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: state})},
 		{Delete: storage.OpenJobKey(j.id)},
 	}
-	// What does not fit into this transaction is removed once the job is closed.
+	// Records beyond the limit are deleted after the final record is written; see finalJobWritten.
 	keys := s.finished.recordKeys(j)
 	fitting := min(len(keys), s.cfg.State.TxnOps-len(operations))
 	for _, key := range keys[:fitting] {
@@ -61,41 +64,44 @@
 	s.write(finalJobWrite{j}, []protocol.Condition{{Key: storage.OpenJobKey(j.id), Version: j.version}}, operations)
 }
 
-// mayCloseJob reports whether nothing of a job is left to do.
+// mayCloseJob reports whether a job's final record can be written: the job is done or cancelled, none of
+// its tasks can still be on a machine, and no write of its finished tasks is in flight.
 func (s *Scheduler) mayCloseJob(j *job) bool {
 	switch {
 	case j.closed, j.closing, !j.cancelled && j.doneCount < j.spec.Tasks:
 		return false
 	case len(j.assignments) > 0 && (j.gang == nil || j.cancelled):
-		return false // of a gang that is done, tasks that were not heard of yet have completed as well
+		return false // the tasks of a completed gang have all ended, also those not reported as ended yet
 	case j.cancelled && !s.recovery.hasEnded():
-		return false // tasks of it that we have not heard of yet still count against its team's limit
+		return false // its tasks on machines that have not reported yet still count against the team's limit
 	}
-	return !j.isWritingChunks() // else the end of the write comes back here
+	return !j.isWritingChunks() // the completion of that write calls tryCloseJob again
 }
 
-// finalJobWritten closes a job whose final record is written.
+// finalJobWritten handles the outcome of the write of a job's final record. On success it closes the job
+// and deletes the remaining records of its finished tasks.
 func (s *Scheduler) finalJobWritten(write finalJobWrite, e WriteCompleted) {
 	j := write.job
 	j.closing = false
 	if !e.OK {
-		return // it was cancelled meanwhile: the watch brings the new record, and tryCloseJob runs again
+		return // cancelled concurrently: the watch delivers the new open record, and jobChanged tries again
 	}
-	s.logInfo("job over", keyJob, j.id, "cancelled", j.cancelled, keyTasks, j.spec.Tasks)
+	s.logInfo("job closed", keyJob, j.id, "cancelled", j.cancelled, keyTasks, j.spec.Tasks)
 	s.closeJob(j)
 	s.finished.removeRecords(j.id, j.remainingRecordKeys)
 }
 
-// closeJob forgets a job whose final record is durable.
+// closeJob removes a job from the scheduler and withdraws its remaining tasks. Its final record is
+// durable, or its open record was removed by another party.
 func (s *Scheduler) closeJob(j *job) {
 	j.closed = true
-	s.assignments.withdrawAll(j, "job over")
+	s.assignments.withdrawAll(j, "job closed")
 	s.jobs.close(j)
 	s.queue.jobClosed(j)
 }
 
-// jobRemoved forgets a job whose open record somebody else has removed. No controller does that, but
-// then the job is over.
+// jobRemoved closes a job whose open record was deleted by another party. No controller does this, but
+// without an open record the job no longer exists.
 func (s *Scheduler) jobRemoved(e JobRemoved) {
 	if j := s.jobs.find(e.JobID); j != nil && !j.closing && e.Version > j.version {
 		s.closeJob(j)
--- a/internal/coordination/scheduler/jobs.go
+++ b/internal/coordination/scheduler/jobs.go
@@ -8,17 +8,17 @@
 	"quillshunt/internal/protocol"
 )
 
-// jobTable holds the jobs that are not over, with their teams and classes.
+// jobTable holds the open jobs, and all teams and job classes.
 type jobTable struct {
 	*environment
 	byID         map[string]*job
-	closed       map[string]bool // jobs over in this term; a late record of one must not open it again
+	closed       map[string]bool // IDs of jobs closed in this term; a delayed open record must not reopen them
 	bySubmission []*job
 	teams        map[string]*team
 	classes      map[string]*jobClass
 }
 
-// newJobTable returns a table without jobs, with the teams of the settings.
+// newJobTable returns a table without jobs. The teams are those of the settings.
 func newJobTable(env *environment) *jobTable {
 	t := &jobTable{
 		environment: env,
@@ -33,19 +33,19 @@
 	return t
 }
 
-// find returns the open job with that ID, or nil.
+// find returns the open job with the given ID, or nil.
 func (t *jobTable) find(id string) *job { return t.byID[id] }
 
-// oldestFirst returns the open jobs in order of submission. The slice is the table's own.
+// oldestFirst returns the open jobs in order of submission. The caller must not modify the slice.
 func (t *jobTable) oldestFirst() []*job { return t.bySubmission }
 
-// count is the number of open jobs.
+// count returns the number of open jobs.
 func (t *jobTable) count() int { return len(t.byID) }
 
-// team returns a team of the settings, or nil.
+// team returns the team with the given name, or nil if the settings have none.
 func (t *jobTable) team(name string) *team { return t.teams[name] }
 
-// class returns what is known of a class of jobs.
+// class returns the job class with the given name, which is created on first use.
 func (t *jobTable) class(name string) *jobClass {
 	class := t.classes[name]
 	if class == nil {
@@ -55,8 +55,9 @@
 	return class
 }
 
-// open adds a job that is not known yet and returns it. Chunks is the number of chunks that its
-// finished tasks are kept in. It returns nil if the job is over, or its team is unknown.
+// open adds a job that is not in the table yet and returns it. The argument chunks is the number of
+// chunk records that hold the job's finished tasks. It returns nil if the job was closed in this term
+// or its team is unknown.
 func (t *jobTable) open(e JobChanged, chunks int) *job {
 	spec := e.Record.Spec
 	if t.closed[e.JobID] {
@@ -64,7 +65,7 @@
 	}
 	team := t.teams[spec.Team]
 	if team == nil {
-		return nil // a team that the settings no longer know; its jobs stay as they are
+		return nil // the settings no longer have this team; the records of its jobs are left unchanged
 	}
 	priority, _ := protocol.ParsePriority(spec.Priority)
 	j := &job{
@@ -90,12 +91,12 @@
 	return j
 }
 
-// compareSubmissions orders jobs by their submission, and those of the same time by ID.
+// compareSubmissions orders jobs by submission time, then by ID.
 func compareSubmissions(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.id, b.id))
 }
 
-// close forgets a job. A late record of it does not open it again.
+// close removes a job from the table and ensures that a delayed open record does not reopen it.
 func (t *jobTable) close(j *job) {
 	delete(t.byID, j.id)
 	t.closed[j.id] = true
@@ -104,8 +105,9 @@
 	}
 }
 
-// updateGuarantees works out which jobs their teams' guarantees cover: a job is covered if it fits
-// in together with the team's earlier unfinished jobs.
+// updateGuarantees recomputes which jobs are covered by their team's guarantee. A job is covered if the
+// guarantee is large enough for its unfinished tasks and those of all earlier jobs of the team.
+// Cancelled jobs do not count.
 func (t *jobTable) updateGuarantees() {
 	for _, team := range t.teams {
 		team.unfinishedDemand = resource.Vector{}
@@ -124,7 +126,7 @@
 	}
 }
 
-// answerTaskCounts answers how many tasks of a job are done and running.
+// answerTaskCounts emits the numbers of done and of running tasks of a job as the reply to a request.
 func (t *jobTable) answerTaskCounts(e TaskCountsRequested) {
 	j := t.byID[e.JobID]
 	if j == nil {
@@ -138,7 +140,7 @@
 		}
 	}
 	if j.gang != nil && running < j.spec.Tasks {
-		running = 0 // it runs as a whole or not at all
+		running = 0 // a gang counts as running only while all its tasks run
 	}
 	t.emit(TaskCounts{ReplyTo: e.ReplyTo, Known: true, Done: j.doneCount, Running: running})
 }
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -1,8 +1,9 @@
 package scheduler
 
-// placeTasks is the scheduling pass. For each job, in the order of the queue, it filters the
-// machines, ranks what is left on the full view, and preempts victims where the best machine is
-// short of resources: the paper's algorithm, request by request.
+// placeTasks runs one scheduling pass, if one was requested and recovery has ended. For each job, in
+// queue order, it filters and ranks the machines and assigns the task to the best one. If that machine
+// lacks free resources, it preempts tasks there. This is the algorithm of the paper that package
+// placement names.
 func (s *Scheduler) placeTasks() {
 	if !s.placement.isPassRequested() || !s.recovery.hasEnded() {
 		return
@@ -23,8 +24,8 @@
 	}
 }
 
-// placeOverdueTasks places the tasks that are due whatever else waits. Machines are reserved for
-// those that find none.
+// placeStarvedTasks places the starved tasks of all jobs before any others; see jobQueue.starvedTasks.
+// For tasks that no machine has room for, it reserves machines.
 func (s *Scheduler) placeStarvedTasks() {
 	for _, j := range s.queue.starvedJobs() {
 		starved := s.queue.starvedTasks(j)
@@ -41,8 +42,9 @@
 	}
 }
 
-// placeJob places up to count of a job's tasks. All of them make the same request, so the machines
-// are filtered and scored once, and again only where a placement has changed something.
+// placeJob places up to count tasks of a job. As all its tasks have the same requirements, it filters and
+// scores all machines once. After each placement only the machine that was used is scored again, unless
+// the placement affects other machines too.
 func (s *Scheduler) placeJob(j *job, count int) {
 	search, ok := s.placement.newSearch(j)
 	if !ok {
@@ -62,7 +64,7 @@
 			return
 		}
 		gangStopped := s.placeTask(j, best.Target, victims)
-		if gangStopped || j.hasZoneRule() { // other machines have changed, or may be used no more
+		if gangStopped || j.hasZoneRule() { // other machines have changed or are no longer allowed
 			s.placement.collectCandidates(j, preempting)
 			continue
 		}
@@ -73,8 +75,8 @@
 	}
 }
 
-// placeTask stops the victims on a machine and assigns it the next task of a job. It reports
-// whether gangs were among the victims.
+// placeTask preempts the victims on a machine and assigns the next waiting task of a job to it. It
+// reports whether tasks of gangs were among the victims; their gangs' other machines change as well.
 func (s *Scheduler) placeTask(j *job, m *machine, victims []*assignment) (gangStopped bool) {
 	for _, victim := range victims {
 		s.stopTask(victim, "preempted for "+j.id)
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -7,20 +7,20 @@
 	"quillshunt/internal/limits"
 )
 
-// jobQueue is the order in which waiting jobs are placed.
+// jobQueue sorts the open jobs into the order in which their tasks are placed.
 type jobQueue struct {
 	*environment
 	jobs *jobTable
 
-	entries        []queueEntry // kept for its memory
-	ordered        []*job       // nil if it is to be made anew; see order
+	entries        []queueEntry // reused between sorts
+	ordered        []*job       // nil if the jobs must be sorted again; see order
 	orderedAt      time.Duration
-	starved        []*job                     // those of them that get tasks before all others; see updateOverdue
-	progress       map[jobGroup]groupProgress // of all jobs of this term
-	closedProgress map[jobGroup]groupProgress // of the jobs that are over
+	starved        []*job                     // jobs that get tasks before all others; see updateStarvedJobs
+	progress       map[jobGroup]groupProgress // of all jobs of this term, closed ones included
+	closedProgress map[jobGroup]groupProgress // of the jobs that were completed and closed
 }
 
-// newJobQueue returns the queue of the table's jobs.
+// newJobQueue returns the queue of the jobs in a table.
 func newJobQueue(env *environment, jobs *jobTable) *jobQueue {
 	return &jobQueue{
 		environment:    env,
@@ -30,16 +30,17 @@
 	}
 }
 
-// queueEntry is a job's place in the queue.
+// queueEntry is a job with its sort keys.
 type queueEntry struct {
 	job   *job
 	late  bool
 	slack time.Duration
-	work  float64 // CPU seconds that its waiting tasks need, weighted by the slack
+	work  float64 // CPU seconds that its waiting tasks need, multiplied by a weight that grows with the slack
 }
 
-// before orders entries by priority, guarantee before borrowed, then by work and slack, then by age.
-// Jobs whose deadlines are all past come after those that can be helped.
+// before reports whether an entry sorts before another. Higher priority comes first, then jobs that
+// their team's guarantee covers, then jobs that can still meet a deadline, then less work, less slack
+// and earlier submission. Late jobs are not compared by work.
 func (e *queueEntry) before(other *queueEntry) bool {
 	switch {
 	case e.job.priority != other.job.priority:
@@ -58,10 +59,11 @@
 	return e.job.id < other.job.id
 }
 
-// invalidate lets the order be made anew when it is next asked for.
+// invalidate makes the next call of order sort the jobs again.
 func (q *jobQueue) invalidate() { q.ordered = nil }
 
-// jobClosed takes a job off the queue. What a completed job has got still counts for its group.
+// jobClosed removes a closed job from the queue. The tasks of a completed job still count in the progress
+// of its group; a cancelled job does not count.
 func (q *jobQueue) jobClosed(j *job) {
 	if !j.cancelled {
 		progress := q.closedProgress[j.group()]
@@ -73,11 +75,10 @@
 	q.invalidate()
 }
 
-// order returns the jobs in the order in which they are placed; see queueEntry.before. The slice is
-// the queue's own.
+// order returns the open jobs in the order in which they are placed; see queueEntry.before. Jobs without
+// waiting tasks are included, cancelled ones are not. The caller must not modify the slice.
 //
-// The order is kept for a short while, as slacks change slowly; a new job makes it anew. It also
-// has jobs without waiting tasks.
+// The order is cached for QueueOrderTTL, as slacks change slowly. A new or closed job invalidates it.
 func (q *jobQueue) order() []*job {
 	if q.now < q.orderedAt+limits.QueueOrderTTL && q.ordered != nil {
 		return q.ordered
@@ -89,7 +90,7 @@
 		if j.cancelled || j.closed {
 			continue
 		}
-		// The same for all of its tasks, until the order is made anew.
+		// Updated here so that it is the same for all tasks of the job until the next sort.
 		j.mayUseGangReservation = j.eligibleForGangReservation(q.now)
 		entries = append(entries, q.newEntry(j))
 	}
@@ -102,7 +103,7 @@
 	return q.ordered
 }
 
-// newEntry returns the entry of a job that is not over.
+// newEntry returns the queue entry of an open job.
 func (q *jobQueue) newEntry(j *job) queueEntry {
 	slack, late := q.slack(j)
 	weight := (min(slack, limits.SlackCap) + limits.SlackBase).Seconds()
@@ -110,12 +111,13 @@
 	return queueEntry{job: j, late: late, slack: slack, work: work}
 }
 
-// overdueJobs returns the jobs that get tasks before all others, in order; see overdueTasks. The
-// slice is the queue's own, and as old as the order.
+// starvedJobs returns the jobs that get tasks before all others, in the order of their placement; see
+// starvedTasks. The list was made at the last sort. The caller must not modify the slice.
 func (q *jobQueue) starvedJobs() []*job { return q.starved }
 
-// slack is how long a job can still wait and meet the next of its deadlines. Late means that all of
-// them are out of reach; the slack is then negative, and lower for older jobs.
+// slack returns how long a job can still wait and meet the earliest deadline that it can still meet. If
+// it can meet none of its deadlines, late is true and the slack is the negated age of the job, so that
+// older jobs come first. A job without deadlines has unlimited slack.
 func (q *jobQueue) slack(j *job) (slack time.Duration, late bool) {
 	estimate := limits.Seconds(j.estimatedRunSeconds())
 	for _, d := range j.deadlines {
@@ -128,7 +130,7 @@
 		}
 		left -= estimate
 		if left > -time.Duration(limits.LateToleranceShare*float64(estimate)) {
-			return left, false // a little late by the estimate may still be in time
+			return left, false // the estimate may be too high, so a slightly missed deadline still counts as reachable
 		}
 	}
 	if len(j.deadlines) == 0 {
--- a/internal/coordination/scheduler/team.go
+++ b/internal/coordination/scheduler/team.go
@@ -6,25 +6,26 @@
 	"quillshunt/internal/limits"
 )
 
-// team is a team of the settings: its guarantee, its limit, and what counts against them.
+// team is a team with its guarantee and limit from the settings, and the resources that count against
+// them.
 type team struct {
 	cfg              config.Team
-	allocated        resource.Vector // to tasks on machines
-	unfinishedDemand resource.Vector // by its unfinished jobs; see jobTable.updateGuarantees
+	allocated        resource.Vector // allocated to its tasks on machines
+	unfinishedDemand resource.Vector // needed by all unfinished tasks of its jobs; see jobTable.updateGuarantees
 }
 
-// fits reports whether the team's limit lets it use that much more.
+// withinLimit reports whether the team stays within its limit if it uses the given resources in addition.
 func (t *team) withinLimit(demand resource.Vector) bool {
 	const eps = limits.Epsilon
 	return t.allocated.CPUs+demand.CPUs <= t.cfg.CPUsMax+eps &&
 		t.allocated.Accelerators+demand.Accelerators <= t.cfg.GPUsMax+eps
 }
 
-// guarantees reports whether the team's guarantee covers that much.
+// guaranteeCovers reports whether the team's guarantee is at least as large as the given resources.
 func (t *team) guaranteeCovers(demand resource.Vector) bool {
 	const eps = limits.Epsilon
 	return demand.CPUs <= t.cfg.CPUs+eps && demand.Accelerators <= t.cfg.GPUs+eps
 }
 
-// usesBorrowed reports whether the team uses more than its guarantee.
+// isBorrowing reports whether the team uses more resources than it is guaranteed.
 func (t *team) isBorrowing() bool { return !t.guaranteeCovers(t.allocated) }
