--- a/internal/coordination/scheduler/bitmap.go
+++ b/internal/coordination/scheduler/bitmap.go
@@ -2,22 +2,22 @@
 
 import "math/bits"
 
-// wordBits is how many indexes a word of a bitmap holds.
+// wordBits is the number of indexes that one word of a bitmap holds.
 const wordBits = 64
 
-// bitmap is a set of the tasks of a job, by index.
+// bitmap is a set of task indexes of one job.
 type bitmap []uint64
 
-// newBitmap returns an empty set for indexes below size.
+// newBitmap returns an empty set that can hold the indexes from 0 to size-1.
 func newBitmap(size int) bitmap { return make(bitmap, (size+wordBits-1)/wordBits) }
 
 func (b bitmap) has(index int) bool { return b[index/wordBits]>>(index%wordBits)&1 != 0 }
 func (b bitmap) add(index int)      { b[index/wordBits] |= 1 << (index % wordBits) }
 func (b bitmap) remove(index int)   { b[index/wordBits] &^= 1 << (index % wordBits) }
 
-// firstInNeither returns the lowest index that is in neither of two sets of the same size, from the
-// word of the index start on. The index may be above the size that a set was made for, as sets are
-// made of whole words.
+// firstInNeither returns the lowest index that is in neither of two sets of the same size. The search
+// begins at the first index of the word that contains start. As sets consist of whole words, the result
+// may be equal to or greater than their size, which means that no index is left from there on.
 func firstInNeither(one, other bitmap, start int) int {
 	for word := start / wordBits; word < len(one); word++ {
 		if free := ^(one[word] | other[word]); free != 0 {
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -8,11 +8,11 @@
 	"quillshunt/internal/limits"
 )
 
-// candidate is a machine that passed the filters, with its scores.
+// candidate is a machine that passed the filters for a task, with its scores.
 type candidate = placement.Candidate[*machine]
 
-// collectCandidates returns the machines that pass the filters for a task of the job, with their
-// scores. They are valid until the next call.
+// collectCandidates returns the machines that pass the filters for a task of the job, with their scores.
+// The result is valid until the next call.
 func (p *placer) collectCandidates(j *job, preempting bool) *placement.Groups[*machine] {
 	groups := &p.pass.groups
 	groups.Clear()
@@ -24,10 +24,11 @@
 	return groups
 }
 
-// evaluate filters and scores one machine for a task of a job: the body of the loop of Select Hosts
-// (Algorithm 2 of the paper). A request that may preempt is filtered on the normal view, any other
-// on the full view; scores are those of the full view. Planned is what the placement of a gang has
-// decided for the machine so far, or nil.
+// filterAndScore filters and scores one machine for a task of a job. It is the loop body of Select Hosts
+// (Algorithm 2 of the paper). The full view of a machine counts all its tasks; the normal view leaves out
+// those that may be preempted for the job. A request that may preempt is filtered on the normal view, any
+// other on the full view. Scores always use the full view. planned holds what the placement of a gang has
+// decided so far, or is nil.
 func (p *placer) filterAndScore(j *job, m *machine, preempting bool, planned *plannedView) (c candidate, ok bool) {
 	free := planned.freeResources(m) // on the full view
 	overcommitted := !free.Fits(j.demand)
@@ -51,7 +52,8 @@
 	return c, true
 }
 
-// freeOnNormalView is what is free on a machine without the tasks that may be preempted for a job.
+// freeWithPreemption returns the free resources of a machine on the normal view, as if all tasks that may
+// be preempted for the job were gone.
 func freeWithPreemption(j *job, m *machine, planned *plannedView) resource.Vector {
 	free := planned.freeResources(m)
 	for _, a := range m.assignments {
@@ -62,7 +64,7 @@
 	return free
 }
 
-// weighMachine sets the scores that don't depend on preemption.
+// scoreMachine sets the scores that do not depend on preemption. Higher is better.
 func scoreMachine(j *job, m *machine, free resource.Vector, scores *placement.Scores) {
 	if _, cached := m.cachedImages[j.spec.Image]; !cached {
 		scores[placement.Image] = -j.spec.ImageGB / max(m.machineType.FetchGBPerS, limits.MinImageFetchRate)
@@ -79,21 +81,21 @@
 	}
 }
 
-// isSchedulable reports whether a machine may get tasks at all.
+// isSchedulable reports whether a machine may get any tasks.
 func (e *environment) isSchedulable(m *machine) bool {
 	return m.verified && m.machineType != nil && m.rental != "" &&
 		!m.spotNotice && !m.deleting && !m.isFaulty() &&
 		m.hasLiveIncarnation() && !e.isStale(m)
 }
 
-// isAtTaskLimit reports whether the machine runs and lists as many tasks as it may.
+// isAtTaskLimit reports whether the machine has MaxTasksPerMachine tasks or more; see taskCount.
 func (m *machine) isAtTaskLimit() bool { return m.taskCount() >= limits.MaxTasksPerMachine }
 
-// taskCount is the number of tasks that the machine has, those included that have ended and are
-// still listed.
+// taskCount returns the number of tasks assigned to the machine plus those that have ended and that its
+// heartbeats still list.
 func (m *machine) taskCount() int { return len(m.assignments) + len(m.endedTasks) }
 
-// isReservedForOthers reports whether the machine is kept for other jobs than this one.
+// isReservedForOthers reports whether a reservation keeps the job off the machine.
 func (m *machine) isReservedForOthers(j *job) bool {
 	if m.reservedForGangs && !j.mayUseGangReservation {
 		return true
@@ -101,16 +103,17 @@
 	return m.reservedFor != nil && m.reservedFor != j
 }
 
-// mayUse reports whether the job's tasks may run on the machine, whatever else runs there.
+// mayUse reports whether the job's next task could run on the machine if nothing else ran there.
 func (j *job) mayUse(m *machine) bool {
 	return j.mayUsePool(m.pool()) && m.size().Fits(j.demand) && !j.excludesMachine(m)
 }
 
-// mayUsePool reports whether the job's next task may run on a machine of the pool: the job's spec
-// allows it, and so do its rules for zones together with the tasks that are assigned already.
+// mayUsePool reports whether the job's next task may run on machines of the pool: its spec allows them,
+// and its zone rules do, given where its assigned tasks are.
 func (j *job) mayUsePool(pool machinePool) bool { return j.specAllows(pool) && j.mayUseZone(pool.zone) }
 
-// specAllows reports whether the job's spec allows machines of the pool.
+// specAllows reports whether the spot setting, zone and machine types in the job's spec allow machines of
+// the pool.
 func (j *job) specAllows(pool machinePool) bool {
 	if pool.spot && !j.spec.Spot {
 		return false
@@ -118,7 +121,7 @@
 	return (j.spec.Zone == "" || j.spec.Zone == pool.zone) && typeAllowed(&j.spec, pool.typeName)
 }
 
-// mayUseZone reports whether the job's rules for zones let its next task run in a zone.
+// mayUseZone reports whether the job's zone rules (SameZone, SpreadZones) allow its next task in a zone.
 func (j *job) mayUseZone(zone string) bool {
 	if !j.hasZoneRule() {
 		return true
@@ -135,19 +138,21 @@
 	return !j.spec.SpreadZones || inZone < j.maxTasksPerZone()
 }
 
-// hasZoneRule reports whether where a task may go depends on where the job's other tasks are.
+// hasZoneRule reports whether the zones a task may use depend on the zones of the job's other tasks.
 func (j *job) hasZoneRule() bool { return j.spec.SameZone || j.spec.SpreadZones }
 
-// hasNoMachineRules reports whether the job may use machines of every zone and type.
+// hasNoMachineRules reports whether the job is free to use any zone, machine type and machine: its spec
+// names none, and none of its tasks has failed on a machine since the last success.
 func (j *job) hasNoMachineRules() bool {
 	return j.spec.Zone == "" && len(j.spec.MachineTypes) == 0 && len(j.failedMachines) == 0
 }
 
-// maxTasksPerZone is how many tasks of a job that is spread over zones may be in one.
+// maxTasksPerZone returns how many tasks of a job with SpreadZones may be in one zone.
 func (j *job) maxTasksPerZone() int { return (j.spec.Tasks + 1) / 2 }
 
-// avoids reports whether the job's tasks don't use a machine because tasks have failed there. Once
-// they fail everywhere, any machine will do.
+// excludesMachine reports whether the job must not use a machine because its tasks have failed there. Once
+// they have failed on JobFaultMachines machines the job itself is presumed faulty, and no machine is
+// excluded.
 func (j *job) excludesMachine(m *machine) bool {
 	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
 }
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -12,42 +12,43 @@
 	"quillshunt/internal/protocol"
 )
 
-// placer decides where tasks go: it filters and ranks machines and chooses victims, request by
-// request, and reserves machines for jobs that wait long. It changes no assignments; placeTasks
-// carries out what it decides.
+// placer decides which machine each task goes to. For each placement request it filters and ranks the
+// machines and chooses the tasks to preempt. It also reserves machines for starved jobs. It does not
+// change assignments: placeTasks applies its decisions.
 type placer struct {
 	*environment
 	queue     *jobQueue
 	inventory *machineInventory
 
-	passRequested bool // something changed that placement looks at
+	passRequested bool // something that affects placement has changed since the last pass
 	pass          placementPass
-	// nextPreemptionSearch is when requests that found no tasks to preempt may look for them again:
-	// the search goes through all tasks of all machines, and in an overload many jobs search at
-	// every event. Until then they use free resources like others.
+	// nextPreemptionSearchAt is the time from which a request that found no tasks to preempt may search
+	// for them again. A search visits all tasks of all machines, and during an overload many jobs would
+	// search on every event. Before that time the request may still use free resources.
 	nextPreemptionSearchAt map[placementRequest]time.Duration
 }
 
-// placementPass is what a scheduling pass keeps, so that its cost hardly grows with fleet and
-// backlog. Each request is still decided as if it looked at every machine anew (see
-// TestPassMatchesNaivePlacement).
+// placementPass is the data that the requests of one scheduling pass share, so that the cost of a pass
+// grows little with the number of machines and waiting jobs. The decisions are the same as if each
+// request examined every machine (see TestPassMatchesNaivePlacement).
 type placementPass struct {
-	jobs              []*job          // with tasks to place, in the order of the queue
-	minDemand         resource.Vector // none of them needs less of any resource
-	machines          []*machine      // that may get tasks, by name
-	withFreeResources []*machine      // those of them with enough free resources for some job
-	maxFreeResources  resource.Vector // no machine has more of any resource free
-	reservationsLeft  int             // machines that may still be reserved; see reserveForJob
-
-	unplaceable      map[placementRequest]bool // requests for which no machine was found
+	jobs              []*job          // jobs with tasks to place, in queue order
+	minDemand         resource.Vector // minimum of their demands, per resource
+	machines          []*machine      // machines that may get tasks, sorted by name
+	withFreeResources []*machine      // those with free resources for at least minDemand
+	maxFreeResources  resource.Vector // upper bound of their free resources, per resource
+	reservationsLeft  int             // number of machines that may still be reserved; see reserveForJob
+
+	unplaceable      map[placementRequest]bool // requests for which no machine was found in this pass
 	unplaceableGangs map[gangRequest]bool
 
-	groups                placement.Groups[*machine] // kept for its memory; see collectCandidates
-	reservationCandidates []*machine                 // kept for its memory; see reserveForJob
+	groups                placement.Groups[*machine] // reused between calls of collectCandidates
+	reservationCandidates []*machine                 // reused between calls of reserveForJob
 }
 
-// placementRequest is what decides where a task of a job may go, for jobs without particular
-// requirements.
+// placementRequest holds the properties of a job that determine which machines its tasks may use, if the
+// job has no rules of its own for zones, machine types or machines (see placementSearch.cacheable). Jobs
+// with equal requests share the result of a search.
 type placementRequest struct {
 	demand          resource.Vector
 	team            *team
@@ -73,19 +74,21 @@
 	}
 }
 
-// requestPass lets the next step place tasks: something changed that placement looks at.
+// requestPass requests a scheduling pass in the next step. It is called when something that affects
+// placement has changed.
 func (p *placer) requestPass() { p.passRequested = true }
 
-// isPassRequested reports whether tasks may be placed that could not be placed before.
+// isPassRequested reports whether a scheduling pass was requested since the last one.
 func (p *placer) isPassRequested() bool { return p.passRequested }
 
-// eligibleMachines returns the machines of the pass that a task may go to.
+// eligibleMachines returns the machines of the pass that a request has to examine; see
+// placementPass.eligibleMachines.
 func (p *placer) eligibleMachines(preempting bool) []*machine {
 	return p.pass.eligibleMachines(preempting)
 }
 
-// collectJobs returns the jobs with tasks to place, in the order of the queue. The slice is the
-// placer's own, and valid for this pass.
+// collectJobs returns the jobs with tasks to place, in queue order. The caller must not modify the slice,
+// which is valid for this pass.
 func (p *placer) collectJobs() []*job {
 	p.passRequested = false
 	pass := &p.pass
@@ -103,8 +106,8 @@
 	return pass.jobs
 }
 
-// beginPass collects the machines that may get tasks of the collected jobs. Reservations of the
-// pass before end.
+// beginPass collects the machines that may get tasks of the collected jobs, and ends the reservations of
+// the previous pass.
 func (p *placer) beginPass() {
 	pass := &p.pass
 	pass.machines, pass.withFreeResources = pass.machines[:0], pass.withFreeResources[:0]
@@ -124,14 +127,15 @@
 	pass.reservationsLeft = (len(pass.machines) + limits.ReservedMachinesRatio - 1) / limits.ReservedMachinesRatio
 }
 
-// jobSearch is the search for machines for the tasks of one job in a pass.
+// placementSearch is the search for machines for the tasks of one job in a pass.
 type placementSearch struct {
 	job       *job
 	request   placementRequest
-	cacheable bool // the request alone decides where a task may go
+	cacheable bool // the result depends on the request alone, so it holds for other jobs too
 }
 
-// newSearch returns the search for a job's tasks. It reports false if it is known to find nothing.
+// newSearch returns the search for machines for a job's tasks. ok is false if it is already known that no
+// machine can be found.
 func (p *placer) newSearch(j *job) (search placementSearch, ok bool) {
 	search.job = j
 	search.request = newPlacementRequest(j, p.mayPreemptNow(j))
@@ -143,7 +147,7 @@
 	return search, ok
 }
 
-// newPlacementRequest returns the request for a task of a job.
+// newPlacementRequest returns the placement request for a task of a job.
 func newPlacementRequest(j *job, preempting bool) placementRequest {
 	return placementRequest{
 		demand: j.demand, team: j.team, priority: j.priority, guaranteed: j.guaranteed, spot: j.spec.Spot,
@@ -151,7 +155,8 @@
 	}
 }
 
-// hasJustSearched reports whether the same search has found no tasks to preempt a short time ago.
+// isPreemptionSearchThrottled reports whether an equal search found no tasks to preempt less than
+// PreemptionSearchInterval ago.
 func (p *placer) isPreemptionSearchThrottled(search *placementSearch) bool {
 	if p.now < search.job.nextPreemptionSearchAt {
 		return true
@@ -159,12 +164,15 @@
 	return search.cacheable && p.now < p.nextPreemptionSearchAt[search.request]
 }
 
-// mayFit reports whether there may be a machine for a task of the job.
+// mayFit reports whether it is worth searching a machine for a task of the job. It is always true for a
+// request that may preempt. Otherwise it compares the demand with an upper bound, so the search may still
+// find no machine.
 func (p *placer) mayFit(j *job, preempting bool) bool {
 	return preempting || p.pass.maxFreeResources.Fits(j.demand)
 }
 
-// searchFailed notes that a search found no machine for a task.
+// searchFailed records that a search found no machine for a task, so that equal searches are skipped in
+// this pass, and equal preemption searches for PreemptionSearchInterval.
 func (p *placer) searchFailed(search *placementSearch) {
 	if search.cacheable {
 		p.pass.unplaceable[search.request] = true
@@ -180,37 +188,38 @@
 	}
 }
 
-// forgetPastSearches drops the requests that may look for tasks to preempt again.
+// pruneExpiredSearchIntervals deletes the entries of requests that may search for tasks to preempt again.
 func (p *placer) pruneExpiredSearchIntervals() {
 	maps.DeleteFunc(p.nextPreemptionSearchAt, func(_ placementRequest, at time.Duration) bool { return at <= p.now })
 }
 
-// taskPlaced notes what a placement changes for the searches that follow in the pass. A reservation of
-// the machine has served its purpose.
+// taskPlaced updates the data of the pass after a task was placed on a machine, and ends the machine's
+// reservation. borrowsMore reports that the team's use has crossed its guarantee, so that its tasks may
+// now be preempted by other teams.
 func (p *placer) taskPlaced(m *machine, victims []*assignment, borrowsMore bool) {
 	m.reservedFor = nil
 	if len(victims) > 0 {
-		p.pass.addFreedMachine(m) // the victims may free more than was needed
+		p.pass.addFreedMachine(m) // the victims may free more resources than the task needs
 	}
 	if len(victims) > 0 || borrowsMore {
-		p.pass.clearUnplaceable() // others may find free resources, or victims, that were not there before
+		p.pass.clearUnplaceable() // other requests may now find free resources or victims
 	}
 }
 
-// gangStopped notes that the machines of a gang that was stopped have got more free resources.
+// gangStopped records that the machines of a stopped gang have more free resources.
 func (p *placer) gangStopped(j *job) {
 	for _, a := range j.sortedAssignments() {
 		p.pass.addFreedMachine(a.machine)
 	}
 }
 
-// clearUnplaceable lets requests be tried again for which no machine was found.
+// clearUnplaceable clears the failed requests, so that they are tried again in this pass.
 func (p *placementPass) clearUnplaceable() {
 	clear(p.unplaceable)
 	clear(p.unplaceableGangs)
 }
 
-// addFreedMachine notes that a machine has got more free resources during the pass.
+// addFreedMachine records that a machine has got more free resources during the pass.
 func (p *placementPass) addFreedMachine(m *machine) {
 	if _, usable := slices.BinarySearchFunc(p.machines, m, compareNames); !usable {
 		return
@@ -221,8 +230,8 @@
 	}
 }
 
-// eligibleMachines are the machines to look at: a request that may preempt nothing needs free
-// resources.
+// eligibleMachines returns the machines that a request has to examine: all machines of the pass if it may
+// preempt tasks, otherwise those with free resources.
 func (p *placementPass) eligibleMachines(preempting bool) []*machine {
 	if preempting {
 		return p.machines
@@ -230,4 +239,5 @@
 	return p.withFreeResources
 }
 
+// compareNames orders machines by name.
 func compareNames(a, b *machine) int { return strings.Compare(a.name, b.name) }
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// reserveForJob reserves the machines with the most free resources for a job that is overdue and
-// finds none with enough, so that smaller tasks do not use them up bit by bit for ever.
+// reserveForJob reserves the machines with the most free CPUs for a job whose starved tasks found no
+// machine with enough room. Otherwise smaller tasks would keep taking the resources that become free,
+// and the job would never start.
 func (p *placer) reserveForJob(j *job) {
 	pass := &p.pass
 	count := min(p.queue.starvedTasks(j), pass.reservationsLeft)
@@ -25,8 +26,8 @@
 	p.reserve(j, candidates[:min(count, len(candidates))])
 }
 
-// reserveForGang reserves machines for an overdue gang that finds none, all in one zone if the gang
-// must be in one.
+// reserveForGang reserves machines for a starved gang that could not be placed. If the gang must run in
+// one zone, all of them are in one zone.
 func (p *placer) reserveForGang(j *job) {
 	if j.waitingTasks() == 0 || p.pass.reservationsLeft <= 0 || !j.withinTeamLimit() {
 		return
@@ -53,7 +54,7 @@
 	p.reserve(j, best[:min(len(best), p.pass.reservationsLeft)])
 }
 
-// reserve keeps other jobs off machines for the rest of the pass.
+// reserve reserves machines for a job until the next pass begins.
 func (p *placer) reserve(j *job, machines []*machine) {
 	for _, m := range machines {
 		m.reservedFor = j
@@ -61,8 +62,9 @@
 	p.pass.reservationsLeft -= len(machines)
 }
 
-// pickForGang picks the machines that should be the first with free resources for all tasks of a
-// gang, and returns how many CPUs are free there. It returns -1 if they could never run all tasks.
+// selectForGang selects machines that could together run all waiting tasks of a gang if they were empty,
+// in the order of compareReservations. It returns them with the number of CPUs that are free there now,
+// or no machines and -1 if all the given machines together are too small.
 func selectForGang(j *job, machines []*machine) (picked []*machine, freeCPUs float64) {
 	slices.SortStableFunc(machines, compareReservations)
 	fitting := 0
@@ -80,9 +82,9 @@
 	return picked, freeCPUs
 }
 
-// compareReservations orders machines that may be reserved: those that were reserved in the pass
-// before come first, then those with the most free resources. Otherwise each machine with as much
-// would take the place of another, and none would ever have enough.
+// compareReservations orders machines by their suitability for a reservation: those reserved in the
+// previous pass first, then those with the most free CPUs. Without the first rule the reservations would
+// move between machines in each pass, and none would ever collect enough free resources.
 func compareReservations(a, b *machine) int {
 	return cmp.Or(
 		compareBool(b.wasReserved, a.wasReserved),
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -6,12 +6,12 @@
 	"quillshunt/internal/coordination/placement"
 )
 
-// preemptionOption is a task, or the tasks of a gang on one machine, that may be preempted.
+// preemptionOption is a task that may be preempted, or all tasks of a gang on one machine.
 type preemptionOption = placement.Option[*assignment]
 
-// chooseVictims returns the tasks to preempt on the best machine, the cheapest set that leaves
-// enough free resources for a task of the job: Select and Terminate (Algorithm 5 of the paper). It
-// reports false if there is no such set.
+// chooseVictims returns the cheapest set of tasks whose preemption on the best machine frees enough
+// resources for a task of the job. It is Select and Terminate (Algorithm 5 of the paper). It returns no
+// tasks if the resources are free already, and false if no set is sufficient.
 func (p *placer) chooseVictims(j *job, best *candidate, planned *plannedView) ([]*assignment, bool) {
 	if best.Scores[placement.Overcommit] == 0 {
 		return nil, true
@@ -28,12 +28,12 @@
 	return victims, true
 }
 
-// preemptionOptions returns what may be preempted on a machine for a job. A gang counts once, with
-// the resources of all its tasks there and the cost of all its tasks anywhere, as it is stopped as a
-// whole.
+// preemptionOptions returns the tasks on a machine that may be preempted for a job. As a gang is always
+// stopped as a whole, it is one option, with the resources of its tasks on this machine and the cost of
+// its tasks on all machines.
 func (p *placer) preemptionOptions(j *job, m *machine, planned *plannedView) []preemptionOption {
 	var options []preemptionOption
-	gangs := map[*job]int{} // their indexes in options
+	gangs := map[*job]int{} // index in options, by gang job
 	for _, a := range m.sortedAssignments() {
 		if planned.isStopped(a) || !j.mayPreempt(a) {
 			continue
@@ -50,17 +50,19 @@
 	return options
 }
 
-// mayPreemptNow reports whether waiting for free resources would break one of the job's deadlines.
-// Only then are others preempted for it.
+// mayPreemptNow reports whether the job may preempt tasks now: it can still meet a deadline, but its slack
+// is below the preemption slack of the options, so waiting for free resources could miss the deadline.
 func (p *placer) mayPreemptNow(j *job) bool {
 	slack, late := p.queue.slack(j)
 	return !late && slack < time.Duration(p.cfg.Options.Preemption.Slack)
 }
 
-// mayPreempt reports whether a task may be preempted for the job. It is the protocol's rule,
-// narrowed so that it has no circles: borrowed work of high priority does not preempt what another
-// team's guarantee covers, as that could preempt it in turn, and so on without end. Nor are tasks
-// of underserved jobs preempted.
+// mayPreempt reports whether the given task may be preempted for a task of job j. By the rules of the
+// protocol, a job may preempt work of lower priority, and a job that its team's guarantee covers may also
+// preempt unguaranteed work of another team that uses more than its guarantee. To prevent preemption
+// cycles, the first rule has an exception: a job that is not covered must not preempt guaranteed work of
+// another team, as that work could preempt it in turn, and so on without end. Tasks of underserved jobs
+// are never preempted, nor are tasks whose start has not been sent or that are already stopping.
 func (j *job) mayPreempt(a *assignment) bool {
 	if a.stopping || a.state == stateUnsent || a.job == j || a.job.underserved {
 		return false
@@ -71,8 +73,8 @@
 	return a.job.team != j.team && j.guaranteed && !a.job.guaranteed && a.job.team.isBorrowing()
 }
 
-// preemptionCost is the work that preempting a task would waste; of a gang, the work of all its
-// tasks.
+// preemptionCost returns the cost of preempting a task. For a task of a gang it is the cost of all tasks
+// of the gang.
 func (p *placer) preemptionCost(a *assignment) float64 {
 	if a.job.gang == nil {
 		return p.taskPreemptionCost(a)
@@ -84,9 +86,9 @@
 	return cost
 }
 
-// taskPreemptionCost is the work that stopping one task would waste: what it did since the last
-// checkpoint, or all of it if it has none, weighted by how often it was stopped before so that the
-// cheapest tasks are not stopped again and again.
+// taskPreemptionCost returns the work, in CPU seconds, that stopping one task would lose: its run time
+// since the last checkpoint, or since its start if it has no checkpoints, plus one second. The cost grows
+// with each earlier stop of the task, so that the same cheap tasks are not preempted repeatedly.
 func (p *placer) taskPreemptionCost(a *assignment) float64 {
 	ran := 0.0
 	if a.state == stateRunning {
