--- a/internal/coordination/scheduler/job_lifecycle_test.go
+++ b/internal/coordination/scheduler/job_lifecycle_test.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestStepTime: an event with an earlier time than one before it does not turn time back.
-func TestStepTime(t *testing.T) {
+// TestStepTimeIsMonotonic: an event with an earlier time than one before it does not turn time back.
+func TestStepTimeIsMonotonic(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.scheduler.Step(Tick{Entitled: true}, time.Minute)
 	f.scheduler.Step(Tick{Entitled: true}, time.Second)
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestFinalWriteRefused: if the open record has changed meanwhile, the final one is written again
+// TestFinalWriteRetriedAfterConflict: if the open record has changed meanwhile, the final one is written again
 // after the change is seen.
-func TestFinalWriteRefused(t *testing.T) {
+func TestFinalWriteRetriedAfterConflict(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
 	f.job("job-1", "red", "standard", 1, 1, 0)
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestFreeResourcesNeedNoSearch: a job that may not search for tasks to preempt yet uses free
+// TestThrottledJobUsesFreeResources: a job that may not search for tasks to preempt yet uses free
 // resources.
-func TestFreeResourcesNeedNoSearch(t *testing.T) {
+func TestThrottledJobUsesFreeResources(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
 	request := placementRequest{
