--- a/internal/coordination/scheduler/bitmap_test.go
+++ b/internal/coordination/scheduler/bitmap_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestBitmap: a bitmap is a set, and firstInNeither finds what a plain search finds.
+// TestBitmap checks random additions and removals, and compares firstInNeither with a linear search.
 func TestBitmap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 300).Draw(t, "size")
@@ -31,16 +31,16 @@
 		}
 		start := rapid.IntRange(0, min(expect, size-1)).Draw(t, "start")
 		if got := firstInNeither(one, other, start); got != expect {
-			t.Fatalf("the lowest free index from %d on is %d, expected %d", start, got, expect)
+			t.Fatalf("lowest index in neither set from %d on is %d, expected %d", start, got, expect)
 		}
 		index := rapid.IntRange(0, size-1).Draw(t, "last")
 		one.add(index)
 		if !one.has(index) {
-			t.Fatalf("%d is missing", index)
+			t.Fatalf("index %d is missing after add", index)
 		}
 		one.remove(index)
 		if one.has(index) {
-			t.Fatalf("%d is still there", index)
+			t.Fatalf("index %d is present after remove", index)
 		}
 	})
 }
--- a/internal/coordination/scheduler/filter_test.go
+++ b/internal/coordination/scheduler/filter_test.go
@@ -10,7 +10,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// newTestMachine is a machine with some CPUs that has no tasks.
+// newTestMachine returns a machine with the given number of CPUs and without tasks.
 func newTestMachine(name, zone string, cpus float64) *machine {
 	return &machine{
 		name: name, typeName: "s", zone: zone,
@@ -19,7 +19,7 @@
 	}
 }
 
-// runTask lets a task of a job run on the machine since the beginning of the term.
+// runTask adds a task of a job that has been running on the machine since the start of the term.
 func (m *machine) runTask(j *job, index int) *assignment {
 	a := &assignment{job: j, index: index, taskName: protocol.TaskName(j.id, index), machine: m, state: stateRunning}
 	if j.assignments == nil {
@@ -31,8 +31,8 @@
 	return a
 }
 
-// TestEvaluateViews: a request that may preempt is filtered on the normal view, any other on the full
-// view; scores are those of the full view.
+// TestEvaluateViews checks that a request that may preempt is filtered on the normal view of a machine
+// (without preemptible tasks) and any other on the full view, and that scores use the full view.
 func TestEvaluateViews(t *testing.T) {
 	env := &environment{now: 10 * time.Second, cfg: Config{Options: config.DefaultOptions()}}
 	placer := newPlacer(env, nil, nil)
@@ -56,22 +56,24 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, ok := placer.filterAndScore(high, c.machine, c.preempting, nil)
 			if ok != c.wantOK || got.Scores[placement.Overcommit] != c.wantOvercommit {
-				t.Fatalf("candidate %v, overcommit %v", ok, got.Scores[placement.Overcommit])
+				t.Fatalf("passed the filters %v, overcommit score %v; want %v, %v",
+					ok, got.Scores[placement.Overcommit], c.wantOK, c.wantOvercommit)
 			}
 			if costs := got.Scores[placement.PreemptionCost] < 0; costs != (c.wantOvercommit < 0) {
-				t.Errorf("preemption cost %v", got.Scores[placement.PreemptionCost])
+				t.Errorf("preemption cost score %v", got.Scores[placement.PreemptionCost])
 			}
 			if free := c.machine.freeResources().CPUs; ok && got.Scores[placement.Packing] != 4-free {
-				t.Errorf("packing %v with %v CPUs free on the full view", got.Scores[placement.Packing], free)
+				t.Errorf("packing score %v with %v CPUs free on the full view", got.Scores[placement.Packing], free)
 			}
 		})
 	}
 	if _, ok := placer.filterAndScore(low, full, true, nil); ok {
-		t.Error("a job may preempt its own task")
+		t.Error("a job was allowed to preempt its own task")
 	}
 }
 
-// TestMayUsePool: the spec, and the rules for zones together with the tasks that are assigned.
+// TestMayUsePool checks which pools a job may use by its spec and by its zone rules, given the zones of its
+// assigned tasks.
 func TestMayUsePool(t *testing.T) {
 	inZones := func(zones ...string) map[int]*assignment {
 		assignments := map[int]*assignment{}
@@ -95,15 +97,15 @@
 		{"other type", protocol.Spec{MachineTypes: []string{"b"}}, nil, pool, false},
 		{"allowed type", protocol.Spec{MachineTypes: []string{"b", "s"}}, nil, pool, true},
 		{"same zone, first task", protocol.Spec{SameZone: true, Tasks: 3}, nil, pool, true},
-		{"same zone, others there", protocol.Spec{SameZone: true, Tasks: 3}, inZones("a", "a"), pool, true},
+		{"same zone, others in it", protocol.Spec{SameZone: true, Tasks: 3}, inZones("a", "a"), pool, true},
 		{"same zone, others elsewhere", protocol.Spec{SameZone: true, Tasks: 3}, inZones("b"), pool, false},
-		{"spread, less than half there", protocol.Spec{SpreadZones: true, Tasks: 3}, inZones("a", "b"), pool, true},
-		{"spread, half there", protocol.Spec{SpreadZones: true, Tasks: 3}, inZones("a", "a"), pool, false},
+		{"spread, zone below its limit", protocol.Spec{SpreadZones: true, Tasks: 3}, inZones("a", "b"), pool, true},
+		{"spread, zone at its limit", protocol.Spec{SpreadZones: true, Tasks: 3}, inZones("a", "a"), pool, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := &job{spec: c.spec, assignments: c.assignments}
 			if got := j.mayUsePool(c.pool); got != c.want {
-				t.Errorf("may use %+v: %v", c.pool, got)
+				t.Errorf("may use pool %+v: %v, want %v", c.pool, got, c.want)
 			}
 		})
 	}
--- a/internal/coordination/scheduler/job_lifecycle_test.go
+++ b/internal/coordination/scheduler/job_lifecycle_test.go
@@ -8,18 +8,20 @@
 	"quillshunt/internal/storage"
 )
 
-// TestStepTimeIsMonotonic: an event with an earlier time than one before it does not turn time back.
+// TestStepTimeIsMonotonic checks that an event with an earlier time than the event before it does not set
+// the scheduler's time back.
 func TestStepTimeIsMonotonic(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.scheduler.Step(Tick{Entitled: true}, time.Minute)
 	f.scheduler.Step(Tick{Entitled: true}, time.Second)
 	if got := f.scheduler.now; got != time.Minute {
-		t.Errorf("the time is %v", got)
+		t.Errorf("time after the earlier event is %v, want 1m", got)
 	}
 }
 
-// TestJobRemovedByOthers: a job whose open record somebody else has removed is over, and a late
-// record does not open it again. Its running tasks are stopped.
+// TestJobRemovedByOthers checks that a job is closed when another party deletes its open record: its
+// running tasks are stopped, and a delayed open record does not reopen it. The deletion of an older
+// version of the record has no effect.
 func TestJobRemovedByOthers(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
@@ -28,27 +30,27 @@
 	f.startDirectly()
 	f.step(JobRemoved{JobID: "job-1", Version: j.version})
 	if f.scheduler.jobs.find("job-1") == nil {
-		t.Fatal("closed by the removal of an older record")
+		t.Fatal("job closed by the removal of an older version of its record")
 	}
 	f.step(JobRemoved{JobID: "job-1", Version: j.version + 1})
 	if f.scheduler.jobs.find("job-1") != nil || !j.closed {
-		t.Fatal("still open")
+		t.Fatal("job still open after its record was removed")
 	}
 	if a := j.assignments[0]; a == nil || !a.stopping {
-		t.Errorf("its task is not stopped: %+v", a)
+		t.Errorf("task of the removed job is not stopping: %+v", a)
 	}
 	f.step(JobChanged{JobID: "job-1", Version: j.version + 2, Record: storage.OpenJob{Spec: j.spec}})
 	if f.scheduler.jobs.find("job-1") != nil {
-		t.Error("opened again by a late record")
+		t.Error("job reopened by a delayed open record")
 	}
 }
 
-// TestOwnRemovalIsAwaited: the removal of the open record by our own final write closes the job only
-// when that write is completed.
+// TestRemovalByOwnFinalWrite checks that a job whose open record is deleted by the leader's own final
+// write is closed only when that write is reported as completed.
 func TestRemovalByOwnFinalWrite(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
-	f.job("job-1", "red", "standard", 1, 100, 0) // too large for any machine
+	f.job("job-1", "red", "standard", 1, 100, 0) // needs more CPUs than any machine has
 	j := f.scheduler.jobs.find("job-1")
 	f.cancel("job-1", 0)
 	var final WriteRecords
@@ -58,20 +60,20 @@
 		}
 	}
 	if final.ID == 0 || !j.closing {
-		t.Fatalf("no final record is written: %+v", f.effects)
+		t.Fatalf("final record not written: %+v", f.effects)
 	}
 	f.step(JobRemoved{JobID: "job-1", Version: j.version + 1})
 	if j.closed {
-		t.Error("closed before the write was completed")
+		t.Error("job closed before the final write was completed")
 	}
 	f.step(WriteCompleted{ID: final.ID, OK: true, Version: j.version + 1})
 	if !j.closed || f.scheduler.jobs.find("job-1") != nil {
-		t.Error("not closed when the write was completed")
+		t.Error("job not closed after the final write was completed")
 	}
 }
 
-// TestFinalWriteRetriedAfterConflict: if the open record has changed meanwhile, the final one is written again
-// after the change is seen.
+// TestFinalWriteRetriedAfterConflict checks that if the open record has changed concurrently, so that the
+// final write fails, the final record is written again once the new open record arrives.
 func TestFinalWriteRetriedAfterConflict(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
@@ -81,15 +83,15 @@
 	task.State, task.Reason = protocol.TaskEnded, protocol.ReasonDone
 	f.report(0, task)
 	if !j.closing {
-		t.Fatalf("no final record is written: %+v", f.effects)
+		t.Fatalf("final record not written: %+v", f.effects)
 	}
 	first := f.scheduler.writeSequence
 	f.step(WriteCompleted{ID: first})
 	if j.closing || j.closed {
-		t.Fatal("closed by a refused write")
+		t.Fatal("job still closing, or closed, after the final write failed")
 	}
 	f.cancel("job-1", 0)
 	if !j.closing || f.scheduler.writeSequence == first {
-		t.Error("the final record is not written again")
+		t.Error("final record not written again")
 	}
 }
--- a/internal/coordination/scheduler/jobs_test.go
+++ b/internal/coordination/scheduler/jobs_test.go
@@ -8,7 +8,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestJobTable: jobs are kept in order of submission, and one that is over is not opened again.
+// TestJobTable checks that the table keeps jobs in order of submission, opens no job of an unknown team,
+// and does not reopen a closed job.
 func TestJobTable(t *testing.T) {
 	f := newQueueFixture()
 	open := func(id, team string, sinceSubmission time.Duration) *job {
@@ -22,22 +23,22 @@
 		t.Errorf("order of submission: %s", got)
 	}
 	if open("of no team", "green", 0) != nil || f.jobs.count() != 3 {
-		t.Errorf("a job of an unknown team is opened")
+		t.Errorf("a job of an unknown team was opened")
 	}
 	f.jobs.close(middle)
 	if f.jobs.find("middle") != nil || open("middle", "red", 0) != nil {
-		t.Error("a job that is over is opened again")
+		t.Error("a closed job was not removed, or was reopened")
 	}
 	if got := ids(f.jobs.oldestFirst()); got != "[old young]" ||
 		f.jobs.find("old") != old || f.jobs.find("young") != young {
-		t.Errorf("after the end of one: %s", got)
+		t.Errorf("open jobs after one was closed: %s", got)
 	}
 }
 
-// TestGuarantees: a team's guarantee covers its unfinished jobs, the oldest first, and no job that is
-// cancelled.
+// TestGuarantees checks that a team's guarantee covers its unfinished jobs, oldest first, and that the
+// tasks of cancelled jobs do not use up the guarantee.
 func TestGuarantees(t *testing.T) {
-	f := newQueueFixture() // red has a guarantee of 8 CPUs, blue has none
+	f := newQueueFixture() // team red is guaranteed 8 CPUs, team blue none
 	first, second := f.submit("a", "red", "standard", 6, 0), f.submit("b", "red", "standard", 3, 0)
 	other := f.submit("c", "blue", "standard", 1, 0)
 	expect := func(when string, guaranteed ...bool) {
@@ -45,17 +46,19 @@
 		f.jobs.updateGuarantees()
 		for i, j := range []*job{first, second, other} {
 			if j.guaranteed != guaranteed[i] {
-				t.Errorf("%s: job %s is guaranteed: %v", when, j.id, j.guaranteed)
+				t.Errorf("%s: job %s: guaranteed %v, want %v", when, j.id, j.guaranteed, guaranteed[i])
 			}
 		}
 	}
-	expect("9 CPUs are claimed", true, false, false)
+	expect("9 CPUs needed by team red", true, false, false)
 	first.doneCount = 1
-	expect("8 CPUs are claimed", true, true, false)
+	expect("8 CPUs needed by team red", true, true, false)
 	first.doneCount, first.cancelled = 0, true
-	expect("the first is cancelled", true, true, false)
+	expect("first job cancelled", true, true, false)
 }
 
+// TestTaskCounts checks the reply to a request for task counts: tasks count as running while they run or
+// save, and those of a gang only if all of them do.
 func TestTaskCounts(t *testing.T) {
 	f := newQueueFixture()
 	j := f.submit("job-1", "red", "standard", 10, 0)
@@ -69,13 +72,13 @@
 		return f.env.effects[0].(TaskCounts)
 	}
 	if got := ask("job-1"); got != (TaskCounts{Known: true, Done: 2, Running: 2}) {
-		t.Errorf("counts: %+v", got)
+		t.Errorf("task counts: %+v", got)
 	}
 	j.gang = &gang{job: j}
 	if got := ask("job-1"); got.Running != 0 {
-		t.Errorf("%d tasks of a gang run without the others", got.Running)
+		t.Errorf("%d tasks of an incomplete gang counted as running, want 0", got.Running)
 	}
 	if got := ask("job-2"); got.Known {
-		t.Errorf("an unknown job: %+v", got)
+		t.Errorf("task counts of an unknown job: %+v", got)
 	}
 }
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -16,8 +16,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestPassMatchesNaivePlacement: the pass that filters and scores once for a job, and skips machines
-// and requests that cannot match, decides exactly as the naive one does.
+// TestPassMatchesNaivePlacement checks that the scheduling pass, which filters and scores once for each job
+// and skips machines and requests that cannot match, makes exactly the same decisions as a naive pass.
 func TestPassMatchesNaivePlacement(t *testing.T) {
 	placed, stopped := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -41,15 +41,15 @@
 		}
 	})
 	if placed == 0 || stopped == 0 {
-		t.Fatalf("nothing was compared: %d placed, %d stopped", placed, stopped)
+		t.Fatalf("comparison covers too little: %d tasks placed, %d stopped", placed, stopped)
 	}
 }
 
-// placeTasksNaively is the scheduling pass as the paper has it: each request looks at every machine
-// anew.
+// placeTasksNaively runs a scheduling pass in which each request examines every machine, as in the paper
+// that package placement names.
 func (s *Scheduler) placeTasksNaively() {
 	order := s.queue.order()
-	s.placement.beginPass() // for reservations; the list of machines is not used
+	s.placement.beginPass() // ends earlier reservations and sets reservationsLeft; its list of machines is not used
 	for _, j := range s.queue.starvedJobs() {
 		if starved := s.queue.starvedTasks(j); starved > 0 && j.team.withinLimit(j.demand) && s.now >= j.retryAt {
 			s.placeJobNaively(j, starved)
@@ -63,6 +63,7 @@
 	}
 }
 
+// placeJobNaively places up to count tasks of a job and examines all machines for each of them.
 func (s *Scheduler) placeJobNaively(j *job, count int) {
 	preempting := s.placement.mayPreemptNow(j)
 	for ; count > 0 && j.team.withinLimit(j.demand); count-- {
@@ -92,15 +93,15 @@
 	}
 }
 
-// fleetGenerator makes a fleet with machines that are partly full, and a backlog.
+// fleetGenerator generates random machines that are partly full, and random waiting jobs.
 type fleetGenerator struct {
 	random     *rand.Rand
 	scheduler  *Scheduler
 	heartbeats []*protocol.Heartbeat
-	usedCPUs   map[string]float64 // by machine
+	usedCPUs   map[string]float64 // CPUs of the running tasks, by machine name
 }
 
-// newPartlyFullFleet returns the scheduler of a generated fleet. The same seed makes the same fleet.
+// newPartlyFullFleet returns the scheduler of a generated fleet. The same seed gives the same fleet.
 func newPartlyFullFleet(seed uint64) *Scheduler {
 	g := &fleetGenerator{random: rand.New(rand.NewPCG(seed, 11)), usedCPUs: map[string]float64{}}
 	s := New(Config{
@@ -136,10 +137,10 @@
 	return s
 }
 
-// pick returns one of some strings.
+// pick returns a random one of the given strings.
 func (g *fleetGenerator) pick(choices ...string) string { return choices[g.random.IntN(len(choices))] }
 
-// addMachine adds a machine of a random pool.
+// addMachine adds a machine of a random type, zone and kind (spot or on demand).
 func (g *fleetGenerator) addMachine(name string) {
 	heartbeat := &protocol.Heartbeat{
 		Machine: name, Address: "x:1",
@@ -153,7 +154,7 @@
 	g.heartbeats = append(g.heartbeats, heartbeat)
 }
 
-// addJob adds a random job, of which some tasks may run already.
+// addJob adds a random job. Some of its tasks may be running already.
 func (g *fleetGenerator) addJob(number int) {
 	r := g.random
 	spec := protocol.Spec{
@@ -187,7 +188,7 @@
 	}
 }
 
-// describeAssignments describes all assignments of a scheduler, in a fixed order.
+// describeAssignments returns a description of each assignment of a scheduler, sorted by machine and task.
 func describeAssignments(s *Scheduler) []string {
 	var descriptions []string
 	for _, m := range s.inventory.all() {
--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -13,13 +13,14 @@
 	"quillshunt/internal/storage"
 )
 
-// queueFixture is a queue with its job table, and no other part of the scheduler.
+// queueFixture holds a queue and its job table, without the other parts of the scheduler.
 type queueFixture struct {
 	env   *environment
 	jobs  *jobTable
 	queue *jobQueue
 }
 
+// newQueueFixture returns a fixture in which team red is guaranteed 8 CPUs and team blue none.
 func newQueueFixture(objectives ...config.Objective) *queueFixture {
 	env := newEnvironment(Config{
 		Term:       3,
@@ -30,7 +31,7 @@
 	return &queueFixture{env: env, jobs: jobs, queue: newJobQueue(env, jobs)}
 }
 
-// submit adds a job whose tasks take a CPU each and ten seconds.
+// submit adds a job whose tasks need one CPU and are estimated to run for 10 s.
 func (f *queueFixture) submit(id, team, priority string, tasks int, deadlineS float64) *job {
 	j := f.jobs.open(JobChanged{JobID: id, Version: 1, Record: storage.OpenJob{Spec: protocol.Spec{
 		ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: priority, Tasks: tasks,
@@ -40,6 +41,7 @@
 	return j
 }
 
+// order returns the IDs of the jobs in queue order, separated by spaces.
 func (f *queueFixture) order() string {
 	var ids []string
 	for _, j := range f.queue.order() {
@@ -48,41 +50,42 @@
 	return strings.Join(ids, " ")
 }
 
+// TestQueueOrder checks the sort keys of the queue one by one; see queueEntry.before.
 func TestQueueOrder(t *testing.T) {
 	tests := []struct {
 		name   string
 		submit func(f *queueFixture)
 		expect string
 	}{
-		{"priority before all", func(f *queueFixture) {
+		{"higher priority first", func(f *queueFixture) {
 			f.submit("low", "red", "low", 1, 20)
 			f.submit("high", "blue", "high", 100, 0)
 		}, "high low"},
-		{"guarantee before borrowed", func(f *queueFixture) {
+		{"guaranteed job before borrowing job", func(f *queueFixture) {
 			f.submit("borrowed", "blue", "standard", 1, 20)
 			f.submit("guaranteed", "red", "standard", 8, 0)
 		}, "guaranteed borrowed"},
-		{"a guarantee covers the earlier jobs of its team", func(f *queueFixture) {
+		{"guarantee covers the earlier jobs of its team", func(f *queueFixture) {
 			f.submit("first", "red", "standard", 8, 0)
 			f.submit("second", "red", "standard", 1, 0)
 		}, "first second"},
-		{"small before large", func(f *queueFixture) {
+		{"less work first", func(f *queueFixture) {
 			f.submit("large", "blue", "standard", 50, 100)
 			f.submit("small", "blue", "standard", 5, 100)
 		}, "small large"},
-		{"little slack before much", func(f *queueFixture) {
+		{"less slack first", func(f *queueFixture) {
 			f.submit("relaxed", "blue", "standard", 10, 1000)
 			f.submit("urgent", "blue", "standard", 10, 30)
 		}, "urgent relaxed"},
-		{"late after all that can be on time", func(f *queueFixture) {
+		{"late job after jobs that can be on time", func(f *queueFixture) {
 			f.submit("late", "blue", "standard", 1, 5)
 			f.submit("relaxed", "blue", "standard", 50, 1000)
 		}, "relaxed late"},
-		{"same jobs by ID", func(f *queueFixture) {
+		{"equal jobs by ID", func(f *queueFixture) {
 			f.submit("b", "blue", "standard", 1, 0)
 			f.submit("a", "blue", "standard", 1, 0)
 		}, "a b"},
-		{"cancelled jobs get nothing", func(f *queueFixture) {
+		{"cancelled jobs left out", func(f *queueFixture) {
 			f.submit("a", "blue", "standard", 1, 0)
 			f.submit("b", "blue", "standard", 1, 0).cancelled = true
 		}, "a"},
@@ -98,7 +101,8 @@
 	}
 }
 
-// TestQueueOrderIsKept: the order is made anew for a new job, and otherwise only after a while.
+// TestQueueOrderIsCached checks that the jobs are sorted again when a job is submitted, and otherwise only
+// after QueueOrderTTL.
 func TestQueueOrderIsCached(t *testing.T) {
 	f := newQueueFixture()
 	f.env.now = time.Second
@@ -110,19 +114,21 @@
 	first.priority = protocol.PriorityLow
 	f.env.beginStep(f.env.now + limits.QueueOrderTTL - 1)
 	if got := f.order(); got != "a b" {
-		t.Errorf("order %q before its time is over", got)
+		t.Errorf("order %q before the TTL has passed", got)
 	}
 	f.submit("c", "blue", "standard", 7, 1000)
 	if got := f.order(); got != "b c a" {
-		t.Errorf("order %q with a new job", got)
+		t.Errorf("order %q after a job was submitted", got)
 	}
 	first.priority = protocol.PriorityStandard
 	f.env.beginStep(f.env.now + limits.QueueOrderTTL)
 	if got := f.order(); got != "a b c" {
-		t.Errorf("order %q after its time is over", got)
+		t.Errorf("order %q after the TTL has passed", got)
 	}
 }
 
+// TestSlack checks the slack of a job with one task, with a deadline in its spec or objectives of its
+// class, at a given age.
 func TestSlack(t *testing.T) {
 	wait := config.Objective{Kind: "wait", Class: "c", WithinS: 20}
 	tests := []struct {
@@ -133,17 +139,17 @@
 		slack      time.Duration
 		late       bool
 	}{
-		{"without a deadline", nil, 0, time.Hour, never, false},
-		{"a run before its deadline", nil, 60, 20 * time.Second, 30 * time.Second, false},
-		{"a little late by the estimate", nil, 60, 52 * time.Second, -2 * time.Second, false},
-		{"late", nil, 60, 53 * time.Second, -53 * time.Second, true},
-		{"a start needs no run time", []config.Objective{wait}, 60, 15 * time.Second, 5 * time.Second, false},
-		{"the next deadline after a missed one", []config.Objective{wait, {Kind: "deadline", Class: "c"}},
+		{"no deadline", nil, 0, time.Hour, never, false},
+		{"deadline minus estimated run time", nil, 60, 20 * time.Second, 30 * time.Second, false},
+		{"late within the tolerance for estimates", nil, 60, 52 * time.Second, -2 * time.Second, false},
+		{"late beyond the tolerance", nil, 60, 53 * time.Second, -53 * time.Second, true},
+		{"start deadline, without run time", []config.Objective{wait}, 60, 15 * time.Second, 5 * time.Second, false},
+		{"next deadline after a missed one", []config.Objective{wait, {Kind: "deadline", Class: "c"}},
 			60, 20 * time.Second, 30 * time.Second, false},
-		{"of another class", []config.Objective{{Kind: "wait", Class: "d", WithinS: 20}}, 0, time.Minute, never, false},
-		{"a multiple of the deadline", []config.Objective{{Kind: "deadline", Class: "c", Times: 2}},
+		{"other class", []config.Objective{{Kind: "wait", Class: "d", WithinS: 20}}, 0, time.Minute, never, false},
+		{"multiple of the deadline", []config.Objective{{Kind: "deadline", Class: "c", Times: 2}},
 			60, 20 * time.Second, 90 * time.Second, false},
-		{"finished within a time", []config.Objective{{Kind: "finished", Class: "c", WithinS: 40}},
+		{"completion objective", []config.Objective{{Kind: "finished", Class: "c", WithinS: 40}},
 			60, 20 * time.Second, 10 * time.Second, false},
 	}
 	for _, test := range tests {
@@ -158,8 +164,9 @@
 	}
 }
 
-// TestOverdueTasks: a job that has not begun is overdue with its first task from one age on, and with
-// the others one by one from a later one on, while its group has got too little.
+// TestStarvedTasks checks that a job has one starved task from FirstTaskCreditAge on until its first task
+// starts. From AllTasksCreditAge on its other tasks get credit one by one, and those are starved for
+// which there is unused credit while the job's group is underserved.
 func TestStarvedTasks(t *testing.T) {
 	half := limits.AllTasksCreditAge + limits.AllTasksCreditSpan/2
 	tests := []struct {
@@ -168,15 +175,15 @@
 		done    int
 		starved int
 	}{
-		{"young", limits.FirstTaskCreditAge, 0, 0},
-		{"not begun", limits.FirstTaskCreditAge + 1, 0, 1},
-		{"begun", limits.FirstTaskCreditAge + 1, 1, 0},
-		{"half of the credit, not begun", half, 0, 1},
+		{"before the first credit", limits.FirstTaskCreditAge, 0, 0},
+		{"first credit, not started", limits.FirstTaskCreditAge + 1, 0, 1},
+		{"first credit, one task started", limits.FirstTaskCreditAge + 1, 1, 0},
+		{"half of the credit, not started", half, 0, 1},
 		{"half of the credit, underserved", half, 10, 40},
-		{"half of the credit, served well enough", half, 33, 0},
+		{"half of the credit, not underserved", half, 33, 0},
 		{"all of the credit", limits.AllTasksCreditAge + limits.AllTasksCreditSpan, 10, 90},
-		{"all of the credit, old", time.Hour, 64, 36},
-		{"all of the credit, served well enough", time.Hour, 65, 0},
+		{"all of the credit, old job", time.Hour, 64, 36},
+		{"all of the credit, not underserved", time.Hour, 65, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -186,29 +193,29 @@
 			f.env.now = test.age
 			f.queue.order()
 			if got := f.queue.starvedTasks(j); got != test.starved {
-				t.Errorf("%d tasks overdue, expected %d", got, test.starved)
+				t.Errorf("%d starved tasks, expected %d", got, test.starved)
 			}
 			if listed := slices.Contains(f.queue.starvedJobs(), j); listed != (test.starved > 0) {
-				t.Errorf("among the overdue jobs: %v", listed)
+				t.Errorf("listed among the starved jobs: %v, expected %v", listed, !listed)
 			}
 		})
 	}
 }
 
-// TestOverdueOrder: jobs that have not begun come first, then those of the group that has got least;
-// what a closed job has got counts for its group.
+// TestStarvedJobsOrder checks that among starved jobs those without a started task come first, then those
+// of the group with the smallest served share. Tasks of closed jobs count for their group.
 func TestStarvedJobsOrder(t *testing.T) {
 	f := newQueueFixture()
 	begun := f.submit("begun", "red", "standard", 100, 0)
 	begun.doneCount = 20
 	waiting := f.submit("waiting", "red", "low", 10, 0)
-	f.submit("of its group", "red", "low", 10, 0).doneCount = 10 // so the group has got more than the others
+	f.submit("of its group", "red", "low", 10, 0).doneCount = 10 // raises its group's served share above the others
 	behind := f.submit("behind", "blue", "standard", 100, 0)
 	behind.doneCount = 10
 	f.env.now = time.Hour
 	f.queue.order()
 	if got := f.queue.starvedJobs(); !slices.Equal(got, []*job{waiting, behind, begun}) {
-		t.Errorf("overdue jobs: %v", ids(got))
+		t.Errorf("order of the starved jobs: %v", ids(got))
 	}
 	closed := f.submit("closed", "red", "standard", 100, 0)
 	closed.doneCount = 100
@@ -216,10 +223,11 @@
 	f.queue.jobClosed(closed)
 	f.queue.order()
 	if got := f.queue.servedShare(begun); got != 0.6 {
-		t.Errorf("the group has got %v of its credit, expected 0.6", got)
+		t.Errorf("served share of the group is %v, expected 0.6", got)
 	}
 }
 
+// ids returns the IDs of jobs, formatted as a list.
 func ids(jobs []*job) string {
 	var out []string
 	for _, j := range jobs {
--- a/internal/coordination/scheduler/reservation_test.go
+++ b/internal/coordination/scheduler/reservation_test.go
@@ -9,8 +9,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestReserveForGang: machines for all tasks are reserved, in one zone if the gang must be in one, up
-// to the share of machines that may be reserved; those that were reserved before come first.
+// TestReserveForGang checks that enough machines for all tasks of a gang are reserved, in one zone if the
+// gang requires it, and no more than may be reserved in the pass. Machines that were reserved in the
+// previous pass come first. Nothing is reserved if all machines together are too small.
 func TestReserveForGang(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -22,13 +23,13 @@
 	}{
 		{name: "most free resources first", tasks: 2, maxReservations: 9, want: []string{"m-1", "m-3"}},
 		{
-			name: "reserved before first", reservedBefore: "m-0",
+			name: "reserved in the previous pass first", reservedBefore: "m-0",
 			tasks: 2, maxReservations: 9, want: []string{"m-0", "m-1"},
 		},
-		{name: "in the zone with most", sameZone: true, tasks: 2, maxReservations: 9, want: []string{"m-2", "m-3"}},
-		{name: "up to the share", tasks: 2, maxReservations: 1, want: []string{"m-1"}},
-		{name: "never enough", tasks: 5, maxReservations: 9},
-		{name: "never enough in a zone", sameZone: true, tasks: 3, maxReservations: 9},
+		{name: "zone with the most free CPUs", sameZone: true, tasks: 2, maxReservations: 9, want: []string{"m-2", "m-3"}},
+		{name: "up to the limit", tasks: 2, maxReservations: 1, want: []string{"m-1"}},
+		{name: "too few machines", tasks: 5, maxReservations: 9},
+		{name: "too few machines in each zone", sameZone: true, tasks: 3, maxReservations: 9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			machines := []*machine{
@@ -54,7 +55,7 @@
 				}
 			}
 			if !slices.Equal(reserved, c.want) {
-				t.Errorf("reserved %v, want %v", reserved, c.want)
+				t.Errorf("reserved machines %v, want %v", reserved, c.want)
 			}
 			if left := c.maxReservations - len(c.want); p.pass.reservationsLeft != left {
 				t.Errorf("%d reservations left, want %d", p.pass.reservationsLeft, left)
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -12,9 +12,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestNoPreemptionCycles: where one task may be preempted for another, the other may not be preempted
-// for it. Without this, borrowed work of high priority and guaranteed work of another team stopped
-// each other for ever.
+// TestNoPreemptionCycles checks that no two tasks may preempt each other. Without this rule, work of high
+// priority beyond a team's guarantee and guaranteed work of another team kept preempting each other
+// without end.
 func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := []*team{
@@ -30,13 +30,13 @@
 		}
 		first, second := draw("first"), draw("second")
 		if first.job.mayPreempt(second) && second.job.mayPreempt(first) {
-			t.Fatal("each may preempt the other")
+			t.Fatal("two tasks may preempt each other")
 		}
 	})
 }
 
-// TestPreemptionSearchInterval: a job whose deadline is near and that finds nobody to preempt uses
-// free resources at once when there are some, and looks for tasks to preempt again soon.
+// TestPreemptionSearchInterval checks that a job with little slack that found no task to preempt searches
+// again only after PreemptionSearchInterval.
 func TestPreemptionSearchInterval(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
@@ -45,28 +45,29 @@
 	start := sent.Commands[0]
 	running := protocol.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: protocol.TaskRunning}
 	f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: f.heartbeat(sent.Machine, running)})
-	f.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
+	f.job("job-2", "red", "high", 1, 4, 13) // 13 s to its deadline leave 3 s of slack
 	assigned := len(f.scheduler.jobs.find("job-2").assignments)
 	remembered := len(f.scheduler.placement.nextPreemptionSearchAt)
 	if assigned != 0 || remembered == 0 {
-		t.Fatalf("%d tasks assigned beside one that may not be preempted; %d searches remembered", assigned, remembered)
+		t.Fatalf("%d tasks assigned although nothing may be preempted, %d failed searches recorded; want 0 and at least 1",
+			assigned, remembered)
 	}
-	// Now the task on the machine may be preempted, but it is too soon to search.
+	// The running task may be preempted now, but the interval has not passed.
 	f.scheduler.jobs.find("job-1").priority = protocol.PriorityLow
 	f.report(0, running)
 	if f.scheduler.inventory.find(sent.Machine).assignments[running.Task].stopping {
-		t.Error("preempted at once")
+		t.Error("task preempted before the interval had passed")
 	}
 	f.now += limits.PreemptionSearchInterval
 	f.scheduler.placement.requestPass()
 	f.report(0, running)
 	if !f.scheduler.inventory.find(sent.Machine).assignments[running.Task].stopping {
-		t.Error("not preempted after the interval")
+		t.Error("task not preempted after the interval had passed")
 	}
 }
 
-// TestThrottledJobUsesFreeResources: a job that may not search for tasks to preempt yet uses free
-// resources.
+// TestThrottledJobUsesFreeResources checks that a job that may not search for tasks to preempt yet still
+// uses free resources.
 func TestThrottledJobUsesFreeResources(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.report(0)
@@ -77,12 +78,13 @@
 	f.scheduler.placement.nextPreemptionSearchAt[request] = time.Hour
 	f.job("job-2", "red", "high", 1, 4, 13)
 	if len(f.scheduler.jobs.find("job-2").assignments) != 1 {
-		t.Error("not placed although resources are free")
+		t.Error("task not placed although resources are free")
 	}
 }
 
-// TestPreemptionCost: the cost is the work since the last checkpoint, or all of it without one, and rises
-// with each earlier stop; of a gang it is that of all its tasks.
+// TestPreemptionCost checks that the cost of preempting a task is its work since the last checkpoint, or
+// since its start without checkpoints, that it grows with each earlier stop, and that the cost of a gang
+// is the sum for all its tasks.
 func TestPreemptionCost(t *testing.T) {
 	cfg := Config{Options: config.DefaultOptions()}
 	cfg.Options.Preemption.RestartWeight = 4
@@ -115,7 +117,7 @@
 				m.runTask(j, i).state = c.state
 			}
 			if got := p.preemptionCost(j.assignments[0]); got != c.want {
-				t.Errorf("cost %v, want %v", got, c.want)
+				t.Errorf("preemption cost %v, want %v", got, c.want)
 			}
 		})
 	}
