--- a/internal/coordination/scheduler/filter_test.go
+++ b/internal/coordination/scheduler/filter_test.go
@@ -31,9 +31,9 @@
 	return a
 }
 
-// TestEvaluateViews checks that a request that may preempt is filtered on the normal view of a machine
+// TestFilterAndScoreViews checks that a request that may preempt is filtered on the normal view of a machine
 // (without preemptible tasks) and any other on the full view, and that scores use the full view.
-func TestEvaluateViews(t *testing.T) {
+func TestFilterAndScoreViews(t *testing.T) {
 	env := &environment{now: 10 * time.Second, cfg: Config{Options: config.DefaultOptions()}}
 	placer := newPlacer(env, nil, nil)
 	owner := &team{cfg: config.Team{CPUs: 8, CPUsMax: 8}}
