--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -23,14 +23,14 @@
 	j.version = e.Version
 	if e.Record.Cancelled && !j.cancelled {
 		// The period within which the tasks must end (CancelS) starts when the user may first have been
-		// told of the cancellation, also if that was before a failover. If the period is already over,
-		// no leader has seen the cancellation: it would have let the workers' leases expire in time.
-		// The user has not been told then, so the period starts now.
+		// told of the cancellation, even if that was before a failover. If the period is already over,
+		// no earlier leader has seen the cancellation, as it would have let the workers' leases expire
+		// in time. The user cannot have been told in that case, so the period starts now.
 		j.cancelled, j.cancelledAt, j.cancelObservedAt = true, s.now, s.now
 		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
 			j.cancelledAt -= e.SinceCancellation
 		}
-		s.logInfo("job cancelled", keyJob, j.id, "assigned", len(j.assignments))
+		s.logInfo("job cancelled", keyJob, j.id, "assigned_tasks", len(j.assignments))
 	}
 	if j.cancelled {
 		s.assignments.withdrawAll(j, stopReasonCancelled)
