--- a/internal/coordination/leader/usage.go
+++ b/internal/coordination/leader/usage.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// resourceCounters are the counters of the process at the time of a summary line.
+// resourceCounters are the process's cumulative counters at the time of a summary entry in the log.
 type resourceCounters struct {
 	at              time.Time
-	cpu             time.Duration
-	writes, refused int64
+	cpu             time.Duration // processor time used
+	writes, refused int64         // see storage.Store.Counters
 }
 
-// resourceUsage returns, as arguments of the summary line, how the process stands against its
-// limits: the messages in the mailbox and their longest wait, processor time as a share of a core,
-// heap memory, and the changes sent to and calls refused by the state service since the line before.
-func (t *term) resourceUsage() []any {
+// resourceUsage returns the resource usage of the process as arguments of the log's summary entry: the
+// number of messages in the mailbox, the longest wait of a heartbeat there, heap memory, the cores
+// used, and the operations sent to and calls refused by the state service. All but the number of
+// messages and the heap cover the time since the previous summary.
+func (t *termActor) resourceUsage() []any {
 	last := t.lastCounters
 	t.lastCounters = resourceCounters{at: time.Now()}
 	t.lastCounters.writes, t.lastCounters.refused = t.dispatcher.store.Counters()
@@ -25,12 +26,12 @@
 	metrics.Read(heap)
 	args := []any{
 		"mailbox", len(t.mailbox),
-		"longest_wait", t.longestWait.Round(time.Millisecond),
+		"longest_wait", t.longestMailboxWait.Round(time.Millisecond),
 		"heap_mb", heap[0].Value.Uint64() >> 20,
 		"writes", t.lastCounters.writes - last.writes,
 		"refused", t.lastCounters.refused - last.refused,
 	}
-	t.longestWait = 0
+	t.longestMailboxWait = 0
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return args
--- a/internal/coordination/leader/write_queue_test.go
+++ b/internal/coordination/leader/write_queue_test.go
@@ -7,7 +7,7 @@
 	"quillshunt/internal/coordination/scheduler"
 )
 
-// TestWriteQueueOrder: bulk writes wait for all others, and each kind keeps its order.
+// TestWriteQueueOrder: regular writes come before bulk writes, and each kind is first in, first out.
 func TestWriteQueueOrder(t *testing.T) {
 	var queue writeQueue
 	for _, write := range []scheduler.WriteRecords{{ID: 1, Bulk: true}, {ID: 2}, {ID: 3, Bulk: true}, {ID: 4}} {
@@ -15,14 +15,14 @@
 	}
 	var ids []uint64
 	for {
-		write, ok := queue.first()
+		write, ok := queue.peek()
 		if !ok {
 			break
 		}
 		ids = append(ids, write.ID)
-		queue.removeFirst()
+		queue.pop()
 	}
 	if !slices.Equal(ids, []uint64{2, 4, 1, 3}) {
-		t.Errorf("order %v", ids)
+		t.Errorf("order %v, want 2, 4, 1, 3", ids)
 	}
 }
