--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -45,7 +45,7 @@
 	remainingRecordKeys []string // keys of finished-task records to delete once the final record is written
 
 	runTimeSum     float64         // sum of the measured run times of completed tasks, in seconds
-	runTimeSamples int             // number of run times in runTimeSum
+	runTimeCount   int             // number of run times in runTimeSum
 	failedMachines map[string]bool // machines on which a task has failed since the last successful task
 	backoff        time.Duration   // most recent delay after failures on many machines
 	retryAt        time.Duration   // no task is placed before this time
--- a/internal/coordination/scheduler/job_class.go
+++ b/internal/coordination/scheduler/job_class.go
@@ -35,7 +35,7 @@
 func (j *job) estimatedRunSeconds() float64 {
 	prior := j.spec.EstimateS * j.class.runTimeRatio
 	open := float64(len(j.assignments) + limits.EstimatePriorTasks)
-	return max((j.runTimeSum+prior*open)/(float64(j.runTimeSamples)+open), limits.MinRunTime)
+	return max((j.runTimeSum+prior*open)/(float64(j.runTimeCount)+open), limits.MinRunTime)
 }
 
 // expectedOccupancySeconds returns how long one task is expected to occupy its machine: the wait for
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -141,10 +141,10 @@
 	if j.spec.EstimateS > 0 {
 		j.class.recordRunTimeRatio(runTime / j.spec.EstimateS)
 	}
-	if j.runTimeSamples >= limits.MinRunTimeSamples && j.gang == nil { // a gang runs at the speed of its slowest machine
+	if j.runTimeCount >= limits.MinRunTimeSamples && j.gang == nil { // a gang runs at the speed of its slowest machine
 		m.speedCount++
-		m.speedSum += runTime / (j.runTimeSum / float64(j.runTimeSamples))
+		m.speedSum += runTime / (j.runTimeSum / float64(j.runTimeCount))
 	}
 	j.runTimeSum += runTime
-	j.runTimeSamples++
+	j.runTimeCount++
 }
