--- a/internal/coordination/scheduler/reservation_test.go
+++ b/internal/coordination/scheduler/reservation_test.go
@@ -26,7 +26,7 @@
 			name: "reserved in the previous pass first", reservedBefore: "m-0",
 			tasks: 2, maxReservations: 9, want: []string{"m-0", "m-1"},
 		},
-		{name: "zone with the most free CPUs", sameZone: true, tasks: 2, maxReservations: 9, want: []string{"m-2", "m-3"}},
+		{name: "zone with most free CPUs", sameZone: true, tasks: 2, maxReservations: 9, want: []string{"m-2", "m-3"}},
 		{name: "up to the limit", tasks: 2, maxReservations: 1, want: []string{"m-1"}},
 		{name: "too few machines", tasks: 5, maxReservations: 9},
 		{name: "too few machines in each zone", sameZone: true, tasks: 3, maxReservations: 9},
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -49,7 +49,7 @@
 	assigned := len(f.scheduler.jobs.find("job-2").assignments)
 	remembered := len(f.scheduler.placement.nextPreemptionSearchAt)
 	if assigned != 0 || remembered == 0 {
-		t.Fatalf("%d tasks assigned although nothing may be preempted, %d failed searches recorded; want 0 and at least 1",
+		t.Fatalf("%d tasks assigned although nothing may be preempted, %d failed searches recorded; want 0 and some",
 			assigned, remembered)
 	}
 	// The running task may be preempted now, but the interval has not passed.
