--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -95,7 +95,8 @@
 // heartbeats still list.
 func (m *machine) taskCount() int { return len(m.assignments) + len(m.endedTasks) }
 
-// isReservedForOthers reports whether a reservation keeps the job off the machine.
+// isReservedForOthers reports whether the job may not use the machine because it is reserved for another
+// job or for gangs.
 func (m *machine) isReservedForOthers(j *job) bool {
 	if m.reservedForGangs && !j.mayUseGangReservation {
 		return true
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -33,9 +33,9 @@
 // queueEntry is a job with its sort keys.
 type queueEntry struct {
 	job   *job
-	late  bool
-	slack time.Duration
-	work  float64 // CPU seconds that its waiting tasks need, multiplied by a weight that grows with the slack
+	late  bool          // it can meet none of its deadlines
+	slack time.Duration // see jobQueue.slack
+	work  float64       // CPU seconds that its waiting tasks need, multiplied by a weight that grows with the slack
 }
 
 // before reports whether an entry sorts before another. Higher priority comes first, then jobs that
