--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -40,7 +40,7 @@
 	t.sendEvent(ctx, scheduler.ProbeDone{
 		Machine:   probe.Machine,
 		Heartbeat: heartbeat,
-		Took:      time.Since(startedAt),
+		Elapsed:   time.Since(startedAt),
 		NotSent:   errors.Is(err, transport.ErrSocketBudget),
 	})
 }
--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -23,8 +23,8 @@
 
 // Reasons for which tasks are told to stop that code looks at.
 const (
-	stopReasonCancelled     = "cancelled"
-	stopReasonDoneElsewhere = "done elsewhere"
+	stopReasonCancelled  = "cancelled"
+	stopReasonSuperseded = "done elsewhere"
 )
 
 // assignment binds a task to one incarnation of a machine. Only evidence that it is not there and
@@ -43,24 +43,24 @@
 	assignedAt       time.Duration
 	runningSince     time.Duration // when it was first seen running
 
-	stopping      bool   // was told to stop, or is about to be
-	stopReason    string // one of the stopReason constants, or another text for the log
-	stopSent      bool   // the stop went out at least once
-	withoutSaving bool   // to be ended without saving
+	stopping   bool   // was told to stop, or is about to be
+	stopReason string // one of the stopReason constants, or another text for the log
+	stopSent   bool   // the stop went out at least once
+	skipSaving bool   // to be ended without saving
 
 	committed bool // of a gang: room for all its tasks is confirmed, so the start may go out
 }
 
 // endedTask is an ended task that its machine still lists.
 type endedTask struct {
-	mustNotForget bool // a start of this attempt may still arrive; forgotten, it would run again
-	job           *job // nil if there is nothing to write down
-	chunk         int
-	sequence      uint64
+	startMayArrive bool // a start of this attempt may still arrive; forgotten, it would run again
+	job            *job // nil if there is nothing to write down
+	chunk          int
+	sequence       uint64
 }
 
 // mayForget reports whether the worker may be told to forget the task.
-func (e endedTask) mayForget() bool { return !e.mustNotForget && e.isDurable() }
+func (e endedTask) mayForget() bool { return !e.startMayArrive && e.isDurable() }
 
 // isDurable reports whether the result, if there is one, is written down.
 func (e endedTask) isDurable() bool {
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -79,7 +79,7 @@
 		Options: options,
 	}, 0)
 	s.Step(machineTypesOf(benchmarkCPUs), 0)
-	loadRegistryPage(s, "h", answeredRental("s", setup.machines, longName), 0)
+	loadRegistryPage(s, "h", answeredRental("s", setup.machines, paddedMachineName), 0)
 	s.Step(StateLoaded{}, 0)
 	f := &benchmarkFleet{b: b, scheduler: s, version: 1000, tasks: make([][]protocol.TaskStatus, setup.machines)}
 	f.submitBacklog(setup)
@@ -185,7 +185,7 @@
 // heartbeatOf returns a heartbeat of a machine.
 func heartbeatOf(m int, sequence uint64, tasks []protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
-		Machine: longName(m), Address: "x:1", MachineType: "s", Zone: "a",
+		Machine: paddedMachineName(m), Address: "x:1", MachineType: "s", Zone: "a",
 		Incarnation: 1, Sequence: sequence, FencingToken: 1, Tasks: tasks,
 	}
 }
@@ -242,7 +242,7 @@
 		Options: options,
 	}, 0)
 	s.Step(machineTypesOf(8), 0)
-	loadRegistryPage(s, "h", answeredRental("s", machines, longName), 0)
+	loadRegistryPage(s, "h", answeredRental("s", machines, paddedMachineName), 0)
 	for i := range machines / 7 {
 		spec := protocol.Spec{
 			ID: fmt.Sprintf("job-%d", i), Class: "c", Team: "red", Shape: "sweep", Priority: "standard",
@@ -271,15 +271,15 @@
 	const machines, maxAllocations = 50, 14
 	f := newSchedulerFixture(t, machines)
 	for m := range machines {
-		f.report(m)
+		f.sendHeartbeat(m)
 	}
 	for i := range 100 {
-		f.job(fmt.Sprintf("job-%d", i), "red", "standard", 1000, 2, 0)
+		f.submitJob(fmt.Sprintf("job-%d", i), "red", "standard", 1000, 2, 0)
 	}
 	tasks := make([][]protocol.TaskStatus, machines)
 	for range 3 { // the fleet is filled
 		for m := range machines {
-			for _, command := range f.report(m, tasks[m]...) {
+			for _, command := range f.sendHeartbeat(m, tasks[m]...) {
 				if command.Verb == protocol.CommandStart {
 					tasks[m] = append(tasks[m],
 						protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.TaskRunning})
@@ -290,7 +290,7 @@
 	}
 	next := 0
 	got := testing.AllocsPerRun(500, func() {
-		f.report(next%machines, tasks[next%machines]...)
+		f.sendHeartbeat(next%machines, tasks[next%machines]...)
 		next++
 	})
 	if got > maxAllocations {
--- a/internal/coordination/scheduler/cancel_deadlines.go
+++ b/internal/coordination/scheduler/cancel_deadlines.go
@@ -17,20 +17,20 @@
 	return false
 }
 
-// cancelDeletionTime is when a machine that still has a task of a cancelled job is deleted: early
+// cancelDeletionAt is when a machine that still has a task of a cancelled job is deleted: early
 // enough that the cloud has answered by cancelReplyDeadline. A leader that has only just learned of
 // the cancellation lets the stops arrive first, while there is time.
-func (e *environment) cancelDeletionTime(j *job) time.Duration {
+func (e *environment) cancelDeletionAt(j *job) time.Duration {
 	cancelLimit := limits.Seconds(e.cfg.Workers.CancelS)
 	window := limits.CancelHeartbeatWindow(cancelLimit, e.workerLease)
-	early := j.cancelledAt + time.Duration(limits.CancelDeleteShare*float64(window))
-	late := j.cancelledAt + time.Duration(limits.CancelDeleteLatestShare*float64(cancelLimit))
-	return max(early, min(j.cancelSeenAt+limits.CancelStopGrace, late))
+	usual := j.cancelledAt + time.Duration(limits.CancelDeleteShare*float64(window))
+	latest := j.cancelledAt + time.Duration(limits.CancelDeleteLatestShare*float64(cancelLimit))
+	return max(usual, min(j.cancelSeenAt+limits.CancelStopGrace, latest))
 }
 
-// cancelReplyDeadline is until when the heartbeats of such a machine are answered. If its deletion is
+// cancelReplyUntil is until when the heartbeats of such a machine are answered. If its deletion is
 // not confirmed by then, nothing but the end of its lease stops the task in time, also if it hangs
 // and goes on. Its other tasks are lost with that, as they would be by the deletion.
-func (e *environment) cancelReplyDeadline(j *job) time.Duration {
+func (e *environment) cancelReplyUntil(j *job) time.Duration {
 	return j.cancelledAt + limits.CancelHeartbeatWindow(limits.Seconds(e.cfg.Workers.CancelS), e.workerLease)
 }
--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -9,20 +9,20 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestCancelledTaskOnSpotNotice: a cancelled task that does not stop costs its machine in time, also
+// TestCancelledTaskOnMachineWithSpotNotice: a cancelled task that does not stop costs its machine in time, also
 // one with a spot notice.
-func TestCancelledTaskOnSpotNotice(t *testing.T) {
+func TestCancelledTaskOnMachineWithSpotNotice(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
-	start := f.direct()[0].Commands[0]
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
+	start := f.directCommands()[0].Commands[0]
 	task := protocol.TaskStatus{Task: "job-1/0", Attempt: start.Attempt, State: protocol.TaskRunning}
-	f.report(0, task)
+	f.sendHeartbeat(0, task)
 	f.cancel("job-1", 0)
 	m := f.scheduler.inventory.find(f.machine(0))
 	m.spotNotice, m.spotNoticeEnds = true, time.Hour
 	for end := f.now + 20*time.Second; f.now < end; f.now += time.Second {
-		f.report(0, task)
+		f.sendHeartbeat(0, task)
 		f.step(Tick{Entitled: true})
 	}
 	if !m.deleting {
@@ -30,42 +30,42 @@
 	}
 }
 
-// TestCancelledInTime: a machine that reports a cancelled task again and again, whatever it is
+// TestCancelledTaskEndsInTime: a machine that reports a cancelled task again and again, whatever it is
 // told, and whose deletion nobody confirms, gets no answer from so early on that its lease ends
 // within cancel_s; and that time goes on across a failover. A machine without such a task is
 // answered all the while.
-func TestCancelledInTime(t *testing.T) {
+func TestCancelledTaskEndsInTime(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second, 25 * time.Second, time.Hour} {
-		t.Run(fmt.Sprintf("age=%v", age), func(t *testing.T) { testCancelledInTime(t, age) })
+		t.Run(fmt.Sprintf("age=%v", age), func(t *testing.T) { checkCancelledTaskEndsInTime(t, age) })
 	}
 }
 
-// testCancelledInTime lets the scheduler learn of a cancellation of that age.
-func testCancelledInTime(t *testing.T, age time.Duration) {
+// checkCancelledTaskEndsInTime lets the scheduler learn of a cancellation of that age.
+func checkCancelledTaskEndsInTime(t *testing.T, age time.Duration) {
 	const cancelTime, lease = 34 * time.Second, 14 * time.Second // as in the fixture's settings
 	f := newSchedulerFixture(t, 2)
-	f.report(0)
-	f.report(1)
-	f.job("job-1", "red", "standard", 1, 8, 0)
-	task := f.startDirectly()
+	f.sendHeartbeat(0)
+	f.sendHeartbeat(1)
+	f.submitJob("job-1", "red", "standard", 1, 8, 0)
+	task := f.confirmDirectStarts()
 	holder := f.scheduler.jobs.find("job-1").assignments[0].machine.name
 	f.cancel("job-1", age)
 	learnedAt := f.now
-	toldAt := f.now - age
+	userToldAt := f.now - age
 	if age >= cancelTime {
-		toldAt = f.now // no leader knew, or its lease would be over: nobody was told
+		userToldAt = f.now // no leader knew, or its lease would be over: nobody was told
 	}
-	var deletedAt, answeredAt time.Duration
-	for f.now < toldAt+cancelTime {
+	var deletedAt, lastAcceptedAt time.Duration
+	for f.now < userToldAt+cancelTime {
 		f.now += time.Second
 		for i := range 2 {
 			heartbeat := f.heartbeat(f.machine(i))
 			if heartbeat.Machine == holder {
 				heartbeat.Tasks = []protocol.TaskStatus{task}
 			}
-			accepted := f.isAccepted(heartbeat)
+			accepted := f.sendAndCheckAccepted(heartbeat)
 			if accepted && heartbeat.Machine == holder {
-				answeredAt = f.now
+				lastAcceptedAt = f.now
 			} else if !accepted && heartbeat.Machine != holder {
 				t.Fatal("the other machine is not answered")
 			}
@@ -79,22 +79,22 @@
 			}
 		}
 	}
-	if answeredAt != 0 && answeredAt+lease > toldAt+cancelTime {
-		t.Errorf("answered until %v after the user was told", answeredAt-toldAt)
+	if lastAcceptedAt != 0 && lastAcceptedAt+lease > userToldAt+cancelTime {
+		t.Errorf("answered until %v after the user was told", lastAcceptedAt-userToldAt)
 	}
-	if deletedAt == 0 || deletedAt > toldAt+30*time.Second {
-		t.Errorf("deletion asked for %v after the user was told", deletedAt-toldAt)
+	if deletedAt == 0 || deletedAt > userToldAt+30*time.Second {
+		t.Errorf("deletion asked for %v after the user was told", deletedAt-userToldAt)
 	}
 	if deletedAt < learnedAt+limits.CancelStopGrace {
 		t.Errorf("deleted %v after the scheduler learned of it, before the stop could take effect", deletedAt-learnedAt)
 	}
 }
 
-// startDirectly lets workers start the tasks of the direct commands that were sent last, and returns
+// confirmDirectStarts lets workers start the tasks of the direct commands that were sent last, and returns
 // the last of these tasks.
-func (f *schedulerFixture) startDirectly() protocol.TaskStatus {
+func (f *schedulerFixture) confirmDirectStarts() protocol.TaskStatus {
 	var task protocol.TaskStatus
-	for _, sent := range f.direct() {
+	for _, sent := range f.directCommands() {
 		start := sent.Commands[0]
 		task = protocol.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: protocol.TaskRunning}
 		f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: f.heartbeat(sent.Machine, task)})
@@ -102,8 +102,8 @@
 	return task
 }
 
-// isAccepted sends a heartbeat and reports whether it is accepted. Direct commands go unanswered.
-func (f *schedulerFixture) isAccepted(heartbeat *protocol.Heartbeat) bool {
+// sendAndCheckAccepted sends a heartbeat and reports whether it is accepted. Direct commands go unanswered.
+func (f *schedulerFixture) sendAndCheckAccepted(heartbeat *protocol.Heartbeat) bool {
 	accepted := false
 	for _, effect := range f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: heartbeat}) {
 		switch effect := effect.(type) {
--- a/internal/coordination/scheduler/capacity_plan_test.go
+++ b/internal/coordination/scheduler/capacity_plan_test.go
@@ -23,10 +23,10 @@
 			for _, spot := range []bool{true, false} { // nothing can be rented
 				f.scheduler.rentals.pool(machinePool{"s8", "a", spot}).notBefore = never
 			}
-			f.report(0) // the other machine has not reported, so nothing is placed
+			f.sendHeartbeat(0) // the other machine has not reported, so nothing is placed
 			f.gang("job-1", c.tasks, 8)
 			f.now += limits.GangCapacityTimeout
-			f.report(0)
+			f.sendHeartbeat(0)
 			f.scheduler.inventory.find(f.machine(1)).createdAt = f.now // it boots
 			plan := f.scheduler.planner.newPlan()
 			before := plan.snapshot()
@@ -46,7 +46,7 @@
 // of a task that is left is carried to the next machine.
 func TestAllocateTasks(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
-	f.job("job-1", "red", "standard", 100, 2, 0) // tasks of 2 CPUs and 10 s
+	f.submitJob("job-1", "red", "standard", 100, 2, 0) // tasks of 2 CPUs and 10 s
 	j := f.scheduler.jobs.find("job-1")
 	for _, c := range []struct {
 		name           string
--- a/internal/coordination/scheduler/capacity_planner_test.go
+++ b/internal/coordination/scheduler/capacity_planner_test.go
@@ -84,11 +84,11 @@
 	f := newSchedulerFixture(t, 10)
 	f.scheduler.cfg.CloudRPS = 100
 	for i := range 10 {
-		f.report(i)
+		f.sendHeartbeat(i)
 	}
-	f.job("job-1", "red", "high", 10, 8, 0)
+	f.submitJob("job-1", "red", "high", 10, 8, 0)
 	f.startAll() // each machine is full, and its task has just begun
-	f.job("job-2", "blue", "high", 8, 8, 20)
+	f.submitJob("job-2", "blue", "high", 8, 8, 20)
 	// Of ten tasks of 10 s that have just begun, nothing is known but their mean: a quarter or so
 	// ends in the 5.5 s that a machine takes to boot.
 	if n := f.plan(); n < 5 || n > 7 {
@@ -107,9 +107,9 @@
 func TestPlanOnIdleFleet(t *testing.T) {
 	f := newSchedulerFixture(t, 10)
 	for i := range 10 {
-		f.report(i)
+		f.sendHeartbeat(i)
 	}
-	f.job("job-2", "blue", "high", 8, 8, 20)
+	f.submitJob("job-2", "blue", "high", 8, 8, 20)
 	if n := f.plan(); n != 0 {
 		t.Errorf("%d machines rented for 8 tasks beside an idle fleet", n)
 	}
@@ -117,7 +117,7 @@
 
 // startAll answers the direct commands of the last event: all their tasks run.
 func (f *schedulerFixture) startAll() {
-	for _, sent := range f.direct() {
+	for _, sent := range f.directCommands() {
 		heartbeat := &protocol.Heartbeat{Machine: sent.Machine, Incarnation: 1, Sequence: 100, FencingToken: 3}
 		for _, command := range sent.Commands {
 			heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -106,7 +106,7 @@
 
 // savesOnStop reports whether a task that is stopped should save its work before it ends.
 func (a *assignment) savesOnStop() bool {
-	return a.job.spec.CheckpointS > 0 && !a.job.cancelled && !a.withoutSaving && a.stopReason != stopReasonDoneElsewhere
+	return a.job.spec.CheckpointS > 0 && !a.job.cancelled && !a.skipSaving && a.stopReason != stopReasonSuperseded
 }
 
 // repeatableCommands returns the commands of the last answer, without the starts that are not needed
--- a/internal/coordination/scheduler/dispatcher_test.go
+++ b/internal/coordination/scheduler/dispatcher_test.go
@@ -56,11 +56,11 @@
 	f.scheduler.jobs.teams["red"].cfg.CPUsMax = 8 * machines
 	for range 2 { // the second verifies the machines
 		for i := range machines {
-			f.report(i)
+			f.sendHeartbeat(i)
 		}
 	}
 	counter := &startCounter{t: t, starts: map[string]int{}}
-	f.job("job-1", "red", "standard", machines, 8, 0)
+	f.submitJob("job-1", "red", "standard", machines, 8, 0)
 	counter.collect(f.effects)
 	if len(counter.inFlight) != limits.MaxDirectCommands {
 		t.Fatalf("%d direct commands for %d machines", len(counter.inFlight), machines)
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -83,7 +83,7 @@
 type ProbeDone struct {
 	Machine   string
 	Heartbeat *protocol.Heartbeat // made after the worker had seen our fencing token; nil without an answer
-	Took      time.Duration       // from the first request to the last answer
+	Elapsed   time.Duration       // from the first request to the last answer
 	NotSent   bool                // the controller lacked the time or a socket, so a missing answer says nothing
 }
 
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -39,10 +39,10 @@
 	version          uint64
 	sequence         uint64 // rises with every finished task
 	durableSequence  uint64 // highest sequence that is written
-	writing          bool
-	writtenAt        time.Duration
+	writeInFlight    bool
+	lastWriteAt      time.Duration
 	deferredSince    time.Duration // when its write was first deferred; 0 if it was not
-	expedite         bool          // a machine that has results of it is to go
+	expedited        bool          // a machine that has results of it is to go
 	lastCoveredChunk int           // the written record tells of tasks up to this chunk
 }
 
@@ -97,7 +97,7 @@
 // own, as there may be more than a transaction takes.
 func (w *finishedTaskWriter) removeRecords(jobID string, keys []string) {
 	for _, key := range keys {
-		w.writeBulk(orphanRemoval{},
+		w.writeBulk(finishedTasksRemoval{},
 			[]protocol.Condition{{Key: storage.OpenJobKey(jobID)}},
 			[]protocol.Operation{{Delete: key}})
 	}
@@ -114,9 +114,9 @@
 	return keys
 }
 
-// recordDone notes a finished task. The worker is told to forget it only once the chunk that has it
+// recordCompletion notes a finished task. The worker is told to forget it only once the chunk that has it
 // is durable up to that sequence.
-func (w *finishedTaskWriter) recordDone(j *job, index int) (chunk int, sequence uint64) {
+func (w *finishedTaskWriter) recordCompletion(j *job, index int) (chunk int, sequence uint64) {
 	if j.gang != nil {
 		for i := range j.spec.Tasks {
 			w.markDone(j, i) // they complete together
@@ -145,7 +145,7 @@
 	index int
 }
 
-func (c jobChunk) get() *finishedChunk { return &c.job.chunks[c.index] }
+func (c jobChunk) state() *finishedChunk { return &c.job.chunks[c.index] }
 
 // writeChunks writes finished tasks down, expedited chunks first and then those that were not
 // written for longest, within a share of the state service's rate: what is not written is kept by
@@ -165,11 +165,11 @@
 		}
 	}
 	sort.SliceStable(due, func(a, b int) bool {
-		one, other := due[a].get(), due[b].get()
-		if one.expedite != other.expedite {
-			return one.expedite
+		one, other := due[a].state(), due[b].state()
+		if one.expedited != other.expedited {
+			return one.expedited
 		}
-		return one.writtenAt < other.writtenAt
+		return one.lastWriteAt < other.lastWriteAt
 	})
 	for _, c := range due {
 		if w.writeBudget < 1 {
@@ -184,27 +184,27 @@
 // deferred for a while, as the job may soon need no record but its final one.
 func (w *finishedTaskWriter) isDue(j *job, index int) bool {
 	chunk := &j.chunks[index]
-	if chunk.durableSequence == chunk.sequence || chunk.writing || j.coversUnwrittenTasks(index) {
+	if chunk.durableSequence == chunk.sequence || chunk.writeInFlight || j.coversPendingChunks(index) {
 		return false
 	}
-	if !chunk.expedite && w.now < chunk.writtenAt+limits.ChunkWriteInterval {
+	if !chunk.expedited && w.now < chunk.lastWriteAt+limits.ChunkWriteInterval {
 		return false
 	}
 	if chunk.deferredSince == 0 {
 		chunk.deferredSince = w.now
 	}
-	return chunk.expedite || w.now >= chunk.deferredSince+limits.MaxChunkWriteDelay || !w.isNearlyOver(j)
+	return chunk.expedited || w.now >= chunk.deferredSince+limits.MaxChunkWriteDelay || !w.isNearlyComplete(j)
 }
 
 func (w *finishedTaskWriter) writeChunk(c jobChunk) {
-	chunk := c.get()
-	chunk.writing, chunk.writtenAt, chunk.deferredSince, chunk.expedite = true, w.now, 0, false
+	chunk := c.state()
+	chunk.writeInFlight, chunk.lastWriteAt, chunk.deferredSince, chunk.expedited = true, w.now, 0, false
 	base := c.index * w.tasksPerChunk
 	key := storage.FinishedTasksKey(c.job.id, base)
 	record := storage.EncodeFinishedTasks(c.job.done, base, w.tasksPerChunk)
 	// Guarded by its own version as well: an earlier write of this chunk that was given up must not
 	// come late and undo this one.
-	w.writeBulk(chunkWrite{job: c.job, chunk: c.index, sequence: chunk.sequence},
+	w.writeBulk(chunkWrite{job: c.job, chunk: c.index, writtenSequence: chunk.sequence},
 		[]protocol.Condition{{Key: key, Version: chunk.version}},
 		[]protocol.Operation{{Put: key, Value: protocol.Encode(record)}})
 }
@@ -212,16 +212,16 @@
 // chunkWritten notes which finished tasks are durable now.
 func (w *finishedTaskWriter) chunkWritten(write chunkWrite, e WriteCompleted) {
 	chunk := &write.job.chunks[write.chunk]
-	chunk.writing = false
+	chunk.writeInFlight = false
 	if e.OK {
 		chunk.version = e.Version
-		chunk.durableSequence = max(chunk.durableSequence, write.sequence)
+		chunk.durableSequence = max(chunk.durableSequence, write.writtenSequence)
 	}
 }
 
-// isNearlyOver reports whether all tasks of a job are done or on machines, and the last should be
+// isNearlyComplete reports whether all tasks of a job are done or on machines, and the last should be
 // done soon.
-func (w *finishedTaskWriter) isNearlyOver(j *job) bool {
+func (w *finishedTaskWriter) isNearlyComplete(j *job) bool {
 	if j.waitingTasks() > 0 {
 		return false
 	}
@@ -234,9 +234,9 @@
 	return true
 }
 
-// coversUnwrittenTasks reports whether the record of a chunk still tells of tasks of later chunks
+// coversPendingChunks reports whether the record of a chunk still tells of tasks of later chunks
 // that are not written elsewhere.
-func (j *job) coversUnwrittenTasks(chunk int) bool {
+func (j *job) coversPendingChunks(chunk int) bool {
 	for later := chunk + 1; later <= j.chunks[chunk].lastCoveredChunk; later++ {
 		if j.chunks[later].durableSequence < j.chunks[later].sequence {
 			return true
@@ -245,10 +245,10 @@
 	return false
 }
 
-// isWritingChunks reports whether a write of the job's finished tasks is under way.
-func (j *job) isWritingChunks() bool {
+// hasChunkWriteInFlight reports whether a write of the job's finished tasks is under way.
+func (j *job) hasChunkWriteInFlight() bool {
 	for i := range j.chunks {
-		if j.chunks[i].writing {
+		if j.chunks[i].writeInFlight {
 			return true
 		}
 	}
@@ -259,7 +259,7 @@
 func (w *finishedTaskWriter) expediteResults(m *machine) {
 	for _, ended := range m.endedTasks {
 		if !ended.isDurable() {
-			ended.job.chunks[ended.chunk].expedite = true
+			ended.job.chunks[ended.chunk].expedited = true
 		}
 	}
 }
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -12,10 +12,10 @@
 	"quillshunt/internal/storage"
 )
 
-// TestFinishedTasksOfAnotherSize: records that were cut for larger or smaller values are read as
+// TestFinishedTasksInOtherChunkSizes: records that were cut for larger or smaller values are read as
 // their union; nothing that they tell is lost at any moment while they are replaced, and all are
 // removed when the job is over, within the size of a transaction.
-func TestFinishedTasksOfAnotherSize(t *testing.T) {
+func TestFinishedTasksInOtherChunkSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tasks, job = 6000, "job-1"
 		sizes := []float64{0.5, 1, 2} // of a value, in KB
@@ -44,7 +44,7 @@
 		}
 		requireAllKnown("loaded")
 		for range 30 { // all that is written again goes out, one record after the other
-			s.finished.recordDone(j, rapid.IntRange(0, tasks-1).Draw(t, "finished"))
+			s.finished.recordCompletion(j, rapid.IntRange(0, tasks-1).Draw(t, "finished"))
 			now += 3 * time.Second
 			for _, effect := range s.Step(Tick{Entitled: true}, now) {
 				store.execute(s, []Effect{effect}, now)
@@ -52,7 +52,7 @@
 			}
 		}
 		for i := range tasks {
-			s.finished.recordDone(j, i)
+			s.finished.recordCompletion(j, i)
 		}
 		largest := 0
 		for range 30 {
@@ -102,9 +102,9 @@
 // finished.
 func TestLargestJob(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
-	f.report(0)
-	f.report(1)
-	f.job("job-1", "red", "standard", limits.MaxTasksPerJob, 0.01, 0)
+	f.sendHeartbeat(0)
+	f.sendHeartbeat(1)
+	f.submitJob("job-1", "red", "standard", limits.MaxTasksPerJob, 0.01, 0)
 	j := f.scheduler.jobs.find("job-1")
 	for _, m := range f.scheduler.inventory.all() {
 		if len(m.assignments) > limits.MaxTasksPerMachine {
@@ -116,7 +116,7 @@
 	}
 	for i := range limits.MaxTasksPerJob {
 		if j.assignments[i] == nil {
-			f.scheduler.finished.recordDone(j, i)
+			f.scheduler.finished.recordCompletion(j, i)
 		}
 	}
 	f.now += 4 * time.Second
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestOrphanOfAnOpenJob: finished tasks of a job that is open, but whose team the settings do not
+// TestFinishedTasksOfOpenJobAreKept: finished tasks of a job that is open, but whose team the settings do not
 // name, are no orphans.
-func TestOrphanOfAnOpenJob(t *testing.T) {
+func TestFinishedTasksOfOpenJobAreKept(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	s := New(f.scheduler.cfg, 0)
 	spec := protocol.Spec{ID: "job-1", Team: "gone", Priority: "low", Tasks: 2}
@@ -148,11 +148,11 @@
 	}
 }
 
-// TestFinalRecordWaitsForChunk: while a chunk of a job is being written, the final record is not; it
+// TestFinalRecordWaitsForChunkWrite: while a chunk of a job is being written, the final record is not; it
 // removes what the write has left behind.
-func TestFinalRecordWaitsForChunk(t *testing.T) {
+func TestFinalRecordWaitsForChunkWrite(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
-	f.job("job-1", "red", "standard", 10, 1, 0)
+	f.submitJob("job-1", "red", "standard", 10, 1, 0)
 	j := f.scheduler.jobs.find("job-1")
 	chunkKey, finalKey := storage.FinishedTasksKey("job-1", 0), storage.FinalJobKey("job-1")
 	writes := func() []WriteRecords { // of the job
@@ -165,7 +165,7 @@
 		}
 		return found
 	}
-	f.scheduler.finished.recordDone(j, 0)
+	f.scheduler.finished.recordCompletion(j, 0)
 	f.now += limits.ChunkWriteInterval
 	f.step(Tick{Entitled: true})
 	chunk := writes()
@@ -173,7 +173,7 @@
 		t.Fatalf("writes after a task is done: %+v", chunk)
 	}
 	for index := range 10 {
-		f.scheduler.finished.recordDone(j, index)
+		f.scheduler.finished.recordCompletion(j, index)
 	}
 	f.step(Tick{Entitled: true})
 	if got := writes(); len(got) != 0 {
--- a/internal/coordination/scheduler/gang_fixture_test.go
+++ b/internal/coordination/scheduler/gang_fixture_test.go
@@ -52,7 +52,7 @@
 func (f *gangFixture) reportAll() {
 	f.t.Helper()
 	for i := range f.tasks {
-		commands := f.report(i, f.tasks[i]...)
+		commands := f.sendHeartbeat(i, f.tasks[i]...)
 		effects := f.effects
 		f.carryOut(i, commands)
 		f.deliver(effects)
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -47,7 +47,7 @@
 // attempt would begin later.
 func (s *Scheduler) abortGang(g *gang, reason string) {
 	for _, a := range g.job.assignments {
-		a.withoutSaving = true
+		a.skipSaving = true
 	}
 	s.logWarn("gang lost a task", keyJob, g.job.id, keyAttempt, g.attempt, "left", len(g.job.assignments))
 	s.stopGang(g, reason)
--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -39,7 +39,7 @@
 	f.setState("job-1", protocol.TaskGathering)
 	f.reportAll()
 	f.endTask(lostOn, "job-1/0", protocol.ReasonError)
-	f.report(lostOn, f.tasks[lostOn]...)
+	f.sendHeartbeat(lostOn, f.tasks[lostOn]...)
 	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 1 || stops[0].Task != "job-1/1" {
 		t.Fatalf("stops: %+v", f.effects)
 	}
@@ -62,7 +62,7 @@
 	f.setState("job-1", protocol.TaskRunning)
 	f.reportAll()
 	f.tasks[lostOn] = nil
-	f.report(lostOn)
+	f.sendHeartbeat(lostOn)
 	stops := commandsOf(f.effects, protocol.CommandStop)
 	if len(stops) != 1 || stops[0].Task != "job-1/1" || *stops[0].GraceS != 0 {
 		t.Fatalf("stops: %+v", stops)
@@ -109,8 +109,8 @@
 func TestGangStopGoesOnAfterTakeOver(t *testing.T) {
 	f := newSchedulerFixture(t, 3)
 	f.gang("job-1", 2, 8)
-	f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskRunning})
-	f.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskSaving})
+	f.sendHeartbeat(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskRunning})
+	f.sendHeartbeat(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskSaving})
 	stops := commandsOf(f.effects, protocol.CommandStop)
 	if len(stops) != 2 || f.scheduler.recovery.hasEnded() {
 		t.Fatalf("stops: %+v", stops)
@@ -127,8 +127,8 @@
 		t.Run(string(c.state), func(t *testing.T) {
 			f := newSchedulerFixture(t, 2)
 			f.gang("job-1", 2, 8)
-			f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: c.state})
-			f.report(1)
+			f.sendHeartbeat(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: c.state})
+			f.sendHeartbeat(1)
 			starts := commandsOf(f.effects, protocol.CommandStart)
 			stops := commandsOf(f.effects, protocol.CommandStop)
 			switch {
@@ -149,7 +149,7 @@
 	f.setState("job-1", protocol.TaskRunning)
 	f.reportAll()
 	f.endTask(machine, "job-1/0", protocol.ReasonDone)
-	f.report(machine, f.tasks[machine]...)
+	f.sendHeartbeat(machine, f.tasks[machine]...)
 	var final bool
 	for _, effect := range f.effects {
 		if write, ok := effect.(WriteRecords); ok && write.Operations[0].Put == storage.FinalJobKey("job-1") {
@@ -180,7 +180,7 @@
 	f.setState("job-1", protocol.TaskGathering)
 	f.reportAll()
 	f.endTask(first, "job-1/0", protocol.ReasonIncomplete)
-	f.report(first, f.tasks[first]...)
+	f.sendHeartbeat(first, f.tasks[first]...)
 	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 1 {
 		t.Fatalf("the other task still waits: %+v", f.effects)
 	}
@@ -215,8 +215,8 @@
 func TestGangOfSeveralAttempts(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	f.gang("job-1", 2, 8)
-	f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskGathering})
-	f.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.TaskGathering})
+	f.sendHeartbeat(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskGathering})
+	f.sendHeartbeat(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.TaskGathering})
 	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 2 {
 		t.Errorf("stops: %+v", f.effects)
 	}
@@ -252,9 +252,9 @@
 	waiting := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskGathering}
 	f := newSchedulerFixture(t, 3)
 	f.gang("job-1", 2, 8)
-	f.report(0, ended)
-	f.report(1, waiting)
-	f.report(2)
+	f.sendHeartbeat(0, ended)
+	f.sendHeartbeat(1, waiting)
+	f.sendHeartbeat(2)
 	if starts := commandsOf(f.effects, protocol.CommandStart); len(starts) != 1 || starts[0].Attempt != 7 {
 		t.Fatalf("starts: %+v", f.effects)
 	}
@@ -263,13 +263,13 @@
 	}
 	f = newSchedulerFixture(t, 2)
 	f.gang("job-1", 2, 8)
-	f.report(0, ended)
-	f.report(1, waiting)
+	f.sendHeartbeat(0, ended)
+	f.sendHeartbeat(1, waiting)
 	j := f.scheduler.jobs.find("job-1")
 	if j.assignments[0] == nil {
 		f.scheduler.assignments.assign(j, 0, f.scheduler.inventory.find(f.machine(0)), 7, stateSent)
 	}
-	f.report(0, ended)
+	f.sendHeartbeat(0, ended)
 	if assigned := j.assignments[0]; assigned != nil {
 		t.Errorf("still assigned: %+v", assigned)
 	}
--- a/internal/coordination/scheduler/gang_placement_test.go
+++ b/internal/coordination/scheduler/gang_placement_test.go
@@ -33,7 +33,7 @@
 // rest.
 func TestGangWaitsForConfirmedResources(t *testing.T) {
 	f := newGangFixture(t, 2)
-	f.job("job-1", "red", "low", 2, 6, 0)
+	f.submitJob("job-1", "red", "low", 2, 6, 0)
 	f.deliver(f.effects)
 	f.setState("job-1", protocol.TaskRunning)
 	f.reportAll()
@@ -45,13 +45,13 @@
 	f.deliver(f.effects)
 	f.endTask(0, "job-1/0", protocol.ReasonStopped)
 	f.endTask(0, "job-1/1", protocol.ReasonStopped)
-	f.report(0, f.tasks[0]...)
+	f.sendHeartbeat(0, f.tasks[0]...)
 	if got := commandsOf(f.effects, protocol.CommandStart); len(got) != 0 {
 		t.Fatalf("started while the other machine is not free: %+v", got)
 	}
 	f.endTask(1, "job-1/0", protocol.ReasonStopped)
 	f.endTask(1, "job-1/1", protocol.ReasonStopped)
-	f.report(1, f.tasks[1]...)
+	f.sendHeartbeat(1, f.tasks[1]...)
 	got := 0
 	for _, start := range commandsOf(f.effects, protocol.CommandStart) {
 		if id, _, _ := protocol.ParseTaskName(start.Task); id == "job-2" {
@@ -76,13 +76,13 @@
 		f.reportAll()
 	}
 	m := f.scheduler.inventory.find(f.machine(0))
-	f.job("job-2", "red", "high", 1, 8, 0)
+	f.submitJob("job-2", "red", "high", 1, 8, 0)
 	options := f.scheduler.placement.preemptionOptions(f.scheduler.jobs.find("job-2"), m, nil)
 	oneTask := f.scheduler.placement.taskPreemptionCost(f.scheduler.jobs.find("job-1").assignments[0])
 	if len(options) != 1 || options[0].Resources.CPUs != 8 || options[0].Cost < 3.9*oneTask {
 		t.Fatalf("victims: %+v, cost of a task %v", options, oneTask)
 	}
-	f.job("job-3", "red", "high", 2, 8, 12)
+	f.submitJob("job-3", "red", "high", 2, 8, 12)
 	if stops := commandsOf(f.effects, protocol.CommandStop); len(stops) != 4 {
 		t.Errorf("stops: %+v", stops)
 	}
@@ -118,9 +118,9 @@
 // are not free yet, does not use those that a gang was committed to.
 func TestCommittedResourcesAreKept(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "low", 1, 4, 0)
-	f.job("job-2", "red", "high", 1, 64, 0) // fits no machine; assigned by hand below
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "low", 1, 4, 0)
+	f.submitJob("job-2", "red", "high", 1, 64, 0) // fits no machine; assigned by hand below
 	s, m := f.scheduler, f.scheduler.inventory.find(f.machine(0))
 	f.gang("job-3", 2, 8) // does not fit
 	stopping := s.jobs.find("job-1").assignments[0]
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -34,7 +34,7 @@
 	if reserved == 0 {
 		t.Fatal("no machine is reserved")
 	}
-	f.job("job-2", "red", "standard", 16, 1, 0)
+	f.submitJob("job-2", "red", "standard", 16, 1, 0)
 	f.deliver(f.effects)
 	free := 0.0
 	for _, m := range f.scheduler.inventory.all() {
--- a/internal/coordination/scheduler/health_test.go
+++ b/internal/coordination/scheduler/health_test.go
@@ -10,10 +10,10 @@
 func newFailureFixture(t *testing.T) (f *schedulerFixture, one, other *job) {
 	f = newSchedulerFixture(t, 5)
 	for i := range 5 {
-		f.report(i)
+		f.sendHeartbeat(i)
 	}
-	f.job("job-1", "red", "standard", 1, 1, 0)
-	f.job("job-2", "red", "standard", 1, 1, 0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
+	f.submitJob("job-2", "red", "standard", 1, 1, 0)
 	return f, f.scheduler.jobs.find("job-1"), f.scheduler.jobs.find("job-2")
 }
 
@@ -51,10 +51,10 @@
 	f, _, j := newFailureFixture(t)
 	slow, usual := f.findMachine(2), f.findMachine(3)
 	for range 6 {
-		j.learnRunTime(usual, 10)
+		j.recordRunTime(usual, 10)
 	}
 	for range limits.SlowMachineTasks {
-		j.learnRunTime(slow, 60)
+		j.recordRunTime(slow, 60)
 	}
 	if !slow.isSlow() {
 		t.Error("a slow machine is not found")
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -53,7 +53,7 @@
 	if heartbeat.Sequence > m.sequence { // else the answer to a direct command has overtaken it
 		commands = s.reconcileTasks(m, heartbeat, 0)
 	}
-	if s.holdsCancelledTask(m, s.cancelReplyDeadline) {
+	if s.holdsCancelledTask(m, s.cancelReplyUntil) {
 		s.rejectHeartbeat(e)
 		return
 	}
@@ -77,7 +77,7 @@
 func (s *Scheduler) answerOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
 	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
 	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout
-	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelReplyDeadline) {
+	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelReplyUntil) {
 		s.rejectHeartbeat(e)
 		return
 	}
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -71,7 +71,7 @@
 	case j.cancelled && !s.recovery.hasEnded():
 		return false // tasks of it that we have not heard of yet still count against its team's limit
 	}
-	return !j.isWritingChunks() // else the end of the write comes back here
+	return !j.hasChunkWriteInFlight() // else the end of the write comes back here
 }
 
 // finalJobWritten closes a job whose final record is written.
--- a/internal/coordination/scheduler/job_lifecycle_test.go
+++ b/internal/coordination/scheduler/job_lifecycle_test.go
@@ -22,10 +22,10 @@
 // record does not open it again. Its running tasks are stopped.
 func TestJobRemovedByOthers(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
 	j := f.scheduler.jobs.find("job-1")
-	f.startDirectly()
+	f.confirmDirectStarts()
 	f.step(JobRemoved{JobID: "job-1", Version: j.version})
 	if f.scheduler.jobs.find("job-1") == nil {
 		t.Fatal("closed by the removal of an older record")
@@ -47,8 +47,8 @@
 // when that write is completed.
 func TestOwnRemovalIsAwaited(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 100, 0) // too large for any machine
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 100, 0) // too large for any machine
 	j := f.scheduler.jobs.find("job-1")
 	f.cancel("job-1", 0)
 	var final WriteRecords
@@ -74,22 +74,22 @@
 // after the change is seen.
 func TestFinalWriteRefused(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
 	j := f.scheduler.jobs.find("job-1")
-	task := f.startDirectly()
+	task := f.confirmDirectStarts()
 	task.State, task.Reason = protocol.TaskEnded, protocol.ReasonDone
-	f.report(0, task)
+	f.sendHeartbeat(0, task)
 	if !j.closing {
 		t.Fatalf("no final record is written: %+v", f.effects)
 	}
-	first := f.scheduler.writeSequence
+	first := f.scheduler.lastWriteID
 	f.step(WriteCompleted{ID: first})
 	if j.closing || j.closed {
 		t.Fatal("closed by a refused write")
 	}
 	f.cancel("job-1", 0)
-	if !j.closing || f.scheduler.writeSequence == first {
+	if !j.closing || f.scheduler.lastWriteID == first {
 		t.Error("the final record is not written again")
 	}
 }
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -94,7 +94,7 @@
 		}
 	case m.spotNotice && len(m.assignments) == 0 && m.resultsDurable():
 		return "spot notice"
-	case s.holdsCancelledTask(m, s.cancelDeletionTime):
+	case s.holdsCancelledTask(m, s.cancelDeletionAt):
 		return "cancelled task does not stop"
 	}
 	return ""
--- a/internal/coordination/scheduler/machine_removal_test.go
+++ b/internal/coordination/scheduler/machine_removal_test.go
@@ -12,7 +12,7 @@
 func TestUnreachableIsNotIdle(t *testing.T) {
 	f := newSchedulerFixture(t, 8)
 	for i := range 8 {
-		f.report(i)
+		f.sendHeartbeat(i)
 	}
 	for range 100 {
 		f.now += time.Second
@@ -38,7 +38,7 @@
 // run checks the reason for a machine that was up until it was changed.
 func (c removalCase) run(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
+	f.sendHeartbeat(0)
 	m := f.findMachine(0)
 	f.scheduler.now, m.lastHeartbeatAt = removalTestTime, removalTestTime
 	c.change(m)
--- a/internal/coordination/scheduler/outbox.go
+++ b/internal/coordination/scheduler/outbox.go
@@ -10,7 +10,7 @@
 type outbox struct {
 	effects       []Effect
 	pendingWrites map[uint64]pendingWrite // by ID
-	writeSequence uint64                  // the ID of the last write
+	lastWriteID   uint64                  // the ID of the last write
 }
 
 // newOutbox returns an outbox without effects or pending writes.
@@ -42,9 +42,9 @@
 func (o *outbox) emitWrite(
 	purpose pendingWrite, bulk bool, conditions []protocol.Condition, operations []protocol.Operation,
 ) {
-	o.writeSequence++
-	o.pendingWrites[o.writeSequence] = purpose
-	o.emit(WriteRecords{ID: o.writeSequence, Bulk: bulk, Conditions: conditions, Operations: operations})
+	o.lastWriteID++
+	o.pendingWrites[o.lastWriteID] = purpose
+	o.emit(WriteRecords{ID: o.lastWriteID, Bulk: bulk, Conditions: conditions, Operations: operations})
 }
 
 // takePendingWrite returns what a write was for, and forgets it. It returns nil if the write is not
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -81,7 +81,7 @@
 		Name: "s", CPUs: overloadCPUs, MemoryGB: 64, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5,
 		Zones: []string{"a"},
 	}}}, 0)
-	rental := answeredRental("s", overloadMachines, longName)
+	rental := answeredRental("s", overloadMachines, paddedMachineName)
 	f.machines = rental.Machines
 	loadRegistryPage(f.scheduler, "h", rental, 0)
 	f.scheduler.Step(StateLoaded{}, 0)
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -131,7 +131,7 @@
 		s.Step(HeartbeatReceived{Heartbeat: heartbeat, Entitled: true}, 0)
 	}
 	s.now = time.Duration(g.random.IntN(6)) * time.Second
-	s.recovery.loaded, s.recovery.ended = true, true
+	s.recovery.recordsLoaded, s.recovery.ended = true, true
 	s.queue.invalidate()
 	return s
 }
--- a/internal/coordination/scheduler/pending_write.go
+++ b/internal/coordination/scheduler/pending_write.go
@@ -5,16 +5,16 @@
 
 // chunkWrite replaces the record of one chunk of a job's finished tasks.
 type chunkWrite struct {
-	job      *job
-	chunk    int
-	sequence uint64 // of the chunk when it was written
+	job             *job
+	chunk           int
+	writtenSequence uint64 // of the chunk when it was written
 }
 
 // finalJobWrite replaces a job's open record by its final one.
 type finalJobWrite struct{ job *job }
 
-// orphanRemoval removes a record of finished tasks of a job that is over.
-type orphanRemoval struct{}
+// finishedTasksRemoval removes a record of finished tasks of a job that is over.
+type finishedTasksRemoval struct{}
 
 // rentalWrite writes a rental's record.
 type rentalWrite struct {
@@ -34,13 +34,13 @@
 // registryPageRemoval removes a page without machines.
 type registryPageRemoval struct{}
 
-func (chunkWrite) pendingWrite()          {}
-func (finalJobWrite) pendingWrite()       {}
-func (orphanRemoval) pendingWrite()       {}
-func (rentalWrite) pendingWrite()         {}
-func (rentalRemoval) pendingWrite()       {}
-func (registryPageWrite) pendingWrite()   {}
-func (registryPageRemoval) pendingWrite() {}
+func (chunkWrite) pendingWrite()           {}
+func (finalJobWrite) pendingWrite()        {}
+func (finishedTasksRemoval) pendingWrite() {}
+func (rentalWrite) pendingWrite()          {}
+func (rentalRemoval) pendingWrite()        {}
+func (registryPageWrite) pendingWrite()    {}
+func (registryPageRemoval) pendingWrite()  {}
 
 // writeCompleted carries on with what a write was for.
 func (s *Scheduler) writeCompleted(e WriteCompleted) {
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -105,7 +105,7 @@
 // done notes how a probe went. Probes are slowed down after one that took this controller long, or
 // that it could not send; one that was not answered says nothing about that.
 func (p *machineProber) done(e ProbeDone) {
-	answeredLate := e.Heartbeat != nil && e.Took > limits.SlowHeartbeatWait
+	answeredLate := e.Heartbeat != nil && e.Elapsed > limits.SlowHeartbeatWait
 	if e.NotSent || answeredLate {
 		p.budget.slowUntil = p.now + limits.ProbeInterval
 	}
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -24,7 +24,7 @@
 	s.Step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
 		Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"},
 	}}}, 0)
-	loadRegistryPage(s, "h-1-1", answeredRental("s8", machines, longName), 0)
+	loadRegistryPage(s, "h-1-1", answeredRental("s8", machines, paddedMachineName), 0)
 	return s
 }
 
@@ -48,7 +48,7 @@
 		}
 		done := ProbeDone{Machine: probe.Machine}
 		if a.took > 0 {
-			done.Took, done.Heartbeat = a.took, &protocol.Heartbeat{} // proves nothing
+			done.Elapsed, done.Heartbeat = a.took, &protocol.Heartbeat{} // proves nothing
 		}
 		a.scheduler.Step(done, now)
 	}
@@ -99,7 +99,7 @@
 		t.Run(fmt.Sprintf("%d unreported", c.unreported), func(t *testing.T) {
 			f := newSchedulerFixture(t, 40)
 			for i := c.unreported; i < 40; i++ {
-				f.report(i)
+				f.sendHeartbeat(i)
 			}
 			f.tick()
 			again := 0
@@ -124,7 +124,7 @@
 			f := newSchedulerFixture(t, 40)
 			for range 2 {
 				for i := range 40 {
-					f.report(i)
+					f.sendHeartbeat(i)
 				}
 				f.now += 2 * time.Second // the probes of the failover are long over
 			}
@@ -146,7 +146,7 @@
 			}
 			// The others are verified by heartbeats; one stays unverified and is probed.
 			for i := range n - 1 {
-				f.report(i)
+				f.sendHeartbeat(i)
 			}
 			late := 0
 			for range 4 {
--- a/internal/coordination/scheduler/reachability_test.go
+++ b/internal/coordination/scheduler/reachability_test.go
@@ -53,9 +53,9 @@
 // lease is surely over, and not before.
 func TestLeaseExpiry(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
-	f.report(0, running(f.direct()[0].Commands[0]))
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
+	f.sendHeartbeat(0, running(f.directCommands()[0].Commands[0]))
 	m := f.scheduler.inventory.find(f.machine(0))
 	expires := m.leaseRenewedAt + limits.LeaseExpiredAfter(f.scheduler.workerLease)
 	f.now = expires - 10*time.Millisecond - 1 // a step takes 10 ms
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -21,8 +21,8 @@
 			j = nil
 		}
 		if status.State == protocol.TaskEnded {
-			ended, ours := s.reconcileEndedTask(m, j, index, status)
-			if ours {
+			ended, isAssigned := s.reconcileEndedTask(m, j, index, status)
+			if isAssigned {
 				listed[status.Task] = true
 			}
 			endedTasks[attemptKeyOf(status)] = ended
@@ -31,7 +31,7 @@
 			}
 			continue
 		}
-		if s.reconcilePresentTask(m, j, index, status) {
+		if s.reconcileActiveTask(m, j, index, status) {
 			listed[status.Task] = true
 			continue
 		}
@@ -46,51 +46,51 @@
 // know it. It reports whether the attempt was ours.
 func (s *Scheduler) reconcileEndedTask(
 	m *machine, j *job, index int, status *protocol.TaskStatus,
-) (ended endedTask, ours bool) {
+) (ended endedTask, isAssigned bool) {
 	a := m.assignments[status.Task]
-	ours = a != nil && a.attempt == status.Attempt
-	startMayArrive := ours && (a.directID != 0 || a.startUnconfirmed)
-	if ours {
+	isAssigned = a != nil && a.attempt == status.Attempt
+	startMayArrive := isAssigned && (a.directID != 0 || a.startUnconfirmed)
+	if isAssigned {
 		a.confirmStart()
 	}
-	ended, seen := m.endedTasks[attemptKeyOf(status)]
+	ended, alreadyEnded := m.endedTasks[attemptKeyOf(status)]
 	switch {
-	case seen && ours:
+	case alreadyEnded && isAssigned:
 		// The attempt had ended here before we sent it once more, as the gang's tasks share one.
 		// The start has no effect, as long as the worker is not told to forget the attempt.
 		s.assignments.release(a)
-		ended.mustNotForget = ended.mustNotForget || startMayArrive
+		ended.startMayArrive = ended.startMayArrive || startMayArrive
 		return ended, true
-	case seen:
+	case alreadyEnded:
 		return ended, false
-	case ours:
+	case isAssigned:
 		return s.taskEnded(a, status), true
 	case j == nil || status.Reason != protocol.ReasonDone || j.cancelled:
 		return endedTask{}, false
 	}
-	return s.recordForeignResult(a, j, index), false
+	return s.recordUnassignedResult(a, j, index), false
 }
 
-// recordForeignResult records the result of an attempt that we had given up, or of one of an earlier
+// recordUnassignedResult records the result of an attempt that we had given up, or of one of an earlier
 // term. If the task is assigned elsewhere meanwhile, it is stopped there; a is the assignment to the
 // machine that has the result, if there is one.
-func (s *Scheduler) recordForeignResult(a *assignment, j *job, index int) endedTask {
+func (s *Scheduler) recordUnassignedResult(a *assignment, j *job, index int) endedTask {
 	ended := endedTask{job: j}
-	ended.chunk, ended.sequence = s.finished.recordDone(j, index)
+	ended.chunk, ended.sequence = s.finished.recordCompletion(j, index)
 	if other := j.assignments[index]; other != nil && other != a {
 		if other.state == stateUnsent {
 			s.assignments.release(other)
 		} else {
-			s.assignments.stop(other, stopReasonDoneElsewhere)
+			s.assignments.stop(other, stopReasonSuperseded)
 		}
 	}
 	s.tryCloseJob(j)
 	return ended
 }
 
-// reconcilePresentTask handles a task that fetches, gathers, runs or saves on a machine; j is its job,
+// reconcileActiveTask handles a task that fetches, gathers, runs or saves on a machine; j is its job,
 // or nil if we do not know it. It returns false if the task should not be there.
-func (s *Scheduler) reconcilePresentTask(m *machine, j *job, index int, status *protocol.TaskStatus) bool {
+func (s *Scheduler) reconcileActiveTask(m *machine, j *job, index int, status *protocol.TaskStatus) bool {
 	a := m.assignments[status.Task]
 	if a != nil && a.state != stateUnsent && status.Attempt > a.attempt {
 		// A later attempt than ours: attempts rise, so ours is over.
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -6,10 +6,10 @@
 // ended, as a task might be running already.
 type recoveryState struct {
 	*environment
-	inventory     *machineInventory
-	loaded        bool // all that earlier terms wrote down is known
-	ended         bool // and all that may run
-	fewUnreported bool // of the machines that may hold tasks of earlier terms only a few have not reported
+	inventory         *machineInventory
+	recordsLoaded     bool // all that earlier terms wrote down is known
+	ended             bool // and all that may run
+	onlyFewUnreported bool // of the machines that may hold tasks of earlier terms only a few have not reported
 }
 
 // newRecoveryState returns the state of a term that knows nothing yet.
@@ -20,18 +20,18 @@
 // hasEnded reports whether all tasks that may run are known.
 func (r *recoveryState) hasEnded() bool { return r.ended }
 
-// stateLoaded notes that all that earlier terms wrote down is known.
-func (r *recoveryState) stateLoaded() { r.loaded = true }
+// markRecordsLoaded notes that all that earlier terms wrote down is known.
+func (r *recoveryState) markRecordsLoaded() { r.recordsLoaded = true }
 
 // updateUnreported notes how many of the machines that may hold tasks of earlier terms have not
 // reported, and how many machines have.
 func (r *recoveryState) updateUnreported(unreported, reported int) {
 	share := limits.FewUnreportedShare * float64(unreported+reported)
-	r.fewUnreported = !r.ended && float64(unreported) <= max(limits.CorrelatedUnreachableMin, share)
+	r.onlyFewUnreported = !r.ended && float64(unreported) <= max(limits.CorrelatedUnreachableMin, share)
 }
 
 // hasFewUnreported reports whether placement waits for only a few machines.
-func (r *recoveryState) hasFewUnreported() bool { return r.fewUnreported }
+func (r *recoveryState) hasFewUnreported() bool { return r.onlyFewUnreported }
 
 // tryEnd ends recovery if no task can be running that we have not heard of: each machine that may hold
 // some has reported to us or is gone, or its lease from before is over. It reports whether recovery has
@@ -41,12 +41,12 @@
 // it again, although it has shown us no tasks yet. A leader that is too busy to handle its next
 // heartbeats must not forget that.
 func (r *recoveryState) tryEnd() bool {
-	if !r.loaded || r.ended {
+	if !r.recordsLoaded || r.ended {
 		return false
 	}
 	for _, m := range r.inventory.all() {
-		leaseFrom := max(r.termStartedAt, m.leaseRenewedAt)
-		if m.mayHoldEarlierTasks() && r.now < leaseFrom+limits.LeaseExpiredAfter(r.workerLease) {
+		leaseStart := max(r.termStartedAt, m.leaseRenewedAt)
+		if m.mayHoldEarlierTasks() && r.now < leaseStart+limits.LeaseExpiredAfter(r.workerLease) {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -9,10 +9,10 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestFewUnreported: after a failover a machine that does not answer probes holds up all placement. If
+// TestPlacementWaitsForUnreportedMachines: after a failover a machine that does not answer probes holds up all placement. If
 // it is one of a few it is deleted soon, and the work goes on once its deletion is confirmed; many
 // together may be behind a network partition and are waited for.
-func TestFewUnreported(t *testing.T) {
+func TestPlacementWaitsForUnreportedMachines(t *testing.T) {
 	for _, c := range []struct {
 		unreported int
 		waits      bool
@@ -20,9 +20,9 @@
 		t.Run(fmt.Sprintf("%d unreported", c.unreported), func(t *testing.T) {
 			f := newSchedulerFixture(t, 40)
 			for i := c.unreported; i < 40; i++ {
-				f.report(i)
+				f.sendHeartbeat(i)
 			}
-			f.job("job-1", "red", "standard", 1, 1, 0)
+			f.submitJob("job-1", "red", "standard", 1, 1, 0)
 			deleted := map[string]bool{}
 			for f.now < 5*time.Second {
 				f.now += 500 * time.Millisecond
@@ -45,18 +45,18 @@
 	}
 }
 
-// TestAnsweredMachineKeepsItsLease: a machine of which a new leader has answered a heartbeat, but not
+// TestRecoveryWaitsForLeaseOfAnsweredMachine: a machine of which a new leader has answered a heartbeat, but not
 // handled the next one, may go on with its tasks for a whole lease from then. Recovery does not end
 // before that, or a task of it would be started elsewhere: seen on controllers too busy to handle
 // heartbeats in time.
-func TestAnsweredMachineKeepsItsLease(t *testing.T) {
+func TestRecoveryWaitsForLeaseOfAnsweredMachine(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
-	f.report(0)
-	f.job("job-1", "red", "standard", 4, 4, 0)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 4, 4, 0)
 	lease := limits.LeaseExpiredAfter(14 * time.Second)
 	starts := func() (n int) {
-		for _, direct := range f.direct() {
-			n += verbs(direct.Commands, protocol.CommandStart)
+		for _, direct := range f.directCommands() {
+			n += countVerb(direct.Commands, protocol.CommandStart)
 		}
 		return n
 	}
@@ -69,13 +69,13 @@
 	for end := f.now + lease; f.now < end; {
 		f.now += time.Second
 		if f.now < end {
-			f.report(0)
+			f.sendHeartbeat(0)
 			if f.scheduler.recovery.hasEnded() || starts() > 0 {
 				t.Fatalf("placed at %v, the answered machine's lease lasts until %v", f.now, end)
 			}
 		}
 	}
-	f.report(0)
+	f.sendHeartbeat(0)
 	if !f.scheduler.recovery.hasEnded() {
 		t.Error("not recovered although every lease is over")
 	}
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -15,20 +15,20 @@
 // may have one; otherwise a new leader would not look for it there.
 func TestRegisteredBeforeStart(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
 	f.step(RentalLoaded{Name: "h-2-1", Version: 7, Record: answeredRental("s8", 1, f.machine)})
-	commands := f.report(0)
+	commands := f.sendHeartbeat(0)
 	var registration *WriteRecords
 	for _, write := range effectsOf[WriteRecords](f.effects) {
 		if write.Operations[0].Put == storage.RegistryPageKey("3-1") {
 			registration = &write
 		}
 	}
-	if registration == nil || verbs(commands, protocol.CommandStart) != 0 || len(f.direct()) != 0 {
+	if registration == nil || countVerb(commands, protocol.CommandStart) != 0 || len(f.directCommands()) != 0 {
 		t.Fatalf("before the registration: %+v %+v", commands, f.effects)
 	}
 	f.step(WriteCompleted{ID: registration.ID, OK: true, Version: 9})
-	if direct := f.direct(); len(direct) != 1 || verbs(direct[0].Commands, protocol.CommandStart) != 1 {
+	if direct := f.directCommands(); len(direct) != 1 || countVerb(direct[0].Commands, protocol.CommandStart) != 1 {
 		t.Fatalf("after the registration: %+v", f.effects)
 	}
 }
@@ -49,7 +49,7 @@
 func (f *schedulerFixture) registerAll(machines int) []WriteRecords {
 	var writes []WriteRecords
 	for i := range machines {
-		f.report(i)
+		f.sendHeartbeat(i)
 		f.now -= 9 * time.Millisecond
 		writes = append(writes, f.registryWrites()...)
 	}
--- a/internal/coordination/scheduler/scheduler_fixture_test.go
+++ b/internal/coordination/scheduler/scheduler_fixture_test.go
@@ -60,7 +60,7 @@
 	return rental
 }
 
-func longName(i int) string { return fmt.Sprintf("m-%06d", i) }
+func paddedMachineName(i int) string { return fmt.Sprintf("m-%06d", i) }
 
 func (f *schedulerFixture) machine(i int) string { return fmt.Sprintf("m-%d", i) }
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// report sends a heartbeat and returns the commands of the answer.
-func (f *schedulerFixture) report(i int, tasks ...protocol.TaskStatus) []protocol.Command {
+// sendHeartbeat sends a heartbeat and returns the commands of the answer.
+func (f *schedulerFixture) sendHeartbeat(i int, tasks ...protocol.TaskStatus) []protocol.Command {
 	f.t.Helper()
 	heartbeat := f.heartbeat(f.machine(i), tasks...)
 	for _, effect := range f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: heartbeat}) {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// job submits a job array. Its deadline is in seconds; 0 means that it has none.
-func (f *schedulerFixture) job(id, team, priority string, tasks int, cpus float64, deadline float64) {
+// submitJob submits a job array. Its deadline is in seconds; 0 means that it has none.
+func (f *schedulerFixture) submitJob(id, team, priority string, tasks int, cpus float64, deadline float64) {
 	f.version++
 	f.step(JobChanged{JobID: id, Version: 100 + f.version, Record: storage.OpenJob{Spec: protocol.Spec{
 		ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: priority, Tasks: tasks,
@@ -116,8 +116,8 @@
 	})
 }
 
-// direct returns the direct commands among the effects of the last event. They are not answered.
-func (f *schedulerFixture) direct() []SendDirectCommands {
+// directCommands returns the direct commands among the effects of the last event. They are not answered.
+func (f *schedulerFixture) directCommands() []SendDirectCommands {
 	var sent []SendDirectCommands
 	for _, effect := range f.effects {
 		if commands, ok := effect.(SendDirectCommands); ok {
@@ -127,8 +127,8 @@
 	return sent
 }
 
-// verbs is how many of the commands have that verb.
-func verbs(commands []protocol.Command, verb protocol.CommandVerb) int {
+// countVerb is how many of the commands have that verb.
+func countVerb(commands []protocol.Command, verb protocol.CommandVerb) int {
 	count := 0
 	for _, command := range commands {
 		if command.Verb == verb {
--- a/internal/coordination/scheduler/snapshot_test.go
+++ b/internal/coordination/scheduler/snapshot_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestExplanation: operators are told what a waiting job waits for.
-func TestExplanation(t *testing.T) {
+// TestJobExplanation: operators are told what a waiting job waits for.
+func TestJobExplanation(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	explain := func(id string) string {
 		t.Helper()
@@ -17,17 +17,17 @@
 		}
 		return ""
 	}
-	f.job("job-1", "red", "standard", 200, 1, 0)
+	f.submitJob("job-1", "red", "standard", 200, 1, 0)
 	if got := explain("job-1"); !strings.Contains(got, "does not know yet") {
 		t.Errorf("during recovery: %s", got)
 	}
-	f.report(0)
-	f.report(1)
+	f.sendHeartbeat(0)
+	f.sendHeartbeat(1)
 	if got := explain("job-1"); !strings.Contains(got, "16 on machines") ||
 		!strings.Contains(got, "0 of these with room") {
 		t.Errorf("full machines: %s", got)
 	}
-	f.job("job-2", "blue", "standard", 1, 101, 0)
+	f.submitJob("job-2", "blue", "standard", 1, 101, 0)
 	if got := explain("job-2"); !strings.Contains(got, "team blue uses 0 of at most 100") ||
 		!strings.Contains(got, "0 of them allowed") {
 		t.Errorf("too large a task: %s", got)
@@ -40,9 +40,9 @@
 // TestSnapshotViews: machines and teams are shown as they are.
 func TestSnapshotViews(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
-	f.report(0)
-	f.job("job-1", "red", "standard", 3, 4, 0)
-	f.report(1)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 3, 4, 0)
+	f.sendHeartbeat(1)
 	f.scheduler.inventory.find(f.machine(1)).draining = true
 	f.step(SnapshotRequested{})
 	taken := f.effects[len(f.effects)-1].(SnapshotTaken).Snapshot
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -57,7 +57,7 @@
 // stateLoaded begins the recovery of a new term, and reads what only the cloud knows.
 func (s *Scheduler) stateLoaded() {
 	s.logInfo("recovering", "jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
-	s.recovery.stateLoaded()
+	s.recovery.markRecordsLoaded()
 	s.catalog.fetchNow()
 	s.cloudList.readNow()
 	s.finished.removeOrphanedRecords()
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -52,7 +52,7 @@
 	if a.state == stateGathering {
 		return
 	}
-	a.learnFetchTime(s.now)
+	a.recordFetchTime(s.now)
 	a.state = stateGathering
 	s.gangs.taskGathering(a.job.gang)
 }
@@ -63,7 +63,7 @@
 		return
 	}
 	if a.state != stateGathering {
-		a.learnFetchTime(s.now)
+		a.recordFetchTime(s.now)
 	}
 	a.state, a.runningSince = stateRunning, s.now
 	spec := &a.job.spec
@@ -75,8 +75,8 @@
 	}})
 }
 
-// learnFetchTime adds the time that a task waited for its image to what is known of its class.
-func (a *assignment) learnFetchTime(now time.Duration) {
+// recordFetchTime adds the time that a task waited for its image to what is known of its class.
+func (a *assignment) recordFetchTime(now time.Duration) {
 	seconds := (now - a.assignedAt).Seconds()
 	a.job.class.learnFetchTime(seconds)
 	a.machine.fetchCPUSeconds += seconds * a.job.demand.CPUs
@@ -89,7 +89,7 @@
 	runTime := a.runTime(s.now)
 	s.assignments.release(a)
 	s.gangs.taskEnded(a, status)
-	ended := endedTask{mustNotForget: a.startUnconfirmed}
+	ended := endedTask{startMayArrive: a.startUnconfirmed}
 	switch status.Reason {
 	case protocol.ReasonDone:
 		s.taskCompleted(a, runTime, &ended)
@@ -129,15 +129,15 @@
 	}
 	doneWithGang := j.gang != nil && j.done.has(a.index)
 	ended.job = j
-	ended.chunk, ended.sequence = s.finished.recordDone(j, a.index)
+	ended.chunk, ended.sequence = s.finished.recordCompletion(j, a.index)
 	if runTime > 0 && !doneWithGang {
-		j.learnRunTime(m, runTime)
+		j.recordRunTime(m, runTime)
 	}
 }
 
-// learnRunTime adds a task's run time, in seconds, to what is known of its class, its job and its
+// recordRunTime adds a task's run time, in seconds, to what is known of its class, its job and its
 // machine.
-func (j *job) learnRunTime(m *machine, runTime float64) {
+func (j *job) recordRunTime(m *machine, runTime float64) {
 	if j.spec.EstimateS > 0 {
 		j.class.learnRunTime(runTime / j.spec.EstimateS)
 	}
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -71,7 +71,7 @@
 	for first := 0; first < f.machines; first += perRental {
 		rental := storage.Rental{MachineType: "s", Zone: "a", Count: perRental, Answered: true}
 		for i := first; i < first+perRental; i++ {
-			rental.Machines = append(rental.Machines, longName(i))
+			rental.Machines = append(rental.Machines, paddedMachineName(i))
 		}
 		f.store.put(storage.RentalKey(fmt.Sprintf("h-2-%03d", first/perRental)), rental)
 	}
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -39,13 +39,13 @@
 // free resources at once when there are some, and looks for tasks to preempt again soon.
 func TestPreemptionSearchInterval(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "high", 1, 8, 0)
-	sent := f.direct()[0]
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "high", 1, 8, 0)
+	sent := f.directCommands()[0]
 	start := sent.Commands[0]
 	running := protocol.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: protocol.TaskRunning}
 	f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: f.heartbeat(sent.Machine, running)})
-	f.job("job-2", "red", "high", 1, 4, 13) // 3 s of slack
+	f.submitJob("job-2", "red", "high", 1, 4, 13) // 3 s of slack
 	assigned := len(f.scheduler.jobs.find("job-2").assignments)
 	remembered := len(f.scheduler.placement.nextPreemptionSearch)
 	if assigned != 0 || remembered == 0 {
@@ -53,13 +53,13 @@
 	}
 	// Now the task on the machine may be preempted, but it is too soon to search.
 	f.scheduler.jobs.find("job-1").priority = protocol.PriorityLow
-	f.report(0, running)
+	f.sendHeartbeat(0, running)
 	if f.scheduler.inventory.find(sent.Machine).assignments[running.Task].stopping {
 		t.Error("preempted at once")
 	}
 	f.now += limits.PreemptionSearchInterval
 	f.scheduler.placement.requestPass()
-	f.report(0, running)
+	f.sendHeartbeat(0, running)
 	if !f.scheduler.inventory.find(sent.Machine).assignments[running.Task].stopping {
 		t.Error("not preempted after the interval")
 	}
@@ -69,13 +69,13 @@
 // resources.
 func TestFreeResourcesNeedNoSearch(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
+	f.sendHeartbeat(0)
 	request := placementRequest{
 		demand: resource.Vector{CPUs: 4, MemoryGB: 1}, team: f.scheduler.jobs.team("red"),
 		priority: protocol.PriorityHigh, guaranteed: true, preempting: true,
 	}
 	f.scheduler.placement.nextPreemptionSearch[request] = time.Hour
-	f.job("job-2", "red", "high", 1, 4, 13)
+	f.submitJob("job-2", "red", "high", 1, 4, 13)
 	if len(f.scheduler.jobs.find("job-2").assignments) != 1 {
 		t.Error("not placed although resources are free")
 	}
