--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -9,26 +9,27 @@
 	"quillshunt/internal/coordination/resource"
 )
 
-// assignmentState is how far a task has come on its machine.
+// assignmentState is the progress of an assigned task on its machine.
 type assignmentState uint8
 
 const (
-	stateUnsent    assignmentState = iota // no start has gone out yet
-	stateSent                             // a start is on its way, or was lost
-	stateFetching                         // waits for its image
-	stateGathering                        // of a gang: has its image and waits for the others
+	stateUnsent    assignmentState = iota // no start command was sent yet
+	stateSent                             // a start command was sent, but the task was not reported yet
+	stateFetching                         // the worker fetches the task's image
+	stateGathering                        // gang task that has its image and waits for the other tasks of the gang
 	stateRunning
 	stateSaving
 )
 
-// Reasons for which tasks are told to stop that code looks at.
+// Reasons for stopping a task that the scheduler's decisions depend on. All other reasons are only
+// logged.
 const (
 	stopReasonCancelled  = "cancelled"
-	stopReasonSuperseded = "done elsewhere"
+	stopReasonSuperseded = "completed on another machine"
 )
 
-// assignment binds a task to one incarnation of a machine. Only evidence that it is not there and
-// cannot come there ends it; see release.
+// assignment binds a task to one incarnation of a machine's worker. It ends only on evidence that the
+// task neither runs there nor can start there any more; see assignmentTable.release.
 type assignment struct {
 	job      *job
 	index    int // of the task in its job
@@ -37,32 +38,34 @@
 	machine  *machine
 	state    assignmentState
 
-	directID         uint64 // the direct command that carried the start and is not answered yet
-	startUnconfirmed bool   // a direct start was not answered: it may arrive while this incarnation and term last
-	startRepeated    bool   // the start was repeated in the answer to a heartbeat
-	assignedAt       time.Duration
-	runningSince     time.Duration // when it was first seen running
+	directID         uint64        // ID of the unanswered direct command that carries the start, or 0
+	startUnconfirmed bool          // a direct start got no reply; it may arrive in this incarnation and term
+	startRepeated    bool          // the start was sent again in a heartbeat reply
+	assignedAt       time.Duration // when it was assigned; once its start was sent, the time of that
+	runningSince     time.Duration // when it was first reported as running
 
-	stopping   bool   // was told to stop, or is about to be
+	stopping   bool   // a stop was sent or will be sent
 	stopReason string // one of the stopReason constants, or another text for the log
-	stopSent   bool   // the stop went out at least once
-	skipSaving bool   // to be ended without saving
+	stopSent   bool   // the stop was sent at least once
+	skipSaving bool   // must be stopped without time to save its work
 
-	committed bool // of a gang: room for all its tasks is confirmed, so the start may go out
+	committed bool // gang task: resources for all tasks of the gang are confirmed, so the start may be sent
 }
 
-// endedTask is an ended task that its machine still lists.
+// endedTask is an ended attempt that its machine still lists.
 type endedTask struct {
-	startMayArrive bool // a start of this attempt may still arrive; forgotten, it would run again
-	job            *job // nil if there is nothing to write down
-	chunk          int
-	sequence       uint64
+	// startMayArrive means that a start of this attempt may still arrive. A worker that has forgotten the
+	// attempt would then run it again.
+	startMayArrive bool
+	job            *job   // nil if there is no result to record
+	chunk          int    // the chunk of the job's finished tasks that contains the result
+	sequence       uint64 // the chunk contains the result from this sequence number on
 }
 
-// mayForget reports whether the worker may be told to forget the task.
+// mayForget reports whether the worker may be told to forget the attempt.
 func (e endedTask) mayForget() bool { return !e.startMayArrive && e.isDurable() }
 
-// isDurable reports whether the result, if there is one, is written down.
+// isDurable reports whether the result is in the state service, or there is none that must be recorded.
 func (e endedTask) isDurable() bool {
 	return e.job == nil || e.job.closed || e.job.chunks[e.chunk].durableSequence >= e.sequence
 }
@@ -93,12 +96,12 @@
 		m.releasing = m.releasing.Minus(a.job.demand)
 	}
 	if len(m.assignments) == 0 {
-		m.allocated, m.releasing = resource.Vector{}, resource.Vector{} // no rounding is carried on
+		m.allocated, m.releasing = resource.Vector{}, resource.Vector{} // drops accumulated rounding errors
 		m.idleSince = now
 	}
 }
 
-// sortedAssignments returns the machine's assignments by job and task.
+// sortedAssignments returns the machine's assignments, sorted by job ID and task index.
 func (m *machine) sortedAssignments() []*assignment {
 	sorted := make([]*assignment, 0, len(m.assignments))
 	for _, a := range m.assignments {
--- a/internal/coordination/scheduler/assignment_table.go
+++ b/internal/coordination/scheduler/assignment_table.go
@@ -5,24 +5,24 @@
 	"quillshunt/internal/protocol"
 )
 
-// assignmentTable binds tasks to machines and frees them. The assignments themselves are kept by their
-// jobs and machines.
+// assignmentTable assigns tasks to machines and releases them. The assignments themselves are stored in
+// their jobs and machines.
 type assignmentTable struct {
 	*environment
 	dispatcher *commandDispatcher
 	placement  *placer
 	gangs      *gangTable
-	attempts   uint64 // of this term; low part of the attempt numbers
+	attempts   uint64 // number of attempts in this term; the low part of the last attempt number
 }
 
-// newAssignmentTable returns a table without assignments.
+// newAssignmentTable returns a table that has assigned nothing yet.
 func newAssignmentTable(
 	env *environment, dispatcher *commandDispatcher, placement *placer, gangs *gangTable,
 ) *assignmentTable {
 	return &assignmentTable{environment: env, dispatcher: dispatcher, placement: placement, gangs: gangs}
 }
 
-// assign binds a task to a machine's present incarnation.
+// assign assigns a task to the current incarnation of a machine's worker.
 func (t *assignmentTable) assign(
 	j *job, index int, m *machine, attempt uint64, state assignmentState,
 ) *assignment {
@@ -42,12 +42,12 @@
 	return a
 }
 
-// release takes a task off its machine. The caller has the evidence that it is not there and cannot
-// come there: no start of this attempt is on its way, or the incarnation is over, or the machine is
-// gone.
+// release ends an assignment, so that the task can be placed again. The caller must have evidence that
+// the task neither runs on the machine nor can start there any more: it has ended or was never started
+// and no start of this attempt is in flight, the worker's incarnation is over, or the machine is gone.
 func (t *assignmentTable) release(a *assignment) {
 	if a.machine.assignments[a.taskName] != a {
-		return // with its gang, by an earlier step of the same loop
+		return // already released together with its gang, earlier in the caller's loop
 	}
 	t.gangs.taskLost(a)
 	a.job.removeAssignment(a)
@@ -56,14 +56,14 @@
 	t.gangs.requestCommit()
 }
 
-// releaseAll takes all tasks off a machine that surely has none any more.
+// releaseAll releases all tasks of a machine that certainly runs none of them any more.
 func (t *assignmentTable) releaseAll(m *machine) {
 	for _, a := range m.sortedAssignments() {
 		t.release(a)
 	}
 }
 
-// releaseUnsent releases the tasks of a machine of which no start has gone out.
+// releaseUnsent releases the tasks of a machine whose start was not sent yet.
 func (t *assignmentTable) releaseUnsent(m *machine) {
 	for _, a := range m.sortedAssignments() {
 		if a.state == stateUnsent {
@@ -72,7 +72,8 @@
 	}
 }
 
-// withdraw takes a task off its machine: at once if no command for it was sent, else by a stop.
+// withdraw removes a task from its machine. If its start was not sent yet, the task is released at
+// once; otherwise the worker is told to stop it.
 func (t *assignmentTable) withdraw(a *assignment, reason string) {
 	if a.state == stateUnsent {
 		t.release(a)
@@ -81,15 +82,15 @@
 	t.stop(a, reason)
 }
 
-// withdrawAll takes all tasks of a job off their machines.
+// withdrawAll removes all tasks of a job from their machines.
 func (t *assignmentTable) withdrawAll(j *job, reason string) {
 	for _, a := range j.sortedAssignments() {
 		t.withdraw(a, reason)
 	}
 }
 
-// stop has a worker told to stop a task. The task stays assigned until the worker shows
-// that it is gone.
+// stop queues a stop command for a task. The task stays assigned until there is evidence that it has
+// ended.
 func (t *assignmentTable) stop(a *assignment, reason string) {
 	if a.stopping {
 		return
@@ -100,12 +101,12 @@
 		t.dispatcher.enqueueUrgent(a.machine)
 	}
 	a.machine.releasing = a.machine.releasing.Plus(a.job.demand)
-	t.logInfo("stopping", keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt,
+	t.logInfo("stopping task", keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt,
 		keyMachine, a.machine.name, keyReason, reason)
 }
 
-// nextAttempt returns the next attempt number. Attempts rise across leaders because the term is their
-// high part.
+// nextAttempt returns a new attempt number. Attempt numbers increase across leaders, because the term
+// is their high part.
 func (t *assignmentTable) nextAttempt() uint64 {
 	t.attempts++
 	return t.cfg.Term<<limits.AttemptTermShift | t.attempts
--- a/internal/coordination/scheduler/doc.go
+++ b/internal/coordination/scheduler/doc.go
@@ -1,40 +1,40 @@
-// Package scheduler decides which task runs where, which tasks are preempted, which machines are
-// rented and returned, and what is written to the state service first. It is a deterministic state
-// machine, Step(event, now) -> effects, without clocks, I/O, goroutines or randomness of its own.
-// The leader runs one Scheduler in each term, feeds it events and executes its effects.
+// Package scheduler decides where tasks run, which tasks are preempted, which machines are rented and
+// returned, and which records must be written to the state service first. It is a deterministic state
+// machine, Step(event, now) -> effects, and uses no clock, I/O, goroutine or random number itself. The
+// leader creates one Scheduler per term, passes events to it and executes the effects that it returns.
 //
 // # Safety
 //
-// No task may run twice at the same time. A task is free, or assigned to one incarnation of one
-// machine's worker, and only evidence frees it: the worker reports that it is gone, the start can no
-// longer arrive, the worker's lease has expired, or the machine is deleted. See assignmentTable.release
-// and its callers. In a new term nothing is placed before recovery has ended, as tasks that earlier
-// leaders have started may be running.
+// A task must never run twice at the same time. A task is either unassigned or assigned to one
+// incarnation of one machine's worker. An assignment ends only on evidence that the task neither runs
+// there nor can start there any more: the worker no longer lists the task, the start command can no
+// longer arrive, the worker's lease has expired, or the machine was deleted. See
+// assignmentTable.release and its callers. A new term places nothing until its recovery has ended,
+// because tasks that earlier leaders started may still be running.
 //
 // # Parts
 //
-// The Scheduler is a thin coordinator. The state belongs to parts, each a type in a file of its
-// name. The fields of a part are touched only by its own methods, which TestPartsOwnTheirFields
-// checks. A part may have a pointer to a part that stands above it in this list, never the other
-// way:
+// Scheduler itself only coordinates. The state is divided among parts, each of which is a type in a
+// file of the same name. Only the methods of a part access its fields; TestPartsOwnTheirFields checks
+// that. A part may point to parts that precede it in this list, but not to later ones:
 //
-//   - environment and outbox: settings, time, effects, and what each pending write is for
+//   - environment and outbox: settings, time, effects, and the purpose of each pending write
 //   - jobTable: open jobs, their teams and classes
-//   - typeCatalog, machineListReader: machine types and machine list of the cloud
-//   - machineInventory: the machines that are known
-//   - machineRegistry, rentalTable: durable records of the machines
-//   - commandDispatcher: commands that do not wait for a heartbeat
+//   - typeCatalog, machineListReader: the cloud's machine types and its list of machines
+//   - machineInventory: the known machines
+//   - machineRegistry, rentalTable: durable records of machines and rentals
+//   - commandDispatcher: commands that are sent without waiting for a heartbeat
 //   - finishedTaskWriter: durable records of finished tasks
-//   - recoveryState: how far a new term knows what runs where
-//   - machineProber: requests to machines whose tasks are not known
+//   - recoveryState: whether a new term already knows all tasks that may be running
+//   - machineProber: status requests to machines whose tasks are unknown
 //   - jobQueue: order of the jobs, guarantees, slack and aging
 //   - placer: the scheduling pass
-//   - gangTable, gangReservations: jobs whose tasks start together, and machines that are kept for them
-//   - assignmentTable: tasks on machines, from the decision to the evidence that they are gone
-//   - reachabilityTracker: which workers hear us, and whose lease is over
-//   - capacityPlanner: scale out and scale in
+//   - gangTable, gangReservations: jobs whose tasks start together, and the machines reserved for them
+//   - assignmentTable: assignments of tasks to machines, from placement to release
+//   - reachabilityTracker: which workers receive replies and commands, and whose lease has expired
+//   - capacityPlanner: scale-out and scale-in
 //
-// What concerns many parts is a method of Scheduler: the life of a job (job_lifecycle.go) and of a
-// machine (machine_list.go, machine_removal.go, deletion.go), and the reconciliation of a worker's
-// tasks with the state (reconcile.go).
+// Operations that span several parts are methods of Scheduler: the lifecycle of a job
+// (job_lifecycle.go) and of a machine (machine_list.go, machine_removal.go, deletion.go), and the
+// reconciliation of a worker's task list with the assignments (reconcile.go).
 package scheduler
--- a/internal/coordination/scheduler/effects.go
+++ b/internal/coordination/scheduler/effects.go
@@ -6,14 +6,14 @@
 	"quillshunt/internal/protocol"
 )
 
-// Effect is something to do. The types of this file implement it. The leader executes the effects
-// of a step in their order; what needs I/O it starts in that order, and reports the outcome as an
-// event.
+// Effect is an output of the scheduler: an action that the leader must carry out. The types in this
+// file implement it. The leader executes the effects of a step in order. For those that need I/O, it
+// starts the I/O in that order and reports each outcome as an event.
 type Effect interface{ effect() }
 
-// HeartbeatReply answers a HeartbeatReceived. With Redirect the worker is to come to the leader
-// itself. With Accepted, and if the leader is still entitled, the worker's lease is renewed and it
-// gets the commands. Otherwise the heartbeat is rejected.
+// HeartbeatReply answers a HeartbeatReceived. If Redirect is set, the worker is told to send its
+// heartbeats to the leader directly. If Accepted is set and the leader's own lease is still valid, the
+// reply renews the worker's lease and carries the commands. Otherwise the heartbeat is rejected.
 type HeartbeatReply struct {
 	ReplyTo  HeartbeatResponder
 	Accepted bool
@@ -21,40 +21,40 @@
 	Commands []protocol.Command
 }
 
-// WriteRecords changes the state service in one transaction that also requires that the leader
-// still leads. Its outcome is a WriteCompleted of the same ID.
+// WriteRecords executes one transaction on the state service. The leader adds the condition that it
+// still holds the leadership. The outcome is a WriteCompleted with the same ID.
 type WriteRecords struct {
 	ID         uint64
-	Bulk       bool // can wait for all writes without it
+	Bulk       bool // low priority: yields to all writes that are not bulk
 	Conditions []protocol.Condition
 	Operations []protocol.Operation
 }
 
-// ProbeMachine asks a machine for its tasks and shows it the fencing token of this term. Its outcome
-// is a ProbeDone.
+// ProbeMachine asks a machine's worker for its tasks and shows it the fencing token of this term. The
+// outcome is a ProbeDone.
 type ProbeMachine struct{ Machine, Address string }
 
-// SendDirectCommands sends commands to a worker without waiting for its heartbeat. Its outcome is a
-// DirectCommandsDone of the same ID.
+// SendDirectCommands sends commands to a worker without waiting for its next heartbeat. The outcome is
+// a DirectCommandsDone with the same ID.
 type SendDirectCommands struct {
 	ID          uint64
 	Machine     string
 	Address     string
-	Incarnation uint64 // of the worker; another one rejects the commands
+	Incarnation uint64 // the worker's; a worker of another incarnation rejects the commands
 	Commands    []protocol.Command
 }
 
-// RentMachines asks the cloud for machines, again and again until it answers. Its outcome is a
+// RentMachines requests machines from the cloud and retries until the cloud answers. The outcome is a
 // RentalDone.
 type RentMachines struct{ Request protocol.RentalRequest }
 
-// DeleteMachines returns machines to the cloud. Its outcome is a DeletionDone.
+// DeleteMachines returns machines to the cloud. The outcome is a DeletionDone.
 type DeleteMachines struct{ Machines []string }
 
-// ListMachines reads the cloud's list of machines. Its outcome is a MachinesListed.
+// ListMachines reads the cloud's list of machines. The outcome is a MachinesListed.
 type ListMachines struct{}
 
-// FetchMachineTypes reads the machine types that the cloud offers. Its outcome is a
+// FetchMachineTypes reads the machine types that the cloud offers. The outcome is a
 // MachineTypesFetched.
 type FetchMachineTypes struct{}
 
@@ -62,7 +62,7 @@
 type TaskCounts struct {
 	ReplyTo       chan<- TaskCounts
 	Known         bool // the job is among the open jobs of this term
-	Done, Running int  // tasks
+	Done, Running int  // number of tasks
 }
 
 // SnapshotTaken answers a SnapshotRequested.
@@ -75,7 +75,7 @@
 type LogEntry struct {
 	Level   slog.Level
 	Message string
-	Args    []any // keys and values in turn, as in log/slog
+	Args    []any // alternating keys and values, as in log/slog
 }
 
 func (HeartbeatReply) effect()     {}
--- a/internal/coordination/scheduler/environment.go
+++ b/internal/coordination/scheduler/environment.go
@@ -6,18 +6,18 @@
 	"quillshunt/internal/limits"
 )
 
-// environment is what all parts of the scheduler share: the settings, the time of the event that is
-// processed, and the outbox.
+// environment is shared by all parts of the scheduler. It holds the settings, the time of the current
+// event, and the outbox.
 type environment struct {
 	cfg               Config
-	now               time.Duration // of the event
+	now               time.Duration // time of the current event
 	termStartedAt     time.Duration
 	workerLease       time.Duration
 	heartbeatInterval time.Duration
 	outbox
 }
 
-// newEnvironment returns the environment of a term that begins now.
+// newEnvironment returns the environment of a term that begins at the time now.
 func newEnvironment(cfg Config, now time.Duration) *environment {
 	return &environment{
 		cfg:               cfg,
@@ -29,7 +29,7 @@
 	}
 }
 
-// beginStep sets the time and empties the outbox for the next event.
+// beginStep advances the time, which never goes back, and clears the effects of the previous event.
 func (e *environment) beginStep(now time.Duration) {
 	e.now = max(e.now, now)
 	e.effects = nil
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -7,144 +7,146 @@
 	"quillshunt/internal/storage"
 )
 
-// Event is something that happened: a message, a changed record, the outcome of an effect, or the
-// passing of time. The types of this file implement it. All are sent by the leader's actor, one at a
-// time.
+// Event is an input of the scheduler: a message, a changed record, the outcome of an effect, or a tick
+// of the clock. The types in this file implement it. A single goroutine of the leader sends all events,
+// one at a time.
 type Event interface{ event() }
 
-// JobChanged is an open job as the state service has it. The leader sends one for each open job when
-// it loads the state, then one for each change that it watches, and one for a cancellation that it
-// has just written. Older versions than the newest that was seen are ignored.
+// JobChanged carries the record of an open job. The leader sends it for each open job while it loads
+// the state, then for each change that its watch delivers, and for each cancellation that was just
+// written through it. The scheduler ignores versions older than the newest one it has seen.
 type JobChanged struct {
 	JobID           string
 	Version         uint64 // of the record
 	Record          storage.OpenJob
 	SinceSubmission time.Duration
-	// SinceCancellation is at least the time since the user may first have been told that the job is
-	// cancelled; 0 if it is not cancelled.
+	// SinceCancellation is no less than the time since the cancellation may first have been confirmed
+	// to the user; 0 if the job is not cancelled.
 	SinceCancellation time.Duration
 }
 
-// JobRemoved is a job whose open record is gone. The leader sends it for each removal that it
-// watches, also for those that the scheduler has asked for.
+// JobRemoved reports that the open record of a job was removed. The leader sends it for each removal
+// that its watch delivers, including removals by the scheduler's own writes.
 type JobRemoved struct {
 	JobID   string
 	Version uint64 // of the removal
 }
 
-// FinishedTasksLoaded is a record of finished tasks. The leader sends these when it loads the state,
-// after the open jobs.
+// FinishedTasksLoaded carries a record of finished tasks. The leader sends one for each such record
+// while it loads the state, after the open jobs.
 type FinishedTasksLoaded struct {
 	JobID   string
 	Version uint64
 	Record  storage.FinishedTasks
 }
 
-// RentalLoaded is the record of a rental. The leader sends these when it loads the state, after the
-// finished tasks.
+// RentalLoaded carries the record of a rental. The leader sends one for each rental while it loads the
+// state, after the finished tasks.
 type RentalLoaded struct {
 	Name    string
 	Version uint64
 	Record  storage.Rental
 }
 
-// RegistryPageLoaded is a page of registered machines. The leader sends these when it loads the
-// state, after all rentals.
+// RegistryPageLoaded carries a page of registered machines. The leader sends one for each page while
+// it loads the state, after all rentals.
 type RegistryPageLoaded struct {
 	Name    string
 	Version uint64
 	Record  storage.RegistryPage
 }
 
-// StateLoaded says that all records of earlier terms were loaded. Nothing is placed before.
+// StateLoaded reports that all records of earlier terms are loaded. The scheduler places no task
+// before this event.
 type StateLoaded struct{}
 
-// HeartbeatReceived is a worker's heartbeat. It is answered by one HeartbeatReply, in the same step.
+// HeartbeatReceived carries a worker's heartbeat. The same step returns exactly one HeartbeatReply.
 type HeartbeatReceived struct {
 	Heartbeat      *protocol.Heartbeat
 	ReplyTo        HeartbeatResponder
-	Entitled       bool // the leader may answer it: its own lease is valid, and the worker still waits
-	Relayed        bool // came through another controller
-	SameConnection bool // the heartbeat before it on this connection was answered, so the worker has that answer
+	Entitled       bool // the leader may accept it: its own lease is valid, and the worker still waits
+	Relayed        bool // forwarded by another controller
+	SameConnection bool // the previous one on this connection was answered, so the worker has that reply
 }
 
-// HeartbeatResponder is the way back to the worker that has sent a heartbeat. The scheduler hands it
-// on from the HeartbeatReceived to the HeartbeatReply; only who executes that effect calls it.
+// HeartbeatResponder answers the worker that sent a heartbeat. The scheduler only copies it from the
+// HeartbeatReceived to the HeartbeatReply; the leader calls it when it executes that effect.
 type HeartbeatResponder interface {
-	// Accept renews the worker's lease and gives it commands.
+	// Accept renews the worker's lease and passes it the commands of the reply.
 	Accept(protocol.HeartbeatReply)
-	// Redirect sends the worker to a controller.
+	// Redirect tells the worker to send its heartbeats to another controller.
 	Redirect(protocol.Redirect)
-	// Reject renews no lease; the worker may try another controller.
+	// Reject does not renew the worker's lease. The worker may try another controller.
 	Reject()
 }
 
-// ProbeDone is the outcome of a ProbeMachine.
+// ProbeDone reports the outcome of a ProbeMachine.
 type ProbeDone struct {
 	Machine   string
-	Heartbeat *protocol.Heartbeat // made after the worker had seen our fencing token; nil without an answer
-	Elapsed   time.Duration       // from the first request to the last answer
-	NotSent   bool                // the controller lacked the time or a socket, so a missing answer says nothing
+	Heartbeat *protocol.Heartbeat // generated after the worker saw this term's fencing token; nil without a reply
+	Elapsed   time.Duration       // from the first request to the last reply
+	NotSent   bool                // no time or socket to send it, so a missing reply says nothing about the machine
 }
 
-// DirectCommandsDone is the outcome of a SendDirectCommands.
+// DirectCommandsDone reports the outcome of a SendDirectCommands.
 type DirectCommandsDone struct {
 	ID          uint64 // of the SendDirectCommands
 	Machine     string
-	Heartbeat   *protocol.Heartbeat // what the worker has after the commands; nil without an answer
-	NotExecuted bool                // no command was executed, as none was sent or the worker rejected them
+	Heartbeat   *protocol.Heartbeat // the worker's state after the commands; nil without a reply
+	NotExecuted bool                // no command was executed: none was sent, or the worker rejected them
 }
 
-// WriteCompleted is the outcome of a WriteRecords.
+// WriteCompleted reports the outcome of a WriteRecords.
 type WriteCompleted struct {
 	ID      uint64 // of the WriteRecords
-	OK      bool   // it was carried out; otherwise a condition failed and nothing was changed
-	Version uint64 // of the records that were put, if OK
+	OK      bool   // the transaction was committed; otherwise a condition failed and nothing changed
+	Version uint64 // new version of the records that were put, if OK
 }
 
-// RentalDone is the outcome of a RentMachines. With neither OK nor NoCapacity it is to be asked for
-// again.
+// RentalDone reports the outcome of a RentMachines. If neither OK nor NoCapacity is set, the rental
+// must be requested again.
 type RentalDone struct {
 	Name       string
-	Machines   []string // may be fewer than were asked for
+	Machines   []string // possibly fewer than requested
 	OK         bool
-	NoCapacity bool // the cloud has none, now or ever
+	NoCapacity bool // the cloud has no such machines, at present or at all
 }
 
-// DeletionDone is the outcome of a DeleteMachines.
+// DeletionDone reports the outcome of a DeleteMachines.
 type DeletionDone struct {
 	Machines []string
 	OK       bool
 }
 
-// MachinesListed is the outcome of a ListMachines.
+// MachinesListed reports the outcome of a ListMachines.
 type MachinesListed struct {
 	Machines []protocol.Machine
 	OK       bool // otherwise the list could not be read
 }
 
-// MachineTypesFetched is the outcome of a FetchMachineTypes.
+// MachineTypesFetched reports the outcome of a FetchMachineTypes.
 type MachineTypesFetched struct {
 	Types []protocol.MachineType
 	OK    bool // otherwise the types could not be read
 }
 
-// TaskCountsRequested asks for the task counts of a job, for a user who wants to know how it goes.
-// It is answered by one TaskCounts, in the same step.
+// TaskCountsRequested asks for the task counts of a job, for a user who polls its status. The same step
+// returns exactly one TaskCounts.
 type TaskCountsRequested struct {
 	JobID   string
 	ReplyTo chan<- TaskCounts
 }
 
-// SnapshotRequested asks for a Snapshot, for an operator. If a job is named, the snapshot explains
-// what it waits for. It is answered by one SnapshotTaken, in the same step.
+// SnapshotRequested asks for a Snapshot, for an operator. If it names a job, the snapshot explains what
+// that job waits for. The same step returns exactly one SnapshotTaken.
 type SnapshotRequested struct {
-	JobID   string // or ""
+	JobID   string // the job to explain, or ""
 	ReplyTo chan<- Snapshot
 }
 
-// Tick lets time pass. The leader sends one every limits.TickInterval. Entitled says that its lease
-// is valid; without it the scheduler starts nothing new.
+// Tick advances the time. The leader sends one every limits.TickInterval. Entitled means that the
+// leader's own lease is valid; otherwise the tick runs none of the periodic work that writes records,
+// rents or deletes machines.
 type Tick struct{ Entitled bool }
 
 func (JobChanged) event()          {}
--- a/internal/coordination/scheduler/log_keys.go
+++ b/internal/coordination/scheduler/log_keys.go
@@ -1,16 +1,16 @@
 package scheduler
 
-// Keys of log entries that several lines have. Each line names a thing by the same key.
+// Log keys that several log entries share, so that all entries use the same key for the same thing.
 const (
 	keyJob      = "job"
-	keyTask     = "task" // index in its job
+	keyTask     = "task" // index of the task in its job
 	keyAttempt  = "attempt"
 	keyMachine  = "machine"
-	keyMachines = "machines" // how many
-	keyTasks    = "tasks"    // how many
+	keyMachines = "machines" // number of machines
+	keyTasks    = "tasks"    // number of tasks
 	keyReason   = "reason"
 	keyRental   = "request" // name of the rental
-	keyType     = "type"    // of machines
+	keyType     = "type"    // machine type
 	keyZone     = "zone"
 	keySpot     = "spot"
 )
--- a/internal/coordination/scheduler/outbox.go
+++ b/internal/coordination/scheduler/outbox.go
@@ -6,35 +6,36 @@
 	"quillshunt/internal/protocol"
 )
 
-// outbox collects the effects of the event that is processed, and remembers what each write was for.
+// outbox collects the effects of the current event and stores the purpose of each pending write.
 type outbox struct {
 	effects       []Effect
 	pendingWrites map[uint64]pendingWrite // by ID
-	lastWriteID   uint64                  // the ID of the last write
+	lastWriteID   uint64                  // ID of the newest write; IDs count up from 1
 }
 
-// newOutbox returns an outbox without effects or pending writes.
+// newOutbox returns an empty outbox.
 func newOutbox() outbox { return outbox{pendingWrites: map[uint64]pendingWrite{}} }
 
-// emit adds an effect to those of this event.
+// emit appends an effect to those of the current event.
 func (o *outbox) emit(e Effect) { o.effects = append(o.effects, e) }
 
-// logInfo emits a log entry that operators may read; args are alternating keys and values.
+// logInfo emits a log entry at the info level; args are alternating keys and values.
 func (o *outbox) logInfo(message string, args ...any) {
 	o.emit(LogEntry{Level: slog.LevelInfo, Message: message, Args: args})
 }
 
-// logWarn emits a log entry that operators should look at; args are alternating keys and values.
+// logWarn emits a log entry about something that an operator should look into; args are alternating
+// keys and values.
 func (o *outbox) logWarn(message string, args ...any) {
 	o.emit(LogEntry{Level: slog.LevelWarn, Message: message, Args: args})
 }
 
-// write emits a write of records and remembers what it was for until its WriteCompleted arrives.
+// write emits a WriteRecords and stores its purpose until the WriteCompleted arrives.
 func (o *outbox) write(purpose pendingWrite, conditions []protocol.Condition, operations []protocol.Operation) {
 	o.emitWrite(purpose, false, conditions, operations)
 }
 
-// writeBulk is like write, for records that can wait for all others.
+// writeBulk is like write, but at low priority: the write yields to all writes that are not bulk.
 func (o *outbox) writeBulk(purpose pendingWrite, conditions []protocol.Condition, operations []protocol.Operation) {
 	o.emitWrite(purpose, true, conditions, operations)
 }
@@ -47,8 +48,8 @@
 	o.emit(WriteRecords{ID: o.lastWriteID, Bulk: bulk, Conditions: conditions, Operations: operations})
 }
 
-// takePendingWrite returns what a write was for, and forgets it. It returns nil if the write is not
-// known.
+// takePendingWrite removes a pending write and returns its purpose, or nil if no write with that ID is
+// pending.
 func (o *outbox) takePendingWrite(id uint64) pendingWrite {
 	purpose := o.pendingWrites[id]
 	delete(o.pendingWrites, id)
--- a/internal/coordination/scheduler/pending_write.go
+++ b/internal/coordination/scheduler/pending_write.go
@@ -1,37 +1,38 @@
 package scheduler
 
-// pendingWrite is what a WriteRecords was for. It is one of the types below.
+// pendingWrite is the purpose of a WriteRecords, needed when its outcome arrives. The types below
+// implement it.
 type pendingWrite interface{ pendingWrite() }
 
-// chunkWrite replaces the record of one chunk of a job's finished tasks.
+// chunkWrite creates or replaces the record of one chunk of a job's finished tasks.
 type chunkWrite struct {
 	job             *job
 	chunk           int
-	writtenSequence uint64 // of the chunk when it was written
+	writtenSequence uint64 // the chunk's sequence number when the write was sent
 }
 
-// finalJobWrite replaces a job's open record by its final one.
+// finalJobWrite replaces a job's open record with its final record.
 type finalJobWrite struct{ job *job }
 
-// finishedTasksRemoval removes a record of finished tasks of a job that is over.
+// finishedTasksRemoval removes a record of finished tasks whose job has no open record any more.
 type finishedTasksRemoval struct{}
 
-// rentalWrite writes a rental's record.
+// rentalWrite writes the record of a rental.
 type rentalWrite struct {
 	rental   string
-	answered bool // the record names the rental's machines
+	answered bool // the cloud has answered, and the record names the rented machines
 }
 
-// rentalRemoval removes the record of a rental without machines.
+// rentalRemoval removes the record of a rental that has no machines.
 type rentalRemoval struct{ rental string }
 
 // registryPageWrite writes a page of registered machines.
 type registryPageWrite struct {
 	page     *registryPage
-	machines int // how many machines of the page the record names
+	machines int // the record names this many of the page's machines, from the first on
 }
 
-// registryPageRemoval removes a page without machines.
+// registryPageRemoval removes a page that has no machines.
 type registryPageRemoval struct{}
 
 func (chunkWrite) pendingWrite()           {}
@@ -42,7 +43,8 @@
 func (registryPageWrite) pendingWrite()    {}
 func (registryPageRemoval) pendingWrite()  {}
 
-// writeCompleted carries on with what a write was for.
+// writeCompleted passes the outcome of a write to the part that requested it. Outcomes of removals of
+// finished tasks and registry pages need no further action.
 func (s *Scheduler) writeCompleted(e WriteCompleted) {
 	switch write := s.takePendingWrite(e.ID).(type) {
 	case chunkWrite:
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -2,9 +2,9 @@
 
 import "quillshunt/internal/protocol"
 
-// reconcileTasks compares the tasks that a machine lists with our assignments. It returns commands
-// about tasks that should not be there. The message is a heartbeat, or with directID set the answer to
-// that direct command.
+// reconcileTasks updates the assignments to a machine from a task list of its worker. It returns
+// commands to stop unexpected tasks and to forget ended ones. The list comes from a heartbeat or, if
+// directID is not 0, from the reply to the direct command with that ID.
 func (s *Scheduler) reconcileTasks(m *machine, heartbeat *protocol.Heartbeat, directID uint64) []protocol.Command {
 	m.sequence = heartbeat.Sequence
 	var commands []protocol.Command
@@ -42,8 +42,9 @@
 	return commands
 }
 
-// reconcileEndedTask handles a task that a machine lists as ended; j is its job, or nil if we do not
-// know it. It reports whether the attempt was ours.
+// reconcileEndedTask handles a task that a machine lists as ended; j is its job, or nil if it is
+// unknown. isAssigned reports whether the listed attempt is the one assigned to the machine; if so, it
+// is released.
 func (s *Scheduler) reconcileEndedTask(
 	m *machine, j *job, index int, status *protocol.TaskStatus,
 ) (ended endedTask, isAssigned bool) {
@@ -56,8 +57,9 @@
 	ended, alreadyEnded := m.endedTasks[attemptKeyOf(status)]
 	switch {
 	case alreadyEnded && isAssigned:
-		// The attempt had ended here before we sent it once more, as the gang's tasks share one.
-		// The start has no effect, as long as the worker is not told to forget the attempt.
+		// This attempt had already ended here when the task was assigned here once more with the same
+		// attempt number, which all tasks of a gang share. The worker ignores the new start as long as
+		// it is not told to forget the attempt.
 		s.assignments.release(a)
 		ended.startMayArrive = ended.startMayArrive || startMayArrive
 		return ended, true
@@ -71,9 +73,9 @@
 	return s.recordUnassignedResult(a, j, index), false
 }
 
-// recordUnassignedResult records the result of an attempt that we had given up, or of one of an earlier
-// term. If the task is assigned elsewhere meanwhile, it is stopped there; a is the assignment to the
-// machine that has the result, if there is one.
+// recordUnassignedResult records the result of an attempt that is no longer assigned or that an earlier
+// term started. If the task has since been assigned to another machine, it is released or stopped
+// there. The parameter a is the task's assignment to the machine that has the result, or nil.
 func (s *Scheduler) recordUnassignedResult(a *assignment, j *job, index int) endedTask {
 	ended := endedTask{job: j}
 	ended.chunk, ended.sequence = s.finished.recordCompletion(j, index)
@@ -88,12 +90,13 @@
 	return ended
 }
 
-// reconcileActiveTask handles a task that fetches, gathers, runs or saves on a machine; j is its job,
-// or nil if we do not know it. It returns false if the task should not be there.
+// reconcileActiveTask handles a task that a machine lists as fetching, gathering, running or saving; j
+// is its job, or nil if it is unknown. It returns false if the task must not run there.
 func (s *Scheduler) reconcileActiveTask(m *machine, j *job, index int, status *protocol.TaskStatus) bool {
 	a := m.assignments[status.Task]
 	if a != nil && a.state != stateUnsent && status.Attempt > a.attempt {
-		// A later attempt than ours: attempts rise, so ours is over.
+		// The worker has a later attempt than the assigned one. Attempt numbers only increase, so the
+		// assigned attempt is over.
 		s.assignments.release(a)
 		a = nil
 	}
@@ -101,7 +104,7 @@
 	case a != nil && a.attempt == status.Attempt:
 		s.updateProgress(a, status)
 	case j != nil && j.mayAdopt(index):
-		// Running, but not by our command: of an earlier term, mostly. It is ours now.
+		// The task runs without a start of this assignment, usually from an earlier term. Adopt it.
 		if unsent := j.assignments[index]; unsent != nil {
 			s.assignments.release(unsent)
 		}
@@ -111,11 +114,12 @@
 				keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, keyMachine, m.name)
 		}
 	case a != nil && a.state != stateUnsent:
-		// An older attempt is still here; our start is refused as busy. Keep the one that is here.
+		// The worker still has an older attempt, so it refuses the start of the assigned one as busy.
+		// Keep the older attempt.
 		newer := a.attempt
 		s.assignments.release(a)
 		s.updateProgress(s.assignments.assign(j, index, m, status.Attempt, stateSent), status)
-		s.logWarn("older attempt still there",
+		s.logWarn("older attempt of task adopted",
 			keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, "newer", newer, keyMachine, m.name)
 	default:
 		return false
@@ -123,14 +127,14 @@
 	return true
 }
 
-// mayAdopt reports whether a task that is found on a machine can be taken over there: it is not done,
-// and no start of it has gone out.
+// mayAdopt reports whether a task that a machine runs unexpectedly can be assigned to that machine: the
+// task is not done, and no start was sent for its current assignment, if it has one.
 func (j *job) mayAdopt(index int) bool {
 	a := j.assignments[index]
 	return !j.done.has(index) && (a == nil || a.state == stateUnsent)
 }
 
-// stopUnexpectedTask returns the command that ends a task that should not be on a machine.
+// stopUnexpectedTask returns the command that stops a task that must not run on a machine.
 func (s *Scheduler) stopUnexpectedTask(m *machine, j *job, status *protocol.TaskStatus) protocol.Command {
 	if j == nil || !j.cancelled {
 		s.logWarn("unexpected task stopped", keyTask, status.Task, keyAttempt, status.Attempt, keyMachine, m.name)
@@ -139,37 +143,40 @@
 	return protocol.Command{Verb: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: &noGrace}
 }
 
-// reconcileMissingTasks releases the tasks of a machine that a message does not list, where that proves
-// that they are not there and will not come.
+// reconcileMissingTasks releases the tasks of a machine that its worker does not list, if that proves
+// that they neither run there nor can start there any more.
 func (s *Scheduler) reconcileMissingTasks(m *machine, listed map[string]bool, directID uint64) {
 	for _, a := range m.sortedAssignments() {
 		switch {
 		case a.state == stateUnsent || listed[a.taskName]:
 			continue
 		case a.state != stateSent:
-			s.logWarn("task vanished", keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt, keyMachine, m.name)
+			s.logWarn("task missing from its worker",
+				keyJob, a.job.id, keyTask, a.index, keyAttempt, a.attempt, keyMachine, m.name)
 		case a.startMayArriveAfter(directID):
 			continue
 		case directID == 0:
-			s.reachability.setVerified(m, false) // our answer did not reach it
+			s.reachability.setVerified(m, false) // the heartbeat reply with the start did not arrive
 		}
 		s.assignments.release(a)
 	}
 }
 
-// startMayArriveAfter reports whether a start that was sent may still arrive after a message that does
-// not list its task: the answer to the direct command directID, or a heartbeat if that is 0.
+// startMayArriveAfter reports whether the start of a task may still arrive after the worker has sent a
+// task list without that task: in a heartbeat or, if directID is not 0, in the reply to the direct
+// command with that ID.
 //
-// It cannot if it was in that very command, or in the answer to an earlier heartbeat: the worker has one
-// heartbeat in flight and sends the next only once that exchange is over.
+// The start can no longer arrive if it was part of that direct command, or of the reply to an earlier
+// heartbeat: a worker has only one heartbeat in flight and sends the next one when that exchange is
+// over.
 func (a *assignment) startMayArriveAfter(directID uint64) bool {
 	if a.startUnconfirmed {
-		return true // sent directly, without an answer
+		return true // a direct command with the start got no reply
 	}
 	return a.directID != directID
 }
 
-// attemptKey names one attempt of one task.
+// attemptKey identifies one attempt of one task.
 type attemptKey struct {
 	task    string
 	attempt uint64
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -2,44 +2,46 @@
 
 import "quillshunt/internal/limits"
 
-// recoveryState is how far a new term knows what runs where. Nothing is placed before recovery has
-// ended, as a task might be running already.
+// recoveryState tracks whether a new term already knows all tasks that earlier terms may have left
+// running. The term places nothing before recovery has ended, because a waiting task may in fact be
+// running.
 type recoveryState struct {
 	*environment
 	inventory         *machineInventory
-	recordsLoaded     bool // all that earlier terms wrote down is known
-	ended             bool // and all that may run
-	onlyFewUnreported bool // of the machines that may hold tasks of earlier terms only a few have not reported
+	recordsLoaded     bool // all records of earlier terms are loaded
+	ended             bool // all tasks that may be running are known as well
+	onlyFewUnreported bool // only a few of the machines that may run tasks of earlier terms have not reported
 }
 
-// newRecoveryState returns the state of a term that knows nothing yet.
+// newRecoveryState returns the state of a term whose records are not loaded yet.
 func newRecoveryState(env *environment, inventory *machineInventory) *recoveryState {
 	return &recoveryState{environment: env, inventory: inventory}
 }
 
-// hasEnded reports whether all tasks that may run are known.
+// hasEnded reports whether all tasks that may be running are known.
 func (r *recoveryState) hasEnded() bool { return r.ended }
 
-// markRecordsLoaded notes that all that earlier terms wrote down is known.
+// markRecordsLoaded notes that all records of earlier terms are loaded.
 func (r *recoveryState) markRecordsLoaded() { r.recordsLoaded = true }
 
-// updateUnreported notes how many of the machines that may hold tasks of earlier terms have not
-// reported, and how many machines have.
+// updateUnreported determines whether only a few machines hold up recovery. The parameter unreported is
+// the number of machines that may run tasks of earlier terms and have not reported to this leader;
+// reported is the number of machines that have.
 func (r *recoveryState) updateUnreported(unreported, reported int) {
 	share := limits.FewUnreportedShare * float64(unreported+reported)
 	r.onlyFewUnreported = !r.ended && float64(unreported) <= max(limits.CorrelatedUnreachableMin, share)
 }
 
-// hasFewUnreported reports whether placement waits for only a few machines.
+// hasFewUnreported reports whether only a few machines hold up recovery, and with it all placement.
 func (r *recoveryState) hasFewUnreported() bool { return r.onlyFewUnreported }
 
-// tryEnd ends recovery if no task can be running that we have not heard of: each machine that may hold
-// some has reported to us or is gone, or its lease from before is over. It reports whether recovery has
-// ended just now.
+// tryEnd ends recovery if no unknown task can be running: each machine that may run tasks of earlier
+// terms has reported to this leader, is gone, or has an expired lease. It reports whether this call has
+// ended recovery.
 //
-// A machine of which we have answered a heartbeat had its lease renewed by that: it has the whole of
-// it again, although it has shown us no tasks yet. A leader that is too busy to handle its next
-// heartbeats must not forget that.
+// The reply to a heartbeat renews the worker's lease in full, even if the worker has not yet shown its
+// tasks to this leader. The lease therefore counts from that reply. A leader that is too busy to
+// process the next heartbeats would otherwise end recovery while the worker's tasks still run.
 func (r *recoveryState) tryEnd() bool {
 	if !r.recordsLoaded || r.ended {
 		return false
@@ -54,7 +56,7 @@
 	return true
 }
 
-// tryEndRecovery lets placement begin once recovery has ended.
+// tryEndRecovery enables placement as soon as recovery has ended.
 func (s *Scheduler) tryEndRecovery() {
 	if !s.recovery.tryEnd() {
 		return
@@ -63,5 +65,6 @@
 	for _, j := range s.jobs.oldestFirst() {
 		s.gangs.markChanged(j.gang)
 	}
-	s.logInfo("recovered", "after", s.now-s.termStartedAt, keyMachines, len(s.inventory.all()), "jobs", s.jobs.count())
+	s.logInfo("recovery ended",
+		"duration", s.now-s.termStartedAt, keyMachines, len(s.inventory.all()), "jobs", s.jobs.count())
 }
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -7,25 +7,26 @@
 	"quillshunt/internal/config"
 )
 
-// never is a time that does not come.
+// never is a time or a duration that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// Config is what the scheduler must know of the term, the settings and its surroundings. It does not
-// change during a term.
+// Config holds the term, the settings and the properties of the cluster that the scheduler needs. It
+// does not change during a term.
 type Config struct {
-	Term       uint64 // the fencing token of the leader
+	Term       uint64 // also the leader's fencing token
 	Teams      []config.Team
 	Objectives []config.Objective
 	Workers    config.Workers
 	State      config.State  // limits of the state service
-	ListLag    time.Duration // how far the cloud's list of machines usually lags behind
-	CloudRPS   float64       // requests to the cloud that may go out in a second
-	CoreShare  float64       // the share of a core that this controller has; 0 if it is not known
+	ListLag    time.Duration // usual delay until a change shows in the cloud's list of machines
+	CloudRPS   float64       // limit on requests to the cloud per second
+	CoreShare  float64       // CPU cores available to this controller, as a share of one; 0 if unknown
 	Options    config.Options
 }
 
-// Scheduler is the state of one term. It hands each event to the parts that it concerns and lets
-// them decide in a fixed order; doc.go lists the parts. It is not safe for concurrent use.
+// Scheduler is the scheduling state of one term. It passes each event to the parts that handle it, and
+// then runs the scheduling decisions in a fixed order. The package comment lists the parts. A Scheduler
+// is not safe for concurrent use.
 type Scheduler struct {
 	*environment
 
@@ -47,10 +48,10 @@
 	planner          *capacityPlanner
 	cloudList        *machineListReader
 
-	nextSummaryAt time.Duration // when the summary line is due
+	nextSummaryAt time.Duration // when the next summary is logged
 }
 
-// New returns the scheduler of a term that begins now.
+// New returns the scheduler of a term that begins at the time now.
 func New(cfg Config, now time.Duration) *Scheduler {
 	env := newEnvironment(cfg, now)
 	jobs := newJobTable(env)
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Step processes one event and returns the effects that are to be executed, in order. Now is the
-// time since the term began by a clock that does not go back; if it does, the time of an earlier
-// event counts. The same events at the same times give the same effects.
+// Step processes one event and returns the effects that the leader must execute, in this order. Now is
+// the time since the term began, on a monotonic clock. If it is before the time of an earlier event,
+// the earlier event's time is used instead. The same events at the same times yield the same effects.
 func (s *Scheduler) Step(e Event, now time.Duration) []Effect {
 	s.beginStep(now)
 	s.process(e)
@@ -14,7 +14,7 @@
 	return s.effects
 }
 
-// process hands an event to the part that it concerns.
+// process passes an event to its handler.
 func (s *Scheduler) process(e Event) {
 	switch e := e.(type) {
 	case JobChanged:
@@ -54,9 +54,11 @@
 	}
 }
 
-// stateLoaded begins the recovery of a new term, and reads what only the cloud knows.
+// stateLoaded starts the recovery of a new term and requests the machine types and the list of
+// machines from the cloud.
 func (s *Scheduler) stateLoaded() {
-	s.logInfo("recovering", "jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
+	s.logInfo("recovery started",
+		"jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
 	s.recovery.markRecordsLoaded()
 	s.catalog.fetchNow()
 	s.cloudList.readNow()
@@ -64,8 +66,8 @@
 	s.tick(true)
 }
 
-// decide brings gangs in line with what is known, places waiting tasks, and lets gangs start whose
-// tasks all have their machines.
+// decide updates the gangs, places waiting tasks, and commits the gangs whose tasks all have machines,
+// so that they can start.
 func (s *Scheduler) decide() {
 	s.reconcileGangs()
 	s.placeTasks()
@@ -73,11 +75,12 @@
 	s.commitGangs()
 }
 
-// tick does what is due. Unless the leader is entitled, it only frees tasks whose lease has expired.
+// tick runs the periodic work. If the leader is not entitled to act, it only releases the tasks that
+// are certainly gone or were never sent, and prunes outdated state.
 func (s *Scheduler) tick(entitled bool) {
 	s.reachability.expireLeases()
 	s.placement.forgetPastSearches()
-	s.gangs.requestCommit() // a machine may be usable again
+	s.gangs.requestCommit() // a machine may have become usable again
 	if !entitled {
 		return
 	}
