--- a/internal/coordination/scheduler/cancel_deadlines.go
+++ b/internal/coordination/scheduler/cancel_deadlines.go
@@ -6,8 +6,8 @@
 	"quillshunt/internal/limits"
 )
 
-// holdsCancelledTask reports whether a machine may have a task of a cancelled job although that job's
-// deadline has passed.
+// holdsCancelledTask reports whether a machine may still run a task of a cancelled job for which the
+// time returned by deadline has passed.
 func (e *environment) holdsCancelledTask(m *machine, deadline func(*job) time.Duration) bool {
 	for _, a := range m.assignments {
 		if a.job.cancelled && a.state != stateUnsent && e.now > deadline(a.job) {
@@ -17,9 +17,10 @@
 	return false
 }
 
-// cancelDeletionAt is when a machine that still has a task of a cancelled job is deleted: early
-// enough that the cloud has answered by cancelReplyDeadline. A leader that has only just learned of
-// the cancellation lets the stops arrive first, while there is time.
+// cancelDeletionAt returns the time at which a machine that still has a task of a cancelled job is
+// deleted. It leaves the cloud time to confirm the deletion by cancelReplyUntil. A leader that learned
+// of the cancellation late first waits limits.CancelStopGrace for its stop commands to take effect, but
+// not beyond limits.CancelDeleteLatestShare of cancel_s.
 func (e *environment) cancelDeletionAt(j *job) time.Duration {
 	cancelLimit := limits.Seconds(e.cfg.Workers.CancelS)
 	window := limits.CancelHeartbeatWindow(cancelLimit, e.workerLease)
@@ -28,9 +29,11 @@
 	return max(usual, min(j.cancelSeenAt+limits.CancelStopGrace, latest))
 }
 
-// cancelReplyUntil is until when the heartbeats of such a machine are answered. If its deletion is
-// not confirmed by then, nothing but the end of its lease stops the task in time, also if it hangs
-// and goes on. Its other tasks are lost with that, as they would be by the deletion.
+// cancelReplyUntil returns the time until which the heartbeats of a machine that still has a task of a
+// cancelled job are accepted. If the deletion of the machine is not confirmed by then, only the expiry
+// of its lease can still end the task within cancel_s, so the lease is no longer renewed. That works
+// even if the worker ignores stop commands, or hangs and then resumes. The machine's other tasks are
+// lost, as they would be by the deletion.
 func (e *environment) cancelReplyUntil(j *job) time.Duration {
 	return j.cancelledAt + limits.CancelHeartbeatWindow(limits.Seconds(e.cfg.Workers.CancelS), e.workerLease)
 }
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -9,19 +9,20 @@
 	"quillshunt/internal/storage"
 )
 
-// finishedTaskWriter writes down which tasks are done, each job's in chunks of as many tasks as fit
-// into a value of the state service.
+// finishedTaskWriter records in the state service which tasks are done. The tasks of each job are
+// divided into chunks, each as large as fits into one value of the state service.
 //
-// Records may be of another size than the chunks of this term: earlier versions and other limits of
-// the state service cut them differently. All of them are read as their union. A record that begins
-// where a chunk of ours does is replaced by it, once what it tells of later chunks is written
-// elsewhere; the others stay as they are until the job is over.
+// Existing records may cover more or fewer tasks than the chunks of this term, because earlier versions
+// or other value limits of the state service used other chunk sizes. A task is done if any record says
+// so. A record that begins at the same task as a chunk of this term is replaced by that chunk, but only
+// after the records of the later chunks contain the done tasks that it covers beyond its own chunk. All
+// other records stay unchanged until the job is over.
 type finishedTaskWriter struct {
 	*environment
 	jobs *jobTable
 
 	tasksPerChunk int
-	writeBudget   float64 // chunk writes that may go out now
+	writeBudget   float64 // number of chunk writes allowed now; refilled by each tick
 	orphans       []orphanedRecord
 }
 
@@ -34,27 +35,27 @@
 	}
 }
 
-// finishedChunk is a part of a job's finished tasks as the state service keeps it.
+// finishedChunk is the state of one chunk of a job's finished tasks and of its record.
 type finishedChunk struct {
 	version          uint64
-	sequence         uint64 // rises with every finished task
-	durableSequence  uint64 // highest sequence that is written
+	sequence         uint64 // counts the changes of the chunk, such as each finished task
+	durableSequence  uint64 // sequence up to which the record contains the changes
 	writeInFlight    bool
 	lastWriteAt      time.Duration
-	deferredSince    time.Duration // when its write was first deferred; 0 if it was not
-	expedited        bool          // a machine that has results of it is to go
-	lastCoveredChunk int           // the written record tells of tasks up to this chunk
+	deferredSince    time.Duration // since when the chunk could have been written; 0 if nothing is due
+	expedited        bool          // write it first: a machine that still has results of it will be returned
+	lastCoveredChunk int           // the existing record covers done tasks up to this chunk
 }
 
-// orphanedRecord is a record of finished tasks without an open job.
+// orphanedRecord is a record of finished tasks whose job is not among the open jobs.
 type orphanedRecord struct{ jobID, key string }
 
-// chunkCount is how many chunks the finished tasks of a job are kept in.
+// chunkCount returns the number of chunks for a job with that many tasks.
 func (w *finishedTaskWriter) chunkCount(tasks int) int {
 	return (tasks + w.tasksPerChunk - 1) / w.tasksPerChunk
 }
 
-// load marks the tasks of a record as done, at the start of the term.
+// load marks the tasks of a record as done. It is called for each record at the start of the term.
 func (w *finishedTaskWriter) load(e FinishedTasksLoaded) {
 	key := storage.FinishedTasksKey(e.JobID, e.Record.Base)
 	j := w.jobs.find(e.JobID)
@@ -81,11 +82,12 @@
 	j.chunks[chunk].version = e.Version
 	for later := chunk + 1; later <= last/w.tasksPerChunk; later++ {
 		j.chunks[chunk].lastCoveredChunk = later
-		j.chunks[later].sequence++ // to be written before this record is replaced
+		j.chunks[later].sequence++ // must be written before this record is replaced
 	}
 }
 
-// removeOrphanedRecords removes records that earlier terms left behind of jobs that are over.
+// removeOrphanedRecords removes the records that earlier terms did not remove after their jobs were
+// over.
 func (w *finishedTaskWriter) removeOrphanedRecords() {
 	for _, orphan := range w.orphans {
 		w.removeRecords(orphan.jobID, []string{orphan.key})
@@ -93,8 +95,9 @@
 	w.orphans = nil
 }
 
-// removeRecords removes records of finished tasks of a job that is over, each by a write of its
-// own, as there may be more than a transaction takes.
+// removeRecords removes records of finished tasks of a job, provided that the job has no open record.
+// Each record is removed by a separate write, because all of them may exceed the operations allowed in
+// one transaction.
 func (w *finishedTaskWriter) removeRecords(jobID string, keys []string) {
 	for _, key := range keys {
 		w.writeBulk(finishedTasksRemoval{},
@@ -114,12 +117,13 @@
 	return keys
 }
 
-// recordCompletion notes a finished task. The worker is told to forget it only once the chunk that has it
-// is durable up to that sequence.
+// recordCompletion marks a task as done; for a gang, all of its tasks. It returns the chunk that
+// contains the task and the sequence number up to which this chunk must be durable before the worker
+// may be told to forget the task.
 func (w *finishedTaskWriter) recordCompletion(j *job, index int) (chunk int, sequence uint64) {
 	if j.gang != nil {
 		for i := range j.spec.Tasks {
-			w.markDone(j, i) // they complete together
+			w.markDone(j, i) // the tasks of a gang complete together
 		}
 	} else {
 		w.markDone(j, index)
@@ -139,7 +143,7 @@
 	j.chunks[index/w.tasksPerChunk].sequence++
 }
 
-// jobChunk names a chunk of a job.
+// jobChunk identifies a chunk of a job.
 type jobChunk struct {
 	job   *job
 	index int
@@ -147,9 +151,10 @@
 
 func (c jobChunk) state() *finishedChunk { return &c.job.chunks[c.index] }
 
-// writeChunks writes finished tasks down, expedited chunks first and then those that were not
-// written for longest, within a share of the state service's rate: what is not written is kept by
-// the workers, and done again only where one is lost.
+// writeChunks writes the chunks that are due, expedited ones first and then those whose last write is
+// longest ago. It uses only a share of the write rate of the state service. Delayed writes are safe:
+// the workers keep the results until these are durable, and a task runs again only if its worker is
+// lost before that.
 func (w *finishedTaskWriter) writeChunks() {
 	rate := w.cfg.State.WriteRPS * limits.ChunkWriteShare
 	w.writeBudget = min(w.writeBudget+rate*limits.TickInterval.Seconds(), max(rate, 1))
@@ -180,8 +185,8 @@
 	}
 }
 
-// isDue reports whether a chunk should be written now. A chunk of a job that is nearly over is
-// deferred for a while, as the job may soon need no record but its final one.
+// isDue reports whether a chunk should be written now. The chunks of a nearly complete job are deferred
+// for up to limits.MaxChunkWriteDelay, because the final record of the job may soon replace them.
 func (w *finishedTaskWriter) isDue(j *job, index int) bool {
 	chunk := &j.chunks[index]
 	if chunk.durableSequence == chunk.sequence || chunk.writeInFlight || j.coversPendingChunks(index) {
@@ -202,14 +207,15 @@
 	base := c.index * w.tasksPerChunk
 	key := storage.FinishedTasksKey(c.job.id, base)
 	record := storage.EncodeFinishedTasks(c.job.done, base, w.tasksPerChunk)
-	// Guarded by its own version as well: an earlier write of this chunk that was given up must not
-	// come late and undo this one.
+	// The condition on the record's version prevents an earlier, abandoned write of this chunk from
+	// being applied late and overwriting this one.
 	w.writeBulk(chunkWrite{job: c.job, chunk: c.index, writtenSequence: chunk.sequence},
 		[]protocol.Condition{{Key: key, Version: chunk.version}},
 		[]protocol.Operation{{Put: key, Value: protocol.Encode(record)}})
 }
 
-// chunkWritten notes which finished tasks are durable now.
+// chunkWritten handles the outcome of a chunk write: on success, the tasks that were done when the
+// write was sent are durable.
 func (w *finishedTaskWriter) chunkWritten(write chunkWrite, e WriteCompleted) {
 	chunk := &write.job.chunks[write.chunk]
 	chunk.writeInFlight = false
@@ -219,8 +225,8 @@
 	}
 }
 
-// isNearlyComplete reports whether all tasks of a job are done or on machines, and the last should be
-// done soon.
+// isNearlyComplete reports whether all tasks of a job are done or assigned, and all assigned ones are
+// expected to be done within limits.MaxChunkWriteDelay.
 func (w *finishedTaskWriter) isNearlyComplete(j *job) bool {
 	if j.waitingTasks() > 0 {
 		return false
@@ -234,8 +240,8 @@
 	return true
 }
 
-// coversPendingChunks reports whether the record of a chunk still tells of tasks of later chunks
-// that are not written elsewhere.
+// coversPendingChunks reports whether the existing record of a chunk also covers done tasks of later
+// chunks whose own records do not contain them yet. Such a record must not be replaced.
 func (j *job) coversPendingChunks(chunk int) bool {
 	for later := chunk + 1; later <= j.chunks[chunk].lastCoveredChunk; later++ {
 		if j.chunks[later].durableSequence < j.chunks[later].sequence {
@@ -245,7 +251,7 @@
 	return false
 }
 
-// hasChunkWriteInFlight reports whether a write of the job's finished tasks is under way.
+// hasChunkWriteInFlight reports whether a write of any of the job's chunks has no outcome yet.
 func (j *job) hasChunkWriteInFlight() bool {
 	for i := range j.chunks {
 		if j.chunks[i].writeInFlight {
@@ -255,7 +261,8 @@
 	return false
 }
 
-// expediteResults lets the results that a machine lists be written next, as the machine is to go.
+// expediteResults makes the chunks with results that a machine still lists be written first, because
+// the machine will be returned.
 func (w *finishedTaskWriter) expediteResults(m *machine) {
 	for _, ended := range m.endedTasks {
 		if !ended.isDurable() {
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -7,34 +7,34 @@
 	"quillshunt/internal/config"
 )
 
-// Snapshot is the state of a term, for operators.
+// Snapshot is the state of the current term, as shown to operators.
 type Snapshot struct {
 	Term        uint64
-	Recovered   bool // the leader knows what runs where
+	Recovered   bool // recovery has ended: the leader knows all tasks that may be running
 	Machines    []MachineView
 	Teams       []TeamView
-	Explanation []string // what the job that was asked for waits for, a sentence each; nil without a job
+	Explanation []string // state of the requested job and what it waits for, in sentences; nil if none was requested
 }
 
-// MachineView is a machine in a Snapshot.
+// MachineView describes a machine in a Snapshot.
 type MachineView struct {
 	Name, Type, Zone string
 	Spot             bool
-	State            string // in words
+	State            string // described in words
 	CPUs, UsedCPUs   float64
-	Tasks            int           // assigned to it
+	Tasks            int           // number of tasks assigned to it
 	HeartbeatAge     time.Duration // since its last heartbeat in this term, or since the term began
 }
 
-// TeamView is a team in a Snapshot.
+// TeamView describes a team in a Snapshot.
 type TeamView struct {
 	Name                              string
 	UsedCPUs, GuaranteedCPUs, MaxCPUs float64
-	Jobs                              int // that are not over
+	Jobs                              int // open and not cancelled
 	AssignedTasks, WaitingTasks       int
 }
 
-// takeSnapshot answers an operator.
+// takeSnapshot emits the snapshot that an operator requested.
 func (s *Scheduler) takeSnapshot(e SnapshotRequested) {
 	snapshot := Snapshot{Term: s.cfg.Term, Recovered: s.recovery.hasEnded()}
 	for _, m := range s.inventory.all() {
@@ -103,12 +103,12 @@
 	return view
 }
 
-// explanation is a list of sentences about a job.
+// explanation is a list of sentences about the state of a job.
 type explanation []string
 
 func (e *explanation) add(format string, args ...any) { *e = append(*e, fmt.Sprintf(format, args...)) }
 
-// explainJob says what a job's tasks are doing and what the waiting ones wait for.
+// explainJob returns sentences about the progress of a job and about what its waiting tasks wait for.
 func (s *Scheduler) explainJob(id string) []string {
 	j := s.jobs.find(id)
 	if j == nil {
@@ -130,7 +130,7 @@
 	return e
 }
 
-// explainWaiting adds what the waiting tasks of a job wait for.
+// explainWaiting adds the reasons for which tasks of a job are waiting.
 func (s *Scheduler) explainWaiting(j *job, e *explanation) {
 	if !s.recovery.hasEnded() {
 		e.add("the new leader does not know yet what runs where")
@@ -149,7 +149,7 @@
 	s.explainQueue(j, e)
 }
 
-// explainMachines adds how many machines a job could use.
+// explainMachines adds how many machines the job may use and how many of these have room for a task.
 func (s *Scheduler) explainMachines(j *job, e *explanation) {
 	schedulable, allowed, withRoom := 0, 0, 0
 	for _, m := range s.inventory.all() {
@@ -168,7 +168,8 @@
 	e.add("%d machines in use, %d of them allowed for it, %d of these with room", schedulable, allowed, withRoom)
 }
 
-// explainQueue adds a job's place in the queue, and how long it can wait.
+// explainQueue adds the job's position in the queue and how long it can wait without missing a
+// deadline.
 func (s *Scheduler) explainQueue(j *job, e *explanation) {
 	for ahead, other := range s.queue.order() {
 		if other == j {
--- a/internal/coordination/scheduler/summary.go
+++ b/internal/coordination/scheduler/summary.go
@@ -2,10 +2,10 @@
 
 import "quillshunt/internal/limits"
 
-// SummaryMessage is the message of the log entry that shows from time to time how the term stands.
+// SummaryMessage is the message of the periodic log entry with the number of machines, jobs and tasks.
 const SummaryMessage = "summary"
 
-// logSummaryIfDue logs the summary if the last one is old.
+// logSummaryIfDue logs the summary once every limits.SummaryInterval.
 func (s *Scheduler) logSummaryIfDue() {
 	if s.now < s.nextSummaryAt {
 		return
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// confirmStart notes that the worker has our start. Only where it was repeated can another copy still
-// be on its way.
+// confirmStart notes that the worker has received the start of the attempt. A further copy of the start
+// can be in flight only if the start was repeated.
 func (a *assignment) confirmStart() {
 	a.directID = 0
 	if !a.startRepeated {
@@ -17,7 +17,7 @@
 	}
 }
 
-// runTime returns how long the task has been seen running, in seconds; 0 if it is not running.
+// runTime returns the seconds since the task was first reported as running; 0 if it is not running.
 func (a *assignment) runTime(now time.Duration) float64 {
 	if a.state != stateRunning {
 		return 0
@@ -25,7 +25,7 @@
 	return (now - a.runningSince).Seconds()
 }
 
-// updateProgress notes what an assigned task is doing.
+// updateProgress updates an assignment from the state of the task that its worker reports.
 func (s *Scheduler) updateProgress(a *assignment, status *protocol.TaskStatus) {
 	a.confirmStart()
 	previous := a.state
@@ -47,7 +47,7 @@
 	}
 }
 
-// taskGathering notes that a task of a gang has its image and waits for the others.
+// taskGathering notes that a task of a gang has its image and waits for the other tasks of the gang.
 func (s *Scheduler) taskGathering(a *assignment) {
 	if a.state == stateGathering {
 		return
@@ -57,7 +57,7 @@
 	s.gangs.taskGathering(a.job.gang)
 }
 
-// taskRunning notes that a task runs.
+// taskRunning notes that a task is running, and since when.
 func (s *Scheduler) taskRunning(a *assignment) {
 	if a.state == stateRunning {
 		return
@@ -75,7 +75,8 @@
 	}})
 }
 
-// recordFetchTime adds the time that a task waited for its image to what is known of its class.
+// recordFetchTime adds the time that a task waited for its image to the statistics of its class and its
+// machine.
 func (a *assignment) recordFetchTime(now time.Duration) {
 	seconds := (now - a.assignedAt).Seconds()
 	a.job.class.learnFetchTime(seconds)
@@ -83,7 +84,7 @@
 	a.machine.cachedImages[a.job.spec.Image] = now
 }
 
-// taskEnded handles the end of one of our tasks, or the refusal of its start.
+// taskEnded handles the end of an assigned task, or the worker's refusal to start it.
 func (s *Scheduler) taskEnded(a *assignment, status *protocol.TaskStatus) endedTask {
 	j, m := a.job, a.machine
 	runTime := a.runTime(s.now)
@@ -98,9 +99,10 @@
 		s.logWarn("task failed", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt, keyMachine, m.name)
 		s.inventory.recordFailure(j, m)
 	case protocol.ReasonPeers, protocol.ReasonIncomplete:
-		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
+		// Another task of the gang is gone or did not arrive in time. This is a failure of neither the
+		// machine nor the job.
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
-		s.logInfo("gang's task ended", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt,
+		s.logInfo("gang task ended without its peers", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt,
 			keyMachine, m.name, keyReason, status.Reason)
 	case protocol.ReasonStopped:
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
@@ -108,18 +110,18 @@
 			j.stopCounts[a.index]++
 		}
 	case protocol.ReasonUnknownTask:
-		// The job's description cannot be had; try again, but not at once.
+		// The worker could not obtain the job's description. Retry after a delay.
 		j.retryAt = s.now + limits.JobBackoffMin
-		s.logWarn("start refused", keyJob, j.id, keyTask, a.index, keyMachine, m.name, keyReason, status.Reason)
+		s.logWarn("task start refused", keyJob, j.id, keyTask, a.index, keyMachine, m.name, keyReason, status.Reason)
 	default:
-		s.logInfo("start refused", keyJob, j.id, keyTask, a.index, keyMachine, m.name, keyReason, status.Reason)
+		s.logInfo("task start refused", keyJob, j.id, keyTask, a.index, keyMachine, m.name, keyReason, status.Reason)
 	}
 	s.tryCloseJob(j)
 	return ended
 }
 
-// taskCompleted records the result of one of our tasks. The ended task refers to it, as the worker
-// must keep the result until it is durable.
+// taskCompleted records the result of an assigned task. It stores in ended which chunk contains the
+// result, because the worker must keep the result until that chunk is durable.
 func (s *Scheduler) taskCompleted(a *assignment, runTime float64, ended *endedTask) {
 	j, m := a.job, a.machine
 	m.cachedImages[j.spec.Image] = s.now
@@ -135,7 +137,7 @@
 	}
 }
 
-// recordRunTime adds a task's run time, in seconds, to what is known of its class, its job and its
+// recordRunTime adds a task's run time, in seconds, to the statistics of its class, its job and its
 // machine.
 func (j *job) recordRunTime(m *machine, runTime float64) {
 	if j.spec.EstimateS > 0 {
