--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -9,8 +9,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestCancelledTaskOnMachineWithSpotNotice: a cancelled task that does not stop costs its machine in time, also
-// one with a spot notice.
+// TestCancelledTaskOnMachineWithSpotNotice checks that a machine on which a cancelled task does not stop
+// is deleted in time, even if the machine has a spot notice.
 func TestCancelledTaskOnMachineWithSpotNotice(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.sendHeartbeat(0)
@@ -26,21 +26,22 @@
 		f.step(Tick{Entitled: true})
 	}
 	if !m.deleting {
-		t.Error("its machine is kept")
+		t.Error("the machine of the cancelled task is not deleted")
 	}
 }
 
-// TestCancelledTaskEndsInTime: a machine that reports a cancelled task again and again, whatever it is
-// told, and whose deletion nobody confirms, gets no answer from so early on that its lease ends
-// within cancel_s; and that time goes on across a failover. A machine without such a task is
-// answered all the while.
+// TestCancelledTaskEndsInTime checks a machine that keeps reporting a cancelled task despite stop
+// commands and whose deletion is never confirmed. Its heartbeats must be rejected early enough that its
+// lease expires within cancel_s of the cancellation, even if a failover happens in between: the new leader
+// counts from the cancellation too. The heartbeats of a machine without such a task are always accepted.
 func TestCancelledTaskEndsInTime(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second, 25 * time.Second, time.Hour} {
 		t.Run(fmt.Sprintf("age=%v", age), func(t *testing.T) { checkCancelledTaskEndsInTime(t, age) })
 	}
 }
 
-// checkCancelledTaskEndsInTime lets the scheduler learn of a cancellation of that age.
+// checkCancelledTaskEndsInTime runs the check with a scheduler that learns of the cancellation when it
+// is that old.
 func checkCancelledTaskEndsInTime(t *testing.T, age time.Duration) {
 	const cancelTime, lease = 34 * time.Second, 14 * time.Second // as in the fixture's settings
 	f := newSchedulerFixture(t, 2)
@@ -53,7 +54,9 @@
 	learnedAt := f.now
 	userToldAt := f.now - age
 	if age >= cancelTime {
-		userToldAt = f.now // no leader knew, or its lease would be over: nobody was told
+		// A leader that knew of the cancellation would have let the worker's lease expire by now. So no
+		// leader knew of it, and it was not confirmed to the user before.
+		userToldAt = f.now
 	}
 	var deletedAt, lastAcceptedAt time.Duration
 	for f.now < userToldAt+cancelTime {
@@ -67,31 +70,32 @@
 			if accepted && heartbeat.Machine == holder {
 				lastAcceptedAt = f.now
 			} else if !accepted && heartbeat.Machine != holder {
-				t.Fatal("the other machine is not answered")
+				t.Fatal("heartbeat of the other machine not accepted")
 			}
 		}
 		for _, effect := range f.step(Tick{Entitled: true}) {
 			if deletion, ok := effect.(DeleteMachines); ok && deletedAt == 0 {
 				if deletion.Machines[0] != holder || len(deletion.Machines) != 1 {
-					t.Fatalf("deletion of %v", deletion.Machines)
+					t.Fatalf("deletion of %v, want only %s", deletion.Machines, holder)
 				}
 				deletedAt = f.now
 			}
 		}
 	}
 	if lastAcceptedAt != 0 && lastAcceptedAt+lease > userToldAt+cancelTime {
-		t.Errorf("answered until %v after the user was told", lastAcceptedAt-userToldAt)
+		t.Errorf("heartbeats accepted until %v after the cancellation was confirmed", lastAcceptedAt-userToldAt)
 	}
 	if deletedAt == 0 || deletedAt > userToldAt+30*time.Second {
-		t.Errorf("deletion asked for %v after the user was told", deletedAt-userToldAt)
+		t.Errorf("deletion requested %v after the cancellation was confirmed", deletedAt-userToldAt)
 	}
 	if deletedAt < learnedAt+limits.CancelStopGrace {
-		t.Errorf("deleted %v after the scheduler learned of it, before the stop could take effect", deletedAt-learnedAt)
+		t.Errorf("deletion requested %v after the scheduler learned of the cancellation, want at least %v",
+			deletedAt-learnedAt, limits.CancelStopGrace)
 	}
 }
 
-// confirmDirectStarts lets workers start the tasks of the direct commands that were sent last, and returns
-// the last of these tasks.
+// confirmDirectStarts answers the direct commands of the last event as workers that have started the
+// tasks, one task per command. It returns the last of these tasks.
 func (f *schedulerFixture) confirmDirectStarts() protocol.TaskStatus {
 	var task protocol.TaskStatus
 	for _, sent := range f.directCommands() {
@@ -102,7 +106,8 @@
 	return task
 }
 
-// sendAndCheckAccepted sends a heartbeat and reports whether it is accepted. Direct commands go unanswered.
+// sendAndCheckAccepted sends a heartbeat and reports whether it is accepted. Direct commands that result
+// from it get no reply from their workers.
 func (f *schedulerFixture) sendAndCheckAccepted(heartbeat *protocol.Heartbeat) bool {
 	accepted := false
 	for _, effect := range f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: heartbeat}) {
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -10,21 +10,22 @@
 	"quillshunt/internal/storage"
 )
 
-// TestResultIsForgottenOnceDurable: a worker is told to forget a result only once it is written down.
+// TestResultIsForgottenOnceDurable checks that a worker is told to forget a result only after the state
+// service has confirmed the write of the chunk that contains it.
 func TestResultIsForgottenOnceDurable(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.sendHeartbeat(0)
 	f.submitJob("job-1", "red", "standard", 20, 1, 0)
 	direct := f.directCommands()
 	if len(direct) != 1 || countVerb(direct[0].Commands, protocol.CommandStart) != 8 {
-		t.Fatalf("starts: %+v", f.effects)
+		t.Fatalf("want one direct command with 8 starts: %+v", f.effects)
 	}
 	done, other := completed(direct[0].Commands[0]), running(direct[0].Commands[1])
 	if done.Task != "job-1/0" || other.Task != "job-1/1" {
-		t.Fatalf("starts in another order: %+v", direct[0].Commands)
+		t.Fatalf("starts not in the order of the tasks: %+v", direct[0].Commands)
 	}
 	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 0 {
-		t.Fatalf("forgotten at once: %+v", commands)
+		t.Fatalf("told to forget the result before it is written: %+v", commands)
 	}
 	f.now += 5 * time.Second
 	var result *WriteRecords
@@ -34,19 +35,20 @@
 		}
 	}
 	if result == nil {
-		t.Fatalf("result not written: %+v", f.effects)
+		t.Fatalf("no write of the result: %+v", f.effects)
 	}
 	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 0 {
-		t.Fatalf("forgotten while the write is in flight: %+v", commands)
+		t.Fatalf("told to forget the result while its write is in flight: %+v", commands)
 	}
 	f.step(WriteCompleted{ID: result.ID, OK: true, Version: 500})
 	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 1 {
-		t.Fatalf("not forgotten: %+v", commands)
+		t.Fatalf("not told to forget the durable result: %+v", commands)
 	}
 }
 
-// TestNearlyCompleteJobDefersChunkWrite: the results of a job that is nearly over are not written task by
-// task, as its final record replaces them; those of one that drags on are.
+// TestNearlyCompleteJobDefersChunkWrite checks that the chunk write of a nearly complete job is deferred,
+// because the job's final record usually replaces it. If the job takes longer than expected, the chunk is
+// written after limits.MaxChunkWriteDelay.
 func TestNearlyCompleteJobDefersChunkWrite(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.sendHeartbeat(0)
@@ -66,43 +68,45 @@
 		}
 	}
 	if written < limits.MaxChunkWriteDelay {
-		t.Errorf("written after %v", written)
+		t.Errorf("chunk written after %v (0: never), want at least %v", written, limits.MaxChunkWriteDelay)
 	}
 }
 
-// TestDirectReplyDoesNotReleaseTask: a start that went out in the answer to a heartbeat may still be on its
-// way when a direct command is answered; only the next heartbeat shows that it is lost.
+// TestDirectReplyDoesNotReleaseTask checks that a start sent in a heartbeat reply is not given up when the
+// reply to a direct command or a probe does not list its task: the heartbeat reply may still be in flight.
+// Only the next heartbeat shows that the start is lost.
 func TestDirectReplyDoesNotReleaseTask(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.sendHeartbeat(0)
 	m := f.scheduler.inventory.find(f.machine(0))
-	m.noDirectUntil = time.Hour // commands go out in answers to heartbeats only
+	m.noDirectUntil = time.Hour // send commands only in heartbeat replies
 	f.submitJob("job-1", "red", "standard", 1, 1, 0)
 	if n := countVerb(f.sendHeartbeat(0), protocol.CommandStart); n != 1 {
-		t.Fatalf("%d starts", n)
+		t.Fatalf("%d starts in the heartbeat reply, want 1", n)
 	}
 	m.noDirectUntil, m.directID = 0, 77
 	f.step(DirectCommandsDone{ID: 77, Machine: m.name, Heartbeat: f.heartbeat(f.machine(0))})
 	if len(m.assignments) != 1 {
-		t.Fatal("released by the answer to a direct command")
+		t.Fatal("task released by the reply to a direct command")
 	}
 	f.step(ProbeDone{Machine: m.name, Heartbeat: f.heartbeat(f.machine(0))})
 	if len(m.assignments) != 1 {
-		t.Fatal("released by the answer to a probe")
+		t.Fatal("task released by the reply to a probe")
 	}
 	m.noDirectUntil = time.Hour
-	// Our answer was lost, so the machine is unverified and gets no start yet.
+	// The heartbeat shows that the reply with the start was lost. The task is released, but the machine
+	// is now unverified and gets no new start yet.
 	if n := countVerb(f.sendHeartbeat(0), protocol.CommandStart); n != 0 || len(m.assignments) != 0 {
-		t.Fatalf("after a heartbeat without it: %d starts, %d assigned", n, len(m.assignments))
+		t.Fatalf("after a heartbeat without the task: %d starts, %d assignments; want none", n, len(m.assignments))
 	}
 	if n := countVerb(f.sendHeartbeat(0), protocol.CommandStart); n != 1 || len(m.assignments) != 1 {
-		t.Fatalf("not placed again: %d starts", n)
+		t.Fatalf("task not placed again: %d starts, %d assignments", n, len(m.assignments))
 	}
 }
 
-// TestMachineThatReceivesNothing: a machine whose heartbeats arrive while answers and commands don't reach
-// it loses one start at most, gets no other until a round trip is seen, and is deleted in time; what it
-// completes counts.
+// TestMachineThatReceivesNothing checks a machine whose heartbeats arrive but which receives neither
+// replies nor commands. At most one start to it is lost, because it gets no further start until a round
+// trip succeeds. It is deleted in time, and results that it reports still count.
 func TestMachineThatReceivesNothing(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	f.sendHeartbeat(0)
@@ -111,7 +115,7 @@
 	countDirectStarts := func() {
 		for _, direct := range f.directCommands() {
 			starts += countVerb(direct.Commands, protocol.CommandStart)
-			f.step(DirectCommandsDone{ID: direct.ID, Machine: direct.Machine}) // no answer
+			f.step(DirectCommandsDone{ID: direct.ID, Machine: direct.Machine}) // no reply
 		}
 	}
 	countDirectStarts()
@@ -121,7 +125,7 @@
 	for _, a := range m.assignments {
 		attempt = a.attempt
 	}
-	// Its next heartbeats come on other connections. One task that it had got all the same is done.
+	// The following heartbeats come on new connections. They report that one task did arrive and is done.
 	done := completed(protocol.Command{Task: "job-1/0", Attempt: max(attempt, 1)})
 	deleted := false
 	for range 20 {
@@ -137,18 +141,19 @@
 		countDirectStarts()
 	}
 	if starts > 2 {
-		t.Errorf("%d starts to a machine that hears nothing", starts)
+		t.Errorf("%d starts sent to a machine that receives nothing, want at most 2", starts)
 	}
 	if !deleted {
-		t.Error("not deleted")
+		t.Error("machine not deleted")
 	}
 	if j := f.scheduler.jobs.find("job-1"); j.doneCount != 1 {
-		t.Errorf("%d results count", j.doneCount)
+		t.Errorf("%d tasks done, want 1", j.doneCount)
 	}
 }
 
-// TestDuplicateHeartbeats: copies of heartbeats, however late, prove nothing: no machine counts as alive because
-// of them, no lease is extended, and a leader that does not know a machine that is gone does not add it.
+// TestDuplicateHeartbeats checks that duplicates of heartbeats are no evidence, however late they arrive:
+// they do not make a machine count as alive, do not extend its lease, and do not add a machine that is
+// gone to the inventory.
 func TestDuplicateHeartbeats(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	earlierTerm := f.heartbeatWith(0, 50, running(protocol.Command{Task: "job-1/0", Attempt: 1}))
@@ -159,15 +164,15 @@
 	checkLateHeartbeat(t, f)
 }
 
-// replyToCopy returns the answer to a heartbeat on another connection.
+// replyToCopy sends a copy of a heartbeat on another connection and returns the reply.
 func (f *schedulerFixture) replyToCopy(heartbeat *protocol.Heartbeat, relayed bool) HeartbeatReply {
 	f.t.Helper()
 	copied := *heartbeat
 	return f.reply(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &copied})
 }
 
-// checkCopyFromEarlierTerm: a heartbeat of an earlier term adds no machine that is not known; of one that
-// is, nothing is believed, and it is answered.
+// checkCopyFromEarlierTerm checks that a heartbeat of an earlier term does not add an unknown machine. For
+// a known machine it is accepted, but its content is ignored.
 func checkCopyFromEarlierTerm(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
 	gone := *earlierTerm
@@ -176,20 +181,22 @@
 		f.replyToCopy(&gone, relayed)
 	}
 	if f.scheduler.inventory.find("m-gone") != nil {
-		t.Error("a copy added a machine")
+		t.Error("a heartbeat of an earlier term added an unknown machine")
 	}
 	f.submitJob("job-1", "red", "standard", 1, 1, 0)
 	if reply := f.replyToCopy(earlierTerm, false); !reply.Accepted {
-		t.Error("a worker that waits for this answer gets none")
+		t.Error("heartbeat of an earlier term from a known machine not accepted")
 	}
 	m := f.scheduler.inventory.find(f.machine(0))
 	if m.hasReported || m.fenced || len(m.assignments) > 0 || f.scheduler.isSchedulable(m) {
-		t.Errorf("believed: reported %v fenced %v assignments %d", m.hasReported, m.fenced, len(m.assignments))
+		t.Errorf("content of the heartbeat used: reported %v, fenced %v, %d assignments",
+			m.hasReported, m.fenced, len(m.assignments))
 	}
 }
 
-// checkCopyBeforeOriginal: a copy overtakes its original, and the start in its answer gets lost. The answer
-// to the original brings it again, but not once the job is cancelled.
+// checkCopyBeforeOriginal lets a copy of a heartbeat arrive before its original, so that the worker never
+// sees the reply to the copy, which contains a start. The reply to the original must repeat the start, but
+// not after the job was cancelled.
 func checkCopyBeforeOriginal(t *testing.T, f *schedulerFixture) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
@@ -199,19 +206,20 @@
 	original := f.heartbeatWith(0, f.sequence)
 	m.registration = registered
 	if reply := f.replyToCopy(original, false); countVerb(reply.Commands, protocol.CommandStart) != 1 {
-		t.Errorf("the original brings %+v", reply.Commands)
+		t.Errorf("reply to the original: %+v, want one start", reply.Commands)
 	}
 	f.version++
 	cancelled := storage.OpenJob{Cancelled: true, Spec: f.scheduler.jobs.find("job-1").spec}
 	f.step(JobChanged{JobID: "job-1", Version: 100 + f.version, Record: cancelled})
 	if reply := f.replyToCopy(original, false); !reply.Accepted ||
 		countVerb(reply.Commands, protocol.CommandStart) != 0 {
-		t.Errorf("after the cancellation: %+v", reply)
+		t.Errorf("reply to the original after the cancellation: %+v, want it accepted without a start", reply)
 	}
 }
 
-// checkStaleCopies: a copy of our term is answered like the original within the time that the worker
-// waits, and does not keep the machine alive.
+// checkStaleCopies checks copies of heartbeats of the current term. A copy of the newest one is accepted
+// while the worker may still wait for the reply, and all others are rejected. None of them counts as a sign
+// of life or renews the lease.
 func checkStaleCopies(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
@@ -220,25 +228,25 @@
 	lastHeartbeatAt, leaseRenewedAt := m.lastHeartbeatAt, m.leaseRenewedAt
 	newest := f.heartbeatWith(0, f.sequence)
 	if !f.replyToCopy(newest, false).Accepted {
-		t.Error("the original behind a copy is not answered")
+		t.Error("newest heartbeat, repeated at once, not accepted")
 	}
 	if f.replyToCopy(f.heartbeatWith(0, 40), true).Accepted {
-		t.Error("an older one is answered")
+		t.Error("heartbeat with an older sequence number accepted")
 	}
 	f.now += 30 * time.Second
 	if f.replyToCopy(newest, true).Accepted {
-		t.Error("a copy that comes after a lease is answered")
+		t.Error("copy of the newest heartbeat accepted after its lease has expired")
 	}
 	if reply := f.replyToCopy(earlierTerm, true); reply.Accepted && len(reply.Commands) > 0 {
-		t.Errorf("a copy from an earlier term brings %+v", reply.Commands)
+		t.Errorf("commands in the reply to a heartbeat of an earlier term: %+v", reply.Commands)
 	}
 	if m.lastHeartbeatAt != lastHeartbeatAt || m.leaseRenewedAt != leaseRenewedAt {
-		t.Error("a copy counts as a heartbeat")
+		t.Error("a copy updated the time of the last heartbeat or renewed the lease")
 	}
 }
 
-// checkLateHeartbeat: a heartbeat that is new to us and comes after a gap may be late as well, so the
-// machine gets no tasks until it answers.
+// checkLateHeartbeat checks a heartbeat that was not seen before but comes after a gap. It may have been
+// delayed, so the machine gets no tasks until a round trip to it succeeds.
 func checkLateHeartbeat(t *testing.T, f *schedulerFixture) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
@@ -246,18 +254,18 @@
 	late.Incarnation = 2
 	f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: late})
 	if f.scheduler.isSchedulable(m) {
-		t.Error("schedulable by a late heartbeat")
+		t.Error("machine schedulable after a possibly delayed heartbeat")
 	}
 	probed := f.heartbeat(f.machine(0))
 	probed.Incarnation = 2
 	f.step(ProbeDone{Machine: m.name, Heartbeat: probed})
 	if !f.scheduler.isSchedulable(m) {
-		t.Error("not schedulable after a round trip")
+		t.Error("machine not schedulable after a successful probe")
 	}
 }
 
-// TestTasksReleasedOnConfirmedDeletion: tasks of a machine that is being returned stay assigned until the cloud
-// confirms its deletion.
+// TestTasksReleasedOnConfirmedDeletion checks that the tasks of a machine that is being returned stay
+// assigned until the cloud confirms the deletion of the machine.
 func TestTasksReleasedOnConfirmedDeletion(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.sendHeartbeat(0)
@@ -267,16 +275,17 @@
 	f.tick()
 	f.step(DeletionDone{Machines: []string{m.name}})
 	if len(m.assignments) != 1 || f.scheduler.inventory.find(m.name) == nil {
-		t.Fatal("released by a deletion that was not confirmed")
+		t.Fatal("task released or machine removed by a deletion that was not confirmed")
 	}
 	f.step(DeletionDone{Machines: []string{m.name}, OK: true})
 	if len(m.assignments) != 0 || f.scheduler.inventory.find(m.name) != nil {
-		t.Fatal("not released")
+		t.Fatal("task not released or machine not removed after its deletion was confirmed")
 	}
 }
 
-// TestHeartbeatWhileNotEntitled: who may not act accepts no heartbeat, and takes nothing from it that would count as a
-// renewed lease; so with a worker that has seen a later leader.
+// TestHeartbeatWhileNotEntitled checks that a leader whose own lease is not valid accepts no heartbeat and
+// does not count it as a renewed worker lease. The same holds for the heartbeat of a worker that has seen
+// the fencing token of a later leader.
 func TestHeartbeatWhileNotEntitled(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	heartbeat, laterTerm := f.heartbeatWith(0, 50), f.heartbeatWith(0, 50)
@@ -284,11 +293,11 @@
 	for _, e := range []HeartbeatReceived{{Heartbeat: heartbeat}, {Heartbeat: laterTerm, Entitled: true}} {
 		for _, reply := range effectsOf[HeartbeatReply](f.step(e)) {
 			if reply.Accepted {
-				t.Errorf("accepted: %+v", e)
+				t.Errorf("heartbeat accepted: %+v", e)
 			}
 		}
 	}
 	if m := f.scheduler.inventory.find(f.machine(0)); m.hasReported || m.leaseRenewedAt > 0 {
-		t.Errorf("counted as a heartbeat: %+v", m)
+		t.Errorf("rejected heartbeat counted as a report or renewed the lease: %+v", m)
 	}
 }
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -12,13 +12,15 @@
 	"quillshunt/internal/storage"
 )
 
-// TestFinishedTasksInOtherChunkSizes: records that were cut for larger or smaller values are read as
-// their union; nothing that they tell is lost at any moment while they are replaced, and all are
-// removed when the job is over, within the size of a transaction.
+// TestFinishedTasksInOtherChunkSizes checks records of finished tasks that were written with another
+// chunk size, because the value limit of the state service was larger or smaller. A task counts as done
+// if any record says so. While the records are replaced, no done task may be missing from the state
+// service at any moment. When the job is over, all records are removed, and no transaction exceeds the
+// limit on its operations.
 func TestFinishedTasksInOtherChunkSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tasks, job = 6000, "job-1"
-		sizes := []float64{0.5, 1, 2} // of a value, in KB
+		sizes := []float64{0.5, 1, 2} // value limits, in KB
 		before := storage.TasksPerChunk(rapid.SampledFrom(sizes).Draw(t, "before"))
 		state := config.State{WriteRPS: 200, ValueKB: rapid.SampledFrom(sizes).Draw(t, "now"), TxnOps: 4}
 		finished := newBitmap(tasks)
@@ -28,7 +30,7 @@
 		store := &memoryStore{records: map[string]storedRecord{storage.OpenJobKey(job): {version: 1}}, version: 10}
 		s := newSchedulerOfOneJob(state, job, tasks)
 		loadFinishedTasks(s, store, job, finished, tasks, before)
-		orphan := storage.FinishedTasks{} // of a job that is over, left behind by an earlier version
+		orphan := storage.FinishedTasks{} // of a job that is over; earlier versions left such records
 		orphanVersion := store.put(storage.FinishedTasksKey("job-9", 0), orphan)
 		s.Step(FinishedTasksLoaded{JobID: "job-9", Version: orphanVersion, Record: orphan}, 0)
 		now := time.Second
@@ -38,17 +40,17 @@
 			stored := store.finishedTasks(t, job)
 			for i := range tasks {
 				if finished.has(i) && !(j.done.has(i) && stored[i]) {
-					t.Fatalf("%s: finished task %d: known %v, stored %v", when, i, j.done.has(i), stored[i])
+					t.Fatalf("%s: finished task %d: known %v, stored %v; want both", when, i, j.done.has(i), stored[i])
 				}
 			}
 		}
-		requireAllKnown("loaded")
-		for range 30 { // all that is written again goes out, one record after the other
+		requireAllKnown("after loading")
+		for range 30 { // long enough to rewrite all records, one at a time
 			s.finished.recordCompletion(j, rapid.IntRange(0, tasks-1).Draw(t, "finished"))
 			now += 3 * time.Second
 			for _, effect := range s.Step(Tick{Entitled: true}, now) {
 				store.execute(s, []Effect{effect}, now)
-				requireAllKnown("rewritten")
+				requireAllKnown("while rewriting")
 			}
 		}
 		for i := range tasks {
@@ -60,17 +62,17 @@
 			largest = max(largest, store.execute(s, s.Step(Tick{Entitled: true}, now), now))
 		}
 		if largest > state.TxnOps {
-			t.Errorf("a transaction of %d operations", largest)
+			t.Errorf("a transaction has %d operations; the limit is %d", largest, state.TxnOps)
 		}
 		for key := range store.records {
 			if key != storage.FinalJobKey(job) {
-				t.Errorf("left behind: %s", key)
+				t.Errorf("record not removed: %s", key)
 			}
 		}
 	})
 }
 
-// newSchedulerOfOneJob returns a scheduler that has loaded a job array, and nothing else yet.
+// newSchedulerOfOneJob returns a scheduler that has loaded one job array and nothing else yet.
 func newSchedulerOfOneJob(state config.State, job string, tasks int) *Scheduler {
 	s := New(Config{
 		Term:    3,
@@ -86,7 +88,7 @@
 	return s
 }
 
-// loadFinishedTasks stores and loads the finished tasks of a job in records of some size.
+// loadFinishedTasks stores the finished tasks of a job in records of size tasks each and loads them.
 func loadFinishedTasks(s *Scheduler, store *memoryStore, job string, finished bitmap, tasks, size int) {
 	for base := 0; base < tasks; base += size {
 		record := storage.EncodeFinishedTasks(finished, base, size)
@@ -98,8 +100,8 @@
 	}
 }
 
-// TestLargestJob: a job of the largest size is placed, recorded in chunks below the value limit, and
-// finished.
+// TestLargestJob checks that a job with the maximum number of tasks is placed without overloading a
+// machine, and that its finished tasks are recorded in several chunks by transactions within the limit.
 func TestLargestJob(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	f.sendHeartbeat(0)
@@ -108,7 +110,7 @@
 	j := f.scheduler.jobs.find("job-1")
 	for _, m := range f.scheduler.inventory.all() {
 		if len(m.assignments) > limits.MaxTasksPerMachine {
-			t.Fatalf("%d tasks on %s: its heartbeat would be too long", len(m.assignments), m.name)
+			t.Fatalf("%d tasks on %s: its heartbeat would exceed the size limit", len(m.assignments), m.name)
 		}
 	}
 	if len(j.assignments) == 0 || len(j.chunks) < 2 {
@@ -122,16 +124,17 @@
 	f.now += 4 * time.Second
 	for _, effect := range f.step(Tick{Entitled: true}) {
 		if write, ok := effect.(WriteRecords); ok && len(write.Operations) > 8 {
-			t.Fatalf("%d operations", len(write.Operations))
+			t.Fatalf("a transaction has %d operations; the limit is 8", len(write.Operations))
 		}
 	}
 	if got := j.waitingTasks(); got != 0 {
-		t.Fatalf("%d tasks wait", got)
+		t.Fatalf("%d tasks are still waiting", got)
 	}
 }
 
-// TestFinishedTasksOfOpenJobAreKept: finished tasks of a job that is open, but whose team the settings do not
-// name, are no orphans.
+// TestFinishedTasksOfOpenJobAreKept guards against losing the finished tasks of an open job whose team
+// is missing from the settings. The scheduler does not know such a job and treats its records as
+// orphaned, so it may remove them only on the condition that the job has no open record.
 func TestFinishedTasksOfOpenJobAreKept(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	s := New(f.scheduler.cfg, 0)
@@ -142,20 +145,21 @@
 	for _, effect := range s.Step(StateLoaded{}, 0) {
 		if write, ok := effect.(WriteRecords); ok && write.Operations[0].Delete != "" {
 			if len(write.Conditions) != 1 || write.Conditions[0] != noOpenRecord {
-				t.Errorf("removed without a condition: %+v", write)
+				t.Errorf("removal without the condition that the job is not open: %+v", write)
 			}
 		}
 	}
 }
 
-// TestFinalRecordWaitsForChunkWrite: while a chunk of a job is being written, the final record is not; it
-// removes what the write has left behind.
+// TestFinalRecordWaitsForChunkWrite checks that the final record of a job is not written while the write
+// of one of its chunks is in flight. The transaction with the final record also removes the chunk's
+// record, which would otherwise be left over.
 func TestFinalRecordWaitsForChunkWrite(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.submitJob("job-1", "red", "standard", 10, 1, 0)
 	j := f.scheduler.jobs.find("job-1")
 	chunkKey, finalKey := storage.FinishedTasksKey("job-1", 0), storage.FinalJobKey("job-1")
-	writes := func() []WriteRecords { // of the job
+	writes := func() []WriteRecords { // writes of the job's chunk or final record in the last step
 		var found []WriteRecords
 		for _, effect := range f.effects {
 			write, ok := effect.(WriteRecords)
@@ -170,18 +174,18 @@
 	f.step(Tick{Entitled: true})
 	chunk := writes()
 	if len(chunk) != 1 || chunk[0].Operations[0].Put != chunkKey {
-		t.Fatalf("writes after a task is done: %+v", chunk)
+		t.Fatalf("writes after the first task is done: %+v", chunk)
 	}
 	for index := range 10 {
 		f.scheduler.finished.recordCompletion(j, index)
 	}
 	f.step(Tick{Entitled: true})
 	if got := writes(); len(got) != 0 {
-		t.Fatalf("writes while the chunk is written: %+v", got)
+		t.Fatalf("writes while the chunk write is in flight: %+v", got)
 	}
 	f.step(WriteCompleted{ID: chunk[0].ID, OK: true, Version: 7})
 	final := writes()
 	if len(final) != 1 || final[0].Operations[0].Put != finalKey || final[0].Operations[2].Delete != chunkKey {
-		t.Fatalf("writes after that: %+v", final)
+		t.Fatalf("writes after the chunk write is completed: %+v", final)
 	}
 }
--- a/internal/coordination/scheduler/memory_store_test.go
+++ b/internal/coordination/scheduler/memory_store_test.go
@@ -7,15 +7,15 @@
 	"quillshunt/internal/storage"
 )
 
-// memoryStore is the state service as far as transactions go.
+// memoryStore is an in-memory state service that supports only transactions.
 type memoryStore struct {
 	records    map[string]storedRecord
 	version    uint64
-	operations int // carried out
+	operations int // number of operations executed
 }
 
-// execute carries out the writes among some effects and feeds the outcomes back. It returns the
-// number of operations of the largest transaction.
+// execute executes the writes among the effects, sends their outcomes to the scheduler, and does the same
+// with the effects of these. It returns the number of operations of the largest transaction.
 func (m *memoryStore) execute(s *Scheduler, effects []Effect, now time.Duration) (largest int) {
 	for _, effect := range effects {
 		write, ok := effect.(WriteRecords)
@@ -28,7 +28,7 @@
 	return largest
 }
 
-// commit carries out one write, if its conditions hold.
+// commit executes one write if its conditions hold, and returns the outcome.
 func (m *memoryStore) commit(write WriteRecords) WriteCompleted {
 	for _, condition := range write.Conditions {
 		if m.records[condition.Key].version != condition.Version {
@@ -54,7 +54,7 @@
 	return m.version
 }
 
-// finishedTasks are the finished tasks of a job that a new leader would read.
+// finishedTasks returns the finished tasks of a job that a new leader would load.
 func (m *memoryStore) finishedTasks(t interface{ Fatal(...any) }, job string) map[int]bool {
 	finished := map[int]bool{}
 	for key, stored := range m.records {
--- a/internal/coordination/scheduler/outbox_test.go
+++ b/internal/coordination/scheduler/outbox_test.go
@@ -8,7 +8,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestOutboxKeepsOrderAndPendingWrites: effects go out in order, and each write is known until it is completed.
+// TestOutboxKeepsOrderAndPendingWrites checks that effects keep the order in which they were emitted, and
+// that the purpose of each write is stored until the write is completed.
 func TestOutboxKeepsOrderAndPendingWrites(t *testing.T) {
 	o := newOutbox()
 	conditions := []protocol.Condition{{Key: "a", Version: 7}}
@@ -24,15 +25,15 @@
 		WriteRecords{ID: 2, Bulk: true, Operations: operations},
 	}
 	if !reflect.DeepEqual(o.effects, expected) {
-		t.Errorf("effects:\n%+v, expected\n%+v", o.effects, expected)
+		t.Errorf("effects:\n%+v\nwant:\n%+v", o.effects, expected)
 	}
 	if purpose := o.takePendingWrite(1); purpose != (rentalWrite{rental: "h-1"}) {
-		t.Errorf("the first write was for %+v", purpose)
+		t.Errorf("purpose of the first write: %+v", purpose)
 	}
 	if purpose := o.takePendingWrite(1); purpose != nil {
-		t.Errorf("a completed write is still pending: %+v", purpose)
+		t.Errorf("the first write is still pending after its completion: %+v", purpose)
 	}
 	if purpose := o.takePendingWrite(2); purpose != (finishedTasksRemoval{}) {
-		t.Errorf("the second write was for %+v", purpose)
+		t.Errorf("purpose of the second write: %+v", purpose)
 	}
 }
--- a/internal/coordination/scheduler/parts_test.go
+++ b/internal/coordination/scheduler/parts_test.go
@@ -9,18 +9,19 @@
 	"testing"
 )
 
-// partFields are the fields of the parts: of each type that embeds the environment, but for the
-// Scheduler, which coordinates them.
+// partFields contains the field names of each part. A part is a type that embeds the environment, except
+// Scheduler, which coordinates the parts.
 type partFields map[string]map[string]bool
 
-// TestPartsOwnTheirFields: the fields of a part are touched only by its own methods. Whatever is
-// reached through a field that points to a part, as in s.queue.ordered, must be a method of it.
+// TestPartsOwnTheirFields checks that only the methods of a part access its fields. Other code that
+// reaches a part through a field, as in s.queue.order(), may only call methods of the part.
 func TestPartsOwnTheirFields(t *testing.T) {
 	files := token.NewFileSet()
 	sources := parseSources(t, files)
 	fields, pointers := collectParts(sources)
 	if len(fields) < 14 || len(pointers) < 14 {
-		t.Fatalf("%d parts and %d names of pointers to them were found", len(fields), len(pointers))
+		t.Fatalf("found %d parts and %d names of fields that point to them; want at least 14 of each",
+			len(fields), len(pointers))
 	}
 	for _, source := range sources {
 		for _, declaration := range source.Decls {
@@ -40,7 +41,7 @@
 				}
 				part := pointers[inner.Sel.Name]
 				if part != owner && fields[part][outer.Sel.Name] {
-					t.Errorf("%s: %s touches %s.%s",
+					t.Errorf("%s: %s accesses field %s.%s",
 						files.Position(outer.Pos()), function.Name.Name, part, outer.Sel.Name)
 				}
 				return true
@@ -49,7 +50,7 @@
 	}
 }
 
-// parseSources parses the files of the package without its tests.
+// parseSources parses the Go files of the package, without its tests.
 func parseSources(t *testing.T, files *token.FileSet) []*ast.File {
 	t.Helper()
 	entries, err := os.ReadDir(".")
@@ -71,8 +72,8 @@
 	return sources
 }
 
-// collectParts returns the fields of the parts, and for the name of each field that points to a part
-// the type of that part.
+// collectParts returns the fields of the parts and, by field name, the part that fields of this name point
+// to.
 func collectParts(sources []*ast.File) (fields partFields, pointers map[string]string) {
 	fields, pointers = partFields{}, map[string]string{}
 	structs := map[string]*ast.StructType{}
@@ -118,7 +119,7 @@
 	return false
 }
 
-// pointedType is the name of the type that a pointer type points to, or "".
+// pointedType returns the name of the type that a pointer type points to, or "" for other types.
 func pointedType(expression ast.Expr) string {
 	if star, ok := expression.(*ast.StarExpr); ok {
 		if name, ok := star.X.(*ast.Ident); ok {
@@ -128,7 +129,7 @@
 	return ""
 }
 
-// receiverType is the type of a method's receiver, or "".
+// receiverType returns the name of the type of a method's pointer receiver, or "" for other functions.
 func receiverType(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -9,9 +9,10 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestPlacementWaitsForUnreportedMachines: after a failover a machine that does not answer probes holds up all placement. If
-// it is one of a few it is deleted soon, and the work goes on once its deletion is confirmed; many
-// together may be behind a network partition and are waited for.
+// TestPlacementWaitsForUnreportedMachines checks what happens after a failover while machines do not
+// answer probes, which blocks all placement. If they are few, they are deleted soon, and placement
+// begins when their deletion is confirmed. If they are many, a network partition is the likely cause,
+// so they are not deleted and placement waits for them.
 func TestPlacementWaitsForUnreportedMachines(t *testing.T) {
 	for _, c := range []struct {
 		unreported int
@@ -39,16 +40,16 @@
 				}
 			}
 			if recovered := f.scheduler.recovery.hasEnded(); recovered == c.waits || (len(deleted) == 0) != c.waits {
-				t.Errorf("recovered %v, deleted %v", recovered, deleted)
+				t.Errorf("recovery ended: %v, want %v; deleted machines: %v", recovered, !c.waits, deleted)
 			}
 		})
 	}
 }
 
-// TestRecoveryWaitsForLeaseOfAnsweredMachine: a machine of which a new leader has answered a heartbeat, but not
-// handled the next one, may go on with its tasks for a whole lease from then. Recovery does not end
-// before that, or a task of it would be started elsewhere: seen on controllers too busy to handle
-// heartbeats in time.
+// TestRecoveryWaitsForLeaseOfAnsweredMachine guards against running a task twice. If a new leader has
+// answered a machine's heartbeat but not yet processed the next one, the machine may run its tasks for a
+// full lease from that reply. If recovery ended earlier, such a task would also be started elsewhere.
+// This happened on controllers that were too busy to process heartbeats in time.
 func TestRecoveryWaitsForLeaseOfAnsweredMachine(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	f.sendHeartbeat(0)
@@ -64,19 +65,19 @@
 	unfenced := f.heartbeatWith(1, 9, running(protocol.Command{Task: "job-1/0", Attempt: 7}))
 	unfenced.FencingToken = 2
 	if !f.reply(HeartbeatReceived{Entitled: true, Heartbeat: unfenced}).Accepted {
-		t.Fatal("not accepted")
+		t.Fatal("heartbeat with an earlier term's fencing token not accepted")
 	}
 	for end := f.now + lease; f.now < end; {
 		f.now += time.Second
 		if f.now < end {
 			f.sendHeartbeat(0)
 			if f.scheduler.recovery.hasEnded() || starts() > 0 {
-				t.Fatalf("placed at %v, the answered machine's lease lasts until %v", f.now, end)
+				t.Fatalf("recovery ended or task started at %v; the answered machine's lease ends at %v", f.now, end)
 			}
 		}
 	}
 	f.sendHeartbeat(0)
 	if !f.scheduler.recovery.hasEnded() {
-		t.Error("not recovered although every lease is over")
+		t.Error("recovery has not ended although all earlier leases have expired")
 	}
 }
--- a/internal/coordination/scheduler/responders_test.go
+++ b/internal/coordination/scheduler/responders_test.go
@@ -2,15 +2,16 @@
 
 import "quillshunt/internal/protocol"
 
-// machineResponder is the index of the machine that has sent a heartbeat. Tests that carry out the
-// effects themselves look at the index; its methods are not called.
+// machineResponder is the index of the machine that sent a heartbeat. Tests that execute the effects
+// themselves read the index from the HeartbeatReply and do not call the methods.
 type machineResponder int
 
 func (machineResponder) Accept(protocol.HeartbeatReply) {}
 func (machineResponder) Redirect(protocol.Redirect)     {}
 func (machineResponder) Reject()                        {}
 
-// responderFunc gets the answer to a heartbeat, or nil if it renews no lease.
+// responderFunc is called with the reply to a heartbeat, or with nil if the heartbeat was rejected or
+// redirected.
 type responderFunc func(*protocol.HeartbeatReply)
 
 func (f responderFunc) Accept(reply protocol.HeartbeatReply) { f(&reply) }
--- a/internal/coordination/scheduler/scheduler_fixture_test.go
+++ b/internal/coordination/scheduler/scheduler_fixture_test.go
@@ -10,15 +10,15 @@
 	"quillshunt/internal/storage"
 )
 
-// schedulerFixture is the scheduler of term 3 with machines m-0, m-1, ... that are registered and
-// have not sent a heartbeat yet. A test sends it events one by one and looks at the effects.
+// schedulerFixture is a scheduler in term 3 with machines m-0, m-1, ... that earlier terms registered and
+// that have not sent a heartbeat yet. A test sends it events one at a time and checks the effects.
 type schedulerFixture struct {
 	t         *testing.T
 	scheduler *Scheduler
 	now       time.Duration
 	effects   []Effect // of the last event
 	sequence  uint64   // of the last heartbeat
-	version   uint64   // counts the records of jobs
+	version   uint64   // number of job records sent; their versions are 100 higher
 }
 
 func newSchedulerFixture(t *testing.T, machines int) *schedulerFixture {
@@ -41,7 +41,7 @@
 	return f
 }
 
-// loadRegistryPage loads a rental, and a registry page of the same name with all its machines.
+// loadRegistryPage loads a rental and a registry page of the same name with all machines of the rental.
 func loadRegistryPage(s *Scheduler, name string, rental storage.Rental, now time.Duration) {
 	s.Step(RentalLoaded{Name: name, Version: 1, Record: rental}, now)
 	var page storage.RegistryPage
@@ -51,7 +51,7 @@
 	s.Step(RegistryPageLoaded{Name: name, Version: 1, Record: page}, now)
 }
 
-// answeredRental is the record of a rental with its machines.
+// answeredRental returns the record of a rental with that many machines, whose names come from name.
 func answeredRental(machineType string, machines int, name func(int) string) storage.Rental {
 	rental := storage.Rental{MachineType: machineType, Zone: "a", Count: machines, Answered: true}
 	for i := range machines {
@@ -64,14 +64,14 @@
 
 func (f *schedulerFixture) machine(i int) string { return fmt.Sprintf("m-%d", i) }
 
-// step lets a little time pass and processes an event.
+// step advances the time by 10 ms, processes an event and returns its effects.
 func (f *schedulerFixture) step(e Event) []Effect {
 	f.now += 10 * time.Millisecond
 	f.effects = f.scheduler.Step(e, f.now)
 	return f.effects
 }
 
-// heartbeat is the next heartbeat of a machine.
+// heartbeat returns the next heartbeat of a machine, with the fencing token of the term.
 func (f *schedulerFixture) heartbeat(machine string, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	f.sequence++
 	return &protocol.Heartbeat{
@@ -80,7 +80,8 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat and returns the commands of the answer.
+// sendHeartbeat sends the next heartbeat of machine i, which must be accepted, and returns the commands
+// of the reply.
 func (f *schedulerFixture) sendHeartbeat(i int, tasks ...protocol.TaskStatus) []protocol.Command {
 	f.t.Helper()
 	heartbeat := f.heartbeat(f.machine(i), tasks...)
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// submitJob submits a job array. Its deadline is in seconds; 0 means that it has none.
+// submitJob opens a job array. The deadline is in seconds; 0 means none.
 func (f *schedulerFixture) submitJob(id, team, priority string, tasks int, cpus float64, deadline float64) {
 	f.version++
 	f.step(JobChanged{JobID: id, Version: 100 + f.version, Record: storage.OpenJob{Spec: protocol.Spec{
@@ -102,7 +103,7 @@
 	}}})
 }
 
-// cancel tells the scheduler that a job is cancelled.
+// cancel informs the scheduler of the cancellation of an open job, sinceCancellation after it.
 func (f *schedulerFixture) cancel(id string, sinceCancellation time.Duration) {
 	f.t.Helper()
 	j := f.scheduler.jobs.find(id)
@@ -116,7 +117,7 @@
 	})
 }
 
-// directCommands returns the direct commands among the effects of the last event. They are not answered.
+// directCommands returns the direct commands among the effects of the last event, without answering them.
 func (f *schedulerFixture) directCommands() []SendDirectCommands {
 	var sent []SendDirectCommands
 	for _, effect := range f.effects {
@@ -127,7 +128,7 @@
 	return sent
 }
 
-// countVerb is how many of the commands have that verb.
+// countVerb returns the number of commands with that verb.
 func countVerb(commands []protocol.Command, verb protocol.CommandVerb) int {
 	count := 0
 	for _, command := range commands {
--- a/internal/coordination/scheduler/snapshot_test.go
+++ b/internal/coordination/scheduler/snapshot_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestJobExplanation: operators are told what a waiting job waits for.
+// TestJobExplanation checks that the snapshot tells operators what a job waits for.
 func TestJobExplanation(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	explain := func(id string) string {
@@ -19,25 +19,25 @@
 	}
 	f.submitJob("job-1", "red", "standard", 200, 1, 0)
 	if got := explain("job-1"); !strings.Contains(got, "does not know yet") {
-		t.Errorf("during recovery: %s", got)
+		t.Errorf("explanation during recovery: %s", got)
 	}
 	f.sendHeartbeat(0)
 	f.sendHeartbeat(1)
 	if got := explain("job-1"); !strings.Contains(got, "16 on machines") ||
 		!strings.Contains(got, "0 of these with room") {
-		t.Errorf("full machines: %s", got)
+		t.Errorf("explanation while all machines are full: %s", got)
 	}
 	f.submitJob("job-2", "blue", "standard", 1, 101, 0)
 	if got := explain("job-2"); !strings.Contains(got, "team blue uses 0 of at most 100") ||
 		!strings.Contains(got, "0 of them allowed") {
-		t.Errorf("too large a task: %s", got)
+		t.Errorf("explanation for tasks that are too large for the machines: %s", got)
 	}
 	if got := explain("job-3"); !strings.Contains(got, "not among") {
-		t.Errorf("unknown job: %s", got)
+		t.Errorf("explanation for an unknown job: %s", got)
 	}
 }
 
-// TestSnapshotViews: machines and teams are shown as they are.
+// TestSnapshotViews checks that a snapshot shows the state and usage of machines and teams.
 func TestSnapshotViews(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	f.sendHeartbeat(0)
@@ -47,7 +47,7 @@
 	f.step(SnapshotRequested{})
 	taken := f.effects[len(f.effects)-1].(SnapshotTaken).Snapshot
 	if taken.Term != 3 || !taken.Recovered || taken.Explanation != nil {
-		t.Errorf("term: %+v", taken)
+		t.Errorf("snapshot: %+v", taken)
 	}
 	var states []string
 	tasks := 0
