--- a/internal/coordination/scheduler/assignment_table.go
+++ b/internal/coordination/scheduler/assignment_table.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// releaseUnsent releases the tasks of a machine whose start was not sent yet.
+// releaseUnsent releases those tasks of a machine whose start command was not sent yet.
 func (t *assignmentTable) releaseUnsent(m *machine) {
 	for _, a := range m.sortedAssignments() {
 		if a.state == stateUnsent {
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -116,11 +116,12 @@
 	case a != nil && a.state != stateUnsent:
 		// The worker still has an older attempt, so it refuses the start of the assigned one as busy.
 		// Keep the older attempt.
-		newer := a.attempt
+		releasedAttempt := a.attempt
 		s.assignments.release(a)
 		s.updateProgress(s.assignments.assign(j, index, m, status.Attempt, stateSent), status)
 		s.logWarn("older attempt of task adopted",
-			keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, "newer", newer, keyMachine, m.name)
+			keyJob, j.id, keyTask, index, keyAttempt, status.Attempt,
+			"released_attempt", releasedAttempt, keyMachine, m.name)
 	default:
 		return false
 	}
--- a/internal/coordination/scheduler/summary.go
+++ b/internal/coordination/scheduler/summary.go
@@ -15,11 +15,11 @@
 }
 
 func (s *Scheduler) logSummary() {
-	var up, booting, unverified, waiting, assigned int
+	var up, notReported, unverified, waiting, assigned int
 	var cpus, usedCPUs float64
 	for _, m := range s.inventory.all() {
 		if !m.hasReported {
-			booting++
+			notReported++
 			continue
 		}
 		up++
@@ -36,6 +36,7 @@
 		assigned += len(j.assignments)
 	}
 	s.logInfo(SummaryMessage,
-		"up", up, "booting", booting, "unverified", unverified, "cpus", cpus, "used", usedCPUs,
-		"jobs", s.jobs.count(), "waiting", waiting, "assigned", assigned, "recovered", s.recovery.hasEnded())
+		"up", up, "not_reported", notReported, "unverified", unverified, "cpus", cpus, "used_cpus", usedCPUs,
+		"jobs", s.jobs.count(), "waiting_tasks", waiting, "assigned_tasks", assigned,
+		"recovered", s.recovery.hasEnded())
 }
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -69,9 +69,9 @@
 	spec := &a.job.spec
 	s.emit(LogEntry{Level: slog.LevelDebug, Message: "task running", Args: []any{
 		keyJob, a.job.id, "class", spec.Class, keyTask, a.index, keyMachine, a.machine.name,
-		"age", (s.now - a.job.submittedAt).Seconds(),
-		"queued", (a.assignedAt - a.job.submittedAt).Seconds(),
-		"fetch", (s.now - a.assignedAt).Seconds(), "gb", spec.ImageGB,
+		"job_age_s", (s.now - a.job.submittedAt).Seconds(),
+		"queued_s", (a.assignedAt - a.job.submittedAt).Seconds(),
+		"fetch_s", (s.now - a.assignedAt).Seconds(), "image_gb", spec.ImageGB,
 	}})
 }
 
