--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -104,7 +104,7 @@
 	case a != nil && a.attempt == status.Attempt:
 		s.updateProgress(a, status)
 	case j != nil && j.mayAdopt(index):
-		// The task runs without a start of this assignment, usually from an earlier term. Adopt it.
+		// The task runs although this leader has not started it, usually since an earlier term. Adopt it.
 		if unsent := j.assignments[index]; unsent != nil {
 			s.assignments.release(unsent)
 		}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -36,8 +36,8 @@
 func (r *recoveryState) hasFewUnreported() bool { return r.onlyFewUnreported }
 
 // tryEnd ends recovery if no unknown task can be running: each machine that may run tasks of earlier
-// terms has reported to this leader, is gone, or has an expired lease. It reports whether this call has
-// ended recovery.
+// terms has reported with the fencing token of this term, is gone, or has an expired lease. It reports
+// whether this call has ended recovery.
 //
 // The reply to a heartbeat renews the worker's lease in full, even if the worker has not yet shown its
 // tasks to this leader. The lease therefore counts from that reply. A leader that is too busy to
