--- a/internal/coordination/leader/watch.go
+++ b/internal/coordination/leader/watch.go
@@ -10,9 +10,9 @@
 	"quillshunt/internal/storage"
 )
 
-// watchOpenJobs sends the actor every change of the open jobs after a revision, until the context
-// ends.
-func (t *term) watchOpenJobs(ctx context.Context, revision uint64) {
+// watchOpenJobs watches the open jobs and sends the actor each change after a revision, until the
+// context ends.
+func (t *termActor) watchOpenJobs(ctx context.Context, revision uint64) {
 	var backoff storage.Backoff
 	for ctx.Err() == nil {
 		reply, err := t.dispatcher.store.Watch(ctx, storage.PrefixOpenJob, revision)
@@ -25,21 +25,22 @@
 			revision = max(revision, reply.Revision)
 			t.send(ctx, observedRevisionMessage{revision})
 		case errors.Is(err, storage.ErrCompacted):
-			current, err := t.resendOpenJobs(ctx)
+			current, err := t.relistOpenJobs(ctx)
 			if err != nil {
 				backoff.Wait(ctx)
 				continue
 			}
 			revision = current
 		default:
-			t.log.Debug("watch failed", "err", err)
+			t.log.Debug("watch of open jobs failed; retrying", "err", err)
 			backoff.Wait(ctx)
 		}
 	}
 }
 
-// sendJobChange sends the actor one change of an open job.
-func (t *term) sendJobChange(ctx context.Context, change protocol.Change) {
+// sendJobChange sends one change of an open job to the actor. A record that cannot be decoded is
+// logged and skipped.
+func (t *termActor) sendJobChange(ctx context.Context, change protocol.Change) {
 	if change.Delete != "" {
 		id := strings.TrimPrefix(change.Delete, storage.PrefixOpenJob)
 		t.sendEvent(ctx, scheduler.JobRemoved{JobID: id, Version: change.Version})
@@ -47,15 +48,15 @@
 	}
 	event, err := t.decodeOpenJob(change.Put, change.Value, change.Version)
 	if err != nil {
-		t.log.Error("bad job record", "err", err)
+		t.log.Error("failed to decode a changed job; change ignored", "err", err)
 		return
 	}
 	t.sendEvent(ctx, event)
 }
 
-// resendOpenJobs reads all open jobs and sends them to the actor, for when changes since the last
-// revision are no longer kept. It returns the revision from which the watch continues.
-func (t *term) resendOpenJobs(ctx context.Context) (uint64, error) {
+// relistOpenJobs reads all open jobs and sends them to the actor, after the state service has compacted
+// the changes since the last revision. It returns the revision at which the watch continues.
+func (t *termActor) relistOpenJobs(ctx context.Context) (uint64, error) {
 	revision, events, err := t.readOpenJobs(ctx)
 	if err != nil {
 		return 0, err
