--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -9,92 +9,96 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestCancelledTaskOnSpotNotice: a cancelled task that does not stop costs its machine in time, also
-// one with a spot notice.
-func TestCancelledTaskOnSpotNotice(t *testing.T) {
+// TestCancelledTaskOnMachineWithSpotNotice checks that a machine on which a cancelled task does not stop
+// is deleted in time, even if the machine has a spot notice.
+func TestCancelledTaskOnMachineWithSpotNotice(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
-	start := f.direct()[0].Commands[0]
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
+	start := f.directCommands()[0].Commands[0]
 	task := protocol.TaskStatus{Task: "job-1/0", Attempt: start.Attempt, State: protocol.TaskRunning}
-	f.report(0, task)
+	f.sendHeartbeat(0, task)
 	f.cancel("job-1", 0)
 	m := f.scheduler.inventory.find(f.machine(0))
 	m.spotNotice, m.spotReclaimAt = true, time.Hour
 	for end := f.now + 20*time.Second; f.now < end; f.now += time.Second {
-		f.report(0, task)
+		f.sendHeartbeat(0, task)
 		f.step(Tick{Entitled: true})
 	}
 	if !m.deleting {
-		t.Error("its machine is kept")
+		t.Error("the machine of the cancelled task is not deleted")
 	}
 }
 
-// TestCancelledInTime: a machine that reports a cancelled task again and again, whatever it is
-// told, and whose deletion nobody confirms, gets no answer from so early on that its lease ends
-// within cancel_s; and that time goes on across a failover. A machine without such a task is
-// answered all the while.
-func TestCancelledInTime(t *testing.T) {
+// TestCancelledTaskEndsInTime checks a machine that keeps reporting a cancelled task despite stop
+// commands and whose deletion is never confirmed. Its heartbeats must be rejected early enough that its
+// lease expires within cancel_s of the cancellation, even if a failover happens in between: the new leader
+// counts from the cancellation too. The heartbeats of a machine without such a task are always accepted.
+func TestCancelledTaskEndsInTime(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second, 25 * time.Second, time.Hour} {
-		t.Run(fmt.Sprintf("age=%v", age), func(t *testing.T) { testCancelledInTime(t, age) })
+		t.Run(fmt.Sprintf("age=%v", age), func(t *testing.T) { checkCancelledTaskEndsInTime(t, age) })
 	}
 }
 
-// testCancelledInTime lets the scheduler learn of a cancellation of that age.
-func testCancelledInTime(t *testing.T, age time.Duration) {
+// checkCancelledTaskEndsInTime runs the check with a scheduler that learns of the cancellation when it
+// is that old.
+func checkCancelledTaskEndsInTime(t *testing.T, age time.Duration) {
 	const cancelTime, lease = 34 * time.Second, 14 * time.Second // as in the fixture's settings
 	f := newSchedulerFixture(t, 2)
-	f.report(0)
-	f.report(1)
-	f.job("job-1", "red", "standard", 1, 8, 0)
-	task := f.startDirectly()
+	f.sendHeartbeat(0)
+	f.sendHeartbeat(1)
+	f.submitJob("job-1", "red", "standard", 1, 8, 0)
+	task := f.confirmDirectStarts()
 	holder := f.scheduler.jobs.find("job-1").assignments[0].machine.name
 	f.cancel("job-1", age)
 	learnedAt := f.now
-	toldAt := f.now - age
+	userToldAt := f.now - age
 	if age >= cancelTime {
-		toldAt = f.now // no leader knew, or its lease would be over: nobody was told
+		// A leader that knew of the cancellation would have let the worker's lease expire by now. So no
+		// leader knew of it, and it was not confirmed to the user before.
+		userToldAt = f.now
 	}
-	var deletedAt, answeredAt time.Duration
-	for f.now < toldAt+cancelTime {
+	var deletedAt, lastAcceptedAt time.Duration
+	for f.now < userToldAt+cancelTime {
 		f.now += time.Second
 		for i := range 2 {
 			heartbeat := f.heartbeat(f.machine(i))
 			if heartbeat.Machine == holder {
 				heartbeat.Tasks = []protocol.TaskStatus{task}
 			}
-			accepted := f.isAccepted(heartbeat)
+			accepted := f.sendAndCheckAccepted(heartbeat)
 			if accepted && heartbeat.Machine == holder {
-				answeredAt = f.now
+				lastAcceptedAt = f.now
 			} else if !accepted && heartbeat.Machine != holder {
-				t.Fatal("the other machine is not answered")
+				t.Fatal("heartbeat of the other machine not accepted")
 			}
 		}
 		for _, effect := range f.step(Tick{Entitled: true}) {
 			if deletion, ok := effect.(DeleteMachines); ok && deletedAt == 0 {
 				if deletion.Machines[0] != holder || len(deletion.Machines) != 1 {
-					t.Fatalf("deletion of %v", deletion.Machines)
+					t.Fatalf("deletion of %v, want only %s", deletion.Machines, holder)
 				}
 				deletedAt = f.now
 			}
 		}
 	}
-	if answeredAt != 0 && answeredAt+lease > toldAt+cancelTime {
-		t.Errorf("answered until %v after the user was told", answeredAt-toldAt)
+	if lastAcceptedAt != 0 && lastAcceptedAt+lease > userToldAt+cancelTime {
+		t.Errorf("heartbeats accepted until %v after the cancellation was confirmed", lastAcceptedAt-userToldAt)
 	}
-	if deletedAt == 0 || deletedAt > toldAt+30*time.Second {
-		t.Errorf("deletion asked for %v after the user was told", deletedAt-toldAt)
+	if deletedAt == 0 || deletedAt > userToldAt+30*time.Second {
+		t.Errorf("deletion requested %v after the cancellation was confirmed", deletedAt-userToldAt)
 	}
 	if deletedAt < learnedAt+limits.CancelStopGrace {
-		t.Errorf("deleted %v after the scheduler learned of it, before the stop could take effect", deletedAt-learnedAt)
+		t.Errorf("deletion requested %v after the scheduler learned of the cancellation, want at least %v",
+			deletedAt-learnedAt, limits.CancelStopGrace)
 	}
 }
 
-// startDirectly lets workers start the tasks of the direct commands that were sent last, and returns
-// the last of these tasks.
-func (f *schedulerFixture) startDirectly() protocol.TaskStatus {
+// confirmDirectStarts answers the direct commands of the last event as workers that have started the
+// tasks, one task per command. It returns the last of these tasks.
+func (f *schedulerFixture) confirmDirectStarts() protocol.TaskStatus {
 	var task protocol.TaskStatus
-	for _, sent := range f.direct() {
+	for _, sent := range f.directCommands() {
 		start := sent.Commands[0]
 		task = protocol.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: protocol.TaskRunning}
 		f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: f.heartbeat(sent.Machine, task)})
@@ -102,8 +106,9 @@
 	return task
 }
 
-// isAccepted sends a heartbeat and reports whether it is accepted. Direct commands go unanswered.
-func (f *schedulerFixture) isAccepted(heartbeat *protocol.Heartbeat) bool {
+// sendAndCheckAccepted sends a heartbeat and reports whether it is accepted. Direct commands that result
+// from it get no reply from their workers.
+func (f *schedulerFixture) sendAndCheckAccepted(heartbeat *protocol.Heartbeat) bool {
 	accepted := false
 	for _, effect := range f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: heartbeat}) {
 		switch effect := effect.(type) {
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -106,7 +106,7 @@
 
 // savesOnStop reports whether a stopped task should save a checkpoint before it ends.
 func (a *assignment) savesOnStop() bool {
-	return a.job.spec.CheckpointS > 0 && !a.job.cancelled && !a.withoutSaving && a.stopReason != stopReasonDoneElsewhere
+	return a.job.spec.CheckpointS > 0 && !a.job.cancelled && !a.skipSaving && a.stopReason != stopReasonSuperseded
 }
 
 // commandsToRepeat returns the commands of the last heartbeat reply, without starts that have arrived since
--- a/internal/coordination/scheduler/gang_fixture_test.go
+++ b/internal/coordination/scheduler/gang_fixture_test.go
@@ -53,7 +53,7 @@
 func (f *gangFixture) reportAll() {
 	f.t.Helper()
 	for i := range f.tasks {
-		commands := f.report(i, f.tasks[i]...)
+		commands := f.sendHeartbeat(i, f.tasks[i]...)
 		effects := f.effects
 		f.executeCommands(i, commands)
 		f.deliverDirectCommands(effects)
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -56,7 +56,7 @@
 	if heartbeat.Sequence > m.taskListSequence { // else a newer direct reply has been processed already
 		commands = s.reconcileTasks(m, heartbeat, 0)
 	}
-	if s.holdsCancelledTask(m, s.cancelReplyDeadline) {
+	if s.holdsCancelledTask(m, s.cancelReplyUntil) {
 		s.rejectHeartbeat(e)
 		return
 	}
@@ -81,7 +81,7 @@
 func (s *Scheduler) answerOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
 	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
 	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout
-	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelReplyDeadline) {
+	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelReplyUntil) {
 		s.rejectHeartbeat(e)
 		return
 	}
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -75,7 +75,7 @@
 	case j.cancelled && !s.recovery.hasEnded():
 		return false // its tasks on machines that have not reported yet still count against the team's limit
 	}
-	return !j.isWritingChunks() // the completion of that write calls tryCloseJob again
+	return !j.hasChunkWriteInFlight() // the completion of that write calls tryCloseJob again
 }
 
 // finalJobWritten handles the outcome of the write of a job's final record. On success it closes the job
--- a/internal/coordination/scheduler/job_lifecycle_test.go
+++ b/internal/coordination/scheduler/job_lifecycle_test.go
@@ -24,10 +24,10 @@
 // version of the record has no effect.
 func TestJobRemovedByOthers(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
 	j := f.scheduler.jobs.find("job-1")
-	f.startDirectly()
+	f.confirmDirectStarts()
 	f.step(JobRemoved{JobID: "job-1", Version: j.version})
 	if f.scheduler.jobs.find("job-1") == nil {
 		t.Fatal("job closed by the removal of an older version of its record")
@@ -49,8 +49,8 @@
 // write is closed only when that write is reported as completed.
 func TestRemovalByOwnFinalWrite(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 100, 0) // needs more CPUs than any machine has
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 100, 0) // needs more CPUs than any machine has
 	j := f.scheduler.jobs.find("job-1")
 	f.cancel("job-1", 0)
 	var final WriteRecords
@@ -76,22 +76,22 @@
 // final write fails, the final record is written again once the new open record arrives.
 func TestFinalWriteRetriedAfterConflict(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
 	j := f.scheduler.jobs.find("job-1")
-	task := f.startDirectly()
+	task := f.confirmDirectStarts()
 	task.State, task.Reason = protocol.TaskEnded, protocol.ReasonDone
-	f.report(0, task)
+	f.sendHeartbeat(0, task)
 	if !j.closing {
 		t.Fatalf("final record not written: %+v", f.effects)
 	}
-	first := f.scheduler.writeSequence
+	first := f.scheduler.lastWriteID
 	f.step(WriteCompleted{ID: first})
 	if j.closing || j.closed {
 		t.Fatal("job still closing, or closed, after the final write failed")
 	}
 	f.cancel("job-1", 0)
-	if !j.closing || f.scheduler.writeSequence == first {
+	if !j.closing || f.scheduler.lastWriteID == first {
 		t.Error("final record not written again")
 	}
 }
--- a/internal/coordination/scheduler/machine_removal_test.go
+++ b/internal/coordination/scheduler/machine_removal_test.go
@@ -12,7 +12,7 @@
 func TestUnreachableMachinesNotReturnedAsIdle(t *testing.T) {
 	f := newSchedulerFixture(t, 8)
 	for i := range 8 {
-		f.report(i)
+		f.sendHeartbeat(i)
 	}
 	for range 100 {
 		f.now += time.Second
@@ -38,7 +38,7 @@
 // run checks the return reason of a reachable machine after c.change has modified it.
 func (c returnCase) run(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
+	f.sendHeartbeat(0)
 	m := f.findMachine(0)
 	f.scheduler.now, m.lastHeartbeatAt = returnTestTime, returnTestTime
 	c.change(m)
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -107,7 +107,7 @@
 // recordOutcome slows down probes after one that could not be sent or was answered late, as this controller
 // is then short of CPU time or sockets. A probe without an answer says nothing about the controller.
 func (p *machineProber) recordOutcome(e ProbeDone) {
-	answeredLate := e.Heartbeat != nil && e.Took > limits.SlowHeartbeatWait
+	answeredLate := e.Heartbeat != nil && e.Elapsed > limits.SlowHeartbeatWait
 	if e.NotSent || answeredLate {
 		p.limiter.slowUntil = p.now + limits.ProbeInterval
 	}
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -24,7 +24,7 @@
 	s.Step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
 		Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"},
 	}}}, 0)
-	loadRegistryPage(s, "h-1-1", answeredRental("s8", machines, longName), 0)
+	loadRegistryPage(s, "h-1-1", answeredRental("s8", machines, paddedMachineName), 0)
 	return s
 }
 
@@ -49,7 +49,7 @@
 		}
 		done := ProbeDone{Machine: probe.Machine}
 		if a.elapsed > 0 {
-			done.Took, done.Heartbeat = a.elapsed, &protocol.Heartbeat{} // invalid, so it is ignored
+			done.Elapsed, done.Heartbeat = a.elapsed, &protocol.Heartbeat{} // invalid, so it is ignored
 		}
 		a.scheduler.Step(done, now)
 	}
@@ -102,7 +102,7 @@
 		t.Run(fmt.Sprintf("%d unreported", c.unreported), func(t *testing.T) {
 			f := newSchedulerFixture(t, 40)
 			for i := c.unreported; i < 40; i++ {
-				f.report(i)
+				f.sendHeartbeat(i)
 			}
 			f.tick()
 			again := 0
@@ -128,7 +128,7 @@
 			f := newSchedulerFixture(t, 40)
 			for range 2 {
 				for i := range 40 {
-					f.report(i)
+					f.sendHeartbeat(i)
 				}
 				f.now += 2 * time.Second // after all probes of the failover
 			}
@@ -150,7 +150,7 @@
 			}
 			// All but one are verified by heartbeats. The last one stays unverified and must be probed.
 			for i := range n - 1 {
-				f.report(i)
+				f.sendHeartbeat(i)
 			}
 			late := 0
 			for range 4 {
