--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -62,10 +62,10 @@
 		Peers:         peers,
 		LeaseDuration: time.Duration(options.Leadership.LeaderLease),
 		VoteLease:     limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)),
-		Lead:          dispatcher.RunTerm,
+		RunTerm:       dispatcher.RunTerm,
 		Log:           log,
 	})
-	dispatcher.OnTermLost(elector.TermLost)
+	dispatcher.OnTermLost(elector.ReportTermLost)
 
 	c := &Controller{settings: s, log: log, store: store, peers: peers, dispatcher: dispatcher, elector: elector}
 	c.gateway = c.newGateway(shares)
--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -33,7 +33,7 @@
 	c := candidacy{
 		leader:     storage.LeaderRecord{Node: e.options.Node, Term: last.Term + 1, Nonce: e.voter.nonce},
 		leaseID:    leaseID,
-		conditions: append(conditions, unchanged(storage.KeyTerm, termVersion)),
+		conditions: append(conditions, versionCondition(storage.KeyTerm, termVersion)),
 	}
 	version, err := e.writeLeader(ctx, c)
 	var conflict *storage.ConflictError
@@ -46,7 +46,7 @@
 	}
 	l := NewLeadership(c.leader.Term, version, sentAt.Add(limits.LeaseValidFor(e.options.LeaseDuration)))
 	if e.needsVotes() {
-		l.requireQuorum(sentAt.Add(limits.LeaseValidFor(e.voter.lease)))
+		l.requireQuorum(sentAt.Add(limits.LeaseValidFor(e.voter.voteLease)))
 	}
 	e.lead(ctx, l, leaseID)
 	return nil
@@ -80,7 +80,7 @@
 		},
 	})
 	if errors.Is(err, storage.ErrOutcomeUnknown) {
-		return e.findOutcome(ctx, c, err)
+		return e.readOutcome(ctx, c, err)
 	}
 	if err != nil {
 		return 0, fmt.Errorf("campaign: %w", err)
@@ -88,11 +88,11 @@
 	return version, nil
 }
 
-// findOutcome reads the leader key after a transaction that got no answer, and returns its version if
+// readOutcome reads the leader key after a transaction that got no answer, and returns its version if
 // it has our record. If not, the error is that of the campaign. The transaction may still be applied
 // later: then a later round finds our own name in the key, unless another controller has won in the
 // meantime, in which case the conditions fail.
-func (e *Elector) findOutcome(ctx context.Context, c candidacy, campaignErr error) (version uint64, err error) {
+func (e *Elector) readOutcome(ctx context.Context, c candidacy, campaignErr error) (version uint64, err error) {
 	key, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	if err != nil {
 		return 0, fmt.Errorf("read leader after an election with unknown outcome: %w", err)
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -74,12 +74,12 @@
 	Peers         Peers                                    // nil: a single controller, which needs no votes
 	LeaseDuration time.Duration                            // of the lease of the leader key
 	VoteLease     time.Duration                            // how long a vote is live; 0: leadership needs no votes
-	Lead          func(ctx context.Context, l *Leadership) // runs a term; returns soon after its context ends
+	RunTerm       func(ctx context.Context, l *Leadership) // runs a term; returns soon after its context ends
 	Log           *slog.Logger
 
 	// Delay measures how far this process is behind because its processor is busy. Nil: by a short
 	// sleep, schedulingDelay.
-	Delay func(ctx context.Context) time.Duration
+	SchedulingDelay func(ctx context.Context) time.Duration
 }
 
 // Elector takes part in elections. Its methods may be called by any goroutine.
@@ -95,12 +95,12 @@
 // New returns an Elector. It takes part in elections once Run is called; it grants votes from now
 // on.
 func New(options Options) *Elector {
-	if options.Delay == nil {
-		options.Delay = schedulingDelay
+	if options.SchedulingDelay == nil {
+		options.SchedulingDelay = measureSchedulingDelay
 	}
 	return &Elector{
 		options:   options,
-		voter:     voter{lease: options.VoteLease, nonce: newNonce(), startedAt: time.Now()},
+		voter:     voter{voteLease: options.VoteLease, nonce: newNonce(), startedAt: time.Now()},
 		lostTerms: make(chan uint64, 1),
 		offers:    make(chan uint64, 1),
 	}
@@ -126,9 +126,9 @@
 	return err == nil
 }
 
-// TermLost tells the elector that a write or a worker showed that the term is over. It does not
+// ReportTermLost tells the elector that a write or a worker showed that the term is over. It does not
 // block.
-func (e *Elector) TermLost(term uint64) {
+func (e *Elector) ReportTermLost(term uint64) {
 	select {
 	case e.lostTerms <- term:
 	default:
@@ -153,8 +153,8 @@
 
 // Vote answers a leader's request for this controller's vote, under the heartbeat with that key
 // version. The nonce is that of the process that the leader believes to ask.
-func (e *Elector) Vote(heartbeat, nonce uint64) Vote {
-	return e.voter.vote(heartbeat, nonce)
+func (e *Elector) Vote(heartbeatVersion, nonce uint64) Vote {
+	return e.voter.vote(heartbeatVersion, nonce)
 }
 
 // Run takes part in elections until the context ends, and leads the terms that it wins. It returns
@@ -162,7 +162,7 @@
 func (e *Elector) Run(ctx context.Context) {
 	var backoff storage.Backoff
 	for ctx.Err() == nil {
-		err := e.round(ctx)
+		err := e.followOrCampaign(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -177,8 +177,8 @@
 	}
 }
 
-// round reads the leader key once. It follows another leader, or campaigns and leads.
-func (e *Elector) round(ctx context.Context) error {
+// followOrCampaign reads the leader key once. It follows another leader, or campaigns and leads.
+func (e *Elector) followOrCampaign(ctx context.Context) error {
 	key, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	if err != nil {
 		return fmt.Errorf("read leader: %w", err)
@@ -197,17 +197,17 @@
 		// the replacement safe.
 	}
 	e.setLeader("")
-	return e.campaign(ctx, unchanged(storage.KeyLeader, key.Version))
+	return e.campaign(ctx, versionCondition(storage.KeyLeader, key.Version))
 }
 
-// unchanged returns the condition that a key still has a version; version 0 means that it is absent.
-func unchanged(key string, version uint64) protocol.Condition {
+// versionCondition returns the condition that a key still has a version; version 0 means that it is absent.
+func versionCondition(key string, version uint64) protocol.Condition {
 	return protocol.Condition{Key: key, Version: version}
 }
 
 // needsVotes reports whether leadership depends on votes: a single controller needs none.
 func (e *Elector) needsVotes() bool {
-	return e.options.Peers != nil && e.options.Peers.Size() > 0 && e.voter.lease > 0
+	return e.options.Peers != nil && e.options.Peers.Size() > 0 && e.voter.voteLease > 0
 }
 
 // quorum returns the majority of all controllers, this one included.
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -26,7 +26,7 @@
 	k.t.Helper()
 	var entitled []string
 	for _, n := range k.cluster.nodes {
-		l := n.entitled()
+		l := n.entitledLeadership()
 		if l == nil {
 			continue
 		}
@@ -58,14 +58,14 @@
 
 // Faults that injectFault injects.
 const (
-	crashForSeconds = iota
-	outageOfStateService
-	rejectedByStateService
+	crashAndRestart = iota
+	stateServiceOutage
+	stateServiceRejects
 	noFault
 	crashRepeatedly // back at once, also in the middle of an election
 	isolatedFromAll // still connected to its workers
 	isolatedFromPeers
-	numberOfFaults
+	faultCount
 )
 
 // injectFault injects a random fault, at the leader or at a random node.
@@ -78,8 +78,8 @@
 		}
 	}
 	until := time.Now().Add(time.Duration(random.IntN(60)) * time.Second)
-	switch random.IntN(numberOfFaults) {
-	case crashForSeconds:
+	switch random.IntN(faultCount) {
+	case crashAndRestart:
 		n.crash()
 		k.runFor(time.Duration(random.IntN(9000)) * time.Millisecond)
 		n.start()
@@ -94,11 +94,11 @@
 		n.isolate(until)
 	case isolatedFromPeers:
 		n.isolate(until)
-	case outageOfStateService:
+	case stateServiceOutage:
 		k.cluster.service.SetUnavailable(true)
 		k.runFor(time.Duration(random.IntN(50)) * time.Second)
 		k.cluster.service.SetUnavailable(false)
-	case rejectedByStateService:
+	case stateServiceRejects:
 		n.store.setRejected(time.Now().Add(time.Duration(random.IntN(60)) * time.Second))
 	}
 }
@@ -127,9 +127,9 @@
 	return c
 }
 
-// TestOneEntitledLeader: at no time are two controllers entitled, terms rise, and after the faults
+// TestAtMostOneEntitledLeader: at no time are two controllers entitled, terms rise, and after the faults
 // there is a leader again.
-func TestOneEntitledLeader(t *testing.T) {
+func TestAtMostOneEntitledLeader(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -153,21 +153,21 @@
 	}
 }
 
-// TestRestartTakesOver: a controller that comes back under the leader's name does not wait for the
+// TestRestartedLeaderCampaignsAtOnce: a controller that comes back under the leader's name does not wait for the
 // lease to expire.
-func TestRestartTakesOver(t *testing.T) {
+func TestRestartedLeaderCampaignsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newCluster(0, 0).addNode(rand.New(rand.NewPCG(1, 1)))
 		n.start()
 		time.Sleep(3 * time.Second)
-		first := n.entitled()
+		first := n.entitledLeadership()
 		if first == nil {
 			t.Fatal("no leader")
 		}
 		n.crash()
 		n.start()
 		time.Sleep(3 * time.Second)
-		if l := n.entitled(); l == nil || l.Term != first.Term+1 {
+		if l := n.entitledLeadership(); l == nil || l.Term != first.Term+1 {
 			t.Fatalf("after a restart: %+v", l)
 		}
 		n.crash()
@@ -183,12 +183,12 @@
 		// The phases differ in when the others' watches of the leader key end by themselves.
 		phase := time.Duration(i/2) * limits.WatchDuration / 6
 		t.Run(fmt.Sprintf("cut off from the state service too %v, phase %v", fromStore, phase), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testIsolatedLeader(t, fromStore, phase) })
+			synctest.Test(t, func(t *testing.T) { checkIsolatedLeader(t, fromStore, phase) })
 		})
 	}
 }
 
-func testIsolatedLeader(t *testing.T, fromStore bool, phase time.Duration) {
+func checkIsolatedLeader(t *testing.T, fromStore bool, phase time.Duration) {
 	c := newCluster(5, 3)
 	defer c.crash()
 	for _, n := range c.nodes {
@@ -200,7 +200,7 @@
 	if isolated == nil {
 		t.Fatal("no leader")
 	}
-	old := isolated.entitled()
+	old := isolated.entitledLeadership()
 	isolated.isolate(time.Now().Add(time.Hour))
 	if fromStore {
 		isolated.store.setRejected(time.Now().Add(time.Hour))
@@ -208,7 +208,7 @@
 	time.Sleep(2*limits.VoteLeaseMin + 3*time.Second)
 	replaced := false
 	for _, n := range c.nodes {
-		replaced = replaced || (n != isolated && n.entitled() != nil)
+		replaced = replaced || (n != isolated && n.entitledLeadership() != nil)
 	}
 	if old.Entitled() == fromStore || replaced != fromStore {
 		t.Errorf("cut off from the state service too: %v; old leader entitled: %v, another one: %v",
@@ -216,9 +216,9 @@
 	}
 }
 
-// TestDelayedReplacement: a transaction that was to replace an unreachable leader is applied late,
+// TestLateReplacementFails: a transaction that was to replace an unreachable leader is applied late,
 // when that leader is reachable and entitled again. It fails.
-func TestDelayedReplacement(t *testing.T) {
+func TestLateReplacementFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(5, 4)
 		defer c.crash()
@@ -233,24 +233,24 @@
 			leader.store.setRejected(until)
 		}
 		for _, n := range c.nodes {
-			n.store.setKeepCampaigns(true)
+			n.store.setCaptureCampaigns(true)
 		}
 		isolate(time.Now().Add(time.Hour))
 		time.Sleep(2*limits.VoteLeaseMin + time.Second)
 		isolate(time.Time{})
 		time.Sleep(limits.VoteLeaseMin)
-		if leader.entitled() == nil {
+		if leader.entitledLeadership() == nil {
 			t.Error("the leader is not entitled again")
 		}
 		campaigns := 0
 		for _, n := range c.nodes {
-			for _, campaign := range n.store.campaigns() {
+			for _, campaign := range n.store.capturedCampaigns() {
 				campaigns++
 				if status, _ := c.service.CompareAndSwap(campaign); status == http.StatusOK {
 					t.Error("a late campaign replaced an entitled leader")
 				}
 			}
-			n.store.setKeepCampaigns(false)
+			n.store.setCaptureCampaigns(false)
 		}
 		if campaigns == 0 {
 			t.Error("no node campaigned")
@@ -258,19 +258,19 @@
 	})
 }
 
-// TestDelayedCampaign: a campaign that is applied late, when another term has begun and its lease has
+// TestLateCampaignFails: a campaign that is applied late, when another term has begun and its lease has
 // expired, fails: it would use a term again.
-func TestDelayedCampaign(t *testing.T) {
+func TestLateCampaignFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2, 7)
 		late, winner := c.nodes[0], c.nodes[1]
 		late.leaseDuration = limits.LeaderLeaseMax
-		late.store.setKeepCampaigns(true)
+		late.store.setCaptureCampaigns(true)
 		late.start()
 		time.Sleep(3 * time.Second)
 		winner.start()
 		time.Sleep(3 * time.Second)
-		if l := winner.entitled(); l == nil || l.Term != 1 {
+		if l := winner.entitledLeadership(); l == nil || l.Term != 1 {
 			t.Fatalf("no leader of the first term: %+v", l)
 		}
 		c.crash()
@@ -278,7 +278,7 @@
 		if key, _ := c.service.Get(storage.KeyLeader); key.Version != 0 {
 			t.Fatal("the winner's lease has not expired")
 		}
-		campaigns := late.store.campaigns()
+		campaigns := late.store.capturedCampaigns()
 		if len(campaigns) == 0 {
 			t.Fatal("no campaign is late")
 		}
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -8,22 +8,22 @@
 	"quillshunt/internal/storage"
 )
 
-// isolated reports whether this leader may be cut off from the state service, so that it should look
+// mayBeIsolated reports whether this leader may be cut off from the state service, so that it should look
 // for a controller that is not: the lease was renewed too long ago, and the last renewal failed for
 // a reason that is not in this process.
-func (e *Elector) isolated(ctx context.Context, sinceRenewal time.Duration, err error) bool {
-	return e.options.Peers != nil && sinceRenewal > limits.IsolatedAfter && e.blamesStateService(ctx, err)
+func (e *Elector) mayBeIsolated(ctx context.Context, sinceRenewal time.Duration, err error) bool {
+	return e.options.Peers != nil && sinceRenewal > limits.IsolatedAfter && e.isStateServiceFault(ctx, err)
 }
 
-// blamesStateService reports whether a failed renewal is evidence that the state service is
+// isStateServiceFault reports whether a failed renewal is evidence that the state service is
 // unreachable. Where no answer came and this process is far behind, it may only have missed the
 // answer. A handover would then cost a recovery of the scheduler's state, on a controller that is
 // as busy. If this one is cut off all the same, missing votes and heartbeats end the term.
-func (e *Elector) blamesStateService(ctx context.Context, err error) bool {
+func (e *Elector) isStateServiceFault(ctx context.Context, err error) bool {
 	if !storage.IsTimeout(err) {
 		return true
 	}
-	delay := e.options.Delay(ctx)
+	delay := e.options.SchedulingDelay(ctx)
 	if delay <= limits.MaxSchedulingDelay {
 		return true
 	}
@@ -32,11 +32,11 @@
 	return false
 }
 
-// schedulingDelay returns how much later than it should this process wakes from a short sleep.
-func schedulingDelay(ctx context.Context) time.Duration {
-	began := time.Now()
+// measureSchedulingDelay returns how much later than it should this process wakes from a short sleep.
+func measureSchedulingDelay(ctx context.Context) time.Duration {
+	start := time.Now()
 	storage.Sleep(ctx, limits.SchedulingDelaySample)
-	return time.Since(began) - limits.SchedulingDelaySample
+	return time.Since(start) - limits.SchedulingDelaySample
 }
 
 // handOver resigns if another controller reaches the state service, and reports whether it did. The
--- a/internal/coordination/election/handover_test.go
+++ b/internal/coordination/election/handover_test.go
@@ -23,26 +23,26 @@
 		time.Sleep(3 * time.Second)
 		c.service.SetUnavailable(true)
 		time.Sleep(limits.LeaderLease / 2)
-		if first.entitled() == nil {
+		if first.entitledLeadership() == nil {
 			t.Fatal("handed over in an outage for all")
 		}
 		c.service.SetUnavailable(false)
 		time.Sleep(5 * time.Second)
 		first.store.setRejected(time.Now().Add(time.Hour))
-		old := first.entitled()
+		old := first.entitledLeadership()
 		time.Sleep(limits.LeaderLease / 2)
 		if old == nil || old.Entitled() {
 			t.Fatal("still entitled after handing over")
 		}
-		if first.entitled() != nil || second.entitled() == nil {
+		if first.entitledLeadership() != nil || second.entitledLeadership() == nil {
 			t.Fatal("not handed over")
 		}
 	})
 }
 
-// TestBusyLeader: a leader that gets no answers because its own process is behind does not hand
+// TestBusyLeaderKeepsLeadership: a leader that gets no answers because its own process is behind does not hand
 // over; one whose process is not behind does.
-func TestBusyLeader(t *testing.T) {
+func TestBusyLeaderKeepsLeadership(t *testing.T) {
 	for name, busy := range map[string]bool{"busy": true, "not busy": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -58,7 +58,7 @@
 				}
 				leader.store.setUnanswered(time.Now().Add(15 * time.Second))
 				time.Sleep(20 * time.Second)
-				if kept := leader.entitled() != nil; kept != busy {
+				if kept := leader.entitledLeadership() != nil; kept != busy {
 					t.Errorf("busy: %v, still leads: %v", busy, kept)
 				}
 			})
--- a/internal/coordination/election/lead.go
+++ b/internal/coordination/election/lead.go
@@ -16,29 +16,29 @@
 	e.options.Log.Info("leading", "term", l.Term, "key_version", l.KeyVersion)
 	e.setLeader(e.options.Node)
 	ctx, cancel := context.WithCancel(ctx)
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	defer func() {
 		cancel()
-		running.Wait()
+		wg.Wait()
 		e.setLeader("")
 		e.options.Log.Info("term ended", "term", l.Term)
 	}()
 	termDone := make(chan struct{})
-	running.Go(func() {
+	wg.Go(func() {
 		defer close(termDone)
-		e.options.Lead(ctx, l)
+		e.options.RunTerm(ctx, l)
 	})
 	if e.needsVotes() {
-		running.Go(func() { e.keepQuorum(ctx, l) })
+		wg.Go(func() { e.maintainQuorumLease(ctx, l) })
 	}
-	e.keepLease(ctx, l, leaseID, termDone)
+	e.maintainLease(ctx, l, leaseID, termDone)
 }
 
-// keepLease renews the lease until the lease or the term is over, or the leadership was handed
+// maintainLease renews the lease until the lease or the term is over, or the leadership was handed
 // over.
-func (e *Elector) keepLease(ctx context.Context, l *Leadership, leaseID uint64, termDone <-chan struct{}) {
-	tick := time.NewTicker(limits.LeaseRenewInterval)
-	defer tick.Stop()
+func (e *Elector) maintainLease(ctx context.Context, l *Leadership, leaseID uint64, termDone <-chan struct{}) {
+	ticker := time.NewTicker(limits.LeaseRenewInterval)
+	defer ticker.Stop()
 	renewedAt := time.Now()
 	for {
 		select {
@@ -51,7 +51,7 @@
 				e.options.Log.Warn("superseded by another leader", "term", l.Term)
 				return
 			}
-		case <-tick.C:
+		case <-ticker.C:
 			err := e.renewLease(ctx, l, leaseID)
 			switch {
 			case err == nil:
@@ -60,7 +60,7 @@
 				return
 			default:
 				e.options.Log.Debug("renewing the lease failed", "term", l.Term, "err", err)
-				if e.isolated(ctx, time.Since(renewedAt), err) && e.handOver(ctx, l) {
+				if e.mayBeIsolated(ctx, time.Since(renewedAt), err) && e.handOver(ctx, l) {
 					return
 				}
 			}
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -37,17 +37,17 @@
 }
 
 func (l *Leadership) extendLease(until time.Time) {
-	raise(&l.leaseUntil, int64(until.Sub(l.startedAt)))
+	storeMax(&l.leaseUntil, int64(until.Sub(l.startedAt)))
 }
 
 func (l *Leadership) extendQuorum(until time.Time) {
-	raise(&l.quorumUntil, int64(until.Sub(l.startedAt)))
+	storeMax(&l.quorumUntil, int64(until.Sub(l.startedAt)))
 }
 
-// raise sets a value that never falls; it has one writer.
-func raise(value *atomic.Int64, to int64) {
-	if to > value.Load() {
-		value.Store(to)
+// storeMax sets a value that never falls; it has one writer.
+func storeMax(value *atomic.Int64, floor int64) {
+	if floor > value.Load() {
+		value.Store(floor)
 	}
 }
 
@@ -61,11 +61,11 @@
 	return int64(time.Since(l.startedAt)) < min(l.leaseUntil.Load(), l.quorumUntil.Load())
 }
 
-// Observe records that the term has processed all changes of open jobs up to a revision. The next
+// SetObservedRevision records that the term has processed all changes of open jobs up to a revision. The next
 // heartbeat record says so.
-func (l *Leadership) Observe(revision uint64) { l.observedRevision.Store(revision) }
+func (l *Leadership) SetObservedRevision(revision uint64) { l.observedRevision.Store(revision) }
 
-// Guard returns the condition that makes a write fail once there is another leader.
-func (l *Leadership) Guard() protocol.Condition {
+// FencingCondition returns the condition that makes a write fail once there is another leader.
+func (l *Leadership) FencingCondition() protocol.Condition {
 	return protocol.Condition{Key: storage.KeyLeader, Version: l.KeyVersion}
 }
--- a/internal/coordination/election/leadership_test.go
+++ b/internal/coordination/election/leadership_test.go
@@ -7,9 +7,9 @@
 	"quillshunt/internal/limits"
 )
 
-// TestMargins: our entitlement ends before the lease can expire, and we wait for others' leases for
+// TestLeaseMargins: our entitlement ends before the lease can expire, and we wait for others' leases for
 // longer than they can last, whatever the clocks do.
-func TestMargins(t *testing.T) {
+func TestLeaseMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
 		drift := time.Duration(float64(d) * limits.DriftShare)
 		if limits.LeaseValidFor(d) >= d-2*drift || limits.LeaseExpiredAfter(d) <= d+2*drift {
--- a/internal/coordination/election/node_test.go
+++ b/internal/coordination/election/node_test.go
@@ -45,7 +45,7 @@
 // leader returns the first entitled node, or nil.
 func (c *cluster) leader() *node {
 	for _, n := range c.nodes {
-		if n.entitled() != nil {
+		if n.entitledLeadership() != nil {
 			return n
 		}
 	}
@@ -86,13 +86,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel, n.done = cancel, make(chan struct{})
 	options := Options{
-		Node:          n.name,
-		Store:         n.store,
-		LeaseDuration: n.leaseDuration,
-		VoteLease:     n.voteLease,
-		Delay:         n.delay,
-		Lead:          n.lead,
-		Log:           slog.New(slog.DiscardHandler),
+		Node:            n.name,
+		Store:           n.store,
+		LeaseDuration:   n.leaseDuration,
+		VoteLease:       n.voteLease,
+		SchedulingDelay: n.schedulingDelay,
+		RunTerm:         n.runTerm,
+		Log:             slog.New(slog.DiscardHandler),
 	}
 	if n.voteLease > 0 {
 		options.Peers = n
@@ -116,7 +116,7 @@
 	<-n.done
 }
 
-func (n *node) lead(ctx context.Context, l *Leadership) {
+func (n *node) runTerm(ctx context.Context, l *Leadership) {
 	n.setLeadership(l)
 	<-ctx.Done()
 	n.setLeadership(nil)
@@ -128,15 +128,15 @@
 	n.leadership = l
 }
 
-// running returns the elector of the node's process, or nil after a crash.
-func (n *node) running() *Elector {
+// runningElector returns the elector of the node's process, or nil after a crash.
+func (n *node) runningElector() *Elector {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.elector
 }
 
-// entitled returns the node's leadership if it is entitled, or nil.
-func (n *node) entitled() *Leadership {
+// entitledLeadership returns the node's leadership if it is entitled, or nil.
+func (n *node) entitledLeadership() *Leadership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.leadership != nil && n.leadership.Entitled() {
@@ -145,15 +145,15 @@
 	return nil
 }
 
-// delay is how far the node's process is behind: a second while it is busy, else what it measures.
-func (n *node) delay(ctx context.Context) time.Duration {
+// schedulingDelay is how far the node's process is behind: a second while it is busy, else what it measures.
+func (n *node) schedulingDelay(ctx context.Context) time.Duration {
 	n.mu.Lock()
 	busy := n.busy
 	n.mu.Unlock()
 	if busy {
 		return time.Second
 	}
-	return schedulingDelay(ctx)
+	return measureSchedulingDelay(ctx)
 }
 
 func (n *node) setBusy() {
@@ -182,23 +182,23 @@
 // nil if the request is lost.
 func (n *node) call(other *node) *Elector {
 	time.Sleep(n.store.randomDelay(200, time.Millisecond))
-	if other == n || !n.reaches(other) || n.store.loses() {
+	if other == n || !n.reaches(other) || n.store.losesMessage() {
 		return nil
 	}
-	return other.running()
+	return other.runningElector()
 }
 
 func (n *node) Size() int { return len(n.cluster.nodes) - 1 }
 
-func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote {
+func (n *node) RequestVotes(_ context.Context, heartbeatVersion uint64, nonces map[string]uint64) map[string]Vote {
 	votes := map[string]Vote{}
 	for _, other := range n.cluster.nodes {
 		e := n.call(other)
 		if e == nil {
 			continue
 		}
-		vote := e.Vote(heartbeat, nonces[other.name])
-		if !n.store.loses() { // else the answer is lost
+		vote := e.Vote(heartbeatVersion, nonces[other.name])
+		if !n.store.losesMessage() { // else the answer is lost
 			votes[other.name] = vote
 		}
 	}
@@ -207,10 +207,10 @@
 
 func (n *node) FindConnected(ctx context.Context) string {
 	for _, other := range n.cluster.nodes {
-		if other == n || !n.reaches(other) || n.store.happens(0.2) {
+		if other == n || !n.reaches(other) || n.store.withProbability(0.2) {
 			continue
 		}
-		if other.running() != nil && other.running().StateReachable(ctx) {
+		if other.runningElector() != nil && other.runningElector().StateReachable(ctx) {
 			return other.name
 		}
 	}
@@ -220,11 +220,11 @@
 // OfferLeadership delivers the offer some time later, unless it is lost.
 func (n *node) OfferLeadership(_ context.Context, name string, term, keyVersion uint64) error {
 	for _, other := range n.cluster.nodes {
-		if other.name != name || !n.reaches(other) || n.store.happens(0.2) {
+		if other.name != name || !n.reaches(other) || n.store.withProbability(0.2) {
 			continue
 		}
 		time.AfterFunc(n.store.randomDelay(2000, time.Millisecond), func() {
-			if e := other.running(); e != nil {
+			if e := other.runningElector(); e != nil {
 				e.AcceptOffer(term, keyVersion)
 			}
 		})
--- a/internal/coordination/election/quorum_test.go
+++ b/internal/coordination/election/quorum_test.go
@@ -41,14 +41,14 @@
 		ctx := context.Background()
 		l := NewLeadership(1, put(storage.KeyLeader), time.Now().Add(time.Hour))
 		l.requireQuorum(time.Now())
-		k := &quorumKeeper{elector: e, leadership: l, heartbeat: put(storage.KeyLeaderHeartbeat)}
+		k := &quorumRenewer{elector: e, leadership: l, heartbeatVersion: put(storage.KeyLeaderHeartbeat)}
 
 		unknown := put(storage.KeyLeaderHeartbeat)
-		if k.writeHeartbeat(ctx) || version() != unknown || k.heartbeat != unknown || l.Entitled() {
-			t.Errorf("wrote over version %d: version %d, known %d", unknown, version(), k.heartbeat)
+		if k.writeHeartbeat(ctx) || version() != unknown || k.heartbeatVersion != unknown || l.Entitled() {
+			t.Errorf("wrote over version %d: version %d, known %d", unknown, version(), k.heartbeatVersion)
 		}
-		if k.writeHeartbeat(ctx) || version() == unknown || k.heartbeat != version() || !l.Entitled() {
-			t.Errorf("not written over a known version: version %d, known %d", version(), k.heartbeat)
+		if k.writeHeartbeat(ctx) || version() == unknown || k.heartbeatVersion != version() || !l.Entitled() {
+			t.Errorf("not written over a known version: version %d, known %d", version(), k.heartbeatVersion)
 		}
 		put(storage.KeyLeader)
 		if last := version(); !k.writeHeartbeat(ctx) || version() != last {
--- a/internal/coordination/election/store_test.go
+++ b/internal/coordination/election/store_test.go
@@ -20,13 +20,13 @@
 type unreliableStore struct {
 	service *standin.StateService
 
-	mu              sync.Mutex
-	random          *rand.Rand
-	rejectedUntil   time.Time
-	unansweredUntil time.Time
-	lossRate        float64                // share of requests and answers that are lost
-	keepCampaigns   bool                   // campaigns get no answer, and are kept for the test
-	keptCampaigns   []protocol.Transaction // those, for the test to apply
+	mu               sync.Mutex
+	random           *rand.Rand
+	rejectedUntil    time.Time
+	unansweredUntil  time.Time
+	lossRate         float64                // share of requests and answers that are lost
+	captureCampaigns bool                   // campaigns get no answer, and are kept for the test
+	captured         []protocol.Transaction // those, for the test to apply
 }
 
 // deliver lets a request take its time, and returns an error if it does not reach the service.
@@ -60,19 +60,19 @@
 	return time.Duration(u.random.IntN(n)) * unit
 }
 
-// happens reports true with a probability.
-func (u *unreliableStore) happens(probability float64) bool {
+// withProbability reports true with a probability.
+func (u *unreliableStore) withProbability(probability float64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.random.Float64() < probability
 }
 
-// loses reports whether a message is lost.
-func (u *unreliableStore) loses() bool {
+// losesMessage reports whether a message is lost.
+func (u *unreliableStore) losesMessage() bool {
 	u.mu.Lock()
 	lossRate := u.lossRate
 	u.mu.Unlock()
-	return u.happens(lossRate)
+	return u.withProbability(lossRate)
 }
 
 // setRejected makes the service reject this node's requests until then.
@@ -96,29 +96,29 @@
 	u.rejectedUntil, u.lossRate = time.Time{}, 0
 }
 
-// setKeepCampaigns makes campaigns get no answer; they are kept for the test.
-func (u *unreliableStore) setKeepCampaigns(keep bool) {
+// setCaptureCampaigns makes campaigns get no answer; they are kept for the test.
+func (u *unreliableStore) setCaptureCampaigns(capture bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.keepCampaigns = keep
+	u.captureCampaigns = capture
 }
 
-// campaigns returns the campaigns that were kept.
-func (u *unreliableStore) campaigns() []protocol.Transaction {
+// capturedCampaigns returns the campaigns that were kept.
+func (u *unreliableStore) capturedCampaigns() []protocol.Transaction {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.keptCampaigns
+	return u.captured
 }
 
-// keepsCampaign keeps a transaction if it is a campaign that the test has asked for, and reports
+// captureCampaign keeps a transaction if it is a campaign that the test has asked for, and reports
 // whether it is.
-func (u *unreliableStore) keepsCampaign(t protocol.Transaction) bool {
+func (u *unreliableStore) captureCampaign(t protocol.Transaction) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.keepCampaigns || t.Operations[0].Put != storage.KeyLeader {
+	if !u.captureCampaigns || t.Operations[0].Put != storage.KeyLeader {
 		return false
 	}
-	u.keptCampaigns = append(u.keptCampaigns, t)
+	u.captured = append(u.captured, t)
 	return true
 }
 
@@ -134,12 +134,12 @@
 	if err := u.deliver(ctx); err != nil {
 		return 0, err
 	}
-	if u.keepsCampaign(t) {
+	if u.captureCampaign(t) {
 		return 0, storage.ErrOutcomeUnknown
 	}
-	if u.loses() {
+	if u.losesMessage() {
 		// It gets no answer, and is applied some time later or not at all.
-		if u.happens(0.7) {
+		if u.withProbability(0.7) {
 			time.AfterFunc(u.randomDelay(40, time.Second), func() { u.service.CompareAndSwap(t) })
 		}
 		return 0, storage.ErrOutcomeUnknown
@@ -151,7 +151,7 @@
 	case http.StatusConflict:
 		return 0, &storage.ConflictError{FailedKeys: reply.FailedKeys}
 	}
-	if u.loses() {
+	if u.losesMessage() {
 		return 0, storage.ErrOutcomeUnknown
 	}
 	return reply.Revision, nil
--- a/internal/coordination/election/suspicion_test.go
+++ b/internal/coordination/election/suspicion_test.go
@@ -11,30 +11,30 @@
 func TestSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s suspicion
-		s.follow(5)
-		if s.suspected() || s.confirmedBy(0) {
+		s.trackLeader(5)
+		if s.suspected() || s.matchesHeartbeat(0) {
 			t.Error("a leader is suspected from the start")
 		}
 		s.begin(7)
-		s.withdrawn = true
+		s.withdrawalRecorded = true
 		time.Sleep(time.Second)
-		s.follow(5)
-		if !s.suspected() || s.lastedFor(time.Second) || !s.lastedFor(time.Second-1) {
+		s.trackLeader(5)
+		if !s.suspected() || s.olderThan(time.Second) || !s.olderThan(time.Second-1) {
 			t.Error("the suspicion does not last since its beginning")
 		}
-		if !s.confirmedBy(7) || s.confirmedBy(8) {
+		if !s.matchesHeartbeat(7) || s.matchesHeartbeat(8) {
 			t.Error("the suspicion is not confirmed by the same heartbeat, or by a new one")
 		}
 		s.begin(8)
-		if s.lastedFor(0) || s.withdrawn || !s.confirmedBy(8) {
+		if s.olderThan(0) || s.withdrawalRecorded || !s.matchesHeartbeat(8) {
 			t.Error("a new heartbeat does not start the suspicion again")
 		}
 		s.clear()
-		if s.suspected() || s.confirmedBy(8) {
+		if s.suspected() || s.matchesHeartbeat(8) {
 			t.Error("still suspected after a request for a vote")
 		}
 		s.begin(8)
-		s.follow(6)
+		s.trackLeader(6)
 		if s.suspected() || !s.followedAt.Equal(time.Now()) {
 			t.Error("another leader is suspected")
 		}
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -18,7 +18,7 @@
 // withdraws a vote, and grants votes only to a leader that has written a heartbeat since it learned
 // of this process.
 type voter struct {
-	lease     time.Duration
+	voteLease time.Duration
 	nonce     uint64 // differs between the processes of a node; never 0
 	startedAt time.Time
 
@@ -30,11 +30,11 @@
 
 // vote answers a leader's request under the heartbeat with that version. The nonce is that of the
 // process that the leader believes to ask.
-func (v *voter) vote(heartbeat, nonce uint64) Vote {
+func (v *voter) vote(heartbeatVersion, nonce uint64) Vote {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.requestedAt = time.Now()
-	if nonce != v.nonce || heartbeat <= v.withdrawnUpTo {
+	if nonce != v.nonce || heartbeatVersion <= v.withdrawnUpTo {
 		return Vote{ProcessNonce: v.nonce}
 	}
 	v.grantedAt = v.requestedAt
@@ -43,24 +43,24 @@
 
 // withdraw refuses all further votes under heartbeats up to that version. It reports false and
 // changes nothing while a vote of this controller may be live.
-func (v *voter) withdraw(heartbeat uint64) bool {
+func (v *voter) withdraw(heartbeatVersion uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	wait := limits.LeaseExpiredAfter(v.lease)
+	wait := limits.LeaseExpiredAfter(v.voteLease)
 	if time.Since(v.startedAt) <= wait || time.Since(v.grantedAt) <= wait {
 		return false
 	}
-	v.withdrawnUpTo = max(v.withdrawnUpTo, heartbeat)
+	v.withdrawnUpTo = max(v.withdrawnUpTo, heartbeatVersion)
 	return true
 }
 
-// requestOverdue reports whether no leader has asked for a vote for a while, counted from the given
+// voteRequestOverdue reports whether no leader has asked for a vote for a while, counted from the given
 // time at the earliest.
-func (v *voter) requestOverdue(since time.Time) bool {
+func (v *voter) voteRequestOverdue(since time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.requestedAt.After(since) {
 		since = v.requestedAt
 	}
-	return time.Since(since) > time.Duration(float64(v.lease)*limits.SuspicionShare)
+	return time.Since(since) > time.Duration(float64(v.voteLease)*limits.SuspicionShare)
 }
--- a/internal/coordination/election/voter_test.go
+++ b/internal/coordination/election/voter_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestOwnVote: a leader's own vote counts like any other. While it does, the leader does not
+// TestLeaderOwnVote: a leader's own vote counts like any other. While it does, the leader does not
 // withdraw it, and once it is withdrawn, it does not count.
-func TestOwnVote(t *testing.T) {
+func TestLeaderOwnVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.NewStateService()
 		var leadership atomic.Pointer[Leadership]
@@ -38,7 +38,7 @@
 			Peers:         votingPeers{},
 			LeaseDuration: limits.LeaderLease,
 			VoteLease:     limits.VoteLeaseMin,
-			Lead: func(ctx context.Context, l *Leadership) {
+			RunTerm: func(ctx context.Context, l *Leadership) {
 				leadership.Store(l)
 				<-ctx.Done()
 			},
@@ -77,7 +77,7 @@
 // may have withdrawn it.
 func TestRestartedVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := &voter{lease: limits.VoteLeaseMin, nonce: 7, startedAt: time.Now()}
+		v := &voter{voteLease: limits.VoteLeaseMin, nonce: 7, startedAt: time.Now()}
 		if v.withdraw(10) {
 			t.Error("withdrew a vote right after the start")
 		}
--- a/internal/coordination/leader/load.go
+++ b/internal/coordination/leader/load.go
@@ -23,7 +23,7 @@
 				t.step(ctx, event)
 			}
 			t.step(ctx, scheduler.StateLoaded{})
-			t.leadership.Observe(revision)
+			t.leadership.SetObservedRevision(revision)
 			return revision, true
 		}
 		t.log.Warn("cannot load jobs", "err", err)
--- a/internal/coordination/leader/machine_types.go
+++ b/internal/coordination/leader/machine_types.go
@@ -44,7 +44,7 @@
 	if err == nil && slices.EqualFunc(stored.Types, types, equalExceptPrices) {
 		return nil
 	}
-	for _, txn := range store.MachineTypesTransactions(stored, types, t.leadership.Guard()) {
+	for _, txn := range store.MachineTypesTransactions(stored, types, t.leadership.FencingCondition()) {
 		_, err := store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
--- a/internal/coordination/leader/term.go
+++ b/internal/coordination/leader/term.go
@@ -109,7 +109,7 @@
 	case eventMessage:
 		t.step(ctx, msg.event)
 	case observedRevisionMessage:
-		t.leadership.Observe(msg.revision)
+		t.leadership.SetObservedRevision(msg.revision)
 	case taskCountsMessage:
 		t.step(ctx, scheduler.TaskCountsRequested{JobID: msg.job, ReplyTo: msg.reply})
 	case cancellationMessage:
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -105,7 +105,7 @@
 
 // transaction joins the writes of a batch under the leader's guard.
 func (w *writer) transaction(batch []scheduler.WriteRecords) protocol.Transaction {
-	txn := protocol.Transaction{Conditions: []protocol.Condition{w.term.leadership.Guard()}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{w.term.leadership.FencingCondition()}}
 	for _, write := range batch {
 		txn.Conditions = append(txn.Conditions, write.Conditions...)
 		txn.Operations = append(txn.Operations, write.Operations...)
