--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -11,15 +11,16 @@
 	"quillshunt/internal/storage"
 )
 
-// candidacy is an attempt to become the leader.
+// candidacy is one attempt to become the leader.
 type candidacy struct {
-	leader     storage.LeaderRecord // to be written to the leader key
-	leaseID    uint64               // of the lease that the key is attached to
+	leader     storage.LeaderRecord // the value to write to the leader key
+	leaseID    uint64               // of the lease that the leader key is attached to
 	conditions []protocol.Condition
 }
 
-// campaign tries to become the leader of a new term, under the given conditions, and leads it. It
-// returns nil after a term that was led or an election that another controller has won.
+// campaign tries to start a new term with this controller as the leader, under the given
+// conditions. It runs the term if it wins. It returns nil after a term that it ran, or if the
+// election was lost to another controller.
 func (e *Elector) campaign(ctx context.Context, conditions ...protocol.Condition) error {
 	last, termVersion, err := e.readTerm(ctx)
 	if err != nil {
@@ -28,7 +29,7 @@
 	sentAt := time.Now()
 	leaseID, err := e.options.Store.CreateLease(ctx, e.options.LeaseDuration)
 	if err != nil {
-		return fmt.Errorf("create lease: %w", err)
+		return fmt.Errorf("create the lease of the leader key: %w", err)
 	}
 	c := candidacy{
 		leader:     storage.LeaderRecord{Node: e.options.Node, Term: last.Term + 1, Nonce: e.voter.nonce},
@@ -39,7 +40,7 @@
 	var conflict *storage.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		e.options.Log.Info("election lost", "term", c.leader.Term)
+		e.options.Log.Info("election lost", "term", c.leader.Term, "err", err)
 		return nil
 	case err != nil:
 		return err
@@ -52,23 +53,24 @@
 	return nil
 }
 
-// readTerm returns the last term, and the version of its key, which is 0 before the first election.
+// readTerm returns the last term and the version of the term key, which is 0 before the first
+// election.
 func (e *Elector) readTerm(ctx context.Context) (last storage.TermRecord, version uint64, err error) {
 	key, err := e.options.Store.Get(ctx, storage.KeyTerm)
 	if err != nil {
-		return last, 0, fmt.Errorf("read term: %w", err)
+		return last, 0, fmt.Errorf("read the term key: %w", err)
 	}
 	if key.Version == 0 {
 		return last, 0, nil
 	}
 	if err := protocol.Decode(key.Value, &last); err != nil {
-		return last, 0, fmt.Errorf("read term: %w", err)
+		return last, 0, fmt.Errorf("decode the term key: %w", err)
 	}
 	return last, key.Version, nil
 }
 
-// writeLeader writes the leader key and returns its version. It writes the term and the
-// first heartbeat record in the same transaction, so all three have that version. The error is a
+// writeLeader writes the leader key and returns its version. The same transaction writes the term
+// and the first heartbeat record, so all three keys get this version. The error is a
 // *storage.ConflictError if a condition failed.
 func (e *Elector) writeLeader(ctx context.Context, c candidacy) (version uint64, err error) {
 	version, err = e.options.Store.CompareAndSwap(ctx, protocol.Transaction{
@@ -83,24 +85,25 @@
 		return e.readOutcome(ctx, c, err)
 	}
 	if err != nil {
-		return 0, fmt.Errorf("campaign: %w", err)
+		return 0, fmt.Errorf("write the leader key: %w", err)
 	}
 	return version, nil
 }
 
-// readOutcome reads the leader key after a transaction that got no answer, and returns its version if
-// it has our record. If not, the error is that of the campaign. The transaction may still be applied
-// later: then a later round finds our own name in the key, unless another controller has won in the
-// meantime, in which case the conditions fail.
+// readOutcome reads the leader key after a campaign transaction that was not confirmed. It returns
+// the version of the key if the key holds the record of this candidacy, and campaignErr otherwise.
+// The transaction may still be applied after that. A later attempt then finds the name of this
+// controller in the leader key. If another controller has won by then, the conditions of the
+// transaction fail instead.
 func (e *Elector) readOutcome(ctx context.Context, c candidacy, campaignErr error) (version uint64, err error) {
 	key, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	if err != nil {
-		return 0, fmt.Errorf("read leader after an election with unknown outcome: %w", err)
+		return 0, fmt.Errorf("read the leader key after a campaign with unknown outcome: %w", err)
 	}
 	var leader storage.LeaderRecord
 	decoded := key.Version != 0 && protocol.Decode(key.Value, &leader) == nil
 	if !decoded || leader != c.leader || key.Lease != c.leaseID {
-		return 0, fmt.Errorf("campaign: %w", campaignErr)
+		return 0, fmt.Errorf("write the leader key: %w", campaignErr)
 	}
 	return key.Version, nil
 }
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -1,33 +1,34 @@
-// Package election chooses the leader among the controllers.
+// Package election elects one leader among the controllers.
 //
-// At most one controller is entitled to act as the leader at any moment. Each term of leadership
-// has a number that is never used twice, the fencing token of everything that is done in it.
+// At most one controller is entitled to act as the leader at any moment. Each term of leadership has
+// a unique number, the fencing token of everything that is done in that term.
 //
 // The protocol has five parts:
 //
 //   - Lease. The leader key in the state service is attached to a lease that the leader renews. A
-//     controller may write the key when it is absent, when it has that controller's own name (only
-//     one process of a name lives), or in one of the two cases below. Every write of a term has the
-//     condition that the leader key is unchanged, so a leader that was replaced can write nothing.
-//   - Votes. The lease has to outlast an outage of the state service, so it is long. A leader that
-//     is cut off would keep the leadership for that long. Therefore a leader is entitled only while
-//     it has two things: the lease and a short quorum lease. A majority of the controllers renews
-//     the quorum lease by its votes. A single controller needs no votes.
-//   - Heartbeat record. Where the votes of a majority are missing, the leader extends the quorum
-//     lease by writing its heartbeat record to the state service instead.
-//   - Withdrawal. A follower that gets no requests for its vote suspects the leader. If the
-//     heartbeat record stays the same for longer than a quorum lease, the follower withdraws its
-//     vote from that heartbeat and all earlier ones, on record in the state service. Once a
+//     controller may write the key if it is absent, or if it holds the controller's own name, because
+//     only one process per name runs at a time. Withdrawal and Handover below are the only other
+//     cases. Every write of a term has the condition that the leader key is unchanged, so a leader
+//     that was replaced can write nothing.
+//   - Votes. The lease must outlast an outage of the state service, so it is long. With the lease
+//     alone, an unreachable leader would stay the leader for all that time. A leader is therefore
+//     entitled only while it holds both the lease and a short quorum lease, which it renews by
+//     collecting votes from a majority of the controllers. A single controller needs no votes.
+//   - Heartbeat record. Without the votes of a majority, the leader extends the quorum lease by
+//     writing its heartbeat record to the state service instead.
+//   - Withdrawal. A follower that receives no vote requests suspects the leader. If the heartbeat
+//     record then keeps its version for longer than a quorum lease, the follower withdraws its vote
+//     for this version and all earlier ones, and writes the withdrawal to the state service. Once a
 //     majority has withdrawn, a follower campaigns under the condition that the leader key and the
-//     heartbeat record are unchanged. No vote of the majority is live then, and a heartbeat that
-//     the leader writes in the meantime makes the campaign fail.
-//   - Handover. A leader that alone cannot reach the state service resigns and offers the
+//     heartbeat record are unchanged. At that time no vote of the majority is valid any more. If the
+//     leader writes a heartbeat record before the campaign is applied, the campaign fails.
+//   - Handover. If only the leader cannot reach the state service, it resigns and offers the
 //     leadership to a controller that can. That controller replaces the leader key at once.
 //
-// A process that was just started has no memory of the votes that its predecessor on the node has
-// granted or withdrawn. It waits for the longest possible vote before it withdraws its own, and
-// grants votes only to a leader that has written a heartbeat since it learned of this process, by
-// its nonce. docs/design/leadership.md has the proof.
+// A restarted process does not know which votes the previous process on its node granted or
+// withdrew. It therefore waits for the longest possible vote to expire before it withdraws its own.
+// It grants votes only to a leader that has learned the nonce of this process and has written a
+// heartbeat record since. docs/design/leadership.md has the proof.
 package election
 
 import (
@@ -42,7 +43,7 @@
 	"quillshunt/internal/storage"
 )
 
-// Store is what the election needs of the state service. A storage.Store has all of it.
+// Store is the part of the state service that elections use. *storage.Store implements it.
 type Store interface {
 	Get(ctx context.Context, key string) (protocol.KeyValue, error)
 	CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error)
@@ -52,33 +53,34 @@
 	List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error)
 }
 
-// Peers are the other controllers, as far as elections go.
+// Peers are the other controllers, as elections use them.
 type Peers interface {
-	// Size returns the number of other controllers. It does not change.
+	// Size returns the number of other controllers, which is constant.
 	Size() int
-	// RequestVotes asks all other controllers for their votes, under the leader's heartbeat with
-	// that key version. The nonces are those of the processes that the caller believes to run on
-	// the nodes. The result has no entry for a controller that does not answer in time.
-	RequestVotes(ctx context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote
-	// FindConnected returns the name of a controller that reaches the state service, or "".
+	// RequestVotes asks all other controllers to vote for the leader whose heartbeat record has
+	// that key version. The nonces, by node, identify the processes that the caller expects on the
+	// nodes. The result has no entry for a controller that does not reply in time.
+	RequestVotes(ctx context.Context, heartbeatVersion uint64, nonces map[string]uint64) map[string]Vote
+	// FindConnected returns the name of another controller that can reach the state service, or ""
+	// if there is none.
 	FindConnected(ctx context.Context) string
-	// OfferLeadership tells that controller that a term is over. The key version is that of the
-	// term's leader key.
+	// OfferLeadership tells a controller that the leader has resigned and that its term is over.
+	// The key version is that of the leader key in this term.
 	OfferLeadership(ctx context.Context, node string, term, keyVersion uint64) error
 }
 
-// Options configure an Elector. All fields are required unless they say otherwise.
+// Options configure an Elector. All fields are required unless their comment says otherwise.
 type Options struct {
 	Node          string // the controller's own name
 	Store         Store
-	Peers         Peers                                    // nil: a single controller, which needs no votes
-	LeaseDuration time.Duration                            // of the lease of the leader key
-	VoteLease     time.Duration                            // how long a vote is live; 0: leadership needs no votes
-	RunTerm       func(ctx context.Context, l *Leadership) // runs a term; returns soon after its context ends
+	Peers         Peers                                    // nil for a single controller, which needs no votes
+	LeaseDuration time.Duration                            // of the lease that the leader key is attached to
+	VoteLease     time.Duration                            // how long a vote is valid; 0 if leadership needs no votes
+	RunTerm       func(ctx context.Context, l *Leadership) // runs a term; returns soon after ctx ends
 	Log           *slog.Logger
 
-	// Delay measures how far this process is behind because its processor is busy. Nil: by a short
-	// sleep, schedulingDelay.
+	// SchedulingDelay measures how late this process runs because its CPU is busy. If nil,
+	// measureSchedulingDelay is used.
 	SchedulingDelay func(ctx context.Context) time.Duration
 }
 
@@ -86,14 +88,13 @@
 type Elector struct {
 	options   Options
 	voter     voter
-	suspicion suspicion              // of the leader that is followed; belongs to Run
-	leader    atomic.Pointer[string] // name of the leader as far as known
-	lostTerms chan uint64            // terms that are over, of TermLost
-	offers    chan uint64            // key versions of leader keys whose leader has resigned, of AcceptOffer
+	suspicion suspicion              // of the leader being followed; used by Run only
+	leader    atomic.Pointer[string] // name of the last known leader; "" or nil if unknown
+	lostTerms chan uint64            // terms that are over, from ReportTermLost
+	offers    chan uint64            // versions of the leader keys of resigned leaders, from AcceptOffer
 }
 
-// New returns an Elector. It takes part in elections once Run is called; it grants votes from now
-// on.
+// New returns an Elector. It grants votes at once, and takes part in elections once Run is called.
 func New(options Options) *Elector {
 	if options.SchedulingDelay == nil {
 		options.SchedulingDelay = measureSchedulingDelay
@@ -106,10 +107,10 @@
 	}
 }
 
-// newNonce returns a random number that is never 0 and fits an int64.
+// newNonce returns a random number that is not 0 and fits into an int64.
 func newNonce() uint64 { return rand.Uint64()>>1 | 1 }
 
-// Leader returns the name of the leader as far as known, or "".
+// Leader returns the name of the last known leader, or "" if none is known.
 func (e *Elector) Leader() string {
 	if p := e.leader.Load(); p != nil {
 		return *p
@@ -119,15 +120,15 @@
 
 func (e *Elector) setLeader(name string) { e.leader.Store(&name) }
 
-// StateReachable reports whether the state service answers this process right now. It takes as long
-// as a read of one key may.
+// StateReachable reports whether this process can reach the state service now. It reads one key and
+// blocks until the read completes or times out.
 func (e *Elector) StateReachable(ctx context.Context) bool {
 	_, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	return err == nil
 }
 
-// ReportTermLost tells the elector that a write or a worker showed that the term is over. It does not
-// block.
+// ReportTermLost tells the elector that a term is over: a write failed because another controller
+// has replaced the leader, or a worker has seen a later term. It does not block.
 func (e *Elector) ReportTermLost(term uint64) {
 	select {
 	case e.lostTerms <- term:
@@ -135,12 +136,12 @@
 	}
 }
 
-// AcceptOffer is called for the leader of a term that has resigned and does nothing more in it.
-// This process may campaign at once instead of waiting for the lease to expire: the condition on
-// the version of the leader key makes sure that only that term is replaced. It does not block; a
-// newer offer replaces an older one.
+// AcceptOffer accepts the leadership offered by a leader that has resigned and does nothing more in
+// its term. This process may then campaign at once instead of waiting for the lease to expire. The
+// condition on the version of the leader key ensures that the campaign replaces only that term.
+// AcceptOffer does not block. A newer offer replaces an older one.
 func (e *Elector) AcceptOffer(term, keyVersion uint64) {
-	e.options.Log.Info("leadership offered", "term", term)
+	e.options.Log.Info("leadership offer received", "term", term)
 	select {
 	case <-e.offers:
 	default:
@@ -151,14 +152,14 @@
 	}
 }
 
-// Vote answers a leader's request for this controller's vote, under the heartbeat with that key
-// version. The nonce is that of the process that the leader believes to ask.
+// Vote replies to a vote request from the leader whose heartbeat record has that key version. The
+// nonce identifies the process that the leader expects here.
 func (e *Elector) Vote(heartbeatVersion, nonce uint64) Vote {
 	return e.voter.vote(heartbeatVersion, nonce)
 }
 
-// Run takes part in elections until the context ends, and leads the terms that it wins. It returns
-// when everything it started has ended.
+// Run takes part in elections until ctx ends, and runs the terms that this controller wins. It
+// returns after every goroutine that it started has ended.
 func (e *Elector) Run(ctx context.Context) {
 	var backoff storage.Backoff
 	for ctx.Err() == nil {
@@ -170,45 +171,48 @@
 			backoff.Reset()
 			continue
 		}
-		e.options.Log.Debug("election round failed", "err", err)
+		e.options.Log.Debug("election attempt failed; retrying", "err", err)
 		if !backoff.Wait(ctx) {
 			return
 		}
 	}
 }
 
-// followOrCampaign reads the leader key once. It follows another leader, or campaigns and leads.
+// followOrCampaign reads the leader key once. If another controller leads, it follows that leader;
+// otherwise it campaigns, and leads the term if it wins.
 func (e *Elector) followOrCampaign(ctx context.Context) error {
 	key, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	if err != nil {
-		return fmt.Errorf("read leader: %w", err)
+		return fmt.Errorf("read the leader key: %w", err)
 	}
 	if key.Version != 0 {
 		var leader storage.LeaderRecord
 		if err := protocol.Decode(key.Value, &leader); err != nil {
-			return fmt.Errorf("read leader: %w", err)
+			return fmt.Errorf("decode the leader key: %w", err)
 		}
 		if leader.Node != e.options.Node {
 			e.setLeader(leader.Node)
 			return e.follow(ctx, key.Version)
 		}
-		// The key has our own name. Only one process of a name lives, so the one that wrote it has
-		// ended (or it is this one, which has resigned). The condition on the key's version makes
-		// the replacement safe.
+		// The key holds the name of this controller. Only one process per name runs at a time, so it was
+		// written by a process that has ended, or by this one, which does not lead now. The condition on
+		// the key's version makes it safe to replace.
 	}
 	e.setLeader("")
 	return e.campaign(ctx, versionCondition(storage.KeyLeader, key.Version))
 }
 
-// versionCondition returns the condition that a key still has a version; version 0 means that it is absent.
+// versionCondition returns the condition that a key has the given version. Version 0 means that the
+// key is absent.
 func versionCondition(key string, version uint64) protocol.Condition {
 	return protocol.Condition{Key: key, Version: version}
 }
 
-// needsVotes reports whether leadership depends on votes: a single controller needs none.
+// needsVotes reports whether leadership depends on votes. It does not with a single controller, or
+// if votes are disabled.
 func (e *Elector) needsVotes() bool {
 	return e.options.Peers != nil && e.options.Peers.Size() > 0 && e.voter.voteLease > 0
 }
 
-// quorum returns the majority of all controllers, this one included.
+// quorum returns how many controllers, this one included, are a majority.
 func (e *Elector) quorum() int { return (e.options.Peers.Size()+1)/2 + 1 }
--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/storage"
 )
 
-// follow waits until the leader key no longer has that version. It campaigns at once if the leader
-// offers its leadership or may be replaced as unreachable.
+// follow waits until the leader key no longer has the given version. It campaigns at once if the
+// leader offers its leadership, or if the leader is unreachable and may be replaced.
 func (e *Elector) follow(ctx context.Context, leaderVersion uint64) error {
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -33,13 +33,14 @@
 		select {
 		case <-ticker.C:
 			if e.needsVotes() && e.advanceReplacement(ctx, &e.suspicion) {
-				e.options.Log.Warn("leader sends no heartbeats, replacing it", "leader", e.Leader())
+				e.options.Log.Warn("campaigning to replace the leader", "leader", e.Leader(),
+					"reason", "no vote requests and no new heartbeat record")
 				return stopWatchAndCampaign(versionCondition(storage.KeyLeader, leaderVersion),
 					versionCondition(storage.KeyLeaderHeartbeat, e.suspicion.heartbeatVersion))
 			}
 		case err := <-watchEnded:
 			if err != nil && !errors.Is(err, storage.ErrCompacted) {
-				return fmt.Errorf("watch leader: %w", err)
+				return fmt.Errorf("watch the leader key: %w", err)
 			}
 			return nil
 		case offered := <-e.offers:
@@ -50,10 +51,14 @@
 	}
 }
 
-// advanceReplacement goes one step further towards the replacement of the leader that is followed, and
-// reports whether a campaign may replace it, under the condition that its heartbeat is unchanged.
-// It waits until the leader is suspected, until the heartbeat has stayed the same for longer than a
-// vote is live, and until a majority, this controller included, has withdrawn its votes.
+// advanceReplacement takes the next step towards replacing the leader that is followed. It reports
+// whether a campaign may replace the leader now, under the condition that the heartbeat record is
+// unchanged. The steps are:
+//
+//   - Suspect the leader once it has requested no vote for too long.
+//   - Wait until the heartbeat record has kept its version for longer than a vote is valid.
+//   - Withdraw the vote of this controller.
+//   - Wait until a majority of the controllers, this one included, has recorded its withdrawal.
 func (e *Elector) advanceReplacement(ctx context.Context, s *suspicion) bool {
 	if !e.voter.voteRequestOverdue(s.followedAt) {
 		s.clear()
@@ -76,8 +81,8 @@
 	return e.majorityWithdrew(ctx, s.heartbeatVersion)
 }
 
-// recordWithdrawal puts on record in the state service that this controller has withdrawn its vote,
-// and reports whether it is on record.
+// recordWithdrawal writes to the state service that this controller has withdrawn its vote, and
+// reports whether the state service has confirmed it.
 func (e *Elector) recordWithdrawal(ctx context.Context, s *suspicion) bool {
 	if s.withdrawalRecorded {
 		return true
@@ -90,8 +95,8 @@
 	return s.withdrawalRecorded
 }
 
-// majorityWithdrew reports whether a majority of the controllers has put on record that it has
-// withdrawn its votes under the heartbeat with that version. It reports false if that can't be read.
+// majorityWithdrew reports whether a majority of the controllers has recorded the withdrawal of its
+// votes for the given heartbeat version. It returns false if the records cannot be read.
 func (e *Elector) majorityWithdrew(ctx context.Context, heartbeatVersion uint64) bool {
 	withdrawals := 0
 	_, err := e.options.Store.List(ctx, storage.PrefixVoteWithdrawal, func(key protocol.KeyValue) error {
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -8,17 +8,18 @@
 	"quillshunt/internal/storage"
 )
 
-// mayBeIsolated reports whether this leader may be cut off from the state service, so that it should look
-// for a controller that is not: the lease was renewed too long ago, and the last renewal failed for
-// a reason that is not in this process.
+// mayBeIsolated reports whether this leader should look for a controller that can reach the state
+// service, because it may be cut off itself. It does if the last successful renewal of the lease is
+// too long ago and the cause of the last failure is not in this process.
 func (e *Elector) mayBeIsolated(ctx context.Context, sinceRenewal time.Duration, err error) bool {
 	return e.options.Peers != nil && sinceRenewal > limits.IsolatedAfter && e.isStateServiceFault(ctx, err)
 }
 
 // isStateServiceFault reports whether a failed renewal is evidence that the state service is
-// unreachable. Where no answer came and this process is far behind, it may only have missed the
-// answer. A handover would then cost a recovery of the scheduler's state, on a controller that is
-// as busy. If this one is cut off all the same, missing votes and heartbeats end the term.
+// unreachable. A timeout is no evidence while this process is scheduled late, because the reply may
+// have arrived in time but been read too late. A handover would then cost a recovery of the
+// scheduler's state, on a controller that is as busy. If this controller is cut off after all, its
+// entitlement ends for lack of votes and heartbeat records.
 func (e *Elector) isStateServiceFault(ctx context.Context, err error) bool {
 	if !storage.IsTimeout(err) {
 		return true
@@ -27,35 +28,37 @@
 	if delay <= limits.MaxSchedulingDelay {
 		return true
 	}
-	e.options.Log.Warn("process delayed, cannot tell whether the state service is unreachable",
-		"delay", delay.Round(time.Millisecond))
+	e.options.Log.Warn("handover skipped", "delay", delay.Round(time.Millisecond),
+		"reason", "this process is scheduled too late to tell whether the state service is unreachable")
 	return false
 }
 
-// measureSchedulingDelay returns how much later than it should this process wakes from a short sleep.
+// measureSchedulingDelay returns how much later than requested this process wakes from a short
+// sleep.
 func measureSchedulingDelay(ctx context.Context) time.Duration {
 	start := time.Now()
 	storage.Sleep(ctx, limits.SchedulingDelaySample)
 	return time.Since(start) - limits.SchedulingDelaySample
 }
 
-// handOver resigns if another controller reaches the state service, and reports whether it did. The
-// order matters: the leadership ends for good before the successor hears of it. If all offers are
-// lost, the successor campaigns once the lease expires or a majority has withdrawn its votes.
+// handOver resigns if another controller can reach the state service, and reports whether it
+// resigned. The entitlement must end for good before the successor receives the offer. If all
+// offers are lost, a successor campaigns once the lease expires or a majority has withdrawn its
+// votes.
 func (e *Elector) handOver(ctx context.Context, l *Leadership) bool {
 	successor := e.options.Peers.FindConnected(ctx)
 	if successor == "" {
-		return false // an outage for all: the term goes on while the lease lasts
+		return false // probably an outage for all: the term continues while the lease lasts
 	}
 	l.resigned.Store(true)
-	e.options.Log.Warn("isolated from the state service, handing over the leadership",
-		"term", l.Term, "successor", successor)
+	e.options.Log.Warn("handing over the leadership", "term", l.Term, "successor", successor,
+		"reason", "only other controllers reach the state service")
 	for range limits.HandoverAttempts {
 		err := e.options.Peers.OfferLeadership(ctx, successor, l.Term, l.KeyVersion)
 		if err == nil {
 			break
 		}
-		e.options.Log.Info("leadership offer failed", "term", l.Term, "err", err)
+		e.options.Log.Info("leadership offer failed", "term", l.Term, "successor", successor, "err", err)
 	}
 	return true
 }
--- a/internal/coordination/election/lead.go
+++ b/internal/coordination/election/lead.go
@@ -10,10 +10,10 @@
 	"quillshunt/internal/storage"
 )
 
-// lead runs a term until it is over. Beside the term itself run the renewals of the lease and of
-// the quorum lease; all of them have ended when it returns.
+// lead runs a term until it is over, and meanwhile renews the lease and the quorum lease. It
+// returns after every goroutine of the term has ended.
 func (e *Elector) lead(ctx context.Context, l *Leadership, leaseID uint64) {
-	e.options.Log.Info("leading", "term", l.Term, "key_version", l.KeyVersion)
+	e.options.Log.Info("term started", "term", l.Term, "key_version", l.KeyVersion)
 	e.setLeader(e.options.Node)
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -34,8 +34,8 @@
 	e.maintainLease(ctx, l, leaseID, termDone)
 }
 
-// maintainLease renews the lease until the lease or the term is over, or the leadership was handed
-// over.
+// maintainLease renews the lease until the lease expires, the term is over, or the leadership is
+// handed over.
 func (e *Elector) maintainLease(ctx context.Context, l *Leadership, leaseID uint64, termDone <-chan struct{}) {
 	ticker := time.NewTicker(limits.LeaseRenewInterval)
 	defer ticker.Stop()
@@ -48,7 +48,7 @@
 			return
 		case term := <-e.lostTerms:
 			if term == l.Term {
-				e.options.Log.Warn("superseded by another leader", "term", l.Term)
+				e.options.Log.Warn("leadership lost", "term", l.Term, "reason", "replaced by another leader")
 				return
 			}
 		case <-ticker.C:
@@ -59,7 +59,7 @@
 			case errors.Is(err, storage.ErrLeaseExpired):
 				return
 			default:
-				e.options.Log.Debug("renewing the lease failed", "term", l.Term, "err", err)
+				e.options.Log.Debug("failed to renew the lease of the leader key", "term", l.Term, "err", err)
 				if e.mayBeIsolated(ctx, time.Since(renewedAt), err) && e.handOver(ctx, l) {
 					return
 				}
@@ -68,9 +68,9 @@
 	}
 }
 
-// renewLease renews the lease once and extends the entitlement. After an outage this may come long
-// after the leader stopped being entitled. As the lease did not expire in that time, nobody else
-// can have led, and the term goes on.
+// renewLease renews the lease once and extends the entitlement. After an outage, the renewal may
+// succeed long after the entitlement has ended. The lease did not expire in between, so no other
+// controller can have led, and the term continues.
 func (e *Elector) renewLease(ctx context.Context, l *Leadership, leaseID uint64) error {
 	sentAt := time.Now()
 	if err := e.options.Store.RenewLease(ctx, leaseID); err != nil {
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -9,20 +9,20 @@
 	"quillshunt/internal/storage"
 )
 
-// Leadership is one term of leadership. The elector extends its entitlement; any goroutine may read
-// it.
+// Leadership is one term of leadership. The elector extends its entitlement. Entitled may be called
+// by any goroutine.
 type Leadership struct {
-	Term       uint64 // the fencing token; no two terms have the same
-	KeyVersion uint64 // of the leader key; guards every write of the term
+	Term       uint64 // the fencing token; unique among terms
+	KeyVersion uint64 // of the leader key; a condition of every write of the term
 
 	startedAt        time.Time
 	leaseUntil       atomic.Int64  // end of the entitlement by the lease, in nanoseconds after startedAt
-	quorumUntil      atomic.Int64  // the same by the quorum lease and heartbeat records
-	resigned         atomic.Bool   // handed over; a late renewal does not change that
-	observedRevision atomic.Uint64 // the term has processed all changes of open jobs up to this revision
+	quorumUntil      atomic.Int64  // end of the entitlement by the quorum lease, in nanoseconds after startedAt
+	resigned         atomic.Bool   // handed over; a late renewal does not undo this
+	observedRevision atomic.Uint64 // up to which the term has processed all changes of open jobs
 }
 
-// NewLeadership returns a leadership of a single controller, which needs no votes. It is entitled
+// NewLeadership returns the leadership of a single controller, which needs no votes. It is entitled
 // until the given time, unless its lease is extended.
 func NewLeadership(term, keyVersion uint64, until time.Time) *Leadership {
 	l := &Leadership{Term: term, KeyVersion: keyVersion, startedAt: time.Now()}
@@ -31,7 +31,8 @@
 	return l
 }
 
-// requireQuorum makes the entitlement end at the given time, unless the quorum lease is extended.
+// requireQuorum makes the entitlement also depend on the quorum lease, which ends at the given time
+// unless it is extended.
 func (l *Leadership) requireQuorum(until time.Time) {
 	l.quorumUntil.Store(int64(until.Sub(l.startedAt)))
 }
@@ -44,7 +45,8 @@
 	storeMax(&l.quorumUntil, int64(until.Sub(l.startedAt)))
 }
 
-// storeMax sets a value that never falls; it has one writer.
+// storeMax stores floor unless the value is already higher. It is not atomic, so each value has
+// only one writer.
 func storeMax(value *atomic.Int64, floor int64) {
 	if floor > value.Load() {
 		value.Store(floor)
@@ -52,8 +54,8 @@
 }
 
 // Entitled reports whether this process is certainly the leader at this moment. The process may be
-// descheduled right after, so whatever follows is also fenced: by the term, by the version of the
-// leader key, or by a name that is never used again.
+// descheduled right afterwards. Whatever depends on the result is therefore also protected by the
+// term, by the version of the leader key, or by a name that is never reused.
 func (l *Leadership) Entitled() bool {
 	if l.resigned.Load() {
 		return false
@@ -61,11 +63,11 @@
 	return int64(time.Since(l.startedAt)) < min(l.leaseUntil.Load(), l.quorumUntil.Load())
 }
 
-// SetObservedRevision records that the term has processed all changes of open jobs up to a revision. The next
-// heartbeat record says so.
+// SetObservedRevision records that the term has processed all changes of open jobs up to a
+// revision. The next heartbeat record contains the revision.
 func (l *Leadership) SetObservedRevision(revision uint64) { l.observedRevision.Store(revision) }
 
-// FencingCondition returns the condition that makes a write fail once there is another leader.
+// FencingCondition returns the condition that makes a write fail once the leader has been replaced.
 func (l *Leadership) FencingCondition() protocol.Condition {
 	return protocol.Condition{Key: storage.KeyLeader, Version: l.KeyVersion}
 }
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -11,22 +11,23 @@
 	"quillshunt/internal/storage"
 )
 
-// quorumRenewer renews the quorum lease of a term. It belongs to keepQuorum.
+// quorumRenewer renews the quorum lease of a term. Only maintainQuorumLease uses it.
 type quorumRenewer struct {
 	elector          *Elector
 	leadership       *Leadership
-	heartbeatVersion uint64 // key version of the last heartbeat record
-	sequence         uint64 // of that record within the term
+	heartbeatVersion uint64 // version of the last known heartbeat record
+	sequence         uint64 // sequence number of the last record sent in this term
 	renewedAt        time.Time
 
-	// Process nonces by node. A process grants its vote only under a heartbeat that was sent after
-	// the leader learned of it, so its nonce is known first, and covered by the next heartbeat.
+	// The nonces of the processes that replied to vote requests, by node. A process grants its vote
+	// only for a heartbeat record that was written after the leader had learned its nonce. A nonce
+	// is therefore known first, and is covered by the next heartbeat record.
 	knownNonces   map[string]uint64
 	coveredNonces map[string]uint64
 }
 
-// maintainQuorumLease renews the quorum lease by votes, and by heartbeat records where votes are missing,
-// until the term is over.
+// maintainQuorumLease renews the quorum lease until the term is over, by votes, or by heartbeat
+// records if a majority does not vote.
 func (e *Elector) maintainQuorumLease(ctx context.Context, l *Leadership) {
 	interval := time.Duration(float64(e.voter.voteLease) * limits.VoteRenewShare)
 	ticker := time.NewTicker(interval)
@@ -54,14 +55,15 @@
 	}
 }
 
-// collectVotes asks all controllers for their votes and extends the quorum lease if a majority
-// grants them. It reports whether a process answered that the last heartbeat does not cover.
+// collectVotes requests the votes of all controllers, and extends the quorum lease if a majority
+// grants them. It reports whether a process replied whose nonce the last heartbeat record does not
+// cover.
 func (r *quorumRenewer) collectVotes(ctx context.Context) (newProcess bool) {
 	e := r.elector
 	sentAt := time.Now()
 	granted := 0
 	if e.voter.vote(r.heartbeatVersion, e.voter.nonce).Granted {
-		granted++ // our own, which may be withdrawn like any other
+		granted++ // the own vote, which can be withdrawn like any other
 	}
 	for node, vote := range e.options.Peers.RequestVotes(ctx, r.heartbeatVersion, r.coveredNonces) {
 		if vote.Granted {
@@ -78,17 +80,17 @@
 	return newProcess
 }
 
-// extendFrom extends the quorum lease by what was sent at that time.
+// extendFrom extends the quorum lease after a successful renewal whose request was sent at sentAt.
 func (r *quorumRenewer) extendFrom(sentAt time.Time) {
 	r.leadership.extendQuorum(sentAt.Add(limits.LeaseValidFor(r.elector.voter.voteLease)))
 	r.renewedAt = sentAt
 }
 
-// writeHeartbeat writes the next heartbeat record and extends the quorum lease if that succeeds. It
-// reports whether another controller has replaced the leader. Other failures are logged; the next
-// round tries again.
+// writeHeartbeat writes the next heartbeat record, and extends the quorum lease if that succeeds.
+// It reports whether another controller has replaced the leader. After any other failure, the
+// caller tries again at its next tick.
 func (r *quorumRenewer) writeHeartbeat(ctx context.Context) (superseded bool) {
-	nonces := maps.Clone(r.knownNonces) // only processes that are known before the sending are covered
+	nonces := maps.Clone(r.knownNonces) // the record covers only nonces known before it is sent
 	sentAt := time.Now()
 	r.sequence++
 	record := storage.LeaderHeartbeat{
@@ -112,13 +114,13 @@
 	case errors.As(err, &conflict) && conflict.Has(storage.KeyLeader):
 		return true
 	case errors.As(err, &conflict):
-		// An earlier heartbeat of ours was written although it got no answer. It was sent after the
-		// covered processes were known, so it replaces the last one.
+		// An earlier heartbeat record of this leader was applied but not confirmed. It was sent after
+		// all covered nonces were known, so it can serve as the last known record.
 		if key, err := store.Get(ctx, storage.KeyLeaderHeartbeat); err == nil {
 			r.heartbeatVersion = key.Version
 		}
 	default:
-		r.elector.options.Log.Debug("writing the heartbeat record failed", "term", r.leadership.Term, "err", err)
+		r.elector.options.Log.Debug("failed to write the heartbeat record", "term", r.leadership.Term, "err", err)
 	}
 	return false
 }
--- a/internal/coordination/election/suspicion.go
+++ b/internal/coordination/election/suspicion.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// suspicion is a follower's evidence that the leader is unreachable. It begins with a heartbeat
-// record, and lasts while the record has the same version and the leader asks for no votes.
+// suspicion is the evidence of a follower that the leader is unreachable. It starts at one version
+// of the heartbeat record. It lasts while the record keeps this version and the leader requests no
+// votes.
 type suspicion struct {
-	leaderVersion      uint64    // key version of the leader that is followed
-	followedAt         time.Time // since when
-	heartbeatVersion   uint64    // key version of the heartbeat record when the suspicion began
-	beganAt            time.Time // zero: the leader is not suspected
-	withdrawalRecorded bool      // the withdrawal of our vote under the heartbeat is on record
+	leaderVersion      uint64    // version of the leader key being followed
+	followedAt         time.Time // when the follower first saw this version
+	heartbeatVersion   uint64    // version of the heartbeat record when the suspicion began
+	beganAt            time.Time // zero if the leader is not suspected
+	withdrawalRecorded bool      // the state service has the withdrawal of the vote for heartbeatVersion
 }
 
-// trackLeader starts anew with another leader. For the same leader the suspicion goes on: then only the
-// watch of the leader key has ended by itself.
+// trackLeader resets the suspicion if the version of the leader key is new. It keeps the suspicion
+// for the same version: only the watch of the leader key has ended and starts again.
 func (s *suspicion) trackLeader(leaderVersion uint64) {
 	if s.leaderVersion != leaderVersion {
 		*s = suspicion{leaderVersion: leaderVersion, followedAt: time.Now()}
 	}
 }
 
-// clear ends the suspicion, as the leader has asked for a vote.
+// clear ends the suspicion because the leader has requested a vote.
 func (s *suspicion) clear() { s.beganAt = time.Time{} }
 
-// begin starts the suspicion, or starts it again because the leader has written a new heartbeat.
+// begin starts the suspicion at a version of the heartbeat record. It is called again if the leader
+// has written a new record.
 func (s *suspicion) begin(heartbeatVersion uint64) {
 	s.heartbeatVersion, s.beganAt, s.withdrawalRecorded = heartbeatVersion, time.Now(), false
 }
 
-// suspected reports whether the suspicion has begun.
+// suspected reports whether the leader is suspected.
 func (s *suspicion) suspected() bool { return !s.beganAt.IsZero() }
 
-// olderThan reports whether the suspicion began longer ago than that.
+// olderThan reports whether the suspicion began more than d ago.
 func (s *suspicion) olderThan(d time.Duration) bool { return time.Since(s.beganAt) > d }
 
-// matchesHeartbeat reports whether the heartbeat record still has the version that it had when the
-// suspicion began.
+// matchesHeartbeat reports whether the leader is suspected and the heartbeat record still has the
+// version at which the suspicion began.
 func (s *suspicion) matchesHeartbeat(heartbeatVersion uint64) bool {
 	return s.suspected() && heartbeatVersion == s.heartbeatVersion
 }
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -7,29 +7,29 @@
 	"quillshunt/internal/limits"
 )
 
-// Vote is a controller's answer to a request for its vote.
+// Vote is a controller's reply to a vote request.
 type Vote struct {
 	Granted      bool
-	ProcessNonce uint64 // of the process that answers; 0 is unknown
+	ProcessNonce uint64 // of the replying process; 0 if unknown
 }
 
-// voter is the votes that this process has granted and withdrawn. A process that has just started
-// does not know the votes of the one before it. So it waits for the longest vote lease before it
-// withdraws a vote, and grants votes only to a leader that has written a heartbeat since it learned
-// of this process.
+// voter keeps track of the votes that this process has granted and withdrawn. A restarted process
+// does not know the votes of the previous process on its node. It therefore waits for the longest
+// possible vote to expire before it withdraws its own, and grants votes only to a leader that has
+// learned its nonce and has written a heartbeat record since.
 type voter struct {
 	voteLease time.Duration
-	nonce     uint64 // differs between the processes of a node; never 0
+	nonce     uint64 // identifies the process among all processes of the node; never 0
 	startedAt time.Time
 
 	mu            sync.Mutex
-	grantedAt     time.Time // last vote granted to anybody
-	requestedAt   time.Time // last request, granted or not
-	withdrawnUpTo uint64    // no more votes under heartbeats up to this version
+	grantedAt     time.Time // when the last vote was granted, to any leader
+	requestedAt   time.Time // when the last vote was requested, granted or not
+	withdrawnUpTo uint64    // no votes are granted for this heartbeat version or earlier ones
 }
 
-// vote answers a leader's request under the heartbeat with that version. The nonce is that of the
-// process that the leader believes to ask.
+// vote replies to a vote request from the leader whose heartbeat record has that key version. The
+// nonce identifies the process that the leader expects here.
 func (v *voter) vote(heartbeatVersion, nonce uint64) Vote {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -41,8 +41,8 @@
 	return Vote{Granted: true, ProcessNonce: v.nonce}
 }
 
-// withdraw refuses all further votes under heartbeats up to that version. It reports false and
-// changes nothing while a vote of this controller may be live.
+// withdraw refuses all further votes for heartbeat versions up to the given one. It returns false
+// and changes nothing while a vote of this controller may still be valid.
 func (v *voter) withdraw(heartbeatVersion uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -54,8 +54,8 @@
 	return true
 }
 
-// voteRequestOverdue reports whether no leader has asked for a vote for a while, counted from the given
-// time at the earliest.
+// voteRequestOverdue reports whether this process has received no vote request for SuspicionShare
+// of the vote lease. The time counts from the last request or from since, whichever is later.
 func (v *voter) voteRequestOverdue(since time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
