--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -179,16 +179,16 @@
 // that is cut off from the other controllers alone stays entitled by its heartbeat records.
 func TestIsolatedLeader(t *testing.T) {
 	for i := range 12 {
-		fromStore := i%2 == 0
+		fromStateService := i%2 == 0
 		// The phases differ in when the others' watches of the leader key end by themselves.
 		phase := time.Duration(i/2) * limits.WatchDuration / 6
-		t.Run(fmt.Sprintf("cut off from the state service too %v, phase %v", fromStore, phase), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkIsolatedLeader(t, fromStore, phase) })
+		t.Run(fmt.Sprintf("cut off from the state service too %v, phase %v", fromStateService, phase), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { checkIsolatedLeader(t, fromStateService, phase) })
 		})
 	}
 }
 
-func checkIsolatedLeader(t *testing.T, fromStore bool, phase time.Duration) {
+func checkIsolatedLeader(t *testing.T, fromStateService bool, phase time.Duration) {
 	c := newCluster(5, 3)
 	defer c.crash()
 	for _, n := range c.nodes {
@@ -202,7 +202,7 @@
 	}
 	old := isolated.entitledLeadership()
 	isolated.isolate(time.Now().Add(time.Hour))
-	if fromStore {
+	if fromStateService {
 		isolated.store.setRejected(time.Now().Add(time.Hour))
 	}
 	time.Sleep(2*limits.VoteLeaseMin + 3*time.Second)
@@ -210,9 +210,9 @@
 	for _, n := range c.nodes {
 		replaced = replaced || (n != isolated && n.entitledLeadership() != nil)
 	}
-	if old.Entitled() == fromStore || replaced != fromStore {
+	if old.Entitled() == fromStateService || replaced != fromStateService {
 		t.Errorf("cut off from the state service too: %v; old leader entitled: %v, another one: %v",
-			fromStore, old.Entitled(), replaced)
+			fromStateService, old.Entitled(), replaced)
 	}
 }
 
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -45,11 +45,11 @@
 	storeMax(&l.quorumUntil, int64(until.Sub(l.startedAt)))
 }
 
-// storeMax stores floor unless the value is already higher. It is not atomic, so each value has
+// storeMax stores newValue unless the value is already higher. It is not atomic, so each value has
 // only one writer.
-func storeMax(value *atomic.Int64, floor int64) {
-	if floor > value.Load() {
-		value.Store(floor)
+func storeMax(value *atomic.Int64, newValue int64) {
+	if newValue > value.Load() {
+		value.Store(newValue)
 	}
 }
 
--- a/internal/coordination/election/node_test.go
+++ b/internal/coordination/election/node_test.go
@@ -175,14 +175,14 @@
 	return time.Now().Before(n.isolatedUntil)
 }
 
-// reaches reports whether there is a link between two nodes.
-func (n *node) reaches(other *node) bool { return !n.isolated() && !other.isolated() }
+// canReach reports whether there is a link between two nodes.
+func (n *node) canReach(other *node) bool { return !n.isolated() && !other.isolated() }
 
-// call delivers a request to another node after a random delay. It returns that node's elector, or
+// callPeer delivers a request to another node after a random delay. It returns that node's elector, or
 // nil if the request is lost.
-func (n *node) call(other *node) *Elector {
+func (n *node) callPeer(other *node) *Elector {
 	time.Sleep(n.store.randomDelay(200, time.Millisecond))
-	if other == n || !n.reaches(other) || n.store.losesMessage() {
+	if other == n || !n.canReach(other) || n.store.losesMessage() {
 		return nil
 	}
 	return other.runningElector()
@@ -193,7 +193,7 @@
 func (n *node) RequestVotes(_ context.Context, heartbeatVersion uint64, nonces map[string]uint64) map[string]Vote {
 	votes := map[string]Vote{}
 	for _, other := range n.cluster.nodes {
-		e := n.call(other)
+		e := n.callPeer(other)
 		if e == nil {
 			continue
 		}
@@ -207,7 +207,7 @@
 
 func (n *node) FindConnected(ctx context.Context) string {
 	for _, other := range n.cluster.nodes {
-		if other == n || !n.reaches(other) || n.store.withProbability(0.2) {
+		if other == n || !n.canReach(other) || n.store.withProbability(0.2) {
 			continue
 		}
 		if other.runningElector() != nil && other.runningElector().StateReachable(ctx) {
@@ -220,7 +220,7 @@
 // OfferLeadership delivers the offer some time later, unless it is lost.
 func (n *node) OfferLeadership(_ context.Context, name string, term, keyVersion uint64) error {
 	for _, other := range n.cluster.nodes {
-		if other.name != name || !n.reaches(other) || n.store.withProbability(0.2) {
+		if other.name != name || !n.canReach(other) || n.store.withProbability(0.2) {
 			continue
 		}
 		time.AfterFunc(n.store.randomDelay(2000, time.Millisecond), func() {
