--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -12,8 +12,8 @@
 	"quillshunt/internal/storage"
 )
 
-// invariantChecker checks what must always hold among the nodes of a cluster: at most one of them
-// is entitled, terms rise, and no term is used twice.
+// invariantChecker checks the invariants of a cluster: at most one node is entitled, the terms of
+// entitled nodes never decrease, and no term is used twice.
 type invariantChecker struct {
 	t           *testing.T
 	seed        uint64
@@ -32,7 +32,7 @@
 		}
 		entitled = append(entitled, fmt.Sprintf("%s in term %d", n.name, l.Term))
 		if l.Term < k.highestTerm {
-			k.t.Fatalf("seed %d: term %d after %d", k.seed, l.Term, k.highestTerm)
+			k.t.Fatalf("seed %d: entitled in term %d after term %d", k.seed, l.Term, k.highestTerm)
 		}
 		k.highestTerm = l.Term
 		if k.leaderships[l.Term] == nil {
@@ -43,11 +43,11 @@
 		}
 	}
 	if len(entitled) > 1 {
-		k.t.Fatalf("seed %d: entitled at once: %v", k.seed, entitled)
+		k.t.Fatalf("seed %d: several nodes are entitled: %v", k.seed, entitled)
 	}
 }
 
-// runFor lets time pass and checks all the while.
+// runFor advances the time by d and checks the invariants every 50 milliseconds.
 func (k *invariantChecker) runFor(d time.Duration) {
 	k.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -56,19 +56,20 @@
 	}
 }
 
-// Faults that injectFault injects.
+// Faults that injectFault chooses from.
 const (
 	crashAndRestart = iota
 	stateServiceOutage
 	stateServiceRejects
 	noFault
-	crashRepeatedly // back at once, also in the middle of an election
-	isolatedFromAll // still connected to its workers
+	crashRepeatedly // restarts at once, possibly during an election
+	isolatedFromAll // from the state service and the other nodes, not from its workers
 	isolatedFromPeers
 	faultCount
 )
 
-// injectFault injects a random fault, at the leader or at a random node.
+// injectFault injects a random fault. Half of the time it hits the leader, if there is one;
+// otherwise a random node.
 func (k *invariantChecker) injectFault(random *rand.Rand) {
 	k.t.Helper()
 	n := k.cluster.nodes[random.IntN(len(k.cluster.nodes))]
@@ -103,7 +104,7 @@
 	}
 }
 
-// endFaults makes all nodes and links reliable.
+// endFaults ends all isolation, rejections and message losses.
 func (k *invariantChecker) endFaults() {
 	for _, n := range k.cluster.nodes {
 		n.store.setReliable()
@@ -111,8 +112,8 @@
 	}
 }
 
-// newFaultyCluster returns a cluster of 3 or 5 nodes that lose messages. Its size, its leases and
-// whether it uses votes depend on the seed.
+// newFaultyCluster returns a cluster of 3 or 5 nodes that lose messages. The seed determines its
+// size, the durations of its leases and whether it uses votes.
 func newFaultyCluster(seed uint64) *cluster {
 	c := newCluster(0, seed)
 	size := 3 + int(seed/2)%2*2
@@ -127,8 +128,8 @@
 	return c
 }
 
-// TestAtMostOneEntitledLeader: at no time are two controllers entitled, terms rise, and after the faults
-// there is a leader again.
+// TestAtMostOneEntitledLeader checks under random faults that at most one controller is entitled
+// and that terms never decrease. After the faults end, a leader must be elected.
 func TestAtMostOneEntitledLeader(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -144,17 +145,17 @@
 				k.endFaults()
 				k.runFor(2 * limits.LeaderLease)
 				if c.leader() == nil {
-					t.Fatalf("seed %d: no leader after the faults", seed)
+					t.Fatalf("seed %d: no leader after the faults have ended", seed)
 				}
 				c.crash()
-				time.Sleep(2 * time.Minute) // late transactions
+				time.Sleep(2 * time.Minute) // until all delayed transactions are applied
 			})
 		})
 	}
 }
 
-// TestRestartedLeaderCampaignsAtOnce: a controller that comes back under the leader's name does not wait for the
-// lease to expire.
+// TestRestartedLeaderCampaignsAtOnce checks that a leader that restarts under the same name does
+// not wait for its old lease to expire.
 func TestRestartedLeaderCampaignsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newCluster(0, 0).addNode(rand.New(rand.NewPCG(1, 1)))
@@ -168,21 +169,22 @@
 		n.start()
 		time.Sleep(3 * time.Second)
 		if l := n.entitledLeadership(); l == nil || l.Term != first.Term+1 {
-			t.Fatalf("after a restart: %+v", l)
+			t.Fatalf("leadership after a restart is %+v, want the next term", l)
 		}
 		n.crash()
 	})
 }
 
-// TestIsolatedLeader: a leader that is cut off from the state service and the other controllers, but
-// not from its workers, stops being entitled, and another leads long before its lease expires. One
-// that is cut off from the other controllers alone stays entitled by its heartbeat records.
+// TestIsolatedLeader isolates the leader from the other controllers, but not from its workers. If
+// it is cut off from the state service too, it must stop being entitled, and another controller
+// must lead long before the lease expires. If not, it must stay entitled by writing heartbeat
+// records.
 func TestIsolatedLeader(t *testing.T) {
 	for i := range 12 {
 		fromStateService := i%2 == 0
-		// The phases differ in when the others' watches of the leader key end by themselves.
+		// The phase varies the time at which the followers' watches of the leader key time out.
 		phase := time.Duration(i/2) * limits.WatchDuration / 6
-		t.Run(fmt.Sprintf("cut off from the state service too %v, phase %v", fromStateService, phase), func(t *testing.T) {
+		t.Run(fmt.Sprintf("isolated from state service %v, phase %v", fromStateService, phase), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { checkIsolatedLeader(t, fromStateService, phase) })
 		})
 	}
@@ -211,13 +213,13 @@
 		replaced = replaced || (n != isolated && n.entitledLeadership() != nil)
 	}
 	if old.Entitled() == fromStateService || replaced != fromStateService {
-		t.Errorf("cut off from the state service too: %v; old leader entitled: %v, another one: %v",
+		t.Errorf("isolated from the state service: %v; old leader entitled: %v, another node entitled: %v",
 			fromStateService, old.Entitled(), replaced)
 	}
 }
 
-// TestLateReplacementFails: a transaction that was to replace an unreachable leader is applied late,
-// when that leader is reachable and entitled again. It fails.
+// TestLateReplacementFails checks that a campaign to replace an unreachable leader fails if it is
+// applied late, after that leader has become reachable and entitled again.
 func TestLateReplacementFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(5, 4)
@@ -240,7 +242,7 @@
 		isolate(time.Time{})
 		time.Sleep(limits.VoteLeaseMin)
 		if leader.entitledLeadership() == nil {
-			t.Error("the leader is not entitled again")
+			t.Error("the leader is not entitled after its isolation has ended")
 		}
 		campaigns := 0
 		for _, n := range c.nodes {
@@ -258,8 +260,9 @@
 	})
 }
 
-// TestLateCampaignFails: a campaign that is applied late, when another term has begun and its lease has
-// expired, fails: it would use a term again.
+// TestLateCampaignFails checks that a campaign fails if it is applied late, after another
+// controller has led a term and its lease has expired. The late campaign would reuse the number of
+// that term.
 func TestLateCampaignFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2, 7)
@@ -271,20 +274,20 @@
 		winner.start()
 		time.Sleep(3 * time.Second)
 		if l := winner.entitledLeadership(); l == nil || l.Term != 1 {
-			t.Fatalf("no leader of the first term: %+v", l)
+			t.Fatalf("leadership of the second node is %+v, want term 1", l)
 		}
 		c.crash()
 		time.Sleep(2 * limits.LeaderLease)
 		if key, _ := c.service.Get(storage.KeyLeader); key.Version != 0 {
-			t.Fatal("the winner's lease has not expired")
+			t.Fatal("the lease of the winner has not expired")
 		}
 		campaigns := late.store.capturedCampaigns()
 		if len(campaigns) == 0 {
-			t.Fatal("no campaign is late")
+			t.Fatal("no campaign was captured")
 		}
 		for _, campaign := range campaigns {
 			if status, _ := c.service.CompareAndSwap(campaign); status != http.StatusConflict {
-				t.Errorf("a late campaign was answered %d", status)
+				t.Errorf("a late campaign got status %d, want %d", status, http.StatusConflict)
 			}
 		}
 	})
--- a/internal/coordination/election/handover_test.go
+++ b/internal/coordination/election/handover_test.go
@@ -10,8 +10,9 @@
 	"quillshunt/internal/limits"
 )
 
-// TestHandover: a leader that alone is rejected by the state service is replaced long before its
-// lease expires, and one that is rejected like all others is not.
+// TestHandover checks that a leader hands over long before its lease expires if the state service
+// rejects the requests of this leader alone. It must keep the leadership while the state service
+// rejects all controllers.
 func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2, 2)
@@ -24,7 +25,7 @@
 		c.service.SetUnavailable(true)
 		time.Sleep(limits.LeaderLease / 2)
 		if first.entitledLeadership() == nil {
-			t.Fatal("handed over in an outage for all")
+			t.Fatal("lost the leadership while the state service is down for all controllers")
 		}
 		c.service.SetUnavailable(false)
 		time.Sleep(5 * time.Second)
@@ -32,16 +33,16 @@
 		old := first.entitledLeadership()
 		time.Sleep(limits.LeaderLease / 2)
 		if old == nil || old.Entitled() {
-			t.Fatal("still entitled after handing over")
+			t.Fatal("the old leader was not entitled before, or is still entitled after the handover")
 		}
 		if first.entitledLeadership() != nil || second.entitledLeadership() == nil {
-			t.Fatal("not handed over")
+			t.Fatal("the leadership was not handed over to the other controller")
 		}
 	})
 }
 
-// TestBusyLeaderKeepsLeadership: a leader that gets no answers because its own process is behind does not hand
-// over; one whose process is not behind does.
+// TestBusyLeaderKeepsLeadership checks that a leader whose renewals time out does not hand over
+// while its own process is scheduled late. Otherwise it must hand over.
 func TestBusyLeaderKeepsLeadership(t *testing.T) {
 	for name, busy := range map[string]bool{"busy": true, "not busy": false} {
 		t.Run(name, func(t *testing.T) {
@@ -59,15 +60,15 @@
 				leader.store.setUnanswered(time.Now().Add(15 * time.Second))
 				time.Sleep(20 * time.Second)
 				if kept := leader.entitledLeadership() != nil; kept != busy {
-					t.Errorf("busy: %v, still leads: %v", busy, kept)
+					t.Errorf("process busy: %v, leadership kept: %v", busy, kept)
 				}
 			})
 		})
 	}
 }
 
-// successorPeers are others of whom one reaches the state service. It runs a check when it gets an
-// offer.
+// successorPeers are the other controllers, one of which can reach the state service. It calls
+// onOffer for each offer.
 type successorPeers struct {
 	Peers
 	onOffer func()
@@ -80,12 +81,12 @@
 	return nil
 }
 
-// TestResignsBeforeOffer: the leadership has ended for good when its successor hears of it, whatever
-// a late renewal says.
+// TestResignsBeforeOffer checks that the leader is no longer entitled when it offers the
+// leadership, and that a late renewal of the lease does not make it entitled again.
 func TestResignsBeforeOffer(t *testing.T) {
 	l := NewLeadership(1, 1, time.Now().Add(time.Hour))
 	if !l.Entitled() {
-		t.Fatal("not entitled at first")
+		t.Fatal("not entitled before the handover")
 	}
 	offers := 0
 	peers := successorPeers{onOffer: func() {
@@ -97,6 +98,6 @@
 	}}
 	e := New(Options{Node: "controller-0", Peers: peers, Log: slog.New(slog.DiscardHandler)})
 	if !e.handOver(context.Background(), l) || offers != 1 {
-		t.Errorf("not handed over, or not by one offer: %d", offers)
+		t.Errorf("not handed over, or number of offers is %d, want 1", offers)
 	}
 }
--- a/internal/coordination/election/leadership_test.go
+++ b/internal/coordination/election/leadership_test.go
@@ -7,13 +7,14 @@
 	"quillshunt/internal/limits"
 )
 
-// TestLeaseMargins: our entitlement ends before the lease can expire, and we wait for others' leases for
-// longer than they can last, whatever the clocks do.
+// TestLeaseMargins checks that the holder of a lease stops using it before it can expire, and that
+// others wait until it has certainly expired, for the largest drift between two clocks.
 func TestLeaseMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
 		drift := time.Duration(float64(d) * limits.DriftShare)
 		if limits.LeaseValidFor(d) >= d-2*drift || limits.LeaseExpiredAfter(d) <= d+2*drift {
-			t.Errorf("%v: entitled for %v, waited for %v", d, limits.LeaseValidFor(d), limits.LeaseExpiredAfter(d))
+			t.Errorf("lease of %v: valid for %v, expired after %v; the margin is below the clock drift",
+				d, limits.LeaseValidFor(d), limits.LeaseExpiredAfter(d))
 		}
 	}
 }
--- a/internal/coordination/election/node_test.go
+++ b/internal/coordination/election/node_test.go
@@ -13,14 +13,14 @@
 	"quillshunt/internal/storage"
 )
 
-// cluster is controllers of one state service.
+// cluster is a set of controllers that share one state service.
 type cluster struct {
 	service *standin.StateService
 	nodes   []*node
 }
 
-// newCluster returns controllers that neither crash nor lose anything by themselves. They are not
-// started.
+// newCluster returns a cluster of the given size. Its nodes are not started. They do not crash and
+// lose no messages unless a test makes them.
 func newCluster(size int, seed uint64) *cluster {
 	c := &cluster{service: standin.NewStateService()}
 	for i := range size {
@@ -29,7 +29,7 @@
 	return c
 }
 
-// addNode adds a controller, which is not started.
+// addNode adds a node to the cluster without starting it.
 func (c *cluster) addNode(random *rand.Rand) *node {
 	n := &node{
 		name:          fmt.Sprintf("controller-%d", len(c.nodes)),
@@ -42,7 +42,7 @@
 	return n
 }
 
-// leader returns the first entitled node, or nil.
+// leader returns the first entitled node, or nil if there is none.
 func (c *cluster) leader() *node {
 	for _, n := range c.nodes {
 		if n.entitledLeadership() != nil {
@@ -64,24 +64,24 @@
 	}
 }
 
-// node is a controller that crashes and comes back. It is the Peers of its elector.
+// node is a controller that can crash and restart. It implements Peers for its own elector.
 type node struct {
 	name          string
 	cluster       *cluster
 	store         *unreliableStore
 	leaseDuration time.Duration
-	voteLease     time.Duration // 0: this node needs no votes, and no node of the cluster does
+	voteLease     time.Duration // 0 if no node of the cluster needs votes
 	cancel        context.CancelFunc
 	done          chan struct{}
 
 	mu            sync.Mutex
 	elector       *Elector    // nil after a crash
-	leadership    *Leadership // nil while another node leads
-	busy          bool        // its process is behind
-	isolatedUntil time.Time   // no calls between it and other nodes until then
+	leadership    *Leadership // nil while this node does not lead
+	busy          bool        // the process reports a scheduling delay
+	isolatedUntil time.Time   // until then, calls to and from other nodes fail
 }
 
-// start starts the node's process.
+// start starts the process of the node.
 func (n *node) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel, n.done = cancel, make(chan struct{})
@@ -107,7 +107,7 @@
 	}()
 }
 
-// crash ends the node's process.
+// crash stops the process of the node.
 func (n *node) crash() {
 	n.mu.Lock()
 	n.elector = nil
@@ -135,7 +135,7 @@
 	return n.elector
 }
 
-// entitledLeadership returns the node's leadership if it is entitled, or nil.
+// entitledLeadership returns the node's leadership, or nil if the node is not entitled.
 func (n *node) entitledLeadership() *Leadership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -145,7 +145,8 @@
 	return nil
 }
 
-// schedulingDelay is how far the node's process is behind: a second while it is busy, else what it measures.
+// schedulingDelay returns one second while the node is busy, and the measured scheduling delay
+// otherwise.
 func (n *node) schedulingDelay(ctx context.Context) time.Duration {
 	n.mu.Lock()
 	busy := n.busy
@@ -162,7 +163,7 @@
 	n.busy = true
 }
 
-// isolate cuts the node off from all other nodes until then.
+// isolate cuts the node off from all other nodes until the given time.
 func (n *node) isolate(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -175,11 +176,11 @@
 	return time.Now().Before(n.isolatedUntil)
 }
 
-// canReach reports whether there is a link between two nodes.
+// canReach reports whether calls between two nodes can succeed.
 func (n *node) canReach(other *node) bool { return !n.isolated() && !other.isolated() }
 
-// callPeer delivers a request to another node after a random delay. It returns that node's elector, or
-// nil if the request is lost.
+// callPeer simulates a request to another node: it waits for a random delay and returns that node's
+// elector. It returns nil if the request is lost.
 func (n *node) callPeer(other *node) *Elector {
 	time.Sleep(n.store.randomDelay(200, time.Millisecond))
 	if other == n || !n.canReach(other) || n.store.losesMessage() {
@@ -198,7 +199,7 @@
 			continue
 		}
 		vote := e.Vote(heartbeatVersion, nonces[other.name])
-		if !n.store.losesMessage() { // else the answer is lost
+		if !n.store.losesMessage() { // otherwise the reply is lost
 			votes[other.name] = vote
 		}
 	}
@@ -217,7 +218,7 @@
 	return ""
 }
 
-// OfferLeadership delivers the offer some time later, unless it is lost.
+// OfferLeadership delivers the offer after a random delay, or loses it at random.
 func (n *node) OfferLeadership(_ context.Context, name string, term, keyVersion uint64) error {
 	for _, other := range n.cluster.nodes {
 		if other.name != name || !n.canReach(other) || n.store.withProbability(0.2) {
--- a/internal/coordination/election/quorum_test.go
+++ b/internal/coordination/election/quorum_test.go
@@ -14,8 +14,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestHeartbeatConditions: a heartbeat record is written only over the last one that the leader
-// knows of, and only under its own leader key. One that it does not know of replaces the last one.
+// TestHeartbeatConditions checks that the leader writes its heartbeat record only over the last
+// version that it knows, and only while the leader key is its own. If it finds another version, it
+// takes this as the last one.
 func TestHeartbeatConditions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.NewStateService()
@@ -45,14 +46,16 @@
 
 		unknown := put(storage.KeyLeaderHeartbeat)
 		if k.writeHeartbeat(ctx) || version() != unknown || k.heartbeatVersion != unknown || l.Entitled() {
-			t.Errorf("wrote over version %d: version %d, known %d", unknown, version(), k.heartbeatVersion)
+			t.Errorf("write over an unknown version: record has version %d, known %d, want %d; entitled: %v",
+				version(), k.heartbeatVersion, unknown, l.Entitled())
 		}
 		if k.writeHeartbeat(ctx) || version() == unknown || k.heartbeatVersion != version() || !l.Entitled() {
-			t.Errorf("not written over a known version: version %d, known %d", version(), k.heartbeatVersion)
+			t.Errorf("write over a known version: record has version %d, known %d, want equal; entitled: %v",
+				version(), k.heartbeatVersion, l.Entitled())
 		}
 		put(storage.KeyLeader)
 		if last := version(); !k.writeHeartbeat(ctx) || version() != last {
-			t.Error("wrote a heartbeat although there is another leader")
+			t.Error("heartbeat record written, or loss of the leadership not reported, after the leader was replaced")
 		}
 	})
 }
--- a/internal/coordination/election/store_test.go
+++ b/internal/coordination/election/store_test.go
@@ -15,8 +15,9 @@
 	"quillshunt/internal/storage"
 )
 
-// unreliableStore is a node's view of the state service. It delays and rejects requests, and loses
-// answers of requests that were applied, or are applied later.
+// unreliableStore is the connection of one node to the state service. It delays and rejects
+// requests. It also loses requests and replies, so that a request without a reply may have been
+// applied, or may be applied later.
 type unreliableStore struct {
 	service *standin.StateService
 
@@ -24,12 +25,13 @@
 	random           *rand.Rand
 	rejectedUntil    time.Time
 	unansweredUntil  time.Time
-	lossRate         float64                // share of requests and answers that are lost
-	captureCampaigns bool                   // campaigns get no answer, and are kept for the test
-	captured         []protocol.Transaction // those, for the test to apply
+	lossRate         float64                // share of requests and replies that are lost
+	captureCampaigns bool                   // campaign transactions are captured and not applied
+	captured         []protocol.Transaction // captured campaigns, for the test to apply
 }
 
-// deliver lets a request take its time, and returns an error if it does not reach the service.
+// deliver simulates the way of a request to the state service: it waits for a random delay, and
+// returns an error if the request is rejected or times out.
 func (u *unreliableStore) deliver(ctx context.Context) error {
 	u.mu.Lock()
 	delay := time.Duration(1+u.random.IntN(20)) * time.Millisecond
@@ -53,21 +55,21 @@
 	return nil
 }
 
-// randomDelay returns a random number of units below n.
+// randomDelay returns a random whole number of units below n as a duration.
 func (u *unreliableStore) randomDelay(n int, unit time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return time.Duration(u.random.IntN(n)) * unit
 }
 
-// withProbability reports true with a probability.
+// withProbability returns true with the given probability.
 func (u *unreliableStore) withProbability(probability float64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.random.Float64() < probability
 }
 
-// losesMessage reports whether a message is lost.
+// losesMessage reports whether the next request or reply is lost.
 func (u *unreliableStore) losesMessage() bool {
 	u.mu.Lock()
 	lossRate := u.lossRate
@@ -75,43 +77,44 @@
 	return u.withProbability(lossRate)
 }
 
-// setRejected makes the service reject this node's requests until then.
+// setRejected makes the state service reject this node's requests until the given time.
 func (u *unreliableStore) setRejected(until time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.rejectedUntil = until
 }
 
-// setUnanswered makes the service leave this node's requests without an answer until then.
+// setUnanswered makes this node's requests time out until the given time.
 func (u *unreliableStore) setUnanswered(until time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.unansweredUntil = until
 }
 
-// setReliable ends rejections and losses.
+// setReliable ends the rejection and the loss of messages.
 func (u *unreliableStore) setReliable() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.rejectedUntil, u.lossRate = time.Time{}, 0
 }
 
-// setCaptureCampaigns makes campaigns get no answer; they are kept for the test.
+// setCaptureCampaigns sets whether campaign transactions are captured for the test. The node gets
+// no reply to them.
 func (u *unreliableStore) setCaptureCampaigns(capture bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.captureCampaigns = capture
 }
 
-// capturedCampaigns returns the campaigns that were kept.
+// capturedCampaigns returns the captured campaign transactions.
 func (u *unreliableStore) capturedCampaigns() []protocol.Transaction {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.captured
 }
 
-// captureCampaign keeps a transaction if it is a campaign that the test has asked for, and reports
-// whether it is.
+// captureCampaign captures a transaction if it is a campaign and campaigns are to be captured, and
+// reports whether it did.
 func (u *unreliableStore) captureCampaign(t protocol.Transaction) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -138,7 +141,7 @@
 		return 0, storage.ErrOutcomeUnknown
 	}
 	if u.losesMessage() {
-		// It gets no answer, and is applied some time later or not at all.
+		// The node gets no reply. The transaction is applied later or not at all.
 		if u.withProbability(0.7) {
 			time.AfterFunc(u.randomDelay(40, time.Second), func() { u.service.CompareAndSwap(t) })
 		}
--- a/internal/coordination/election/voter_test.go
+++ b/internal/coordination/election/voter_test.go
@@ -13,8 +13,8 @@
 	"quillshunt/internal/standin"
 )
 
-// votingPeers are four other controllers, of whom two always grant their votes: with the leader's
-// own vote just enough.
+// votingPeers are four other controllers, two of which grant their votes once the leader knows
+// their nonces. With the leader's own vote, this is exactly a majority.
 type votingPeers struct{ Peers }
 
 func (votingPeers) Size() int                            { return 4 }
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestLeaderOwnVote: a leader's own vote counts like any other. While it does, the leader does not
-// withdraw it, and once it is withdrawn, it does not count.
+// TestLeaderOwnVote checks that a leader's own vote counts like any other: the leader cannot
+// withdraw it while it is valid, and it does not count after its withdrawal.
 func TestLeaderOwnVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.NewStateService()
@@ -51,30 +51,30 @@
 			e.Run(ctx)
 		}()
 		time.Sleep(5 * time.Second)
-		service.SetUnavailable(true) // only votes count
+		service.SetUnavailable(true) // no heartbeat records, only votes
 		time.Sleep(2 * limits.VoteLeaseMin)
 		l := leadership.Load()
 		if l == nil || !l.Entitled() {
 			t.Fatal("not entitled by the votes of a majority")
 		}
 		if e.voter.withdraw(1 << 60) {
-			t.Error("withdrew its own vote while entitled")
+			t.Error("the leader withdrew its own vote while it was valid")
 		}
 		e.voter.mu.Lock()
 		e.voter.withdrawnUpTo = 1 << 60
 		e.voter.mu.Unlock()
 		time.Sleep(limits.LeaseExpiredAfter(limits.VoteLeaseMin))
 		if l.Entitled() {
-			t.Error("entitled by less than a majority")
+			t.Error("still entitled without the votes of a majority")
 		}
 		cancel()
 		<-done
 	})
 }
 
-// TestRestartedVoter: a process that has just started neither withdraws a vote, as the one before
-// it may have granted it, nor grants one to a leader that does not know it yet, as the one before
-// may have withdrawn it.
+// TestRestartedVoter checks a process that has just started. It must not withdraw its vote yet,
+// because the previous process may have granted one. It must not grant a vote to a leader that does
+// not know its nonce, because the previous process may have withdrawn the vote.
 func TestRestartedVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := &voter{voteLease: limits.VoteLeaseMin, nonce: 7, startedAt: time.Now()}
@@ -82,24 +82,24 @@
 			t.Error("withdrew a vote right after the start")
 		}
 		if v.vote(10, 6).Granted || v.vote(10, 0).Granted {
-			t.Error("granted a vote to a leader that believes to ask another process")
+			t.Error("granted a vote to a leader that expects another process")
 		}
 		if vote := v.vote(10, 7); !vote.Granted || vote.ProcessNonce != 7 {
-			t.Errorf("vote not granted: %+v", vote)
+			t.Errorf("vote is %+v, want granted by nonce 7", vote)
 		}
 		time.Sleep(limits.VoteLeaseMin)
 		if v.withdraw(10) {
-			t.Error("withdrew a vote that may be live")
+			t.Error("withdrew a vote that may still be valid")
 		}
 		time.Sleep(limits.VoteLeaseMin)
 		if !v.withdraw(10) {
-			t.Error("vote not withdrawn")
+			t.Error("vote not withdrawn after it has expired")
 		}
 		if v.vote(10, 7).Granted || v.vote(9, 7).Granted {
-			t.Error("granted a vote under a heartbeat from which it was withdrawn")
+			t.Error("granted a vote for a heartbeat version for which it was withdrawn")
 		}
 		if !v.vote(11, 7).Granted {
-			t.Error("vote not granted under a later heartbeat")
+			t.Error("vote not granted for a later heartbeat version")
 		}
 	})
 }
