--- a/internal/coordination/election/quorum_test.go
+++ b/internal/coordination/election/quorum_test.go
@@ -42,19 +42,19 @@
 		ctx := context.Background()
 		l := NewLeadership(1, put(storage.KeyLeader), time.Now().Add(time.Hour))
 		l.requireQuorum(time.Now())
-		k := &quorumRenewer{elector: e, leadership: l, heartbeatVersion: put(storage.KeyLeaderHeartbeat)}
+		r := &quorumRenewer{elector: e, leadership: l, heartbeatVersion: put(storage.KeyLeaderHeartbeat)}
 
 		unknown := put(storage.KeyLeaderHeartbeat)
-		if k.writeHeartbeat(ctx) || version() != unknown || k.heartbeatVersion != unknown || l.Entitled() {
+		if r.writeHeartbeat(ctx) || version() != unknown || r.heartbeatVersion != unknown || l.Entitled() {
 			t.Errorf("write over an unknown version: record has version %d, known %d, want %d; entitled: %v",
-				version(), k.heartbeatVersion, unknown, l.Entitled())
+				version(), r.heartbeatVersion, unknown, l.Entitled())
 		}
-		if k.writeHeartbeat(ctx) || version() == unknown || k.heartbeatVersion != version() || !l.Entitled() {
+		if r.writeHeartbeat(ctx) || version() == unknown || r.heartbeatVersion != version() || !l.Entitled() {
 			t.Errorf("write over a known version: record has version %d, known %d, want equal; entitled: %v",
-				version(), k.heartbeatVersion, l.Entitled())
+				version(), r.heartbeatVersion, l.Entitled())
 		}
 		put(storage.KeyLeader)
-		if last := version(); !k.writeHeartbeat(ctx) || version() != last {
+		if last := version(); !r.writeHeartbeat(ctx) || version() != last {
 			t.Error("heartbeat record written, or loss of the leadership not reported, after the leader was replaced")
 		}
 	})
