--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -90,11 +90,11 @@
 	return version, nil
 }
 
-// readOutcome reads the leader key after a campaign transaction that was not confirmed. It returns
-// the version of the key if the key holds the record of this candidacy, and campaignErr otherwise.
-// The transaction may still be applied after that. A later attempt then finds the name of this
-// controller in the leader key. If another controller has won by then, the conditions of the
-// transaction fail instead.
+// readOutcome reads the leader key after a campaign transaction that was not confirmed. If the key
+// holds the record of this candidacy, it returns the version of the key; otherwise the error is
+// campaignErr. The transaction may still be applied after that. A later attempt then finds the name
+// of this controller in the leader key. If another controller has won by then, the conditions of
+// the transaction fail instead.
 func (e *Elector) readOutcome(ctx context.Context, c candidacy, campaignErr error) (version uint64, err error) {
 	key, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	if err != nil {
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -8,9 +8,9 @@
 	"quillshunt/internal/storage"
 )
 
-// mayBeIsolated reports whether this leader should look for a controller that can reach the state
-// service, because it may be cut off itself. It does if the last successful renewal of the lease is
-// too long ago and the cause of the last failure is not in this process.
+// mayBeIsolated reports whether this leader may be cut off from the state service and should look
+// for a controller that is not. It returns true if no renewal of the lease has succeeded for longer
+// than limits.IsolatedAfter and the cause of the last failure is not in this process.
 func (e *Elector) mayBeIsolated(ctx context.Context, sinceRenewal time.Duration, err error) bool {
 	return e.options.Peers != nil && sinceRenewal > limits.IsolatedAfter && e.isStateServiceFault(ctx, err)
 }
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -18,8 +18,8 @@
 	startedAt        time.Time
 	leaseUntil       atomic.Int64  // end of the entitlement by the lease, in nanoseconds after startedAt
 	quorumUntil      atomic.Int64  // end of the entitlement by the quorum lease, in nanoseconds after startedAt
-	resigned         atomic.Bool   // handed over; a late renewal does not undo this
-	observedRevision atomic.Uint64 // up to which the term has processed all changes of open jobs
+	resigned         atomic.Bool   // the leadership was handed over; a late renewal does not undo this
+	observedRevision atomic.Uint64 // the term has processed all changes of open jobs up to this revision
 }
 
 // NewLeadership returns the leadership of a single controller, which needs no votes. It is entitled
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -63,7 +63,7 @@
 	sentAt := time.Now()
 	granted := 0
 	if e.voter.vote(r.heartbeatVersion, e.voter.nonce).Granted {
-		granted++ // the own vote, which can be withdrawn like any other
+		granted++ // the leader's own vote, which can be withdrawn like any other
 	}
 	for node, vote := range e.options.Peers.RequestVotes(ctx, r.heartbeatVersion, r.coveredNonces) {
 		if vote.Granted {
