--- /dev/null
+++ b/internal/coordination/leader/cloud_client_test.go
@@ -0,0 +1,117 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+	"slices"
+	"testing"
+
+	"quillshunt/internal/limits"
+	"quillshunt/internal/protocol"
+	"quillshunt/internal/transport"
+)
+
+const testCloudRPS = 1000
+
+// TestRentMachinesErrors: the error tells whether a rental request has failed for good (no capacity,
+// malformed request) or has to be repeated.
+func TestRentMachinesErrors(t *testing.T) {
+	reason := func(text string) any { return map[string]string{"error": text} }
+	for _, c := range []struct {
+		name     string
+		status   int
+		body     any
+		err      string
+		sentinel error // expected to be wrapped by the error, or nil
+	}{
+		{"rented", http.StatusOK, protocol.RentalReply{Machines: []string{"m-1"}}, "", nil},
+		{
+			"no capacity", http.StatusServiceUnavailable, reason("no capacity"),
+			"cloud: rent machines: request r-1: no capacity", errNoCapacity,
+		},
+		{
+			"unavailable for another reason", http.StatusServiceUnavailable, reason("overloaded"),
+			"cloud: rent machines: unexpected status 503: overloaded", nil,
+		},
+		{
+			"rejected", http.StatusBadRequest, nil,
+			"cloud: rent machines: request r-1: rejected as malformed", errRentalRejected,
+		},
+		{
+			"rate limit exceeded", http.StatusTooManyRequests, nil,
+			"cloud: rent machines: unexpected status 429", nil,
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cloud := NewCloudClient(startServer(t, alwaysRespond(c.status, c.body)), testCloudRPS, nil)
+			defer cloud.client.Close()
+			machines, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
+			if got := errorText(err); got != c.err {
+				t.Errorf("error %q, want %q", got, c.err)
+			}
+			for _, sentinel := range []error{errNoCapacity, errRentalRejected} {
+				if errors.Is(err, sentinel) != (c.sentinel == sentinel) {
+					t.Errorf("error %q wraps %q: want %v", err, sentinel, c.sentinel == sentinel)
+				}
+			}
+			if rented := slices.Equal(machines, []string{"m-1"}); rented != (c.err == "") {
+				t.Errorf("machines %q with error %v", machines, err)
+			}
+		})
+	}
+}
+
+// TestRentMachinesMalformedReply: a reply that cannot be decoded leaves the outcome of the request
+// unknown, so that it is repeated.
+func TestRentMachinesMalformedReply(t *testing.T) {
+	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, []int{1})), testCloudRPS, nil)
+	defer cloud.client.Close()
+	_, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
+	if err == nil || errors.Is(err, errNoCapacity) || errors.Is(err, errRentalRejected) {
+		t.Errorf("error %v, want one that does not end the request", err)
+	}
+}
+
+// TestListMachinesReadsAllPages: after a truncated page, the next request starts after the last name of
+// that page.
+func TestListMachinesReadsAllPages(t *testing.T) {
+	pages := map[string]protocol.MachineList{
+		"":    {Machines: []protocol.Machine{{Name: "m-1"}, {Name: "m 2"}}, Truncated: true},
+		"m 2": {Machines: []protocol.Machine{{Name: "m-3"}}},
+	}
+	address := startServer(t, func(req *transport.Message, rsp *transport.Responder) {
+		query, _ := url.ParseQuery(req.Query)
+		page, ok := pages[query.Get("Since")]
+		if !ok || req.Path != "/rentals" || query.Get("Limit") != fmt.Sprint(limits.CloudPageSize) {
+			rsp.Respond(http.StatusBadRequest, nil, 0)
+			return
+		}
+		rsp.Respond(http.StatusOK, protocol.Encode(page), 0)
+	})
+	cloud := NewCloudClient(address, testCloudRPS, nil)
+	defer cloud.client.Close()
+	machines, err := cloud.ListMachines(context.Background())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for _, m := range machines {
+		names = append(names, m.Name)
+	}
+	if !slices.Equal(names, []string{"m-1", "m 2", "m-3"}) {
+		t.Errorf("machines %q, want those of both pages", names)
+	}
+}
+
+// TestListMachineTypesRejectsEmptyList: an empty list of machine types is an error.
+func TestListMachineTypesRejectsEmptyList(t *testing.T) {
+	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, protocol.MachineTypeList{})), testCloudRPS, nil)
+	defer cloud.client.Close()
+	const want = "cloud: list machine types: empty list"
+	if _, err := cloud.ListMachineTypes(context.Background()); errorText(err) != want {
+		t.Errorf("error %v, want %s", err, want)
+	}
+}
--- a/internal/coordination/leader/probes_test.go
+++ b/internal/coordination/leader/probes_test.go
@@ -11,10 +11,10 @@
 	"quillshunt/internal/limits"
 )
 
-// newTestTerm returns a term without a scheduler, whose mailbox has room for one message.
-func newTestTerm(leadership *election.Leadership) *term {
-	return &term{
-		dispatcher: &Dispatcher{termLost: func(uint64) {}},
+// newTestActor returns an actor without a scheduler. Its mailbox has room for one message.
+func newTestActor(leadership *election.Leadership) *termActor {
+	return &termActor{
+		dispatcher: &Dispatcher{onTermLost: func(uint64) {}},
 		leadership: leadership,
 		mailbox:    make(chan message, 1),
 		probeSlots: make(chan struct{}, 1),
@@ -23,26 +23,26 @@
 	}
 }
 
-// TestProbesYieldToHeartbeats: while heartbeats wait in the mailbox, probes are not sent, and that
-// says nothing about their machines.
-func TestProbesYieldToHeartbeats(t *testing.T) {
-	actor := newTestTerm(election.NewLeadership(1, 1, time.Now().Add(time.Hour)))
+// TestProbeNotSentAfterSlowHeartbeat: shortly after a heartbeat had to wait long in the mailbox, probes
+// are reported as not sent, so that the scheduler does not take their machines for unreachable.
+func TestProbeNotSentAfterSlowHeartbeat(t *testing.T) {
+	actor := newTestActor(election.NewLeadership(1, 1, time.Now().Add(time.Hour)))
 	actor.startedAt = time.Now().Add(-time.Minute)
 	for _, c := range []struct {
-		name              string
-		sinceSlow         time.Duration
-		heartbeatsAreSlow bool
+		name      string
+		sinceSlow time.Duration
+		notSent   bool
 	}{
-		{"heartbeats wait", 0, true},
-		{"heartbeats waited long ago", 2 * limits.SlowHeartbeatMemory, false},
+		{"slow heartbeat just now", 0, true},
+		{"last slow heartbeat long ago", 2 * limits.SlowHeartbeatMemory, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			actor.lastSlowHeartbeatAt.Store(int64(actor.now() - c.sinceSlow))
-			// Nothing listens at the address: a probe that is sent is refused.
+			// No server listens at the address, so a probe that is sent fails at the connection.
 			actor.executeProbe(context.Background(), scheduler.ProbeMachine{Machine: "m-1", Address: "127.0.0.1:1"})
 			done := (<-actor.mailbox).(eventMessage).event.(scheduler.ProbeDone)
-			if done.NotSent != c.heartbeatsAreSlow || done.Machine != "m-1" {
-				t.Errorf("probe done: %+v", done)
+			if done.NotSent != c.notSent || done.Machine != "m-1" {
+				t.Errorf("outcome %+v, want machine m-1 and NotSent %v", done, c.notSent)
 			}
 		})
 	}
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -10,43 +10,45 @@
 	"quillshunt/internal/storage"
 )
 
-// writer executes the writes of a term, several in one transaction, each under the leader's guard. A
-// write without a known outcome is repeated unchanged until the outcome is known.
-type writer struct{ term *term }
+// writer sends the writes of a term to the state service. It joins waiting writes into one transaction,
+// and makes each transaction conditional on the leader key, so that it fails once there is another
+// leader. A transaction with an unknown outcome is repeated unchanged until the outcome is known.
+type writer struct{ actor *termActor }
 
-// run executes writes until the context ends or the term is found to be over.
+// run sends writes until the context ends or a write shows that there is another leader.
 func (w *writer) run(ctx context.Context) {
-	var leftOver *scheduler.WriteRecords // received, but too large for the batch before
+	var overflow *scheduler.WriteRecords // received, but did not fit into the last batch
 	for {
-		if leftOver == nil {
+		if overflow == nil {
 			select {
 			case <-ctx.Done():
 				return
-			case write := <-w.term.writer:
-				leftOver = &write
+			case write := <-w.actor.toWriter:
+				overflow = &write
 			}
 		}
 		var batch []scheduler.WriteRecords
-		batch, leftOver = w.collectBatch(*leftOver)
-		if !w.execute(ctx, batch) {
+		batch, overflow = w.collectBatch(*overflow)
+		if !w.commit(ctx, batch) {
 			return
 		}
 	}
 }
 
-// collectBatch adds writes that wait already to the first one, within what the state service accepts
-// in one transaction. It also returns the write that was received but did not fit, or nil.
+// collectBatch returns a batch of the first write and the writes that are already waiting, up to the
+// numbers of operations and conditions that the state service accepts in one transaction. It also
+// returns the write that was received but did not fit into the batch, or nil.
 func (w *writer) collectBatch(
 	first scheduler.WriteRecords,
-) (batch []scheduler.WriteRecords, leftOver *scheduler.WriteRecords) {
-	maxOperations := w.term.dispatcher.store.Settings().TxnOps
+) (batch []scheduler.WriteRecords, overflow *scheduler.WriteRecords) {
+	maxOperations := w.actor.dispatcher.store.Settings().TxnOps
 	maxConditions := maxOperations * limits.ConditionsPerOperation
 	batch = append(batch, first)
 	operations := len(first.Operations)
-	conditions := 1 + len(first.Conditions) // with the leader's guard
+	conditions := 1 + len(first.Conditions) // the first is for the leader key
 	for operations < maxOperations {
 		select {
-		case write := <-w.term.writer:
+		case write := <-w.actor.toWriter:
 			operations += len(write.Operations)
 			conditions += len(write.Conditions)
 			if operations > maxOperations || conditions > maxConditions {
@@ -60,40 +62,43 @@
 	return batch, nil
 }
 
-// execute writes a batch in one transaction, or one by one if that fails for a part of it. It
-// returns false when the context or the term is over.
-func (w *writer) execute(ctx context.Context, batch []scheduler.WriteRecords) bool {
+// commit writes a batch in one transaction and sends the outcomes to the scheduler. If a condition
+// fails or the transaction is rejected as malformed, it commits each write by itself, so that only the
+// writes at fault fail. It returns false if the context ends or there is another leader.
+func (w *writer) commit(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	var backoff storage.Backoff
-	txn := w.transaction(batch)
+	txn := w.buildTransaction(batch)
 	for {
-		revision, err := w.term.dispatcher.store.CompareAndSwap(ctx, txn)
+		revision, err := w.actor.dispatcher.store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		switch {
 		case err == nil:
 			for _, write := range batch {
-				w.term.sendEvent(ctx, scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision})
+				w.actor.sendEvent(ctx, scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision})
 			}
 			return true
 		case errors.As(err, &conflict):
 			if conflict.Has(storage.KeyLeader) {
-				w.term.reportLost()
+				w.actor.reportTermLost()
 				return false
 			}
 			if len(batch) > 1 {
-				return w.executeEach(ctx, batch)
+				return w.commitEach(ctx, batch)
 			}
-			// An earlier try of this same write may have been executed although its answer was lost.
+			// The condition may have failed because an earlier attempt of this write was executed,
+			// although its reply was lost.
 			var completed scheduler.WriteCompleted
-			if completed, err = w.outcomeOf(ctx, batch[0]); err == nil {
-				w.term.sendEvent(ctx, completed)
+			if completed, err = w.readOutcome(ctx, batch[0]); err == nil {
+				w.actor.sendEvent(ctx, completed)
 				return true
 			}
 		case errors.Is(err, storage.ErrBadRequest):
-			w.term.log.Error("write rejected", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
+			w.actor.log.Error("transaction rejected by the state service",
+				"err", err, "operations", len(txn.Operations), "first_key", firstKey(txn))
 			if len(batch) > 1 {
-				return w.executeEach(ctx, batch)
+				return w.commitEach(ctx, batch)
 			}
-			w.term.sendEvent(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
+			w.actor.sendEvent(ctx, scheduler.WriteCompleted{ID: batch[0].ID})
 			return true
 		}
 		w.logRetry(err, txn)
@@ -103,9 +108,10 @@
 	}
 }
 
-// transaction joins the writes of a batch under the leader's guard.
-func (w *writer) transaction(batch []scheduler.WriteRecords) protocol.Transaction {
-	txn := protocol.Transaction{Conditions: []protocol.Condition{w.term.leadership.FencingCondition()}}
+// buildTransaction joins the writes of a batch into one transaction, with the condition on the leader
+// key.
+func (w *writer) buildTransaction(batch []scheduler.WriteRecords) protocol.Transaction {
+	txn := protocol.Transaction{Conditions: []protocol.Condition{w.actor.leadership.FencingCondition()}}
 	for _, write := range batch {
 		txn.Conditions = append(txn.Conditions, write.Conditions...)
 		txn.Operations = append(txn.Operations, write.Operations...)
@@ -113,27 +119,29 @@
 	return txn
 }
 
-// executeEach writes the parts of a batch one by one.
-func (w *writer) executeEach(ctx context.Context, batch []scheduler.WriteRecords) bool {
+// commitEach commits each write of a batch in a transaction of its own, in order. It returns false like
+// commit.
+func (w *writer) commitEach(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	for _, write := range batch {
-		if !w.execute(ctx, []scheduler.WriteRecords{write}) {
+		if !w.commit(ctx, []scheduler.WriteRecords{write}) {
 			return false
 		}
 	}
 	return true
 }
 
-// logRetry logs that a transaction is tried again. That the rate is exceeded gets a higher level, as
-// the writer should keep within it.
+// logRetry logs that a transaction will be retried. An exceeded rate limit is logged at a higher level,
+// as the writer is expected to keep within the limit.
 func (w *writer) logRetry(err error, txn protocol.Transaction) {
 	if errors.Is(err, storage.ErrRateLimited) {
-		w.term.log.Info("write over the rate", "err", err, "ops", len(txn.Operations), "key", firstKey(txn))
+		w.actor.log.Info("transaction exceeded the rate limit; retrying",
+			"err", err, "operations", len(txn.Operations), "first_key", firstKey(txn))
 		return
 	}
-	w.term.log.Debug("write failed", "err", err, "key", firstKey(txn))
+	w.actor.log.Debug("transaction not confirmed; retrying", "err", err, "first_key", firstKey(txn))
 }
 
-// firstKey identifies a transaction in the log.
+// firstKey returns the key of a transaction's first operation, which identifies it in the log.
 func firstKey(txn protocol.Transaction) string {
 	if len(txn.Operations) == 0 {
 		return ""
@@ -141,7 +149,7 @@
 	return operationKey(txn.Operations[0])
 }
 
-// operationKey is the key that an operation writes or deletes.
+// operationKey returns the key that an operation puts or deletes.
 func operationKey(op protocol.Operation) string {
 	if op.Put != "" {
 		return op.Put
@@ -149,16 +157,16 @@
 	return op.Delete
 }
 
-// outcomeOf reads back the records of a write whose conditions failed: it is completed if the state
-// service shows already what it was to bring about.
-func (w *writer) outcomeOf(ctx context.Context, write scheduler.WriteRecords) (scheduler.WriteCompleted, error) {
+// readOutcome determines the outcome of a write whose conditions failed, by reading its records. The
+// write counts as completed if all its operations are applied already.
+func (w *writer) readOutcome(ctx context.Context, write scheduler.WriteRecords) (scheduler.WriteCompleted, error) {
 	var revision uint64
 	for _, op := range write.Operations {
-		stored, err := w.term.dispatcher.store.Get(ctx, operationKey(op))
+		stored, err := w.actor.dispatcher.store.Get(ctx, operationKey(op))
 		if err != nil {
 			return scheduler.WriteCompleted{}, err
 		}
-		if !alreadyApplied(op, stored) {
+		if !isApplied(op, stored) {
 			return scheduler.WriteCompleted{ID: write.ID}, nil
 		}
 		revision = max(revision, stored.Version)
@@ -166,10 +174,10 @@
 	return scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision}, nil
 }
 
-// alreadyApplied reports whether a stored record is what an operation was to bring about.
-func alreadyApplied(op protocol.Operation, stored protocol.KeyValue) bool {
+// isApplied reports whether a stored record is the result of an operation.
+func isApplied(op protocol.Operation, stored protocol.KeyValue) bool {
 	if op.Delete != "" {
 		return stored.Version == 0
 	}
-	return stored.Version != 0 && sameRecord(stored.Value, op.Value)
+	return stored.Version != 0 && equalRecords(stored.Value, op.Value)
 }
