--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -12,8 +12,8 @@
 	"quillshunt/internal/storage"
 )
 
-// invariantChecker checks what must always hold among the nodes of a cluster: at most one of them
-// is entitled, terms rise, and no term is used twice.
+// invariantChecker checks the invariants of a cluster: at most one node is entitled, the terms of
+// entitled nodes never decrease, and no term is used twice.
 type invariantChecker struct {
 	t           *testing.T
 	seed        uint64
@@ -26,13 +26,13 @@
 	k.t.Helper()
 	var entitled []string
 	for _, n := range k.cluster.nodes {
-		l := n.entitled()
+		l := n.entitledLeadership()
 		if l == nil {
 			continue
 		}
 		entitled = append(entitled, fmt.Sprintf("%s in term %d", n.name, l.Term))
 		if l.Term < k.highestTerm {
-			k.t.Fatalf("seed %d: term %d after %d", k.seed, l.Term, k.highestTerm)
+			k.t.Fatalf("seed %d: entitled in term %d after term %d", k.seed, l.Term, k.highestTerm)
 		}
 		k.highestTerm = l.Term
 		if k.leaderships[l.Term] == nil {
@@ -43,11 +43,11 @@
 		}
 	}
 	if len(entitled) > 1 {
-		k.t.Fatalf("seed %d: entitled at once: %v", k.seed, entitled)
+		k.t.Fatalf("seed %d: several nodes are entitled: %v", k.seed, entitled)
 	}
 }
 
-// runFor lets time pass and checks all the while.
+// runFor advances the time by d and checks the invariants every 50 milliseconds.
 func (k *invariantChecker) runFor(d time.Duration) {
 	k.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -56,19 +56,20 @@
 	}
 }
 
-// Faults that injectFault injects.
+// Faults that injectFault chooses from.
 const (
-	crashForSeconds = iota
-	outageOfStateService
-	rejectedByStateService
+	crashAndRestart = iota
+	stateServiceOutage
+	stateServiceRejects
 	noFault
-	crashRepeatedly // back at once, also in the middle of an election
-	isolatedFromAll // still connected to its workers
+	crashRepeatedly // restarts at once, possibly during an election
+	isolatedFromAll // from the state service and the other nodes, not from its workers
 	isolatedFromPeers
-	numberOfFaults
+	faultCount
 )
 
-// injectFault injects a random fault, at the leader or at a random node.
+// injectFault injects a random fault. Half of the time it hits the leader, if there is one;
+// otherwise a random node.
 func (k *invariantChecker) injectFault(random *rand.Rand) {
 	k.t.Helper()
 	n := k.cluster.nodes[random.IntN(len(k.cluster.nodes))]
@@ -78,8 +79,8 @@
 		}
 	}
 	until := time.Now().Add(time.Duration(random.IntN(60)) * time.Second)
-	switch random.IntN(numberOfFaults) {
-	case crashForSeconds:
+	switch random.IntN(faultCount) {
+	case crashAndRestart:
 		n.crash()
 		k.runFor(time.Duration(random.IntN(9000)) * time.Millisecond)
 		n.start()
@@ -94,16 +95,16 @@
 		n.isolate(until)
 	case isolatedFromPeers:
 		n.isolate(until)
-	case outageOfStateService:
+	case stateServiceOutage:
 		k.cluster.service.SetUnavailable(true)
 		k.runFor(time.Duration(random.IntN(50)) * time.Second)
 		k.cluster.service.SetUnavailable(false)
-	case rejectedByStateService:
+	case stateServiceRejects:
 		n.store.setRejected(time.Now().Add(time.Duration(random.IntN(60)) * time.Second))
 	}
 }
 
-// endFaults makes all nodes and links reliable.
+// endFaults ends all isolation, rejections and message losses.
 func (k *invariantChecker) endFaults() {
 	for _, n := range k.cluster.nodes {
 		n.store.setReliable()
@@ -111,8 +112,8 @@
 	}
 }
 
-// newFaultyCluster returns a cluster of 3 or 5 nodes that lose messages. Its size, its leases and
-// whether it uses votes depend on the seed.
+// newFaultyCluster returns a cluster of 3 or 5 nodes that lose messages. The seed determines its
+// size, the durations of its leases and whether it uses votes.
 func newFaultyCluster(seed uint64) *cluster {
 	c := newCluster(0, seed)
 	size := 3 + int(seed/2)%2*2
@@ -127,9 +128,9 @@
 	return c
 }
 
-// TestOneEntitledLeader: at no time are two controllers entitled, terms rise, and after the faults
-// there is a leader again.
-func TestOneEntitledLeader(t *testing.T) {
+// TestAtMostOneEntitledLeader checks under random faults that at most one controller is entitled
+// and that terms never decrease. After the faults end, a leader must be elected.
+func TestAtMostOneEntitledLeader(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -144,51 +145,52 @@
 				k.endFaults()
 				k.runFor(2 * limits.LeaderLease)
 				if c.leader() == nil {
-					t.Fatalf("seed %d: no leader after the faults", seed)
+					t.Fatalf("seed %d: no leader after the faults have ended", seed)
 				}
 				c.crash()
-				time.Sleep(2 * time.Minute) // late transactions
+				time.Sleep(2 * time.Minute) // until all delayed transactions are applied
 			})
 		})
 	}
 }
 
-// TestRestartTakesOver: a controller that comes back under the leader's name does not wait for the
-// lease to expire.
-func TestRestartTakesOver(t *testing.T) {
+// TestRestartedLeaderCampaignsAtOnce checks that a leader that restarts under the same name does
+// not wait for its old lease to expire.
+func TestRestartedLeaderCampaignsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newCluster(0, 0).addNode(rand.New(rand.NewPCG(1, 1)))
 		n.start()
 		time.Sleep(3 * time.Second)
-		first := n.entitled()
+		first := n.entitledLeadership()
 		if first == nil {
 			t.Fatal("no leader")
 		}
 		n.crash()
 		n.start()
 		time.Sleep(3 * time.Second)
-		if l := n.entitled(); l == nil || l.Term != first.Term+1 {
-			t.Fatalf("after a restart: %+v", l)
+		if l := n.entitledLeadership(); l == nil || l.Term != first.Term+1 {
+			t.Fatalf("leadership after a restart is %+v, want the next term", l)
 		}
 		n.crash()
 	})
 }
 
-// TestIsolatedLeader: a leader that is cut off from the state service and the other controllers, but
-// not from its workers, stops being entitled, and another leads long before its lease expires. One
-// that is cut off from the other controllers alone stays entitled by its heartbeat records.
+// TestIsolatedLeader isolates the leader from the other controllers, but not from its workers. If
+// it is cut off from the state service too, it must stop being entitled, and another controller
+// must lead long before the lease expires. If not, it must stay entitled by writing heartbeat
+// records.
 func TestIsolatedLeader(t *testing.T) {
 	for i := range 12 {
-		fromStore := i%2 == 0
-		// The phases differ in when the others' watches of the leader key end by themselves.
+		fromStateService := i%2 == 0
+		// The phase varies the time at which the followers' watches of the leader key time out.
 		phase := time.Duration(i/2) * limits.WatchDuration / 6
-		t.Run(fmt.Sprintf("cut off from the state service too %v, phase %v", fromStore, phase), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testIsolatedLeader(t, fromStore, phase) })
+		t.Run(fmt.Sprintf("isolated from state service %v, phase %v", fromStateService, phase), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { checkIsolatedLeader(t, fromStateService, phase) })
 		})
 	}
 }
 
-func testIsolatedLeader(t *testing.T, fromStore bool, phase time.Duration) {
+func checkIsolatedLeader(t *testing.T, fromStateService bool, phase time.Duration) {
 	c := newCluster(5, 3)
 	defer c.crash()
 	for _, n := range c.nodes {
@@ -200,25 +202,25 @@
 	if isolated == nil {
 		t.Fatal("no leader")
 	}
-	old := isolated.entitled()
+	old := isolated.entitledLeadership()
 	isolated.isolate(time.Now().Add(time.Hour))
-	if fromStore {
+	if fromStateService {
 		isolated.store.setRejected(time.Now().Add(time.Hour))
 	}
 	time.Sleep(2*limits.VoteLeaseMin + 3*time.Second)
 	replaced := false
 	for _, n := range c.nodes {
-		replaced = replaced || (n != isolated && n.entitled() != nil)
+		replaced = replaced || (n != isolated && n.entitledLeadership() != nil)
 	}
-	if old.Entitled() == fromStore || replaced != fromStore {
-		t.Errorf("cut off from the state service too: %v; old leader entitled: %v, another one: %v",
-			fromStore, old.Entitled(), replaced)
+	if old.Entitled() == fromStateService || replaced != fromStateService {
+		t.Errorf("isolated from the state service: %v; old leader entitled: %v, another node entitled: %v",
+			fromStateService, old.Entitled(), replaced)
 	}
 }
 
-// TestDelayedReplacement: a transaction that was to replace an unreachable leader is applied late,
-// when that leader is reachable and entitled again. It fails.
-func TestDelayedReplacement(t *testing.T) {
+// TestLateReplacementFails checks that a campaign to replace an unreachable leader fails if it is
+// applied late, after that leader has become reachable and entitled again.
+func TestLateReplacementFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(5, 4)
 		defer c.crash()
@@ -233,24 +235,24 @@
 			leader.store.setRejected(until)
 		}
 		for _, n := range c.nodes {
-			n.store.setKeepCampaigns(true)
+			n.store.setCaptureCampaigns(true)
 		}
 		isolate(time.Now().Add(time.Hour))
 		time.Sleep(2*limits.VoteLeaseMin + time.Second)
 		isolate(time.Time{})
 		time.Sleep(limits.VoteLeaseMin)
-		if leader.entitled() == nil {
-			t.Error("the leader is not entitled again")
+		if leader.entitledLeadership() == nil {
+			t.Error("the leader is not entitled after its isolation has ended")
 		}
 		campaigns := 0
 		for _, n := range c.nodes {
-			for _, campaign := range n.store.campaigns() {
+			for _, campaign := range n.store.capturedCampaigns() {
 				campaigns++
 				if status, _ := c.service.CompareAndSwap(campaign); status == http.StatusOK {
 					t.Error("a late campaign replaced an entitled leader")
 				}
 			}
-			n.store.setKeepCampaigns(false)
+			n.store.setCaptureCampaigns(false)
 		}
 		if campaigns == 0 {
 			t.Error("no node campaigned")
@@ -258,33 +260,34 @@
 	})
 }
 
-// TestDelayedCampaign: a campaign that is applied late, when another term has begun and its lease has
-// expired, fails: it would use a term again.
-func TestDelayedCampaign(t *testing.T) {
+// TestLateCampaignFails checks that a campaign fails if it is applied late, after another
+// controller has led a term and its lease has expired. The late campaign would reuse the number of
+// that term.
+func TestLateCampaignFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2, 7)
 		late, winner := c.nodes[0], c.nodes[1]
 		late.leaseDuration = limits.LeaderLeaseMax
-		late.store.setKeepCampaigns(true)
+		late.store.setCaptureCampaigns(true)
 		late.start()
 		time.Sleep(3 * time.Second)
 		winner.start()
 		time.Sleep(3 * time.Second)
-		if l := winner.entitled(); l == nil || l.Term != 1 {
-			t.Fatalf("no leader of the first term: %+v", l)
+		if l := winner.entitledLeadership(); l == nil || l.Term != 1 {
+			t.Fatalf("leadership of the second node is %+v, want term 1", l)
 		}
 		c.crash()
 		time.Sleep(2 * limits.LeaderLease)
 		if key, _ := c.service.Get(storage.KeyLeader); key.Version != 0 {
-			t.Fatal("the winner's lease has not expired")
+			t.Fatal("the lease of the winner has not expired")
 		}
-		campaigns := late.store.campaigns()
+		campaigns := late.store.capturedCampaigns()
 		if len(campaigns) == 0 {
-			t.Fatal("no campaign is late")
+			t.Fatal("no campaign was captured")
 		}
 		for _, campaign := range campaigns {
 			if status, _ := c.service.CompareAndSwap(campaign); status != http.StatusConflict {
-				t.Errorf("a late campaign was answered %d", status)
+				t.Errorf("a late campaign got status %d, want %d", status, http.StatusConflict)
 			}
 		}
 	})
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -7,60 +7,60 @@
 	"quillshunt/internal/limits"
 )
 
-// Vote is a controller's answer to a request for its vote.
+// Vote is a controller's reply to a vote request.
 type Vote struct {
 	Granted      bool
-	ProcessNonce uint64 // of the process that answers; 0 is unknown
+	ProcessNonce uint64 // of the replying process; 0 if unknown
 }
 
-// voter is the votes that this process has granted and withdrawn. A process that has just started
-// does not know the votes of the one before it. So it waits for the longest vote lease before it
-// withdraws a vote, and grants votes only to a leader that has written a heartbeat since it learned
-// of this process.
+// voter keeps track of the votes that this process has granted and withdrawn. A restarted process
+// does not know the votes of the previous process on its node. It therefore waits for the longest
+// possible vote to expire before it withdraws its own, and grants votes only to a leader that has
+// learned its nonce and has written a heartbeat record since.
 type voter struct {
-	lease     time.Duration
-	nonce     uint64 // differs between the processes of a node; never 0
+	voteLease time.Duration
+	nonce     uint64 // identifies the process among all processes of the node; never 0
 	startedAt time.Time
 
 	mu            sync.Mutex
-	grantedAt     time.Time // last vote granted to anybody
-	requestedAt   time.Time // last request, granted or not
-	withdrawnUpTo uint64    // no more votes under heartbeats up to this version
+	grantedAt     time.Time // when the last vote was granted, to any leader
+	requestedAt   time.Time // when the last vote was requested, granted or not
+	withdrawnUpTo uint64    // no votes are granted for this heartbeat version or earlier ones
 }
 
-// vote answers a leader's request under the heartbeat with that version. The nonce is that of the
-// process that the leader believes to ask.
-func (v *voter) vote(heartbeat, nonce uint64) Vote {
+// vote replies to a vote request from the leader whose heartbeat record has that key version. The
+// nonce identifies the process that the leader expects here.
+func (v *voter) vote(heartbeatVersion, nonce uint64) Vote {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.requestedAt = time.Now()
-	if nonce != v.nonce || heartbeat <= v.withdrawnUpTo {
+	if nonce != v.nonce || heartbeatVersion <= v.withdrawnUpTo {
 		return Vote{ProcessNonce: v.nonce}
 	}
 	v.grantedAt = v.requestedAt
 	return Vote{Granted: true, ProcessNonce: v.nonce}
 }
 
-// withdraw refuses all further votes under heartbeats up to that version. It reports false and
-// changes nothing while a vote of this controller may be live.
-func (v *voter) withdraw(heartbeat uint64) bool {
+// withdraw refuses all further votes for heartbeat versions up to the given one. It returns false
+// and changes nothing while a vote of this controller may still be valid.
+func (v *voter) withdraw(heartbeatVersion uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	wait := limits.LeaseExpiredAfter(v.lease)
+	wait := limits.LeaseExpiredAfter(v.voteLease)
 	if time.Since(v.startedAt) <= wait || time.Since(v.grantedAt) <= wait {
 		return false
 	}
-	v.withdrawnUpTo = max(v.withdrawnUpTo, heartbeat)
+	v.withdrawnUpTo = max(v.withdrawnUpTo, heartbeatVersion)
 	return true
 }
 
-// requestOverdue reports whether no leader has asked for a vote for a while, counted from the given
-// time at the earliest.
-func (v *voter) requestOverdue(since time.Time) bool {
+// voteRequestOverdue reports whether this process has received no vote request for SuspicionShare
+// of the vote lease. The time counts from the last request or from since, whichever is later.
+func (v *voter) voteRequestOverdue(since time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.requestedAt.After(since) {
 		since = v.requestedAt
 	}
-	return time.Since(since) > time.Duration(float64(v.lease)*limits.SuspicionShare)
+	return time.Since(since) > time.Duration(float64(v.voteLease)*limits.SuspicionShare)
 }
