--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -41,7 +41,7 @@
 	// The services around the controller.
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
 	cloud := leader.NewCloudClient(s.External.Cloud, s.Facts.Cloud.RPS, dialer)
-	peers, err := peer.Dial(s.Members, dialer)
+	peers, err := peer.NewPeers(s.Members, dialer)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -11,14 +11,14 @@
 )
 
 // errUnconfirmed means that a job is cancelled, but a leader that does not know of it may be entitled.
-var errUnconfirmed = errors.New("cancellation not confirmed yet")
+var errCancellationUnconfirmed = errors.New("cancellation not confirmed yet")
 
 // cancelJob marks a job as cancelled, and makes sure that the leader knows before the user does.
 func (g *Gateway) cancelJob(ctx context.Context, id string) response {
 	if !protocol.ValidJobID(id) {
-		return jobNotFound()
+		return jobNotFoundResponse()
 	}
-	if status, ok := g.finalStatus(id); ok {
+	if status, ok := g.cachedFinalStatus(id); ok {
 		return statusResponse(http.StatusOK, status)
 	}
 	for {
@@ -35,17 +35,17 @@
 func (g *Gateway) tryCancel(ctx context.Context, id string) (response, bool) {
 	open, err := g.store.Get(ctx, storage.OpenJobKey(id))
 	if err != nil {
-		return g.retryLater(err), true
+		return g.retryLaterResponse(err), true
 	}
 	if open.Version == 0 {
-		return g.cancelJobNotOpen(ctx, id)
+		return g.cancelJobWithoutOpenRecord(ctx, id)
 	}
 	var record storage.OpenJob
 	if err := protocol.Decode(open.Value, &record); err != nil {
-		return g.retryLater(err), true
+		return g.retryLaterResponse(err), true
 	}
 	if record.Cancelled {
-		return g.answerCancelled(ctx, id, open), true
+		return g.respondIfConfirmed(ctx, id, open), true
 	}
 	record.Cancelled, record.CancelledAtMs = true, time.Now().UnixMilli()
 	data := protocol.Encode(record.Shortened(g.settings.Facts.State.ValueKB))
@@ -56,33 +56,33 @@
 	var conflict *storage.ConflictError
 	switch {
 	case err == nil:
-		return g.answerCancelled(ctx, id, protocol.KeyValue{Version: revision, Value: data}), true
+		return g.respondIfConfirmed(ctx, id, protocol.KeyValue{Version: revision, Value: data}), true
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrOutcomeUnknown):
 		// The job finished or was cancelled in between, or this write was executed and its answer lost.
 		return response{}, false
 	}
-	return g.retryLater(err), true
+	return g.retryLaterResponse(err), true
 }
 
-// cancelJobNotOpen answers the cancellation of a job that has no open record. It returns false if
+// cancelJobWithoutOpenRecord answers the cancellation of a job that has no open record. It returns false if
 // the job has one after all.
-func (g *Gateway) cancelJobNotOpen(ctx context.Context, id string) (response, bool) {
+func (g *Gateway) cancelJobWithoutOpenRecord(ctx context.Context, id string) (response, bool) {
 	status, found, err := g.readJobStatus(ctx, id)
 	switch {
 	case err != nil:
-		return g.retryLater(err), true
+		return g.retryLaterResponse(err), true
 	case !found:
-		return jobNotFound(), true
+		return jobNotFoundResponse(), true
 	case status.State == protocol.JobDone || status.State == protocol.JobAborted:
 		return statusResponse(http.StatusOK, status), true
 	}
 	return response{}, false // submitted between the two reads
 }
 
-// answerCancelled answers the cancellation of a job whose record says that it is cancelled.
-func (g *Gateway) answerCancelled(ctx context.Context, id string, open protocol.KeyValue) response {
+// respondIfConfirmed answers the cancellation of a job whose record says that it is cancelled.
+func (g *Gateway) respondIfConfirmed(ctx context.Context, id string, open protocol.KeyValue) response {
 	if !g.confirmCancellation(ctx, id, open) {
-		return g.retryLater(errUnconfirmed)
+		return g.retryLaterResponse(errCancellationUnconfirmed)
 	}
 	return statusResponse(http.StatusOK, protocol.JobStatus{ID: id, State: protocol.JobAborted})
 }
@@ -101,16 +101,16 @@
 func (g *Gateway) confirmCancellation(ctx context.Context, id string, open protocol.KeyValue) bool {
 	confirmed := g.dispatcher.ConfirmCancellation(ctx, id, open.Version, open.Value) ||
 		g.peers.ConfirmCancellation(ctx, g.leaderName(), id, open.Version, open.Value) ||
-		g.coveredByLeaderHeartbeat(ctx, open.Version)
+		g.leaderObservedRevision(ctx, open.Version)
 	if confirmed {
 		g.finalStates.put(id, protocol.JobAborted) // whatever leader comes
 	}
 	return confirmed
 }
 
-// coveredByLeaderHeartbeat reports whether the leader has observed a revision, by the heartbeat that
+// leaderObservedRevision reports whether the leader has observed a revision, by the heartbeat that
 // it writes, or there is no leader.
-func (g *Gateway) coveredByLeaderHeartbeat(ctx context.Context, revision uint64) bool {
+func (g *Gateway) leaderObservedRevision(ctx context.Context, revision uint64) bool {
 	stored, err := g.store.Get(ctx, storage.KeyLeaderHeartbeat)
 	if err != nil {
 		return false
--- a/internal/coordination/gateway/final_states.go
+++ b/internal/coordination/gateway/final_states.go
@@ -12,7 +12,7 @@
 	mu     sync.Mutex
 	states map[string]protocol.JobState // by job
 	ring   []string                     // jobs in the order in which they were added
-	next   int                          // position in a full ring that is overwritten next
+	oldest int                          // position in a full ring that is overwritten next
 }
 
 func newFinalStateCache() *finalStateCache {
@@ -39,7 +39,7 @@
 		c.ring = append(c.ring, id)
 		return
 	}
-	delete(c.states, c.ring[c.next])
-	c.ring[c.next] = id
-	c.next = (c.next + 1) % limits.FinalStateCacheSize
+	delete(c.states, c.ring[c.oldest])
+	c.ring[c.oldest] = id
+	c.oldest = (c.oldest + 1) % limits.FinalStateCacheSize
 }
--- a/internal/coordination/gateway/final_states_test.go
+++ b/internal/coordination/gateway/final_states_test.go
@@ -8,9 +8,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestFinalStateCacheForgetsTheOldest: a full cache forgets jobs in the order in which they were
+// TestFinalStateCacheEvictsOldest: a full cache forgets jobs in the order in which they were
 // added, and a job's first state stays.
-func TestFinalStateCacheForgetsTheOldest(t *testing.T) {
+func TestFinalStateCacheEvictsOldest(t *testing.T) {
 	cache := newFinalStateCache()
 	job := func(i int) string { return fmt.Sprintf("job-%d", i) }
 	for i := range limits.FinalStateCacheSize {
--- a/internal/coordination/gateway/fixture_test.go
+++ b/internal/coordination/gateway/fixture_test.go
@@ -34,11 +34,11 @@
 func newGatewayFixture(t *testing.T, changes ...func(*config.Settings)) *gatewayFixture {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	f := &gatewayFixture{t: t, state: standin.NewStateService(), address: freePort(t)}
-	f.write(storage.KeyMachineTypes, storage.MachineTypes{MachineTypes: []protocol.MachineType{
+	f := &gatewayFixture{t: t, state: standin.NewStateService(), address: unusedAddress(t)}
+	f.storeRecord(storage.KeyMachineTypes, storage.MachineTypes{MachineTypes: []protocol.MachineType{
 		{Name: "g8", CPUs: 16, Accelerators: 2, MemoryGB: 128, Zones: []string{"a"}},
 	}})
-	stateAddress := freePort(t)
+	stateAddress := unusedAddress(t)
 	serve(t, f.state.Server(stateAddress, log))
 
 	settings := &config.Settings{NodeName: testNode, Facts: config.Facts{
@@ -75,15 +75,15 @@
 // noPeers returns the peers of a controller that is alone.
 func noPeers(t *testing.T) *peer.Peers {
 	t.Helper()
-	peers, err := peer.Dial(nil, nil)
+	peers, err := peer.NewPeers(nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return peers
 }
 
-// freePort returns an address that nobody listens on.
-func freePort(t *testing.T) string {
+// unusedAddress returns an address that nobody listens on.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,14 +109,14 @@
 	}
 }
 
-// write stores a record in the state service and returns its version.
-func (f *gatewayFixture) write(key string, record any) uint64 {
+// storeRecord stores a record in the state service and returns its version.
+func (f *gatewayFixture) storeRecord(key string, record any) uint64 {
 	f.t.Helper()
-	return writeRecord(f.t, f.state, protocol.Operation{Put: key, Value: protocol.Encode(record)})
+	return applyOperation(f.t, f.state, protocol.Operation{Put: key, Value: protocol.Encode(record)})
 }
 
-// writeRecord executes an operation in the state service and returns the revision.
-func writeRecord(t *testing.T, state *standin.StateService, operation protocol.Operation) uint64 {
+// applyOperation executes an operation in the state service and returns the revision.
+func applyOperation(t *testing.T, state *standin.StateService, operation protocol.Operation) uint64 {
 	t.Helper()
 	status, reply := state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{operation}})
 	if status != http.StatusOK {
@@ -140,15 +140,15 @@
 // submit is a submission of a job.
 func submit(spec map[string]any) userRequest { return post(jobsPath, spec) }
 
-// userAnswer is an answer as a user sees it.
-type userAnswer struct {
+// userResponse is an answer as a user sees it.
+type userResponse struct {
 	status     int
 	state      protocol.JobState // of the job, if the body says one
 	retryAfter int               // seconds
 }
 
 // send sends a request and returns the answer.
-func (f *gatewayFixture) send(request userRequest) userAnswer {
+func (f *gatewayFixture) send(request userRequest) userResponse {
 	f.t.Helper()
 	var body []byte
 	if raw, ok := request.body.([]byte); ok {
@@ -168,7 +168,7 @@
 			f.t.Fatal(err)
 		}
 	}
-	return userAnswer{status: answer.Status, state: job.State, retryAfter: answer.RetryAfter}
+	return userResponse{status: answer.Status, state: job.State, retryAfter: answer.RetryAfter}
 }
 
 // expect checks the status of an answer, and the state of the job in it.
@@ -187,8 +187,8 @@
 	}
 }
 
-// spec is the submission of a job, by the protocol's names, with some fields changed.
-func spec(id string, changes map[string]any) map[string]any {
+// jobSpec is the submission of a job, by the protocol's names, with some fields changed.
+func jobSpec(id string, changes map[string]any) map[string]any {
 	fields := map[string]any{
 		"NameId": id, "Docket": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "high", "Pieces": 2,
 		"Vcpus": 8.0, "Accelerators": 1, "RamGb": 64.0, "Bundle": "img", "SizeGb": 6.2,
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -70,5 +70,5 @@
 // Start begins to follow the machine types. All work of the gateway ends with the context.
 func (g *Gateway) Start(ctx context.Context) {
 	g.ctx = ctx
-	go g.followMachineTypes(ctx)
+	go g.refreshMachineTypes(ctx)
 }
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -15,32 +15,32 @@
 	"quillshunt/internal/transport"
 )
 
-// changed is the change of one field of a body.
-func changed(field string, value any) map[string]any { return map[string]any{field: value} }
+// withField is the change of one field of a body.
+func withField(field string, value any) map[string]any { return map[string]any{field: value} }
 
-// supportGangs makes the workers of a fixture support gangs.
-func supportGangs(s *config.Settings) {
+// enableGangs makes the workers of a fixture support gangs.
+func enableGangs(s *config.Settings) {
 	s.Facts.Workers.GangWaitS, s.Facts.Workers.GangPeerS = new(float64), new(float64)
 }
 
-// TestUsersAPI sends a sequence of requests: the later ones meet the jobs of those before.
-func TestUsersAPI(t *testing.T) {
-	f := newGatewayFixture(t, supportGangs)
-	for _, c := range usersAPICases() {
+// TestUserAPI sends a sequence of requests: the later ones meet the jobs of those before.
+func TestUserAPI(t *testing.T) {
+	f := newGatewayFixture(t, enableGangs)
+	for _, c := range userAPICases() {
 		f.expect(c.name, c.request, c.status, c.state)
 	}
 
 	// A job that is over stays what it is, also for repeated submissions and cancellations.
-	f.write(storage.FinalJobKey("job-2"), storage.FinalJob{State: protocol.JobDone})
+	f.storeRecord(storage.FinalJobKey("job-2"), storage.FinalJob{State: protocol.JobDone})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
-		f.expect("done job: "+target, post(target, spec("job-2", nil)), http.StatusOK, protocol.JobDone)
+		f.expect("done job: "+target, post(target, jobSpec("job-2", nil)), http.StatusOK, protocol.JobDone)
 	}
 
-	f.expect("before the outage", submit(spec("job-4", nil)), http.StatusCreated, protocol.JobPending)
+	f.expect("before the outage", submit(jobSpec("job-4", nil)), http.StatusCreated, protocol.JobPending)
 	f.state.SetUnavailable(true)
-	checkAnswersInOutage(f)
+	checkResponsesInOutage(f)
 	f.state.SetUnavailable(false)
-	f.expect("after the outage", submit(spec("job-3", nil)), http.StatusCreated, protocol.JobPending)
+	f.expect("after the outage", submit(jobSpec("job-3", nil)), http.StatusCreated, protocol.JobPending)
 }
 
 // apiCase is a request and the answer to it.
@@ -51,17 +51,17 @@
 	state   protocol.JobState // in the body
 }
 
-// usersAPICases are requests in the order in which they are sent.
-func usersAPICases() []apiCase {
+// userAPICases are requests in the order in which they are sent.
+func userAPICases() []apiCase {
 	manyTypes := make([]string, limits.MaxMachineTypes)
 	for i := range manyTypes {
 		manyTypes[i] = "g8-with-a-rather-long-name"
 	}
 	manyTypes[0] = "g8"
-	tooLarge := spec("job-1", changed("Rigkinds", manyTypes))
-	unknownType := spec("job-1", changed("Rigkinds", []string{"x"}))
+	tooLarge := jobSpec("job-1", withField("Rigkinds", manyTypes))
+	unknownType := jobSpec("job-1", withField("Rigkinds", []string{"x"}))
 	gang := func(tasks int) map[string]any {
-		return spec("job-5", map[string]any{"Shape": "ensemble", "Pieces": tasks})
+		return jobSpec("job-5", map[string]any{"Shape": "ensemble", "Pieces": tasks})
 	}
 	return []apiCase{
 		{"health", get("/healthz"), http.StatusOK, ""},
@@ -73,35 +73,44 @@
 		{"poll by the wrong method", post("/v2/runs/job-1", nil), http.StatusMethodNotAllowed, ""},
 		{"cancellation by the wrong method", get("/v2/runs/job-1/cancel"), http.StatusMethodNotAllowed, ""},
 		{"heartbeat by the wrong method", get("/v1/report"), http.StatusMethodNotAllowed, ""},
-		{"heartbeat without a leader", post("/v1/report", changed("Rig", "m")), http.StatusMisdirectedRequest, ""},
+		{"heartbeat without a leader", post("/v1/report", withField("Rig", "m")), http.StatusMisdirectedRequest, ""},
 		{"poll of an unknown job", get("/v2/runs/job-1"), http.StatusNotFound, ""},
 		{"poll of a malformed id", get("/v2/runs/x"), http.StatusNotFound, ""},
 		{"cancellation of an unknown job", post("/v2/runs/job-1/cancel", nil), http.StatusNotFound, ""},
 		{"not CBOR", post("/v2/runs", []byte("{}x")), http.StatusBadRequest, ""},
 		{"body over the limit", post("/v2/runs", make([]byte, 40*limits.MaxBodyBytes)), http.StatusBadRequest, ""},
 		{"record over the value limit", submit(tooLarge), http.StatusBadRequest, ""},
-		{"unknown team", submit(spec("job-1", changed("Crew", "nobody"))), http.StatusUnprocessableEntity, ""},
-		{"over the team's limit", submit(spec("job-1", changed("Crew", "tiny"))), http.StatusUnprocessableEntity, ""},
-		{"unknown shape", submit(spec("job-1", changed("Shape", "service"))), http.StatusBadRequest, ""},
+		{"unknown team", submit(jobSpec("job-1", withField("Crew", "nobody"))), http.StatusUnprocessableEntity, ""},
+		{
+			"over the team's limit", submit(jobSpec("job-1", withField("Crew", "tiny"))),
+			http.StatusUnprocessableEntity, "",
+		},
+		{"unknown shape", submit(jobSpec("job-1", withField("Shape", "service"))), http.StatusBadRequest, ""},
 		{"gang over the team's limit as a whole", submit(gang(5)), http.StatusUnprocessableEntity, ""},
 		{"gang", submit(gang(4)), http.StatusCreated, protocol.JobPending},
-		{"fits no machine type", submit(spec("job-1", changed("Vcpus", 17))), http.StatusUnprocessableEntity, ""},
+		{"fits no machine type", submit(jobSpec("job-1", withField("Vcpus", 17))), http.StatusUnprocessableEntity, ""},
 		{"unknown machine type", submit(unknownType), http.StatusUnprocessableEntity, ""},
-		{"zone without such a type", submit(spec("job-1", changed("Yard", "b"))), http.StatusUnprocessableEntity, ""},
-		{"accepted", submit(spec("job-1", nil)), http.StatusCreated, protocol.JobPending},
-		{"repeated", submit(spec("job-1", nil)), http.StatusOK, protocol.JobPending},
-		{"repeated, can never run", submit(spec("job-1", changed("Vcpus", 17))), http.StatusOK, protocol.JobPending},
+		{
+			"zone without such a type", submit(jobSpec("job-1", withField("Yard", "b"))),
+			http.StatusUnprocessableEntity, "",
+		},
+		{"accepted", submit(jobSpec("job-1", nil)), http.StatusCreated, protocol.JobPending},
+		{"repeated", submit(jobSpec("job-1", nil)), http.StatusOK, protocol.JobPending},
+		{
+			"repeated, can never run", submit(jobSpec("job-1", withField("Vcpus", 17))),
+			http.StatusOK, protocol.JobPending,
+		},
 		{"poll", get("/v2/runs/job-1"), http.StatusOK, protocol.JobPending},
 		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
 		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
 		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted},
-		{"submission of a cancelled job", submit(spec("job-1", nil)), http.StatusOK, protocol.JobAborted},
+		{"submission of a cancelled job", submit(jobSpec("job-1", nil)), http.StatusOK, protocol.JobAborted},
 	}
 }
 
-// checkAnswersInOutage: without the state service users are told when to retry, and nothing else but
+// checkResponsesInOutage: without the state service users are told when to retry, and nothing else but
 // final states, which are known for good. job-1 is cancelled, job-2 is done, job-4 is open.
-func checkAnswersInOutage(f *gatewayFixture) {
+func checkResponsesInOutage(f *gatewayFixture) {
 	f.t.Helper()
 	f.expectRetryLater("open job in an outage", get("/v2/runs/job-4"))
 	// A cancellation that was confirmed here is as final as the end of a job.
@@ -110,23 +119,23 @@
 	// The answer comes at once, not only when the user has no time left to retry.
 	startedAt := time.Now()
 	for _, target := range []string{"/v2/runs", "/v2/runs/job-4/cancel"} {
-		f.expectRetryLater("in an outage: "+target, post(target, spec("job-3", nil)))
+		f.expectRetryLater("in an outage: "+target, post(target, jobSpec("job-3", nil)))
 	}
 	if took := time.Since(startedAt); took > limits.SubmitTimeout/2 {
 		f.t.Errorf("two refusals took %v", took)
 	}
 }
 
-// TestUnconfirmedCancellation: nobody is told that a job is cancelled while a leader that does not
+// TestUnconfirmedCancellationNotReported: nobody is told that a job is cancelled while a leader that does not
 // know may be entitled: neither by the cancellation, nor by a poll or a repeated submission. It is
 // told once the leader's heartbeat covers the record, or there is no leader.
-func TestUnconfirmedCancellation(t *testing.T) {
+func TestUnconfirmedCancellationNotReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		confirm func(f *gatewayFixture, lease, version uint64)
 	}{
 		{"leader's heartbeat covers the record", func(f *gatewayFixture, _, version uint64) {
-			f.write(storage.KeyLeaderHeartbeat,
+			f.storeRecord(storage.KeyLeaderHeartbeat,
 				storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: version})
 		}},
 		{"no leader", func(f *gatewayFixture, lease, _ uint64) { f.state.RevokeLease(lease) }},
@@ -135,15 +144,15 @@
 			f := newGatewayFixture(t)
 			lease := f.state.CreateLease(time.Hour)
 			leader := protocol.Encode(storage.LeaderRecord{Node: "controller-9", Term: 1})
-			writeRecord(t, f.state, protocol.Operation{Put: storage.KeyLeader, Lease: lease, Value: leader})
-			f.write(storage.KeyLeaderHeartbeat, storage.LeaderHeartbeat{Term: 1})
+			applyOperation(t, f.state, protocol.Operation{Put: storage.KeyLeader, Lease: lease, Value: leader})
+			f.storeRecord(storage.KeyLeaderHeartbeat, storage.LeaderHeartbeat{Term: 1})
 
-			if got := f.send(submit(spec("job-1", nil))); got.status != http.StatusCreated {
+			if got := f.send(submit(jobSpec("job-1", nil))); got.status != http.StatusCreated {
 				t.Fatalf("submission: %d", got.status)
 			}
 			checkCancelledJob(f, http.StatusServiceUnavailable, "")
 			open, _ := f.state.Get(storage.OpenJobKey("job-1"))
-			f.write(storage.KeyLeaderHeartbeat,
+			f.storeRecord(storage.KeyLeaderHeartbeat,
 				storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: open.Version - 1})
 			checkCancelledJob(f, http.StatusServiceUnavailable, "")
 			c.confirm(f, lease, open.Version)
@@ -160,7 +169,7 @@
 	for _, request := range []userRequest{
 		post("/v2/runs/job-1/cancel", nil),
 		get("/v2/runs/job-1"),
-		submit(spec("job-1", nil)),
+		submit(jobSpec("job-1", nil)),
 		post("/v2/runs/job-1/cancel", nil),
 	} {
 		got := f.send(request)
@@ -172,9 +181,9 @@
 	}
 }
 
-// TestMalformedRequestEndsItsConnection: what cannot be parsed is answered and its connection
+// TestMalformedRequestClosesConnection: what cannot be parsed is answered and its connection
 // closed, and others are served on.
-func TestMalformedRequestEndsItsConnection(t *testing.T) {
+func TestMalformedRequestClosesConnection(t *testing.T) {
 	f := newGatewayFixture(t)
 	const health = "GET /healthz HTTP/1.1\r\n"
 	for _, c := range []struct{ name, raw string }{
@@ -205,9 +214,9 @@
 	}
 }
 
-// TestRetryAfterGrows: the longer the state service is out of reach, the later a user is told to
+// TestRetryAfterGrowsWithOutage: the longer the state service is out of reach, the later a user is told to
 // retry, within the time for which a user waits at most.
-func TestRetryAfterGrows(t *testing.T) {
+func TestRetryAfterGrowsWithOutage(t *testing.T) {
 	last := 0
 	for outage := time.Duration(0); outage < 5*time.Minute; outage += time.Second {
 		seconds := limits.RetryAfterSeconds(outage)
@@ -218,15 +227,16 @@
 	}
 }
 
-// TestFullUserSlots: with too many users' requests in progress another one is answered at once.
-func TestFullUserSlots(t *testing.T) {
+// TestNoFreeUserSlot: with too many users' requests in progress another one is answered at once.
+func TestNoFreeUserSlot(t *testing.T) {
 	g := New(Options{UserSlots: 0})
 	server := transport.NewServer(transport.ServerOptions{
-		Addr: freePort(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler),
+		Addr: unusedAddress(t), MaxConns: 5, Handle: g.Handle, Log: slog.New(slog.DiscardHandler),
 	})
 	serve(t, server)
 	f := &gatewayFixture{t: t, client: transport.NewClient(server.Addr(), 1, limits.MaxBodyBytes)}
-	if got := f.send(submit(spec("job-1", nil))); got.status != http.StatusServiceUnavailable || got.retryAfter == 0 {
+	if got := f.send(submit(jobSpec("job-1", nil))); got.status != http.StatusServiceUnavailable ||
+		got.retryAfter == 0 {
 		t.Fatalf("submission: %d, retry after %d", got.status, got.retryAfter)
 	}
 	// Where a retry can never succeed the user is told so.
@@ -235,7 +245,7 @@
 		request userRequest
 		status  int
 	}{
-		{"malformed submission", submit(spec("job-1", changed("Pieces", 0))), http.StatusBadRequest},
+		{"malformed submission", submit(jobSpec("job-1", withField("Pieces", 0))), http.StatusBadRequest},
 		{"poll of a malformed id", get("/v2/runs/none"), http.StatusNotFound},
 		{"cancellation of a malformed id", post("/v2/runs/none/cancel", nil), http.StatusNotFound},
 		{"unknown path", get("/v2/other"), http.StatusNotFound},
@@ -251,14 +261,14 @@
 // gang is malformed.
 func TestGangsNotSupported(t *testing.T) {
 	f := newGatewayFixture(t)
-	if got := f.send(submit(spec("job-1", changed("Shape", "ensemble")))); got.status != http.StatusBadRequest {
+	if got := f.send(submit(jobSpec("job-1", withField("Shape", "ensemble")))); got.status != http.StatusBadRequest {
 		t.Errorf("submission: %d", got.status)
 	}
 }
 
-// TestLargeRecord: a job that was stored when values could be larger can still be cancelled, and a
+// TestRecordAboveLoweredValueLimit: a job that was stored when values could be larger can still be cancelled, and a
 // repeated submission of it is known.
-func TestLargeRecord(t *testing.T) {
+func TestRecordAboveLoweredValueLimit(t *testing.T) {
 	const valueKB = 0.5
 	f := newGatewayFixture(t, func(s *config.Settings) { s.Facts.State.ValueKB = valueKB })
 	stored := protocol.Spec{
@@ -268,8 +278,8 @@
 	for range 20 {
 		stored.MachineTypes = append(stored.MachineTypes, "g8-with-a-rather-long-name")
 	}
-	f.write(storage.OpenJobKey("job-1"), storage.OpenJob{Spec: stored})
-	repeated := spec("job-1", changed("Rigkinds", append([]string{"g8"}, stored.MachineTypes...)))
+	f.storeRecord(storage.OpenJobKey("job-1"), storage.OpenJob{Spec: stored})
+	repeated := jobSpec("job-1", withField("Rigkinds", append([]string{"g8"}, stored.MachineTypes...)))
 	f.expect("repeated submission", submit(repeated), http.StatusOK, protocol.JobPending)
 	f.expect("cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted)
 
--- a/internal/coordination/gateway/health.go
+++ b/internal/coordination/gateway/health.go
@@ -7,11 +7,11 @@
 	"quillshunt/internal/storage"
 )
 
-// health returns 503 while this controller alone does not reach the state service, as users are then
+// healthStatus returns 503 while this controller alone does not reach the state service, as users are then
 // better served by another one. In an outage for all it stays 200: nobody would be served better if
 // all controllers were taken out of service. A controller that reaches no other one either cannot
 // distinguish the two cases.
-func (g *Gateway) health() int {
+func (g *Gateway) healthStatus() int {
 	if g.store.FailingFor() < limits.IsolatedAfter {
 		g.isolated.Store(false)
 		return http.StatusOK
--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -21,14 +21,14 @@
 	leader := g.leaderName()
 	if leader == "" || leader == g.node || time.Now().UnixNano() < g.leaderUnreachableUntil.Load() {
 		// This controller knows of no leader or cannot reach it either: the worker may try another one.
-		redirect(rsp, "")
+		redirectWorker(rsp, "")
 		return
 	}
 	select {
 	case g.relaySlots <- struct{}{}:
 		go g.relayHeartbeat(leader, req.Body, rsp)
 	default:
-		redirect(rsp, leader)
+		redirectWorker(rsp, leader)
 	}
 }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachableBackoff).UnixNano())
 		g.log.Debug("leader unreachable", "leader", leader, "err", err)
-		redirect(rsp, "")
+		redirectWorker(rsp, "")
 		return
 	}
 	rsp.Respond(status, answer, 0)
@@ -51,7 +51,7 @@
 // that the worker has got that answer.
 func sameConnection(rsp *transport.Responder) bool { return rsp.PreviousStatus() == http.StatusOK }
 
-// redirect sends a worker to a controller, or with "" to any other one.
-func redirect(rsp *transport.Responder, node string) {
-	rsp.Respond(http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: node}), 0)
+// redirectWorker sends a worker to a controller, or with "" to any other one.
+func redirectWorker(rsp *transport.Responder, leader string) {
+	rsp.Respond(http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: leader}), 0)
 }
--- a/internal/coordination/gateway/job_status.go
+++ b/internal/coordination/gateway/job_status.go
@@ -10,18 +10,18 @@
 	"quillshunt/internal/storage"
 )
 
-// showJob answers a user who polls the status of a job. While the job is open it asks the leader for
+// getJob answers a user who polls the status of a job. While the job is open it asks the leader for
 // the counts of its tasks.
-func (g *Gateway) showJob(ctx context.Context, id string) response {
+func (g *Gateway) getJob(ctx context.Context, id string) response {
 	if !protocol.ValidJobID(id) {
-		return jobNotFound()
+		return jobNotFoundResponse()
 	}
 	status, found, err := g.readJobStatus(ctx, id)
 	switch {
 	case err != nil:
-		return g.retryLater(err)
+		return g.retryLaterResponse(err)
 	case !found:
-		return jobNotFound()
+		return jobNotFoundResponse()
 	}
 	if status.State == protocol.JobPending {
 		if counts, ok := g.taskCounts(ctx, id); ok {
@@ -42,8 +42,8 @@
 	return g.peers.TaskCounts(ctx, g.leaderName(), id)
 }
 
-// finalStatus returns the status of a job that is known here to be over.
-func (g *Gateway) finalStatus(id string) (protocol.JobStatus, bool) {
+// cachedFinalStatus returns the status of a job that is known here to be over.
+func (g *Gateway) cachedFinalStatus(id string) (protocol.JobStatus, bool) {
 	state, ok := g.finalStates.get(id)
 	return protocol.JobStatus{ID: id, State: state}, ok
 }
@@ -52,7 +52,7 @@
 // before the final one: as a job moves from the one to the other in one transaction, it is never
 // missed. The error is errUnconfirmed if the job is cancelled and the user cannot be told so yet.
 func (g *Gateway) readJobStatus(ctx context.Context, id string) (status protocol.JobStatus, found bool, err error) {
-	if status, ok := g.finalStatus(id); ok {
+	if status, ok := g.cachedFinalStatus(id); ok {
 		return status, true, nil
 	}
 	open, err := g.store.Get(ctx, storage.OpenJobKey(id))
@@ -91,7 +91,7 @@
 	// "aborted" is a confirmation, also as the answer to a poll. "pending" would contradict what
 	// another controller may have confirmed already.
 	if !g.confirmCancellation(ctx, id, open) {
-		return status, false, errUnconfirmed
+		return status, false, errCancellationUnconfirmed
 	}
 	return protocol.JobStatus{ID: id, State: protocol.JobAborted}, true, nil
 }
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -36,15 +36,15 @@
 
 // loadFixture is a controller under load: a gateway with a leader, on real sockets, and the workers.
 type loadFixture struct {
-	t          *testing.T
-	ctx        context.Context
-	settings   *config.Settings
-	shares     limits.SocketShares
-	state      *standin.StateService
-	dispatcher *leader.Dispatcher
-	address    string // of the gateway
-	workers    []*simulatedWorker
-	readBuffer []byte
+	t            *testing.T
+	ctx          context.Context
+	settings     *config.Settings
+	socketShares limits.SocketShares
+	state        *standin.StateService
+	dispatcher   *leader.Dispatcher
+	address      string // of the gateway
+	workers      []*simulatedWorker
+	readBuffer   []byte
 
 	baseGoroutines  int // before the first round
 	extraGoroutines int // most that were there in a round beyond these
@@ -55,20 +55,20 @@
 	t.Helper()
 	settings := loadSettings()
 	f := &loadFixture{
-		t:          t,
-		settings:   settings,
-		shares:     limits.DivideSockets(settings.Facts.Machine.MaxSockets, 4),
-		state:      standin.NewStateService(),
-		address:    freePort(t),
-		readBuffer: make([]byte, 64<<10),
+		t:            t,
+		settings:     settings,
+		socketShares: limits.DivideSockets(settings.Facts.Machine.MaxSockets, 4),
+		state:        standin.NewStateService(),
+		address:      unusedAddress(t),
+		readBuffer:   make([]byte, 64<<10),
 	}
-	if f.shares.MaxMachines < loadWorkers {
-		t.Fatalf("the sockets carry only %d machines", f.shares.MaxMachines)
+	if f.socketShares.MaxMachines < loadWorkers {
+		t.Fatalf("the sockets carry only %d machines", f.socketShares.MaxMachines)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	f.ctx = ctx
-	f.writeRecords()
+	f.storeInitialRecords()
 	f.startController()
 	for i := range loadWorkers {
 		w := &simulatedWorker{machine: machineName(i)}
@@ -103,16 +103,17 @@
 	}
 }
 
-// write stores a record in the state service and returns its version.
-func (f *loadFixture) write(key string, record any) uint64 {
+// storeRecord stores a record in the state service and returns its version.
+func (f *loadFixture) storeRecord(key string, record any) uint64 {
 	f.t.Helper()
-	return writeRecord(f.t, f.state, protocol.Operation{Put: key, Value: protocol.Encode(record)})
+	return applyOperation(f.t, f.state, protocol.Operation{Put: key, Value: protocol.Encode(record)})
 }
 
-// writeRecords stores the machine types, the rented and registered machines and the open jobs.
-func (f *loadFixture) writeRecords() {
+// storeInitialRecords stores the machine types, the rented and registered machines and the open jobs.
+func (f *loadFixture) storeInitialRecords() {
 	f.t.Helper()
-	f.write(storage.KeyMachineTypes, storage.MachineTypes{MachineTypes: []protocol.MachineType{loadMachineType()}})
+	f.storeRecord(storage.KeyMachineTypes,
+		storage.MachineTypes{MachineTypes: []protocol.MachineType{loadMachineType()}})
 	for i := 0; i < loadWorkers; i += workersPerRental {
 		rental := storage.Rental{MachineType: "s", Zone: "a", Count: workersPerRental, Answered: true}
 		var page storage.RegistryPage
@@ -121,12 +122,12 @@
 			rental.Machines = append(rental.Machines, name)
 			page.Machines = append(page.Machines, storage.RegisteredMachine{Machine: name, Address: unreachableAddress})
 		}
-		f.write(storage.RentalKey(fmt.Sprintf("h-%d", i)), rental)
-		f.write(storage.RegistryPageKey(fmt.Sprintf("0-%d", i)), page)
+		f.storeRecord(storage.RentalKey(fmt.Sprintf("h-%d", i)), rental)
+		f.storeRecord(storage.RegistryPageKey(fmt.Sprintf("0-%d", i)), page)
 	}
 	for i := range loadJobs {
 		id := fmt.Sprintf("job-%d", i)
-		f.write(storage.OpenJobKey(id), storage.OpenJob{
+		f.storeRecord(storage.OpenJobKey(id), storage.OpenJob{
 			SubmittedAtMs: time.Now().UnixMilli(),
 			Spec: protocol.Spec{
 				ID: id, Class: "c", Team: "red", Shape: "sweep", Priority: "standard",
@@ -140,13 +141,13 @@
 func (f *loadFixture) startController() {
 	f.t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	stateAddress, cloudAddress := freePort(f.t), freePort(f.t)
+	stateAddress, cloudAddress := unusedAddress(f.t), unusedAddress(f.t)
 	serve(f.t, f.state.Server(stateAddress, log))
 	serve(f.t, transport.NewServer(transport.ServerOptions{
 		Addr: cloudAddress, MaxConns: 100, Handle: handleCloudRequest, Log: log,
 	}))
 
-	sockets := transport.NewSocketBudget(f.shares.Total, f.shares.Headroom)
+	sockets := transport.NewSocketBudget(f.socketShares.Total, f.socketShares.Headroom)
 	store := storage.New(stateAddress, f.settings.Facts.State)
 	f.dispatcher = leader.NewDispatcher(leader.DispatcherOptions{
 		Settings: f.settings,
@@ -163,14 +164,14 @@
 		Dispatcher: f.dispatcher,
 		Peers:      noPeers(f.t),
 		LeaderName: func() string { return "" },
-		UserSlots:  f.shares.UserSlots,
+		UserSlots:  f.socketShares.UserSlots,
 		Log:        log,
 	})
 	g.Start(f.ctx)
 	serve(f.t, transport.NewServer(transport.ServerOptions{
 		Addr:        f.address,
-		MaxConns:    f.shares.Inbound,
-		MaxMachines: f.shares.MachineConns,
+		MaxConns:    f.socketShares.Inbound,
+		MaxMachines: f.socketShares.MachineConns,
 		Sockets:     sockets,
 		Handle:      g.Handle,
 		Log:         log,
@@ -185,7 +186,7 @@
 		rsp.Respond(http.StatusOK, protocol.Encode(types), 0)
 	case req.Path == "/rentals" && req.Method == http.MethodGet:
 		query, _ := url.ParseQuery(req.Query)
-		rsp.Respond(http.StatusOK, protocol.Encode(machinesAfter(query.Get("Since"))), 0)
+		rsp.Respond(http.StatusOK, protocol.Encode(machineListPage(query.Get("Since"))), 0)
 	case req.Path == "/rentals/delete":
 		rsp.Respond(http.StatusOK, nil, 0)
 	default:
@@ -194,8 +195,8 @@
 	}
 }
 
-// machinesAfter is the page of the cloud's list that follows a machine's name.
-func machinesAfter(since string) protocol.MachineList {
+// machineListPage is the page of the cloud's list that follows a machine's name.
+func machineListPage(since string) protocol.MachineList {
 	var list protocol.MachineList
 	for i := 0; i < loadWorkers && len(list.Machines) < limits.CloudPageSize; i++ {
 		if name := machineName(i); name > since {
@@ -209,10 +210,10 @@
 	return list
 }
 
-// lead begins a term, and returns a function that ends it and waits for its end.
-func (f *loadFixture) lead(term uint64) (end func()) {
+// startTerm begins a term, and returns a function that ends it and waits for its end.
+func (f *loadFixture) startTerm(term uint64) (end func()) {
 	f.t.Helper()
-	version := f.write(storage.KeyLeader, storage.LeaderRecord{Node: testNode, Term: term})
+	version := f.storeRecord(storage.KeyLeader, storage.LeaderRecord{Node: testNode, Term: term})
 	ctx, cancel := context.WithCancel(f.ctx)
 	done := make(chan struct{})
 	go func() {
@@ -245,16 +246,16 @@
 func (f *loadFixture) heartbeatRound() (served int) {
 	f.t.Helper()
 	for _, w := range f.workers {
-		if err := w.send(f.address); err != nil {
+		if err := w.sendHeartbeat(f.address); err != nil {
 			f.connect(w)
-			if err := w.send(f.address); err != nil {
+			if err := w.sendHeartbeat(f.address); err != nil {
 				f.t.Fatal(err)
 			}
 		}
 	}
 	f.extraGoroutines = max(f.extraGoroutines, runtime.NumGoroutine()-f.baseGoroutines)
 	for _, w := range f.workers {
-		status, err := w.receive(f.readBuffer)
+		status, err := w.receiveReply(f.readBuffer)
 		var netErr net.Error
 		switch {
 		case errors.As(err, &netErr) && netErr.Timeout():
@@ -268,9 +269,9 @@
 	return served
 }
 
-// heartbeatsUntil repeats rounds of heartbeats until done, which gets the number of workers served
+// repeatHeartbeatsUntil repeats rounds of heartbeats until done, which gets the number of workers served
 // in the last one.
-func (f *loadFixture) heartbeatsUntil(term uint64, done func(served int) bool) {
+func (f *loadFixture) repeatHeartbeatsUntil(term uint64, done func(served int) bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(2 * time.Minute)
 	for served := f.heartbeatRound(); !done(served); served = f.heartbeatRound() {
@@ -280,12 +281,12 @@
 	}
 }
 
-// mostServed reports whether a number of workers is enough: a few may be given up, as nothing
+// enoughServed reports whether a number of workers is enough: a few may be given up, as nothing
 // answers at their address.
-func mostServed(served int) bool { return served > loadWorkers*95/100 }
+func enoughServed(served int) bool { return served > loadWorkers*95/100 }
 
-// startedTasks is how many tasks the workers were told to start.
-func (f *loadFixture) startedTasks() (n int) {
+// startedTaskCount is how many tasks the workers were told to start.
+func (f *loadFixture) startedTaskCount() (n int) {
 	for _, w := range f.workers {
 		n += len(w.tasks)
 	}
--- a/internal/coordination/gateway/machine_types.go
+++ b/internal/coordination/gateway/machine_types.go
@@ -7,9 +7,9 @@
 	"quillshunt/internal/storage"
 )
 
-// followMachineTypes reads the machine types from the state service again and again, until the
+// refreshMachineTypes reads the machine types from the state service again and again, until the
 // context ends.
-func (g *Gateway) followMachineTypes(ctx context.Context) {
+func (g *Gateway) refreshMachineTypes(ctx context.Context) {
 	var backoff storage.Backoff
 	for {
 		stored, err := g.store.ReadMachineTypes(ctx)
--- a/internal/coordination/gateway/responses.go
+++ b/internal/coordination/gateway/responses.go
@@ -27,13 +27,13 @@
 	return response{status: status, body: protocol.Encode(errorBody{Error: reason})}
 }
 
-// jobNotFound answers a request for a job that does not exist.
-func jobNotFound() response {
+// jobNotFoundResponse answers a request for a job that does not exist.
+func jobNotFoundResponse() response {
 	return errorResponse(http.StatusNotFound, "no such job")
 }
 
-// retryLater tells the user to send the request again. The error is only logged.
-func (g *Gateway) retryLater(err error) response {
+// retryLaterResponse tells the user to send the request again. The error is only logged.
+func (g *Gateway) retryLaterResponse(err error) response {
 	g.log.Debug("user told to retry", "err", err)
 	return errorResponse(http.StatusServiceUnavailable, "not now")
 }
--- a/internal/coordination/gateway/routes.go
+++ b/internal/coordination/gateway/routes.go
@@ -39,7 +39,7 @@
 			rsp.Respond(http.StatusMethodNotAllowed, nil, 0)
 			return
 		}
-		rsp.Respond(g.health(), nil, 0)
+		rsp.Respond(g.healthStatus(), nil, 0)
 	case heartbeatPath:
 		if req.Method != http.MethodPost {
 			rsp.Respond(http.StatusMethodNotAllowed, nil, 0)
@@ -51,12 +51,12 @@
 		}
 		g.handleHeartbeat(req, rsp)
 	default:
-		g.handleUser(req, rsp)
+		g.handleUserRequest(req, rsp)
 	}
 }
 
-// findUserRoute returns the route of a user's path.
-func findUserRoute(path string) (userRoute, bool) {
+// matchUserRoute returns the route of a user's path.
+func matchUserRoute(path string) (userRoute, bool) {
 	rest, ok := strings.CutPrefix(path, jobsPath)
 	if !ok {
 		return userRoute{}, false
--- a/internal/coordination/gateway/simulated_worker_test.go
+++ b/internal/coordination/gateway/simulated_worker_test.go
@@ -19,8 +19,8 @@
 	tasks        []protocol.TaskStatus
 }
 
-// send sends a heartbeat.
-func (w *simulatedWorker) send(address string) error {
+// sendHeartbeat sends a heartbeat.
+func (w *simulatedWorker) sendHeartbeat(address string) error {
 	w.sequence++
 	body := protocol.Encode(protocol.Heartbeat{
 		Machine: w.machine, Address: unreachableAddress, MachineType: "s", Zone: "a",
@@ -30,15 +30,15 @@
 	return err
 }
 
-// receive reads the answer, executes the commands in it and returns its status.
-func (w *simulatedWorker) receive(buffer []byte) (int, error) {
+// receiveReply reads the answer, executes the commands in it and returns its status.
+func (w *simulatedWorker) receiveReply(buffer []byte) (int, error) {
 	for {
 		answer, err := w.decoder.Next()
 		if err != nil {
 			return 0, err
 		}
 		if answer != nil {
-			return answer.Status, w.execute(answer)
+			return answer.Status, w.executeCommands(answer)
 		}
 		n, err := w.conn.Read(buffer)
 		if err != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// execute starts the tasks that the answer to a heartbeat commands to start.
-func (w *simulatedWorker) execute(answer *transport.Message) error {
+// executeCommands starts the tasks that the answer to a heartbeat commands to start.
+func (w *simulatedWorker) executeCommands(answer *transport.Message) error {
 	if answer.Status != http.StatusOK {
 		return nil
 	}
--- a/internal/coordination/gateway/submissions.go
+++ b/internal/coordination/gateway/submissions.go
@@ -21,12 +21,12 @@
 	if err != nil {
 		return errorResponse(http.StatusBadRequest, err.Error())
 	}
-	if status, ok := g.finalStatus(spec.ID); ok {
+	if status, ok := g.cachedFinalStatus(spec.ID); ok {
 		return statusResponse(http.StatusOK, status)
 	}
 	types := g.machineTypes.Load()
 	if types == nil {
-		return g.retryLater(errMachineTypesUnknown)
+		return g.retryLaterResponse(errMachineTypesUnknown)
 	}
 	if reason := g.rejectionReason(spec, *types); reason != "" {
 		return g.rejectUnlessAccepted(ctx, spec.ID, http.StatusUnprocessableEntity, reason)
@@ -54,17 +54,17 @@
 		// written: the user retries, and the conditions make sure that it is written only once.
 		status, found, readErr := g.readJobStatus(ctx, id)
 		if readErr != nil {
-			return g.retryLater(readErr)
+			return g.retryLaterResponse(readErr)
 		}
 		if !found {
-			return g.retryLater(err)
+			return g.retryLaterResponse(err)
 		}
 		return statusResponse(http.StatusOK, status)
 	case errors.Is(err, storage.ErrBadRequest):
 		g.log.Error("submission not storable", "job", id, "err", err)
 		return errorResponse(http.StatusBadRequest, "cannot be stored")
 	}
-	return g.retryLater(err)
+	return g.retryLaterResponse(err)
 }
 
 // parseSubmission decodes and validates a submission. A gang is malformed where the settings say
@@ -92,7 +92,7 @@
 	accepted, found, err := g.readJobStatus(ctx, id)
 	switch {
 	case err != nil:
-		return g.retryLater(err)
+		return g.retryLaterResponse(err)
 	case found:
 		return statusResponse(http.StatusOK, accepted)
 	}
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -20,37 +20,37 @@
 
 // The size of the flood.
 const (
-	floodUsers      = 200
+	burstUsers      = 200
 	requestsPerUser = 100
-	firstFloodJob   = 100_000
+	firstBurstJob   = 100_000
 )
 
 // TestThousandsOfWorkers: two thousand workers at one controller with a backlog of tens of thousands
 // of tasks, all of them coming back at once after a crash of all controllers. Memory, goroutines and
 // threads stay bounded, and all are served.
 func TestThousandsOfWorkers(t *testing.T) {
-	limitMemory(t)
+	setMemoryLimits(t)
 	f := newLoadFixture(t)
 
-	end := f.lead(1)
-	f.heartbeatsUntil(1, func(served int) bool {
-		return mostServed(served) && f.startedTasks() > loadWorkers*cpusPerWorker/2
+	end := f.startTerm(1)
+	f.repeatHeartbeatsUntil(1, func(served int) bool {
+		return enoughServed(served) && f.startedTaskCount() > loadWorkers*cpusPerWorker/2
 	})
 	end()
 
 	// All controllers have crashed, and all connections are gone; the new leader gets them at once.
 	f.reconnectAll()
-	flood := f.startFlood()
-	end = f.lead(2)
-	f.heartbeatsUntil(2, mostServed)
-	flood.stop()
-	flood.check(t)
+	burst := f.startBurst()
+	end = f.startTerm(2)
+	f.repeatHeartbeatsUntil(2, enoughServed)
+	burst.stop()
+	burst.check(t)
 	f.checkResources()
 	end()
 }
 
-// limitMemory sets the memory limits of the process as a controller does, until the test ends.
-func limitMemory(t *testing.T) {
+// setMemoryLimits sets the memory limits of the process as a controller does, until the test ends.
+func setMemoryLimits(t *testing.T) {
 	t.Helper()
 	memoryLimit := debug.SetMemoryLimit(limits.HeapLimit(loadMemoryMB))
 	t.Cleanup(func() { debug.SetMemoryLimit(memoryLimit) })
@@ -76,63 +76,63 @@
 		f.t.Errorf("%d threads", threads)
 	}
 	f.t.Logf("heap %d MB, %d goroutines, %d threads, %d tasks",
-		memory.HeapAlloc>>20, f.extraGoroutines, threads, f.startedTasks())
+		memory.HeapAlloc>>20, f.extraGoroutines, threads, f.startedTaskCount())
 }
 
-// userFlood is a flood of submissions by many users at once.
-type userFlood struct {
+// submissionBurst is a flood of submissions by many users at once.
+type submissionBurst struct {
 	cancel    context.CancelFunc
 	users     sync.WaitGroup
 	accepted  atomic.Int64
-	refused   atomic.Int64
+	rejected  atomic.Int64
 	peakBytes atomic.Uint64 // most memory that the runtime had from the system
 }
 
-// startFlood makes many users submit jobs, one after the other each.
-func (f *loadFixture) startFlood() *userFlood {
+// startBurst makes many users submit jobs, one after the other each.
+func (f *loadFixture) startBurst() *submissionBurst {
 	ctx, cancel := context.WithCancel(f.ctx)
-	flood := &userFlood{cancel: cancel}
-	for user := range floodUsers {
-		flood.users.Go(func() {
+	burst := &submissionBurst{cancel: cancel}
+	for user := range burstUsers {
+		burst.users.Go(func() {
 			client := transport.NewClient(f.address, 1, limits.MaxBodyBytes)
 			defer client.Close()
 			for i := 0; ctx.Err() == nil && i < requestsPerUser; i++ {
-				f.submitInFlood(flood, client, firstFloodJob+user*requestsPerUser+i)
+				f.submitInBurst(burst, client, firstBurstJob+user*requestsPerUser+i)
 			}
 		})
 	}
-	return flood
+	return burst
 }
 
-// submitInFlood submits one job of the flood and counts the answer.
-func (f *loadFixture) submitInFlood(flood *userFlood, client *transport.Client, number int) {
+// submitInBurst submits one job of the flood and counts the answer.
+func (f *loadFixture) submitInBurst(burst *submissionBurst, client *transport.Client, number int) {
 	ctx, cancel := context.WithTimeout(f.ctx, limits.SubmitTimeout+time.Second)
 	defer cancel()
-	body := protocol.Encode(spec(fmt.Sprintf("job-%d", number), map[string]any{
+	body := protocol.Encode(jobSpec(fmt.Sprintf("job-%d", number), map[string]any{
 		"Crew": "red", "Vcpus": 1, "Accelerators": 0, "RamGb": 1, "Rigkinds": nil,
 	}))
 	answer, err := client.Do(ctx, http.MethodPost, jobsPath, body)
 	switch {
 	case err != nil: // no connection is free
 	case answer.Status == http.StatusCreated:
-		flood.accepted.Add(1)
+		burst.accepted.Add(1)
 	case answer.Status == http.StatusServiceUnavailable && answer.RetryAfter > 0:
-		flood.refused.Add(1)
+		burst.rejected.Add(1)
 	default:
 		f.t.Errorf("flood: %d, retry after %d", answer.Status, answer.RetryAfter)
 	}
-	flood.peakBytes.Store(max(flood.peakBytes.Load(), runtimeMemoryBytes()))
+	burst.peakBytes.Store(max(burst.peakBytes.Load(), runtimeMemoryBytes()))
 }
 
 // stop ends the flood and waits for its users.
-func (f *userFlood) stop() {
+func (f *submissionBurst) stop() {
 	f.cancel()
 	f.users.Wait()
 }
 
 // check checks that some jobs of the flood were accepted, and that the memory stayed within the
 // settings.
-func (f *userFlood) check(t *testing.T) {
+func (f *submissionBurst) check(t *testing.T) {
 	t.Helper()
 	if f.accepted.Load() == 0 {
 		t.Error("no job of the flood was accepted")
@@ -142,7 +142,7 @@
 		t.Errorf("%d bytes held at the peak, the settings allow %d", peak, bound)
 	}
 	t.Logf("flood: %d accepted, %d refused, %d MB held at the peak",
-		f.accepted.Load(), f.refused.Load(), peak>>20)
+		f.accepted.Load(), f.rejected.Load(), peak>>20)
 }
 
 // runtimeMemoryBytes is the memory that the runtime has from the system.
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -10,10 +10,10 @@
 	"quillshunt/internal/transport"
 )
 
-// handleUser handles a user's request in a goroutine. If too many are in progress the user is told
+// handleUserRequest handles a user's request in a goroutine. If too many are in progress the user is told
 // at once to retry, unless the request can never succeed anyway.
-func (g *Gateway) handleUser(req *transport.Message, rsp *transport.Responder) {
-	route, ok := findUserRoute(req.Path)
+func (g *Gateway) handleUserRequest(req *transport.Message, rsp *transport.Responder) {
+	route, ok := matchUserRoute(req.Path)
 	if !ok {
 		rsp.Respond(http.StatusNotFound, nil, 0)
 		return
@@ -27,16 +27,16 @@
 		arrivedAt := time.Now()
 		go func() {
 			defer func() { <-g.userSlots }()
-			status := g.answerUser(route, req.Body, rsp)
+			status := g.serveUserRequest(route, req.Body, rsp)
 			g.log.Debug("user request answered", "path", req.Path, "status", status, "after", time.Since(arrivedAt))
 		}()
 	default:
-		g.rejectUser(route, req.Body, rsp)
+		g.rejectUserRequest(route, req.Body, rsp)
 	}
 }
 
-// rejectUser answers a request for which there is no slot.
-func (g *Gateway) rejectUser(route userRoute, body []byte, rsp *transport.Responder) {
+// rejectUserRequest answers a request for which there is no slot.
+func (g *Gateway) rejectUserRequest(route userRoute, body []byte, rsp *transport.Responder) {
 	switch {
 	case route.action != actionSubmit && !protocol.ValidJobID(route.jobID):
 		rsp.Respond(http.StatusNotFound, nil, 0)
@@ -47,8 +47,8 @@
 	}
 }
 
-// answerUser works on a user's request, answers it and returns the status.
-func (g *Gateway) answerUser(route userRoute, body []byte, rsp *transport.Responder) int {
+// serveUserRequest works on a user's request, answers it and returns the status.
+func (g *Gateway) serveUserRequest(route userRoute, body []byte, rsp *transport.Responder) int {
 	answer := g.executeUserAction(route, body)
 	retryAfter := 0
 	if answer.status == http.StatusServiceUnavailable {
@@ -79,6 +79,6 @@
 	case actionCancel:
 		return g.cancelJob(ctx, route.jobID)
 	default:
-		return g.showJob(ctx, route.jobID)
+		return g.getJob(ctx, route.jobID)
 	}
 }
--- a/internal/coordination/peer/client.go
+++ b/internal/coordination/peer/client.go
@@ -48,7 +48,7 @@
 	ctx context.Context, leader, job string, keyVersion uint64, record []byte,
 ) bool {
 	direct := &peerpb.ConfirmCancellationRequest{Job: job, KeyVersion: keyVersion, Record: record, Forwarded: true}
-	if p.confirmCancellationAt(ctx, leader, direct) {
+	if p.requestConfirmation(ctx, leader, direct) {
 		return true
 	}
 	replies := callAll(ctx, p, limits.CancelConfirmTimeout,
@@ -65,8 +65,8 @@
 	return false
 }
 
-// confirmCancellationAt reports whether one controller confirms a cancellation.
-func (p *Peers) confirmCancellationAt(
+// requestConfirmation reports whether one controller confirms a cancellation.
+func (p *Peers) requestConfirmation(
 	ctx context.Context, node string, request *peerpb.ConfirmCancellationRequest,
 ) bool {
 	reply, err := callPeer(ctx, p, node, limits.CancelConfirmTimeout,
@@ -82,7 +82,7 @@
 // RequestVotes asks all other controllers at once for their votes for the leader here, within
 // limits.VoteTimeout; see election.Peers.
 func (p *Peers) RequestVotes(
-	ctx context.Context, heartbeat uint64, nonces map[string]uint64,
+	ctx context.Context, heartbeatVersion uint64, nonces map[string]uint64,
 ) map[string]election.Vote {
 	type answer struct {
 		node string
@@ -90,7 +90,7 @@
 	}
 	answers := callAll(ctx, p, limits.VoteTimeout,
 		func(ctx context.Context, node string, c peerpb.PeerClient) (answer, error) {
-			request := &peerpb.VoteRequest{HeartbeatVersion: heartbeat, ProcessNonce: nonces[node]}
+			request := &peerpb.VoteRequest{HeartbeatVersion: heartbeatVersion, ProcessNonce: nonces[node]}
 			reply, err := c.Pledge(ctx, request)
 			vote := election.Vote{Granted: reply.GetGranted(), ProcessNonce: reply.GetProcessNonce()}
 			return answer{node, vote}, err
--- a/internal/coordination/peer/dial.go
+++ b/internal/coordination/peer/dial.go
@@ -21,12 +21,12 @@
 	conns map[string]*grpc.ClientConn // by node name; does not change
 }
 
-// Dial prepares connections to the other controllers; each is made when it is first used. A nil
+// NewPeers prepares connections to the other controllers; each is made when it is first used. A nil
 // dialer dials TCP. It returns an error if an address is malformed.
-func Dial(members []config.Member, dialer transport.Dialer) (*Peers, error) {
+func NewPeers(members []config.Member, dialer transport.Dialer) (*Peers, error) {
 	p := &Peers{conns: map[string]*grpc.ClientConn{}}
 	for _, m := range members {
-		conn, err := newConn(m.Address,
+		conn, err := newClientConn(m.Address,
 			grpc.WithContextDialer(dialer.Dial),
 			grpc.WithConnectParams(grpc.ConnectParams{
 				Backoff: backoff.Config{
@@ -49,9 +49,9 @@
 	return p, nil
 }
 
-// newConn prepares a connection without encryption. The address is dialed as it is: the settings
+// newClientConn prepares a connection without encryption. The address is dialed as it is: the settings
 // name addresses, and names are resolved by the dialer.
-func newConn(addr string, options ...grpc.DialOption) (*grpc.ClientConn, error) {
+func newClientConn(addr string, options ...grpc.DialOption) (*grpc.ClientConn, error) {
 	options = append(options, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	return grpc.NewClient("passthrough:///"+addr, options...)
 }
--- a/internal/coordination/peer/server.go
+++ b/internal/coordination/peer/server.go
@@ -13,8 +13,8 @@
 	"quillshunt/internal/limits"
 )
 
-// Leader answers for the term of this process, if it leads. It is called by many goroutines at once.
-type Leader interface {
+// LeaderHandler answers for the term of this process, if it leads. It is called by many goroutines at once.
+type LeaderHandler interface {
 	// TaskCounts returns a job's counts if this process leads and knows the job.
 	TaskCounts(ctx context.Context, job string) (TaskCounts, bool)
 	// RelayedHeartbeat processes a worker's heartbeat that came through another controller, and
@@ -38,23 +38,23 @@
 	// Leader returns the name of the leader as far as known, or "".
 	Leader() string
 	// Vote answers the leader's request for a vote under the heartbeat with that key version.
-	Vote(heartbeat, nonce uint64) election.Vote
+	Vote(heartbeatVersion, nonce uint64) election.Vote
 }
 
 // Server answers the other controllers, and operators.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	peerpb.UnimplementedOperatorServer
-	peers   *Peers
-	leader  Leader
-	elector Elector
-	grpc    *grpc.Server
+	peers         *Peers
+	leaderHandler LeaderHandler
+	elector       Elector
+	grpc          *grpc.Server
 }
 
 // NewServer returns a Server for this process. It forwards through peers what only the leader can
 // answer.
-func NewServer(leader Leader, elector Elector, peers *Peers) *Server {
-	s := &Server{peers: peers, leader: leader, elector: elector, grpc: grpc.NewServer(
+func NewServer(leader LeaderHandler, elector Elector, peers *Peers) *Server {
+	s := &Server{peers: peers, leaderHandler: leader, elector: elector, grpc: grpc.NewServer(
 		grpc.MaxRecvMsgSize(limits.MaxBodyBytes),
 		grpc.MaxConcurrentStreams(limits.PeerStreams),
 		grpc.NumStreamWorkers(0),
@@ -87,13 +87,13 @@
 
 // Counts returns a job's task counts, for display at another controller.
 func (s *Server) Counts(ctx context.Context, r *peerpb.TaskCountsRequest) (*peerpb.TaskCountsReply, error) {
-	c, ok := s.leader.TaskCounts(ctx, r.GetJob())
+	c, ok := s.leaderHandler.TaskCounts(ctx, r.GetJob())
 	return &peerpb.TaskCountsReply{Known: ok, Done: int64(c.Done), Running: int64(c.Running)}, nil
 }
 
 // Relay processes a worker's heartbeat that came to another controller.
 func (s *Server) Relay(ctx context.Context, r *peerpb.RelayHeartbeatRequest) (*peerpb.RelayHeartbeatReply, error) {
-	status, body := s.leader.RelayedHeartbeat(ctx, r.GetHeartbeat(), r.GetSameConnection())
+	status, body := s.leaderHandler.RelayedHeartbeat(ctx, r.GetHeartbeat(), r.GetSameConnection())
 	return &peerpb.RelayHeartbeatReply{Status: int32(status), Body: body}, nil
 }
 
@@ -119,9 +119,9 @@
 func (s *Server) Confirm(
 	ctx context.Context, r *peerpb.ConfirmCancellationRequest,
 ) (*peerpb.ConfirmCancellationReply, error) {
-	known := s.leader.ConfirmCancellation(ctx, r.GetJob(), r.GetKeyVersion(), r.GetRecord())
+	known := s.leaderHandler.ConfirmCancellation(ctx, r.GetJob(), r.GetKeyVersion(), r.GetRecord())
 	if !known && !r.GetForwarded() {
-		known = s.peers.confirmCancellationAt(ctx, s.elector.Leader(), &peerpb.ConfirmCancellationRequest{
+		known = s.peers.requestConfirmation(ctx, s.elector.Leader(), &peerpb.ConfirmCancellationRequest{
 			Job: r.GetJob(), KeyVersion: r.GetKeyVersion(), Record: r.GetRecord(), Forwarded: true,
 		})
 	}
@@ -132,7 +132,7 @@
 // request once. The reply names no leader if none is known, and has no term if the leader does not
 // answer.
 func (s *Server) Status(ctx context.Context, r *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	if reply, ok := s.leader.Inspect(ctx, r.GetJob()); ok {
+	if reply, ok := s.leaderHandler.Inspect(ctx, r.GetJob()); ok {
 		return reply, nil
 	}
 	leader := s.elector.Leader()
--- a/internal/coordination/peer/status.go
+++ b/internal/coordination/peer/status.go
@@ -11,7 +11,7 @@
 // a job waits if one is named. It is for operators' tools; the context limits the time. It returns
 // an error if the controller does not answer.
 func RequestStatus(ctx context.Context, addr, job string) (*peerpb.StatusReply, error) {
-	conn, err := newConn(addr)
+	conn, err := newClientConn(addr)
 	if err != nil {
 		return nil, fmt.Errorf("controller %s: %w", addr, err)
 	}
