--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -10,10 +10,12 @@
 	"quillshunt/internal/storage"
 )
 
-// errUnconfirmed means that a job is cancelled, but a leader that does not know of it may be entitled.
-var errCancellationUnconfirmed = errors.New("cancellation not confirmed yet")
+// errCancellationUnconfirmed means that a job is cancelled according to its record, but a leader that does
+// not know this may still be entitled.
+var errCancellationUnconfirmed = errors.New("cancellation stored but not confirmed by the leader yet")
 
-// cancelJob marks a job as cancelled, and makes sure that the leader knows before the user does.
+// cancelJob marks a job as cancelled. It tells the user that the job is aborted only once the cancellation
+// is confirmed, see confirmCancellation.
 func (g *Gateway) cancelJob(ctx context.Context, id string) response {
 	if !protocol.ValidJobID(id) {
 		return jobNotFoundResponse()
@@ -22,16 +24,16 @@
 		return statusResponse(http.StatusOK, status)
 	}
 	for {
-		// A try that finds the record changed is followed by another one. The end of the context ends
-		// the loop, as reading the record fails then.
+		// If the record was changed by somebody else, it is read again. The loop ends with the context
+		// at the latest, because reading the record fails then.
 		if answer, ok := g.tryCancel(ctx, id); ok {
 			return answer
 		}
 	}
 }
 
-// tryCancel reads a job's record and marks it as cancelled. It returns false if the record changed
-// in between, or may have.
+// tryCancel reads a job's open record and marks the job as cancelled. It returns false if the record was
+// changed between the read and the write, or if it is unknown whether the write was executed.
 func (g *Gateway) tryCancel(ctx context.Context, id string) (response, bool) {
 	open, err := g.store.Get(ctx, storage.OpenJobKey(id))
 	if err != nil {
@@ -58,14 +60,15 @@
 	case err == nil:
 		return g.respondIfConfirmed(ctx, id, protocol.KeyValue{Version: revision, Value: data}), true
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrOutcomeUnknown):
-		// The job finished or was cancelled in between, or this write was executed and its answer lost.
+		// The job finished or was cancelled since the read, or this write was executed and its reply
+		// was lost.
 		return response{}, false
 	}
 	return g.retryLaterResponse(err), true
 }
 
-// cancelJobWithoutOpenRecord answers the cancellation of a job that has no open record. It returns false if
-// the job has one after all.
+// cancelJobWithoutOpenRecord handles the cancellation of a job for which no open record was found. It
+// returns false if the job has one by now.
 func (g *Gateway) cancelJobWithoutOpenRecord(ctx context.Context, id string) (response, bool) {
 	status, found, err := g.readJobStatus(ctx, id)
 	switch {
@@ -76,10 +79,11 @@
 	case status.State == protocol.JobDone || status.State == protocol.JobAborted:
 		return statusResponse(http.StatusOK, status), true
 	}
-	return response{}, false // submitted between the two reads
+	return response{}, false // the job was submitted between the two reads
 }
 
-// respondIfConfirmed answers the cancellation of a job whose record says that it is cancelled.
+// respondIfConfirmed handles the cancellation of a job whose open record says that it is cancelled. It
+// tells the user that the job is aborted if the cancellation is confirmed, and to retry otherwise.
 func (g *Gateway) respondIfConfirmed(ctx context.Context, id string, open protocol.KeyValue) response {
 	if !g.confirmCancellation(ctx, id, open) {
 		return g.retryLaterResponse(errCancellationUnconfirmed)
@@ -87,29 +91,30 @@
 	return statusResponse(http.StatusOK, protocol.JobStatus{ID: id, State: protocol.JobAborted})
 }
 
-// confirmCancellation reports whether a cancellation that is in the state service binds every
-// leader, so that the user may be told. The leader's own watch does not make sure of that: if the
-// state service refuses first the leader alone and then everybody, the leader goes on by the votes
-// of a quorum and sees nothing of the cancellation until cancel_s is long over. So one of these must
-// hold after the record was written:
-//   - the leader says that it knows the record, and was entitled then: no other was, and later
-//     leaders read the record;
-//   - the leader has written a heartbeat that covers the record: such a write succeeds only while no
-//     later term has begun;
-//   - there is no leader key: its lease has expired, so no leader is entitled, and the next one
-//     reads the record.
+// confirmCancellation reports whether every leader, current or future, is certain to act on a
+// cancellation that is stored in the state service, so that the user may be told of it. The leader's
+// watch of the open jobs does not ensure this: if the state service first refuses the requests of the
+// leader only and then those of all controllers, the leader stays entitled by the votes of a majority,
+// and may not see the cancellation until long after cancel_s. So one of these conditions must hold after
+// the record was written:
+//   - The leader has replied that it knows the record and was entitled at that time. Then no other
+//     controller was entitled, and later leaders read the record.
+//   - The leader has written a heartbeat record that covers the revision of the record. Such a write
+//     succeeds only while no later term has begun.
+//   - There is no leader key. Then its lease has expired, so that no leader is entitled, and the next
+//     leader reads the record.
 func (g *Gateway) confirmCancellation(ctx context.Context, id string, open protocol.KeyValue) bool {
 	confirmed := g.dispatcher.ConfirmCancellation(ctx, id, open.Version, open.Value) ||
 		g.peers.ConfirmCancellation(ctx, g.leaderName(), id, open.Version, open.Value) ||
 		g.leaderObservedRevision(ctx, open.Version)
 	if confirmed {
-		g.finalStates.put(id, protocol.JobAborted) // whatever leader comes
+		g.finalStates.put(id, protocol.JobAborted) // later leaders cannot change it
 	}
 	return confirmed
 }
 
-// leaderObservedRevision reports whether the leader has observed a revision, by the heartbeat that
-// it writes, or there is no leader.
+// leaderObservedRevision reports whether the leader has observed a revision according to its heartbeat
+// record, or there is no leader key. It returns false if the state service does not answer.
 func (g *Gateway) leaderObservedRevision(ctx context.Context, revision uint64) bool {
 	stored, err := g.store.Get(ctx, storage.KeyLeaderHeartbeat)
 	if err != nil {
--- a/internal/coordination/gateway/final_states.go
+++ b/internal/coordination/gateway/final_states.go
@@ -7,19 +7,20 @@
 	"quillshunt/internal/protocol"
 )
 
-// finalStateCache caches the final states of jobs, which never change. It is safe for concurrent use.
+// finalStateCache caches the final states of jobs, which never change, in a fixed number of entries. It is
+// safe for concurrent use.
 type finalStateCache struct {
 	mu     sync.Mutex
-	states map[string]protocol.JobState // by job
-	ring   []string                     // jobs in the order in which they were added
-	oldest int                          // position in a full ring that is overwritten next
+	states map[string]protocol.JobState // by job ID
+	ring   []string                     // job IDs in the order in which they were added
+	oldest int                          // index in ring of the job to evict next, once the ring is full
 }
 
 func newFinalStateCache() *finalStateCache {
 	return &finalStateCache{states: map[string]protocol.JobState{}}
 }
 
-// get returns a job's final state if it is cached.
+// get returns a job's final state. It returns false if the state is not cached.
 func (c *finalStateCache) get(id string) (protocol.JobState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,7 +28,8 @@
 	return state, ok
 }
 
-// put adds a job's final state. A full cache forgets the job that was added first.
+// put adds a job's final state, unless the job is cached already. A full cache evicts the job that was
+// added first.
 func (c *finalStateCache) put(id string, state protocol.JobState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway serves users and workers. It answers users from the state service, and hands
-// workers' heartbeats to the leader or sends the workers there.
+// Package gateway handles the HTTP requests of users and workers. It answers users' requests from the
+// records in the state service. Workers' heartbeats are processed here if this process leads; otherwise
+// they are relayed to the leader, or the worker is redirected.
 package gateway
 
 import (
@@ -15,20 +16,20 @@
 	"quillshunt/internal/storage"
 )
 
-// Options are the settings and collaborators of a Gateway.
+// Options are the settings and dependencies of a Gateway.
 type Options struct {
 	Node       string // name of this controller
 	Settings   *config.Settings
-	Store      *storage.Store // with the users' share of the rates
+	Store      *storage.Store // the one for users' requests, see storage.Store.ForUsers
 	Dispatcher *leader.Dispatcher
 	Peers      *peer.Peers
 	LeaderName func() string // returns the name of the leading controller, or "" if none is known
-	UserSlots  int           // limit of users' requests in progress
+	UserSlots  int           // most user requests handled at once
 	Log        *slog.Logger
 }
 
-// Gateway handles requests. Handle runs on the server's loop and never blocks; users' requests are
-// worked on by a bounded number of goroutines.
+// Gateway handles requests. Handle runs on the server's event loop and never blocks: each user request
+// and each relayed heartbeat is handled in a goroutine, and the numbers of these are bounded.
 type Gateway struct {
 	node       string
 	settings   *config.Settings
@@ -38,17 +39,17 @@
 	leaderName func() string
 	log        *slog.Logger
 
-	ctx context.Context // of all work for requests; set by Start, as Handle gets none
+	ctx context.Context // ends all work for requests; set by Start, because Handle gets no context
 
-	userSlots    chan struct{} // bounds users' requests in progress
-	machineTypes atomic.Pointer[[]protocol.MachineType]
+	userSlots    chan struct{}                          // semaphore for user requests in progress
+	machineTypes atomic.Pointer[[]protocol.MachineType] // nil until they have been read
 	finalStates  *finalStateCache
 
-	relaySlots             chan struct{} // bounds relayed heartbeats in progress
-	leaderUnreachableUntil atomic.Int64  // until when heartbeats are not relayed, in Unix nanoseconds
+	relaySlots             chan struct{} // semaphore for heartbeats being relayed
+	leaderUnreachableUntil atomic.Int64  // no heartbeats are relayed before this time, in Unix nanoseconds
 
-	isolated          atomic.Bool // another controller reaches the state service and this one does not
-	checkingIsolation atomic.Bool
+	isolated          atomic.Bool // another controller can reach the state service and this one cannot
+	checkingIsolation atomic.Bool // checkIsolation is running
 }
 
 // New returns a Gateway. Start must be called before it handles requests.
@@ -67,7 +68,7 @@
 	}
 }
 
-// Start begins to follow the machine types. All work of the gateway ends with the context.
+// Start starts the periodic refresh of the machine types. All work of the Gateway ends with the context.
 func (g *Gateway) Start(ctx context.Context) {
 	g.ctx = ctx
 	go g.refreshMachineTypes(ctx)
--- a/internal/coordination/gateway/health.go
+++ b/internal/coordination/gateway/health.go
@@ -7,10 +7,11 @@
 	"quillshunt/internal/storage"
 )
 
-// healthStatus returns 503 while this controller alone does not reach the state service, as users are then
-// better served by another one. In an outage for all it stays 200: nobody would be served better if
-// all controllers were taken out of service. A controller that reaches no other one either cannot
-// distinguish the two cases.
+// healthStatus returns the HTTP status of the health check. It is 503 while this controller cannot reach
+// the state service and another one can, so that users are served by that one. While no controller can
+// reach the state service it stays 200, because taking all of them out of service would help nobody. It
+// also stays 200 while this controller cannot reach the other controllers either, because it cannot tell
+// the two cases apart then.
 func (g *Gateway) healthStatus() int {
 	if g.store.FailingFor() < limits.IsolatedAfter {
 		g.isolated.Store(false)
@@ -25,11 +26,11 @@
 	return http.StatusOK
 }
 
-// checkIsolation asks the other controllers whether they reach the state service.
+// checkIsolation finds out whether another controller can reach the state service, and sets isolated.
 func (g *Gateway) checkIsolation() {
 	defer g.checkingIsolation.Store(false)
 	g.isolated.Store(g.peers.FindConnected(g.ctx) != "")
-	// Out of service this controller may get no requests whose calls would show that the state service
-	// is back, so make one.
+	// While this controller is out of service it may get no user requests, and so make no calls that
+	// would show that it can reach the state service again. This call makes up for them.
 	_, _ = g.store.Get(g.ctx, storage.KeyTerm)
 }
--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -9,8 +9,8 @@
 	"quillshunt/internal/transport"
 )
 
-// handleHeartbeat hands a worker's heartbeat to the term of this process. Without one it relays the
-// heartbeat to the leader or redirects the worker.
+// handleHeartbeat passes a worker's heartbeat to the scheduler if this process leads. Otherwise it relays
+// the heartbeat to the leader, or redirects the worker if the heartbeat cannot be relayed now.
 func (g *Gateway) handleHeartbeat(req *transport.Message, rsp *transport.Responder) {
 	if g.dispatcher.IsLeader() {
 		g.dispatcher.HandleHeartbeat(req.Body, sameConnection(rsp), func(status int, body []byte) {
@@ -20,7 +20,9 @@
 	}
 	leader := g.leaderName()
 	if leader == "" || leader == g.node || time.Now().UnixNano() < g.leaderUnreachableUntil.Load() {
-		// This controller knows of no leader or cannot reach it either: the worker may try another one.
+		// There is no controller to relay to: no leader is known, this controller is named as the leader
+		// but runs no term, or the leader could not be reached a moment ago. The worker may try another
+		// controller.
 		redirectWorker(rsp, "")
 		return
 	}
@@ -32,26 +34,27 @@
 	}
 }
 
-// relayHeartbeat sends a worker's heartbeat to the leader and the answer back. Mostly the answer
-// redirects the worker to the leader; if the worker cannot get there, as when the network between
-// its zone and the leader's is cut, the leader answers its heartbeats through this controller.
+// relayHeartbeat relays a worker's heartbeat to the leader, and the leader's reply to the worker. Usually
+// the reply redirects the worker to the leader. If the worker cannot reach the leader, for example during
+// a network partition between their zones, the leader accepts the relayed heartbeats.
 func (g *Gateway) relayHeartbeat(leader string, body []byte, rsp *transport.Responder) {
 	defer func() { <-g.relaySlots }()
 	status, answer, err := g.peers.RelayHeartbeat(g.ctx, leader, body, sameConnection(rsp))
 	if err != nil {
 		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachableBackoff).UnixNano())
-		g.log.Debug("leader unreachable", "leader", leader, "err", err)
+		g.log.Debug("failed to relay heartbeat; worker redirected", "leader", leader, "err", err)
 		redirectWorker(rsp, "")
 		return
 	}
 	rsp.Respond(status, answer, 0)
 }
 
-// sameConnection reports whether the heartbeat before on the same connection was answered 200, so
-// that the worker has got that answer.
+// sameConnection reports whether the previous heartbeat on the same connection was answered with 200. As
+// the worker has sent another one on this connection, it has received that reply.
 func sameConnection(rsp *transport.Responder) bool { return rsp.PreviousStatus() == http.StatusOK }
 
-// redirectWorker sends a worker to a controller, or with "" to any other one.
+// redirectWorker tells a worker to send its heartbeats to the leader, or to any other controller if no
+// leader is given.
 func redirectWorker(rsp *transport.Responder, leader string) {
 	rsp.Respond(http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: leader}), 0)
 }
--- a/internal/coordination/gateway/job_status.go
+++ b/internal/coordination/gateway/job_status.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/storage"
 )
 
-// getJob answers a user who polls the status of a job. While the job is open it asks the leader for
-// the counts of its tasks.
+// getJob handles a poll of a job's status. For an open job the response includes the numbers of done and
+// running tasks, if the leader replies in time.
 func (g *Gateway) getJob(ctx context.Context, id string) response {
 	if !protocol.ValidJobID(id) {
 		return jobNotFoundResponse()
@@ -34,7 +34,8 @@
 	return statusResponse(http.StatusOK, status)
 }
 
-// taskCounts asks the leader for a job's counts.
+// taskCounts asks the leader for the numbers of done and running tasks of a job. It returns false if the
+// leader does not reply or does not know the job.
 func (g *Gateway) taskCounts(ctx context.Context, id string) (peer.TaskCounts, bool) {
 	if g.dispatcher.IsLeader() {
 		return g.dispatcher.TaskCounts(ctx, id)
@@ -42,54 +43,55 @@
 	return g.peers.TaskCounts(ctx, g.leaderName(), id)
 }
 
-// cachedFinalStatus returns the status of a job that is known here to be over.
+// cachedFinalStatus returns a job's status if its final state is cached.
 func (g *Gateway) cachedFinalStatus(id string) (protocol.JobStatus, bool) {
 	state, ok := g.finalStates.get(id)
 	return protocol.JobStatus{ID: id, State: state}, ok
 }
 
-// readJobStatus reads a job's status, and whether there is such a job. It reads the open record
-// before the final one: as a job moves from the one to the other in one transaction, it is never
-// missed. The error is errUnconfirmed if the job is cancelled and the user cannot be told so yet.
+// readJobStatus reads a job's status from the state service unless it is cached, and reports whether the
+// job exists. It reads the open record before the final one: one transaction replaces the open record
+// with the final one, so a job that exists is never missed. The error is errCancellationUnconfirmed if
+// the job is cancelled and the user cannot be told so yet.
 func (g *Gateway) readJobStatus(ctx context.Context, id string) (status protocol.JobStatus, found bool, err error) {
 	if status, ok := g.cachedFinalStatus(id); ok {
 		return status, true, nil
 	}
 	open, err := g.store.Get(ctx, storage.OpenJobKey(id))
 	if err != nil {
-		return status, false, fmt.Errorf("read %s: %w", id, err)
+		return status, false, fmt.Errorf("read open record of %s: %w", id, err)
 	}
 	if open.Version != 0 {
 		return g.openJobStatus(ctx, id, open)
 	}
 	final, err := g.store.Get(ctx, storage.FinalJobKey(id))
 	if err != nil {
-		return status, false, fmt.Errorf("read %s: %w", id, err)
+		return status, false, fmt.Errorf("read final record of %s: %w", id, err)
 	}
 	if final.Version == 0 {
 		return status, false, nil
 	}
 	var record storage.FinalJob
 	if err := protocol.Decode(final.Value, &record); err != nil {
-		return status, false, fmt.Errorf("read %s: %w", id, err)
+		return status, false, fmt.Errorf("decode final record of %s: %w", id, err)
 	}
 	g.finalStates.put(id, record.State)
 	return protocol.JobStatus{ID: id, State: record.State}, true, nil
 }
 
-// openJobStatus returns the status of a job by its open record.
+// openJobStatus returns the status of a job that has an open record. See readJobStatus for the results.
 func (g *Gateway) openJobStatus(
 	ctx context.Context, id string, open protocol.KeyValue,
 ) (status protocol.JobStatus, found bool, err error) {
 	var record storage.OpenJob
 	if err := protocol.Decode(open.Value, &record); err != nil {
-		return status, false, fmt.Errorf("read %s: %w", id, err)
+		return status, false, fmt.Errorf("decode open record of %s: %w", id, err)
 	}
 	if !record.Cancelled {
 		return protocol.JobStatus{ID: id, State: protocol.JobPending}, true, nil
 	}
-	// "aborted" is a confirmation, also as the answer to a poll. "pending" would contradict what
-	// another controller may have confirmed already.
+	// A status of "aborted" confirms the cancellation to the user, also in the response to a poll. A
+	// status of "pending" could contradict a confirmation that another controller has given already.
 	if !g.confirmCancellation(ctx, id, open) {
 		return status, false, errCancellationUnconfirmed
 	}
--- a/internal/coordination/gateway/machine_types.go
+++ b/internal/coordination/gateway/machine_types.go
@@ -7,8 +7,8 @@
 	"quillshunt/internal/storage"
 )
 
-// refreshMachineTypes reads the machine types from the state service again and again, until the
-// context ends.
+// refreshMachineTypes reads the machine types from the state service periodically, until the context
+// ends. After an error it retries with exponential backoff.
 func (g *Gateway) refreshMachineTypes(ctx context.Context) {
 	var backoff storage.Backoff
 	for {
--- a/internal/coordination/gateway/responses.go
+++ b/internal/coordination/gateway/responses.go
@@ -6,34 +6,35 @@
 	"quillshunt/internal/protocol"
 )
 
-// response is the answer to a user's request: an HTTP status and a CBOR body.
+// response is the response to a user request: an HTTP status and a CBOR body.
 type response struct {
 	status int
 	body   []byte
 }
 
-// errorBody is the body of an answer that is not a job's status.
+// errorBody is the body of a response that reports an error.
 type errorBody struct {
 	Error string `cbor:"error"`
 }
 
-// statusResponse answers with a job's status.
+// statusResponse returns a response with a job's status in the body.
 func statusResponse(status int, job protocol.JobStatus) response {
 	return response{status: status, body: protocol.Encode(job)}
 }
 
-// errorResponse answers with a reason.
+// errorResponse returns a response with the reason of an error in the body.
 func errorResponse(status int, reason string) response {
 	return response{status: status, body: protocol.Encode(errorBody{Error: reason})}
 }
 
-// jobNotFoundResponse answers a request for a job that does not exist.
+// jobNotFoundResponse returns the response to a request for a job that does not exist.
 func jobNotFoundResponse() response {
 	return errorResponse(http.StatusNotFound, "no such job")
 }
 
-// retryLaterResponse tells the user to send the request again. The error is only logged.
+// retryLaterResponse logs an error and returns a response that tells the user to retry. The error itself
+// is not part of the response.
 func (g *Gateway) retryLaterResponse(err error) response {
-	g.log.Debug("user told to retry", "err", err)
+	g.log.Debug("user request failed; user told to retry", "err", err)
 	return errorResponse(http.StatusServiceUnavailable, "not now")
 }
--- a/internal/coordination/gateway/routes.go
+++ b/internal/coordination/gateway/routes.go
@@ -7,15 +7,15 @@
 	"quillshunt/internal/transport"
 )
 
-// Paths of the protocol.
+// Request paths.
 const (
 	healthPath    = "/healthz"
 	heartbeatPath = "/v1/report"
-	jobsPath      = "/v2/runs" // of a job: followed by its id, and perhaps by cancelSegment
+	jobsPath      = "/v2/runs" // for one job: followed by /ID, or by /ID/cancel
 	cancelSegment = "cancel"
 )
 
-// userAction is what a user's request asks for.
+// userAction is the operation that a user requests.
 type userAction uint8
 
 const (
@@ -24,14 +24,15 @@
 	actionCancel
 )
 
-// userRoute is where the path of a user's request leads.
+// userRoute is what a path of the user API stands for.
 type userRoute struct {
 	action userAction
-	method string // the one that the path allows
+	method string // the only HTTP method that the path allows
 	jobID  string // not validated; "" for a submission
 }
 
-// Handle handles a request. It runs on the server's loop and never blocks.
+// Handle handles a request of a user, a worker or a health check. It runs on the server's event loop and
+// never blocks.
 func (g *Gateway) Handle(req *transport.Message, rsp *transport.Responder) {
 	switch req.Path {
 	case healthPath:
@@ -55,7 +56,7 @@
 	}
 }
 
-// matchUserRoute returns the route of a user's path.
+// matchUserRoute returns the route for a path of the user API. It returns false for any other path.
 func matchUserRoute(path string) (userRoute, bool) {
 	rest, ok := strings.CutPrefix(path, jobsPath)
 	if !ok {
--- a/internal/coordination/gateway/submissions.go
+++ b/internal/coordination/gateway/submissions.go
@@ -12,10 +12,11 @@
 	"quillshunt/internal/storage"
 )
 
-// errMachineTypesUnknown means that no submission can be checked yet.
-var errMachineTypesUnknown = errors.New("machine types not known yet")
+// errMachineTypesUnknown means that submissions cannot be checked against the machine types yet.
+var errMachineTypesUnknown = errors.New("machine types not read from the state service yet")
 
-// submitJob accepts a job. It answers 201 only once the record is known to be written.
+// submitJob validates a submission and stores the job. It responds with 201 only once the job's record is
+// known to be written.
 func (g *Gateway) submitJob(ctx context.Context, body []byte) response {
 	spec, err := g.parseSubmission(body)
 	if err != nil {
@@ -38,7 +39,7 @@
 	return g.storeSubmission(ctx, record)
 }
 
-// storeSubmission writes the record of a new job, unless the job exists.
+// storeSubmission writes the open record of a new job, unless the job exists already.
 func (g *Gateway) storeSubmission(ctx context.Context, record storage.OpenJob) response {
 	id := record.Spec.ID
 	_, err := g.store.CompareAndSwap(ctx, protocol.Transaction{
@@ -50,8 +51,9 @@
 	case err == nil:
 		return statusResponse(http.StatusCreated, protocol.JobStatus{ID: id, State: protocol.JobPending})
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrOutcomeUnknown):
-		// The job exists, or may just have been written. If it does not exist now it may still be
-		// written: the user retries, and the conditions make sure that it is written only once.
+		// The job existed already, or it is unknown whether this write was executed. If the job is not
+		// found now, the write may still be executed later. The user retries then, and the conditions
+		// of the transaction ensure that the job is stored only once.
 		status, found, readErr := g.readJobStatus(ctx, id)
 		if readErr != nil {
 			return g.retryLaterResponse(readErr)
@@ -61,14 +63,14 @@
 		}
 		return statusResponse(http.StatusOK, status)
 	case errors.Is(err, storage.ErrBadRequest):
-		g.log.Error("submission not storable", "job", id, "err", err)
+		g.log.Error("job record rejected by the state service", "job", id, "err", err)
 		return errorResponse(http.StatusBadRequest, "cannot be stored")
 	}
 	return g.retryLaterResponse(err)
 }
 
-// parseSubmission decodes and validates a submission. A gang is malformed where the settings say
-// that the workers do not support gangs.
+// parseSubmission decodes and validates a submission. A gang is invalid if the workers do not support
+// gangs according to the settings.
 func (g *Gateway) parseSubmission(body []byte) (*protocol.Spec, error) {
 	spec, err := protocol.ParseSpec(body)
 	if err != nil {
@@ -80,14 +82,15 @@
 	return spec, nil
 }
 
-// isMalformed reports whether a submission can never be accepted.
+// isMalformed reports whether a submission is invalid, so that it would be rejected however often it is
+// retried.
 func (g *Gateway) isMalformed(body []byte) bool {
 	_, err := g.parseSubmission(body)
 	return err != nil
 }
 
-// rejectUnlessAccepted rejects a submission, unless the job was accepted before: then it stays
-// accepted, even if machine types or limits have changed since.
+// rejectUnlessAccepted rejects a submission, unless the job was accepted before. An accepted job stays
+// accepted, even if it would be rejected now because machine types or limits have changed since.
 func (g *Gateway) rejectUnlessAccepted(ctx context.Context, id string, status int, reason string) response {
 	accepted, found, err := g.readJobStatus(ctx, id)
 	switch {
@@ -99,7 +102,7 @@
 	return errorResponse(status, reason)
 }
 
-// rejectionReason returns why a job can never run, or "".
+// rejectionReason returns why a job can never run, or "" if it can.
 func (g *Gateway) rejectionReason(spec *protocol.Spec, types []protocol.MachineType) string {
 	for _, team := range g.settings.Facts.Teams {
 		if team.Name != spec.Team {
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/transport"
 )
 
-// handleUserRequest handles a user's request in a goroutine. If too many are in progress the user is told
-// at once to retry, unless the request can never succeed anyway.
+// handleUserRequest handles a user request in a new goroutine. If too many requests are in progress, it
+// rejects the request at once.
 func (g *Gateway) handleUserRequest(req *transport.Message, rsp *transport.Responder) {
 	route, ok := matchUserRoute(req.Path)
 	if !ok {
@@ -28,14 +28,15 @@
 		go func() {
 			defer func() { <-g.userSlots }()
 			status := g.serveUserRequest(route, req.Body, rsp)
-			g.log.Debug("user request answered", "path", req.Path, "status", status, "after", time.Since(arrivedAt))
+			g.log.Debug("user request handled", "path", req.Path, "status", status, "duration", time.Since(arrivedAt))
 		}()
 	default:
 		g.rejectUserRequest(route, req.Body, rsp)
 	}
 }
 
-// rejectUserRequest answers a request for which there is no slot.
+// rejectUserRequest responds to a user request for which there is no free slot. It tells the user to
+// retry, unless the request can never succeed.
 func (g *Gateway) rejectUserRequest(route userRoute, body []byte, rsp *transport.Responder) {
 	switch {
 	case route.action != actionSubmit && !protocol.ValidJobID(route.jobID):
@@ -47,7 +48,7 @@
 	}
 }
 
-// serveUserRequest works on a user's request, answers it and returns the status.
+// serveUserRequest executes a user request, sends the response and returns its HTTP status.
 func (g *Gateway) serveUserRequest(route userRoute, body []byte, rsp *transport.Responder) int {
 	answer := g.executeUserAction(route, body)
 	retryAfter := 0
@@ -55,9 +56,9 @@
 		failingFor := g.store.FailingFor()
 		retryAfter = limits.RetryAfterSeconds(failingFor)
 		if failingFor > limits.IsolatedAfter {
-			// Perhaps only this controller is cut off, and from the other controllers as well, so that
-			// it stays in service. The user's next try must not come here again only because the
-			// connection is still open.
+			// Possibly only this controller cannot reach the state service. If it cannot reach the other
+			// controllers either, its health check still passes (see healthStatus). Closing the
+			// connection lets the user's next try reach another controller.
 			rsp.CloseAfter()
 		}
 	}
@@ -65,7 +66,7 @@
 	return answer.status
 }
 
-// executeUserAction does what a user's request asks for, within its time limit.
+// executeUserAction executes the action that a user requests, within the time limit of the action.
 func (g *Gateway) executeUserAction(route userRoute, body []byte) response {
 	timeout := limits.SubmitTimeout
 	if route.action == actionStatus {
--- a/internal/coordination/peer/client.go
+++ b/internal/coordination/peer/client.go
@@ -9,11 +9,11 @@
 	"quillshunt/internal/limits"
 )
 
-// TaskCounts are the numbers of a job's tasks that are done and that run.
+// TaskCounts are the numbers of done and running tasks of a job.
 type TaskCounts struct{ Done, Running int }
 
-// TaskCounts asks a controller for a job's counts, within limits.TaskCountsTimeout. The result is
-// false if the controller does not answer, does not lead or does not know the job.
+// TaskCounts asks a controller for a job's task counts, within limits.TaskCountsTimeout. It returns false
+// if the controller does not reply, does not lead or does not know the job.
 func (p *Peers) TaskCounts(ctx context.Context, node, job string) (TaskCounts, bool) {
 	reply, err := callPeer(ctx, p, node, limits.TaskCountsTimeout,
 		func(ctx context.Context, c peerpb.PeerClient) (*peerpb.TaskCountsReply, error) {
@@ -25,9 +25,10 @@
 	return TaskCounts{Done: int(reply.GetDone()), Running: int(reply.GetRunning())}, true
 }
 
-// RelayHeartbeat forwards a worker's heartbeat to the leader, within limits.RelayTimeout, and
-// returns the leader's answer for the worker. sameConnection: the worker was answered 200 before on
-// its connection. It returns an error if the leader does not answer.
+// RelayHeartbeat relays a worker's heartbeat to the leader, within limits.RelayTimeout, and returns the
+// HTTP status and body of the leader's reply to the worker. sameConnection means that the worker's
+// previous heartbeat on its connection was answered with 200. RelayHeartbeat returns an error if the
+// leader does not reply.
 func (p *Peers) RelayHeartbeat(
 	ctx context.Context, leader string, heartbeat []byte, sameConnection bool,
 ) (status int, body []byte, err error) {
@@ -36,14 +37,16 @@
 			return c.Relay(ctx, &peerpb.RelayHeartbeatRequest{Heartbeat: heartbeat, SameConnection: sameConnection})
 		})
 	if err != nil {
-		return 0, nil, fmt.Errorf("relay: %w", err)
+		return 0, nil, fmt.Errorf("relay heartbeat: %w", err)
 	}
 	return int(reply.GetStatus()), reply.GetBody(), nil
 }
 
-// ConfirmCancellation reports whether the leader confirms that it knows of a cancellation; the key
-// version and the record are those of the cancelled job. The leader is asked directly and, if it
-// does not confirm, through all others at once, each within limits.CancelConfirmTimeout.
+// ConfirmCancellation asks the leader to confirm that it knows of a cancellation, and reports whether it
+// does. The record is the open record of the cancelled job, and keyVersion is the version of its key.
+// The leader is asked directly first. If it does not confirm, all other controllers are asked in
+// parallel to forward the request to the leader. Each of these two steps takes at most
+// limits.CancelConfirmTimeout.
 func (p *Peers) ConfirmCancellation(
 	ctx context.Context, leader, job string, keyVersion uint64, record []byte,
 ) bool {
@@ -65,7 +68,7 @@
 	return false
 }
 
-// requestConfirmation reports whether one controller confirms a cancellation.
+// requestConfirmation asks one controller to confirm a cancellation, and reports whether it does.
 func (p *Peers) requestConfirmation(
 	ctx context.Context, node string, request *peerpb.ConfirmCancellationRequest,
 ) bool {
@@ -79,8 +82,8 @@
 // Size returns the number of other controllers.
 func (p *Peers) Size() int { return len(p.conns) }
 
-// RequestVotes asks all other controllers at once for their votes for the leader here, within
-// limits.VoteTimeout; see election.Peers.
+// RequestVotes asks all other controllers in parallel to vote for this controller, which is the leader,
+// within limits.VoteTimeout. See election.Peers for the parameters and the result.
 func (p *Peers) RequestVotes(
 	ctx context.Context, heartbeatVersion uint64, nonces map[string]uint64,
 ) map[string]election.Vote {
@@ -102,8 +105,8 @@
 	return votes
 }
 
-// FindConnected asks all other controllers at once, within limits.ConnectivityTimeout, and returns
-// the first that reaches the state service, or "".
+// FindConnected asks all other controllers in parallel, within limits.ConnectivityTimeout, whether they
+// can reach the state service. It returns the name of the first one that says so, or "" if none does.
 func (p *Peers) FindConnected(ctx context.Context) string {
 	connected := callAll(ctx, p, limits.ConnectivityTimeout,
 		func(ctx context.Context, node string, c peerpb.PeerClient) (string, error) {
@@ -121,9 +124,9 @@
 	return ""
 }
 
-// OfferLeadership tells a controller that a term is over, within limits.ConnectivityTimeout. The key
-// version is that of the term's leader key. It returns an error if the controller does not answer;
-// it may have got the offer all the same.
+// OfferLeadership tells another controller that this controller's term is over, so that the other one can
+// campaign at once. It takes at most limits.ConnectivityTimeout. keyVersion is the version of the leader
+// key of the term. An error means that no reply came; the offer may have been received nevertheless.
 func (p *Peers) OfferLeadership(ctx context.Context, node string, term, keyVersion uint64) error {
 	_, err := callPeer(ctx, p, node, limits.ConnectivityTimeout,
 		func(ctx context.Context, c peerpb.PeerClient) (*peerpb.LeadershipOfferReply, error) {
--- a/internal/coordination/peer/dial.go
+++ b/internal/coordination/peer/dial.go
@@ -16,13 +16,13 @@
 	"quillshunt/internal/transport"
 )
 
-// Peers are the other controllers. The methods may be called by any goroutine.
+// Peers are the gRPC connections to the other controllers. They are safe for concurrent use.
 type Peers struct {
-	conns map[string]*grpc.ClientConn // by node name; does not change
+	conns map[string]*grpc.ClientConn // by node name; not modified after NewPeers
 }
 
-// NewPeers prepares connections to the other controllers; each is made when it is first used. A nil
-// dialer dials TCP. It returns an error if an address is malformed.
+// NewPeers creates the connections to the other controllers. Each one is established by the first call
+// that uses it. A nil dialer stands for TCP. NewPeers returns an error if an address is malformed.
 func NewPeers(members []config.Member, dialer transport.Dialer) (*Peers, error) {
 	p := &Peers{conns: map[string]*grpc.ClientConn{}}
 	for _, m := range members {
@@ -42,45 +42,46 @@
 			grpc.WithIdleTimeout(limits.PeerIdle),
 		)
 		if err != nil {
-			return nil, fmt.Errorf("controller %s: %w", m.NodeName, err)
+			return nil, fmt.Errorf("create connection to controller %s: %w", m.NodeName, err)
 		}
 		p.conns[m.NodeName] = conn
 	}
 	return p, nil
 }
 
-// newClientConn prepares a connection without encryption. The address is dialed as it is: the settings
-// name addresses, and names are resolved by the dialer.
+// newClientConn creates an unencrypted connection, which is established by the first call. The
+// passthrough scheme makes gRPC pass the address to the dialer as it is: the settings contain addresses,
+// and the dialer resolves any host name in them.
 func newClientConn(addr string, options ...grpc.DialOption) (*grpc.ClientConn, error) {
 	options = append(options, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	return grpc.NewClient("passthrough:///"+addr, options...)
 }
 
-// Close closes all connections. Calls that are under way fail.
+// Close closes all connections. Calls in progress fail.
 func (p *Peers) Close() {
 	for _, conn := range p.conns {
 		_ = conn.Close()
 	}
 }
 
-// callPeer makes one call to one controller, within a time limit. It returns an error if there is no
-// controller of that name.
+// callPeer makes one call to one controller, within a time limit. It returns an error if there is no other
+// controller with that name.
 func callPeer[T any](
 	ctx context.Context, p *Peers, node string, limit time.Duration,
 	call func(context.Context, peerpb.PeerClient) (T, error),
 ) (reply T, err error) {
 	conn := p.conns[node]
 	if conn == nil {
-		return reply, fmt.Errorf("no controller %q", node)
+		return reply, fmt.Errorf("no other controller is named %q", node)
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return call(ctx, peerpb.NewPeerClient(conn))
 }
 
-// callAll calls all controllers at once, within a time limit. The channel has the results as they
-// arrive, without the calls that failed, and is closed after the last one. The receiver may stop
-// before that.
+// callAll calls all other controllers in parallel, within a time limit. The channel that it returns
+// delivers the results of the successful calls as they arrive, and is closed when all calls have ended.
+// The channel is buffered, so that the caller may stop receiving before that.
 func callAll[T any](
 	ctx context.Context, p *Peers, limit time.Duration,
 	call func(ctx context.Context, node string, c peerpb.PeerClient) (T, error),
--- a/internal/coordination/peer/doc.go
+++ b/internal/coordination/peer/doc.go
@@ -1,8 +1,9 @@
-// Package peer is the calls between the controllers of one deployment, over gRPC, and the operators'
-// read-only view of it.
+// Package peer implements the gRPC calls between the controllers of one deployment, and the read-only
+// status call for operators.
 //
-// Every controller runs a Server for the others and has Peers, the connections to them. The leader
-// asks for votes and offers its leadership; the others ask it for task counts, relay workers'
-// heartbeats to it, and have it confirm cancellations. A call is made once, within a time limit of
-// internal/limits; whoever needs a retry makes it.
+// Every controller runs a Server and calls the servers of the other controllers through Peers. The leader
+// requests votes, and offers its leadership when it resigns. The other controllers ask the leader for
+// task counts and for the confirmation of cancellations, and relay workers' heartbeats to it. Any
+// controller may ask the others whether they can reach the state service. Calls have timeouts from
+// internal/limits and are not retried by this package.
 package peer
--- a/internal/coordination/peer/server.go
+++ b/internal/coordination/peer/server.go
@@ -13,35 +13,39 @@
 	"quillshunt/internal/limits"
 )
 
-// LeaderHandler answers for the term of this process, if it leads. It is called by many goroutines at once.
+// LeaderHandler handles the requests that only the leader can answer. If this process does not lead, it
+// says so. Its methods are called concurrently.
 type LeaderHandler interface {
-	// TaskCounts returns a job's counts if this process leads and knows the job.
+	// TaskCounts returns a job's task counts. It returns false if this process does not lead or does not
+	// know the job.
 	TaskCounts(ctx context.Context, job string) (TaskCounts, bool)
-	// RelayedHeartbeat processes a worker's heartbeat that came through another controller, and
-	// returns the answer for the worker. sameConnection: the worker was answered 200 before on its
-	// connection.
+	// RelayedHeartbeat processes a worker's heartbeat that another controller has relayed, and returns
+	// the HTTP status and body of the reply to the worker. sameConnection means that the worker's
+	// previous heartbeat on its connection was answered with 200.
 	RelayedHeartbeat(ctx context.Context, heartbeat []byte, sameConnection bool) (status int, body []byte)
-	// ConfirmCancellation processes a cancelled job's record, which has that key version. It reports
-	// whether the leader of an entitled term here knows of the cancellation now.
+	// ConfirmCancellation processes the open record of a cancelled job; keyVersion is the version of its
+	// key. It reports whether this process was the entitled leader after it had processed the record.
 	ConfirmCancellation(ctx context.Context, job string, keyVersion uint64, record []byte) bool
-	// Inspect returns the leader's view of the deployment if this process leads. It explains why the
-	// job waits, if one is named.
+	// Inspect returns the status of the deployment as the leader sees it, or false if this process does
+	// not lead. If a job is given, the status explains why the job waits.
 	Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool)
 }
 
-// Elector takes part in elections for this process. It is called by many goroutines at once.
+// Elector handles the requests that concern leader election. Its methods are called concurrently.
 type Elector interface {
-	// StateReachable reports whether the state service answers this process right now.
+	// StateReachable reports whether this process can reach the state service now.
 	StateReachable(ctx context.Context) bool
-	// AcceptOffer is called for a leader that has resigned, with the version of its leader key.
+	// AcceptOffer handles the offer of a leader that has resigned; keyVersion is the version of its leader
+	// key. This process may campaign at once.
 	AcceptOffer(term, keyVersion uint64)
-	// Leader returns the name of the leader as far as known, or "".
+	// Leader returns the name of the last known leader, or "" if there is none.
 	Leader() string
-	// Vote answers the leader's request for a vote under the heartbeat with that key version.
+	// Vote grants or denies the leader a vote. heartbeatVersion is the key version of the leader's last
+	// heartbeat record; nonce identifies the process that the leader expects on this node.
 	Vote(heartbeatVersion, nonce uint64) election.Vote
 }
 
-// Server answers the other controllers, and operators.
+// Server serves the gRPC calls of the other controllers and of operators.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	peerpb.UnimplementedOperatorServer
@@ -51,8 +55,8 @@
 	grpc          *grpc.Server
 }
 
-// NewServer returns a Server for this process. It forwards through peers what only the leader can
-// answer.
+// NewServer returns a Server for this process. The Server uses peers to forward confirmation and status
+// requests to the leader if this process does not lead.
 func NewServer(leader LeaderHandler, elector Elector, peers *Peers) *Server {
 	s := &Server{peers: peers, leaderHandler: leader, elector: elector, grpc: grpc.NewServer(
 		grpc.MaxRecvMsgSize(limits.MaxBodyBytes),
@@ -64,58 +68,60 @@
 	return s
 }
 
-// Run listens on a TCP address and serves until the context ends. It returns an error if it can't
-// listen, or if the listener fails.
+// Run listens on a TCP address and serves until the context ends. It returns an error if it cannot listen
+// on the address or if the listener fails.
 func (s *Server) Run(ctx context.Context, addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("listen for controllers: %w", err)
+		return fmt.Errorf("listen for calls of other controllers: %w", err)
 	}
 	return s.Serve(ctx, ln)
 }
 
-// Serve serves on a listener until the context ends, and returns an error if the listener fails
-// before. It closes the listener, and is called once.
+// Serve serves on a listener until the context ends, and closes the listener. It returns an error if the
+// listener fails before that. It must be called at most once.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, s.grpc.Stop)
 	defer stop()
 	if err := s.grpc.Serve(ln); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
-		return fmt.Errorf("serve controllers: %w", err)
+		return fmt.Errorf("serve calls of other controllers: %w", err)
 	}
 	return nil
 }
 
-// Counts returns a job's task counts, for display at another controller.
+// Counts returns a job's task counts, which another controller shows to a user.
 func (s *Server) Counts(ctx context.Context, r *peerpb.TaskCountsRequest) (*peerpb.TaskCountsReply, error) {
 	c, ok := s.leaderHandler.TaskCounts(ctx, r.GetJob())
 	return &peerpb.TaskCountsReply{Known: ok, Done: int64(c.Done), Running: int64(c.Running)}, nil
 }
 
-// Relay processes a worker's heartbeat that came to another controller.
+// Relay processes a worker's heartbeat that another controller has received and relayed.
 func (s *Server) Relay(ctx context.Context, r *peerpb.RelayHeartbeatRequest) (*peerpb.RelayHeartbeatReply, error) {
 	status, body := s.leaderHandler.RelayedHeartbeat(ctx, r.GetHeartbeat(), r.GetSameConnection())
 	return &peerpb.RelayHeartbeatReply{Status: int32(status), Body: body}, nil
 }
 
-// Able answers a leader that looks for a controller that reaches the state service.
+// Able returns whether this process can reach the state service. Other controllers ask when they cannot
+// reach it themselves: a leader to find a successor, any controller for its health check.
 func (s *Server) Able(ctx context.Context, _ *peerpb.ConnectivityRequest) (*peerpb.ConnectivityReply, error) {
 	return &peerpb.ConnectivityReply{Connected: s.elector.StateReachable(ctx)}, nil
 }
 
-// Take accepts the offer of a leader that has resigned.
+// Take passes the leadership offer of a leader that has resigned to the elector.
 func (s *Server) Take(_ context.Context, r *peerpb.LeadershipOffer) (*peerpb.LeadershipOfferReply, error) {
 	s.elector.AcceptOffer(r.GetTerm(), r.GetKeyVersion())
 	return &peerpb.LeadershipOfferReply{}, nil
 }
 
-// Pledge answers the leader's request for this controller's vote.
+// Pledge returns whether this controller grants the leader its vote.
 func (s *Server) Pledge(_ context.Context, r *peerpb.VoteRequest) (*peerpb.VoteReply, error) {
 	v := s.elector.Vote(r.GetHeartbeatVersion(), r.GetProcessNonce())
 	return &peerpb.VoteReply{Granted: v.Granted, ProcessNonce: v.ProcessNonce}, nil
 }
 
-// Confirm makes the leader confirm that it knows of a cancellation. A controller that does not lead
-// forwards the request to the leader, as the sender may not reach it. A request is forwarded once.
+// Confirm returns whether the leader confirms that it knows of a cancellation. If this controller cannot
+// confirm it, it forwards the request to the leader, which the caller may be unable to reach. A request
+// is forwarded at most once.
 func (s *Server) Confirm(
 	ctx context.Context, r *peerpb.ConfirmCancellationRequest,
 ) (*peerpb.ConfirmCancellationReply, error) {
@@ -128,9 +134,9 @@
 	return &peerpb.ConfirmCancellationReply{Known: known}, nil
 }
 
-// Status returns the leader's view of the deployment. A controller that does not lead forwards the
-// request once. The reply names no leader if none is known, and has no term if the leader does not
-// answer.
+// Status returns the status of the deployment as the leader sees it. A controller that does not lead
+// forwards the request to the leader; a request is forwarded at most once. In the reply, the leader is
+// empty if none is known, and the term is 0 if the leader does not reply.
 func (s *Server) Status(ctx context.Context, r *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
 	if reply, ok := s.leaderHandler.Inspect(ctx, r.GetJob()); ok {
 		return reply, nil
--- a/internal/coordination/peer/wire_test.go
+++ b/internal/coordination/peer/wire_test.go
@@ -10,7 +10,7 @@
 	"quillshunt/internal/coordination/peer/peerpb"
 )
 
-// wireMethods are the paths of the methods, with the names of their messages.
+// wireMethods lists the path of each method and the names of its request and reply messages.
 var wireMethods = []string{
 	"/quillshunt.peer.v1.Peer/Counts TaskCountsRequest TaskCountsReply",
 	"/quillshunt.peer.v1.Peer/Relay RelayHeartbeatRequest RelayHeartbeatReply",
@@ -21,7 +21,7 @@
 	"/quillshunt.peer.v1.Operator/Status StatusRequest StatusReply",
 }
 
-// wireFields are the messages' fields: number, cardinality and type.
+// wireFields lists the fields of each message: message name, number, cardinality and type.
 var wireFields = []string{
 	"TaskCountsRequest 1 optional string",
 	"RelayHeartbeatRequest 1 optional bytes",
@@ -70,25 +70,25 @@
 	"Team 7 optional int64",
 }
 
-// TestWireNames pins the paths of the methods and the numbers and types of the fields, on which
-// controllers of other versions rely.
+// TestWireNames fails if a method's path or a field's number, cardinality or type changes: controllers of
+// other versions rely on these.
 func TestWireNames(t *testing.T) {
 	want := slices.Concat(wireMethods, wireFields)
 	got := describeWire()
 	for _, line := range got {
 		if !slices.Contains(want, line) {
-			t.Errorf("not pinned: %s", line)
+			t.Errorf("in the generated code, but not in the expected lists: %s", line)
 		}
 	}
 	for _, line := range want {
 		if !slices.Contains(got, line) {
-			t.Errorf("missing: %s", line)
+			t.Errorf("expected, but not in the generated code: %s", line)
 		}
 	}
 }
 
-// describeWire returns the methods and fields of the generated code, as wireMethods and wireFields have
-// them.
+// describeWire returns the methods and fields of the generated code in the format of wireMethods and
+// wireFields.
 func describeWire() []string {
 	var got []string
 	file := peerpb.File_internal_coordination_peer_peerpb_peer_proto
@@ -109,7 +109,7 @@
 	return got
 }
 
-// fieldLine describes one field of a message.
+// fieldLine returns the line for one field of a message, in the format of wireFields.
 func fieldLine(message protoreflect.MessageDescriptor, f protoreflect.FieldDescriptor) string {
 	kind := f.Kind().String()
 	if f.Message() != nil {
