--- a/internal/coordination/gateway/fixture_test.go
+++ b/internal/coordination/gateway/fixture_test.go
@@ -21,8 +21,8 @@
 
 const testNode = "controller-0"
 
-// gatewayFixture is a gateway without a leader, on real sockets, with a stand-in of the state
-// service behind it.
+// gatewayFixture is a gateway of a controller that does not lead. It listens on a real socket and uses a
+// simulated state service.
 type gatewayFixture struct {
 	t       *testing.T
 	state   *standin.StateService
@@ -30,7 +30,7 @@
 	client  *transport.Client
 }
 
-// newGatewayFixture starts a gateway, with settings that the changes have been made to.
+// newGatewayFixture starts a gateway. The changes are applied to its settings.
 func newGatewayFixture(t *testing.T, changes ...func(*config.Settings)) *gatewayFixture {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -72,7 +72,7 @@
 	return f
 }
 
-// noPeers returns the peers of a controller that is alone.
+// noPeers returns the peers of a deployment with a single controller.
 func noPeers(t *testing.T) *peer.Peers {
 	t.Helper()
 	peers, err := peer.NewPeers(nil, nil)
@@ -82,7 +82,7 @@
 	return peers
 }
 
-// unusedAddress returns an address that nobody listens on.
+// unusedAddress returns a local address on which nothing listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,7 +93,7 @@
 	return listener.Addr().String()
 }
 
-// serve runs a server until the test ends. It returns when the server accepts connections.
+// serve runs a server until the test ends. It returns once the server accepts connections.
 func serve(t *testing.T, server *transport.Server) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -109,26 +109,26 @@
 	}
 }
 
-// storeRecord stores a record in the state service and returns its version.
+// storeRecord stores a record in the state service and returns the version of its key.
 func (f *gatewayFixture) storeRecord(key string, record any) uint64 {
 	f.t.Helper()
 	return applyOperation(f.t, f.state, protocol.Operation{Put: key, Value: protocol.Encode(record)})
 }
 
-// applyOperation executes an operation in the state service and returns the revision.
+// applyOperation executes one write in the state service and returns the resulting revision.
 func applyOperation(t *testing.T, state *standin.StateService, operation protocol.Operation) uint64 {
 	t.Helper()
 	status, reply := state.CompareAndSwap(protocol.Transaction{Operations: []protocol.Operation{operation}})
 	if status != http.StatusOK {
-		t.Fatalf("write %s: %d", operation.Put, status)
+		t.Fatalf("write %s: status %d", operation.Put, status)
 	}
 	return reply.Revision
 }
 
-// userRequest is a request as a user sends it.
+// userRequest is a request of a user.
 type userRequest struct {
 	method, target string
-	body           any // encoded as CBOR, unless it is a byte slice or nil
+	body           any // a []byte is sent as it is, nil as an empty body; other values are encoded as CBOR
 }
 
 func get(target string) userRequest { return userRequest{method: http.MethodGet, target: target} }
@@ -137,17 +137,17 @@
 	return userRequest{method: http.MethodPost, target: target, body: body}
 }
 
-// submit is a submission of a job.
+// submit returns the request that submits a job.
 func submit(spec map[string]any) userRequest { return post(jobsPath, spec) }
 
-// userResponse is an answer as a user sees it.
+// userResponse is the response to a user request.
 type userResponse struct {
 	status     int
-	state      protocol.JobState // of the job, if the body says one
-	retryAfter int               // seconds
+	state      protocol.JobState // of the job, or "" if the body contains none
+	retryAfter int               // Retry-After header in seconds, or 0
 }
 
-// send sends a request and returns the answer.
+// send sends a request and returns the response.
 func (f *gatewayFixture) send(request userRequest) userResponse {
 	f.t.Helper()
 	var body []byte
@@ -171,23 +171,26 @@
 	return userResponse{status: answer.Status, state: job.State, retryAfter: answer.RetryAfter}
 }
 
-// expect checks the status of an answer, and the state of the job in it.
+// expect sends a request and checks the status of the response and the job state in it.
 func (f *gatewayFixture) expect(name string, request userRequest, status int, state protocol.JobState) {
 	f.t.Helper()
 	if got := f.send(request); got.status != status || got.state != state {
-		f.t.Errorf("%s: got %d %q, expected %d %q", name, got.status, got.state, status, state)
+		f.t.Errorf("%s: got status %d, state %q; want status %d, state %q",
+			name, got.status, got.state, status, state)
 	}
 }
 
-// expectRetryLater checks that the user is told when to send the request again.
+// expectRetryLater sends a request and checks that the response tells the user when to retry.
 func (f *gatewayFixture) expectRetryLater(name string, request userRequest) {
 	f.t.Helper()
 	if got := f.send(request); got.status != http.StatusServiceUnavailable || got.retryAfter == 0 {
-		f.t.Errorf("%s: got %d, retry after %d", name, got.status, got.retryAfter)
+		f.t.Errorf("%s: got status %d, Retry-After %d; want status 503 with Retry-After",
+			name, got.status, got.retryAfter)
 	}
 }
 
-// jobSpec is the submission of a job, by the protocol's names, with some fields changed.
+// jobSpec returns the submission of a job, with the field names of the protocol. The changes replace or add
+// fields.
 func jobSpec(id string, changes map[string]any) map[string]any {
 	fields := map[string]any{
 		"NameId": id, "Docket": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "high", "Pieces": 2,
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -15,22 +15,23 @@
 	"quillshunt/internal/transport"
 )
 
-// withField is the change of one field of a body.
+// withField returns the change of one field of a submission or heartbeat, by the field's protocol name.
 func withField(field string, value any) map[string]any { return map[string]any{field: value} }
 
-// enableGangs makes the workers of a fixture support gangs.
+// enableGangs changes the settings so that the workers support gangs.
 func enableGangs(s *config.Settings) {
 	s.Facts.Workers.GangWaitS, s.Facts.Workers.GangPeerS = new(float64), new(float64)
 }
 
-// TestUserAPI sends a sequence of requests: the later ones meet the jobs of those before.
+// TestUserAPI checks the responses to a sequence of requests, which depend on the jobs that earlier
+// requests have submitted or cancelled.
 func TestUserAPI(t *testing.T) {
 	f := newGatewayFixture(t, enableGangs)
 	for _, c := range userAPICases() {
 		f.expect(c.name, c.request, c.status, c.state)
 	}
 
-	// A job that is over stays what it is, also for repeated submissions and cancellations.
+	// The state of a job that is over is final, also for repeated submissions and cancellations.
 	f.storeRecord(storage.FinalJobKey("job-2"), storage.FinalJob{State: protocol.JobDone})
 	for _, target := range []string{"/v2/runs/job-2/cancel", "/v2/runs"} {
 		f.expect("done job: "+target, post(target, jobSpec("job-2", nil)), http.StatusOK, protocol.JobDone)
@@ -43,15 +44,15 @@
 	f.expect("after the outage", submit(jobSpec("job-3", nil)), http.StatusCreated, protocol.JobPending)
 }
 
-// apiCase is a request and the answer to it.
+// apiCase is a request and the expected response.
 type apiCase struct {
 	name    string
 	request userRequest
 	status  int
-	state   protocol.JobState // in the body
+	state   protocol.JobState // in the body, "" for a body without a state
 }
 
-// userAPICases are requests in the order in which they are sent.
+// userAPICases returns the cases of TestUserAPI in the order in which the requests are sent.
 func userAPICases() []apiCase {
 	manyTypes := make([]string, limits.MaxMachineTypes)
 	for i := range manyTypes {
@@ -65,28 +66,28 @@
 	}
 	return []apiCase{
 		{"health", get("/healthz"), http.StatusOK, ""},
-		{"health by the wrong method", post("/healthz", nil), http.StatusMethodNotAllowed, ""},
+		{"health with a wrong method", post("/healthz", nil), http.StatusMethodNotAllowed, ""},
 		{"unknown path", get("/v3/runs"), http.StatusNotFound, ""},
-		{"path with the prefix of a known one", post("/v2/runsx", nil), http.StatusNotFound, ""},
-		{"list", get("/v2/runs"), http.StatusMethodNotAllowed, ""},
-		{"unknown action", post("/v2/runs/job-1/pause", nil), http.StatusNotFound, ""},
-		{"poll by the wrong method", post("/v2/runs/job-1", nil), http.StatusMethodNotAllowed, ""},
-		{"cancellation by the wrong method", get("/v2/runs/job-1/cancel"), http.StatusMethodNotAllowed, ""},
-		{"heartbeat by the wrong method", get("/v1/report"), http.StatusMethodNotAllowed, ""},
+		{"path that starts like a known one", post("/v2/runsx", nil), http.StatusNotFound, ""},
+		{"list of jobs", get("/v2/runs"), http.StatusMethodNotAllowed, ""},
+		{"unknown action on a job", post("/v2/runs/job-1/pause", nil), http.StatusNotFound, ""},
+		{"poll with a wrong method", post("/v2/runs/job-1", nil), http.StatusMethodNotAllowed, ""},
+		{"cancellation with a wrong method", get("/v2/runs/job-1/cancel"), http.StatusMethodNotAllowed, ""},
+		{"heartbeat with a wrong method", get("/v1/report"), http.StatusMethodNotAllowed, ""},
 		{"heartbeat without a leader", post("/v1/report", withField("Rig", "m")), http.StatusMisdirectedRequest, ""},
 		{"poll of an unknown job", get("/v2/runs/job-1"), http.StatusNotFound, ""},
-		{"poll of a malformed id", get("/v2/runs/x"), http.StatusNotFound, ""},
+		{"poll of a malformed job ID", get("/v2/runs/x"), http.StatusNotFound, ""},
 		{"cancellation of an unknown job", post("/v2/runs/job-1/cancel", nil), http.StatusNotFound, ""},
 		{"not CBOR", post("/v2/runs", []byte("{}x")), http.StatusBadRequest, ""},
-		{"body over the limit", post("/v2/runs", make([]byte, 40*limits.MaxBodyBytes)), http.StatusBadRequest, ""},
-		{"record over the value limit", submit(tooLarge), http.StatusBadRequest, ""},
+		{"body above the limit", post("/v2/runs", make([]byte, 40*limits.MaxBodyBytes)), http.StatusBadRequest, ""},
+		{"record above the value limit", submit(tooLarge), http.StatusBadRequest, ""},
 		{"unknown team", submit(jobSpec("job-1", withField("Crew", "nobody"))), http.StatusUnprocessableEntity, ""},
 		{
-			"over the team's limit", submit(jobSpec("job-1", withField("Crew", "tiny"))),
+			"above the team's limit", submit(jobSpec("job-1", withField("Crew", "tiny"))),
 			http.StatusUnprocessableEntity, "",
 		},
 		{"unknown shape", submit(jobSpec("job-1", withField("Shape", "service"))), http.StatusBadRequest, ""},
-		{"gang over the team's limit as a whole", submit(gang(5)), http.StatusUnprocessableEntity, ""},
+		{"gang above the team's limit as a whole", submit(gang(5)), http.StatusUnprocessableEntity, ""},
 		{"gang", submit(gang(4)), http.StatusCreated, protocol.JobPending},
 		{"fits no machine type", submit(jobSpec("job-1", withField("Vcpus", 17))), http.StatusUnprocessableEntity, ""},
 		{"unknown machine type", submit(unknownType), http.StatusUnprocessableEntity, ""},
@@ -94,10 +95,10 @@
 			"zone without such a type", submit(jobSpec("job-1", withField("Yard", "b"))),
 			http.StatusUnprocessableEntity, "",
 		},
-		{"accepted", submit(jobSpec("job-1", nil)), http.StatusCreated, protocol.JobPending},
-		{"repeated", submit(jobSpec("job-1", nil)), http.StatusOK, protocol.JobPending},
+		{"accepted submission", submit(jobSpec("job-1", nil)), http.StatusCreated, protocol.JobPending},
+		{"repeated submission", submit(jobSpec("job-1", nil)), http.StatusOK, protocol.JobPending},
 		{
-			"repeated, can never run", submit(jobSpec("job-1", withField("Vcpus", 17))),
+			"repeated submission that can never run", submit(jobSpec("job-1", withField("Vcpus", 17))),
 			http.StatusOK, protocol.JobPending,
 		},
 		{"poll", get("/v2/runs/job-1"), http.StatusOK, protocol.JobPending},
@@ -108,27 +109,28 @@
 	}
 }
 
-// checkResponsesInOutage: without the state service users are told when to retry, and nothing else but
-// final states, which are known for good. job-1 is cancelled, job-2 is done, job-4 is open.
+// checkResponsesInOutage checks that while the state service is unavailable, users are told when to retry,
+// except for jobs whose final state is cached. job-1 is cancelled, job-2 is done, job-4 is open.
 func checkResponsesInOutage(f *gatewayFixture) {
 	f.t.Helper()
 	f.expectRetryLater("open job in an outage", get("/v2/runs/job-4"))
-	// A cancellation that was confirmed here is as final as the end of a job.
+	// A cancellation that this controller has confirmed is cached like the end of a job.
 	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted)
 	f.expect("done job in an outage", get("/v2/runs/job-2"), http.StatusOK, protocol.JobDone)
-	// The answer comes at once, not only when the user has no time left to retry.
+	// The response comes at once, so that the user has time left to retry.
 	startedAt := time.Now()
 	for _, target := range []string{"/v2/runs", "/v2/runs/job-4/cancel"} {
 		f.expectRetryLater("in an outage: "+target, post(target, jobSpec("job-3", nil)))
 	}
 	if took := time.Since(startedAt); took > limits.SubmitTimeout/2 {
-		f.t.Errorf("two refusals took %v", took)
+		f.t.Errorf("responding with 503 to two requests took %v, want at most %v", took, limits.SubmitTimeout/2)
 	}
 }
 
-// TestUnconfirmedCancellationNotReported: nobody is told that a job is cancelled while a leader that does not
-// know may be entitled: neither by the cancellation, nor by a poll or a repeated submission. It is
-// told once the leader's heartbeat covers the record, or there is no leader.
+// TestUnconfirmedCancellationNotReported: a job must not be reported as cancelled while a leader that does
+// not know of the cancellation may be entitled, because its tasks could still be started. This holds for
+// the responses to the cancellation, to a poll and to a repeated submission. The cancellation may be
+// reported once the leader's heartbeat covers the record, or there is no leader.
 func TestUnconfirmedCancellationNotReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -148,7 +150,7 @@
 			f.storeRecord(storage.KeyLeaderHeartbeat, storage.LeaderHeartbeat{Term: 1})
 
 			if got := f.send(submit(jobSpec("job-1", nil))); got.status != http.StatusCreated {
-				t.Fatalf("submission: %d", got.status)
+				t.Fatalf("submission: status %d", got.status)
 			}
 			checkCancelledJob(f, http.StatusServiceUnavailable, "")
 			open, _ := f.state.Get(storage.OpenJobKey("job-1"))
@@ -158,12 +160,12 @@
 			c.confirm(f, lease, open.Version)
 			checkCancelledJob(f, http.StatusOK, protocol.JobAborted)
 			f.state.SetUnavailable(true)
-			checkCancelledJob(f, http.StatusOK, protocol.JobAborted) // known for good
+			checkCancelledJob(f, http.StatusOK, protocol.JobAborted) // from the cache
 		})
 	}
 }
 
-// checkCancelledJob cancels job-1, and checks the answers to this and to all other requests for it.
+// checkCancelledJob cancels job-1, and checks the responses to this and to later requests for the job.
 func checkCancelledJob(f *gatewayFixture, status int, state protocol.JobState) {
 	f.t.Helper()
 	for _, request := range []userRequest{
@@ -175,22 +177,23 @@
 		got := f.send(request)
 		retryExpected := status == http.StatusServiceUnavailable
 		if got.status != status || got.state != state || retryExpected != (got.retryAfter > 0) {
-			f.t.Errorf("%s %s: got %d %q, retry after %d",
-				request.method, request.target, got.status, got.state, got.retryAfter)
+			f.t.Errorf("%s %s: got status %d, state %q, Retry-After %d; want status %d, state %q",
+				request.method, request.target, got.status, got.state, got.retryAfter, status, state)
 		}
 	}
 }
 
-// TestMalformedRequestClosesConnection: what cannot be parsed is answered and its connection
-// closed, and others are served on.
+// TestMalformedRequestClosesConnection: a request that cannot be parsed is answered and its connection
+// closed, while other connections are still served. The connection is also closed after one response if
+// requests are pipelined or the client asks for it.
 func TestMalformedRequestClosesConnection(t *testing.T) {
 	f := newGatewayFixture(t)
 	const health = "GET /healthz HTTP/1.1\r\n"
 	for _, c := range []struct{ name, raw string }{
 		{"unknown version", "GET / HTTP/9\r\n\r\n"},
-		{"two lengths", "POST /v2/runs HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx"},
-		{"pipelined: one answer", health + "\r\n" + health + "\r\n" + health + "\r\n"},
-		{"to be closed", health + "Connection: close\r\n\r\n"},
+		{"two Content-Length headers", "POST /v2/runs HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx"},
+		{"pipelined requests", health + "\r\n" + health + "\r\n" + health + "\r\n"},
+		{"Connection: close", health + "Connection: close\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn, err := net.Dial("tcp", f.address)
@@ -201,33 +204,33 @@
 			if _, err := conn.Write([]byte(c.raw)); err != nil {
 				t.Fatal(err)
 			}
-			got, _ := io.ReadAll(conn) // ends because the server closes
+			got, _ := io.ReadAll(conn) // ends when the server closes the connection
 			decoder := transport.NewResponseDecoder(limits.MaxBodyBytes)
 			decoder.Feed(got)
 			if m, err := decoder.Next(); err != nil || m == nil || decoder.Buffered() > 0 {
-				t.Errorf("%q: answered %q", c.raw, got)
+				t.Errorf("%q: got %q, want one response", c.raw, got)
 			}
 		})
 	}
 	if got := f.send(get("/healthz")); got.status != http.StatusOK {
-		t.Errorf("others: %d", got.status)
+		t.Errorf("health check on another connection: status %d", got.status)
 	}
 }
 
-// TestRetryAfterGrowsWithOutage: the longer the state service is out of reach, the later a user is told to
-// retry, within the time for which a user waits at most.
+// TestRetryAfterGrowsWithOutage: the longer the state service has been unreachable, the longer is the
+// Retry-After. It never exceeds 30 s, the longest time that a user waits.
 func TestRetryAfterGrowsWithOutage(t *testing.T) {
 	last := 0
 	for outage := time.Duration(0); outage < 5*time.Minute; outage += time.Second {
 		seconds := limits.RetryAfterSeconds(outage)
 		if seconds < max(last, 1) || seconds > 30 {
-			t.Fatalf("after %v: %d, before %d", outage, seconds, last)
+			t.Fatalf("after an outage of %v: Retry-After %d; one second earlier: %d", outage, seconds, last)
 		}
 		last = seconds
 	}
 }
 
-// TestNoFreeUserSlot: with too many users' requests in progress another one is answered at once.
+// TestNoFreeUserSlot: while too many user requests are in progress, a further one is rejected at once.
 func TestNoFreeUserSlot(t *testing.T) {
 	g := New(Options{UserSlots: 0})
 	server := transport.NewServer(transport.ServerOptions{
@@ -237,37 +240,37 @@
 	f := &gatewayFixture{t: t, client: transport.NewClient(server.Addr(), 1, limits.MaxBodyBytes)}
 	if got := f.send(submit(jobSpec("job-1", nil))); got.status != http.StatusServiceUnavailable ||
 		got.retryAfter == 0 {
-		t.Fatalf("submission: %d, retry after %d", got.status, got.retryAfter)
+		t.Fatalf("submission: status %d, Retry-After %d", got.status, got.retryAfter)
 	}
-	// Where a retry can never succeed the user is told so.
+	// A request that can never succeed is not told to retry.
 	for _, c := range []struct {
 		name    string
 		request userRequest
 		status  int
 	}{
 		{"malformed submission", submit(jobSpec("job-1", withField("Pieces", 0))), http.StatusBadRequest},
-		{"poll of a malformed id", get("/v2/runs/none"), http.StatusNotFound},
-		{"cancellation of a malformed id", post("/v2/runs/none/cancel", nil), http.StatusNotFound},
+		{"poll of a malformed job ID", get("/v2/runs/none"), http.StatusNotFound},
+		{"cancellation of a malformed job ID", post("/v2/runs/none/cancel", nil), http.StatusNotFound},
 		{"unknown path", get("/v2/other"), http.StatusNotFound},
-		{"list", get("/v2/runs"), http.StatusMethodNotAllowed},
+		{"list of jobs", get("/v2/runs"), http.StatusMethodNotAllowed},
 	} {
 		if got := f.send(c.request); got.status != c.status {
-			t.Errorf("%s: got %d, expected %d", c.name, got.status, c.status)
+			t.Errorf("%s: got status %d, want %d", c.name, got.status, c.status)
 		}
 	}
 }
 
-// TestGangsNotSupported: where the settings have no times of gangs, the workers support none, and a
-// gang is malformed.
+// TestGangsNotSupported: if the settings contain no times for gangs, the workers do not support gangs, and
+// the submission of a gang is invalid.
 func TestGangsNotSupported(t *testing.T) {
 	f := newGatewayFixture(t)
 	if got := f.send(submit(jobSpec("job-1", withField("Shape", "ensemble")))); got.status != http.StatusBadRequest {
-		t.Errorf("submission: %d", got.status)
+		t.Errorf("submission of a gang: got status %d, want 400", got.status)
 	}
 }
 
-// TestRecordAboveLoweredValueLimit: a job that was stored when values could be larger can still be cancelled, and a
-// repeated submission of it is known.
+// TestRecordAboveLoweredValueLimit: if the value limit of the state service has been lowered, a job whose
+// record is above the new limit can still be cancelled, and a repeated submission of it is recognized.
 func TestRecordAboveLoweredValueLimit(t *testing.T) {
 	const valueKB = 0.5
 	f := newGatewayFixture(t, func(s *config.Settings) { s.Facts.State.ValueKB = valueKB })
@@ -290,6 +293,6 @@
 	}
 	got := record.Spec
 	if !storage.FitsValueLimit(record, valueKB) || got.Tasks != 2 || got.CPUs != 8 || got.Team != "vision" {
-		t.Errorf("stored: %+v", record)
+		t.Errorf("record after the cancellation: %+v", record)
 	}
 }
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -22,19 +22,19 @@
 	"quillshunt/internal/transport"
 )
 
-// The size of the load.
+// Size of the load test.
 const (
 	loadWorkers        = 2000
 	workersPerRental   = 50
 	loadJobs           = 300
 	tasksPerJob        = 150
 	cpusPerWorker      = 8
-	loadMemoryMB       = 147 // half of what controllers with as many sockets have so far
+	loadMemoryMB       = 147 // half the memory of the controllers deployed so far that have as many sockets
 	loadMaxSockets     = 2907
-	unreachableAddress = "127.0.0.1:1" // of all workers: nothing answers there
+	unreachableAddress = "127.0.0.1:1" // the address of all workers, at which nothing answers
 )
 
-// loadFixture is a controller under load: a gateway with a leader, on real sockets, and the workers.
+// loadFixture is a leading controller under load, with its gateway on real sockets, and its workers.
 type loadFixture struct {
 	t            *testing.T
 	ctx          context.Context
@@ -46,11 +46,12 @@
 	workers      []*simulatedWorker
 	readBuffer   []byte
 
-	baseGoroutines  int // before the first round
-	extraGoroutines int // most that were there in a round beyond these
+	baseGoroutines  int // number before the first round of heartbeats
+	extraGoroutines int // highest number above baseGoroutines in any round
 }
 
-// newLoadFixture starts a controller with a backlog of jobs, and connects all workers to it.
+// newLoadFixture starts a controller with a backlog of jobs and connects all workers to it. The controller
+// does not lead yet.
 func newLoadFixture(t *testing.T) *loadFixture {
 	t.Helper()
 	settings := loadSettings()
@@ -63,7 +64,7 @@
 		readBuffer:   make([]byte, 64<<10),
 	}
 	if f.socketShares.MaxMachines < loadWorkers {
-		t.Fatalf("the sockets carry only %d machines", f.socketShares.MaxMachines)
+		t.Fatalf("the sockets suffice for only %d machines", f.socketShares.MaxMachines)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -103,13 +104,13 @@
 	}
 }
 
-// storeRecord stores a record in the state service and returns its version.
+// storeRecord stores a record in the state service and returns the version of its key.
 func (f *loadFixture) storeRecord(key string, record any) uint64 {
 	f.t.Helper()
 	return applyOperation(f.t, f.state, protocol.Operation{Put: key, Value: protocol.Encode(record)})
 }
 
-// storeInitialRecords stores the machine types, the rented and registered machines and the open jobs.
+// storeInitialRecords stores the machine types, the rentals, the registry of machines and the open jobs.
 func (f *loadFixture) storeInitialRecords() {
 	f.t.Helper()
 	f.storeRecord(storage.KeyMachineTypes,
@@ -137,7 +138,7 @@
 	}
 }
 
-// startController starts the controller, and the state service and the cloud behind it.
+// startController starts the controller and the simulated state service and cloud that it uses.
 func (f *loadFixture) startController() {
 	f.t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -178,7 +179,8 @@
 	}))
 }
 
-// handleCloudRequest plays a cloud that has all the workers' machines and no capacity for more.
+// handleCloudRequest simulates a cloud in which the machines of all workers run and that has no capacity
+// for more.
 func handleCloudRequest(req *transport.Message, rsp *transport.Responder) {
 	switch {
 	case req.Path == "/machine_types":
@@ -195,7 +197,7 @@
 	}
 }
 
-// machineListPage is the page of the cloud's list that follows a machine's name.
+// machineListPage returns the page of the cloud's machine list that begins after the given machine name.
 func machineListPage(since string) protocol.MachineList {
 	var list protocol.MachineList
 	for i := 0; i < loadWorkers && len(list.Machines) < limits.CloudPageSize; i++ {
@@ -210,7 +212,7 @@
 	return list
 }
 
-// startTerm begins a term, and returns a function that ends it and waits for its end.
+// startTerm starts a term. The function that it returns ends the term and waits until it has ended.
 func (f *loadFixture) startTerm(term uint64) (end func()) {
 	f.t.Helper()
 	version := f.storeRecord(storage.KeyLeader, storage.LeaderRecord{Node: testNode, Term: term})
@@ -223,7 +225,7 @@
 	return func() { cancel(); <-done }
 }
 
-// connect connects a worker to the gateway.
+// connect opens a connection from a worker to the gateway.
 func (f *loadFixture) connect(w *simulatedWorker) {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.address)
@@ -233,7 +235,7 @@
 	w.conn, w.decoder = conn, transport.NewResponseDecoder(limits.MaxBodyBytes)
 }
 
-// reconnectAll ends the connections of all workers and makes new ones at once.
+// reconnectAll closes the connection of each worker and opens a new one at once.
 func (f *loadFixture) reconnectAll() {
 	f.t.Helper()
 	for _, w := range f.workers {
@@ -242,7 +244,8 @@
 	}
 }
 
-// heartbeatRound makes all workers send a heartbeat at once and returns how many were answered 200.
+// heartbeatRound makes all workers send a heartbeat, then reads the replies, and returns how many have
+// status 200. Workers whose connection has failed are connected again.
 func (f *loadFixture) heartbeatRound() (served int) {
 	f.t.Helper()
 	for _, w := range f.workers {
@@ -269,23 +272,23 @@
 	return served
 }
 
-// repeatHeartbeatsUntil repeats rounds of heartbeats until done, which gets the number of workers served
-// in the last one.
+// repeatHeartbeatsUntil repeats rounds of heartbeats until done returns true. done gets the number of
+// workers that were answered with 200 in the last round.
 func (f *loadFixture) repeatHeartbeatsUntil(term uint64, done func(served int) bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(2 * time.Minute)
 	for served := f.heartbeatRound(); !done(served); served = f.heartbeatRound() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("term %d: %d machines served in the last round", term, served)
+			f.t.Fatalf("term %d: only %d workers answered with 200 in the last round", term, served)
 		}
 	}
 }
 
-// enoughServed reports whether a number of workers is enough: a few may be given up, as nothing
-// answers at their address.
+// enoughServed reports whether enough workers were answered with 200. A few may be missing: the leader may
+// give up their machines, because nothing answers at their address.
 func enoughServed(served int) bool { return served > loadWorkers*95/100 }
 
-// startedTaskCount is how many tasks the workers were told to start.
+// startedTaskCount returns how many tasks the workers were told to start.
 func (f *loadFixture) startedTaskCount() (n int) {
 	for _, w := range f.workers {
 		n += len(w.tasks)
--- a/internal/coordination/gateway/simulated_worker_test.go
+++ b/internal/coordination/gateway/simulated_worker_test.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/transport"
 )
 
-// simulatedWorker is a worker's side of a connection. It reads the answer to a heartbeat in a step of
-// its own, so that thousands of workers wait at once.
+// simulatedWorker is a worker with one connection to the gateway. Sending a heartbeat and reading the reply
+// are separate steps, so that thousands of workers can wait for replies at the same time.
 type simulatedWorker struct {
 	conn         net.Conn
 	decoder      *transport.Decoder
@@ -19,7 +19,7 @@
 	tasks        []protocol.TaskStatus
 }
 
-// sendHeartbeat sends a heartbeat.
+// sendHeartbeat sends a heartbeat without waiting for the reply.
 func (w *simulatedWorker) sendHeartbeat(address string) error {
 	w.sequence++
 	body := protocol.Encode(protocol.Heartbeat{
@@ -30,7 +30,7 @@
 	return err
 }
 
-// receiveReply reads the answer, executes the commands in it and returns its status.
+// receiveReply reads the reply to a heartbeat, executes the commands in it and returns its HTTP status.
 func (w *simulatedWorker) receiveReply(buffer []byte) (int, error) {
 	for {
 		answer, err := w.decoder.Next()
@@ -48,7 +48,7 @@
 	}
 }
 
-// executeCommands starts the tasks that the answer to a heartbeat commands to start.
+// executeCommands executes the start commands in the reply to a heartbeat. Others are ignored.
 func (w *simulatedWorker) executeCommands(answer *transport.Message) error {
 	if answer.Status != http.StatusOK {
 		return nil
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -18,16 +18,16 @@
 	"quillshunt/internal/transport"
 )
 
-// The size of the flood.
+// Size of the burst of submissions.
 const (
 	burstUsers      = 200
 	requestsPerUser = 100
 	firstBurstJob   = 100_000
 )
 
-// TestThousandsOfWorkers: two thousand workers at one controller with a backlog of tens of thousands
-// of tasks, all of them coming back at once after a crash of all controllers. Memory, goroutines and
-// threads stay bounded, and all are served.
+// TestThousandsOfWorkers: one controller has two thousand workers and a backlog of tens of thousands of
+// tasks. After a crash of all controllers, all workers reconnect to the new leader at once, while many
+// users submit jobs. The workers must be served, and memory, goroutines and threads must stay bounded.
 func TestThousandsOfWorkers(t *testing.T) {
 	setMemoryLimits(t)
 	f := newLoadFixture(t)
@@ -38,7 +38,7 @@
 	})
 	end()
 
-	// All controllers have crashed, and all connections are gone; the new leader gets them at once.
+	// After a crash of all controllers, all connections are lost and opened again to the new leader.
 	f.reconnectAll()
 	burst := f.startBurst()
 	end = f.startTerm(2)
@@ -49,7 +49,7 @@
 	end()
 }
 
-// setMemoryLimits sets the memory limits of the process as a controller does, until the test ends.
+// setMemoryLimits sets the memory limit and GC percentage that a controller sets, until the test ends.
 func setMemoryLimits(t *testing.T) {
 	t.Helper()
 	memoryLimit := debug.SetMemoryLimit(limits.HeapLimit(loadMemoryMB))
@@ -58,37 +58,37 @@
 	t.Cleanup(func() { debug.SetGCPercent(percent) })
 }
 
-// checkResources checks heap, goroutines and threads against their bounds.
+// checkResources checks the heap size and the numbers of goroutines and threads against their limits.
 func (f *loadFixture) checkResources() {
 	f.t.Helper()
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
 	if bound := uint64(40<<20 + loadWorkers*limits.MaxIdleConnBytes); memory.HeapAlloc > bound {
-		f.t.Errorf("heap of %d bytes, at most %d expected", memory.HeapAlloc, bound)
+		f.t.Errorf("heap of %d bytes, want at most %d", memory.HeapAlloc, bound)
 	}
-	// One for each direct command or probe at most, and those of fixed number.
+	// At most one for the direct commands or probe of each worker, and a bounded number of others.
 	if bound := loadWorkers + limits.UserSlots + limits.MaxCloudCalls + 200; f.extraGoroutines > bound {
-		f.t.Errorf("%d goroutines, at most %d expected", f.extraGoroutines, bound)
+		f.t.Errorf("%d goroutines, want at most %d", f.extraGoroutines, bound)
 	}
 	threads := pprof.Lookup("threadcreate").Count()
 	if threads > 200 {
-		f.t.Errorf("%d threads", threads)
+		f.t.Errorf("%d threads, want at most 200", threads)
 	}
 	f.t.Logf("heap %d MB, %d goroutines, %d threads, %d tasks",
 		memory.HeapAlloc>>20, f.extraGoroutines, threads, f.startedTaskCount())
 }
 
-// submissionBurst is a flood of submissions by many users at once.
+// submissionBurst counts the responses to submissions that many users send concurrently.
 type submissionBurst struct {
 	cancel    context.CancelFunc
 	users     sync.WaitGroup
 	accepted  atomic.Int64
 	rejected  atomic.Int64
-	peakBytes atomic.Uint64 // most memory that the runtime had from the system
+	peakBytes atomic.Uint64 // highest value of runtimeMemoryBytes
 }
 
-// startBurst makes many users submit jobs, one after the other each.
+// startBurst starts many concurrent users. Each submits its jobs one after the other.
 func (f *loadFixture) startBurst() *submissionBurst {
 	ctx, cancel := context.WithCancel(f.ctx)
 	burst := &submissionBurst{cancel: cancel}
@@ -104,7 +104,7 @@
 	return burst
 }
 
-// submitInBurst submits one job of the flood and counts the answer.
+// submitInBurst submits one job of the burst and counts the response.
 func (f *loadFixture) submitInBurst(burst *submissionBurst, client *transport.Client, number int) {
 	ctx, cancel := context.WithTimeout(f.ctx, limits.SubmitTimeout+time.Second)
 	defer cancel()
@@ -113,39 +113,39 @@
 	}))
 	answer, err := client.Do(ctx, http.MethodPost, jobsPath, body)
 	switch {
-	case err != nil: // no connection is free
+	case err != nil: // no inbound connection is free
 	case answer.Status == http.StatusCreated:
 		burst.accepted.Add(1)
 	case answer.Status == http.StatusServiceUnavailable && answer.RetryAfter > 0:
 		burst.rejected.Add(1)
 	default:
-		f.t.Errorf("flood: %d, retry after %d", answer.Status, answer.RetryAfter)
+		f.t.Errorf("submission in the burst: status %d, Retry-After %d", answer.Status, answer.RetryAfter)
 	}
 	burst.peakBytes.Store(max(burst.peakBytes.Load(), runtimeMemoryBytes()))
 }
 
-// stop ends the flood and waits for its users.
+// stop ends the burst and waits until all its users have ended.
 func (f *submissionBurst) stop() {
 	f.cancel()
 	f.users.Wait()
 }
 
-// check checks that some jobs of the flood were accepted, and that the memory stayed within the
-// settings.
+// check checks that some jobs of the burst were accepted, and that the memory stayed within the limit of
+// the settings.
 func (f *submissionBurst) check(t *testing.T) {
 	t.Helper()
 	if f.accepted.Load() == 0 {
-		t.Error("no job of the flood was accepted")
+		t.Error("no job of the burst was accepted")
 	}
 	peak := f.peakBytes.Load()
 	if bound := uint64(loadMemoryMB * (1 << 20)); peak > bound {
-		t.Errorf("%d bytes held at the peak, the settings allow %d", peak, bound)
+		t.Errorf("peak memory of %d bytes, want at most %d", peak, bound)
 	}
-	t.Logf("flood: %d accepted, %d refused, %d MB held at the peak",
+	t.Logf("burst: %d submissions accepted, %d rejected, peak memory %d MB",
 		f.accepted.Load(), f.rejected.Load(), peak>>20)
 }
 
-// runtimeMemoryBytes is the memory that the runtime has from the system.
+// runtimeMemoryBytes returns how much memory the Go runtime has obtained from the system and not released.
 func runtimeMemoryBytes() uint64 {
 	samples := []metrics.Sample{
 		{Name: "/memory/classes/total:bytes"},
