--- a/internal/coordination/gateway/fixture_test.go
+++ b/internal/coordination/gateway/fixture_test.go
@@ -158,17 +158,17 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	answer, err := f.client.Do(ctx, request.method, request.target, body)
+	response, err := f.client.Do(ctx, request.method, request.target, body)
 	if err != nil {
 		f.t.Fatalf("%s %s: %v", request.method, request.target, err)
 	}
 	var job protocol.JobStatus
-	if len(answer.Body) > 0 {
-		if err := protocol.Decode(answer.Body, &job); err != nil {
+	if len(response.Body) > 0 {
+		if err := protocol.Decode(response.Body, &job); err != nil {
 			f.t.Fatal(err)
 		}
 	}
-	return userResponse{status: answer.Status, state: job.State, retryAfter: answer.RetryAfter}
+	return userResponse{status: response.Status, state: job.State, retryAfter: response.RetryAfter}
 }
 
 // expect sends a request and checks the status of the response and the job state in it.
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -122,8 +122,8 @@
 	for _, target := range []string{"/v2/runs", "/v2/runs/job-4/cancel"} {
 		f.expectRetryLater("in an outage: "+target, post(target, jobSpec("job-3", nil)))
 	}
-	if took := time.Since(startedAt); took > limits.SubmitTimeout/2 {
-		f.t.Errorf("responding with 503 to two requests took %v, want at most %v", took, limits.SubmitTimeout/2)
+	if elapsed := time.Since(startedAt); elapsed > limits.SubmitTimeout/2 {
+		f.t.Errorf("responding with 503 to two requests took %v, want at most %v", elapsed, limits.SubmitTimeout/2)
 	}
 }
 
--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -39,14 +39,14 @@
 // a network partition between their zones, the leader accepts the relayed heartbeats.
 func (g *Gateway) relayHeartbeat(leader string, body []byte, rsp *transport.Responder) {
 	defer func() { <-g.relaySlots }()
-	status, answer, err := g.peers.RelayHeartbeat(g.ctx, leader, body, sameConnection(rsp))
+	status, reply, err := g.peers.RelayHeartbeat(g.ctx, leader, body, sameConnection(rsp))
 	if err != nil {
 		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachableBackoff).UnixNano())
 		g.log.Debug("failed to relay heartbeat; worker redirected", "leader", leader, "err", err)
 		redirectWorker(rsp, "")
 		return
 	}
-	rsp.Respond(status, answer, 0)
+	rsp.Respond(status, reply, 0)
 }
 
 // sameConnection reports whether the previous heartbeat on the same connection was answered with 200. As
--- a/internal/coordination/gateway/simulated_worker_test.go
+++ b/internal/coordination/gateway/simulated_worker_test.go
@@ -33,12 +33,12 @@
 // receiveReply reads the reply to a heartbeat, executes the commands in it and returns its HTTP status.
 func (w *simulatedWorker) receiveReply(buffer []byte) (int, error) {
 	for {
-		answer, err := w.decoder.Next()
+		reply, err := w.decoder.Next()
 		if err != nil {
 			return 0, err
 		}
-		if answer != nil {
-			return answer.Status, w.executeCommands(answer)
+		if reply != nil {
+			return reply.Status, w.executeCommands(reply)
 		}
 		n, err := w.conn.Read(buffer)
 		if err != nil {
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -111,38 +111,38 @@
 	body := protocol.Encode(jobSpec(fmt.Sprintf("job-%d", number), map[string]any{
 		"Crew": "red", "Vcpus": 1, "Accelerators": 0, "RamGb": 1, "Rigkinds": nil,
 	}))
-	answer, err := client.Do(ctx, http.MethodPost, jobsPath, body)
+	response, err := client.Do(ctx, http.MethodPost, jobsPath, body)
 	switch {
 	case err != nil: // no inbound connection is free
-	case answer.Status == http.StatusCreated:
+	case response.Status == http.StatusCreated:
 		burst.accepted.Add(1)
-	case answer.Status == http.StatusServiceUnavailable && answer.RetryAfter > 0:
+	case response.Status == http.StatusServiceUnavailable && response.RetryAfter > 0:
 		burst.rejected.Add(1)
 	default:
-		f.t.Errorf("submission in the burst: status %d, Retry-After %d", answer.Status, answer.RetryAfter)
+		f.t.Errorf("submission in the burst: status %d, Retry-After %d", response.Status, response.RetryAfter)
 	}
 	burst.peakBytes.Store(max(burst.peakBytes.Load(), runtimeMemoryBytes()))
 }
 
 // stop ends the burst and waits until all its users have ended.
-func (f *submissionBurst) stop() {
-	f.cancel()
-	f.users.Wait()
+func (b *submissionBurst) stop() {
+	b.cancel()
+	b.users.Wait()
 }
 
 // check checks that some jobs of the burst were accepted, and that the memory stayed within the limit of
 // the settings.
-func (f *submissionBurst) check(t *testing.T) {
+func (b *submissionBurst) check(t *testing.T) {
 	t.Helper()
-	if f.accepted.Load() == 0 {
+	if b.accepted.Load() == 0 {
 		t.Error("no job of the burst was accepted")
 	}
-	peak := f.peakBytes.Load()
+	peak := b.peakBytes.Load()
 	if bound := uint64(loadMemoryMB * (1 << 20)); peak > bound {
 		t.Errorf("peak memory of %d bytes, want at most %d", peak, bound)
 	}
 	t.Logf("burst: %d submissions accepted, %d rejected, peak memory %d MB",
-		f.accepted.Load(), f.rejected.Load(), peak>>20)
+		b.accepted.Load(), b.rejected.Load(), peak>>20)
 }
 
 // runtimeMemoryBytes returns how much memory the Go runtime has obtained from the system and not released.
