--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -24,8 +24,8 @@
 		return statusResponse(http.StatusOK, status)
 	}
 	for {
-		// If the record was changed by somebody else, it is read again. The loop ends with the context
-		// at the latest, because reading the record fails then.
+		// After a try without a result the record is read again. The loop ends with the context at the
+		// latest, because reading the record fails then.
 		if answer, ok := g.tryCancel(ctx, id); ok {
 			return answer
 		}
@@ -94,15 +94,15 @@
 // confirmCancellation reports whether every leader, current or future, is certain to act on a
 // cancellation that is stored in the state service, so that the user may be told of it. The leader's
 // watch of the open jobs does not ensure this: if the state service first refuses the requests of the
-// leader only and then those of all controllers, the leader stays entitled by the votes of a majority,
-// and may not see the cancellation until long after cancel_s. So one of these conditions must hold after
-// the record was written:
-//   - The leader has replied that it knows the record and was entitled at that time. Then no other
-//     controller was entitled, and later leaders read the record.
-//   - The leader has written a heartbeat record that covers the revision of the record. Such a write
-//     succeeds only while no later term has begun.
+// leader only and then those of all controllers, the votes of a majority keep the leader entitled, and it
+// may not see the cancellation until long after the time cancel_s, within which the job's tasks must be
+// gone. So one of these conditions must hold after the job's record was written:
+//   - The leader has replied that it knows the job's record and was entitled, that is, certain to be the
+//     leader, at that time. Then no other controller was entitled, and later leaders read the record.
+//   - The leader has written a heartbeat record according to which it has observed the revision of the
+//     job's record. Such a write succeeds only while no later term has begun.
 //   - There is no leader key. Then its lease has expired, so that no leader is entitled, and the next
-//     leader reads the record.
+//     leader reads the job's record.
 func (g *Gateway) confirmCancellation(ctx context.Context, id string, open protocol.KeyValue) bool {
 	confirmed := g.dispatcher.ConfirmCancellation(ctx, id, open.Version, open.Value) ||
 		g.peers.ConfirmCancellation(ctx, g.leaderName(), id, open.Version, open.Value) ||
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -24,12 +24,13 @@
 	Dispatcher *leader.Dispatcher
 	Peers      *peer.Peers
 	LeaderName func() string // returns the name of the leading controller, or "" if none is known
-	UserSlots  int           // most user requests handled at once
+	UserSlots  int           // maximum number of user requests handled at once
 	Log        *slog.Logger
 }
 
-// Gateway handles requests. Handle runs on the server's event loop and never blocks: each user request
-// and each relayed heartbeat is handled in a goroutine, and the numbers of these are bounded.
+// Gateway handles the requests that the HTTP server passes to Handle. Handle runs on the server's event
+// loop and never blocks: each user request and each relayed heartbeat is handled in a goroutine, and the
+// numbers of these goroutines are bounded.
 type Gateway struct {
 	node       string
 	settings   *config.Settings
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -114,7 +114,7 @@
 func checkResponsesInOutage(f *gatewayFixture) {
 	f.t.Helper()
 	f.expectRetryLater("open job in an outage", get("/v2/runs/job-4"))
-	// A cancellation that this controller has confirmed is cached like the end of a job.
+	// A cancellation that this controller has confirmed is cached as a final state.
 	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted)
 	f.expect("done job in an outage", get("/v2/runs/job-2"), http.StatusOK, protocol.JobDone)
 	// The response comes at once, so that the user has time left to retry.
@@ -130,13 +130,14 @@
 // TestUnconfirmedCancellationNotReported: a job must not be reported as cancelled while a leader that does
 // not know of the cancellation may be entitled, because its tasks could still be started. This holds for
 // the responses to the cancellation, to a poll and to a repeated submission. The cancellation may be
-// reported once the leader's heartbeat covers the record, or there is no leader.
+// reported once the leader has observed the job's record according to its heartbeat record, or there is no
+// leader.
 func TestUnconfirmedCancellationNotReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		confirm func(f *gatewayFixture, lease, version uint64)
 	}{
-		{"leader's heartbeat covers the record", func(f *gatewayFixture, _, version uint64) {
+		{"leader has observed the record", func(f *gatewayFixture, _, version uint64) {
 			f.storeRecord(storage.KeyLeaderHeartbeat,
 				storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: version})
 		}},
@@ -242,7 +243,7 @@
 		got.retryAfter == 0 {
 		t.Fatalf("submission: status %d, Retry-After %d", got.status, got.retryAfter)
 	}
-	// A request that can never succeed is not told to retry.
+	// Users are not told to retry a request that can never succeed.
 	for _, c := range []struct {
 		name    string
 		request userRequest
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -29,12 +29,13 @@
 	loadJobs           = 300
 	tasksPerJob        = 150
 	cpusPerWorker      = 8
-	loadMemoryMB       = 147 // half the memory of the controllers deployed so far that have as many sockets
+	loadMemoryMB       = 147 // half the memory of deployed controllers with as many sockets
 	loadMaxSockets     = 2907
 	unreachableAddress = "127.0.0.1:1" // the address of all workers, at which nothing answers
 )
 
-// loadFixture is a leading controller under load, with its gateway on real sockets, and its workers.
+// loadFixture is a controller under load and its workers. The workers are connected to the controller's
+// gateway by real sockets, and startTerm makes the controller the leader.
 type loadFixture struct {
 	t            *testing.T
 	ctx          context.Context
@@ -51,7 +52,7 @@
 }
 
 // newLoadFixture starts a controller with a backlog of jobs and connects all workers to it. The controller
-// does not lead yet.
+// is not the leader yet.
 func newLoadFixture(t *testing.T) *loadFixture {
 	t.Helper()
 	settings := loadSettings()
--- a/internal/coordination/gateway/routes.go
+++ b/internal/coordination/gateway/routes.go
@@ -24,7 +24,7 @@
 	actionCancel
 )
 
-// userRoute is what a path of the user API stands for.
+// userRoute is the operation that a request path of the user API selects.
 type userRoute struct {
 	action userAction
 	method string // the only HTTP method that the path allows
