--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -10,42 +10,44 @@
 	"quillshunt/internal/storage"
 )
 
-// errUnconfirmed means that a job is cancelled, but a leader that does not know of it may be entitled.
-var errUnconfirmed = errors.New("cancellation not confirmed yet")
+// errCancellationUnconfirmed means that a job is cancelled according to its record, but a leader that does
+// not know this may still be entitled.
+var errCancellationUnconfirmed = errors.New("cancellation stored but not confirmed by the leader yet")
 
-// cancelJob marks a job as cancelled, and makes sure that the leader knows before the user does.
+// cancelJob marks a job as cancelled. It tells the user that the job is aborted only once the cancellation
+// is confirmed, see confirmCancellation.
 func (g *Gateway) cancelJob(ctx context.Context, id string) response {
 	if !protocol.ValidJobID(id) {
-		return jobNotFound()
+		return jobNotFoundResponse()
 	}
-	if status, ok := g.finalStatus(id); ok {
+	if status, ok := g.cachedFinalStatus(id); ok {
 		return statusResponse(http.StatusOK, status)
 	}
 	for {
-		// A try that finds the record changed is followed by another one. The end of the context ends
-		// the loop, as reading the record fails then.
+		// After a try without a result the record is read again. The loop ends with the context at the
+		// latest, because reading the record fails then.
 		if answer, ok := g.tryCancel(ctx, id); ok {
 			return answer
 		}
 	}
 }
 
-// tryCancel reads a job's record and marks it as cancelled. It returns false if the record changed
-// in between, or may have.
+// tryCancel reads a job's open record and marks the job as cancelled. It returns false if the record was
+// changed between the read and the write, or if it is unknown whether the write was executed.
 func (g *Gateway) tryCancel(ctx context.Context, id string) (response, bool) {
 	open, err := g.store.Get(ctx, storage.OpenJobKey(id))
 	if err != nil {
-		return g.retryLater(err), true
+		return g.retryLaterResponse(err), true
 	}
 	if open.Version == 0 {
-		return g.cancelJobNotOpen(ctx, id)
+		return g.cancelJobWithoutOpenRecord(ctx, id)
 	}
 	var record storage.OpenJob
 	if err := protocol.Decode(open.Value, &record); err != nil {
-		return g.retryLater(err), true
+		return g.retryLaterResponse(err), true
 	}
 	if record.Cancelled {
-		return g.answerCancelled(ctx, id, open), true
+		return g.respondIfConfirmed(ctx, id, open), true
 	}
 	record.Cancelled, record.CancelledAtMs = true, time.Now().UnixMilli()
 	data := protocol.Encode(record.Shortened(g.settings.Facts.State.ValueKB))
@@ -56,61 +58,64 @@
 	var conflict *storage.ConflictError
 	switch {
 	case err == nil:
-		return g.answerCancelled(ctx, id, protocol.KeyValue{Version: revision, Value: data}), true
+		return g.respondIfConfirmed(ctx, id, protocol.KeyValue{Version: revision, Value: data}), true
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrOutcomeUnknown):
-		// The job finished or was cancelled in between, or this write was executed and its answer lost.
+		// The job finished or was cancelled since the read, or this write was executed and its reply
+		// was lost.
 		return response{}, false
 	}
-	return g.retryLater(err), true
+	return g.retryLaterResponse(err), true
 }
 
-// cancelJobNotOpen answers the cancellation of a job that has no open record. It returns false if
-// the job has one after all.
-func (g *Gateway) cancelJobNotOpen(ctx context.Context, id string) (response, bool) {
+// cancelJobWithoutOpenRecord handles the cancellation of a job for which no open record was found. It
+// returns false if the job has one by now.
+func (g *Gateway) cancelJobWithoutOpenRecord(ctx context.Context, id string) (response, bool) {
 	status, found, err := g.readJobStatus(ctx, id)
 	switch {
 	case err != nil:
-		return g.retryLater(err), true
+		return g.retryLaterResponse(err), true
 	case !found:
-		return jobNotFound(), true
+		return jobNotFoundResponse(), true
 	case status.State == protocol.JobDone || status.State == protocol.JobAborted:
 		return statusResponse(http.StatusOK, status), true
 	}
-	return response{}, false // submitted between the two reads
+	return response{}, false // the job was submitted between the two reads
 }
 
-// answerCancelled answers the cancellation of a job whose record says that it is cancelled.
-func (g *Gateway) answerCancelled(ctx context.Context, id string, open protocol.KeyValue) response {
+// respondIfConfirmed handles the cancellation of a job whose open record says that it is cancelled. It
+// tells the user that the job is aborted if the cancellation is confirmed, and to retry otherwise.
+func (g *Gateway) respondIfConfirmed(ctx context.Context, id string, open protocol.KeyValue) response {
 	if !g.confirmCancellation(ctx, id, open) {
-		return g.retryLater(errUnconfirmed)
+		return g.retryLaterResponse(errCancellationUnconfirmed)
 	}
 	return statusResponse(http.StatusOK, protocol.JobStatus{ID: id, State: protocol.JobAborted})
 }
 
-// confirmCancellation reports whether a cancellation that is in the state service binds every
-// leader, so that the user may be told. The leader's own watch does not make sure of that: if the
-// state service refuses first the leader alone and then everybody, the leader goes on by the votes
-// of a quorum and sees nothing of the cancellation until cancel_s is long over. So one of these must
-// hold after the record was written:
-//   - the leader says that it knows the record, and was entitled then: no other was, and later
-//     leaders read the record;
-//   - the leader has written a heartbeat that covers the record: such a write succeeds only while no
-//     later term has begun;
-//   - there is no leader key: its lease has expired, so no leader is entitled, and the next one
-//     reads the record.
+// confirmCancellation reports whether every leader, current or future, is certain to act on a
+// cancellation that is stored in the state service, so that the user may be told of it. The leader's
+// watch of the open jobs does not ensure this: if the state service first refuses the requests of the
+// leader only and then those of all controllers, the votes of a majority keep the leader entitled, and it
+// may not see the cancellation until long after the time cancel_s, within which the job's tasks must be
+// gone. So one of these conditions must hold after the job's record was written:
+//   - The leader has replied that it knows the job's record and was entitled, that is, certain to be the
+//     leader, at that time. Then no other controller was entitled, and later leaders read the record.
+//   - The leader has written a heartbeat record according to which it has observed the revision of the
+//     job's record. Such a write succeeds only while no later term has begun.
+//   - There is no leader key. Then its lease has expired, so that no leader is entitled, and the next
+//     leader reads the job's record.
 func (g *Gateway) confirmCancellation(ctx context.Context, id string, open protocol.KeyValue) bool {
 	confirmed := g.dispatcher.ConfirmCancellation(ctx, id, open.Version, open.Value) ||
 		g.peers.ConfirmCancellation(ctx, g.leaderName(), id, open.Version, open.Value) ||
-		g.coveredByLeaderHeartbeat(ctx, open.Version)
+		g.leaderObservedRevision(ctx, open.Version)
 	if confirmed {
-		g.finalStates.put(id, protocol.JobAborted) // whatever leader comes
+		g.finalStates.put(id, protocol.JobAborted) // later leaders cannot change it
 	}
 	return confirmed
 }
 
-// coveredByLeaderHeartbeat reports whether the leader has observed a revision, by the heartbeat that
-// it writes, or there is no leader.
-func (g *Gateway) coveredByLeaderHeartbeat(ctx context.Context, revision uint64) bool {
+// leaderObservedRevision reports whether the leader has observed a revision according to its heartbeat
+// record, or there is no leader key. It returns false if the state service does not answer.
+func (g *Gateway) leaderObservedRevision(ctx context.Context, revision uint64) bool {
 	stored, err := g.store.Get(ctx, storage.KeyLeaderHeartbeat)
 	if err != nil {
 		return false
--- a/internal/coordination/gateway/simulated_worker_test.go
+++ b/internal/coordination/gateway/simulated_worker_test.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/transport"
 )
 
-// simulatedWorker is a worker's side of a connection. It reads the answer to a heartbeat in a step of
-// its own, so that thousands of workers wait at once.
+// simulatedWorker is a worker with one connection to the gateway. Sending a heartbeat and reading the reply
+// are separate steps, so that thousands of workers can wait for replies at the same time.
 type simulatedWorker struct {
 	conn         net.Conn
 	decoder      *transport.Decoder
@@ -19,8 +19,8 @@
 	tasks        []protocol.TaskStatus
 }
 
-// send sends a heartbeat.
-func (w *simulatedWorker) send(address string) error {
+// sendHeartbeat sends a heartbeat without waiting for the reply.
+func (w *simulatedWorker) sendHeartbeat(address string) error {
 	w.sequence++
 	body := protocol.Encode(protocol.Heartbeat{
 		Machine: w.machine, Address: unreachableAddress, MachineType: "s", Zone: "a",
@@ -30,15 +30,15 @@
 	return err
 }
 
-// receive reads the answer, executes the commands in it and returns its status.
-func (w *simulatedWorker) receive(buffer []byte) (int, error) {
+// receiveReply reads the reply to a heartbeat, executes the commands in it and returns its HTTP status.
+func (w *simulatedWorker) receiveReply(buffer []byte) (int, error) {
 	for {
-		answer, err := w.decoder.Next()
+		reply, err := w.decoder.Next()
 		if err != nil {
 			return 0, err
 		}
-		if answer != nil {
-			return answer.Status, w.execute(answer)
+		if reply != nil {
+			return reply.Status, w.executeCommands(reply)
 		}
 		n, err := w.conn.Read(buffer)
 		if err != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// execute starts the tasks that the answer to a heartbeat commands to start.
-func (w *simulatedWorker) execute(answer *transport.Message) error {
+// executeCommands executes the start commands in the reply to a heartbeat. Others are ignored.
+func (w *simulatedWorker) executeCommands(answer *transport.Message) error {
 	if answer.Status != http.StatusOK {
 		return nil
 	}
