--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -91,13 +91,13 @@
 // newClientServer returns the server for users and workers, which the gateway handles.
 func (c *Controller) newClientServer(shares limits.SocketShares, sockets *transport.SocketBudget) *transport.Server {
 	return transport.NewServer(transport.ServerOptions{
-		Addr:        c.settings.ClientListen,
-		MaxConns:    shares.Inbound,
-		MaxMachines: shares.MachineConns,
-		MachineIdle: limits.Seconds(c.settings.Facts.Workers.LeaseS),
-		Sockets:     sockets,
-		Handle:      c.gateway.Handle,
-		Log:         c.log,
+		Addr:               c.settings.ClientListen,
+		MaxConns:           shares.Inbound,
+		MaxMachineConns:    shares.MachineConns,
+		MachineIdleTimeout: limits.Seconds(c.settings.Facts.Workers.LeaseS),
+		Sockets:            sockets,
+		Handle:             c.gateway.Handle,
+		Log:                c.log,
 	})
 }
 
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -168,12 +168,12 @@
 	})
 	g.Start(f.ctx)
 	serve(f.t, transport.NewServer(transport.ServerOptions{
-		Addr:        f.address,
-		MaxConns:    f.shares.Inbound,
-		MaxMachines: f.shares.MachineConns,
-		Sockets:     sockets,
-		Handle:      g.Handle,
-		Log:         log,
+		Addr:            f.address,
+		MaxConns:        f.shares.Inbound,
+		MaxMachineConns: f.shares.MachineConns,
+		Sockets:         sockets,
+		Handle:          g.Handle,
+		Log:             log,
 	}))
 }
 
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -95,7 +95,7 @@
 	for user := range floodUsers {
 		flood.users.Go(func() {
 			client := transport.NewClient(f.address, 1, limits.MaxBodyBytes)
-			defer client.Close()
+			defer client.CloseIdleConnections()
 			for i := 0; ctx.Err() == nil && i < requestsPerUser; i++ {
 				f.submitInFlood(flood, client, firstFloodJob+user*requestsPerUser+i)
 			}
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -58,7 +58,7 @@
 			// Perhaps only this controller is cut off, and from the other controllers as well, so that
 			// it stays in service. The user's next try must not come here again only because the
 			// connection is still open.
-			rsp.CloseAfter()
+			rsp.CloseAfterResponse()
 		}
 	}
 	rsp.Respond(answer.status, answer.body, retryAfter)
--- a/internal/coordination/leader/cloud_client_test.go
+++ b/internal/coordination/leader/cloud_client_test.go
@@ -47,7 +47,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cloud := NewCloudClient(startServer(t, alwaysRespond(c.status, c.body)), testCloudRPS, nil)
-			defer cloud.client.Close()
+			defer cloud.client.CloseIdleConnections()
 			machines, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
 			if got := errorText(err); got != c.err {
 				t.Errorf("error %q, want %q", got, c.err)
@@ -68,7 +68,7 @@
 // unknown, so that it is repeated.
 func TestRentMachinesMalformedReply(t *testing.T) {
 	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, []int{1})), testCloudRPS, nil)
-	defer cloud.client.Close()
+	defer cloud.client.CloseIdleConnections()
 	_, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
 	if err == nil || errors.Is(err, errNoCapacity) || errors.Is(err, errRentalRejected) {
 		t.Errorf("error %v, want one that does not end the request", err)
@@ -92,7 +92,7 @@
 		rsp.Respond(http.StatusOK, protocol.Encode(page), 0)
 	})
 	cloud := NewCloudClient(address, testCloudRPS, nil)
-	defer cloud.client.Close()
+	defer cloud.client.CloseIdleConnections()
 	machines, err := cloud.ListMachines(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 // TestListMachineTypesRejectsEmptyList: an empty list of machine types is an error.
 func TestListMachineTypesRejectsEmptyList(t *testing.T) {
 	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, protocol.MachineTypeList{})), testCloudRPS, nil)
-	defer cloud.client.Close()
+	defer cloud.client.CloseIdleConnections()
 	const want = "cloud: list machine types: empty list"
 	if _, err := cloud.ListMachineTypes(context.Background()); errorText(err) != want {
 		t.Errorf("error %v, want %s", err, want)
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -32,7 +32,7 @@
 	probeCtx, cancel := context.WithTimeout(ctx, limits.ProbeTimeout)
 	defer cancel()
 	worker := t.dispatcher.newWorkerClient(probe.Address)
-	defer worker.Close()
+	defer worker.CloseIdleConnections()
 	startedAt := time.Now()
 	heartbeat, err := t.probeWorker(probeCtx, worker)
 	if err != nil {
@@ -42,7 +42,7 @@
 		Machine:   probe.Machine,
 		Heartbeat: heartbeat,
 		Took:      time.Since(startedAt),
-		NotSent:   errors.Is(err, transport.ErrSocketBudget),
+		NotSent:   errors.Is(err, transport.ErrSocketBudgetExhausted),
 	})
 }
 
--- a/internal/coordination/leader/server_test.go
+++ b/internal/coordination/leader/server_test.go
@@ -69,7 +69,7 @@
 func startWorker(t *testing.T, status int, body any) *transport.Client {
 	t.Helper()
 	worker := transport.NewClient(startServer(t, alwaysRespond(status, body)), 1, limits.MaxBodyBytes)
-	t.Cleanup(func() { worker.Close() })
+	t.Cleanup(func() { worker.CloseIdleConnections() })
 	return worker
 }
 
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -95,7 +95,7 @@
 		case toWriter <- next:
 			t.writes.pop()
 		case <-tick.C:
-			t.workerClients.evict(t.dispatcher.sockets.Excess())
+			t.workerClients.evict(t.dispatcher.sockets.ExcessOutbound())
 			t.step(ctx, scheduler.Tick{Entitled: t.leadership.Entitled()})
 		case msg := <-t.mailbox:
 			t.handleMessage(ctx, msg)
--- a/internal/coordination/leader/worker_clients.go
+++ b/internal/coordination/leader/worker_clients.go
@@ -42,7 +42,7 @@
 		if n <= 0 {
 			return
 		}
-		n -= max(client.Close(), 1)
+		n -= max(client.CloseIdleConnections(), 1)
 		delete(p.byAddress, address)
 	}
 }
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -28,7 +28,7 @@
 			return err
 		}
 		pkg := filepath.ToSlash(filepath.Dir(path))
-		own, ok := layer[pkg]
+		ownLayer, ok := layer[pkg]
 		if !ok {
 			t.Errorf("%s: package is in no layer", pkg)
 			return nil
@@ -38,12 +38,12 @@
 		if err != nil {
 			return err
 		}
-		for _, im := range f.Imports {
-			name, err := strconv.Unquote(im.Path.Value)
+		for _, imported := range f.Imports {
+			name, err := strconv.Unquote(imported.Path.Value)
 			if err != nil {
 				return err
 			}
-			if rest, ours := strings.CutPrefix(name, "quillshunt/internal/"); ours && layer[rest] >= own {
+			if rest, inModule := strings.CutPrefix(name, "quillshunt/internal/"); inModule && layer[rest] >= ownLayer {
 				t.Errorf("%s imports %s", path, rest)
 			}
 			if pkg == "coordination/scheduler" && (name == "net" || name == "math/rand/v2") {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -135,7 +135,7 @@
 
 // follow goes to the leader, if it is known, and closes the connection that is left.
 func (l *controllerList) follow(leader string) {
-	l.client().Close()
+	l.client().CloseIdleConnections()
 	if at := slices.Index(l.names, leader); at >= 0 {
 		l.at = at
 	}
@@ -143,7 +143,7 @@
 
 func (l *controllerList) close() {
 	for _, client := range l.clients {
-		client.Close()
+		client.CloseIdleConnections()
 	}
 }
 
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -137,7 +137,7 @@
 // connect opens a connection.
 func (c *Client) connect(ctx context.Context) (*clientConn, error) {
 	if !c.sockets.acquireOutbound() {
-		return nil, fmt.Errorf("dial %s: %w", c.addr, ErrSocketBudget)
+		return nil, fmt.Errorf("dial %s: %w", c.addr, ErrSocketBudgetExhausted)
 	}
 	conn, err := c.dialer.dialTimeout(ctx, c.addr, c.dialTimeout)
 	if err != nil {
@@ -186,7 +186,7 @@
 	defer stop()
 	m, err := c.roundTrip(req)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return c.answerAfterDeadline(err)
+		return c.receiveAfterDeadline(err)
 	}
 	return m, err
 }
@@ -201,7 +201,7 @@
 	}
 	for {
 		n, err := c.conn.Read(c.buffer)
-		m, decodeErr := c.feed(n, errors.Is(err, io.EOF))
+		m, decodeErr := c.decode(n, errors.Is(err, io.EOF))
 		if m != nil || decodeErr != nil {
 			return m, decodeErr
 		}
@@ -254,15 +254,15 @@
 		case errno != 0:
 			return nil, fmt.Errorf("read: %w", errno)
 		}
-		m, err := c.feed(n, n == 0)
+		m, err := c.decode(n, n == 0)
 		if m != nil || err != nil || n < len(c.buffer) {
 			return m, err
 		}
 	}
 }
 
-// feed hands the first n bytes of the buffer to the decoder, or the end of the stream.
-func (c *clientConn) feed(n int, end bool) (*Message, error) {
+// decode hands the first n bytes of the buffer to the decoder, or the end of the stream.
+func (c *clientConn) decode(n int, end bool) (*Message, error) {
 	if n > 0 {
 		c.decoder.Feed(c.buffer[:n])
 		if m, err := c.decoder.Next(); m != nil || err != nil {
@@ -272,17 +272,17 @@
 	if !end {
 		return nil, nil
 	}
-	m, err := c.decoder.EOF()
+	m, err := c.decoder.HandleEOF()
 	if err != nil {
 		return nil, fmt.Errorf("read: %w", io.ErrUnexpectedEOF)
 	}
 	return m, nil
 }
 
-// answerAfterDeadline returns an answer that had arrived although the deadline passed before it was
+// receiveAfterDeadline returns an answer that had arrived although the deadline passed before it was
 // read, as happens to a process that gets too little of its processor. If that counted as no answer,
 // an overloaded leader would give up its lease. It returns the timeout error if nothing has arrived.
-func (c *clientConn) answerAfterDeadline(timeout error) (m *Message, err error) {
+func (c *clientConn) receiveAfterDeadline(timeout error) (m *Message, err error) {
 	if c.raw == nil {
 		return nil, timeout
 	}
@@ -298,8 +298,8 @@
 	return m, err
 }
 
-// Close closes the idle connections and returns how many there were. The client can be used again.
-func (c *Client) Close() int {
+// CloseIdleConnections closes the idle connections and returns how many there were. The client can be used again.
+func (c *Client) CloseIdleConnections() int {
 	for n := 0; ; n++ {
 		select {
 		case conn := <-c.idle:
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -11,9 +11,9 @@
 	"quillshunt/internal/limits"
 )
 
-// TestAnswerBeforeDeadline: an answer that was there before the deadline is taken, although the
+// TestResponseReadAfterDeadline: an answer that was there before the deadline is taken, although the
 // process came to read it only after that.
-func TestAnswerBeforeDeadline(t *testing.T) {
+func TestResponseReadAfterDeadline(t *testing.T) {
 	server := startServer(t, ServerOptions{
 		MaxConns: 10,
 		Handle:   func(_ *Message, rsp *Responder) { rsp.Respond(http.StatusOK, []byte("held"), 0) },
@@ -27,14 +27,14 @@
 	}
 	defer conn.close()
 	timeout := os.ErrDeadlineExceeded
-	if m, err := conn.answerAfterDeadline(timeout); m != nil || !errors.Is(err, timeout) {
+	if m, err := conn.receiveAfterDeadline(timeout); m != nil || !errors.Is(err, timeout) {
 		t.Fatalf("nothing was asked: %v, %v", m, err)
 	}
 	if _, err := conn.conn.Write(AppendRequest(nil, "GET", "/", server.Addr(), nil)); err != nil {
 		t.Fatal(err)
 	}
 	for ctx.Err() == nil {
-		m, err := conn.answerAfterDeadline(timeout)
+		m, err := conn.receiveAfterDeadline(timeout)
 		if m != nil {
 			if string(m.Body) != "held" || !m.Close {
 				t.Errorf("answer %q, connection ends: %v", m.Body, m.Close)
@@ -49,15 +49,15 @@
 	t.Fatal("the answer was not seen")
 }
 
-// TestLargeRequest: a request that the socket does not take at once is sent whole, and the
+// TestRequestLargerThanSocketBuffer: a request that the socket does not take at once is sent whole, and the
 // connection can be used again.
-func TestLargeRequest(t *testing.T) {
+func TestRequestLargerThanSocketBuffer(t *testing.T) {
 	server := startServer(t, ServerOptions{
 		MaxConns: 10,
 		Handle:   func(req *Message, rsp *Responder) { rsp.Respond(http.StatusOK, req.Body, 0) },
 	})
 	c := NewClient(server.Addr(), 1, limits.MaxBodyBytes)
-	defer c.Close()
+	defer c.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	body := make([]byte, limits.MaxBodyBytes)
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -16,25 +16,25 @@
 	wake   func() // has the loop look for the answer
 	server *Server
 	// inline is true while the handler runs on the loop: then no wake is needed.
-	inline   bool
-	answered bool // guarded by conn.mu
+	inline    bool
+	responded bool // guarded by conn.mu
 }
 
 // serverConn is the state of an inbound connection. It is guarded by the server's mutex, but for
 // what its own mutex guards because answers come from other goroutines.
 type serverConn struct {
-	decoder     *Decoder
-	lastStatus  int  // of the last answer, or 0; guarded by mu
-	handling    bool // a request is being worked on
-	lastActive  time.Time
-	closing     bool
-	draining    bool // rejected, but its sender is still sending
-	fromMachine bool // counts among the connections of machines
+	decoder           *Decoder
+	lastStatus        int  // of the last answer, or 0; guarded by mu
+	requestInProgress bool // a request is being worked on
+	lastActive        time.Time
+	closing           bool
+	discardingInput   bool // rejected, but its sender is still sending
+	fromMachine       bool // counts among the connections of machines
 
-	mu          sync.Mutex
-	answer      []byte
-	answerReady bool
-	closeAfter  bool // close once the answer is written
+	mu                 sync.Mutex
+	response           []byte
+	responseReady      bool
+	closeAfterResponse bool // close once the answer is written
 }
 
 // rejectMalformed answers a malformed request. One that is too large is answered 400 as well: any
@@ -44,31 +44,31 @@
 	if errors.Is(err, ErrTooLarge) {
 		// Closing now, with bytes still coming in, would reset the connection before the answer is
 		// read. The rest is thrown away until the sender closes, or for a while.
-		c.draining = true
+		c.discardingInput = true
 		return out, gnet.None
 	}
 	c.closing = true
 	return out, gnet.Close
 }
 
-// takeAnswer returns the answer to the current request if it is ready.
-func (c *serverConn) takeAnswer() ([]byte, gnet.Action) {
+// takeResponse returns the answer to the current request if it is ready.
+func (c *serverConn) takeResponse() ([]byte, gnet.Action) {
 	c.mu.Lock()
-	answer, closing, ready := c.answer, c.closeAfter, c.answerReady
+	response, closing, ready := c.response, c.closeAfterResponse, c.responseReady
 	if ready {
-		c.answer, c.answerReady = nil, false
+		c.response, c.responseReady = nil, false
 	}
 	c.mu.Unlock()
 	if !ready {
 		return nil, gnet.None
 	}
-	c.handling = false
+	c.requestInProgress = false
 	c.lastActive = time.Now()
 	if closing || c.decoder.Buffered() > 0 { // nobody pipelines, so a connection that does gets one answer
 		c.closing = true
-		return answer, gnet.Close
+		return response, gnet.Close
 	}
-	return answer, gnet.None
+	return response, gnet.None
 }
 
 // PreviousStatus returns the status of the previous answer on the same connection, or 0. As nobody
@@ -80,14 +80,14 @@
 }
 
 // ClaimMachineSlot counts the connection among those of machines; it is called while the handler
-// runs. It returns false, and the connection ends with the answer, if there are MaxMachines of these
+// runs. It returns false, and the connection ends with the answer, if there are MaxMachineConns of these
 // already: users need the rest.
 func (r *Responder) ClaimMachineSlot() bool {
 	if r.conn.fromMachine {
 		return true
 	}
-	if r.server.options.MaxMachines > 0 && r.server.machineConns >= r.server.options.MaxMachines {
-		r.CloseAfter()
+	if r.server.options.MaxMachineConns > 0 && r.server.machineConns >= r.server.options.MaxMachineConns {
+		r.CloseAfterResponse()
 		return false
 	}
 	r.conn.fromMachine = true
@@ -95,10 +95,10 @@
 	return true
 }
 
-// CloseAfter makes the connection end with the answer.
-func (r *Responder) CloseAfter() {
+// CloseAfterResponse makes the connection end with the answer.
+func (r *Responder) CloseAfterResponse() {
 	r.conn.mu.Lock()
-	r.conn.closeAfter = true
+	r.conn.closeAfterResponse = true
 	r.conn.mu.Unlock()
 }
 
@@ -107,14 +107,14 @@
 func (r *Responder) Respond(status int, body []byte, retryAfter int) {
 	c := r.conn
 	c.mu.Lock()
-	if r.answered {
+	if r.responded {
 		c.mu.Unlock()
 		return
 	}
-	r.answered = true
+	r.responded = true
 	c.lastStatus = status
-	c.answer = AppendResponse(nil, status, body, retryAfter, c.closeAfter)
-	c.answerReady = true
+	c.response = AppendResponse(nil, status, body, retryAfter, c.closeAfterResponse)
+	c.responseReady = true
 	inline := r.inline
 	c.mu.Unlock()
 	if !inline {
--- a/internal/transport/decoder.go
+++ b/internal/transport/decoder.go
@@ -11,7 +11,7 @@
 
 const (
 	phaseHead       phase = iota // start line and headers
-	phaseLength                  // a body of known length
+	phaseFixedBody               // a body of known length
 	phaseChunkSize               // the size line of a chunk
 	phaseChunkData               // the bytes of a chunk
 	phaseChunkEnd                // the line end after a chunk
@@ -25,7 +25,7 @@
 	response           bool
 	maxBody            int
 	buffer             []byte
-	leadingLineSkipped bool // the line before a request was dealt with
+	leadingLineChecked bool // the line before a request was dealt with
 	scanned            int  // bytes of buf already searched for the end of the head
 	phase              phase
 	message            *Message
@@ -46,8 +46,8 @@
 // Buffered returns how many bytes wait to be parsed.
 func (d *Decoder) Buffered() int { return len(d.buffer) }
 
-// Started reports whether part of a message has arrived.
-func (d *Decoder) Started() bool { return len(d.buffer) > 0 || d.phase != phaseHead }
+// HasPartialMessage reports whether part of a message has arrived.
+func (d *Decoder) HasPartialMessage() bool { return len(d.buffer) > 0 || d.phase != phaseHead }
 
 // Next returns the next complete message, or nil if more bytes are needed. Errors wrap ErrMalformed
 // or are ErrTooLarge; after one the stream is of no further use.
@@ -67,9 +67,9 @@
 	return m, nil
 }
 
-// EOF tells the decoder that the stream is over. It returns a response whose
+// HandleEOF tells the decoder that the stream is over. It returns a response whose
 // body ends with the stream, if that is what was being read.
-func (d *Decoder) EOF() (*Message, error) {
+func (d *Decoder) HandleEOF() (*Message, error) {
 	if d.err != nil {
 		return nil, d.err
 	}
@@ -87,7 +87,7 @@
 }
 
 func (d *Decoder) reset() {
-	d.phase, d.message, d.remaining, d.scanned, d.trailerBytes, d.leadingLineSkipped = phaseHead, nil, 0, 0, 0, false
+	d.phase, d.message, d.remaining, d.scanned, d.trailerBytes, d.leadingLineChecked = phaseHead, nil, 0, 0, 0, false
 }
 
 func (d *Decoder) finish() *Message {
@@ -112,8 +112,8 @@
 	switch d.phase {
 	case phaseHead:
 		return d.readHead()
-	case phaseLength:
-		return d.readLength()
+	case phaseFixedBody:
+		return d.readFixedBody()
 	case phaseChunkSize:
 		return d.readChunkSize()
 	case phaseChunkData:
@@ -130,12 +130,12 @@
 func (d *Decoder) readHead() (m *Message, more bool, err error) {
 	// One empty line before a request is tolerated, as the standard asks. It is decided before
 	// anything else is looked at, so that it does not matter in which pieces it comes.
-	if !d.response && !d.leadingLineSkipped {
+	if !d.response && !d.leadingLineChecked {
 		if len(d.buffer) == 0 || (len(d.buffer) == 1 && d.buffer[0] == '\r') {
 			return nil, false, nil
 		}
 		d.buffer = bytes.TrimPrefix(d.buffer, []byte("\r\n"))
-		d.leadingLineSkipped = true
+		d.leadingLineChecked = true
 	}
 	from := max(0, d.scanned-3)
 	i := bytes.Index(d.buffer[from:], []byte("\r\n\r\n"))
@@ -161,7 +161,7 @@
 	return nil, true, nil
 }
 
-func (d *Decoder) readLength() (m *Message, more bool, err error) {
+func (d *Decoder) readFixedBody() (m *Message, more bool, err error) {
 	if len(d.buffer) < d.remaining {
 		return nil, false, nil
 	}
--- a/internal/transport/decoder_test.go
+++ b/internal/transport/decoder_test.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/limits"
 )
 
-// parseAll feeds a stream in pieces and returns what comes out.
-func parseAll(response bool, pieces [][]byte) ([]Message, error) {
+// decodeAll feeds a stream in pieces and returns what comes out.
+func decodeAll(response bool, pieces [][]byte) ([]Message, error) {
 	d := NewRequestDecoder(limits.MaxBodyBytes)
 	if response {
 		d = NewResponseDecoder(limits.MaxBodyBytes)
@@ -32,7 +32,7 @@
 		}
 	}
 	if response {
-		if m, err := d.EOF(); err == nil {
+		if m, err := d.HandleEOF(); err == nil {
 			out = append(out, *m)
 		}
 	}
@@ -49,7 +49,7 @@
 	return out
 }
 
-func sameMessages(a, b []Message) bool {
+func equalMessages(a, b []Message) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -88,9 +88,9 @@
 	return append(out, "0\r\nTrailer: x\r\n\r\n"...)
 }
 
-// TestSplitsParseAlike: any split of the same bytes gives the same messages, whether they are well
+// TestDecodingIsIndependentOfSplits: any split of the same bytes gives the same messages, whether they are well
 // formed or not.
-func TestSplitsParseAlike(t *testing.T) {
+func TestDecodingIsIndependentOfSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		response := rapid.Bool().Draw(t, "response")
 		var stream []byte
@@ -114,26 +114,26 @@
 			i := rapid.IntRange(0, len(stream)-1).Draw(t, "where")
 			stream[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		}
-		whole, wholeErr := parseAll(response, [][]byte{append([]byte(nil), stream...)})
-		parts, partsErr := parseAll(response, splitRandomly(t, stream))
-		if (wholeErr == nil) != (partsErr == nil) || !sameMessages(whole, parts) {
+		whole, wholeErr := decodeAll(response, [][]byte{append([]byte(nil), stream...)})
+		parts, partsErr := decodeAll(response, splitRandomly(t, stream))
+		if (wholeErr == nil) != (partsErr == nil) || !equalMessages(whole, parts) {
 			t.Fatalf("whole: %v %v\nparts: %v %v", whole, wholeErr, parts, partsErr)
 		}
 	})
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
 		target := "/kv/" + rapid.StringMatching(`[a-z0-9/._-]{1,40}`).Draw(t, "key")
-		got, err := parseAll(false, [][]byte{AppendRequest(nil, "POST", target, "h", body)})
+		got, err := decodeAll(false, [][]byte{AppendRequest(nil, "POST", target, "h", body)})
 		request := Message{Method: "POST", Path: target, Body: body}
-		if err != nil || !sameMessages(got, []Message{request}) {
+		if err != nil || !equalMessages(got, []Message{request}) {
 			t.Fatalf("request: %v %v", got, err)
 		}
-		got, err = parseAll(true, [][]byte{AppendResponse(nil, 503, body, 7, true)})
+		got, err = decodeAll(true, [][]byte{AppendResponse(nil, 503, body, 7, true)})
 		response := Message{Status: 503, RetryAfter: 7, Close: true, Body: body}
-		if err != nil || !sameMessages(got, []Message{response}) {
+		if err != nil || !equalMessages(got, []Message{response}) {
 			t.Fatalf("response: %v %v", got, err)
 		}
 	})
@@ -176,7 +176,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if _, err := parseAll(false, [][]byte{[]byte(test.input)}); !errors.Is(err, test.want) {
+			if _, err := decodeAll(false, [][]byte{[]byte(test.input)}); !errors.Is(err, test.want) {
 				t.Errorf("got %v, want %v", err, test.want)
 			}
 		})
@@ -190,15 +190,15 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"), uint8(1))
 	f.Fuzz(func(t *testing.T, b []byte, step uint8) {
 		for _, response := range []bool{false, true} {
-			whole, wholeErr := parseAll(response, [][]byte{append([]byte(nil), b...)})
+			whole, wholeErr := decodeAll(response, [][]byte{append([]byte(nil), b...)})
 			var pieces [][]byte
 			for rest := b; len(rest) > 0; {
 				n := min(int(step%16)+1, len(rest))
 				pieces = append(pieces, append([]byte(nil), rest[:n]...))
 				rest = rest[n:]
 			}
-			parts, partsErr := parseAll(response, pieces)
-			if (wholeErr == nil) != (partsErr == nil) || !sameMessages(whole, parts) {
+			parts, partsErr := decodeAll(response, pieces)
+			if (wholeErr == nil) != (partsErr == nil) || !equalMessages(whole, parts) {
 				t.Fatalf("whole %v %v, parts %v %v", whole, wholeErr, parts, partsErr)
 			}
 		}
--- a/internal/transport/encode.go
+++ b/internal/transport/encode.go
@@ -39,8 +39,8 @@
 }
 
 // AppendResponse appends a response to dst. A retryAfter above 0, in seconds, becomes a Retry-After
-// header; closing announces that the connection ends with the response.
-func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
+// header; closeAfter announces that the connection ends with the response.
+func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closeAfter bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
@@ -54,7 +54,7 @@
 		dst = append(dst, "\r\nRetry-After: "...)
 		dst = strconv.AppendInt(dst, int64(retryAfter), 10)
 	}
-	if closing {
+	if closeAfter {
 		dst = append(dst, "\r\nConnection: close"...)
 	}
 	dst = append(dst, "\r\n\r\n"...)
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -83,7 +83,7 @@
 func (e *eventHandler) OnTick() (time.Duration, gnet.Action) {
 	e.server.mu.Lock()
 	defer e.server.mu.Unlock()
-	e.server.closeIdle()
+	e.server.closeTimedOutConns()
 	return limits.ConnSweepInterval, gnet.None
 }
 
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -12,34 +12,34 @@
 
 // head is what a start line and its headers say.
 type head struct {
-	message *Message
-	minor   byte // minor version of HTTP/1, a digit
-	length  int  // of the body; -1: not given
-	chunked bool
+	message       *Message
+	minorVersion  byte // minor version of HTTP/1, a digit
+	contentLength int  // of the body; -1: not given
+	chunked       bool
 }
 
 // parseHead parses the start line and headers, and sets the phase for the body.
 func (d *Decoder) parseHead(b []byte) error {
 	line, rest, _ := bytes.Cut(b, []byte("\r\n"))
-	h := head{message: &Message{}, length: -1}
+	h := head{message: &Message{}, contentLength: -1}
 	var err error
 	if d.response {
-		h.minor, err = parseStatusLine(line, h.message)
+		h.minorVersion, err = parseStatusLine(line, h.message)
 	} else {
-		h.minor, err = parseRequestLine(line, h.message)
+		h.minorVersion, err = parseRequestLine(line, h.message)
 	}
 	if err != nil {
 		return err
 	}
-	h.message.Close = h.minor == '0'
+	h.message.Close = h.minorVersion == '0'
 	if err := h.parseHeaders(rest); err != nil {
 		return err
 	}
-	if h.chunked && (h.length >= 0 || h.minor == '0') {
+	if h.chunked && (h.contentLength >= 0 || h.minorVersion == '0') {
 		// Two ways to tell the length are how requests are smuggled.
 		return fmt.Errorf("%w: both a length and a transfer coding", ErrMalformed)
 	}
-	if h.length > d.maxBody {
+	if h.contentLength > d.maxBody {
 		return ErrTooLarge
 	}
 	d.message = h.message
@@ -55,9 +55,9 @@
 	case d.response && (status == http.StatusNoContent || status == http.StatusNotModified):
 	case h.chunked:
 		d.phase = phaseChunkSize
-	case h.length > 0:
-		d.phase, d.remaining = phaseLength, h.length
-	case h.length < 0 && d.response:
+	case h.contentLength > 0:
+		d.phase, d.remaining = phaseFixedBody, h.contentLength
+	case h.contentLength < 0 && d.response:
 		d.phase = phaseUntilClose
 	}
 	return nil
@@ -90,10 +90,10 @@
 		if err != nil {
 			return err
 		}
-		if h.length >= 0 && h.length != length {
+		if h.contentLength >= 0 && h.contentLength != length {
 			return fmt.Errorf("%w: conflicting lengths", ErrMalformed)
 		}
-		h.length = length
+		h.contentLength = length
 	case equalFold(name, "transfer-encoding"):
 		if h.chunked || !strings.EqualFold(value, "chunked") {
 			return fmt.Errorf("%w: transfer coding", ErrMalformed)
@@ -115,7 +115,7 @@
 		switch option = strings.TrimSpace(option); {
 		case strings.EqualFold(option, "close"):
 			h.message.Close = true
-		case strings.EqualFold(option, "keep-alive") && h.minor == '0':
+		case strings.EqualFold(option, "keep-alive") && h.minorVersion == '0':
 			h.message.Close = false
 		}
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -20,13 +20,13 @@
 
 // ServerOptions configure a Server.
 type ServerOptions struct {
-	Addr        string        // to listen on
-	MaxConns    int           // connections at once
-	MaxMachines int           // of these, connections of machines; 0: all
-	MachineIdle time.Duration // closes an idle machine's connection, if less than ConnIdleTimeout; 0: no own limit
-	Sockets     *SocketBudget // which connections count against; nil: none
-	Handle      Handler
-	Log         *slog.Logger
+	Addr               string        // to listen on
+	MaxConns           int           // connections at once
+	MaxMachineConns    int           // of these, connections of machines; 0: all
+	MachineIdleTimeout time.Duration // closes idle connections of machines; 0: ConnIdleTimeout
+	Sockets            *SocketBudget // which connections count against; nil: none
+	Handle             Handler
+	Log                *slog.Logger
 }
 
 // Server serves HTTP on one address by an event loop of gnet.
@@ -76,28 +76,28 @@
 			c.decoder.Feed(buf[:n])
 			continue
 		}
-		answer, closing := s.handleAndWait(c, req)
-		if _, err := conn.Write(answer); err != nil || closing {
+		response, closing := s.handleAndAwaitResponse(c, req)
+		if _, err := conn.Write(response); err != nil || closing {
 			return
 		}
 	}
 }
 
-// handleAndWait hands a request to the handler and waits for the answer. It reports whether the
+// handleAndAwaitResponse hands a request to the handler and waits for the answer. It reports whether the
 // connection ends with it.
-func (s *Server) handleAndWait(c *serverConn, req *Message) (answer []byte, closing bool) {
-	answered := make(chan struct{})
-	r := &Responder{conn: c, wake: func() { close(answered) }, server: s}
+func (s *Server) handleAndAwaitResponse(c *serverConn, req *Message) (response []byte, closing bool) {
+	responded := make(chan struct{})
+	r := &Responder{conn: c, wake: func() { close(responded) }, server: s}
 	s.mu.Lock()
-	c.closeAfter = req.Close
+	c.closeAfterResponse = req.Close
 	s.options.Handle(req, r)
 	s.mu.Unlock()
-	<-answered
+	<-responded
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	answer, closing = c.answer, c.closeAfter
-	c.answer, c.answerReady = nil, false
-	return answer, closing
+	response, closing = c.response, c.closeAfterResponse
+	c.response, c.responseReady = nil, false
+	return response, closing
 }
 
 // Run serves until the context ends, and then returns nil. It returns an error if the address can't
@@ -161,15 +161,15 @@
 	return listener.Close()
 }
 
-// closeIdle closes connections that are idle or whose request does not end. The caller holds mu.
-func (s *Server) closeIdle() {
+// closeTimedOutConns closes connections that are idle or whose request does not end. The caller holds mu.
+func (s *Server) closeTimedOutConns() {
 	now := time.Now()
 	for conn, c := range s.conns {
 		limit := limits.ConnIdleTimeout
-		if c.fromMachine && s.options.MachineIdle > 0 {
-			limit = min(limit, s.options.MachineIdle)
+		if c.fromMachine && s.options.MachineIdleTimeout > 0 {
+			limit = min(limit, s.options.MachineIdleTimeout)
 		}
-		if c.draining || (!c.handling && c.decoder.Started()) {
+		if c.discardingInput || (!c.requestInProgress && c.decoder.HasPartialMessage()) {
 			limit = limits.RequestReadTimeout
 		}
 		if now.Sub(c.lastActive) > limit {
@@ -182,19 +182,19 @@
 // handleBytes handles new bytes of a connection (in is nil when the loop was woken): first an answer
 // that is ready, then the next request. It runs on the loop; the caller holds mu.
 func (s *Server) handleBytes(conn gnet.Conn, c *serverConn, in []byte) ([]byte, gnet.Action) {
-	if c.draining {
+	if c.discardingInput {
 		return nil, gnet.None
 	}
 	if len(in) > 0 {
-		if !c.decoder.Started() {
+		if !c.decoder.HasPartialMessage() {
 			c.lastActive = time.Now()
 		}
 		c.decoder.Feed(in)
-		if c.handling && c.decoder.Buffered() > limits.MaxHeadBytes+limits.MaxBodyBytes {
+		if c.requestInProgress && c.decoder.Buffered() > limits.MaxHeadBytes+limits.MaxBodyBytes {
 			return nil, gnet.Close
 		}
 	}
-	if !c.handling {
+	if !c.requestInProgress {
 		req, err := c.decoder.Next()
 		if err != nil {
 			return c.rejectMalformed(err)
@@ -204,15 +204,15 @@
 		}
 		s.handle(conn, c, req)
 	}
-	return c.takeAnswer()
+	return c.takeResponse()
 }
 
 // handle calls the handler with a request. Its answer may be ready already when it returns.
 func (s *Server) handle(conn gnet.Conn, c *serverConn, req *Message) {
-	c.handling = true
+	c.requestInProgress = true
 	r := &Responder{conn: c, wake: func() { _ = conn.Wake(nil) }, server: s, inline: true}
 	c.mu.Lock()
-	c.closeAfter = req.Close
+	c.closeAfterResponse = req.Close
 	c.mu.Unlock()
 	s.options.Handle(req, r)
 	c.mu.Lock()
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -14,10 +14,10 @@
 	"quillshunt/internal/limits"
 )
 
-// TestUnreadAnswers: a connection that asks on without reading its answers is closed, so that they
+// TestUnreadResponsesCloseConnection: a connection that asks on without reading its answers is closed, so that they
 // don't pile up.
-func TestUnreadAnswers(t *testing.T) {
-	const enough = 2000 // answers that no socket holds
+func TestUnreadResponsesCloseConnection(t *testing.T) {
+	const maxUnread = 2000 // answers that no socket holds
 	handled := make(chan struct{}, 1)
 	server := startServer(t, ServerOptions{MaxConns: 10, Handle: func(_ *Message, r *Responder) {
 		r.Respond(200, make([]byte, limits.MaxBodyBytes), 0)
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	req := AppendRequest(nil, "GET", "/", server.Addr(), nil)
-	for range enough {
+	for range maxUnread {
 		if _, err := conn.Write(req); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatal(err)
@@ -44,7 +44,7 @@
 		case <-time.After(100 * time.Millisecond): // the next write tells whether the connection was closed
 		}
 	}
-	t.Fatalf("%d answers were taken for a connection that reads none", enough)
+	t.Fatalf("%d answers were taken for a connection that reads none", maxUnread)
 }
 
 // TestAddressInUse: a second server on an address fails instead of sharing it.
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestServerStops: a server whose context ends closes its connections, and its address is free again.
-func TestServerStops(t *testing.T) {
+// TestServerClosesConnectionsOnStop: a server whose context ends closes its connections, and its address is free again.
+func TestServerClosesConnectionsOnStop(t *testing.T) {
 	server, stop := startStoppableServer(t, ServerOptions{MaxConns: 10, Handle: respondOK})
 	conn, err := net.Dial("tcp", server.Addr())
 	if err != nil {
@@ -91,26 +91,26 @@
 	})
 	req := AppendRequest(nil, "POST", "/v1/report", server.Addr(), make([]byte, 20_000))
 	buffer := make([]byte, 8192)
-	defer openAnswered(t, server.Addr(), req, buffer).Close()
-	before := heapBytes()
+	defer openServedConn(t, server.Addr(), req, buffer).Close()
+	before := liveHeapBytes()
 	for range conns {
-		defer openAnswered(t, server.Addr(), req, buffer).Close()
+		defer openServedConn(t, server.Addr(), req, buffer).Close()
 	}
-	if after := heapBytes(); after > before+conns*limits.MaxIdleConnBytes {
+	if after := liveHeapBytes(); after > before+conns*limits.MaxIdleConnBytes {
 		t.Errorf("%d bytes of heap for each connection", (after-before)/conns)
 	}
 }
 
-// heapBytes returns the size of the live heap.
-func heapBytes() uint64 {
+// liveHeapBytes returns the size of the live heap.
+func liveHeapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// openAnswered opens a connection, sends a request on it and reads the answer through the buffer.
-func openAnswered(t *testing.T, addr string, req, buffer []byte) net.Conn {
+// openServedConn opens a connection, sends a request on it and reads the answer through the buffer.
+func openServedConn(t *testing.T, addr string, req, buffer []byte) net.Conn {
 	t.Helper()
 	conn := dialUntilAccepted(addr)
 	if _, err := conn.Write(req); err != nil {
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// ErrSocketBudget means that a call was not tried because inbound connections need the sockets. It
+// ErrSocketBudgetExhausted means that a call was not tried because inbound connections need the sockets. It
 // wraps ErrNotSent.
-var ErrSocketBudget = fmt.Errorf("%w: no socket to spare", ErrNotSent)
+var ErrSocketBudgetExhausted = fmt.Errorf("%w: no socket to spare", ErrNotSent)
 
 // SocketBudget shares a number of sockets by need between inbound connections and outbound ones to
 // workers. Inbound connections go first: outbound ones may not take the last sockets, and idle ones
-// are closed to make room (see Excess). Calls that must always get through, such as those to the
+// are closed to make room (see ExcessOutbound). Calls that must always get through, such as those to the
 // state service, are not counted here and have sockets of their own. A nil budget has no limit.
 type SocketBudget struct {
 	total    int64 // for both together
@@ -58,8 +58,8 @@
 	return true
 }
 
-// Excess returns how many connections to workers should be closed so that inbound ones find room.
-func (s *SocketBudget) Excess() int {
+// ExcessOutbound returns how many connections to workers should be closed so that inbound ones find room.
+func (s *SocketBudget) ExcessOutbound() int {
 	if s == nil {
 		return 0
 	}
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -63,8 +63,8 @@
 func TestSocketBudgetExhausted(t *testing.T) {
 	const total, headroom, maxConns, maxMachines = 60, 5, 50, 30
 	sockets := NewSocketBudget(total, headroom)
-	front := startServer(t, ServerOptions{
-		MaxConns: maxConns, MaxMachines: maxMachines, Sockets: sockets,
+	server := startServer(t, ServerOptions{
+		MaxConns: maxConns, MaxMachineConns: maxMachines, Sockets: sockets,
 		Handle: func(req *Message, rsp *Responder) {
 			if req.Path == "/v1/report" && !rsp.ClaimMachineSlot() {
 				rsp.Respond(http.StatusServiceUnavailable, nil, 0)
@@ -77,16 +77,16 @@
 
 	// Connections to workers take what is free, but for the headroom, and then fail before anything
 	// is sent.
-	direct := connectUntilExhausted(t, worker.Addr(), sockets)
-	if n := len(direct); n < total-headroom-1 || n > total-headroom {
+	workerClients := connectUntilExhausted(t, worker.Addr(), sockets)
+	if n := len(workerClients); n < total-headroom-1 || n > total-headroom {
 		t.Fatalf("%d connections to workers, of %d sockets with %d kept free", n, total, headroom)
 	}
 
-	inbound := &pressingClients{t: t, addr: front.Addr(), sockets: sockets, direct: direct}
+	inboundClients := &retryingClients{t: t, addr: server.Addr(), sockets: sockets, workerClients: workerClients}
 	var kept []*Client
 	served := 0
 	for range 2 * maxMachines {
-		if status, c := inbound.connect("/v1/report"); status == http.StatusOK {
+		if status, c := inboundClients.connect("/v1/report"); status == http.StatusOK {
 			served++
 			kept = append(kept, c)
 		}
@@ -95,19 +95,19 @@
 		t.Errorf("%d machines served, want %d", served, maxMachines)
 	}
 	for range maxConns - maxMachines - 1 {
-		status, c := inbound.connect("/v2/runs/job-1")
+		status, c := inboundClients.connect("/v2/runs/job-1")
 		if status != http.StatusOK {
 			t.Fatalf("a user got %d", status)
 		}
 		kept = append(kept, c)
 	}
 	// Other machines may use what machines give back.
-	kept[0].Close()
+	kept[0].CloseIdleConnections()
 	for status := 0; status != http.StatusOK; {
-		status, _ = getStatus(front.Addr(), "/v1/report")
+		status, _ = getStatus(server.Addr(), "/v1/report")
 	}
-	for _, c := range append(kept, inbound.direct...) {
-		c.Close()
+	for _, c := range append(kept, inboundClients.workerClients...) {
+		c.CloseIdleConnections()
 	}
 }
 
@@ -120,7 +120,7 @@
 	for {
 		c := NewClient(addr, 1, limits.MaxBodyBytes).WithSockets(sockets)
 		if _, err := c.Do(ctx, "GET", "/status", nil); err != nil {
-			if !errors.Is(err, ErrSocketBudget) || !errors.Is(err, ErrNotSent) {
+			if !errors.Is(err, ErrSocketBudgetExhausted) || !errors.Is(err, ErrNotSent) {
 				t.Fatalf("past the budget: %v", err)
 			}
 			return clients
@@ -129,29 +129,29 @@
 	}
 }
 
-// pressingClients open inbound connections until they get one: a connection that finds no room is
+// retryingClients open inbound connections until they get one: a connection that finds no room is
 // closed and comes again, while idle connections to workers are closed.
-type pressingClients struct {
-	t       *testing.T
-	addr    string
-	sockets *SocketBudget
-	direct  []*Client // to workers
+type retryingClients struct {
+	t             *testing.T
+	addr          string
+	sockets       *SocketBudget
+	workerClients []*Client // to workers
 }
 
 // connect asks for a path and returns the status of the first answer.
-func (p *pressingClients) connect(path string) (int, *Client) {
+func (p *retryingClients) connect(path string) (int, *Client) {
 	p.t.Helper()
 	for {
 		if status, c := getStatus(p.addr, path); status != 0 {
 			return status, c
 		}
-		n := p.sockets.Excess()
+		n := p.sockets.ExcessOutbound()
 		if n == 0 {
 			p.t.Fatalf("%s: closed, but no connection should be given up", path)
 		}
-		for n > 0 && len(p.direct) > 0 {
-			n -= p.direct[0].Close()
-			p.direct = p.direct[1:]
+		for n > 0 && len(p.workerClients) > 0 {
+			n -= p.workerClients[0].CloseIdleConnections()
+			p.workerClients = p.workerClients[1:]
 		}
 	}
 }
