--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -1,4 +1,4 @@
-// Package internal_test checks the layout of the project.
+// Package internal_test checks the dependencies between the packages of the project.
 package internal_test
 
 import (
@@ -11,16 +11,19 @@
 	"testing"
 )
 
-// layer orders the packages; a package imports only from layers below its own. Inside coordination
-// the order is that of the list.
+// layer maps each package below internal to its layer. A package may import only packages of lower
+// layers.
 var layer = map[string]int{
 	"limits": 0, "config": 1, "transport": 2, "protocol": 3, "storage": 4,
 	"coordination/resource": 1, "coordination/placement": 2,
 	"coordination/peer/peerpb": 5, "coordination/election": 5, "coordination/peer": 6, "coordination/scheduler": 6,
 	"coordination/leader": 7, "coordination/gateway": 8, "coordination/controller": 9,
-	"standin": 5, // stand-ins of outside services, for tests and the quick start
+	"standin": 5, // simulated cloud, state service and workers, for tests and the quick start
 }
 
+// TestImportsGoDownward checks that packages import only packages of lower layers, and that the
+// scheduler imports neither the network nor random numbers: the same inputs must always give the same
+// decisions.
 func TestImportsGoDownward(t *testing.T) {
 	seen := map[string]bool{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -30,7 +33,7 @@
 		pkg := filepath.ToSlash(filepath.Dir(path))
 		ownLayer, ok := layer[pkg]
 		if !ok {
-			t.Errorf("%s: package is in no layer", pkg)
+			t.Errorf("package %s has no entry in layer", pkg)
 			return nil
 		}
 		seen[pkg] = true
@@ -44,10 +47,10 @@
 				return err
 			}
 			if rest, inModule := strings.CutPrefix(name, "quillshunt/internal/"); inModule && layer[rest] >= ownLayer {
-				t.Errorf("%s imports %s", path, rest)
+				t.Errorf("%s imports %s, which is not in a lower layer", path, rest)
 			}
 			if pkg == "coordination/scheduler" && (name == "net" || name == "math/rand/v2") {
-				t.Errorf("%s imports %s: the scheduler is deterministic", path, name)
+				t.Errorf("%s imports %s, but the scheduler must be deterministic", path, name)
 			}
 		}
 		return nil
@@ -57,7 +60,7 @@
 	}
 	for pkg := range layer {
 		if !seen[pkg] {
-			t.Errorf("%s: no such package", pkg)
+			t.Errorf("layer has an entry for %s, but there is no such package", pkg)
 		}
 	}
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -13,10 +13,10 @@
 	"quillshunt/internal/limits"
 )
 
-// ErrNotSent means that nothing of a call reached the other side: no connection could be made.
-var ErrNotSent = errors.New("not sent")
+// ErrNotSent means that no part of a request was sent, as there was no connection to send it on.
+var ErrNotSent = errors.New("request not sent")
 
-// Dialer opens a connection to an address. A nil one dials TCP.
+// Dialer opens a connection to an address. A nil Dialer dials TCP.
 type Dialer func(ctx context.Context, addr string) (net.Conn, error)
 
 // Dial opens a connection within limits.DialTimeout.
@@ -24,7 +24,7 @@
 	return d.dialTimeout(ctx, addr, limits.DialTimeout)
 }
 
-// dialTimeout opens a connection within a time limit.
+// dialTimeout opens a connection, or fails once the limit has passed.
 func (d Dialer) dialTimeout(ctx context.Context, addr string, limit time.Duration) (net.Conn, error) {
 	if d == nil {
 		tcp := net.Dialer{Timeout: limit, KeepAlive: -1}
@@ -35,23 +35,24 @@
 	return d(ctx, addr)
 }
 
-// Client calls one HTTP server and keeps some idle connections to it. It is safe for concurrent use.
+// Client sends requests to one HTTP server and keeps idle connections for reuse. It is safe for
+// concurrent use.
 type Client struct {
 	addr        string
 	maxBody     int
 	idle        chan *clientConn
-	sockets     *SocketBudget // or nil
+	sockets     *SocketBudget // nil: unlimited
 	dialer      Dialer
-	dialTimeout time.Duration // longest wait for a connection
+	dialTimeout time.Duration
 }
 
-// clientConn is an outbound connection; one call at a time uses it.
+// clientConn is an outbound connection. It carries one request at a time.
 type clientConn struct {
 	conn    net.Conn
-	raw     syscall.RawConn // nil if the connection has no socket
+	raw     syscall.RawConn // nil if conn has no socket, as on an in-memory network
 	decoder *Decoder
 	buffer  []byte
-	sockets *SocketBudget
+	sockets *SocketBudget // nil: unlimited
 }
 
 func (c *clientConn) close() {
@@ -59,8 +60,8 @@
 	c.sockets.releaseOutbound()
 }
 
-// NewClient returns a client that keeps up to maxIdle idle connections and accepts bodies of up to
-// maxBody bytes.
+// NewClient returns a client that keeps up to maxIdle idle connections and accepts response bodies of
+// up to maxBody bytes.
 func NewClient(addr string, maxIdle, maxBody int) *Client {
 	return &Client{
 		addr:        addr,
@@ -70,21 +71,21 @@
 	}
 }
 
-// WithSockets makes the client's connections count against a budget. It must be called before the
-// first call.
+// WithSockets makes the client's connections count against a socket budget. It must be called before
+// the first request.
 func (c *Client) WithSockets(s *SocketBudget) *Client {
 	c.sockets = s
 	return c
 }
 
-// WithDialer sets how the client opens connections. It must be called before the first call.
+// WithDialer sets how the client opens connections. It must be called before the first request.
 func (c *Client) WithDialer(d Dialer) *Client {
 	c.dialer = d
 	return c
 }
 
-// WithDialTimeout sets how long the client waits for a connection, instead of limits.DialTimeout. It
-// must be called before the first call.
+// WithDialTimeout sets how long the client waits for a new connection; the default is
+// limits.DialTimeout. It must be called before the first request.
 func (c *Client) WithDialTimeout(limit time.Duration) *Client {
 	c.dialTimeout = limit
 	return c
@@ -93,9 +94,10 @@
 // Addr returns the server's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Do sends a request and waits for the answer until the context's deadline, or for
-// limits.CloudTimeout if it has none. An error that wraps ErrNotSent means that the other side saw
-// nothing; any other error means that the request may have been executed, or may still be.
+// Do sends a request and returns the response. It waits for the response until the context's deadline,
+// or for limits.CloudTimeout if the context has none. An error that wraps ErrNotSent means that no part
+// of the request was sent. After any other error the server may have executed the request, or may still
+// execute it.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Message, error) {
 	req := AppendRequest(nil, method, target, c.addr, body)
 	conn, err := c.acquire(ctx)
@@ -119,7 +121,7 @@
 	return m, nil
 }
 
-// acquire returns an idle connection that is still open, or a new one.
+// acquire returns an idle connection that is still open, or opens a new one.
 func (c *Client) acquire(ctx context.Context) (*clientConn, error) {
 	for {
 		select {
@@ -134,7 +136,7 @@
 	}
 }
 
-// connect opens a connection.
+// connect opens a connection within the socket budget.
 func (c *Client) connect(ctx context.Context) (*clientConn, error) {
 	if !c.sockets.acquireOutbound() {
 		return nil, fmt.Errorf("dial %s: %w", c.addr, ErrSocketBudgetExhausted)
@@ -157,8 +159,9 @@
 	return outbound, nil
 }
 
-// isOpen reports whether an idle connection is still usable, so that a request is not lost on one
-// that the other side has closed. There must be nothing to read; stray bytes are as bad as its end.
+// isOpen reports whether an idle connection is still usable, so that no request is sent on a connection
+// that the server has closed. A usable idle connection has nothing to read: end of file means that the
+// server has closed it, and unexpected bytes would be taken for the next response.
 func (c *clientConn) isOpen() bool {
 	if c.raw == nil {
 		return true
@@ -172,16 +175,17 @@
 	return err == nil && open
 }
 
-// exchange sends a request and reads the answer within the deadline of the context.
+// exchange sends a request and reads the response before the context's deadline.
 func (c *clientConn) exchange(ctx context.Context, req []byte) (*Message, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(limits.CloudTimeout)
 	}
-	if err := c.conn.SetDeadline(deadline); err != nil { // also lifts what ended an earlier call
+	// This also replaces the deadline of the previous request.
+	if err := c.conn.SetDeadline(deadline); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
 	}
-	// A cancelled context ends the wait at once.
+	// If the context is cancelled, a deadline in the past ends pending reads and writes at once.
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.SetDeadline(time.Now().Add(-time.Second)) })
 	defer stop()
 	m, err := c.roundTrip(req)
@@ -191,7 +195,7 @@
 	return m, err
 }
 
-// roundTrip sends a request and reads the answer; deadlines are set already.
+// roundTrip sends a request and reads the response. The caller has set the connection's deadline.
 func (c *clientConn) roundTrip(req []byte) (*Message, error) {
 	if c.raw != nil {
 		return c.roundTripOnSocket(req)
@@ -211,9 +215,9 @@
 	}
 }
 
-// roundTripOnSocket does the same with two system calls: the request is written after the poller has
-// been told that this goroutine will wait, and nothing is read before the poller says that there is
-// something.
+// roundTripOnSocket is roundTrip with only two system calls, one write and one read. The request is
+// written inside RawConn.Read, once the runtime's poller is prepared for the wait; the first read
+// follows only when the poller reports that the socket is readable.
 func (c *clientConn) roundTripOnSocket(req []byte) (m *Message, err error) {
 	sent := false
 	waitErr := c.raw.Read(func(fd uintptr) bool {
@@ -231,6 +235,7 @@
 	return m, err
 }
 
+// sendOnSocket writes the whole request. It blocks only if the socket's send buffer is full.
 func (c *clientConn) sendOnSocket(fd uintptr, req []byte) error {
 	n, errno := writeSocket(fd, req)
 	if errno != 0 && errno != syscall.EAGAIN {
@@ -239,12 +244,12 @@
 	if n == len(req) {
 		return nil
 	}
-	_, err := writeAll(c.raw, req[n:]) // a full socket: wait until it takes the rest
+	_, err := writeAll(c.raw, req[n:]) // the socket's send buffer is full: wait until it takes the rest
 	return err
 }
 
-// receiveOnSocket reads what has arrived. It returns neither a message nor an error if more bytes are
-// needed.
+// receiveOnSocket reads the bytes that have arrived, without blocking. It returns a nil message and a
+// nil error if the response is not complete yet.
 func (c *clientConn) receiveOnSocket(fd uintptr) (*Message, error) {
 	for {
 		n, errno := readSocket(fd, c.buffer)
@@ -261,7 +266,8 @@
 	}
 }
 
-// decode hands the first n bytes of the buffer to the decoder, or the end of the stream.
+// decode passes the first n bytes of the buffer to the decoder, and then the end of the stream if end
+// is set. It returns a nil message and a nil error if the response is not complete yet.
 func (c *clientConn) decode(n int, end bool) (*Message, error) {
 	if n > 0 {
 		c.decoder.Feed(c.buffer[:n])
@@ -279,9 +285,9 @@
 	return m, nil
 }
 
-// receiveAfterDeadline returns an answer that had arrived although the deadline passed before it was
-// read, as happens to a process that gets too little of its processor. If that counted as no answer,
-// an overloaded leader would give up its lease. It returns the timeout error if nothing has arrived.
+// receiveAfterDeadline returns a response that has arrived but was not read before the deadline, as
+// happens when the process gets too little CPU time. If such a response counted as a timeout, an
+// overloaded leader would give up its lease. If the response is incomplete, it returns the timeout error.
 func (c *clientConn) receiveAfterDeadline(timeout error) (m *Message, err error) {
 	if c.raw == nil {
 		return nil, timeout
@@ -293,12 +299,15 @@
 		return nil, timeout
 	}
 	if m != nil {
-		m.Close = true // whoever ended the wait may still set a deadline on this connection
+		// The cancellation function of exchange may still set a deadline on this connection, which
+		// would fail the next request on it.
+		m.Close = true
 	}
 	return m, err
 }
 
-// CloseIdleConnections closes the idle connections and returns how many there were. The client can be used again.
+// CloseIdleConnections closes the idle connections and returns how many there were. The client can
+// still be used.
 func (c *Client) CloseIdleConnections() int {
 	for n := 0; ; n++ {
 		select {
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -9,41 +9,43 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// Responder answers one request, once. Its methods may be called from any goroutine, but for
+// Responder sends the response to one request. Its methods may be called from any goroutine, except
 // ClaimMachineSlot.
 type Responder struct {
 	conn   *serverConn
-	wake   func() // has the loop look for the answer
+	wake   func() // tells the event loop that the response is ready
 	server *Server
-	// inline is true while the handler runs on the loop: then no wake is needed.
+	// inline is set while the handler runs on the event loop. The loop takes the response when the
+	// handler returns, so that wake is not needed. Guarded by conn.mu.
 	inline    bool
 	responded bool // guarded by conn.mu
 }
 
-// serverConn is the state of an inbound connection. It is guarded by the server's mutex, but for
-// what its own mutex guards because answers come from other goroutines.
+// serverConn is the state of an inbound connection. It is guarded by the server's mutex, except
+// lastStatus and the fields below mu: these are guarded by mu, as responses may come from any goroutine.
 type serverConn struct {
 	decoder           *Decoder
-	lastStatus        int  // of the last answer, or 0; guarded by mu
-	requestInProgress bool // a request is being worked on
+	lastStatus        int  // status of the last response, or 0 before the first
+	requestInProgress bool // a request was passed to the handler and its response is not taken yet
 	lastActive        time.Time
-	closing           bool
-	discardingInput   bool // rejected, but its sender is still sending
-	fromMachine       bool // counts among the connections of machines
+	closing           bool // no more requests are read; the event loop closes the connection
+	discardingInput   bool // a request was rejected as too large; what still arrives is discarded
+	fromMachine       bool // counted in Server.machineConns
 
 	mu                 sync.Mutex
 	response           []byte
 	responseReady      bool
-	closeAfterResponse bool // close once the answer is written
+	closeAfterResponse bool // close the connection once the response is written
 }
 
-// rejectMalformed answers a malformed request. One that is too large is answered 400 as well: any
-// other status would make a user retry in vain.
+// rejectMalformed returns the response to a request that can't be decoded. A request that is too large
+// gets status 400 as well: users would retry after any other status, although a retry can't succeed.
 func (c *serverConn) rejectMalformed(err error) ([]byte, gnet.Action) {
 	out := AppendResponse(nil, http.StatusBadRequest, nil, 0, true)
 	if errors.Is(err, ErrTooLarge) {
-		// Closing now, with bytes still coming in, would reset the connection before the answer is
-		// read. The rest is thrown away until the sender closes, or for a while.
+		// If the connection were closed while the client is still sending, TCP would reset it, and the
+		// client might not read the response. What arrives is discarded until the client closes the
+		// connection, or closeTimedOutConns does.
 		c.discardingInput = true
 		return out, gnet.None
 	}
@@ -51,7 +53,7 @@
 	return out, gnet.Close
 }
 
-// takeResponse returns the answer to the current request if it is ready.
+// takeResponse returns the response to the current request if it is ready.
 func (c *serverConn) takeResponse() ([]byte, gnet.Action) {
 	c.mu.Lock()
 	response, closing, ready := c.response, c.closeAfterResponse, c.responseReady
@@ -64,24 +66,26 @@
 	}
 	c.requestInProgress = false
 	c.lastActive = time.Now()
-	if closing || c.decoder.Buffered() > 0 { // nobody pipelines, so a connection that does gets one answer
+	// Bytes after the request mean that the client pipelines requests, which is not supported: the
+	// connection is closed after this response.
+	if closing || c.decoder.Buffered() > 0 {
 		c.closing = true
 		return response, gnet.Close
 	}
 	return response, gnet.None
 }
 
-// PreviousStatus returns the status of the previous answer on the same connection, or 0. As nobody
-// pipelines, the sender has received that answer.
+// PreviousStatus returns the status of the previous response on the same connection, or 0 if there is
+// none. As requests are not pipelined, the client had received that response when it sent this request.
 func (r *Responder) PreviousStatus() int {
 	r.conn.mu.Lock()
 	defer r.conn.mu.Unlock()
 	return r.conn.lastStatus
 }
 
-// ClaimMachineSlot counts the connection among those of machines; it is called while the handler
-// runs. It returns false, and the connection ends with the answer, if there are MaxMachineConns of these
-// already: users need the rest.
+// ClaimMachineSlot counts the connection as one from a machine. If there are
+// ServerOptions.MaxMachineConns of these already, it returns false, and the connection is closed after
+// the response: the other connections are for users. It may be called only while the handler runs.
 func (r *Responder) ClaimMachineSlot() bool {
 	if r.conn.fromMachine {
 		return true
@@ -95,15 +99,16 @@
 	return true
 }
 
-// CloseAfterResponse makes the connection end with the answer.
+// CloseAfterResponse makes the server close the connection once the response is written. It is called
+// before Respond, which announces the close in a header.
 func (r *Responder) CloseAfterResponse() {
 	r.conn.mu.Lock()
 	r.conn.closeAfterResponse = true
 	r.conn.mu.Unlock()
 }
 
-// Respond answers the request; a second call has no effect. A retryAfter above 0, in seconds, tells
-// the sender when to come back.
+// Respond sends the response; a second call has no effect. A retryAfter above 0 is sent as a Retry-After
+// header, in seconds.
 func (r *Responder) Respond(status int, body []byte, retryAfter int) {
 	c := r.conn
 	c.mu.Lock()
--- a/internal/transport/decoder.go
+++ b/internal/transport/decoder.go
@@ -12,26 +12,26 @@
 const (
 	phaseHead       phase = iota // start line and headers
 	phaseFixedBody               // a body of known length
-	phaseChunkSize               // the size line of a chunk
+	phaseChunkSize               // the line with the size of a chunk
 	phaseChunkData               // the bytes of a chunk
-	phaseChunkEnd                // the line end after a chunk
-	phaseTrailer                 // the headers after the last chunk
-	phaseUntilClose              // a body that ends with the stream
+	phaseChunkEnd                // the CRLF after the data of a chunk
+	phaseTrailer                 // the header lines after the last chunk
+	phaseUntilClose              // a body without a length, which ends with the stream
 )
 
-// Decoder reads messages from a byte stream that arrives in pieces of any size. It is not safe for
-// concurrent use.
+// Decoder decodes HTTP messages from a byte stream that arrives in pieces of any size. It is not safe
+// for concurrent use.
 type Decoder struct {
-	response           bool
-	maxBody            int
-	buffer             []byte
-	leadingLineChecked bool // the line before a request was dealt with
-	scanned            int  // bytes of buf already searched for the end of the head
+	response           bool   // decodes responses; otherwise requests
+	maxBody            int    // in bytes
+	buffer             []byte // bytes that are not decoded yet
+	leadingLineChecked bool   // an empty line before the request, if there was one, is skipped
+	scanned            int    // bytes of buffer already searched for the end of the head
 	phase              phase
 	message            *Message
-	remaining          int // bytes still to come in this body or chunk
+	remaining          int // bytes of the body or chunk that are not decoded yet
 	trailerBytes       int
-	err                error
+	err                error // the first decoding error, which every later call of Next returns
 }
 
 // NewRequestDecoder returns a decoder of requests with bodies of up to maxBody bytes.
@@ -43,14 +43,14 @@
 // Feed adds bytes from the stream.
 func (d *Decoder) Feed(p []byte) { d.buffer = append(d.buffer, p...) }
 
-// Buffered returns how many bytes wait to be parsed.
+// Buffered returns how many bytes are not decoded yet.
 func (d *Decoder) Buffered() int { return len(d.buffer) }
 
-// HasPartialMessage reports whether part of a message has arrived.
+// HasPartialMessage reports whether bytes have arrived that belong to a message not returned by Next yet.
 func (d *Decoder) HasPartialMessage() bool { return len(d.buffer) > 0 || d.phase != phaseHead }
 
-// Next returns the next complete message, or nil if more bytes are needed. Errors wrap ErrMalformed
-// or are ErrTooLarge; after one the stream is of no further use.
+// Next returns the next complete message, or nil if more bytes are needed. Errors wrap ErrMalformed or
+// ErrTooLarge. After an error the position in the stream is lost, and Next returns the same error again.
 func (d *Decoder) Next() (*Message, error) {
 	if d.err != nil {
 		return nil, d.err
@@ -62,13 +62,13 @@
 		return nil, err
 	}
 	if m != nil && len(d.buffer) == 0 {
-		d.buffer = nil // do not keep a large buffer for an idle connection
+		d.buffer = nil // frees the memory while the connection is idle
 	}
 	return m, nil
 }
 
-// HandleEOF tells the decoder that the stream is over. It returns a response whose
-// body ends with the stream, if that is what was being read.
+// HandleEOF tells the decoder that the stream has ended. It returns the current response if its body
+// has no length and so ends with the stream. In any other phase the end of the stream is an error.
 func (d *Decoder) HandleEOF() (*Message, error) {
 	if d.err != nil {
 		return nil, d.err
@@ -96,7 +96,7 @@
 	return m
 }
 
-// next goes from phase to phase until a message is complete or more bytes are needed.
+// next decodes phase after phase until a message is complete or more bytes are needed.
 func (d *Decoder) next() (*Message, error) {
 	for {
 		m, more, err := d.step()
@@ -106,8 +106,8 @@
 	}
 }
 
-// step reads what the current phase needs. It returns a message once that is complete; otherwise
-// more reports whether the next phase can go on with the bytes that are there.
+// step decodes the current phase. It returns the message once that is complete. Otherwise more reports
+// whether decoding can go on with the buffered bytes.
 func (d *Decoder) step() (m *Message, more bool, err error) {
 	switch d.phase {
 	case phaseHead:
@@ -128,8 +128,9 @@
 }
 
 func (d *Decoder) readHead() (m *Message, more bool, err error) {
-	// One empty line before a request is tolerated, as the standard asks. It is decided before
-	// anything else is looked at, so that it does not matter in which pieces it comes.
+	// RFC 9112, section 2.2, asks servers to ignore an empty line before a request. Whether there is one
+	// is decided before anything else is parsed, so that the result does not depend on how the stream
+	// is split into reads.
 	if !d.response && !d.leadingLineChecked {
 		if len(d.buffer) == 0 || (len(d.buffer) == 1 && d.buffer[0] == '\r') {
 			return nil, false, nil
@@ -246,7 +247,7 @@
 	return nil, false, nil
 }
 
-// parseChunkSize parses the size line of a chunk; extensions are ignored.
+// parseChunkSize parses the line with the size of a chunk. It ignores chunk extensions.
 func parseChunkSize(line []byte) (int, error) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		line = bytes.TrimRight(line[:i], " \t")
--- a/internal/transport/encode.go
+++ b/internal/transport/encode.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// reasonPhrases are the texts of the statuses that are sent.
+// reasonPhrases are the reason phrases of the status codes that the servers send.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                  "OK",
 	http.StatusCreated:             "Created",
@@ -20,7 +20,7 @@
 	http.StatusServiceUnavailable:  "Service Unavailable",
 }
 
-// AppendRequest appends a request to dst. A body is sent as CBOR.
+// AppendRequest appends an encoded request to dst. The body, if any, is CBOR.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -38,8 +38,9 @@
 	return append(dst, body...)
 }
 
-// AppendResponse appends a response to dst. A retryAfter above 0, in seconds, becomes a Retry-After
-// header; closeAfter announces that the connection ends with the response.
+// AppendResponse appends an encoded response to dst. The body, if any, is CBOR. A retryAfter above 0 is
+// sent as a Retry-After header, in seconds. With closeAfter, the Connection header announces that the
+// server closes the connection after the response.
 func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closeAfter bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -11,21 +11,21 @@
 	"quillshunt/internal/limits"
 )
 
-// eventHandler handles gnet's events for a server. OnTick has a goroutine of its own, so each event
-// takes the server's mutex.
+// eventHandler handles gnet's events for a server. Every event locks the server's mutex, as gnet calls
+// OnTick in a goroutine of its own.
 type eventHandler struct {
 	gnet.BuiltinEventEngine
 	server *Server
 	ctx    context.Context
 }
 
-// OnBoot ends the loop with the context.
+// OnBoot makes the event loop stop once the context is done.
 func (e *eventHandler) OnBoot(engine gnet.Engine) gnet.Action {
 	context.AfterFunc(e.ctx, func() { _ = engine.Stop(context.Background()) })
 	return gnet.None
 }
 
-// OnOpen accepts a connection, or closes it if there are too many.
+// OnOpen registers a new connection, or closes it if MaxConns are open or the socket budget is exhausted.
 func (e *eventHandler) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
 	s := e.server
 	s.mu.Lock()
@@ -39,7 +39,7 @@
 	return nil, gnet.None
 }
 
-// OnClose forgets a connection.
+// OnClose removes a closed connection and releases its socket in the budget.
 func (e *eventHandler) OnClose(conn gnet.Conn, _ error) gnet.Action {
 	s := e.server
 	s.mu.Lock()
@@ -54,7 +54,8 @@
 	return gnet.None
 }
 
-// OnTraffic handles bytes that have arrived, or writes an answer for which the loop was woken.
+// OnTraffic handles bytes that have arrived. It also runs after a wake-up of the connection, and then
+// writes the response that is ready or closes the connection.
 func (e *eventHandler) OnTraffic(conn gnet.Conn) gnet.Action {
 	e.server.mu.Lock()
 	defer e.server.mu.Unlock()
@@ -67,19 +68,21 @@
 		return gnet.Close
 	}
 	if len(in) > 0 && conn.OutboundBuffered() > 0 {
-		return gnet.Close // it keeps asking without reading its answers, which must not pile up here
+		// The client sends requests without reading the responses, which would accumulate in memory.
+		return gnet.Close
 	}
 	out, action := e.server.handleBytes(conn, c, in)
 	if len(out) == 0 {
 		return action
 	}
-	if _, err := conn.Write(out); err != nil { // gnet writes later what the socket does not take at once
+	// gnet buffers what the socket does not take at once and writes it later.
+	if _, err := conn.Write(out); err != nil {
 		return gnet.Close
 	}
 	return action
 }
 
-// OnTick closes idle connections.
+// OnTick closes connections that have timed out.
 func (e *eventHandler) OnTick() (time.Duration, gnet.Action) {
 	e.server.mu.Lock()
 	defer e.server.mu.Unlock()
@@ -87,7 +90,8 @@
 	return limits.ConnSweepInterval, gnet.None
 }
 
-// gnetLogger writes gnet's log lines to the server's log.
+// gnetLogger writes gnet's log lines to the server's log. gnet's informational lines become debug lines,
+// and its errors warnings.
 type gnetLogger struct{ logger *slog.Logger }
 
 func (l gnetLogger) Debugf(format string, args ...any) { l.logger.Debug(fmt.Sprintf(format, args...)) }
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -10,15 +10,15 @@
 	"quillshunt/internal/limits"
 )
 
-// head is what a start line and its headers say.
+// head is the parsed content of a start line and its headers.
 type head struct {
 	message       *Message
-	minorVersion  byte // minor version of HTTP/1, a digit
-	contentLength int  // of the body; -1: not given
-	chunked       bool
+	minorVersion  byte // minor version of HTTP/1, '0' or '1'
+	contentLength int  // in bytes; -1: no Content-Length header
+	chunked       bool // the body is sent in chunks
 }
 
-// parseHead parses the start line and headers, and sets the phase for the body.
+// parseHead parses the start line and the headers, and sets the phase that decodes the body.
 func (d *Decoder) parseHead(b []byte) error {
 	line, rest, _ := bytes.Cut(b, []byte("\r\n"))
 	h := head{message: &Message{}, contentLength: -1}
@@ -36,8 +36,9 @@
 		return err
 	}
 	if h.chunked && (h.contentLength >= 0 || h.minorVersion == '0') {
-		// Two ways to tell the length are how requests are smuggled.
-		return fmt.Errorf("%w: both a length and a transfer coding", ErrMalformed)
+		// Two servers or proxies may read a message with two lengths differently, which allows request
+		// smuggling. HTTP/1.0 has no transfer codings.
+		return fmt.Errorf("%w: Transfer-Encoding with a Content-Length or in HTTP/1.0", ErrMalformed)
 	}
 	if h.contentLength > d.maxBody {
 		return ErrTooLarge
@@ -46,12 +47,12 @@
 	return d.beginBody(&h)
 }
 
-// beginBody sets the phase in which the body is read; without a body the phase stays phaseHead.
+// beginBody sets the phase that decodes the body. If there is no body, the phase stays phaseHead.
 func (d *Decoder) beginBody(h *head) error {
 	status := h.message.Status
 	switch {
 	case d.response && status/100 == 1:
-		return fmt.Errorf("%w: interim response", ErrMalformed)
+		return fmt.Errorf("%w: interim response with a 1xx status", ErrMalformed)
 	case d.response && (status == http.StatusNoContent || status == http.StatusNotModified):
 	case h.chunked:
 		d.phase = phaseChunkSize
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// parseHeaders parses the lines after the start line.
+// parseHeaders parses the header lines.
 func (h *head) parseHeaders(lines []byte) error {
 	var line []byte
 	for count := 1; len(lines) > 0; count++ {
@@ -73,7 +74,7 @@
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !isToken(name) || !isFieldValue(value) {
-			return ErrMalformed // also folded lines and a space before the colon
+			return ErrMalformed // this includes folded lines and a space before the colon
 		}
 		if err := h.setHeader(name, strings.Trim(string(value), " \t")); err != nil {
 			return err
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// setHeader notes a header that matters here; the others are ignored.
+// setHeader stores the value of a header that the codec uses. Other headers are ignored.
 func (h *head) setHeader(name []byte, value string) error {
 	switch {
 	case equalFold(name, "content-length"):
@@ -91,12 +92,12 @@
 			return err
 		}
 		if h.contentLength >= 0 && h.contentLength != length {
-			return fmt.Errorf("%w: conflicting lengths", ErrMalformed)
+			return fmt.Errorf("%w: several Content-Length headers that differ", ErrMalformed)
 		}
 		h.contentLength = length
 	case equalFold(name, "transfer-encoding"):
 		if h.chunked || !strings.EqualFold(value, "chunked") {
-			return fmt.Errorf("%w: transfer coding", ErrMalformed)
+			return fmt.Errorf("%w: Transfer-Encoding repeated or not chunked", ErrMalformed)
 		}
 		h.chunked = true
 	case equalFold(name, "connection"):
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// setConnection takes the options of a Connection header.
+// setConnection applies the options of a Connection header: close, and keep-alive in HTTP/1.0.
 func (h *head) setConnection(value string) {
 	for option := range strings.SplitSeq(value, ",") {
 		switch option = strings.TrimSpace(option); {
@@ -121,7 +122,7 @@
 	}
 }
 
-// parseRequestLine parses the first line of a request and returns the minor version.
+// parseRequestLine parses the first line of a request into m and returns the minor version of HTTP/1.
 func parseRequestLine(line []byte, m *Message) (byte, error) {
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	if !ok || !isToken(method) || len(method) > 16 {
@@ -145,7 +146,7 @@
 	return minor, nil
 }
 
-// parseStatusLine parses the first line of a response and returns the minor version.
+// parseStatusLine parses the first line of a response into m and returns the minor version of HTTP/1.
 func parseStatusLine(line []byte, m *Message) (byte, error) {
 	version, rest, ok := bytes.Cut(line, []byte(" "))
 	if !ok || len(rest) < 3 || (len(rest) > 3 && rest[3] != ' ') {
@@ -167,15 +168,16 @@
 	return minor, nil
 }
 
-// parseVersion returns the minor version of HTTP/1.0 or HTTP/1.1, as a digit.
+// parseVersion returns the minor version of HTTP/1.0 or HTTP/1.1, '0' or '1'.
 func parseVersion(v []byte) (byte, error) {
 	if len(v) != 8 || string(v[:7]) != "HTTP/1." || (v[7] != '0' && v[7] != '1') {
-		return 0, fmt.Errorf("%w: version", ErrMalformed)
+		return 0, fmt.Errorf("%w: version is not HTTP/1.0 or HTTP/1.1", ErrMalformed)
 	}
 	return v[7], nil
 }
 
-// parseContentLength parses a length of digits only, as signs and lists are read differently by others.
+// parseContentLength parses the value of a Content-Length header. It accepts only digits: HTTP
+// implementations differ in how they read signs and lists of lengths.
 func parseContentLength(v string) (int, error) {
 	if v == "" || len(v) > 10 {
 		return 0, ErrMalformed
@@ -190,7 +192,7 @@
 	return n, nil
 }
 
-// isToken reports whether b has the form of a method or a header name.
+// isToken reports whether b is an HTTP token, the form of methods and header names.
 func isToken(b []byte) bool {
 	if len(b) == 0 {
 		return false
@@ -203,7 +205,7 @@
 	return true
 }
 
-// isFieldValue reports whether b has no control characters but tabs.
+// isFieldValue reports whether b contains no control characters other than tabs.
 func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if (c < ' ' && c != '\t') || c == 0x7f {
@@ -213,7 +215,7 @@
 	return true
 }
 
-// equalFold compares a header name, in any case, with a lower-case one.
+// equalFold reports whether a header name, in upper or lower case, equals a lower-case name.
 func equalFold(b []byte, lower string) bool {
 	return len(b) == len(lower) && strings.EqualFold(string(b), lower)
 }
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -1,27 +1,29 @@
-// Package transport moves bytes: the project's own HTTP/1.1 codec, the gnet server for inbound
-// connections and a pooled client for outbound calls. It does not know what the messages mean.
+// Package transport implements HTTP/1.1 for the other packages: a codec, a server for inbound
+// connections that is built on gnet, and a client that pools outbound connections. It does not interpret
+// paths or bodies.
 package transport
 
 import "errors"
 
-// Errors of the codec. Each costs the connection that the message came on and nothing else.
+// Errors of the codec. After one of them the connection on which the message arrived is closed.
 var (
-	// ErrMalformed is wrapped by every error about a message that breaks the standard, or that could
-	// be read in two ways.
+	// ErrMalformed is wrapped by every error about a message that violates the HTTP standard or is
+	// ambiguous.
 	ErrMalformed = errors.New("http: malformed message")
-	// ErrTooLarge means that a head or a body exceeds its limit.
+	// ErrTooLarge means that the head or the body of a message exceeds its size limit.
 	ErrTooLarge = errors.New("http: message too large")
 )
 
-// Message is one request or response.
+// Message is an HTTP request or response.
 type Message struct {
-	Method string // requests
-	Path   string // requests: the target without its query
-	Query  string // requests
-	Status int    // responses
+	Method string // only in requests
+	Path   string // only in requests: the target without the query
+	Query  string // only in requests: the part of the target after the question mark
+	Status int    // only in responses
 	Body   []byte
-	// Close reports that the sender closes the connection after this message, or that we must.
+	// Close means that the connection can't be used after this message, because the sender closes it
+	// or the receiver has to.
 	Close bool
-	// RetryAfter is the header of that name in seconds, or 0 if there is none.
+	// RetryAfter is the value of the Retry-After header in seconds, or 0 if there is none.
 	RetryAfter int
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,43 +14,44 @@
 	"quillshunt/internal/limits"
 )
 
-// Handler handles a request on the server's loop. It must not block; the answer may come later from
-// any goroutine.
+// Handler handles a request on the server's event loop. It must not block. The response may be sent
+// later, from any goroutine.
 type Handler func(req *Message, rsp *Responder)
 
 // ServerOptions configure a Server.
 type ServerOptions struct {
-	Addr               string        // to listen on
-	MaxConns           int           // connections at once
-	MaxMachineConns    int           // of these, connections of machines; 0: all
-	MachineIdleTimeout time.Duration // closes idle connections of machines; 0: ConnIdleTimeout
-	Sockets            *SocketBudget // which connections count against; nil: none
+	Addr               string        // the address to listen on
+	MaxConns           int           // most connections open at once
+	MaxMachineConns    int           // most of these that are from machines; 0: no separate limit
+	MachineIdleTimeout time.Duration // idle timeout for machines, if below limits.ConnIdleTimeout; 0: none
+	Sockets            *SocketBudget // the budget that connections count against; nil: none
 	Handle             Handler
 	Log                *slog.Logger
 }
 
-// Server serves HTTP on one address by an event loop of gnet.
+// Server serves HTTP on one address with a gnet event loop.
 //
-// gnet ends its loop when accept fails, so Run starts it again, and the number of connections is
-// kept below the socket limit, so that accept does not fail for want of sockets. A request on a
-// connection is handled only after the answer before is written, which bounds what a slow reader
-// can hold to one answer.
+// gnet ends its event loop when accept fails. Run therefore restarts the loop, and the number of
+// connections is kept below the process's socket limit, so that accept does not fail because no socket
+// is left. A request is handled only after the previous response on its connection was passed to gnet,
+// and a connection that sends more while that response is not written yet is closed: a client that reads
+// slowly keeps at most one response in memory.
 type Server struct {
 	options ServerOptions
 
-	mu           sync.Mutex                // held by whoever serves a connection; guards what follows
-	conns        map[gnet.Conn]*serverConn // of the loop
-	machineConns int                       // how many connections are of machines
+	mu           sync.Mutex // held while an event or a request is handled; guards the fields below
+	conns        map[gnet.Conn]*serverConn
+	machineConns int // connections from machines, among conns and those of ServeConn
 }
 
-// NewServer returns a server that does not listen yet.
+// NewServer returns a server; Run makes it listen.
 func NewServer(options ServerOptions) *Server { return &Server{options: options} }
 
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.options.Addr }
 
-// ServeConn serves one connection until it ends, without the event loop: for networks in memory.
-// The handler is called by one goroutine at a time, as on the loop.
+// ServeConn serves one connection until it is closed. It works without the event loop and is meant for
+// in-memory networks. As on the event loop, only one goroutine at a time runs the handler.
 func (s *Server) ServeConn(conn net.Conn) {
 	defer conn.Close()
 	c := &serverConn{decoder: NewRequestDecoder(limits.MaxBodyBytes)}
@@ -83,8 +84,8 @@
 	}
 }
 
-// handleAndAwaitResponse hands a request to the handler and waits for the answer. It reports whether the
-// connection ends with it.
+// handleAndAwaitResponse passes a request to the handler and waits for the response. It reports whether
+// the connection is to be closed after the response.
 func (s *Server) handleAndAwaitResponse(c *serverConn, req *Message) (response []byte, closing bool) {
 	responded := make(chan struct{})
 	r := &Responder{conn: c, wake: func() { close(responded) }, server: s}
@@ -100,8 +101,9 @@
 	return response, closing
 }
 
-// Run serves until the context ends, and then returns nil. It returns an error if the address can't
-// be listened on, again and again.
+// Run serves until the context is done, and then returns nil. It restarts the event loop when that
+// ends. It returns an error if the loop has ended right after its start more than
+// limits.MaxServerLoopFailures times in a row, for example because the address is in use.
 func (s *Server) Run(ctx context.Context) error {
 	failures := 0
 	for {
@@ -116,9 +118,9 @@
 			failures = 0
 		}
 		if failures > limits.MaxServerLoopFailures {
-			return fmt.Errorf("listen on %s: %w", s.options.Addr, err)
+			return fmt.Errorf("run server loop on %s, failed %d times in a row: %w", s.options.Addr, failures, err)
 		}
-		s.options.Log.Warn("server loop ended, starting again", "addr", s.options.Addr, "err", err)
+		s.options.Log.Warn("server loop ended; restarting", "addr", s.options.Addr, "err", err)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -127,20 +129,20 @@
 	}
 }
 
-// runLoop runs gnet's loop once.
+// runLoop runs gnet's event loop until it ends.
 func (s *Server) runLoop(ctx context.Context) error {
 	if err := s.checkAddressFree(ctx); err != nil {
 		return err
 	}
 	s.resetConns()
-	// With a listener of its own the loop accepts connections itself; else that is a second loop,
-	// which wakes the first for each.
+	// With WithReusePort the event loop has its own listener and accepts connections itself. Otherwise
+	// gnet accepts them in a second loop, which wakes the event loop for each connection.
 	return gnet.Run(&eventHandler{server: s, ctx: ctx}, "tcp://"+s.options.Addr,
 		gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true), gnet.WithTicker(true),
 		gnet.WithReadBufferCap(limits.ReadBufferBytes), gnet.WithLogger(gnetLogger{s.options.Log}))
 }
 
-// resetConns forgets the connections of a loop that ended.
+// resetConns discards the records of the connections of an event loop that has ended.
 func (s *Server) resetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +152,8 @@
 	s.conns, s.machineConns = make(map[gnet.Conn]*serverConn), 0
 }
 
-// checkAddressFree fails if another process listens on the address: a listener of the loop's kind
-// would share it.
+// checkAddressFree returns an error if another process listens on the address. The event loop would not
+// fail then: with SO_REUSEPORT it would share the address with that process.
 func (s *Server) checkAddressFree(ctx context.Context) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", s.options.Addr)
@@ -161,7 +163,8 @@
 	return listener.Close()
 }
 
-// closeTimedOutConns closes connections that are idle or whose request does not end. The caller holds mu.
+// closeTimedOutConns closes connections that have been idle too long, and those on which a request takes
+// too long to arrive. The caller holds mu.
 func (s *Server) closeTimedOutConns() {
 	now := time.Now()
 	for conn, c := range s.conns {
@@ -179,8 +182,9 @@
 	}
 }
 
-// handleBytes handles new bytes of a connection (in is nil when the loop was woken): first an answer
-// that is ready, then the next request. It runs on the loop; the caller holds mu.
+// handleBytes passes newly arrived bytes to the decoder and the next complete request, if no other is in
+// progress, to the handler. It returns the response to the current request if it is ready. in is empty
+// after a wake-up of the connection. It runs on the event loop, and the caller holds mu.
 func (s *Server) handleBytes(conn gnet.Conn, c *serverConn, in []byte) ([]byte, gnet.Action) {
 	if c.discardingInput {
 		return nil, gnet.None
@@ -207,7 +211,7 @@
 	return c.takeResponse()
 }
 
-// handle calls the handler with a request. Its answer may be ready already when it returns.
+// handle passes a request to the handler. The response may be ready when it returns.
 func (s *Server) handle(conn gnet.Conn, c *serverConn, req *Message) {
 	c.requestInProgress = true
 	r := &Responder{conn: c, wake: func() { _ = conn.Wake(nil) }, server: s, inline: true}
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -7,7 +7,7 @@
 	"unsafe"
 )
 
-// rawConn gives access to the socket of a connection, or nil if it has none.
+// rawConn returns the raw connection for system calls on the socket of conn, or nil if it has no socket.
 func rawConn(conn net.Conn) (syscall.RawConn, error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -16,9 +16,10 @@
 	return sc.SyscallConn()
 }
 
-// readSocket and writeSocket make one call on a socket that never blocks, as all sockets of package
-// net. The runtime is not told of the call: it would wake its monitor thread for each, to look
-// whether the call takes long, which costs a small controller more than the call itself.
+// readSocket and writeSocket make one system call on a non-blocking socket; all sockets of package net
+// are non-blocking. They use RawSyscall, which does not notify the Go scheduler. syscall.Syscall would:
+// for each call the runtime then wakes its monitor thread, to check whether the call takes long. On a
+// small controller this costs more than the call itself.
 
 func readSocket(fd uintptr, p []byte) (int, syscall.Errno) {
 	return callSocket(syscall.SYS_READ, fd, p)
@@ -28,6 +29,7 @@
 	return callSocket(syscall.SYS_WRITE, fd, p)
 }
 
+// callSocket makes a read or write system call, and repeats it if a signal interrupts it.
 func callSocket(call, fd uintptr, p []byte) (int, syscall.Errno) {
 	for {
 		n, _, errno := syscall.RawSyscall(call, fd, uintptr(unsafe.Pointer(unsafe.SliceData(p))), uintptr(len(p)))
@@ -41,7 +43,8 @@
 	}
 }
 
-// writeAll writes all of p, waiting where the socket takes no more for now.
+// writeAll writes all of p and returns how many bytes were written. It blocks while the socket's send
+// buffer is full.
 func writeAll(raw syscall.RawConn, p []byte) (done int, err error) {
 	waitErr := raw.Write(func(fd uintptr) bool {
 		for done < len(p) {
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -5,51 +5,54 @@
 	"sync/atomic"
 )
 
-// ErrSocketBudgetExhausted means that a call was not tried because inbound connections need the sockets. It
-// wraps ErrNotSent.
-var ErrSocketBudgetExhausted = fmt.Errorf("%w: no socket to spare", ErrNotSent)
+// ErrSocketBudgetExhausted means that a request was not sent because the remaining sockets are reserved
+// for inbound connections. It wraps ErrNotSent.
+var ErrSocketBudgetExhausted = fmt.Errorf("%w: socket budget exhausted", ErrNotSent)
 
-// SocketBudget shares a number of sockets by need between inbound connections and outbound ones to
-// workers. Inbound connections go first: outbound ones may not take the last sockets, and idle ones
-// are closed to make room (see ExcessOutbound). Calls that must always get through, such as those to the
-// state service, are not counted here and have sockets of their own. A nil budget has no limit.
+// SocketBudget limits the total number of sockets of inbound connections and of outbound connections to
+// workers. Inbound connections have priority: outbound ones leave some sockets free, and idle ones are
+// closed when inbound ones need their sockets (see ExcessOutbound). Connections to the state service and
+// others that must not be refused are not counted here; sockets are reserved for them separately. A nil
+// budget has no limit.
 type SocketBudget struct {
-	total    int64 // for both together
-	headroom int64 // kept free for inbound connections, as closing idle ones takes a moment
+	total    int64 // most inbound and outbound connections together
+	headroom int64 // sockets that outbound connections leave free, as closing idle ones takes some time
 	inbound  atomic.Int64
 	outbound atomic.Int64
 }
 
-// NewSocketBudget returns a budget of total sockets; outbound connections leave headroom of them free.
+// NewSocketBudget returns a budget of total sockets, of which outbound connections leave headroom free.
 func NewSocketBudget(total, headroom int) *SocketBudget {
 	return &SocketBudget{total: int64(total), headroom: int64(headroom)}
 }
 
-// acquireInbound counts an inbound connection, whose socket is open already, if there is room for it.
+// acquireInbound counts an inbound connection, whose socket is open already. It returns false if all
+// sockets of the budget are in use; the caller then closes the connection.
 func (s *SocketBudget) acquireInbound() bool {
 	return s == nil || tryAcquire(&s.inbound, &s.outbound, s.total)
 }
 
-// releaseInbound gives back the socket of an inbound connection.
+// releaseInbound releases the socket of an inbound connection.
 func (s *SocketBudget) releaseInbound() {
 	if s != nil {
 		s.inbound.Add(-1)
 	}
 }
 
-// acquireOutbound reserves a socket for a connection to a worker.
+// acquireOutbound reserves a socket for a connection to a worker. It returns false if only the headroom
+// is left.
 func (s *SocketBudget) acquireOutbound() bool {
 	return s == nil || tryAcquire(&s.outbound, &s.inbound, s.total-s.headroom)
 }
 
-// releaseOutbound gives back the socket of a connection to a worker.
+// releaseOutbound releases the socket of a connection to a worker.
 func (s *SocketBudget) releaseOutbound() {
 	if s != nil {
 		s.outbound.Add(-1)
 	}
 }
 
-// tryAcquire raises a count unless it and the other would pass the limit together.
+// tryAcquire increments a count and returns true, unless the sum of both counts would exceed the limit.
 func tryAcquire(count, other *atomic.Int64, limit int64) bool {
 	if count.Add(1)+other.Load() > limit {
 		count.Add(-1)
@@ -58,7 +61,8 @@
 	return true
 }
 
-// ExcessOutbound returns how many connections to workers should be closed so that inbound ones find room.
+// ExcessOutbound returns how many connections to workers should be closed so that the headroom for
+// inbound connections is free again.
 func (s *SocketBudget) ExcessOutbound() int {
 	if s == nil {
 		return 0
