--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -215,9 +215,9 @@
 	}
 }
 
-// roundTripOnSocket is roundTrip with only two system calls, one write and one read. The request is
-// written inside RawConn.Read, once the runtime's poller is prepared for the wait; the first read
-// follows only when the poller reports that the socket is readable.
+// roundTripOnSocket is roundTrip for a connection with a socket. It usually needs only two system calls,
+// a write and a read: the request is written inside RawConn.Read, when the runtime's poller is already
+// prepared for the wait, and the first read follows when the poller reports that the socket is readable.
 func (c *clientConn) roundTripOnSocket(req []byte) (m *Message, err error) {
 	sent := false
 	waitErr := c.raw.Read(func(fd uintptr) bool {
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/limits"
 )
 
-// TestResponseReadAfterDeadline: an answer that was there before the deadline is taken, although the
-// process came to read it only after that.
+// TestResponseReadAfterDeadline checks that the client returns a response that has arrived but was not
+// read before the deadline, because the process got too little CPU time.
 func TestResponseReadAfterDeadline(t *testing.T) {
 	server := startServer(t, ServerOptions{
 		MaxConns: 10,
@@ -28,7 +28,7 @@
 	defer conn.close()
 	timeout := os.ErrDeadlineExceeded
 	if m, err := conn.receiveAfterDeadline(timeout); m != nil || !errors.Is(err, timeout) {
-		t.Fatalf("nothing was asked: %v, %v", m, err)
+		t.Fatalf("before a request was sent: got %v, error %v; want the timeout error", m, err)
 	}
 	if _, err := conn.conn.Write(AppendRequest(nil, "GET", "/", server.Addr(), nil)); err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 		m, err := conn.receiveAfterDeadline(timeout)
 		if m != nil {
 			if string(m.Body) != "held" || !m.Close {
-				t.Errorf("answer %q, connection ends: %v", m.Body, m.Close)
+				t.Errorf("body %q, Close %v; want body \"held\" and Close", m.Body, m.Close)
 			}
 			return
 		}
@@ -46,11 +46,11 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the answer was not seen")
+	t.Fatal("the response was not returned")
 }
 
-// TestRequestLargerThanSocketBuffer: a request that the socket does not take at once is sent whole, and the
-// connection can be used again.
+// TestRequestLargerThanSocketBuffer checks that a request is sent completely when the socket does not
+// take it in one write, and that the connection can be used again.
 func TestRequestLargerThanSocketBuffer(t *testing.T) {
 	server := startServer(t, ServerOptions{
 		MaxConns: 10,
@@ -67,7 +67,7 @@
 	for range 20 {
 		m, err := c.Do(ctx, "POST", "/", body)
 		if err != nil || string(m.Body) != string(body) {
-			t.Fatalf("%v, %d bytes of %d", err, len(m.Body), len(body))
+			t.Fatalf("error %v, or a wrong body: %d bytes, want %d", err, len(m.Body), len(body))
 		}
 	}
 }
--- a/internal/transport/decoder.go
+++ b/internal/transport/decoder.go
@@ -23,9 +23,9 @@
 // for concurrent use.
 type Decoder struct {
 	response           bool   // decodes responses; otherwise requests
-	maxBody            int    // in bytes
+	maxBody            int    // size limit of a body, in bytes
 	buffer             []byte // bytes that are not decoded yet
-	leadingLineChecked bool   // an empty line before the request, if there was one, is skipped
+	leadingLineChecked bool   // the check for an empty line before the request is done
 	scanned            int    // bytes of buffer already searched for the end of the head
 	phase              phase
 	message            *Message
@@ -86,10 +86,12 @@
 	return nil, ErrMalformed
 }
 
+// reset prepares the decoder for the next message. Buffered bytes are kept.
 func (d *Decoder) reset() {
 	d.phase, d.message, d.remaining, d.scanned, d.trailerBytes, d.leadingLineChecked = phaseHead, nil, 0, 0, 0, false
 }
 
+// finish returns the complete message and prepares the decoder for the next one.
 func (d *Decoder) finish() *Message {
 	m := d.message
 	d.reset()
--- a/internal/transport/decoder_test.go
+++ b/internal/transport/decoder_test.go
@@ -11,7 +11,8 @@
 	"quillshunt/internal/limits"
 )
 
-// decodeAll feeds a stream in pieces and returns what comes out.
+// decodeAll feeds a stream to a decoder in pieces, and returns the messages decoded before the stream ends
+// or the first error. An incomplete message at the end of the stream is ignored.
 func decodeAll(response bool, pieces [][]byte) ([]Message, error) {
 	d := NewRequestDecoder(limits.MaxBodyBytes)
 	if response {
@@ -39,6 +40,7 @@
 	return out, nil
 }
 
+// splitRandomly splits b into pieces of random sizes.
 func splitRandomly(t *rapid.T, b []byte) [][]byte {
 	var out [][]byte
 	for len(b) > 0 {
@@ -49,6 +51,7 @@
 	return out
 }
 
+// equalMessages reports whether two lists contain equal messages in the same order.
 func equalMessages(a, b []Message) bool {
 	if len(a) != len(b) {
 		return false
@@ -63,6 +66,8 @@
 	return true
 }
 
+// chunkedMessage returns a message with a body in chunks of random sizes, of which some have extensions,
+// leading zeros or sizes in upper case, and with a trailer.
 func chunkedMessage(t *rapid.T, head string, body []byte) []byte {
 	out := []byte(head + "Transfer-Encoding: chunked\r\n\r\n")
 	for len(body) > 0 {
@@ -88,8 +93,8 @@
 	return append(out, "0\r\nTrailer: x\r\n\r\n"...)
 }
 
-// TestDecodingIsIndependentOfSplits: any split of the same bytes gives the same messages, whether they are well
-// formed or not.
+// TestDecodingIsIndependentOfSplits checks that a stream decodes to the same messages however it is split
+// into reads, and that a malformed stream fails in each case.
 func TestDecodingIsIndependentOfSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		response := rapid.Bool().Draw(t, "response")
@@ -117,11 +122,12 @@
 		whole, wholeErr := decodeAll(response, [][]byte{append([]byte(nil), stream...)})
 		parts, partsErr := decodeAll(response, splitRandomly(t, stream))
 		if (wholeErr == nil) != (partsErr == nil) || !equalMessages(whole, parts) {
-			t.Fatalf("whole: %v %v\nparts: %v %v", whole, wholeErr, parts, partsErr)
+			t.Fatalf("in one piece: %v, error %v\nsplit: %v, error %v", whole, wholeErr, parts, partsErr)
 		}
 	})
 }
 
+// TestEncodeDecodeRoundTrip checks that encoded requests and responses decode to the same messages.
 func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
@@ -129,17 +135,18 @@
 		got, err := decodeAll(false, [][]byte{AppendRequest(nil, "POST", target, "h", body)})
 		request := Message{Method: "POST", Path: target, Body: body}
 		if err != nil || !equalMessages(got, []Message{request}) {
-			t.Fatalf("request: %v %v", got, err)
+			t.Fatalf("request: got %v, error %v", got, err)
 		}
 		got, err = decodeAll(true, [][]byte{AppendResponse(nil, 503, body, 7, true)})
 		response := Message{Status: 503, RetryAfter: 7, Close: true, Body: body}
 		if err != nil || !equalMessages(got, []Message{response}) {
-			t.Fatalf("response: %v %v", got, err)
+			t.Fatalf("response: got %v, error %v", got, err)
 		}
 	})
 }
 
-// TestMalformedMessages: what could be read in two ways, or has no end, is an error.
+// TestMalformedMessages checks that messages that are ambiguous, malformed or larger than the limits are
+// rejected.
 func TestMalformedMessages(t *testing.T) {
 	const (
 		postHead    = "POST / HTTP/1.1\r\n"
@@ -151,28 +158,28 @@
 		input string
 		want  error
 	}{
-		"conflicting lengths":  {lengthHead + "Content-Length: 2\r\n\r\nab", ErrMalformed},
-		"length and chunked":   {lengthHead + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
-		"list of lengths":      {postHead + "Content-Length: 1, 1\r\n\r\na", ErrMalformed},
-		"signed length":        {postHead + "Content-Length: +1\r\n\r\na", ErrMalformed},
-		"other coding":         {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
-		"chunked in 1.0":       {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
-		"space before colon":   {"GET / HTTP/1.1\r\nContent-Length : 1\r\n\r\n", ErrMalformed},
-		"folded header":        {"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", ErrMalformed},
-		"bare newline":         {"GET / HTTP/1.1\nA: b\r\n\r\n", ErrMalformed},
-		"nul in value":         {"GET / HTTP/1.1\r\nA: \x00\r\n\r\n", ErrMalformed},
-		"version":              {"GET / HTTP/2.0\r\n\r\n", ErrMalformed},
-		"absolute target":      {"GET http://a/ HTTP/1.1\r\n\r\n", ErrMalformed},
-		"no target":            {"GET HTTP/1.1\r\n\r\n", ErrMalformed},
-		"chunk size":           {chunkedHead + "xyz\r\n", ErrMalformed},
-		"chunk end":            {chunkedHead + "1\r\nabc", ErrMalformed},
-		"huge chunk":           {chunkedHead + "fffffff\r\n", ErrTooLarge},
-		"body over the limit":  {"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", ErrTooLarge},
-		"head without end":     {"GET /" + long, ErrTooLarge},
-		"too many headers":     {postHead + strings.Repeat("A: b\r\n", limits.MaxHeaders+1) + "\r\n", ErrTooLarge},
-		"trailer without end":  {chunkedHead + "0\r\n" + long, ErrTooLarge},
-		"endless size line":    {chunkedHead + strings.Repeat("0", limits.MaxChunkLine+1), ErrMalformed},
-		"length beyond digits": {postHead + "Content-Length: 99999999999\r\n\r\n", ErrMalformed},
+		"conflicting lengths":    {lengthHead + "Content-Length: 2\r\n\r\nab", ErrMalformed},
+		"length and chunked":     {lengthHead + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
+		"list of lengths":        {postHead + "Content-Length: 1, 1\r\n\r\na", ErrMalformed},
+		"signed length":          {postHead + "Content-Length: +1\r\n\r\na", ErrMalformed},
+		"other coding":           {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
+		"chunked in 1.0":         {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
+		"space before colon":     {"GET / HTTP/1.1\r\nContent-Length : 1\r\n\r\n", ErrMalformed},
+		"folded header":          {"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", ErrMalformed},
+		"bare newline":           {"GET / HTTP/1.1\nA: b\r\n\r\n", ErrMalformed},
+		"NUL in value":           {"GET / HTTP/1.1\r\nA: \x00\r\n\r\n", ErrMalformed},
+		"unsupported version":    {"GET / HTTP/2.0\r\n\r\n", ErrMalformed},
+		"absolute target":        {"GET http://a/ HTTP/1.1\r\n\r\n", ErrMalformed},
+		"no target":              {"GET HTTP/1.1\r\n\r\n", ErrMalformed},
+		"invalid chunk size":     {chunkedHead + "xyz\r\n", ErrMalformed},
+		"chunk without CRLF":     {chunkedHead + "1\r\nabc", ErrMalformed},
+		"huge chunk":             {chunkedHead + "fffffff\r\n", ErrTooLarge},
+		"body over the limit":    {"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", ErrTooLarge},
+		"head without end":       {"GET /" + long, ErrTooLarge},
+		"too many headers":       {postHead + strings.Repeat("A: b\r\n", limits.MaxHeaders+1) + "\r\n", ErrTooLarge},
+		"trailer without end":    {chunkedHead + "0\r\n" + long, ErrTooLarge},
+		"endless chunk size":     {chunkedHead + strings.Repeat("0", limits.MaxChunkLine+1), ErrMalformed},
+		"too many length digits": {postHead + "Content-Length: 99999999999\r\n\r\n", ErrMalformed},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -183,6 +190,8 @@
 	}
 }
 
+// FuzzDecoder checks that any stream decodes to the same messages whether it arrives at once or in pieces
+// of up to 16 bytes.
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		"3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"), uint8(3))
@@ -199,7 +208,7 @@
 			}
 			parts, partsErr := decodeAll(response, pieces)
 			if (wholeErr == nil) != (partsErr == nil) || !equalMessages(whole, parts) {
-				t.Fatalf("whole %v %v, parts %v %v", whole, wholeErr, parts, partsErr)
+				t.Fatalf("in one piece: %v, error %v; split: %v, error %v", whole, wholeErr, parts, partsErr)
 			}
 		}
 	})
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -5,7 +5,8 @@
 
 import "errors"
 
-// Errors of the codec. After one of them the connection on which the message arrived is closed.
+// Errors of the codec. After one of them the connection on which the message arrived is closed; other
+// connections are not affected.
 var (
 	// ErrMalformed is wrapped by every error about a message that violates the HTTP standard or is
 	// ambiguous.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -21,9 +21,9 @@
 // ServerOptions configure a Server.
 type ServerOptions struct {
 	Addr               string        // the address to listen on
-	MaxConns           int           // most connections open at once
-	MaxMachineConns    int           // most of these that are from machines; 0: no separate limit
-	MachineIdleTimeout time.Duration // idle timeout for machines, if below limits.ConnIdleTimeout; 0: none
+	MaxConns           int           // maximum number of open connections
+	MaxMachineConns    int           // maximum number of these from machines; 0: no separate limit
+	MachineIdleTimeout time.Duration // idle timeout for machines, at most ConnIdleTimeout; 0: ConnIdleTimeout
 	Sockets            *SocketBudget // the budget that connections count against; nil: none
 	Handle             Handler
 	Log                *slog.Logger
@@ -31,11 +31,12 @@
 
 // Server serves HTTP on one address with a gnet event loop.
 //
-// gnet ends its event loop when accept fails. Run therefore restarts the loop, and the number of
-// connections is kept below the process's socket limit, so that accept does not fail because no socket
-// is left. A request is handled only after the previous response on its connection was passed to gnet,
-// and a connection that sends more while that response is not written yet is closed: a client that reads
-// slowly keeps at most one response in memory.
+// gnet ends its event loop when accept fails. Run therefore restarts the loop, and MaxConns and the socket
+// budget keep the process below its socket limit, so that accept does not fail for lack of sockets.
+//
+// The server handles one request of a connection at a time. If the client sends the next request before
+// the last response is written to the socket, the connection is closed. A client that reads slowly thus
+// takes up the memory of one response at most.
 type Server struct {
 	options ServerOptions
 
@@ -135,8 +136,8 @@
 		return err
 	}
 	s.resetConns()
-	// With WithReusePort the event loop has its own listener and accepts connections itself. Otherwise
-	// gnet accepts them in a second loop, which wakes the event loop for each connection.
+	// WithReusePort gives the event loop its own listener, on which it accepts connections itself. Without
+	// it, gnet accepts connections in a second loop, which wakes the event loop for each.
 	return gnet.Run(&eventHandler{server: s, ctx: ctx}, "tcp://"+s.options.Addr,
 		gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true), gnet.WithTicker(true),
 		gnet.WithReadBufferCap(limits.ReadBufferBytes), gnet.WithLogger(gnetLogger{s.options.Log}))
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -14,10 +14,10 @@
 	"quillshunt/internal/limits"
 )
 
-// TestUnreadResponsesCloseConnection: a connection that asks on without reading its answers is closed, so that they
-// don't pile up.
+// TestUnreadResponsesCloseConnection checks that the server closes a connection that sends requests
+// without reading the responses. Otherwise unread responses would accumulate in the server's memory.
 func TestUnreadResponsesCloseConnection(t *testing.T) {
-	const maxUnread = 2000 // answers that no socket holds
+	const maxUnread = 2000 // their size exceeds the socket buffers
 	handled := make(chan struct{}, 1)
 	server := startServer(t, ServerOptions{MaxConns: 10, Handle: func(_ *Message, r *Responder) {
 		r.Respond(200, make([]byte, limits.MaxBodyBytes), 0)
@@ -37,26 +37,28 @@
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatal(err)
 			}
-			return // closed
+			return // the server has closed the connection
 		}
 		select {
-		case <-handled: // the next request is on its own, so nothing is pipelined
-		case <-time.After(100 * time.Millisecond): // the next write tells whether the connection was closed
+		case <-handled: // the next request is sent after this one was handled, so none are pipelined
+		case <-time.After(100 * time.Millisecond): // the next write fails if the connection was closed
 		}
 	}
-	t.Fatalf("%d answers were taken for a connection that reads none", maxUnread)
+	t.Fatalf("the connection is still open after %d responses that were not read", maxUnread)
 }
 
-// TestAddressInUse: a second server on an address fails instead of sharing it.
+// TestAddressInUse checks that a server detects that another server listens on its address. Without the
+// check both would share the address.
 func TestAddressInUse(t *testing.T) {
 	server := startServer(t, ServerOptions{MaxConns: 10, Handle: respondOK})
 	second := NewServer(ServerOptions{Addr: server.Addr(), Log: server.options.Log})
 	if err := second.checkAddressFree(t.Context()); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("second server: %v", err)
+		t.Errorf("second server on the address: error %v, want EADDRINUSE", err)
 	}
 }
 
-// TestServerClosesConnectionsOnStop: a server whose context ends closes its connections, and its address is free again.
+// TestServerClosesConnectionsOnStop checks that a server closes its connections and releases its address
+// when its context is cancelled.
 func TestServerClosesConnectionsOnStop(t *testing.T) {
 	server, stop := startStoppableServer(t, ServerOptions{MaxConns: 10, Handle: respondOK})
 	conn, err := net.Dial("tcp", server.Addr())
@@ -65,24 +67,24 @@
 	}
 	defer conn.Close()
 	if err := stop(); err != nil {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("Run returned %v after its context was cancelled", err)
 	}
 	if err := conn.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a connection of a server that ended: %v", err)
+		t.Errorf("read from a connection of the stopped server: error %v, want end of file or reset", err)
 	}
 	if err := server.checkAddressFree(t.Context()); err != nil {
-		t.Errorf("address: %v", err)
+		t.Errorf("the address is not free after the stop: %v", err)
 	}
 }
 
 // respondOK answers every request with 200.
 func respondOK(_ *Message, rsp *Responder) { rsp.Respond(http.StatusOK, nil, 0) }
 
-// TestConnectionMemory: a connection that has had its answer holds little memory, so that all workers
-// can be connected within a controller's limit.
+// TestConnectionMemory checks that a connection keeps at most limits.MaxIdleConnBytes of the heap after
+// its response, so that the connections of all workers fit into a controller's memory.
 func TestConnectionMemory(t *testing.T) {
 	const conns = 200
 	server := startServer(t, ServerOptions{
@@ -97,11 +99,11 @@
 		defer openServedConn(t, server.Addr(), req, buffer).Close()
 	}
 	if after := liveHeapBytes(); after > before+conns*limits.MaxIdleConnBytes {
-		t.Errorf("%d bytes of heap for each connection", (after-before)/conns)
+		t.Errorf("%d bytes of heap per idle connection, want at most %d", (after-before)/conns, limits.MaxIdleConnBytes)
 	}
 }
 
-// liveHeapBytes returns the size of the live heap.
+// liveHeapBytes returns the size of the heap after a garbage collection, in bytes.
 func liveHeapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -109,7 +111,8 @@
 	return m.HeapAlloc
 }
 
-// openServedConn opens a connection, sends a request on it and reads the answer through the buffer.
+// openServedConn opens a connection, sends a request on it, reads the whole response in pieces of
+// the buffer's size, and returns the connection.
 func openServedConn(t *testing.T, addr string, req, buffer []byte) net.Conn {
 	t.Helper()
 	conn := dialUntilAccepted(addr)
@@ -133,7 +136,7 @@
 	}
 }
 
-// dialUntilAccepted dials until the server accepts, as its loop may not have begun.
+// dialUntilAccepted dials until the server accepts a connection. Its event loop may not listen yet.
 func dialUntilAccepted(addr string) net.Conn {
 	for {
 		if conn, err := net.Dial("tcp", addr); err == nil {
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -17,8 +17,8 @@
 }
 
 // readSocket and writeSocket make one system call on a non-blocking socket; all sockets of package net
-// are non-blocking. They use RawSyscall, which does not notify the Go scheduler. syscall.Syscall would:
-// for each call the runtime then wakes its monitor thread, to check whether the call takes long. On a
+// are non-blocking. They use RawSyscall, which does not notify the Go scheduler. syscall.Syscall does,
+// and the runtime then wakes its monitor thread for each call, to check whether the call takes long. On a
 // small controller this costs more than the call itself.
 
 func readSocket(fd uintptr, p []byte) (int, syscall.Errno) {
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -15,7 +15,7 @@
 // others that must not be refused are not counted here; sockets are reserved for them separately. A nil
 // budget has no limit.
 type SocketBudget struct {
-	total    int64 // most inbound and outbound connections together
+	total    int64 // maximum of inbound and outbound connections together
 	headroom int64 // sockets that outbound connections leave free, as closing idle ones takes some time
 	inbound  atomic.Int64
 	outbound atomic.Int64
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -12,14 +12,15 @@
 	"quillshunt/internal/limits"
 )
 
-// startServer runs a server on a free address for as long as the test lasts.
+// startServer runs a server on a free address until the test ends.
 func startServer(t *testing.T, options ServerOptions) *Server {
 	t.Helper()
 	server, _ := startStoppableServer(t, options)
 	return server
 }
 
-// startStoppableServer does the same until stop is called, which returns what Run returned.
+// startStoppableServer runs a server on a free address until the test ends or stop is called. stop waits
+// for Server.Run to return, and returns its error.
 func startStoppableServer(t *testing.T, options ServerOptions) (server *Server, stop func() error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +46,8 @@
 	}
 }
 
-// getStatus asks for a path on a connection of its own and returns the status, or 0 without an answer.
+// getStatus sends a GET request for a path on a new connection. It returns the status of the response, or
+// 0 if there is none, and the client, which keeps the connection.
 func getStatus(addr, path string) (int, *Client) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -57,9 +59,9 @@
 	return m.Status, c
 }
 
-// TestSocketBudgetExhausted drives a server past its socket budget: machines take no more than their
-// share, users still get through, idle connections to workers make room for inbound ones, and nothing
-// ends.
+// TestSocketBudgetExhausted opens more connections than the socket budget and the server's limits allow.
+// It checks that machines get no more connections than MaxMachineConns, that users can still connect, that
+// inbound connections replace idle connections to workers, and that the server keeps running.
 func TestSocketBudgetExhausted(t *testing.T) {
 	const total, headroom, maxConns, maxMachines = 60, 5, 50, 30
 	sockets := NewSocketBudget(total, headroom)
@@ -75,11 +77,11 @@
 	})
 	worker := startServer(t, ServerOptions{MaxConns: 2 * total, Handle: respondOK})
 
-	// Connections to workers take what is free, but for the headroom, and then fail before anything
-	// is sent.
+	// Connections to workers use all sockets except the headroom. Further ones fail before a request is
+	// sent.
 	workerClients := connectUntilExhausted(t, worker.Addr(), sockets)
 	if n := len(workerClients); n < total-headroom-1 || n > total-headroom {
-		t.Fatalf("%d connections to workers, of %d sockets with %d kept free", n, total, headroom)
+		t.Fatalf("%d connections to workers, of %d sockets with a headroom of %d", n, total, headroom)
 	}
 
 	inboundClients := &retryingClients{t: t, addr: server.Addr(), sockets: sockets, workerClients: workerClients}
@@ -92,16 +94,16 @@
 		}
 	}
 	if served != maxMachines {
-		t.Errorf("%d machines served, want %d", served, maxMachines)
+		t.Errorf("%d machines got status 200, want %d", served, maxMachines)
 	}
 	for range maxConns - maxMachines - 1 {
 		status, c := inboundClients.connect("/v2/runs/job-1")
 		if status != http.StatusOK {
-			t.Fatalf("a user got %d", status)
+			t.Fatalf("a user got status %d, want 200", status)
 		}
 		kept = append(kept, c)
 	}
-	// Other machines may use what machines give back.
+	// Once a machine's connection is closed, another machine can use its slot.
 	kept[0].CloseIdleConnections()
 	for status := 0; status != http.StatusOK; {
 		status, _ = getStatus(server.Addr(), "/v1/report")
@@ -111,7 +113,8 @@
 	}
 }
 
-// connectUntilExhausted opens connections to a worker until the budget refuses one.
+// connectUntilExhausted opens connections to a worker until the socket budget refuses one, and returns
+// their clients.
 func connectUntilExhausted(t *testing.T, addr string, sockets *SocketBudget) []*Client {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -121,7 +124,7 @@
 		c := NewClient(addr, 1, limits.MaxBodyBytes).WithSockets(sockets)
 		if _, err := c.Do(ctx, "GET", "/status", nil); err != nil {
 			if !errors.Is(err, ErrSocketBudgetExhausted) || !errors.Is(err, ErrNotSent) {
-				t.Fatalf("past the budget: %v", err)
+				t.Fatalf("connection beyond the budget: error %v, want ErrSocketBudgetExhausted and ErrNotSent", err)
 			}
 			return clients
 		}
@@ -129,16 +132,17 @@
 	}
 }
 
-// retryingClients open inbound connections until they get one: a connection that finds no room is
-// closed and comes again, while idle connections to workers are closed.
+// retryingClients open inbound connections. If the server closes one because the socket budget is
+// exhausted, they close idle connections to workers, as a controller does, and try again.
 type retryingClients struct {
 	t             *testing.T
 	addr          string
 	sockets       *SocketBudget
-	workerClients []*Client // to workers
+	workerClients []*Client // with idle connections to workers
 }
 
-// connect asks for a path and returns the status of the first answer.
+// connect sends a GET request for a path, on new connections until one gets a response. It returns the
+// status of the response and the client with the connection.
 func (p *retryingClients) connect(path string) (int, *Client) {
 	p.t.Helper()
 	for {
@@ -147,7 +151,7 @@
 		}
 		n := p.sockets.ExcessOutbound()
 		if n == 0 {
-			p.t.Fatalf("%s: closed, but no connection should be given up", path)
+			p.t.Fatalf("%s: connection closed, although ExcessOutbound is 0", path)
 		}
 		for n > 0 && len(p.workerClients) > 0 {
 			n -= p.workerClients[0].CloseIdleConnections()
