--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/storage"
 )
 
-// follow waits until the leader key no longer has that version. It campaigns at once if the leader
-// offers its leadership or may be replaced as unreachable.
+// follow waits until the leader key no longer has the given version. It campaigns at once if the
+// leader offers its leadership, or if the leader is unreachable and may be replaced.
 func (e *Elector) follow(ctx context.Context, leaderVersion uint64) error {
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -26,80 +26,85 @@
 		<-watchEnded
 		return e.campaign(ctx, conditions...)
 	}
-	e.suspicion.follow(leaderVersion)
-	tick := time.NewTicker(limits.SuspicionCheckInterval)
-	defer tick.Stop()
+	e.suspicion.trackLeader(leaderVersion)
+	ticker := time.NewTicker(limits.SuspicionCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-			if e.needsVotes() && e.mayReplaceLeader(ctx, &e.suspicion) {
-				e.options.Log.Warn("leader sends no heartbeats, replacing it", "leader", e.Leader())
-				return stopWatchAndCampaign(unchanged(storage.KeyLeader, leaderVersion),
-					unchanged(storage.KeyLeaderHeartbeat, e.suspicion.heartbeat))
+		case <-ticker.C:
+			if e.needsVotes() && e.advanceReplacement(ctx, &e.suspicion) {
+				e.options.Log.Warn("campaigning to replace the leader", "leader", e.Leader(),
+					"reason", "no vote requests and no new heartbeat record")
+				return stopWatchAndCampaign(versionCondition(storage.KeyLeader, leaderVersion),
+					versionCondition(storage.KeyLeaderHeartbeat, e.suspicion.heartbeatVersion))
 			}
 		case err := <-watchEnded:
 			if err != nil && !errors.Is(err, storage.ErrCompacted) {
-				return fmt.Errorf("watch leader: %w", err)
+				return fmt.Errorf("watch the leader key: %w", err)
 			}
 			return nil
 		case offered := <-e.offers:
 			if offered == leaderVersion {
-				return stopWatchAndCampaign(unchanged(storage.KeyLeader, leaderVersion))
+				return stopWatchAndCampaign(versionCondition(storage.KeyLeader, leaderVersion))
 			}
 		}
 	}
 }
 
-// mayReplaceLeader goes one step further towards the replacement of the leader that is followed, and
-// reports whether a campaign may replace it, under the condition that its heartbeat is unchanged.
-// It waits until the leader is suspected, until the heartbeat has stayed the same for longer than a
-// vote is live, and until a majority, this controller included, has withdrawn its votes.
-func (e *Elector) mayReplaceLeader(ctx context.Context, s *suspicion) bool {
-	if !e.voter.requestOverdue(s.followedAt) {
+// advanceReplacement takes the next step towards replacing the leader that is followed. It reports
+// whether a campaign may replace the leader now, under the condition that the heartbeat record is
+// unchanged. The steps are:
+//
+//   - Suspect the leader once it has requested no vote for too long.
+//   - Wait until the heartbeat record has kept its version for longer than a vote is valid.
+//   - Withdraw the vote of this controller.
+//   - Wait until a majority of the controllers, this one included, has recorded its withdrawal.
+func (e *Elector) advanceReplacement(ctx context.Context, s *suspicion) bool {
+	if !e.voter.voteRequestOverdue(s.followedAt) {
 		s.clear()
 		return false
 	}
-	if s.suspected() && !s.lastedFor(limits.LeaseExpiredAfter(e.voter.lease)) {
+	if s.suspected() && !s.olderThan(limits.LeaseExpiredAfter(e.voter.voteLease)) {
 		return false
 	}
 	key, err := e.options.Store.Get(ctx, storage.KeyLeaderHeartbeat)
 	if err != nil {
 		return false
 	}
-	if !s.confirmedBy(key.Version) {
+	if !s.matchesHeartbeat(key.Version) {
 		s.begin(key.Version)
 		return false
 	}
-	if !e.voter.withdraw(s.heartbeat) || !e.recordWithdrawal(ctx, s) {
+	if !e.voter.withdraw(s.heartbeatVersion) || !e.recordWithdrawal(ctx, s) {
 		return false
 	}
-	return e.majorityWithdrew(ctx, s.heartbeat)
+	return e.majorityWithdrew(ctx, s.heartbeatVersion)
 }
 
-// recordWithdrawal puts on record in the state service that this controller has withdrawn its vote,
-// and reports whether it is on record.
+// recordWithdrawal writes to the state service that this controller has withdrawn its vote, and
+// reports whether the state service has confirmed it.
 func (e *Elector) recordWithdrawal(ctx context.Context, s *suspicion) bool {
-	if s.withdrawn {
+	if s.withdrawalRecorded {
 		return true
 	}
 	_, err := e.options.Store.CompareAndSwap(ctx, protocol.Transaction{Operations: []protocol.Operation{{
 		Put:   storage.VoteWithdrawalKey(e.options.Node),
-		Value: protocol.Encode(storage.VoteWithdrawal{Heartbeat: s.heartbeat}),
+		Value: protocol.Encode(storage.VoteWithdrawal{Heartbeat: s.heartbeatVersion}),
 	}}})
-	s.withdrawn = err == nil
-	return s.withdrawn
+	s.withdrawalRecorded = err == nil
+	return s.withdrawalRecorded
 }
 
-// majorityWithdrew reports whether a majority of the controllers has put on record that it has
-// withdrawn its votes under the heartbeat with that version. It reports false if that can't be read.
-func (e *Elector) majorityWithdrew(ctx context.Context, heartbeat uint64) bool {
+// majorityWithdrew reports whether a majority of the controllers has recorded the withdrawal of its
+// votes for the given heartbeat version. It returns false if the records cannot be read.
+func (e *Elector) majorityWithdrew(ctx context.Context, heartbeatVersion uint64) bool {
 	withdrawals := 0
 	_, err := e.options.Store.List(ctx, storage.PrefixVoteWithdrawal, func(key protocol.KeyValue) error {
 		var w storage.VoteWithdrawal
 		if err := protocol.Decode(key.Value, &w); err != nil {
 			return err
 		}
-		if w.Heartbeat >= heartbeat {
+		if w.Heartbeat >= heartbeatVersion {
 			withdrawals++
 		}
 		return nil
--- a/internal/coordination/election/node_test.go
+++ b/internal/coordination/election/node_test.go
@@ -13,14 +13,14 @@
 	"quillshunt/internal/storage"
 )
 
-// cluster is controllers of one state service.
+// cluster is a set of controllers that share one state service.
 type cluster struct {
 	service *standin.StateService
 	nodes   []*node
 }
 
-// newCluster returns controllers that neither crash nor lose anything by themselves. They are not
-// started.
+// newCluster returns a cluster of the given size. Its nodes are not started. They do not crash and
+// lose no messages unless a test makes them.
 func newCluster(size int, seed uint64) *cluster {
 	c := &cluster{service: standin.NewStateService()}
 	for i := range size {
@@ -29,7 +29,7 @@
 	return c
 }
 
-// addNode adds a controller, which is not started.
+// addNode adds a node to the cluster without starting it.
 func (c *cluster) addNode(random *rand.Rand) *node {
 	n := &node{
 		name:          fmt.Sprintf("controller-%d", len(c.nodes)),
@@ -42,10 +42,10 @@
 	return n
 }
 
-// leader returns the first entitled node, or nil.
+// leader returns the first entitled node, or nil if there is none.
 func (c *cluster) leader() *node {
 	for _, n := range c.nodes {
-		if n.entitled() != nil {
+		if n.entitledLeadership() != nil {
 			return n
 		}
 	}
@@ -64,35 +64,35 @@
 	}
 }
 
-// node is a controller that crashes and comes back. It is the Peers of its elector.
+// node is a controller that can crash and restart. It implements Peers for its own elector.
 type node struct {
 	name          string
 	cluster       *cluster
 	store         *unreliableStore
 	leaseDuration time.Duration
-	voteLease     time.Duration // 0: this node needs no votes, and no node of the cluster does
+	voteLease     time.Duration // 0 if no node of the cluster needs votes
 	cancel        context.CancelFunc
 	done          chan struct{}
 
 	mu            sync.Mutex
 	elector       *Elector    // nil after a crash
-	leadership    *Leadership // nil while another node leads
-	busy          bool        // its process is behind
-	isolatedUntil time.Time   // no calls between it and other nodes until then
+	leadership    *Leadership // nil while this node does not lead
+	busy          bool        // the process reports a scheduling delay
+	isolatedUntil time.Time   // until then, calls to and from other nodes fail
 }
 
-// start starts the node's process.
+// start starts the process of the node.
 func (n *node) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel, n.done = cancel, make(chan struct{})
 	options := Options{
-		Node:          n.name,
-		Store:         n.store,
-		LeaseDuration: n.leaseDuration,
-		VoteLease:     n.voteLease,
-		Delay:         n.delay,
-		Lead:          n.lead,
-		Log:           slog.New(slog.DiscardHandler),
+		Node:            n.name,
+		Store:           n.store,
+		LeaseDuration:   n.leaseDuration,
+		VoteLease:       n.voteLease,
+		SchedulingDelay: n.schedulingDelay,
+		RunTerm:         n.runTerm,
+		Log:             slog.New(slog.DiscardHandler),
 	}
 	if n.voteLease > 0 {
 		options.Peers = n
@@ -107,7 +107,7 @@
 	}()
 }
 
-// crash ends the node's process.
+// crash stops the process of the node.
 func (n *node) crash() {
 	n.mu.Lock()
 	n.elector = nil
@@ -116,7 +116,7 @@
 	<-n.done
 }
 
-func (n *node) lead(ctx context.Context, l *Leadership) {
+func (n *node) runTerm(ctx context.Context, l *Leadership) {
 	n.setLeadership(l)
 	<-ctx.Done()
 	n.setLeadership(nil)
@@ -128,15 +128,15 @@
 	n.leadership = l
 }
 
-// running returns the elector of the node's process, or nil after a crash.
-func (n *node) running() *Elector {
+// runningElector returns the elector of the node's process, or nil after a crash.
+func (n *node) runningElector() *Elector {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.elector
 }
 
-// entitled returns the node's leadership if it is entitled, or nil.
-func (n *node) entitled() *Leadership {
+// entitledLeadership returns the node's leadership, or nil if the node is not entitled.
+func (n *node) entitledLeadership() *Leadership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.leadership != nil && n.leadership.Entitled() {
@@ -145,15 +145,16 @@
 	return nil
 }
 
-// delay is how far the node's process is behind: a second while it is busy, else what it measures.
-func (n *node) delay(ctx context.Context) time.Duration {
+// schedulingDelay returns one second while the node is busy, and the measured scheduling delay
+// otherwise.
+func (n *node) schedulingDelay(ctx context.Context) time.Duration {
 	n.mu.Lock()
 	busy := n.busy
 	n.mu.Unlock()
 	if busy {
 		return time.Second
 	}
-	return schedulingDelay(ctx)
+	return measureSchedulingDelay(ctx)
 }
 
 func (n *node) setBusy() {
@@ -162,7 +163,7 @@
 	n.busy = true
 }
 
-// isolate cuts the node off from all other nodes until then.
+// isolate cuts the node off from all other nodes until the given time.
 func (n *node) isolate(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -175,30 +176,30 @@
 	return time.Now().Before(n.isolatedUntil)
 }
 
-// reaches reports whether there is a link between two nodes.
-func (n *node) reaches(other *node) bool { return !n.isolated() && !other.isolated() }
+// canReach reports whether calls between two nodes can succeed.
+func (n *node) canReach(other *node) bool { return !n.isolated() && !other.isolated() }
 
-// call delivers a request to another node after a random delay. It returns that node's elector, or
-// nil if the request is lost.
-func (n *node) call(other *node) *Elector {
+// callPeer simulates a request to another node: it waits for a random delay and returns that node's
+// elector. It returns nil if the request is lost.
+func (n *node) callPeer(other *node) *Elector {
 	time.Sleep(n.store.randomDelay(200, time.Millisecond))
-	if other == n || !n.reaches(other) || n.store.loses() {
+	if other == n || !n.canReach(other) || n.store.losesMessage() {
 		return nil
 	}
-	return other.running()
+	return other.runningElector()
 }
 
 func (n *node) Size() int { return len(n.cluster.nodes) - 1 }
 
-func (n *node) RequestVotes(_ context.Context, heartbeat uint64, nonces map[string]uint64) map[string]Vote {
+func (n *node) RequestVotes(_ context.Context, heartbeatVersion uint64, nonces map[string]uint64) map[string]Vote {
 	votes := map[string]Vote{}
 	for _, other := range n.cluster.nodes {
-		e := n.call(other)
+		e := n.callPeer(other)
 		if e == nil {
 			continue
 		}
-		vote := e.Vote(heartbeat, nonces[other.name])
-		if !n.store.loses() { // else the answer is lost
+		vote := e.Vote(heartbeatVersion, nonces[other.name])
+		if !n.store.losesMessage() { // otherwise the reply is lost
 			votes[other.name] = vote
 		}
 	}
@@ -207,24 +208,24 @@
 
 func (n *node) FindConnected(ctx context.Context) string {
 	for _, other := range n.cluster.nodes {
-		if other == n || !n.reaches(other) || n.store.happens(0.2) {
+		if other == n || !n.canReach(other) || n.store.withProbability(0.2) {
 			continue
 		}
-		if other.running() != nil && other.running().StateReachable(ctx) {
+		if other.runningElector() != nil && other.runningElector().StateReachable(ctx) {
 			return other.name
 		}
 	}
 	return ""
 }
 
-// OfferLeadership delivers the offer some time later, unless it is lost.
+// OfferLeadership delivers the offer after a random delay, or loses it at random.
 func (n *node) OfferLeadership(_ context.Context, name string, term, keyVersion uint64) error {
 	for _, other := range n.cluster.nodes {
-		if other.name != name || !n.reaches(other) || n.store.happens(0.2) {
+		if other.name != name || !n.canReach(other) || n.store.withProbability(0.2) {
 			continue
 		}
 		time.AfterFunc(n.store.randomDelay(2000, time.Millisecond), func() {
-			if e := other.running(); e != nil {
+			if e := other.runningElector(); e != nil {
 				e.AcceptOffer(term, keyVersion)
 			}
 		})
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -111,7 +111,7 @@
 // buildTransaction joins the writes of a batch into one transaction, with the condition on the leader
 // key.
 func (w *writer) buildTransaction(batch []scheduler.WriteRecords) protocol.Transaction {
-	txn := protocol.Transaction{Conditions: []protocol.Condition{w.actor.leadership.Guard()}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{w.actor.leadership.FencingCondition()}}
 	for _, write := range batch {
 		txn.Conditions = append(txn.Conditions, write.Conditions...)
 		txn.Operations = append(txn.Operations, write.Operations...)
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -49,7 +49,7 @@
 // until they notice the loss, which would delay the next attempt.
 func (s *Scheduler) abortGang(g *gang, reason string) {
 	for _, a := range g.job.assignments {
-		a.withoutSaving = true
+		a.skipSaving = true
 	}
 	s.logWarn("gang aborted", keyJob, g.job.id, keyAttempt, g.attempt, "remaining", len(g.job.assignments),
 		keyReason, reason)
