--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -171,12 +171,12 @@
 	})
 	g.Start(f.ctx)
 	serve(f.t, transport.NewServer(transport.ServerOptions{
-		Addr:        f.address,
-		MaxConns:    f.socketShares.Inbound,
-		MaxMachines: f.socketShares.MachineConns,
-		Sockets:     sockets,
-		Handle:      g.Handle,
-		Log:         log,
+		Addr:            f.address,
+		MaxConns:        f.socketShares.Inbound,
+		MaxMachineConns: f.socketShares.MachineConns,
+		Sockets:         sockets,
+		Handle:          g.Handle,
+		Log:             log,
 	}))
 }
 
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -59,7 +59,7 @@
 			// Possibly only this controller cannot reach the state service. If it cannot reach the other
 			// controllers either, its health check still passes (see healthStatus). Closing the
 			// connection lets the user's next try reach another controller.
-			rsp.CloseAfter()
+			rsp.CloseAfterResponse()
 		}
 	}
 	rsp.Respond(answer.status, answer.body, retryAfter)
