--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -42,37 +42,38 @@
 	taskStarts    int
 	submissions   int
 	deletionsFail bool           // the cloud deletes no machines
-	users         sync.WaitGroup // requests of users under way; not guarded by mu
+	userRequests  sync.WaitGroup // requests of users under way; not guarded by mu
 }
 
 // process is the process of a controller that runs.
 type process struct {
-	cancel     context.CancelFunc
-	done       sync.WaitGroup
-	controller *Controller
+	cancel         context.CancelFunc
+	peerServerDone sync.WaitGroup
+	controller     *Controller
 }
 
 const (
-	reportS  = 2.0
-	leaseS   = 16.0
-	cancelS  = 40.0
-	capacity = 8.0 // CPUs of a machine
+	heartbeatIntervalS = 2.0
+	workerLeaseS       = 16.0
+	cancelWithinS      = 40.0
+	machineCPUs        = 8.0 // CPUs of a machine
 )
 
 var (
-	gangWaitS = 20.0
-	gangPeerS = 5.0
-	workers   = config.Workers{
-		ReportS: reportS, LeaseS: leaseS, CancelS: cancelS, GangWaitS: &gangWaitS, GangPeerS: &gangPeerS,
+	gangWaitTimeoutS   = 20.0
+	gangPeerDetectionS = 5.0
+	workerTimes        = config.Workers{
+		ReportS: heartbeatIntervalS, LeaseS: workerLeaseS, CancelS: cancelWithinS,
+		GangWaitS: &gangWaitTimeoutS, GangPeerS: &gangPeerDetectionS,
 	}
 )
 
 var (
-	nextValueKB = 2.0
-	nextTxnOps  = 4
-	stateLimits = config.State{
+	announcedValueKB = 2.0
+	announcedTxnOps  = 4
+	stateLimits      = config.State{
 		RPS: 300, WriteRPS: 60, ValueKB: 4, TxnOps: 8,
-		Next: &config.NextState{ValueKB: &nextValueKB, TxnOps: &nextTxnOps},
+		Next: &config.NextState{ValueKB: &announcedValueKB, TxnOps: &announcedTxnOps},
 	}
 )
 
@@ -90,9 +91,9 @@
 		for _, name := range c.nodeNames {
 			c.startController(name)
 		}
-		go c.checkContinuously()
+		go c.checkRulesPeriodically()
 		scenario(c)
-		c.users.Wait()
+		c.userRequests.Wait()
 		c.reportViolations()
 		cancel()
 		c.shutDown()
@@ -124,11 +125,11 @@
 	}
 	c.cloud = standin.NewCloud(ctx, standin.CloudOptions{
 		Types: []protocol.MachineType{{
-			Name: "c8", CPUs: capacity, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1,
+			Name: "c8", CPUs: machineCPUs, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1,
 			Price: 1, SpotPrice: 0.4, BootS: 4, Zones: c.zones,
 		}},
-		State: c.state, Controllers: controllers, Log: c.log, Network: c.network, WorkerTimes: workers,
-		JobSpec: c.jobSpec, OnTaskChange: c.observeTask, InjectFault: c.cloudFault,
+		State: c.state, Controllers: controllers, Log: c.log, Network: c.network, WorkerTimes: workerTimes,
+		JobSpec: c.jobSpec, OnTaskChange: c.onTaskChange, InjectFault: c.cloudFault,
 	})
 	go standin.ServeListener(c.network.Listen("cloud:1"), c.cloud.Server(""))
 	return c
@@ -158,8 +159,8 @@
 	return io.Discard
 }
 
-// now returns the time since the start of the cluster.
-func (c *cluster) now() time.Duration { return time.Since(c.startedAt) }
+// elapsed returns the time since the start of the cluster.
+func (c *cluster) elapsed() time.Duration { return time.Since(c.startedAt) }
 
 // settingsOf returns the settings of a controller.
 func (c *cluster) settingsOf(name string) *config.Settings {
@@ -170,7 +171,7 @@
 		Facts: config.Facts{
 			Zones:   c.zones,
 			Teams:   teams,
-			Workers: workers,
+			Workers: workerTimes,
 			State:   stateLimits.Lowest(),
 			Cloud:   config.Cloud{RPS: 5, ListLagS: 2},
 			Machine: config.MachineLimits{CoreShare: 0.2, MemoryMB: 100, MaxSockets: 500},
@@ -204,7 +205,7 @@
 	controller.start(ctx)
 	go standin.ServeListener(c.network.Listen(name+":8080"), controller.clientServer)
 	peerListener := c.network.Listen(name + ":8081")
-	p.done.Go(func() { _ = controller.peerServer.Serve(ctx, peerListener) })
+	p.peerServerDone.Go(func() { _ = controller.peerServer.Serve(ctx, peerListener) })
 }
 
 // killController ends a controller's process as if it were killed: nothing that it does from now on
@@ -216,7 +217,7 @@
 	}
 	c.network.RemoveHost(name)
 	p.cancel()
-	p.done.Wait()
+	p.peerServerDone.Wait()
 	p.controller.peers.Close()
 	c.mu.Lock()
 	delete(c.processes, name)
@@ -225,14 +226,14 @@
 }
 
 // restartController kills a controller and starts it again after a while.
-func (c *cluster) restartController(name string, after time.Duration) {
+func (c *cluster) restartController(name string, downtime time.Duration) {
 	c.killController(name)
-	time.Sleep(after)
+	time.Sleep(downtime)
 	c.startController(name)
 }
 
-// entitled reports whether a controller runs and is entitled to act as the leader.
-func (c *cluster) entitled(name string) bool {
+// isEntitled reports whether a controller runs and is entitled to act as the leader.
+func (c *cluster) isEntitled(name string) bool {
 	p := c.processes[name]
 	return p != nil && p.controller.dispatcher.Entitled()
 }
@@ -242,7 +243,7 @@
 	for range 600 {
 		var leaders []string
 		for _, name := range c.nodeNames {
-			if c.entitled(name) {
+			if c.isEntitled(name) {
 				leaders = append(leaders, name)
 			}
 		}
@@ -255,8 +256,8 @@
 	return c.nodeNames[0]
 }
 
-// otherThan returns the first controller that is not among those named.
-func (c *cluster) otherThan(excluded ...string) string {
+// otherController returns the first controller that is not among those named.
+func (c *cluster) otherController(excluded ...string) string {
 	for _, name := range c.nodeNames {
 		if !slices.Contains(excluded, name) {
 			return name
@@ -275,8 +276,8 @@
 	return record.Term
 }
 
-// waitForTermAfter waits until there is a leader of a later term, and returns its name.
-func (c *cluster) waitForTermAfter(term uint64) string {
+// waitForLeaderAfterTerm waits until there is a leader of a later term, and returns its name.
+func (c *cluster) waitForLeaderAfterTerm(term uint64) string {
 	for range 600 {
 		if c.currentTerm() > term {
 			return c.waitForLeader()
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -115,8 +115,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.start(ctx)
-	ended := make(chan error, 2)
-	go func() { ended <- c.peerServer.Run(ctx, c.settings.PeerBind) }()
-	go func() { ended <- c.clientServer.Run(ctx) }()
-	return <-ended
+	serverErrors := make(chan error, 2)
+	go func() { serverErrors <- c.peerServer.Run(ctx, c.settings.PeerBind) }()
+	go func() { serverErrors <- c.clientServer.Run(ctx) }()
+	return <-serverErrors
 }
--- a/internal/coordination/controller/faults_test.go
+++ b/internal/coordination/controller/faults_test.go
@@ -18,11 +18,11 @@
 	return 0
 }
 
-// failDeletions makes the cloud refuse to delete machines, or ends that.
-func (c *cluster) failDeletions(on bool) {
+// setDeletionsFail makes the cloud refuse to delete machines, or ends that.
+func (c *cluster) setDeletionsFail(fail bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deletionsFail = on
+	c.deletionsFail = fail
 }
 
 // setWorkerLinks sets the links between all controllers and some machines, in each direction.
@@ -44,9 +44,9 @@
 	}
 }
 
-// stateOutage makes the state service unavailable to everybody for a while.
-func (c *cluster) stateOutage(d time.Duration) {
+// stateServiceOutage makes the state service unavailable to everybody for a while.
+func (c *cluster) stateServiceOutage(duration time.Duration) {
 	c.state.SetUnavailable(true)
-	time.Sleep(d)
+	time.Sleep(duration)
 	c.state.SetUnavailable(false)
 }
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -9,10 +9,10 @@
 	"quillshunt/internal/protocol"
 )
 
-// violation notes that a rule was broken; the caller has the lock.
-func (c *cluster) violation(format string, args ...any) {
+// recordViolation notes that a rule was broken; the caller has the lock.
+func (c *cluster) recordViolation(format string, args ...any) {
 	c.log.Error("RULE BROKEN: " + fmt.Sprintf(format, args...))
-	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now())+fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.elapsed())+fmt.Sprintf(format, args...))
 }
 
 // reportViolations fails the test for each rule that was broken, and if no task ever ran.
@@ -28,11 +28,11 @@
 	}
 }
 
-// observeTask is called by the workers when a task starts to run on a machine, or ends.
-func (c *cluster) observeTask(machine, task string, running bool) {
+// onTaskChange is called by the workers when a task starts to run on a machine, or ends.
+func (c *cluster) onTaskChange(machine, task string, running bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	j := c.jobs[jobOf(task)]
+	j := c.jobs[jobIDOf(task)]
 	if !running {
 		if c.runningTasks[task] == machine {
 			delete(c.runningTasks, task)
@@ -41,15 +41,15 @@
 	}
 	c.taskStarts++
 	if other, ok := c.runningTasks[task]; ok && other != machine {
-		c.violation("ran_twice: %s starts on %s while on %s", task, machine, other)
+		c.recordViolation("ran_twice: %s starts on %s while on %s", task, machine, other)
 	}
 	if j == nil {
-		c.violation("invented: %s", task)
+		c.recordViolation("invented: %s", task)
 		return
 	}
 	c.runningTasks[task] = machine
-	if j.mustBeGone() {
-		c.violation("ran_cancelled: %s starts on %s %v after the user was told",
+	if j.mustNotRun() {
+		c.recordViolation("ran_cancelled: %s starts on %s %v after the user was told",
 			task, machine, time.Since(j.cancelConfirmedAt))
 	}
 	if j.spec.SameZone {
@@ -57,7 +57,7 @@
 	}
 	for _, team := range teams {
 		if used := c.usedCPUs(team.Name); used > team.CPUsMax {
-			c.violation("quota: %s uses %v", team.Name, used)
+			c.recordViolation("quota: %s uses %v", team.Name, used)
 		}
 	}
 }
@@ -68,20 +68,20 @@
 	zone := c.cloud.Zone(machine)
 	for other, otherMachine := range c.runningTasks {
 		otherZone := c.cloud.Zone(otherMachine)
-		if jobOf(other) == j.spec.ID && otherZone != zone && otherZone != "" && zone != "" {
-			c.violation("wrong_place: %s in %s, %s in %s", task, zone, other, otherZone)
+		if jobIDOf(other) == j.spec.ID && otherZone != zone && otherZone != "" && zone != "" {
+			c.recordViolation("wrong_place: %s in %s, %s in %s", task, zone, other, otherZone)
 		}
 	}
 }
 
-// checkContinuously checks the rules that time alone can break, until the context ends.
-func (c *cluster) checkContinuously() {
+// checkRulesPeriodically checks the rules that time alone can break, until the context ends.
+func (c *cluster) checkRulesPeriodically() {
 	for c.ctx.Err() == nil {
 		c.mu.Lock()
-		c.checkOneEntitled()
+		c.checkAtMostOneEntitled()
 		overdue := map[string]string{} // machine by task
 		for task, machine := range c.runningTasks {
-			if c.jobs[jobOf(task)].mustBeGone() {
+			if c.jobs[jobIDOf(task)].mustNotRun() {
 				overdue[task] = machine
 			}
 		}
@@ -91,7 +91,7 @@
 				continue
 			}
 			c.mu.Lock()
-			c.violation("ran_cancelled: %s is on %s longer than cancel_s after the user was told", task, machine)
+			c.recordViolation("ran_cancelled: %s is on %s longer than cancel_s after the user was told", task, machine)
 			delete(c.runningTasks, task)
 			c.mu.Unlock()
 		}
@@ -99,33 +99,33 @@
 	}
 }
 
-// checkOneEntitled checks that at most one controller is entitled; the caller has the lock.
-func (c *cluster) checkOneEntitled() {
+// checkAtMostOneEntitled checks that at most one controller is entitled; the caller has the lock.
+func (c *cluster) checkAtMostOneEntitled() {
 	entitled := ""
 	for name, p := range c.processes {
 		if !p.controller.dispatcher.Entitled() {
 			continue
 		}
 		if entitled != "" {
-			c.violation("%s and %s are entitled at once", entitled, name)
+			c.recordViolation("%s and %s are entitled at once", entitled, name)
 		}
 		entitled = name
 	}
 }
 
-// checkAnswer checks what a user was told about a job against what was told before. The request was
+// checkResponse checks what a user was told about a job against what was told before. The request was
 // sent at the given time.
-func (c *cluster) checkAnswer(j *job, status int, state protocol.JobState, sentAt time.Time) {
+func (c *cluster) checkResponse(j *job, status int, state protocol.JobState, sentAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := j.spec.ID
 	refused := status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 	switch {
 	case status == http.StatusNotFound && !j.acceptedAt.IsZero() && sentAt.After(j.acceptedAt):
-		c.violation("forgotten: %s", id)
+		c.recordViolation("forgotten: %s", id)
 		return
 	case refused && !j.acceptedAt.IsZero():
-		c.violation("forgotten: %s: submission answered %d", id, status)
+		c.recordViolation("forgotten: %s: submission answered %d", id, status)
 		return
 	case status != http.StatusOK && status != http.StatusCreated:
 		return
@@ -134,12 +134,12 @@
 		j.acceptedAt = time.Now()
 	}
 	if j.finalState != "" && state != j.finalState && sentAt.After(j.cancelConfirmedAt) {
-		c.violation("went_back: %s was %s, is %s", id, j.finalState, state)
+		c.recordViolation("went_back: %s was %s, is %s", id, j.finalState, state)
 	}
 	switch state {
 	case protocol.JobAborted:
 		if j.cancelRequestedAt.IsZero() {
-			c.violation("went_back: %s is cancelled, which nobody asked for", id)
+			c.recordViolation("went_back: %s is cancelled, which nobody asked for", id)
 		}
 		if j.finalState == "" {
 			j.finalState, j.cancelConfirmedAt = state, time.Now()
@@ -156,13 +156,13 @@
 func (c *cluster) checkTasksDone(j *job) {
 	for i := range j.spec.Tasks {
 		if !c.cloud.TaskDone(fmt.Sprintf("%s/%d", j.spec.ID, i)) {
-			c.violation("not_done: %s/%d", j.spec.ID, i)
+			c.recordViolation("not_done: %s/%d", j.spec.ID, i)
 		}
 	}
 }
 
-// jobOf returns the ID of a task's job.
-func jobOf(task string) string {
+// jobIDOf returns the ID of a task's job.
+func jobIDOf(task string) string {
 	id, _, _ := protocol.ParseTaskName(task)
 	return id
 }
@@ -170,7 +170,7 @@
 // usedCPUs returns what a team's running tasks use; the caller has the lock.
 func (c *cluster) usedCPUs(team string) (cpus float64) {
 	for task := range c.runningTasks {
-		if spec := c.jobs[jobOf(task)].spec; spec.Team == team {
+		if spec := c.jobs[jobIDOf(task)].spec; spec.Team == team {
 			cpus += spec.CPUs
 		}
 	}
@@ -183,7 +183,7 @@
 	defer c.mu.Unlock()
 	var machines []string
 	for task, machine := range c.runningTasks {
-		if (j == nil || jobOf(task) == j.spec.ID) && !slices.Contains(machines, machine) {
+		if (j == nil || jobIDOf(task) == j.spec.ID) && !slices.Contains(machines, machine) {
 			machines = append(machines, machine)
 		}
 	}
@@ -198,13 +198,13 @@
 	return all[:n:n]
 }
 
-// tasksOnMachines returns how many tasks of the jobs run.
-func (c *cluster) tasksOnMachines(jobs ...*job) int {
+// runningTaskCount returns how many tasks of the jobs run.
+func (c *cluster) runningTaskCount(jobs ...*job) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	running := 0
 	for task := range c.runningTasks {
-		if slices.ContainsFunc(jobs, func(j *job) bool { return j.spec.ID == jobOf(task) }) {
+		if slices.ContainsFunc(jobs, func(j *job) bool { return j.spec.ID == jobIDOf(task) }) {
 			running++
 		}
 	}
--- a/internal/coordination/controller/scenarios_cancellation_test.go
+++ b/internal/coordination/controller/scenarios_cancellation_test.go
@@ -14,16 +14,16 @@
 	{
 		name: "the state service rejects the leader alone, then everybody beyond cancel_s; users cancel and poll",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
 			jobs := c.waitForRunningJobs(4)
 			c.state.SetRejectedCaller(leader, true)
 			time.Sleep(500 * time.Millisecond)
 			for _, j := range jobs {
-				c.users.Go(func() { c.cancel(j) })
+				c.userRequests.Go(func() { c.cancel(j) })
 			}
 			time.Sleep(time.Second)
-			c.expect(c.confirmedCancellations(jobs) > 0 && c.entitled(leader),
+			c.expect(c.confirmedCancellations(jobs) > 0 && c.isEntitled(leader),
 				"confirmed cancellations while the leader is rejected: %d", c.confirmedCancellations(jobs))
 			c.state.SetUnavailable(true)
 			for range 10 {
@@ -40,14 +40,14 @@
 	{
 		name: "the leader's link to the state service stalls, then the service is unavailable to everybody",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
 			jobs := c.waitForRunningJobs(4)
 			c.network.SetLinkBothWays(leader, "state-"+leader, standin.Delay)
 			time.Sleep(500 * time.Millisecond)
 			for _, j := range jobs {
-				c.users.Go(func() {
-					c.tryCancel(j, c.otherThan(leader))
+				c.userRequests.Go(func() {
+					c.tryCancel(j, c.otherController(leader))
 					c.cancel(j)
 				})
 			}
@@ -63,7 +63,7 @@
 	{
 		name: "jobs are cancelled at the moment of the refusal, the leader is killed in the outage and returns",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
 			jobs := c.waitForRunningJobs(4)
 			c.cancelConcurrently(jobs)
@@ -81,25 +81,25 @@
 	{
 		name: "controllers refuse each other, the state service the leader; heartbeat records confirm cancellations",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
 			for _, node := range c.nodeNames {
 				c.setPeerLinks(node, standin.Refuse)
 			}
 			time.Sleep(10 * time.Second)
 			jobs := c.runningJobs()
-			before := c.currentTerm()
-			c.users.Go(func() {
-				c.expect(c.cancel(jobs[0], c.otherThan(leader)),
+			oldTerm := c.currentTerm()
+			c.userRequests.Go(func() {
+				c.expect(c.cancel(jobs[0], c.otherController(leader)),
 					"a cancellation confirmed by a controller that can't reach the leader")
 			})
 			time.Sleep(15 * time.Second)
-			c.expect(c.confirmedCancellations(jobs[:1]) == 1 && c.currentTerm() == before,
+			c.expect(c.confirmedCancellations(jobs[:1]) == 1 && c.currentTerm() == oldTerm,
 				"confirmed in the same term")
 			c.state.SetRejectedCaller(leader, true)
 			c.cancelConcurrently(jobs[1:4])
-			c.waitForTermAfter(before)
-			c.stateOutage(45 * time.Second)
+			c.waitForLeaderAfterTerm(oldTerm)
+			c.stateServiceOutage(45 * time.Second)
 			for _, node := range c.nodeNames {
 				c.setPeerLinks(node, standin.Open)
 			}
@@ -109,7 +109,7 @@
 	{
 		name: "starts are delayed longer than a heartbeat interval, their job is cancelled, the machines go on",
 		run: func(c *cluster) {
-			c.warmUp(4, longTasks)
+			c.startJobs(4, longTasks)
 			all := c.cloud.Machines()
 			// What the leader sends to the machines is delayed: direct commands, and answers to their
 			// heartbeats.
@@ -128,13 +128,13 @@
 				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
 			}
 			time.Sleep(45 * time.Second)
-			c.expect(c.tasksOnMachines(j) == 0, "no task of the job")
+			c.expect(c.runningTaskCount(j) == 0, "no task of the job")
 		},
 	},
 	{
 		name: "machines hang with cancelled tasks and go on within their lease",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			jobs := c.waitForRunningJobs(3)
 			for i, j := range jobs {
 				for _, machine := range c.machinesOf(j) {
@@ -143,7 +143,7 @@
 			}
 			c.cancelConcurrently(jobs)
 			time.Sleep(time.Second)
-			c.expect(c.confirmedCancellations(jobs) == 3 && c.tasksOnMachines(jobs...) > 0,
+			c.expect(c.confirmedCancellations(jobs) == 3 && c.runningTaskCount(jobs...) > 0,
 				"cancelled tasks on hanging machines")
 			time.Sleep(45 * time.Second)
 		},
@@ -151,23 +151,23 @@
 	{
 		name: "a leader is cut off from the state service and its peers only; jobs are cancelled through the new one",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
-			leader, before := c.waitForLeader(), c.currentTerm()
+			c.startJobs(6, longTasks)
+			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			jobs := c.waitForRunningJobs(4)
 			c.network.SetLinkBothWays(leader, "state-"+leader, standin.Refuse)
 			c.setPeerLinks(leader, standin.Delay)
-			for i, node := range []string{leader, c.otherThan(leader)} {
-				c.users.Go(func() {
+			for i, node := range []string{leader, c.otherController(leader)} {
+				c.userRequests.Go(func() {
 					c.expect(!c.tryCancel(jobs[i], node), "a cancellation that can't be confirmed")
 					c.cancel(jobs[i])
 				})
 			}
 			time.Sleep(2 * time.Second)
-			c.expect(c.entitled(leader), "the old leader still entitled")
+			c.expect(c.isEntitled(leader), "the old leader still entitled")
 			time.Sleep(limits.IsolatedAfter)
-			c.expect(c.turnsAway(leader, jobs[0]) && !c.turnsAway(c.otherThan(leader), jobs[0]),
+			c.expect(c.rejectsUserRequest(leader, jobs[0]) && !c.rejectsUserRequest(c.otherController(leader), jobs[0]),
 				"users turned away by the one that is cut off, and only there")
-			for c.currentTerm() == before {
+			for c.currentTerm() == oldTerm {
 				time.Sleep(100 * time.Millisecond)
 			}
 			c.cancelConcurrently(jobs[2:])
@@ -180,19 +180,19 @@
 	{
 		name: "a cancellation, a poll or a repeated submission coincides with the end of a job's last task",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			for i := range 20 {
-				c.users.Go(func() {
+				c.userRequests.Go(func() {
 					j := c.submit(func(spec *protocol.Spec) {
 						spec.Tasks, spec.EstimateS, spec.Priority = 1, 3, "production"
 					})
-					for c.tasksOnMachines(j) == 0 {
+					for c.runningTaskCount(j) == 0 {
 						time.Sleep(5 * time.Millisecond)
 					}
 					// The task's end is reported within the two seconds that the delays of all jobs
 					// span.
 					time.Sleep(3*time.Second + time.Duration(i)*100*time.Millisecond)
-					c.users.Go(func() { c.cancel(j) })
+					c.userRequests.Go(func() { c.cancel(j) })
 					for range 5 {
 						c.poll(j)
 						time.Sleep(20 * time.Millisecond)
@@ -200,8 +200,8 @@
 					body := protocol.Encode(submissionBody(c.t, j.spec))
 					for _, node := range c.nodeNames {
 						sentAt := time.Now()
-						status, state := c.call(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
-						c.checkAnswer(j, status, state, sentAt)
+						status, state := c.requestStatus(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
+						c.checkResponse(j, status, state, sentAt)
 					}
 				})
 				time.Sleep(700 * time.Millisecond)
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -18,9 +18,9 @@
 }
 
 // waitForTasks waits until a number of a job's tasks run, and reports whether they do.
-func (c *cluster) waitForTasks(j *job, tasks int) bool {
+func (c *cluster) waitForTasks(j *job, count int) bool {
 	for range 400 {
-		if c.tasksOnMachines(j) == tasks {
+		if c.runningTaskCount(j) == count {
 			return true
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -30,7 +30,7 @@
 
 // storeLegacyJob writes a job's record as an earlier version has stored it, perhaps larger than a
 // value may be now.
-func (c *cluster) storeLegacyJob(change func(*protocol.Spec)) *job {
+func (c *cluster) storeLegacyJob(modifySpec func(*protocol.Spec)) *job {
 	c.mu.Lock()
 	c.submissions++
 	j := &job{acceptedAt: time.Now(), spec: protocol.Spec{
@@ -46,7 +46,7 @@
 		Image:     "i",
 		EstimateS: 15,
 	}}
-	change(&j.spec)
+	modifySpec(&j.spec)
 	c.jobs[j.spec.ID] = j
 	c.mu.Unlock()
 	record := protocol.Encode(storage.OpenJob{Spec: j.spec, SubmittedAtMs: time.Now().UnixMilli()})
@@ -62,15 +62,15 @@
 	{
 		name: "a leader ends while a gang gathers, as one machine is unreachable",
 		run: func(c *cluster) {
-			c.warmUp(4, longTasks)
-			leader, before := c.waitForLeader(), c.currentTerm()
+			c.startJobs(4, longTasks)
+			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			unreachable := c.cloud.Machines()[0]
 			c.network.SetLink(leader, unreachable, standin.Delay)
 			c.network.SetLink(unreachable, leader, standin.Delay)
 			gangs := []*job{c.submit(gangOfFour), c.submit(gangOfFour), c.submit(gangOfFour)}
 			time.Sleep(3 * time.Second)
 			c.killController(leader)
-			c.waitForTermAfter(before)
+			c.waitForLeaderAfterTerm(oldTerm)
 			c.network.SetLink(leader, unreachable, standin.Open)
 			c.network.SetLink(unreachable, leader, standin.Open)
 			for _, g := range gangs {
@@ -82,7 +82,7 @@
 	{
 		name: "a leader ends while a gang is being preempted for urgent work",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			gangs := []*job{}
 			for range 4 {
 				gangs = append(gangs, c.submit(func(spec *protocol.Spec) {
@@ -91,14 +91,14 @@
 				}))
 			}
 			c.expect(c.waitForTasks(gangs[0], 4), "a gang that runs")
-			leader, before := c.waitForLeader(), c.currentTerm()
+			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			c.submit(func(spec *protocol.Spec) {
 				spec.Team, spec.Priority = "red", "production"
 				spec.Tasks, spec.CPUs, spec.EstimateS, spec.DeadlineS = 4, 8, 15, 17
 			})
 			time.Sleep(500 * time.Millisecond)
 			c.killController(leader)
-			c.waitForTermAfter(before)
+			c.waitForLeaderAfterTerm(oldTerm)
 			c.startController(leader)
 			time.Sleep(30 * time.Second)
 		},
@@ -106,23 +106,23 @@
 	{
 		name: "a gang's machine is unreachable for longer than its lease, and the leader changes meanwhile",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			g := c.submit(gangOfFour)
 			c.expect(c.waitForTasks(g, 4), "a gang that runs")
-			lost := c.machinesOf(g)[:1]
-			c.setWorkerLinks(lost, standin.Delay, standin.Delay)
+			unreachable := c.machinesOf(g)[:1]
+			c.setWorkerLinks(unreachable, standin.Delay, standin.Delay)
 			time.Sleep(2 * time.Second)
-			before := c.currentTerm()
+			oldTerm := c.currentTerm()
 			c.restartController(c.waitForLeader(), 3*time.Second)
-			c.waitForTermAfter(before)
-			time.Sleep(limits.Seconds(leaseS + 4))
-			c.setWorkerLinks(lost, standin.Open, standin.Open)
+			c.waitForLeaderAfterTerm(oldTerm)
+			time.Sleep(limits.Seconds(workerLeaseS + 4))
+			c.setWorkerLinks(unreachable, standin.Open, standin.Open)
 		},
 	},
 	{
 		name: "machines with gangs hang, die, and are replaced, again and again",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			for i := range 6 {
 				g := c.submit(gangOfFour)
 				c.expect(c.waitForTasks(g, 4), "a gang that runs")
@@ -139,7 +139,7 @@
 	{
 		name: "starts of a gang are delayed, the gang is cancelled, and the starts arrive",
 		run: func(c *cluster) {
-			c.warmUp(4, longTasks)
+			c.startJobs(4, longTasks)
 			all := c.cloud.Machines()
 			for _, machine := range all[:len(all)/2] {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Delay)
@@ -151,14 +151,14 @@
 			for _, machine := range all {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
 			}
-			time.Sleep(limits.Seconds(cancelS))
-			c.expect(c.tasksOnMachines(g) == 0, "no task of the gang")
+			time.Sleep(limits.Seconds(cancelWithinS))
+			c.expect(c.runningTaskCount(g) == 0, "no task of the gang")
 		},
 	},
 	{
 		name: "old heartbeats of gangs arrive after newer ones, with leaders that change",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			c.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
@@ -177,7 +177,7 @@
 	{
 		name: "two gangs each need the capacity that the other may have, and the team's limit is enough for one",
 		run: func(c *cluster) {
-			c.warmUp(1, nil)
+			c.startJobs(1, nil)
 			large := func(spec *protocol.Spec) {
 				gangOfFour(spec)
 				spec.Team, spec.Tasks, spec.EstimateS = "red", 5, 10
@@ -190,7 +190,7 @@
 	{
 		name: "the limits of the state service fall while leaders change; a larger stored record can be cancelled",
 		run: func(c *cluster) {
-			c.warmUp(4, nil)
+			c.startJobs(4, nil)
 			large := c.storeLegacyJob(func(spec *protocol.Spec) {
 				for range 100 {
 					spec.MachineTypes = append(spec.MachineTypes, "another-type-with-a-long-name")
@@ -198,7 +198,7 @@
 				spec.MachineTypes[0], spec.EstimateS = "c8", 200
 			})
 			c.expect(c.waitForTasks(large, large.spec.Tasks), "the large job runs")
-			c.state.SetLimits(standin.StateLimits{ValueBytes: int(nextValueKB * 1024), TxnOps: nextTxnOps})
+			c.state.SetLimits(standin.StateLimits{ValueBytes: int(announcedValueKB * 1024), TxnOps: announcedTxnOps})
 			c.generateLoad(40*time.Second, 3*time.Second, gangOfFour)
 			for range 3 {
 				c.restartController(c.waitForLeader(), time.Second)
@@ -213,7 +213,7 @@
 	{
 		name: "the state service is down while gangs run, lose a machine and start again",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			g := c.submit(gangOfFour)
 			c.expect(c.waitForTasks(g, 4), "a gang that runs")
 			c.state.SetUnavailable(true)
--- a/internal/coordination/controller/scenarios_test.go
+++ b/internal/coordination/controller/scenarios_test.go
@@ -36,7 +36,7 @@
 	{
 		name: "no faults",
 		run: func(c *cluster) {
-			c.warmUp(4, nil)
+			c.startJobs(4, nil)
 			c.expect(c.cancel(c.waitForRunningJobs(1)[0]), "a cancellation")
 			c.generateLoad(30*time.Second, 3*time.Second, nil)
 			time.Sleep(35 * time.Second)
@@ -46,7 +46,7 @@
 	{
 		name: "users repeat submissions, cancel what is done, and send invalid jobs, also in an outage",
 		run: func(c *cluster) {
-			c.warmUp(4, nil)
+			c.startJobs(4, nil)
 			time.Sleep(25 * time.Second)
 			c.checkInvalidRequests()
 			for _, j := range c.acceptedJobs() {
@@ -72,7 +72,7 @@
 		Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 1,
 	}
 	submit := func(node string, body map[string]any) int {
-		status, _ := c.call(node, http.MethodPost, "/v2/runs", protocol.Encode(body), 5*time.Second)
+		status, _ := c.requestStatus(node, http.MethodPost, "/v2/runs", protocol.Encode(body), 5*time.Second)
 		return status
 	}
 	// Whether a job was accepted before cannot be known in an outage.
@@ -94,7 +94,7 @@
 			c.t.Errorf("%s %v: %d", field, value, status)
 		}
 	}
-	status, _ := c.call(c.nodeNames[2], http.MethodGet, "/v2/runs/job-900000", nil, 2*time.Second)
+	status, _ := c.requestStatus(c.nodeNames[2], http.MethodGet, "/v2/runs/job-900000", nil, 2*time.Second)
 	if status != http.StatusNotFound && !unknownInOutage(status) {
 		c.t.Errorf("a job that nobody submitted: %d", status)
 	}
--- a/internal/coordination/controller/scenarios_worker_test.go
+++ b/internal/coordination/controller/scenarios_worker_test.go
@@ -13,7 +13,7 @@
 	{
 		name: "old heartbeats arrive after newer ones, also from an earlier incarnation or attempt",
 		run: func(c *cluster) {
-			c.warmUp(4, nil)
+			c.startJobs(4, nil)
 			heartbeats := 0
 			c.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
 				c.mu.Lock()
@@ -25,7 +25,7 @@
 			for i := range 3 {
 				unreachable := c.busyMachines(2)
 				c.setWorkerLinks(unreachable, standin.Drop, standin.Drop)
-				time.Sleep(limits.Seconds(leaseS + 2))
+				time.Sleep(limits.Seconds(workerLeaseS + 2))
 				c.setWorkerLinks(unreachable, standin.Open, standin.Open)
 				if i == 1 {
 					c.restartController(c.waitForLeader(), time.Second)
@@ -42,7 +42,7 @@
 		name: "more work than capacity, urgent and not, over slow links",
 		run: func(c *cluster) {
 			c.network.SetLatency(150 * time.Millisecond)
-			c.warmUp(4, nil)
+			c.startJobs(4, nil)
 			c.generateLoad(60*time.Second, 2*time.Second, func(spec *protocol.Spec) { spec.Tasks = 6 })
 			time.Sleep(30 * time.Second)
 			c.cancelConcurrently(c.waitForRunningJobs(2))
@@ -54,8 +54,8 @@
 	{
 		name: "answers take about as long as a worker waits for them, while leaders change",
 		run: func(c *cluster) {
-			c.warmUp(6, func(spec *protocol.Spec) { spec.EstimateS = 60 })
-			first := c.currentTerm()
+			c.startJobs(6, func(spec *protocol.Spec) { spec.EstimateS = 60 })
+			firstTerm := c.currentTerm()
 			for i := range 6 {
 				// A heartbeat and its answer take 1.6 to 4.8 s together. A worker waits for 4 s, and a
 				// controller considers a heartbeat fresh for 3 s.
@@ -74,13 +74,13 @@
 			for _, machine := range c.cloud.Machines() {
 				c.network.SetExtraLatency(machine, 0)
 			}
-			c.expect(c.currentTerm() > first, "changes of the leader")
+			c.expect(c.currentTerm() > firstTerm, "changes of the leader")
 		},
 	},
 	{
 		name: "workers can't open connections to any controller, while direct commands still reach them",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			machines := c.machinesOf(nil)
 			machines = machines[:len(machines)/2]
 			for _, machine := range machines {
@@ -91,10 +91,10 @@
 			jobs := c.waitForRunningJobs(3)
 			c.cancelConcurrently(jobs)
 			time.Sleep(3 * time.Second)
-			before := c.currentTerm()
+			oldTerm := c.currentTerm()
 			c.restartController(c.waitForLeader(), time.Second)
-			c.waitForTermAfter(before)
-			time.Sleep(limits.Seconds(leaseS + 5))
+			c.waitForLeaderAfterTerm(oldTerm)
+			time.Sleep(limits.Seconds(workerLeaseS + 5))
 			c.setWorkerLinks(machines, standin.Open, standin.Open)
 			c.expect(c.confirmedCancellations(jobs) == 3, "cancellations")
 		},
@@ -102,7 +102,7 @@
 	{
 		name: "jobs bound to one zone, arrays too, lose machines",
 		run: func(c *cluster) {
-			c.warmUp(4, func(spec *protocol.Spec) {
+			c.startJobs(4, func(spec *protocol.Spec) {
 				spec.EstimateS, spec.SameZone, spec.Tasks = 20, c.submissions%2 == 0, 5
 				if c.submissions%2 == 1 {
 					spec.Zone = "b"
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -22,10 +22,10 @@
 	finalState        protocol.JobState // first final state that the user was told
 }
 
-// mustBeGone reports whether no task of the job may run any more, as its user was told so long ago
+// mustNotRun reports whether no task of the job may run any more, as its user was told so long ago
 // that it is cancelled.
-func (j *job) mustBeGone() bool {
-	return !j.cancelConfirmedAt.IsZero() && time.Since(j.cancelConfirmedAt) > limits.Seconds(cancelS)
+func (j *job) mustNotRun() bool {
+	return !j.cancelConfirmedAt.IsZero() && time.Since(j.cancelConfirmedAt) > limits.Seconds(cancelWithinS)
 }
 
 // jobSpec returns the spec of a job, if there is one, for the stand-in of the workers.
@@ -41,43 +41,43 @@
 
 // request makes one user's request at a controller, over a connection of its own.
 func (c *cluster) request(
-	node, method, target string, body []byte, limit time.Duration,
+	node, method, target string, body []byte, timeout time.Duration,
 ) (*transport.Message, error) {
-	ctx, cancel := context.WithTimeout(c.ctx, limit)
+	ctx, cancel := context.WithTimeout(c.ctx, timeout)
 	defer cancel()
 	client := transport.NewClient(node+":8080", 0, limits.MaxBodyBytes).WithDialer(c.network.Dialer("users"))
 	return client.Do(ctx, method, target, body)
 }
 
-// call makes one user's request at a controller, and returns the status and the job's state in the
-// answer. Status 0 is no answer.
-func (c *cluster) call(
-	node, method, target string, body []byte, limit time.Duration,
+// requestStatus makes one user's request at a controller, and returns the status and the job's state
+// in the answer. Status 0 is no answer.
+func (c *cluster) requestStatus(
+	node, method, target string, body []byte, timeout time.Duration,
 ) (status int, state protocol.JobState) {
-	m, err := c.request(node, method, target, body, limit)
+	m, err := c.request(node, method, target, body, timeout)
 	if err != nil {
 		return 0, ""
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var answer protocol.JobStatus
+	var jobStatus protocol.JobStatus
 	if m.Status < 300 && len(m.Body) > 0 {
-		if err := protocol.Decode(m.Body, &answer); err != nil {
-			c.violation("%s %s: %v", method, target, err)
+		if err := protocol.Decode(m.Body, &jobStatus); err != nil {
+			c.recordViolation("%s %s: %v", method, target, err)
 		}
 	}
-	return m.Status, answer.State
+	return m.Status, jobStatus.State
 }
 
-// turnsAway reports whether a controller refuses a request and closes the connection, so that the
-// user's next try comes to another.
-func (c *cluster) turnsAway(node string, j *job) bool {
+// rejectsUserRequest reports whether a controller refuses a request and closes the connection, so that
+// the user's next try comes to another.
+func (c *cluster) rejectsUserRequest(node string, j *job) bool {
 	m, err := c.request(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
 	return err == nil && m.Status == http.StatusServiceUnavailable && m.RetryAfter > 0 && m.Close
 }
 
 // submit submits a job, which change may alter, and retries until it is accepted, as a user does.
-func (c *cluster) submit(change func(*protocol.Spec)) *job {
+func (c *cluster) submit(modifySpec func(*protocol.Spec)) *job {
 	c.mu.Lock()
 	c.submissions++
 	j := &job{spec: protocol.Spec{
@@ -93,16 +93,16 @@
 		Image:     "i",
 		EstimateS: 15,
 	}}
-	if change != nil {
-		change(&j.spec)
+	if modifySpec != nil {
+		modifySpec(&j.spec)
 	}
 	c.jobs[j.spec.ID] = j
 	c.mu.Unlock()
 	body := protocol.Encode(submissionBody(c.t, j.spec))
 	c.retryUntil(60*time.Second, c.nodeNames, func(node string) bool {
 		sentAt := time.Now()
-		status, state := c.call(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
-		c.checkAnswer(j, status, state, sentAt)
+		status, state := c.requestStatus(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
+		c.checkResponse(j, status, state, sentAt)
 		return status == http.StatusOK || status == http.StatusCreated
 	})
 	return j
@@ -129,13 +129,13 @@
 }
 
 // retryUntil tries at one healthy controller after the other, as a load balancer spreads a user's
-// requests, until a try succeeds. It reports false once the limit is over.
-func (c *cluster) retryUntil(limit time.Duration, nodes []string, try func(node string) bool) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); {
+// requests, until a try succeeds. It reports false once the timeout is over.
+func (c *cluster) retryUntil(timeout time.Duration, nodes []string, try func(node string) bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
 		c.mu.Lock()
 		node := nodes[c.random.IntN(len(nodes))]
 		c.mu.Unlock()
-		status, _ := c.call(node, http.MethodGet, "/healthz", nil, time.Second)
+		status, _ := c.requestStatus(node, http.MethodGet, "/healthz", nil, time.Second)
 		if status == http.StatusOK && try(node) {
 			return true
 		}
@@ -161,28 +161,28 @@
 	}
 	c.mu.Unlock()
 	sentAt := time.Now()
-	status, state := c.call(node, http.MethodPost, "/v2/runs/"+j.spec.ID+"/cancel", nil, 5*time.Second)
-	c.checkAnswer(j, status, state, sentAt)
+	status, state := c.requestStatus(node, http.MethodPost, "/v2/runs/"+j.spec.ID+"/cancel", nil, 5*time.Second)
+	c.checkResponse(j, status, state, sentAt)
 	return status == http.StatusOK
 }
 
 // poll asks all controllers at the same moment about a job. It does not wait for the answers.
 func (c *cluster) poll(j *job) {
 	for _, node := range c.nodeNames {
-		c.users.Go(func() {
+		c.userRequests.Go(func() {
 			sentAt := time.Now()
-			status, state := c.call(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
-			c.checkAnswer(j, status, state, sentAt)
+			status, state := c.requestStatus(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
+			c.checkResponse(j, status, state, sentAt)
 		})
 	}
 }
 
 // generateLoad submits a job and polls all jobs, again and again until the time is over. It does not
 // wait for that.
-func (c *cluster) generateLoad(d, interval time.Duration, change func(*protocol.Spec)) {
-	c.users.Go(func() {
-		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(interval) {
-			c.users.Go(func() { c.submit(change) })
+func (c *cluster) generateLoad(duration, interval time.Duration, modifySpec func(*protocol.Spec)) {
+	c.userRequests.Go(func() {
+		for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(interval) {
+			c.userRequests.Go(func() { c.submit(modifySpec) })
 			for _, j := range c.acceptedJobs() {
 				c.poll(j)
 			}
@@ -210,7 +210,7 @@
 	c.mu.Lock()
 	running := map[string]bool{}
 	for task := range c.runningTasks {
-		running[jobOf(task)] = true
+		running[jobIDOf(task)] = true
 	}
 	c.mu.Unlock()
 	return slices.DeleteFunc(c.acceptedJobs(), func(j *job) bool {
@@ -230,11 +230,11 @@
 	return nil
 }
 
-// warmUp submits jobs and waits until as many tasks run, on machines that were rented for them.
-func (c *cluster) warmUp(jobs int, change func(*protocol.Spec)) {
+// startJobs submits jobs and waits until as many tasks run, on machines that were rented for them.
+func (c *cluster) startJobs(jobs int, modifySpec func(*protocol.Spec)) {
 	c.waitForLeader()
 	for range jobs {
-		c.submit(change)
+		c.submit(modifySpec)
 	}
 	for range 60 {
 		time.Sleep(time.Second)
@@ -248,10 +248,10 @@
 	c.t.Error("the fleet does not come up")
 }
 
-// waitsWithinQuota reports whether a job that is not over has no task on a machine although its team
+// isWaitingWithinQuota reports whether a job that is not over has no task on a machine although its team
 // is below its limit.
-func (c *cluster) waitsWithinQuota(j *job) bool {
-	if c.tasksOnMachines(j) > 0 {
+func (c *cluster) isWaitingWithinQuota(j *job) bool {
+	if c.runningTaskCount(j) > 0 {
 		return false
 	}
 	c.mu.Lock()
@@ -270,7 +270,7 @@
 	deadline := time.Now().Add(4 * time.Minute)
 	waitingSince := map[*job]time.Time{}
 	for time.Now().Before(deadline) {
-		c.checkWaiting(waitingSince)
+		c.checkWaitingTimes(waitingSince)
 		if open := c.pollOpenJobs(); open == 0 {
 			break
 		}
@@ -279,29 +279,29 @@
 	for _, j := range c.acceptedJobs() {
 		c.poll(j)
 	}
-	c.users.Wait()
+	c.userRequests.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, j := range c.jobs {
 		if !j.acceptedAt.IsZero() && j.finalState == "" {
-			c.violation("%s is not over four minutes after the last fault (cancellation requested: %v)",
+			c.recordViolation("%s is not over four minutes after the last fault (cancellation requested: %v)",
 				j.spec.ID, !j.cancelRequestedAt.IsZero())
 		}
 	}
 }
 
-// checkWaiting checks that no job that could run waits for 90 s, and keeps since when each waits.
-func (c *cluster) checkWaiting(since map[*job]time.Time) {
+// checkWaitingTimes checks that no job that could run waits for 90 s, and keeps since when each waits.
+func (c *cluster) checkWaitingTimes(waitingSince map[*job]time.Time) {
 	for _, j := range c.acceptedJobs() {
-		if !c.waitsWithinQuota(j) {
-			delete(since, j)
-		} else if since[j].IsZero() {
-			since[j] = time.Now()
-		} else if time.Since(since[j]) > 90*time.Second {
+		if !c.isWaitingWithinQuota(j) {
+			delete(waitingSince, j)
+		} else if waitingSince[j].IsZero() {
+			waitingSince[j] = time.Now()
+		} else if time.Since(waitingSince[j]) > 90*time.Second {
 			c.mu.Lock()
-			c.violation("%s waits for 90 s", j.spec.ID)
+			c.recordViolation("%s waits for 90 s", j.spec.ID)
 			c.mu.Unlock()
-			since[j] = time.Now()
+			waitingSince[j] = time.Now()
 		}
 	}
 }
@@ -324,7 +324,7 @@
 // the answers.
 func (c *cluster) cancelConcurrently(jobs []*job) {
 	for _, j := range jobs {
-		c.users.Go(func() { c.cancel(j) })
+		c.userRequests.Go(func() { c.cancel(j) })
 	}
 }
 
