--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -19,9 +19,9 @@
 	"quillshunt/internal/storage"
 )
 
-// cluster is the whole service in one process and in virtual time: real controllers, and stand-ins
-// of everything around them, over a network in memory. It checks the rules of the protocol by the
-// answers that users get and by the tasks that machines run.
+// cluster runs the whole service in one process and in virtual time: real controllers connected by an
+// in-memory network to stand-ins for the state service, the cloud, the workers and the users. It checks
+// the rules of the protocol against the responses that users get and the tasks that machines run.
 type cluster struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -30,22 +30,22 @@
 	network   *standin.Network
 	state     *standin.StateService
 	cloud     *standin.Cloud
-	processes map[string]*process // controllers that run, by node name
-	nodeNames []string            // of all controllers
+	processes map[string]*process // running controllers, by node name
+	nodeNames []string            // of all controllers, running or not
 	log       *slog.Logger
-	zones     []string // of the controllers, in their order
+	zones     []string // zone of each controller, in the order of nodeNames; machines use the same zones
 
 	mu            sync.Mutex
-	violations    []string          // of the rules
+	violations    []string          // messages about rules that were broken
 	jobs          map[string]*job   // by ID
-	runningTasks  map[string]string // machine by task
-	taskStarts    int
-	submissions   int
-	deletionsFail bool           // the cloud deletes no machines
-	userRequests  sync.WaitGroup // requests of users under way; not guarded by mu
+	runningTasks  map[string]string // name of the machine that runs the task, by task name
+	taskStarts    int               // number of task starts seen on machines
+	submissions   int               // number of jobs created so far; also numbers the job IDs
+	deletionsFail bool              // the cloud rejects requests to delete machines
+	userRequests  sync.WaitGroup    // goroutines that make user requests; not guarded by mu
 }
 
-// process is the process of a controller that runs.
+// process is a running controller process.
 type process struct {
 	cancel         context.CancelFunc
 	peerServerDone sync.WaitGroup
@@ -56,7 +56,7 @@
 	heartbeatIntervalS = 2.0
 	workerLeaseS       = 16.0
 	cancelWithinS      = 40.0
-	machineCPUs        = 8.0 // CPUs of a machine
+	machineCPUs        = 8.0
 )
 
 var (
@@ -68,6 +68,7 @@
 	}
 )
 
+// stateLimits are the limits of the state service, with lower ones announced for later.
 var (
 	announcedValueKB = 2.0
 	announcedTxnOps  = 4
@@ -82,8 +83,8 @@
 	{Name: "blue", CPUs: 16, CPUsMax: 48},
 }
 
-// runScenario starts a cluster in a bubble of virtual time, runs a scenario in it, and fails the test
-// for every rule that was broken.
+// runScenario starts a cluster in a synctest bubble, which has virtual time, and runs a scenario in it.
+// The test fails with one error for each rule violation.
 func runScenario(t *testing.T, seed uint64, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -100,8 +101,8 @@
 	})
 }
 
-// newCluster starts the stand-ins of the services around the controllers. The context ends whatever
-// runs in the cluster.
+// newCluster returns a cluster in which the stand-ins of the state service and the cloud run, but no
+// controller yet. Everything in the cluster runs until the context ends.
 func newCluster(ctx context.Context, t *testing.T, seed uint64) *cluster {
 	c := &cluster{
 		t:            t,
@@ -135,8 +136,8 @@
 	return c
 }
 
-// shutDown ends all processes and removes all hosts, and waits until nothing waits for an answer
-// any more.
+// shutDown kills all controllers and machines and removes all hosts from the network. It then waits
+// until pending requests have timed out.
 func (c *cluster) shutDown() {
 	for _, name := range c.nodeNames {
 		c.killController(name)
@@ -151,7 +152,7 @@
 	time.Sleep(2 * time.Minute)
 }
 
-// logOutput returns where the logs go: QUILLSHUNT_LOG=1 prints them.
+// logOutput returns the destination of the logs: standard error if QUILLSHUNT_LOG is set, else none.
 func logOutput() io.Writer {
 	if os.Getenv("QUILLSHUNT_LOG") != "" {
 		return os.Stderr
@@ -162,7 +163,7 @@
 // elapsed returns the time since the start of the cluster.
 func (c *cluster) elapsed() time.Duration { return time.Since(c.startedAt) }
 
-// settingsOf returns the settings of a controller.
+// settingsOf returns the settings of the named controller.
 func (c *cluster) settingsOf(name string) *config.Settings {
 	settings := &config.Settings{
 		NodeName: name,
@@ -187,7 +188,7 @@
 	return settings
 }
 
-// startController starts a controller's process, unless it runs.
+// startController starts the named controller's process if it is not running.
 func (c *cluster) startController(name string) {
 	if c.processes[name] != nil {
 		return
@@ -208,8 +209,9 @@
 	p.peerServerDone.Go(func() { _ = controller.peerServer.Serve(ctx, peerListener) })
 }
 
-// killController ends a controller's process as if it were killed: nothing that it does from now on
-// reaches anybody.
+// killController ends a controller's process as kill -9 would: its host is removed from the network
+// first, so nothing that the process still does has an effect outside it. It does nothing if the
+// controller is not running.
 func (c *cluster) killController(name string) {
 	p := c.processes[name]
 	if p == nil {
@@ -222,23 +224,24 @@
 	c.mu.Lock()
 	delete(c.processes, name)
 	c.mu.Unlock()
-	c.log.Info("killed", "node", name)
+	c.log.Info("controller killed", "node", name)
 }
 
-// restartController kills a controller and starts it again after a while.
+// restartController kills a controller and starts it again after the downtime.
 func (c *cluster) restartController(name string, downtime time.Duration) {
 	c.killController(name)
 	time.Sleep(downtime)
 	c.startController(name)
 }
 
-// isEntitled reports whether a controller runs and is entitled to act as the leader.
+// isEntitled reports whether a controller is running and currently entitled to act as the leader.
 func (c *cluster) isEntitled(name string) bool {
 	p := c.processes[name]
 	return p != nil && p.controller.dispatcher.Entitled()
 }
 
-// waitForLeader waits until exactly one controller is entitled, and returns its name.
+// waitForLeader waits until exactly one controller is entitled to act as the leader, and returns its
+// name. After a minute it fails the test and returns the first controller's name.
 func (c *cluster) waitForLeader() string {
 	for range 600 {
 		var leaders []string
@@ -252,11 +255,11 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Error("no controller leads for a minute")
+	c.t.Error("no single controller was entitled to lead within a minute")
 	return c.nodeNames[0]
 }
 
-// otherController returns the first controller that is not among those named.
+// otherController returns the name of the first controller that is not excluded, or "" if all are.
 func (c *cluster) otherController(excluded ...string) string {
 	for _, name := range c.nodeNames {
 		if !slices.Contains(excluded, name) {
@@ -266,17 +269,19 @@
 	return ""
 }
 
-// currentTerm returns the highest term so far.
+// currentTerm returns the number of the latest term, as stored in the state service.
 func (c *cluster) currentTerm() uint64 {
 	key, _ := c.state.Get(storage.KeyTerm)
 	var record storage.TermRecord
 	if key.Version != 0 && protocol.Decode(key.Value, &record) != nil {
-		c.t.Fatal("the term record cannot be decoded")
+		c.t.Fatal("cannot decode the term record of the state service")
 	}
 	return record.Term
 }
 
-// waitForLeaderAfterTerm waits until there is a leader of a later term, and returns its name.
+// waitForLeaderAfterTerm waits until a term later than the given one has begun and has a leader, and
+// returns the leader's name. If no later term begins within a minute, it fails the test and returns the
+// first controller's name.
 func (c *cluster) waitForLeaderAfterTerm(term uint64) string {
 	for range 600 {
 		if c.currentTerm() > term {
@@ -284,6 +289,6 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Error("no later term within a minute")
+	c.t.Errorf("no term after term %d within a minute", term)
 	return c.nodeNames[0]
 }
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -1,5 +1,5 @@
-// Package controller puts the parts of one controller together: the gateway for users and workers,
-// the election, the term of the leader, and the calls between controllers.
+// Package controller assembles one controller process: the gateway for users and workers, leader
+// election, the scheduler that runs while this process leads, and the server for other controllers.
 package controller
 
 import (
@@ -17,7 +17,8 @@
 	"quillshunt/internal/transport"
 )
 
-// Controller is one controller of a deployment.
+// Controller is one controller process of a deployment. It serves users and workers, takes part in
+// leader election, and runs the scheduler while it is the leader.
 type Controller struct {
 	settings *config.Settings
 	log      *slog.Logger
@@ -32,13 +33,13 @@
 	peerServer   *peer.Server      // for the other controllers
 }
 
-// New puts a controller together; it starts nothing. A nil dialer dials TCP. It returns an error if
-// the address of another controller is malformed.
+// New assembles a controller without starting it. If dialer is nil, connections are made over TCP.
+// New returns an error if the address of another controller is malformed.
 func New(s *config.Settings, options config.Options, dialer transport.Dialer, log *slog.Logger) (*Controller, error) {
 	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, len(s.Members))
 	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
 
-	// The services around the controller.
+	// Clients of the state service, the cloud and the other controllers.
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
 	cloud := leader.NewCloudClient(s.External.Cloud, s.Facts.Cloud.RPS, dialer)
 	peers, err := peer.Dial(s.Members, dialer)
@@ -46,7 +47,7 @@
 		return nil, err
 	}
 
-	// The leader's term, and the election that starts and ends it.
+	// The dispatcher runs the scheduler during a term of leadership; the elector starts and ends terms.
 	dispatcher := leader.NewDispatcher(leader.DispatcherOptions{
 		Settings: s,
 		Options:  options,
@@ -74,7 +75,7 @@
 	return c, nil
 }
 
-// newGateway returns the handler of users' and workers' requests.
+// newGateway returns the gateway that handles the requests of users and workers.
 func (c *Controller) newGateway(shares limits.SocketShares) *gateway.Gateway {
 	return gateway.New(gateway.Options{
 		Node:       c.settings.NodeName,
@@ -88,7 +89,7 @@
 	})
 }
 
-// newClientServer returns the server for users and workers, which the gateway handles.
+// newClientServer returns the server that users and workers connect to. The gateway handles its requests.
 func (c *Controller) newClientServer(shares limits.SocketShares, sockets *transport.SocketBudget) *transport.Server {
 	return transport.NewServer(transport.ServerOptions{
 		Addr:        c.settings.ClientListen,
@@ -101,16 +102,17 @@
 	})
 }
 
-// start begins to take part in elections and prepares the gateway, until the context ends. It does
-// not wait for that.
+// start starts the gateway's background work and the elector. It returns at once; both run until the
+// context ends.
 func (c *Controller) start(ctx context.Context) {
 	c.gateway.Start(ctx)
 	go c.elector.Run(ctx)
 }
 
-// Run starts the controller and serves until the context ends or a server fails for good; it returns
-// that server's error. It is called once, and the process ends after it: the parts that still run
-// are not waited for, as whatever they did last is safe to be cut short.
+// Run starts the controller and serves requests until the context ends or a server fails permanently.
+// It returns the result of the server that stopped first. Run must be called only once, and the
+// process should exit when it returns. Run does not wait for goroutines that are still running, because
+// all of their work can be interrupted safely at any point.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/coordination/controller/faults_test.go
+++ b/internal/coordination/controller/faults_test.go
@@ -8,7 +8,8 @@
 	"quillshunt/internal/transport"
 )
 
-// cloudFault returns the cloud's status in place of an answer, or 0 for an ordinary answer.
+// cloudFault returns the HTTP status with which the cloud rejects a request, or 0 if the cloud executes
+// it. The stand-in of the cloud calls it for each request.
 func (c *cluster) cloudFault(request *transport.Message) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -18,14 +19,15 @@
 	return 0
 }
 
-// setDeletionsFail makes the cloud refuse to delete machines, or ends that.
+// setDeletionsFail sets whether the cloud rejects requests to delete machines.
 func (c *cluster) setDeletionsFail(fail bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deletionsFail = fail
 }
 
-// setWorkerLinks sets the links between all controllers and some machines, in each direction.
+// setWorkerLinks sets the state of the links between all controllers and some machines: toMachine for
+// packets from controllers to machines, fromMachine for the other direction.
 func (c *cluster) setWorkerLinks(machines []string, toMachine, fromMachine standin.LinkState) {
 	for _, machine := range machines {
 		for _, node := range c.nodeNames {
@@ -35,7 +37,8 @@
 	}
 }
 
-// setPeerLinks sets the links between a controller and all others, in both directions.
+// setPeerLinks sets the state of the links between a controller and all other controllers, in both
+// directions.
 func (c *cluster) setPeerLinks(node string, state standin.LinkState) {
 	for _, other := range c.nodeNames {
 		if other != node {
@@ -44,7 +47,8 @@
 	}
 }
 
-// stateServiceOutage makes the state service unavailable to everybody for a while.
+// stateServiceOutage makes the state service unavailable to all callers, and returns when the outage is
+// over.
 func (c *cluster) stateServiceOutage(duration time.Duration) {
 	c.state.SetUnavailable(true)
 	time.Sleep(duration)
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -9,13 +9,15 @@
 	"quillshunt/internal/protocol"
 )
 
-// recordViolation notes that a rule was broken; the caller has the lock.
+// recordViolation records that a rule was broken. The message begins with the name of the rule, which
+// the scheduler's simulation test uses as well. The caller holds mu.
 func (c *cluster) recordViolation(format string, args ...any) {
-	c.log.Error("RULE BROKEN: " + fmt.Sprintf(format, args...))
+	c.log.Error("protocol rule violated", "violation", fmt.Sprintf(format, args...))
 	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.elapsed())+fmt.Sprintf(format, args...))
 }
 
-// reportViolations fails the test for each rule that was broken, and if no task ever ran.
+// reportViolations fails the test with one error for each recorded violation. It also fails the test if
+// no task ever ran, because the rules were then not really checked.
 func (c *cluster) reportViolations() {
 	c.mu.Lock()
 	violations := slices.Clone(c.violations)
@@ -24,11 +26,12 @@
 		c.t.Error(v)
 	}
 	if c.taskStarts == 0 {
-		c.t.Error("nothing_ran")
+		c.t.Error("nothing_ran: no task started on any machine")
 	}
 }
 
-// onTaskChange is called by the workers when a task starts to run on a machine, or ends.
+// onTaskChange checks the rules for a task that starts to run on a machine, and records where tasks run.
+// The stand-in workers call it when a task starts to run (running is true) and when it ends.
 func (c *cluster) onTaskChange(machine, task string, running bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,15 +44,15 @@
 	}
 	c.taskStarts++
 	if other, ok := c.runningTasks[task]; ok && other != machine {
-		c.recordViolation("ran_twice: %s starts on %s while on %s", task, machine, other)
+		c.recordViolation("ran_twice: task %s starts on %s while it runs on %s", task, machine, other)
 	}
 	if j == nil {
-		c.recordViolation("invented: %s", task)
+		c.recordViolation("invented: task %s starts on %s but its job was never submitted", task, machine)
 		return
 	}
 	c.runningTasks[task] = machine
 	if j.mustNotRun() {
-		c.recordViolation("ran_cancelled: %s starts on %s %v after the user was told",
+		c.recordViolation("ran_cancelled: task %s starts on %s %v after the cancellation was confirmed",
 			task, machine, time.Since(j.cancelConfirmedAt))
 	}
 	if j.spec.SameZone {
@@ -57,24 +60,28 @@
 	}
 	for _, team := range teams {
 		if used := c.usedCPUs(team.Name); used > team.CPUsMax {
-			c.recordViolation("quota: %s uses %v", team.Name, used)
+			c.recordViolation("quota: team %s uses %v CPUs, limit %v", team.Name, used, team.CPUsMax)
 		}
 	}
 }
 
-// checkSameZone checks that all tasks of a job run in the zone of a task that starts; the caller has
-// the lock. The zone of a machine that is gone is not known.
+// checkSameZone checks that all running tasks of a job are in the zone of the task that starts. Tasks on
+// machines that no longer exist are ignored, as the zone of such a machine is unknown. The caller holds
+// mu.
 func (c *cluster) checkSameZone(j *job, task, machine string) {
 	zone := c.cloud.Zone(machine)
 	for other, otherMachine := range c.runningTasks {
 		otherZone := c.cloud.Zone(otherMachine)
 		if jobIDOf(other) == j.spec.ID && otherZone != zone && otherZone != "" && zone != "" {
-			c.recordViolation("wrong_place: %s in %s, %s in %s", task, zone, other, otherZone)
+			c.recordViolation("wrong_place: same zone: task %s is in zone %s, task %s in zone %s",
+				task, zone, other, otherZone)
 		}
 	}
 }
 
-// checkRulesPeriodically checks the rules that time alone can break, until the context ends.
+// checkRulesPeriodically checks, until the context ends, the rules that can be broken without a task
+// starting or a user getting a response: at most one controller is entitled to lead, and the tasks of a
+// cancelled job stop in time.
 func (c *cluster) checkRulesPeriodically() {
 	for c.ctx.Err() == nil {
 		c.mu.Lock()
@@ -91,7 +98,8 @@
 				continue
 			}
 			c.mu.Lock()
-			c.recordViolation("ran_cancelled: %s is on %s longer than cancel_s after the user was told", task, machine)
+			c.recordViolation("ran_cancelled: task %s runs on %s more than %v s after the cancellation was confirmed",
+				task, machine, cancelWithinS)
 			delete(c.runningTasks, task)
 			c.mu.Unlock()
 		}
@@ -99,7 +107,8 @@
 	}
 }
 
-// checkAtMostOneEntitled checks that at most one controller is entitled; the caller has the lock.
+// checkAtMostOneEntitled checks that at most one controller is entitled to act as the leader. The caller
+// holds mu.
 func (c *cluster) checkAtMostOneEntitled() {
 	entitled := ""
 	for name, p := range c.processes {
@@ -107,14 +116,17 @@
 			continue
 		}
 		if entitled != "" {
-			c.recordViolation("%s and %s are entitled at once", entitled, name)
+			c.recordViolation("%s and %s are both entitled to act as the leader", entitled, name)
 		}
 		entitled = name
 	}
 }
 
-// checkResponse checks what a user was told about a job against what was told before. The request was
-// sent at the given time.
+// checkResponse checks a response about a job against the earlier ones, and records what it says. An
+// accepted job is never reported as unknown or invalid, and a final state never changes. A job is
+// reported as cancelled only if a user has cancelled it, and as done only if all its tasks have
+// completed. sentAt is when the request was sent: before a job was accepted or its cancellation
+// confirmed, a controller may have read the earlier state.
 func (c *cluster) checkResponse(j *job, status int, state protocol.JobState, sentAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,10 +134,10 @@
 	refused := status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 	switch {
 	case status == http.StatusNotFound && !j.acceptedAt.IsZero() && sentAt.After(j.acceptedAt):
-		c.recordViolation("forgotten: %s", id)
+		c.recordViolation("forgotten: job %s: status %d after it was accepted", id, status)
 		return
 	case refused && !j.acceptedAt.IsZero():
-		c.recordViolation("forgotten: %s: submission answered %d", id, status)
+		c.recordViolation("forgotten: job %s: a request was rejected with status %d after it was accepted", id, status)
 		return
 	case status != http.StatusOK && status != http.StatusCreated:
 		return
@@ -134,12 +146,12 @@
 		j.acceptedAt = time.Now()
 	}
 	if j.finalState != "" && state != j.finalState && sentAt.After(j.cancelConfirmedAt) {
-		c.recordViolation("went_back: %s was %s, is %s", id, j.finalState, state)
+		c.recordViolation("went_back: job %s changed from final state %q to %q", id, j.finalState, state)
 	}
 	switch state {
 	case protocol.JobAborted:
 		if j.cancelRequestedAt.IsZero() {
-			c.recordViolation("went_back: %s is cancelled, which nobody asked for", id)
+			c.recordViolation("went_back: job %s is reported as cancelled, but no user cancelled it", id)
 		}
 		if j.finalState == "" {
 			j.finalState, j.cancelConfirmedAt = state, time.Now()
@@ -152,22 +164,23 @@
 	}
 }
 
-// checkTasksDone checks that all tasks of a job were completed; the caller has the lock.
+// checkTasksDone checks that all tasks of a job that is reported as done have completed on a machine.
+// The caller holds mu.
 func (c *cluster) checkTasksDone(j *job) {
 	for i := range j.spec.Tasks {
 		if !c.cloud.TaskDone(fmt.Sprintf("%s/%d", j.spec.ID, i)) {
-			c.recordViolation("not_done: %s/%d", j.spec.ID, i)
+			c.recordViolation("not_done: job %s is done, but its task %d has not completed", j.spec.ID, i)
 		}
 	}
 }
 
-// jobIDOf returns the ID of a task's job.
+// jobIDOf returns the ID of the job that a task name belongs to.
 func jobIDOf(task string) string {
 	id, _, _ := protocol.ParseTaskName(task)
 	return id
 }
 
-// usedCPUs returns what a team's running tasks use; the caller has the lock.
+// usedCPUs returns how many CPUs the running tasks of a team use. The caller holds mu.
 func (c *cluster) usedCPUs(team string) (cpus float64) {
 	for task := range c.runningTasks {
 		if spec := c.jobs[jobIDOf(task)].spec; spec.Team == team {
@@ -177,7 +190,8 @@
 	return cpus
 }
 
-// machinesOf returns the machines that run tasks of a job, or of any job if it is nil, sorted.
+// machinesOf returns the names of the machines that run tasks of a job, sorted. If j is nil, it returns
+// all machines that run tasks.
 func (c *cluster) machinesOf(j *job) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,14 +205,14 @@
 	return machines
 }
 
-// busyMachines returns at most n machines that run tasks.
+// busyMachines returns the names of at most n machines that run tasks, the first in sorted order.
 func (c *cluster) busyMachines(n int) []string {
 	all := c.machinesOf(nil)
 	n = min(n, len(all))
 	return all[:n:n]
 }
 
-// runningTaskCount returns how many tasks of the jobs run.
+// runningTaskCount returns how many tasks of the given jobs are running in total.
 func (c *cluster) runningTaskCount(jobs ...*job) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordination/controller/scenarios_cancellation_test.go
+++ b/internal/coordination/controller/scenarios_cancellation_test.go
@@ -9,10 +9,10 @@
 	"quillshunt/internal/standin"
 )
 
-// cancellationScenarios are faults during cancellations.
+// cancellationScenarios inject faults while jobs are cancelled.
 var cancellationScenarios = []scenario{
 	{
-		name: "the state service rejects the leader alone, then everybody beyond cancel_s; users cancel and poll",
+		name: "the state service rejects the leader alone, then is unavailable beyond cancel_s; users cancel and poll",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
@@ -24,7 +24,8 @@
 			}
 			time.Sleep(time.Second)
 			c.expect(c.confirmedCancellations(jobs) > 0 && c.isEntitled(leader),
-				"confirmed cancellations while the leader is rejected: %d", c.confirmedCancellations(jobs))
+				"cancellations are confirmed while the leader is rejected and still entitled: %d confirmed",
+				c.confirmedCancellations(jobs))
 			c.state.SetUnavailable(true)
 			for range 10 {
 				time.Sleep(5 * time.Second)
@@ -32,13 +33,13 @@
 					c.poll(j)
 				}
 			}
-			c.expect(c.currentTerm() == 1, "the same leader throughout")
+			c.expect(c.currentTerm() == 1, "the first leader leads throughout the outage: term %d", c.currentTerm())
 			c.state.SetUnavailable(false)
 			c.state.SetRejectedCaller(leader, false)
 		},
 	},
 	{
-		name: "the leader's link to the state service stalls, then the service is unavailable to everybody",
+		name: "the leader's link to the state service is delayed, then the service is unavailable to all",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
@@ -56,12 +57,12 @@
 			time.Sleep(time.Second)
 			c.network.SetLinkBothWays(leader, "state-"+leader, standin.Open)
 			time.Sleep(50 * time.Second)
-			c.expect(c.confirmedCancellations(jobs) > 0, "confirmed cancellations")
+			c.expect(c.confirmedCancellations(jobs) > 0, "cancellations are confirmed")
 			c.state.SetUnavailable(false)
 		},
 	},
 	{
-		name: "jobs are cancelled at the moment of the refusal, the leader is killed in the outage and returns",
+		name: "jobs are cancelled as the state service begins to reject the leader, which restarts in an outage",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
@@ -73,13 +74,13 @@
 			time.Sleep(5 * time.Second)
 			c.restartController(leader, 3*time.Second)
 			time.Sleep(45 * time.Second)
-			c.expect(c.confirmedCancellations(jobs) > 0, "confirmed cancellations")
+			c.expect(c.confirmedCancellations(jobs) > 0, "cancellations are confirmed")
 			c.state.SetUnavailable(false)
 			c.state.SetRejectedCaller(leader, false)
 		},
 	},
 	{
-		name: "controllers refuse each other, the state service the leader; heartbeat records confirm cancellations",
+		name: "heartbeat records confirm cancellations without peer links; the state service rejects the leader",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
@@ -91,11 +92,11 @@
 			oldTerm := c.currentTerm()
 			c.userRequests.Go(func() {
 				c.expect(c.cancel(jobs[0], c.otherController(leader)),
-					"a cancellation confirmed by a controller that can't reach the leader")
+					"a controller that cannot reach the leader confirms a cancellation")
 			})
 			time.Sleep(15 * time.Second)
 			c.expect(c.confirmedCancellations(jobs[:1]) == 1 && c.currentTerm() == oldTerm,
-				"confirmed in the same term")
+				"the cancellation is confirmed within the same term")
 			c.state.SetRejectedCaller(leader, true)
 			c.cancelConcurrently(jobs[1:4])
 			c.waitForLeaderAfterTerm(oldTerm)
@@ -107,18 +108,17 @@
 		},
 	},
 	{
-		name: "starts are delayed longer than a heartbeat interval, their job is cancelled, the machines go on",
+		name: "start commands are delayed for longer than a heartbeat interval, and their job is cancelled meanwhile",
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
 			all := c.cloud.Machines()
-			// What the leader sends to the machines is delayed: direct commands, and answers to their
-			// heartbeats.
+			// Delays everything that the leader sends to machines: direct commands and heartbeat replies.
 			for _, machine := range all {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Delay)
 			}
 			j := c.submit(func(spec *protocol.Spec) { spec.Tasks, spec.Priority = 4, "production" })
 			time.Sleep(time.Second)
-			c.expect(c.cancel(j), "a cancellation")
+			c.expect(c.cancel(j), "the cancellation succeeds")
 			time.Sleep(2 * time.Second)
 			for _, machine := range all[:len(all)/2] {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
@@ -128,11 +128,11 @@
 				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
 			}
 			time.Sleep(45 * time.Second)
-			c.expect(c.runningTaskCount(j) == 0, "no task of the job")
+			c.expect(c.runningTaskCount(j) == 0, "no task of the cancelled job runs")
 		},
 	},
 	{
-		name: "machines hang with cancelled tasks and go on within their lease",
+		name: "machines with cancelled tasks hang and resume before their lease expires",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			jobs := c.waitForRunningJobs(3)
@@ -144,12 +144,12 @@
 			c.cancelConcurrently(jobs)
 			time.Sleep(time.Second)
 			c.expect(c.confirmedCancellations(jobs) == 3 && c.runningTaskCount(jobs...) > 0,
-				"cancelled tasks on hanging machines")
+				"all jobs are cancelled while their tasks are on hanging machines")
 			time.Sleep(45 * time.Second)
 		},
 	},
 	{
-		name: "a leader is cut off from the state service and its peers only; jobs are cancelled through the new one",
+		name: "the leader loses the state service and its peers only; users cancel jobs before and after the failover",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
@@ -158,27 +158,28 @@
 			c.setPeerLinks(leader, standin.Delay)
 			for i, node := range []string{leader, c.otherController(leader)} {
 				c.userRequests.Go(func() {
-					c.expect(!c.tryCancel(jobs[i], node), "a cancellation that can't be confirmed")
+					c.expect(!c.tryCancel(jobs[i], node), "the cancellation cannot be confirmed yet")
 					c.cancel(jobs[i])
 				})
 			}
 			time.Sleep(2 * time.Second)
-			c.expect(c.isEntitled(leader), "the old leader still entitled")
+			c.expect(c.isEntitled(leader), "the old leader is still entitled")
 			time.Sleep(limits.IsolatedAfter)
 			c.expect(c.rejectsUserRequest(leader, jobs[0]) && !c.rejectsUserRequest(c.otherController(leader), jobs[0]),
-				"users turned away by the one that is cut off, and only there")
+				"only the controller that is cut off rejects user requests")
 			for c.currentTerm() == oldTerm {
 				time.Sleep(100 * time.Millisecond)
 			}
 			c.cancelConcurrently(jobs[2:])
 			time.Sleep(50 * time.Second)
-			c.expect(c.confirmedCancellations(jobs) == 4, "all four cancelled: %d", c.confirmedCancellations(jobs))
+			c.expect(c.confirmedCancellations(jobs) == 4,
+				"all four cancellations are confirmed: %d confirmed", c.confirmedCancellations(jobs))
 			c.network.SetLinkBothWays(leader, "state-"+leader, standin.Open)
 			c.setPeerLinks(leader, standin.Open)
 		},
 	},
 	{
-		name: "a cancellation, a poll or a repeated submission coincides with the end of a job's last task",
+		name: "a cancellation, polls and repeated submissions coincide with the end of a job's only task",
 		run: func(c *cluster) {
 			c.startJobs(2, nil)
 			for i := range 20 {
@@ -189,8 +190,8 @@
 					for c.runningTaskCount(j) == 0 {
 						time.Sleep(5 * time.Millisecond)
 					}
-					// The task's end is reported within the two seconds that the delays of all jobs
-					// span.
+					// The task runs for 3 s, and its end is reported within the next heartbeat interval of
+					// 2 s. The delays of the 20 jobs are spread over that interval.
 					time.Sleep(3*time.Second + time.Duration(i)*100*time.Millisecond)
 					c.userRequests.Go(func() { c.cancel(j) })
 					for range 5 {
@@ -210,7 +211,7 @@
 			jobs := c.acceptedJobs()
 			cancelled := c.confirmedCancellations(jobs)
 			c.expect(cancelled > 0 && cancelled < len(jobs)-2,
-				"both outcomes: %d of %d cancelled", cancelled, len(jobs))
+				"some jobs are cancelled and some are done: %d of %d cancelled", cancelled, len(jobs))
 		},
 	},
 }
--- a/internal/coordination/controller/scenarios_failover_test.go
+++ b/internal/coordination/controller/scenarios_failover_test.go
@@ -9,10 +9,10 @@
 	"quillshunt/internal/standin"
 )
 
-// failoverScenarios are faults during a change of leaders.
+// failoverScenarios inject faults around a change of the leader.
 var failoverScenarios = []scenario{
 	{
-		name: "a heartbeat is delayed until a new leader has acted, and then arrives there",
+		name: "heartbeats are delayed until a new leader has acted, and then reach the new leader",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
@@ -27,12 +27,12 @@
 			time.Sleep(10 * time.Second)
 			c.setWorkerLinks(delayed, standin.Open, standin.Open)
 			time.Sleep(20 * time.Second)
-			c.expect(newLeader != leader, "another leader")
+			c.expect(newLeader != leader, "another controller becomes the leader")
 			c.startController(leader)
 		},
 	},
 	{
-		name: "transactions get no answer and are applied late, while jobs end or are cancelled and leaders change",
+		name: "transactions get no reply and are applied late while jobs end or are cancelled and leaders change",
 		run: func(c *cluster) {
 			c.startJobs(4, nil)
 			lateTransactions := 0
@@ -55,7 +55,7 @@
 			}
 			c.state.SetDelayedTransactions(nil)
 			c.mu.Lock()
-			c.expect(lateTransactions > 5, "late transactions: %d", lateTransactions)
+			c.expect(lateTransactions > 5, "more than 5 transactions are delayed: %d", lateTransactions)
 			c.mu.Unlock()
 			time.Sleep(15 * time.Second)
 		},
@@ -67,7 +67,7 @@
 			jobs := c.waitForRunningJobs(2)
 			c.cancelConcurrently(jobs)
 			time.Sleep(200 * time.Millisecond)
-			c.expect(c.runningTaskCount(c.runningJobs()...) > 0, "tasks on machines")
+			c.expect(c.runningTaskCount(c.runningJobs()...) > 0, "tasks run when the controllers are killed")
 			for _, node := range c.nodeNames {
 				c.killController(node)
 			}
@@ -79,13 +79,13 @@
 		},
 	},
 	{
-		name: "a new leader answers machines late in their lease, then gets no heartbeats; the cloud deletes nothing",
+		name: "a new leader renews worker leases late, then gets no heartbeats; the cloud deletes no machines",
 		run: func(c *cluster) {
 			c.startJobs(6, func(spec *protocol.Spec) { spec.EstimateS = 60 })
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			all := c.cloud.Machines()
 			for _, machine := range all {
-				c.network.StopListening(machine + ":9000") // so that they can't be probed
+				c.network.StopListening(machine + ":9000") // so that controllers cannot probe them
 			}
 			c.killController(leader)
 			c.setWorkerLinks(all, standin.Delay, standin.Delay)
@@ -93,7 +93,7 @@
 			c.waitForLeaderAfterTerm(oldTerm)
 			time.Sleep(4 * time.Second)
 			c.setWorkerLinks(all, standin.Open, standin.Open)
-			time.Sleep(1900 * time.Millisecond) // they find the leader, but their next heartbeats are delayed
+			time.Sleep(1900 * time.Millisecond) // one heartbeat of each machine reaches the new leader
 			c.setWorkerLinks(all, standin.Delay, standin.Delay)
 			time.Sleep(limits.Seconds(workerLeaseS - 3))
 			c.setWorkerLinks(all, standin.Open, standin.Open)
@@ -102,7 +102,7 @@
 		},
 	},
 	{
-		name: "leaders change ten times in two minutes, also inside an outage",
+		name: "the leader is restarted about ten times in two minutes, also in an outage of the state service",
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
 			firstTerm := c.currentTerm()
@@ -128,11 +128,12 @@
 				}
 				time.Sleep(10 * time.Second)
 			}
-			c.expect(c.currentTerm() >= firstTerm+7, "changes of the leader: %d", c.currentTerm()-firstTerm)
+			c.expect(c.currentTerm() >= firstTerm+7,
+				"at least 7 new terms begin: %d", c.currentTerm()-firstTerm)
 		},
 	},
 	{
-		name: "a team is at its limit when the leader changes; machines can't be probed, and a job is cancelled",
+		name: "a team is at its limit when the leader changes; a machine is unreachable and a job is cancelled",
 		run: func(c *cluster) {
 			c.startJobs(2, func(spec *protocol.Spec) { spec.Team, spec.Tasks, spec.EstimateS = "red", 8, 150 })
 			deadline := time.Now().Add(time.Minute)
@@ -140,7 +141,7 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 			c.expect(c.runningTaskCount(c.runningJobs()...) == 16,
-				"the team at its limit: %d", c.runningTaskCount(c.runningJobs()...))
+				"16 tasks run, which is the team's limit: %d", c.runningTaskCount(c.runningJobs()...))
 			c.submit(func(spec *protocol.Spec) { spec.Team, spec.Tasks, spec.Priority = "red", 8, "production" })
 			j := c.waitForRunningJobs(1)[0]
 			unreachable := c.machinesOf(j)[:1]
@@ -152,15 +153,15 @@
 			time.Sleep(5 * time.Second)
 			c.setWorkerLinks(unreachable, standin.Open, standin.Open)
 			time.Sleep(40 * time.Second)
-			c.expect(c.confirmedCancellations([]*job{j}) == 1, "a cancellation")
+			c.expect(c.confirmedCancellations([]*job{j}) == 1, "the cancellation is confirmed")
 		},
 	},
 	{
-		name: "jobs of two or three tasks end far apart across a change of leader",
+		name: "jobs of two or three tasks lose machines, and some of their tasks end before a change of the leader",
 		run: func(c *cluster) {
 			c.startJobs(5, func(spec *protocol.Spec) { spec.Tasks = 2 + c.submissions%2 })
-			// Machines are lost one after the other while the last tasks of jobs run: what was done must
-			// stay done.
+			// One machine after the other is lost while jobs run their last tasks. Completed tasks must
+			// stay completed.
 			for i := range 5 {
 				time.Sleep(5 * time.Second)
 				if machines := c.machinesOf(nil); len(machines) > 0 {
@@ -170,11 +171,11 @@
 					c.restartController(c.waitForLeader(), time.Second)
 				}
 			}
-			c.expect(c.currentTerm() >= 3, "changes of the leader")
+			c.expect(c.currentTerm() >= 3, "the leader changes at least twice: term %d", c.currentTerm())
 		},
 	},
 	{
-		name: "a zone with workers and a controller is cut off for longer than lease_s",
+		name: "the leader's zone, with its workers, is cut off for longer than lease_s",
 		run: func(c *cluster) {
 			c.startJobs(8, longTasks)
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
@@ -200,7 +201,7 @@
 					}
 				}
 			}
-			c.expect(len(outside) > 0, "machines outside the zone")
+			c.expect(len(outside) > 0, "there are machines outside the zone")
 			c.cancelConcurrently(jobs)
 			c.waitForLeaderAfterTerm(oldTerm)
 			time.Sleep(limits.Seconds(workerLeaseS + 10))
@@ -214,13 +215,13 @@
 		},
 	},
 	{
-		name: "a leader ends while machines with long tasks are unreachable or don't get the new leader's answers",
+		name: "the leader is killed while one machine is unreachable and another receives nothing from controllers",
 		run: func(c *cluster) {
 			c.startJobs(8, longTasks)
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			machines := c.machinesOf(nil)
 			c.setWorkerLinks(machines[:1], standin.Delay, standin.Delay) // unreachable
-			c.setWorkerLinks(machines[1:2], standin.Drop, standin.Open)  // gets no answers
+			c.setWorkerLinks(machines[1:2], standin.Drop, standin.Open)  // receives nothing from controllers
 			jobs := c.waitForRunningJobs(3)
 			c.killController(leader)
 			c.cancelConcurrently(jobs)
@@ -229,11 +230,12 @@
 			c.setWorkerLinks(machines[:2], standin.Open, standin.Open)
 			time.Sleep(20 * time.Second)
 			c.startController(leader)
-			c.expect(c.confirmedCancellations(jobs) == 3, "cancellations")
+			c.expect(c.confirmedCancellations(jobs) == 3,
+				"all three cancellations are confirmed: %d confirmed", c.confirmedCancellations(jobs))
 		},
 	},
 	{
-		name: "controllers hand over and back, all end, and one returns, also within a second",
+		name: "leadership is handed over and back; all controllers are killed and one restarts within a second",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			firstTerm := c.currentTerm()
@@ -243,7 +245,8 @@
 				c.waitForLeaderAfterTerm(oldTerm)
 				c.state.SetRejectedCaller(leader, false)
 			}
-			c.expect(c.currentTerm() >= firstTerm+2, "handed over and back")
+			c.expect(c.currentTerm() >= firstTerm+2,
+				"leadership is handed over at least twice: %d new terms", c.currentTerm()-firstTerm)
 			jobs := c.waitForRunningJobs(2)
 			c.cancelConcurrently(jobs)
 			time.Sleep(100 * time.Millisecond)
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -10,14 +10,15 @@
 	"quillshunt/internal/storage"
 )
 
-// gangOfFour makes a job a gang of four tasks in one zone, which fill two machines.
+// gangOfFour modifies a spec to a gang of four tasks in one zone, which fill two machines.
 func gangOfFour(spec *protocol.Spec) {
 	spec.Shape, spec.SameZone = protocol.ShapeGang, true
 	spec.Tasks, spec.CPUs = 4, 4
 	spec.EstimateS, spec.CheckpointS, spec.SaveS = 30, 10, 2
 }
 
-// waitForTasks waits until a number of a job's tasks run, and reports whether they do.
+// waitForTasks waits until exactly count tasks of a job run. It returns false if this takes longer than
+// 40 s.
 func (c *cluster) waitForTasks(j *job, count int) bool {
 	for range 400 {
 		if c.runningTaskCount(j) == count {
@@ -28,8 +29,8 @@
 	return false
 }
 
-// storeLegacyJob writes a job's record as an earlier version has stored it, perhaps larger than a
-// value may be now.
+// storeLegacyJob writes the record of an accepted job to the state service directly, as an earlier version
+// of the controller would have left it. The record may be larger than the current value limit.
 func (c *cluster) storeLegacyJob(modifySpec func(*protocol.Spec)) *job {
 	c.mu.Lock()
 	c.submissions++
@@ -56,11 +57,11 @@
 	return j
 }
 
-// gangScenarios are faults while gangs start, run or stop: a change of leaders in each state of a
-// gang, lost and unreachable machines, late commands.
+// gangScenarios inject faults while gangs start, run or stop: a change of the leader in each state of a
+// gang, lost and unreachable machines, and late commands.
 var gangScenarios = []scenario{
 	{
-		name: "a leader ends while a gang gathers, as one machine is unreachable",
+		name: "the leader is killed while gangs gather, as it cannot reach one machine",
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
@@ -74,13 +75,13 @@
 			c.network.SetLink(leader, unreachable, standin.Open)
 			c.network.SetLink(unreachable, leader, standin.Open)
 			for _, g := range gangs {
-				c.expect(c.waitForTasks(g, 4), "a gang that runs under the new leader")
+				c.expect(c.waitForTasks(g, 4), "gang %s runs under the new leader", g.spec.ID)
 			}
 			c.startController(leader)
 		},
 	},
 	{
-		name: "a leader ends while a gang is being preempted for urgent work",
+		name: "the leader is killed while a gang is preempted for a job of higher priority",
 		run: func(c *cluster) {
 			c.startJobs(2, nil)
 			gangs := []*job{}
@@ -90,7 +91,7 @@
 					spec.Team, spec.Priority, spec.EstimateS = "red", "low", 60
 				}))
 			}
-			c.expect(c.waitForTasks(gangs[0], 4), "a gang that runs")
+			c.expect(c.waitForTasks(gangs[0], 4), "the first gang runs")
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			c.submit(func(spec *protocol.Spec) {
 				spec.Team, spec.Priority = "red", "production"
@@ -104,11 +105,11 @@
 		},
 	},
 	{
-		name: "a gang's machine is unreachable for longer than its lease, and the leader changes meanwhile",
+		name: "a gang's machine is unreachable for longer than its lease, and the leader restarts meanwhile",
 		run: func(c *cluster) {
 			c.startJobs(2, nil)
 			g := c.submit(gangOfFour)
-			c.expect(c.waitForTasks(g, 4), "a gang that runs")
+			c.expect(c.waitForTasks(g, 4), "the gang runs")
 			unreachable := c.machinesOf(g)[:1]
 			c.setWorkerLinks(unreachable, standin.Delay, standin.Delay)
 			time.Sleep(2 * time.Second)
@@ -120,12 +121,12 @@
 		},
 	},
 	{
-		name: "machines with gangs hang, die, and are replaced, again and again",
+		name: "gangs lose machines repeatedly: one is killed, the next hangs",
 		run: func(c *cluster) {
 			c.startJobs(2, nil)
 			for i := range 6 {
 				g := c.submit(gangOfFour)
-				c.expect(c.waitForTasks(g, 4), "a gang that runs")
+				c.expect(c.waitForTasks(g, 4), "the gang runs")
 				machines := c.machinesOf(g)
 				if i%2 == 0 {
 					c.cloud.Kill(machines[0])
@@ -137,7 +138,7 @@
 		},
 	},
 	{
-		name: "starts of a gang are delayed, the gang is cancelled, and the starts arrive",
+		name: "start commands of a gang are delayed, and arrive after the gang was cancelled",
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
 			all := c.cloud.Machines()
@@ -146,17 +147,17 @@
 			}
 			g := c.submit(gangOfFour)
 			time.Sleep(2 * time.Second)
-			c.expect(c.cancel(g), "a cancellation")
+			c.expect(c.cancel(g), "the cancellation succeeds")
 			time.Sleep(4 * time.Second)
 			for _, machine := range all {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
 			}
 			time.Sleep(limits.Seconds(cancelWithinS))
-			c.expect(c.runningTaskCount(g) == 0, "no task of the gang")
+			c.expect(c.runningTaskCount(g) == 0, "no task of the cancelled gang runs")
 		},
 	},
 	{
-		name: "old heartbeats of gangs arrive after newer ones, with leaders that change",
+		name: "old heartbeats of machines with gangs arrive after newer ones, while leaders change",
 		run: func(c *cluster) {
 			c.startJobs(2, nil)
 			c.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
@@ -166,7 +167,7 @@
 			})
 			for range 4 {
 				g := c.submit(gangOfFour)
-				c.expect(c.waitForTasks(g, 4), "a gang that runs")
+				c.expect(c.waitForTasks(g, 4), "the gang runs")
 				c.cloud.Kill(c.machinesOf(g)[0])
 				time.Sleep(4 * time.Second)
 				c.restartController(c.waitForLeader(), 500*time.Millisecond)
@@ -175,20 +176,20 @@
 		},
 	},
 	{
-		name: "two gangs each need the capacity that the other may have, and the team's limit is enough for one",
+		name: "two gangs compete for the same machines, and the team's limit is enough for one of them",
 		run: func(c *cluster) {
 			c.startJobs(1, nil)
 			large := func(spec *protocol.Spec) {
 				gangOfFour(spec)
 				spec.Team, spec.Tasks, spec.EstimateS = "red", 5, 10
 			}
-			a, b := c.submit(large), c.submit(large) // 20 CPUs each, of 32
-			c.expect(c.waitForTasks(a, 5) || c.waitForTasks(b, 5), "one of them runs")
+			a, b := c.submit(large), c.submit(large) // 20 CPUs each; the team's limit is 32
+			c.expect(c.waitForTasks(a, 5) || c.waitForTasks(b, 5), "one of the two gangs runs")
 			time.Sleep(60 * time.Second)
 		},
 	},
 	{
-		name: "the limits of the state service fall while leaders change; a larger stored record can be cancelled",
+		name: "the state service lowers its limits while leaders change; a job with a larger record is cancelled",
 		run: func(c *cluster) {
 			c.startJobs(4, nil)
 			large := c.storeLegacyJob(func(spec *protocol.Spec) {
@@ -197,25 +198,25 @@
 				}
 				spec.MachineTypes[0], spec.EstimateS = "c8", 200
 			})
-			c.expect(c.waitForTasks(large, large.spec.Tasks), "the large job runs")
+			c.expect(c.waitForTasks(large, large.spec.Tasks), "the job with the large record runs")
 			c.state.SetLimits(standin.StateLimits{ValueBytes: int(announcedValueKB * 1024), TxnOps: announcedTxnOps})
 			c.generateLoad(40*time.Second, 3*time.Second, gangOfFour)
 			for range 3 {
 				c.restartController(c.waitForLeader(), time.Second)
 				time.Sleep(8 * time.Second)
 			}
-			c.expect(c.cancel(large), "a cancellation")
+			c.expect(c.cancel(large), "the cancellation of the job with the large record succeeds")
 			time.Sleep(20 * time.Second)
 			c.expect(c.state.OversizedTransactions() == 0,
-				"no transaction over the limits: %d", c.state.OversizedTransactions())
+				"no transaction exceeds the limits: %d did", c.state.OversizedTransactions())
 		},
 	},
 	{
-		name: "the state service is down while gangs run, lose a machine and start again",
+		name: "a gang loses a machine during an outage of the state service",
 		run: func(c *cluster) {
 			c.startJobs(2, nil)
 			g := c.submit(gangOfFour)
-			c.expect(c.waitForTasks(g, 4), "a gang that runs")
+			c.expect(c.waitForTasks(g, 4), "the gang runs")
 			c.state.SetUnavailable(true)
 			c.cloud.Kill(c.machinesOf(g)[0])
 			time.Sleep(25 * time.Second)
--- a/internal/coordination/controller/scenarios_test.go
+++ b/internal/coordination/controller/scenarios_test.go
@@ -13,38 +13,40 @@
 	"quillshunt/internal/protocol"
 )
 
-// longTasks makes the tasks of a job long enough to run through most scenarios.
+// longTasks modifies a spec so that the job's tasks run for 150 s, which is longer than most scenarios.
 func longTasks(spec *protocol.Spec) { spec.EstimateS = 150 }
 
-// expect fails a scenario that did not reach the situation it is there for.
-func (c *cluster) expect(ok bool, what string, args ...any) {
+// expect fails the test if a condition does not hold that the scenario depends on, for example that a
+// fault had its effect. condition is a format string that names the condition.
+func (c *cluster) expect(ok bool, condition string, args ...any) {
 	c.t.Helper()
 	if !ok {
-		c.t.Errorf("the scenario did not reach its situation: "+what, args...)
+		c.t.Errorf("scenario condition does not hold: "+condition, args...)
 	}
 }
 
-// scenario injects faults that overlap. It checks that they did, and ends all of them. The rules are
-// checked all the while, and the end by awaitCompletion.
+// scenario is a sequence of faults that overlap with user requests and with each other. run injects the
+// faults, checks with expect that the intended situation was reached, and ends all faults. The protocol
+// rules are checked throughout the run; afterwards awaitCompletion checks that all jobs finish.
 type scenario struct {
 	name string
 	run  func(c *cluster)
 }
 
-// generalScenarios are an undisturbed cluster, and what users may send.
+// generalScenarios cover a cluster without faults, and unusual or invalid user requests.
 var generalScenarios = []scenario{
 	{
 		name: "no faults",
 		run: func(c *cluster) {
 			c.startJobs(4, nil)
-			c.expect(c.cancel(c.waitForRunningJobs(1)[0]), "a cancellation")
+			c.expect(c.cancel(c.waitForRunningJobs(1)[0]), "the cancellation of a running job succeeds")
 			c.generateLoad(30*time.Second, 3*time.Second, nil)
 			time.Sleep(35 * time.Second)
-			c.expect(c.currentTerm() == 1, "one term only")
+			c.expect(c.currentTerm() == 1, "the first term lasts until the end: term %d", c.currentTerm())
 		},
 	},
 	{
-		name: "users repeat submissions, cancel what is done, and send invalid jobs, also in an outage",
+		name: "users cancel finished jobs and send invalid requests, also in an outage of the state service",
 		run: func(c *cluster) {
 			c.startJobs(4, nil)
 			time.Sleep(25 * time.Second)
@@ -64,8 +66,8 @@
 	},
 }
 
-// checkInvalidRequests sends submissions without a field or with an impossible one, and asks about a
-// job that does not exist.
+// checkInvalidRequests checks that invalid requests are rejected: submissions that lack a required field
+// or have a value that cannot be satisfied, and a status request for a job that does not exist.
 func (c *cluster) checkInvalidRequests() {
 	valid := protocol.Spec{
 		ID: "job-900000", Class: "x", Team: "red", Shape: "sweep", Priority: "low",
@@ -75,7 +77,8 @@
 		status, _ := c.requestStatus(node, http.MethodPost, "/v2/runs", protocol.Encode(body), 5*time.Second)
 		return status
 	}
-	// Whether a job was accepted before cannot be known in an outage.
+	// In an outage of the state service a controller cannot know whether the job was accepted before, so
+	// it may answer 503 instead.
 	unknownInOutage := func(status int) bool {
 		return c.state.Unavailable() && status == http.StatusServiceUnavailable
 	}
@@ -83,7 +86,7 @@
 		body := submissionBody(c.t, valid)
 		delete(body, field)
 		if status := submit(c.nodeNames[0], body); status != http.StatusBadRequest {
-			c.t.Errorf("without %s: %d", field, status)
+			c.t.Errorf("submission without %s: status %d, want %d", field, status, http.StatusBadRequest)
 		}
 	}
 	for field, value := range map[string]any{"Vcpus": 99.0, "Crew": "nobody", "Yard": "z"} {
@@ -91,17 +94,18 @@
 		body[field] = value
 		status := submit(c.nodeNames[1], body)
 		if status != http.StatusUnprocessableEntity && !unknownInOutage(status) {
-			c.t.Errorf("%s %v: %d", field, value, status)
+			c.t.Errorf("submission with %s %v: status %d, want %d",
+				field, value, status, http.StatusUnprocessableEntity)
 		}
 	}
 	status, _ := c.requestStatus(c.nodeNames[2], http.MethodGet, "/v2/runs/job-900000", nil, 2*time.Second)
 	if status != http.StatusNotFound && !unknownInOutage(status) {
-		c.t.Errorf("a job that nobody submitted: %d", status)
+		c.t.Errorf("status request for an unknown job: status %d, want %d", status, http.StatusNotFound)
 	}
 }
 
-// TestOverlappingFaults runs each scenario with a fixed seed, or with n random seeds if
-// QUILLSHUNT_RANDOM=n is set.
+// TestOverlappingFaults runs each scenario with a fixed seed, or with n random seeds if the environment
+// variable QUILLSHUNT_RANDOM is set to n.
 func TestOverlappingFaults(t *testing.T) {
 	seeds := []uint64{1}
 	if n, err := strconv.Atoi(os.Getenv("QUILLSHUNT_RANDOM")); err == nil {
--- a/internal/coordination/controller/scenarios_worker_test.go
+++ b/internal/coordination/controller/scenarios_worker_test.go
@@ -8,10 +8,10 @@
 	"quillshunt/internal/standin"
 )
 
-// workerScenarios are faults of machines and of the links to them.
+// workerScenarios inject faults of machines and of the links to them.
 var workerScenarios = []scenario{
 	{
-		name: "old heartbeats arrive after newer ones, also from an earlier incarnation or attempt",
+		name: "old heartbeats arrive after newer ones, also those of an earlier incarnation or attempt",
 		run: func(c *cluster) {
 			c.startJobs(4, nil)
 			heartbeats := 0
@@ -34,12 +34,12 @@
 			}
 			c.cloud.SetRepeatedHeartbeats(nil)
 			c.mu.Lock()
-			c.expect(heartbeats > 50, "repeated heartbeats")
+			c.expect(heartbeats > 50, "workers send more than 50 heartbeats: %d", heartbeats)
 			c.mu.Unlock()
 		},
 	},
 	{
-		name: "more work than capacity, urgent and not, over slow links",
+		name: "jobs of several priorities exceed the capacity, over links with high latency",
 		run: func(c *cluster) {
 			c.network.SetLatency(150 * time.Millisecond)
 			c.startJobs(4, nil)
@@ -52,13 +52,13 @@
 		},
 	},
 	{
-		name: "answers take about as long as a worker waits for them, while leaders change",
+		name: "heartbeat replies take about as long as a worker waits for them, while leaders change",
 		run: func(c *cluster) {
 			c.startJobs(6, func(spec *protocol.Spec) { spec.EstimateS = 60 })
 			firstTerm := c.currentTerm()
 			for i := range 6 {
-				// A heartbeat and its answer take 1.6 to 4.8 s together. A worker waits for 4 s, and a
-				// controller considers a heartbeat fresh for 3 s.
+				// A heartbeat and its reply take 1.6 to 4.8 s together. A worker drops replies after 4 s,
+				// and a heartbeat waits at most 3 s for the leader (limits.HeartbeatAnswerTimeout).
 				for _, machine := range c.cloud.Machines() {
 					c.network.SetExtraLatency(machine, time.Duration(800+c.random.IntN(1600))*time.Millisecond)
 				}
@@ -74,11 +74,11 @@
 			for _, machine := range c.cloud.Machines() {
 				c.network.SetExtraLatency(machine, 0)
 			}
-			c.expect(c.currentTerm() > firstTerm, "changes of the leader")
+			c.expect(c.currentTerm() > firstTerm, "the leader changes: still term %d", firstTerm)
 		},
 	},
 	{
-		name: "workers can't open connections to any controller, while direct commands still reach them",
+		name: "some workers cannot connect to any controller, while direct commands still reach them",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			machines := c.machinesOf(nil)
@@ -96,11 +96,12 @@
 			c.waitForLeaderAfterTerm(oldTerm)
 			time.Sleep(limits.Seconds(workerLeaseS + 5))
 			c.setWorkerLinks(machines, standin.Open, standin.Open)
-			c.expect(c.confirmedCancellations(jobs) == 3, "cancellations")
+			c.expect(c.confirmedCancellations(jobs) == 3,
+				"all three cancellations are confirmed: %d confirmed", c.confirmedCancellations(jobs))
 		},
 	},
 	{
-		name: "jobs bound to one zone, arrays too, lose machines",
+		name: "array jobs that must run in one zone lose machines",
 		run: func(c *cluster) {
 			c.startJobs(4, func(spec *protocol.Spec) {
 				spec.EstimateS, spec.SameZone, spec.Tasks = 20, c.submissions%2 == 0, 5
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -13,22 +13,22 @@
 	"quillshunt/internal/transport"
 )
 
-// job is what a user knows of a job. The times are zero before the event.
+// job is a job as its user knows it. Each time is zero until the event has happened.
 type job struct {
 	spec              protocol.Spec
-	acceptedAt        time.Time
-	cancelRequestedAt time.Time         // of the first request
-	cancelConfirmedAt time.Time         // when the user was told that it is cancelled
-	finalState        protocol.JobState // first final state that the user was told
+	acceptedAt        time.Time         // when the first successful response arrived
+	cancelRequestedAt time.Time         // when the first cancellation request was sent
+	cancelConfirmedAt time.Time         // when the first response arrived that says the job is cancelled
+	finalState        protocol.JobState // the first final state in a response; empty until then
 }
 
-// mustNotRun reports whether no task of the job may run any more, as its user was told so long ago
-// that it is cancelled.
+// mustNotRun reports whether the cancellation of the job was confirmed more than cancelWithinS ago, so
+// that none of its tasks may run any more.
 func (j *job) mustNotRun() bool {
 	return !j.cancelConfirmedAt.IsZero() && time.Since(j.cancelConfirmedAt) > limits.Seconds(cancelWithinS)
 }
 
-// jobSpec returns the spec of a job, if there is one, for the stand-in of the workers.
+// jobSpec returns the spec of a job, or false if there is no such job. The stand-in workers call it.
 func (c *cluster) jobSpec(id string) (protocol.Spec, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +39,7 @@
 	return j.spec, true
 }
 
-// request makes one user's request at a controller, over a connection of its own.
+// request sends one user request to a controller over a new connection, and returns the response.
 func (c *cluster) request(
 	node, method, target string, body []byte, timeout time.Duration,
 ) (*transport.Message, error) {
@@ -49,8 +49,8 @@
 	return client.Do(ctx, method, target, body)
 }
 
-// requestStatus makes one user's request at a controller, and returns the status and the job's state
-// in the answer. Status 0 is no answer.
+// requestStatus sends one user request to a controller. It returns the HTTP status of the response and
+// the job state in its body, which is empty if there is none. Status 0 means that no response arrived.
 func (c *cluster) requestStatus(
 	node, method, target string, body []byte, timeout time.Duration,
 ) (status int, state protocol.JobState) {
@@ -63,20 +63,21 @@
 	var jobStatus protocol.JobStatus
 	if m.Status < 300 && len(m.Body) > 0 {
 		if err := protocol.Decode(m.Body, &jobStatus); err != nil {
-			c.recordViolation("%s %s: %v", method, target, err)
+			c.recordViolation("cannot decode the response to %s %s: %v", method, target, err)
 		}
 	}
 	return m.Status, jobStatus.State
 }
 
-// rejectsUserRequest reports whether a controller refuses a request and closes the connection, so that
-// the user's next try comes to another.
+// rejectsUserRequest reports whether a controller answers a status request with 503 and a Retry-After
+// header and closes the connection, so that a load balancer can send the next try to another controller.
 func (c *cluster) rejectsUserRequest(node string, j *job) bool {
 	m, err := c.request(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
 	return err == nil && m.Status == http.StatusServiceUnavailable && m.RetryAfter > 0 && m.Close
 }
 
-// submit submits a job, which change may alter, and retries until it is accepted, as a user does.
+// submit creates a job and submits it. Like a real user, it retries for up to a minute until a controller
+// accepts the job. modifySpec may change the default spec before; it may be nil.
 func (c *cluster) submit(modifySpec func(*protocol.Spec)) *job {
 	c.mu.Lock()
 	c.submissions++
@@ -108,7 +109,8 @@
 	return j
 }
 
-// submissionBody returns a job as a user sends it, without the optional fields that are not set.
+// submissionBody returns the fields of a submission request, by their names on the wire. Optional fields
+// that are not set in the spec are left out.
 func submissionBody(t *testing.T, spec protocol.Spec) map[string]any {
 	t.Helper()
 	body := map[string]any{}
@@ -128,8 +130,9 @@
 	return body
 }
 
-// retryUntil tries at one healthy controller after the other, as a load balancer spreads a user's
-// requests, until a try succeeds. It reports false once the timeout is over.
+// retryUntil calls try with a random node until it returns true, and pauses for a second after each
+// attempt. Like a load balancer, it skips nodes whose health check fails. It returns false if no try
+// succeeds before the timeout.
 func (c *cluster) retryUntil(timeout time.Duration, nodes []string, try func(node string) bool) bool {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
 		c.mu.Lock()
@@ -144,8 +147,8 @@
 	return false
 }
 
-// cancel cancels a job at the controllers named, or at all of them, and retries until the user gets
-// an answer. It reports whether that came.
+// cancel requests the cancellation of a job from one of the given controllers, or of all controllers if
+// none is given. It retries for up to a minute and reports whether a controller answered with status 200.
 func (c *cluster) cancel(j *job, nodes ...string) bool {
 	if len(nodes) == 0 {
 		nodes = c.nodeNames
@@ -153,7 +156,8 @@
 	return c.retryUntil(60*time.Second, nodes, func(node string) bool { return c.tryCancel(j, node) })
 }
 
-// tryCancel asks one controller once to cancel a job, and reports whether its user got an answer.
+// tryCancel sends one cancellation request for a job to a controller, and reports whether the response
+// has status 200.
 func (c *cluster) tryCancel(j *job, node string) bool {
 	c.mu.Lock()
 	if j.cancelRequestedAt.IsZero() {
@@ -166,7 +170,8 @@
 	return status == http.StatusOK
 }
 
-// poll asks all controllers at the same moment about a job. It does not wait for the answers.
+// poll sends a status request for a job to all controllers at the same time. It does not wait for the
+// responses, which are checked as they arrive.
 func (c *cluster) poll(j *job) {
 	for _, node := range c.nodeNames {
 		c.userRequests.Go(func() {
@@ -177,8 +182,8 @@
 	}
 }
 
-// generateLoad submits a job and polls all jobs, again and again until the time is over. It does not
-// wait for that.
+// generateLoad submits one job and polls all accepted jobs in each interval until the duration is over.
+// It returns at once; the requests are made in the background.
 func (c *cluster) generateLoad(duration, interval time.Duration, modifySpec func(*protocol.Spec)) {
 	c.userRequests.Go(func() {
 		for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(interval) {
@@ -190,7 +195,7 @@
 	})
 }
 
-// acceptedJobs returns the jobs that were accepted, in that order.
+// acceptedJobs returns the accepted jobs, in the order in which they were accepted.
 func (c *cluster) acceptedJobs() []*job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,7 +209,7 @@
 	return accepted
 }
 
-// runningJobs returns the jobs of which a task runs and that nobody asked to cancel, in the order in
+// runningJobs returns the jobs that have a running task and no cancellation request, in the order in
 // which they were accepted.
 func (c *cluster) runningJobs() []*job {
 	c.mu.Lock()
@@ -218,7 +223,8 @@
 	})
 }
 
-// waitForRunningJobs waits until n jobs run, and returns the first n.
+// waitForRunningJobs waits until runningJobs returns at least n jobs, and returns the first n of them. It
+// stops the test if this takes longer than 30 s.
 func (c *cluster) waitForRunningJobs(n int) []*job {
 	for range 60 {
 		if jobs := c.runningJobs(); len(jobs) >= n {
@@ -226,11 +232,12 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	c.t.Fatalf("fewer than %d jobs run", n)
+	c.t.Fatalf("fewer than %d jobs were running after 30 s", n)
 	return nil
 }
 
-// startJobs submits jobs and waits until as many tasks run, on machines that were rented for them.
+// startJobs waits for a leader, submits the given number of jobs, and waits until at least as many tasks
+// run. This takes a while because machines are rented for them first. modifySpec is passed to submit.
 func (c *cluster) startJobs(jobs int, modifySpec func(*protocol.Spec)) {
 	c.waitForLeader()
 	for range jobs {
@@ -245,11 +252,11 @@
 			return
 		}
 	}
-	c.t.Error("the fleet does not come up")
+	c.t.Errorf("fewer than %d tasks were running one minute after the jobs were submitted", jobs)
 }
 
-// isWaitingWithinQuota reports whether a job that is not over has no task on a machine although its team
-// is below its limit.
+// isWaitingWithinQuota reports whether a job is neither finished nor cancelled and runs no task, although
+// its team's limit has room for one more of its tasks.
 func (c *cluster) isWaitingWithinQuota(j *job) bool {
 	if c.runningTaskCount(j) > 0 {
 		return false
@@ -264,8 +271,9 @@
 	return j.finalState == "" && j.cancelRequestedAt.IsZero()
 }
 
-// awaitCompletion ends a scenario, with all faults over. Every job that was not cancelled is done and
-// its user is told so, and the cancelled ones stay cancelled. No job that could run waits for long.
+// awaitCompletion polls until all accepted jobs are in a final state. It is called at the end of a
+// scenario, after the last fault has ended. It records a violation for each job without a final state
+// after four minutes, and for each job that could run but waits for too long meanwhile.
 func (c *cluster) awaitCompletion() {
 	deadline := time.Now().Add(4 * time.Minute)
 	waitingSince := map[*job]time.Time{}
@@ -284,13 +292,14 @@
 	defer c.mu.Unlock()
 	for _, j := range c.jobs {
 		if !j.acceptedAt.IsZero() && j.finalState == "" {
-			c.recordViolation("%s is not over four minutes after the last fault (cancellation requested: %v)",
+			c.recordViolation("job %s has no final state 4 minutes after the last fault (cancellation requested: %v)",
 				j.spec.ID, !j.cancelRequestedAt.IsZero())
 		}
 	}
 }
 
-// checkWaitingTimes checks that no job that could run waits for 90 s, and keeps since when each waits.
+// checkWaitingTimes checks that no job waits for more than 90 s while its team's limit has room for it.
+// waitingSince keeps, from call to call, the time since which each job has been waiting.
 func (c *cluster) checkWaitingTimes(waitingSince map[*job]time.Time) {
 	for _, j := range c.acceptedJobs() {
 		if !c.isWaitingWithinQuota(j) {
@@ -299,14 +308,14 @@
 			waitingSince[j] = time.Now()
 		} else if time.Since(waitingSince[j]) > 90*time.Second {
 			c.mu.Lock()
-			c.recordViolation("%s waits for 90 s", j.spec.ID)
+			c.recordViolation("job %s has waited for more than 90 s within its team's limit", j.spec.ID)
 			c.mu.Unlock()
 			waitingSince[j] = time.Now()
 		}
 	}
 }
 
-// pollOpenJobs polls the jobs that are not over, and returns how many there are.
+// pollOpenJobs polls the accepted jobs without a final state, and returns how many there are.
 func (c *cluster) pollOpenJobs() (open int) {
 	for _, j := range c.acceptedJobs() {
 		c.mu.Lock()
@@ -320,15 +329,15 @@
 	return open
 }
 
-// cancelConcurrently cancels jobs at the same moment, each by a user of its own. It does not wait for
-// the answers.
+// cancelConcurrently cancels all given jobs at the same time, each in its own goroutine. It does not wait
+// for the responses.
 func (c *cluster) cancelConcurrently(jobs []*job) {
 	for _, j := range jobs {
 		c.userRequests.Go(func() { c.cancel(j) })
 	}
 }
 
-// confirmedCancellations returns for how many of the jobs the user was told that it is cancelled.
+// confirmedCancellations returns how many of the jobs were reported to their users as cancelled.
 func (c *cluster) confirmedCancellations(jobs []*job) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
