--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -19,9 +19,10 @@
 	"quillshunt/internal/storage"
 )
 
-// cluster runs the whole service in one process and in virtual time: real controllers connected by an
-// in-memory network to stand-ins for the state service, the cloud, the workers and the users. It checks
-// the rules of the protocol against the responses that users get and the tasks that machines run.
+// cluster runs the whole service in one process and in virtual time. An in-memory network connects real
+// controllers to stand-ins for the state service, the cloud and the workers. The tests send requests as
+// users do. The rules of the protocol are checked against the responses that the users get and the tasks
+// that run on machines.
 type cluster struct {
 	t         *testing.T
 	random    *rand.Rand
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -9,15 +9,15 @@
 	"quillshunt/internal/protocol"
 )
 
-// recordViolation records that a rule was broken. The message begins with the name of the rule, which
-// the scheduler's simulation test uses as well. The caller holds mu.
+// recordViolation records that a rule of the protocol was broken. If the rule has a name, the message
+// begins with it; the scheduler's simulation test uses the same names. The caller holds mu.
 func (c *cluster) recordViolation(format string, args ...any) {
 	c.log.Error("protocol rule violated", "violation", fmt.Sprintf(format, args...))
 	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.elapsed())+fmt.Sprintf(format, args...))
 }
 
 // reportViolations fails the test with one error for each recorded violation. It also fails the test if
-// no task ever ran, because the rules were then not really checked.
+// no task ever ran, because the rules about tasks were then not tested.
 func (c *cluster) reportViolations() {
 	c.mu.Lock()
 	violations := slices.Clone(c.violations)
--- a/internal/coordination/controller/scenarios_failover_test.go
+++ b/internal/coordination/controller/scenarios_failover_test.go
@@ -157,7 +157,7 @@
 		},
 	},
 	{
-		name: "jobs of two or three tasks lose machines, and some of their tasks end before a change of the leader",
+		name: "jobs of two or three tasks, which end far apart, lose machines while the leader changes",
 		run: func(c *cluster) {
 			c.startJobs(5, func(spec *protocol.Spec) { spec.Tasks = 2 + c.submissions%2 })
 			// One machine after the other is lost while jobs run their last tasks. Completed tasks must
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -61,7 +61,7 @@
 // gang, lost and unreachable machines, and late commands.
 var gangScenarios = []scenario{
 	{
-		name: "the leader is killed while gangs gather, as it cannot reach one machine",
+		name: "the leader cannot reach one machine, and is killed while gangs gather",
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
--- a/internal/coordination/controller/scenarios_test.go
+++ b/internal/coordination/controller/scenarios_test.go
@@ -13,7 +13,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// longTasks modifies a spec so that the job's tasks run for 150 s, which is longer than most scenarios.
+// longTasks modifies a spec so that the job's tasks run for 150 s, which is beyond the end of most
+// scenarios.
 func longTasks(spec *protocol.Spec) { spec.EstimateS = 150 }
 
 // expect fails the test if a condition does not hold that the scenario depends on, for example that a
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -22,8 +22,8 @@
 	finalState        protocol.JobState // the first final state in a response; empty until then
 }
 
-// mustNotRun reports whether the cancellation of the job was confirmed more than cancelWithinS ago, so
-// that none of its tasks may run any more.
+// mustNotRun reports whether the cancellation of the job was confirmed more than cancelWithinS seconds
+// ago, so that none of its tasks may run any more.
 func (j *job) mustNotRun() bool {
 	return !j.cancelConfirmedAt.IsZero() && time.Since(j.cancelConfirmedAt) > limits.Seconds(cancelWithinS)
 }
