--- a/internal/coordination/election/quorum_test.go
+++ b/internal/coordination/election/quorum_test.go
@@ -14,8 +14,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestHeartbeatConditions: a heartbeat record is written only over the last one that the leader
-// knows of, and only under its own leader key. One that it does not know of replaces the last one.
+// TestHeartbeatConditions checks that the leader writes its heartbeat record only over the last
+// version that it knows, and only while the leader key is its own. If it finds another version, it
+// takes this as the last one.
 func TestHeartbeatConditions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.NewStateService()
@@ -41,18 +42,20 @@
 		ctx := context.Background()
 		l := NewLeadership(1, put(storage.KeyLeader), time.Now().Add(time.Hour))
 		l.requireQuorum(time.Now())
-		k := &quorumKeeper{elector: e, leadership: l, heartbeat: put(storage.KeyLeaderHeartbeat)}
+		r := &quorumRenewer{elector: e, leadership: l, heartbeatVersion: put(storage.KeyLeaderHeartbeat)}
 
 		unknown := put(storage.KeyLeaderHeartbeat)
-		if k.writeHeartbeat(ctx) || version() != unknown || k.heartbeat != unknown || l.Entitled() {
-			t.Errorf("wrote over version %d: version %d, known %d", unknown, version(), k.heartbeat)
+		if r.writeHeartbeat(ctx) || version() != unknown || r.heartbeatVersion != unknown || l.Entitled() {
+			t.Errorf("write over an unknown version: record has version %d, known %d, want %d; entitled: %v",
+				version(), r.heartbeatVersion, unknown, l.Entitled())
 		}
-		if k.writeHeartbeat(ctx) || version() == unknown || k.heartbeat != version() || !l.Entitled() {
-			t.Errorf("not written over a known version: version %d, known %d", version(), k.heartbeat)
+		if r.writeHeartbeat(ctx) || version() == unknown || r.heartbeatVersion != version() || !l.Entitled() {
+			t.Errorf("write over a known version: record has version %d, known %d, want equal; entitled: %v",
+				version(), r.heartbeatVersion, l.Entitled())
 		}
 		put(storage.KeyLeader)
-		if last := version(); !k.writeHeartbeat(ctx) || version() != last {
-			t.Error("wrote a heartbeat although there is another leader")
+		if last := version(); !r.writeHeartbeat(ctx) || version() != last {
+			t.Error("heartbeat record written, or loss of the leadership not reported, after the leader was replaced")
 		}
 	})
 }
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -35,7 +35,7 @@
 	if reserved == 0 {
 		t.Fatal("no machine is reserved")
 	}
-	f.job("job-2", "red", "standard", 16, 1, 0)
+	f.submitJob("job-2", "red", "standard", 16, 1, 0)
 	f.deliverDirectCommands(f.effects)
 	free := 0.0
 	for _, m := range f.scheduler.inventory.all() {
