--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -69,7 +69,7 @@
 	}
 )
 
-// stateLimits are the limits of the state service, with lower ones announced for later.
+// stateLimits are the current limits of the state service and the lower ones that are announced.
 var (
 	announcedValueKB = 2.0
 	announcedTxnOps  = 4
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -273,7 +273,7 @@
 
 // awaitCompletion polls until all accepted jobs are in a final state. It is called at the end of a
 // scenario, after the last fault has ended. It records a violation for each job without a final state
-// after four minutes, and for each job that could run but waits for too long meanwhile.
+// after four minutes, and for each job that meanwhile waits for more than 90 s although it could run.
 func (c *cluster) awaitCompletion() {
 	deadline := time.Now().Add(4 * time.Minute)
 	waitingSince := map[*job]time.Time{}
