--- a/internal/coordination/controller/scenarios_cancellation_test.go
+++ b/internal/coordination/controller/scenarios_cancellation_test.go
@@ -9,22 +9,23 @@
 	"quillshunt/internal/standin"
 )
 
-// cancellationScenarios are faults during cancellations.
+// cancellationScenarios inject faults while jobs are cancelled.
 var cancellationScenarios = []scenario{
 	{
-		name: "the state service rejects the leader alone, then everybody beyond cancel_s; users cancel and poll",
+		name: "the state service rejects the leader alone, then is unavailable beyond cancel_s; users cancel and poll",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
 			jobs := c.waitForRunningJobs(4)
 			c.state.SetRejectedCaller(leader, true)
 			time.Sleep(500 * time.Millisecond)
 			for _, j := range jobs {
-				c.users.Go(func() { c.cancel(j) })
+				c.userRequests.Go(func() { c.cancel(j) })
 			}
 			time.Sleep(time.Second)
-			c.expect(c.confirmedCancellations(jobs) > 0 && c.entitled(leader),
-				"confirmed cancellations while the leader is rejected: %d", c.confirmedCancellations(jobs))
+			c.expect(c.confirmedCancellations(jobs) > 0 && c.isEntitled(leader),
+				"cancellations are confirmed while the leader is rejected and still entitled: %d confirmed",
+				c.confirmedCancellations(jobs))
 			c.state.SetUnavailable(true)
 			for range 10 {
 				time.Sleep(5 * time.Second)
@@ -32,22 +33,22 @@
 					c.poll(j)
 				}
 			}
-			c.expect(c.currentTerm() == 1, "the same leader throughout")
+			c.expect(c.currentTerm() == 1, "the first leader leads throughout the outage: term %d", c.currentTerm())
 			c.state.SetUnavailable(false)
 			c.state.SetRejectedCaller(leader, false)
 		},
 	},
 	{
-		name: "the leader's link to the state service stalls, then the service is unavailable to everybody",
+		name: "the leader's link to the state service is delayed, then the service is unavailable to all",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
 			jobs := c.waitForRunningJobs(4)
 			c.network.SetLinkBothWays(leader, "state-"+leader, standin.Delay)
 			time.Sleep(500 * time.Millisecond)
 			for _, j := range jobs {
-				c.users.Go(func() {
-					c.tryCancel(j, c.otherThan(leader))
+				c.userRequests.Go(func() {
+					c.tryCancel(j, c.otherController(leader))
 					c.cancel(j)
 				})
 			}
@@ -56,14 +57,14 @@
 			time.Sleep(time.Second)
 			c.network.SetLinkBothWays(leader, "state-"+leader, standin.Open)
 			time.Sleep(50 * time.Second)
-			c.expect(c.confirmedCancellations(jobs) > 0, "confirmed cancellations")
+			c.expect(c.confirmedCancellations(jobs) > 0, "cancellations are confirmed")
 			c.state.SetUnavailable(false)
 		},
 	},
 	{
-		name: "jobs are cancelled at the moment of the refusal, the leader is killed in the outage and returns",
+		name: "jobs are cancelled as the state service begins to reject the leader, which restarts in an outage",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
 			jobs := c.waitForRunningJobs(4)
 			c.cancelConcurrently(jobs)
@@ -73,33 +74,33 @@
 			time.Sleep(5 * time.Second)
 			c.restartController(leader, 3*time.Second)
 			time.Sleep(45 * time.Second)
-			c.expect(c.confirmedCancellations(jobs) > 0, "confirmed cancellations")
+			c.expect(c.confirmedCancellations(jobs) > 0, "cancellations are confirmed")
 			c.state.SetUnavailable(false)
 			c.state.SetRejectedCaller(leader, false)
 		},
 	},
 	{
-		name: "controllers refuse each other, the state service the leader; heartbeat records confirm cancellations",
+		name: "heartbeat records confirm cancellations without peer links; the state service rejects the leader",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			leader := c.waitForLeader()
 			for _, node := range c.nodeNames {
 				c.setPeerLinks(node, standin.Refuse)
 			}
 			time.Sleep(10 * time.Second)
 			jobs := c.runningJobs()
-			before := c.currentTerm()
-			c.users.Go(func() {
-				c.expect(c.cancel(jobs[0], c.otherThan(leader)),
-					"a cancellation confirmed by a controller that can't reach the leader")
+			oldTerm := c.currentTerm()
+			c.userRequests.Go(func() {
+				c.expect(c.cancel(jobs[0], c.otherController(leader)),
+					"a controller that cannot reach the leader confirms a cancellation")
 			})
 			time.Sleep(15 * time.Second)
-			c.expect(c.confirmedCancellations(jobs[:1]) == 1 && c.currentTerm() == before,
-				"confirmed in the same term")
+			c.expect(c.confirmedCancellations(jobs[:1]) == 1 && c.currentTerm() == oldTerm,
+				"the cancellation is confirmed within the same term")
 			c.state.SetRejectedCaller(leader, true)
 			c.cancelConcurrently(jobs[1:4])
-			c.waitForTermAfter(before)
-			c.stateOutage(45 * time.Second)
+			c.waitForLeaderAfterTerm(oldTerm)
+			c.stateServiceOutage(45 * time.Second)
 			for _, node := range c.nodeNames {
 				c.setPeerLinks(node, standin.Open)
 			}
@@ -107,18 +108,17 @@
 		},
 	},
 	{
-		name: "starts are delayed longer than a heartbeat interval, their job is cancelled, the machines go on",
+		name: "start commands are delayed for longer than a heartbeat interval, and their job is cancelled meanwhile",
 		run: func(c *cluster) {
-			c.warmUp(4, longTasks)
+			c.startJobs(4, longTasks)
 			all := c.cloud.Machines()
-			// What the leader sends to the machines is delayed: direct commands, and answers to their
-			// heartbeats.
+			// Delays everything that the leader sends to machines: direct commands and heartbeat replies.
 			for _, machine := range all {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Delay)
 			}
 			j := c.submit(func(spec *protocol.Spec) { spec.Tasks, spec.Priority = 4, "production" })
 			time.Sleep(time.Second)
-			c.expect(c.cancel(j), "a cancellation")
+			c.expect(c.cancel(j), "the cancellation succeeds")
 			time.Sleep(2 * time.Second)
 			for _, machine := range all[:len(all)/2] {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
@@ -128,13 +128,13 @@
 				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
 			}
 			time.Sleep(45 * time.Second)
-			c.expect(c.tasksOnMachines(j) == 0, "no task of the job")
+			c.expect(c.runningTaskCount(j) == 0, "no task of the cancelled job runs")
 		},
 	},
 	{
-		name: "machines hang with cancelled tasks and go on within their lease",
+		name: "machines with cancelled tasks hang and resume before their lease expires",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			jobs := c.waitForRunningJobs(3)
 			for i, j := range jobs {
 				for _, machine := range c.machinesOf(j) {
@@ -143,56 +143,57 @@
 			}
 			c.cancelConcurrently(jobs)
 			time.Sleep(time.Second)
-			c.expect(c.confirmedCancellations(jobs) == 3 && c.tasksOnMachines(jobs...) > 0,
-				"cancelled tasks on hanging machines")
+			c.expect(c.confirmedCancellations(jobs) == 3 && c.runningTaskCount(jobs...) > 0,
+				"all jobs are cancelled while their tasks are on hanging machines")
 			time.Sleep(45 * time.Second)
 		},
 	},
 	{
-		name: "a leader is cut off from the state service and its peers only; jobs are cancelled through the new one",
+		name: "the leader loses the state service and its peers only; users cancel jobs before and after the failover",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
-			leader, before := c.waitForLeader(), c.currentTerm()
+			c.startJobs(6, longTasks)
+			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			jobs := c.waitForRunningJobs(4)
 			c.network.SetLinkBothWays(leader, "state-"+leader, standin.Refuse)
 			c.setPeerLinks(leader, standin.Delay)
-			for i, node := range []string{leader, c.otherThan(leader)} {
-				c.users.Go(func() {
-					c.expect(!c.tryCancel(jobs[i], node), "a cancellation that can't be confirmed")
+			for i, node := range []string{leader, c.otherController(leader)} {
+				c.userRequests.Go(func() {
+					c.expect(!c.tryCancel(jobs[i], node), "the cancellation cannot be confirmed yet")
 					c.cancel(jobs[i])
 				})
 			}
 			time.Sleep(2 * time.Second)
-			c.expect(c.entitled(leader), "the old leader still entitled")
+			c.expect(c.isEntitled(leader), "the old leader is still entitled")
 			time.Sleep(limits.IsolatedAfter)
-			c.expect(c.turnsAway(leader, jobs[0]) && !c.turnsAway(c.otherThan(leader), jobs[0]),
-				"users turned away by the one that is cut off, and only there")
-			for c.currentTerm() == before {
+			c.expect(c.rejectsUserRequest(leader, jobs[0]) && !c.rejectsUserRequest(c.otherController(leader), jobs[0]),
+				"only the controller that is cut off rejects user requests")
+			for c.currentTerm() == oldTerm {
 				time.Sleep(100 * time.Millisecond)
 			}
 			c.cancelConcurrently(jobs[2:])
 			time.Sleep(50 * time.Second)
-			c.expect(c.confirmedCancellations(jobs) == 4, "all four cancelled: %d", c.confirmedCancellations(jobs))
+			c.expect(c.confirmedCancellations(jobs) == 4,
+				"all four cancellations are confirmed: %d confirmed", c.confirmedCancellations(jobs))
 			c.network.SetLinkBothWays(leader, "state-"+leader, standin.Open)
 			c.setPeerLinks(leader, standin.Open)
 		},
 	},
 	{
-		name: "a cancellation, a poll or a repeated submission coincides with the end of a job's last task",
+		name: "a cancellation, polls and repeated submissions coincide with the end of a job's only task",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			for i := range 20 {
-				c.users.Go(func() {
+				c.userRequests.Go(func() {
 					j := c.submit(func(spec *protocol.Spec) {
 						spec.Tasks, spec.EstimateS, spec.Priority = 1, 3, "production"
 					})
-					for c.tasksOnMachines(j) == 0 {
+					for c.runningTaskCount(j) == 0 {
 						time.Sleep(5 * time.Millisecond)
 					}
-					// The task's end is reported within the two seconds that the delays of all jobs
-					// span.
+					// The task runs for 3 s, and its end is reported within the next heartbeat interval of
+					// 2 s. The delays of the 20 jobs are spread over that interval.
 					time.Sleep(3*time.Second + time.Duration(i)*100*time.Millisecond)
-					c.users.Go(func() { c.cancel(j) })
+					c.userRequests.Go(func() { c.cancel(j) })
 					for range 5 {
 						c.poll(j)
 						time.Sleep(20 * time.Millisecond)
@@ -200,8 +201,8 @@
 					body := protocol.Encode(submissionBody(c.t, j.spec))
 					for _, node := range c.nodeNames {
 						sentAt := time.Now()
-						status, state := c.call(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
-						c.checkAnswer(j, status, state, sentAt)
+						status, state := c.requestStatus(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
+						c.checkResponse(j, status, state, sentAt)
 					}
 				})
 				time.Sleep(700 * time.Millisecond)
@@ -210,7 +211,7 @@
 			jobs := c.acceptedJobs()
 			cancelled := c.confirmedCancellations(jobs)
 			c.expect(cancelled > 0 && cancelled < len(jobs)-2,
-				"both outcomes: %d of %d cancelled", cancelled, len(jobs))
+				"some jobs are cancelled and some are done: %d of %d cancelled", cancelled, len(jobs))
 		},
 	},
 }
--- a/internal/coordination/controller/scenarios_worker_test.go
+++ b/internal/coordination/controller/scenarios_worker_test.go
@@ -8,12 +8,12 @@
 	"quillshunt/internal/standin"
 )
 
-// workerScenarios are faults of machines and of the links to them.
+// workerScenarios inject faults of machines and of the links to them.
 var workerScenarios = []scenario{
 	{
-		name: "old heartbeats arrive after newer ones, also from an earlier incarnation or attempt",
+		name: "old heartbeats arrive after newer ones, also those of an earlier incarnation or attempt",
 		run: func(c *cluster) {
-			c.warmUp(4, nil)
+			c.startJobs(4, nil)
 			heartbeats := 0
 			c.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
 				c.mu.Lock()
@@ -25,7 +25,7 @@
 			for i := range 3 {
 				unreachable := c.busyMachines(2)
 				c.setWorkerLinks(unreachable, standin.Drop, standin.Drop)
-				time.Sleep(limits.Seconds(leaseS + 2))
+				time.Sleep(limits.Seconds(workerLeaseS + 2))
 				c.setWorkerLinks(unreachable, standin.Open, standin.Open)
 				if i == 1 {
 					c.restartController(c.waitForLeader(), time.Second)
@@ -34,15 +34,15 @@
 			}
 			c.cloud.SetRepeatedHeartbeats(nil)
 			c.mu.Lock()
-			c.expect(heartbeats > 50, "repeated heartbeats")
+			c.expect(heartbeats > 50, "workers send more than 50 heartbeats: %d", heartbeats)
 			c.mu.Unlock()
 		},
 	},
 	{
-		name: "more work than capacity, urgent and not, over slow links",
+		name: "jobs of several priorities exceed the capacity, over links with high latency",
 		run: func(c *cluster) {
 			c.network.SetLatency(150 * time.Millisecond)
-			c.warmUp(4, nil)
+			c.startJobs(4, nil)
 			c.generateLoad(60*time.Second, 2*time.Second, func(spec *protocol.Spec) { spec.Tasks = 6 })
 			time.Sleep(30 * time.Second)
 			c.cancelConcurrently(c.waitForRunningJobs(2))
@@ -52,13 +52,13 @@
 		},
 	},
 	{
-		name: "answers take about as long as a worker waits for them, while leaders change",
+		name: "heartbeat replies take about as long as a worker waits for them, while leaders change",
 		run: func(c *cluster) {
-			c.warmUp(6, func(spec *protocol.Spec) { spec.EstimateS = 60 })
-			first := c.currentTerm()
+			c.startJobs(6, func(spec *protocol.Spec) { spec.EstimateS = 60 })
+			firstTerm := c.currentTerm()
 			for i := range 6 {
-				// A heartbeat and its answer take 1.6 to 4.8 s together. A worker waits for 4 s, and a
-				// controller considers a heartbeat fresh for 3 s.
+				// A heartbeat and its reply take 1.6 to 4.8 s together. A worker drops replies after 4 s,
+				// and a heartbeat waits at most 3 s for the leader (limits.HeartbeatAnswerTimeout).
 				for _, machine := range c.cloud.Machines() {
 					c.network.SetExtraLatency(machine, time.Duration(800+c.random.IntN(1600))*time.Millisecond)
 				}
@@ -74,13 +74,13 @@
 			for _, machine := range c.cloud.Machines() {
 				c.network.SetExtraLatency(machine, 0)
 			}
-			c.expect(c.currentTerm() > first, "changes of the leader")
+			c.expect(c.currentTerm() > firstTerm, "the leader changes: still term %d", firstTerm)
 		},
 	},
 	{
-		name: "workers can't open connections to any controller, while direct commands still reach them",
+		name: "some workers cannot connect to any controller, while direct commands still reach them",
 		run: func(c *cluster) {
-			c.warmUp(6, longTasks)
+			c.startJobs(6, longTasks)
 			machines := c.machinesOf(nil)
 			machines = machines[:len(machines)/2]
 			for _, machine := range machines {
@@ -91,18 +91,19 @@
 			jobs := c.waitForRunningJobs(3)
 			c.cancelConcurrently(jobs)
 			time.Sleep(3 * time.Second)
-			before := c.currentTerm()
+			oldTerm := c.currentTerm()
 			c.restartController(c.waitForLeader(), time.Second)
-			c.waitForTermAfter(before)
-			time.Sleep(limits.Seconds(leaseS + 5))
+			c.waitForLeaderAfterTerm(oldTerm)
+			time.Sleep(limits.Seconds(workerLeaseS + 5))
 			c.setWorkerLinks(machines, standin.Open, standin.Open)
-			c.expect(c.confirmedCancellations(jobs) == 3, "cancellations")
+			c.expect(c.confirmedCancellations(jobs) == 3,
+				"all three cancellations are confirmed: %d confirmed", c.confirmedCancellations(jobs))
 		},
 	},
 	{
-		name: "jobs bound to one zone, arrays too, lose machines",
+		name: "array jobs that must run in one zone lose machines",
 		run: func(c *cluster) {
-			c.warmUp(4, func(spec *protocol.Spec) {
+			c.startJobs(4, func(spec *protocol.Spec) {
 				spec.EstimateS, spec.SameZone, spec.Tasks = 20, c.submissions%2 == 0, 5
 				if c.submissions%2 == 1 {
 					spec.Zone = "b"
