--- a/cmd/quillshunt/serve.go
+++ b/cmd/quillshunt/serve.go
@@ -31,7 +31,7 @@
 
 // limitResources makes the runtime keep within the memory and the processor share of the settings.
 func limitResources(settings *config.Settings) {
-	debug.SetMemoryLimit(limits.HeapLimit(settings.Facts.Machine.MemoryMB))
+	debug.SetMemoryLimit(limits.HeapLimit(settings.Deployment.MachineLimits.MemoryMB))
 	debug.SetGCPercent(limits.GCPercent)
 	runtime.GOMAXPROCS(limits.MaxProcs)
 }
--- a/cmd/standin/settings.go
+++ b/cmd/standin/settings.go
@@ -52,7 +52,7 @@
 		ClientListen: addrs.clients(controller),
 		PeerBind:     addrs.peers(controller),
 		External:     config.External{Cloud: addrs.cloud(), State: addrs.state()},
-		Facts:        deploymentFacts(),
+		Deployment:   deploymentFacts(),
 	}
 	for other := range controllerCount {
 		if other != controller {
@@ -64,20 +64,20 @@
 }
 
 // deploymentFacts describe a small deployment with gangs.
-func deploymentFacts() config.Facts {
+func deploymentFacts() config.Deployment {
 	gangWaitS, gangPeerS := 40.0, 6.0
-	return config.Facts{
+	return config.Deployment{
 		InitialSize: controllerCount,
 		Zones:       []string{zone},
-		Teams:       []config.Team{{Name: "demo", CPUs: 16, CPUsMax: 64}},
+		Teams:       []config.Team{{Name: "demo", GuaranteedCPUs: 16, MaxCPUs: 64}},
 		Objectives:  []config.Objective{},
-		Workers: config.Workers{
-			ReportS: 1, LeaseS: 10, CancelS: 30,
-			GangWaitS: &gangWaitS, GangPeerS: &gangPeerS,
+		Workers: config.WorkerTimes{
+			HeartbeatIntervalS: 1, LeaseS: 10, CancelWithinS: 30,
+			GangWaitTimeoutS: &gangWaitS, GangPeerDetectionS: &gangPeerS,
 		},
-		State:   config.State{RPS: 200, WriteRPS: 50, ValueKB: 4, TxnOps: 8},
-		Cloud:   config.Cloud{RPS: 5, ListLagS: 1},
-		Machine: config.MachineLimits{CoreShare: 0.5, MemoryMB: 128, MaxSockets: 500},
-		SkewMs:  100,
+		State:          config.StateLimits{RPS: 200, WriteRPS: 50, ValueKB: 4, TxnOps: 8},
+		Cloud:          config.CloudLimits{RPS: 5, ListLagS: 1},
+		MachineLimits:  config.MachineLimits{CoreShare: 0.5, MemoryMB: 128, MaxSockets: 500},
+		MaxClockSkewMs: 100,
 	}
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -31,23 +31,23 @@
 	if err := s.check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s.Facts.State = s.Facts.State.Lowest()
+	s.Deployment.State = s.Deployment.State.Lowest()
 	return &s, nil
 }
 
 // Warnings returns a line for each setting that a controller can run with, but hardly serve with.
 func (s *Settings) Warnings() []string {
 	var lines []string
-	tooLow := func(field string, v, enough float64) {
+	warnLow := func(field string, v, recommended float64) {
 		lines = append(lines, fmt.Sprintf("facts.machine_limits.%s: %v is little; a leader of a few machines needs %v",
-			field, v, enough))
+			field, v, recommended))
 	}
-	m := s.Facts.Machine
+	m := s.Deployment.MachineLimits
 	if m.MemoryMB < limits.LowMemoryMB {
-		tooLow("memory_mb", m.MemoryMB, limits.LowMemoryMB)
+		warnLow("memory_mb", m.MemoryMB, limits.LowMemoryMB)
 	}
 	if m.CoreShare > 0 && m.CoreShare < limits.LowCoreShare {
-		tooLow("core_share", m.CoreShare, limits.LowCoreShare)
+		warnLow("core_share", m.CoreShare, limits.LowCoreShare)
 	}
 	return lines
 }
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -16,17 +16,18 @@
 "workers":{"report_s":1.5,"lease_s":14,"cancel_s":34},"state":{"rps":150,"write_rps":20,"value_kb":4,"txn_ops":8},
 "cloud":{"rps":3,"list_lag_s":4},"machine_limits":{"core_share":0.1,"memory_mb":98,"max_sockets":900},"skew_ms":100}}`
 
-// TestParse: valid settings are read, and unknown fields ignored.
-func TestParse(t *testing.T) {
+// TestParseIgnoresUnknownFields: valid settings are read, and unknown fields ignored.
+func TestParseIgnoresUnknownFields(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
-	if err != nil || s.NodeName != "node-0" || s.Facts.Teams[0].CPUsMax != 2 || s.Facts.Machine.MaxSockets != 900 {
+	if err != nil || s.NodeName != "node-0" || s.Deployment.Teams[0].MaxCPUs != 2 ||
+		s.Deployment.MachineLimits.MaxSockets != 900 {
 		t.Fatalf("%+v %v", s, err)
 	}
 }
 
-// TestWarnings: settings that a controller can run with, but hardly serve with, are accepted with a
+// TestLowMachineLimitsWarn: settings that a controller can run with, but hardly serve with, are accepted with a
 // warning that names the field.
-func TestWarnings(t *testing.T) {
+func TestLowMachineLimitsWarn(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{`"core_share":0.1`, `"core_share":0.1`, ""},
 		{`"core_share":0.1`, `"core_share":0.005`, "core_share"},
@@ -43,21 +44,21 @@
 	}
 }
 
-// TestLowestLimits: announced limits apply from the start, each by itself, and only where they are
+// TestAnnouncedLimitsApplyFromStart: announced limits apply from the start, each by itself, and only where they are
 // lower.
-func TestLowestLimits(t *testing.T) {
+func TestAnnouncedLimitsApplyFromStart(t *testing.T) {
 	withNext := `"txn_ops":8,"next":{"write_rps":15,"value_kb":8,"txn_ops":4}}`
 	s, err := Parse([]byte(strings.Replace(validSettings, `"txn_ops":8}`, withNext, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := s.Facts.State, (State{RPS: 150, WriteRPS: 15, ValueKB: 4, TxnOps: 4}); got != want {
+	if got, want := s.Deployment.State, (StateLimits{RPS: 150, WriteRPS: 15, ValueKB: 4, TxnOps: 4}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
-// TestGangTimes: both times of gangs or none; a deployment with neither has no gangs.
-func TestGangTimes(t *testing.T) {
+// TestGangTimesGivenTogether: both times of gangs or none; a deployment with neither has no gangs.
+func TestGangTimesGivenTogether(t *testing.T) {
 	for _, c := range []struct {
 		fields, faulty string // what is added to the workers' times, and the field that the error must name
 		gangs          bool
@@ -76,14 +77,14 @@
 			if err == nil || !strings.Contains(err.Error(), c.faulty) {
 				t.Errorf("%s: %v", c.fields, err)
 			}
-		case err != nil || s.Facts.Workers.Gangs() != c.gangs:
+		case err != nil || s.Deployment.Workers.SupportsGangs() != c.gangs:
 			t.Errorf("%s: %v", c.fields, err)
 		}
 	}
 }
 
-// TestFieldNamed: whatever is wrong, the error is one line that names the field.
-func TestFieldNamed(t *testing.T) {
+// TestErrorNamesField: whatever is wrong, the error is one line that names the field.
+func TestErrorNamesField(t *testing.T) {
 	withNext := strings.Replace(validSettings, `"txn_ops":8}`, `"txn_ops":8,"next":{}}`, 1)
 	for field, value := range map[string]any{
 		"facts.state.next.rps": -1, "facts.state.next.write_rps": 0,
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -129,13 +129,13 @@
 func (o *Options) check(old oldNames) error {
 	number := func(key string, v, lo, hi float64) error {
 		if !(v >= lo && v <= hi) { // written so that NaN fails
-			return fmt.Errorf("%s: must be between %v and %v, got %v", old.written(key), lo, hi, v)
+			return fmt.Errorf("%s: must be between %v and %v, got %v", old.nameInFile(key), lo, hi, v)
 		}
 		return nil
 	}
 	duration := func(key string, d Duration, lo, hi time.Duration) error {
 		if v := time.Duration(d); v < lo || v > hi {
-			return fmt.Errorf("%s: must be between %v and %v, got %v", old.written(key), lo, hi, v)
+			return fmt.Errorf("%s: must be between %v and %v, got %v", old.nameInFile(key), lo, hi, v)
 		}
 		return nil
 	}
--- a/internal/config/options_renamed.go
+++ b/internal/config/options_renamed.go
@@ -68,8 +68,8 @@
 // applyOldNames sets the options that the text b of the file gives by their old names. An option
 // that is given by both names is an error, as one of the values would have no effect.
 func (f *optionsFile) applyOldNames(b []byte) (oldNames, error) {
-	var text map[string]any
-	if err := toml.Unmarshal(b, &text); err != nil {
+	var document map[string]any
+	if err := toml.Unmarshal(b, &document); err != nil {
 		return nil, describeDecodeError(err)
 	}
 	var old oldNames
@@ -77,7 +77,7 @@
 		if !r.apply() {
 			continue
 		}
-		if contains(text, r.newName) {
+		if containsKey(document, r.newName) {
 			return nil, fmt.Errorf("%s and %s are the same option; remove the first, its old name",
 				r.oldName, r.newName)
 		}
@@ -86,11 +86,11 @@
 	return old, nil
 }
 
-// contains reports whether a file gives a key. Letter case does not matter, as it does not when the
+// containsKey reports whether a file gives a key. Letter case does not matter, as it does not when the
 // file is decoded into a struct.
-func contains(text map[string]any, name string) bool {
+func containsKey(document map[string]any, name string) bool {
 	table, key, _ := strings.Cut(name, ".")
-	for t, v := range text {
+	for t, v := range document {
 		keys, _ := v.(map[string]any)
 		for k := range keys {
 			if strings.EqualFold(t, table) && strings.EqualFold(k, key) {
@@ -113,8 +113,8 @@
 	return lines
 }
 
-// written returns the name by which the file gives an option.
-func (o oldNames) written(name string) string {
+// nameInFile returns the name by which the file gives an option.
+func (o oldNames) nameInFile(name string) string {
 	for _, r := range o {
 		if r.newName == name {
 			return fmt.Sprintf("%s (now %s)", r.oldName, r.newName)
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestOptions(t *testing.T) {
+func TestParseOptions(t *testing.T) {
 	o, warnings, err := ParseOptions([]byte("[fleet]\nmax_machines = 12\nidle_timeout = \"40s\"\n"))
 	if err != nil || len(warnings) != 0 || o.Fleet.MaxMachines != 12 ||
 		time.Duration(o.Fleet.IdleTimeout) != 40*time.Second || o.Leadership != DefaultOptions().Leadership {
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestOldAndNewOption: an option that is given by both names is an error that names both, in every
+// TestOptionGivenByBothNames: an option that is given by both names is an error that names both, in every
 // notation of TOML.
-func TestOldAndNewOption(t *testing.T) {
+func TestOptionGivenByBothNames(t *testing.T) {
 	for name, in := range map[string]string{
 		"table":         "[fleet]\ndear_ratio = 3.0\nexpensive_pool_ratio = 3.0\n",
 		"dotted keys":   "fleet.expensive_pool_ratio = 2.5\nfleet.dear_ratio = 3.0\n",
--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -62,23 +62,24 @@
 var (
 	gangWaitS = 20.0
 	gangPeerS = 5.0
-	workers   = config.Workers{
-		ReportS: reportS, LeaseS: leaseS, CancelS: cancelS, GangWaitS: &gangWaitS, GangPeerS: &gangPeerS,
+	workers   = config.WorkerTimes{
+		HeartbeatIntervalS: reportS, LeaseS: leaseS, CancelWithinS: cancelS,
+		GangWaitTimeoutS: &gangWaitS, GangPeerDetectionS: &gangPeerS,
 	}
 )
 
 var (
 	nextValueKB = 2.0
 	nextTxnOps  = 4
-	stateLimits = config.State{
+	stateLimits = config.StateLimits{
 		RPS: 300, WriteRPS: 60, ValueKB: 4, TxnOps: 8,
-		Next: &config.NextState{ValueKB: &nextValueKB, TxnOps: &nextTxnOps},
+		Next: &config.NextStateLimits{ValueKB: &nextValueKB, TxnOps: &nextTxnOps},
 	}
 )
 
 var teams = []config.Team{
-	{Name: "red", CPUs: 16, CPUsMax: 32},
-	{Name: "blue", CPUs: 16, CPUsMax: 48},
+	{Name: "red", GuaranteedCPUs: 16, MaxCPUs: 32},
+	{Name: "blue", GuaranteedCPUs: 16, MaxCPUs: 48},
 }
 
 // runScenario starts a cluster in a bubble of virtual time, runs a scenario in it, and fails the test
@@ -167,14 +168,14 @@
 		NodeName: name,
 		Zone:     "a",
 		External: config.External{Cloud: "cloud:1", State: "state-" + name + ":1"},
-		Facts: config.Facts{
-			Zones:   c.zones,
-			Teams:   teams,
-			Workers: workers,
-			State:   stateLimits.Lowest(),
-			Cloud:   config.Cloud{RPS: 5, ListLagS: 2},
-			Machine: config.MachineLimits{CoreShare: 0.2, MemoryMB: 100, MaxSockets: 500},
-			SkewMs:  100,
+		Deployment: config.Deployment{
+			Zones:          c.zones,
+			Teams:          teams,
+			Workers:        workers,
+			State:          stateLimits.Lowest(),
+			Cloud:          config.CloudLimits{RPS: 5, ListLagS: 2},
+			MachineLimits:  config.MachineLimits{CoreShare: 0.2, MemoryMB: 100, MaxSockets: 500},
+			MaxClockSkewMs: 100,
 		},
 	}
 	for i, other := range c.nodeNames {
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -35,12 +35,12 @@
 // New puts a controller together; it starts nothing. A nil dialer dials TCP. It returns an error if
 // the address of another controller is malformed.
 func New(s *config.Settings, options config.Options, dialer transport.Dialer, log *slog.Logger) (*Controller, error) {
-	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, len(s.Members))
+	shares := limits.DivideSockets(s.Deployment.MachineLimits.MaxSockets, len(s.Members))
 	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
 
 	// The services around the controller.
-	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
-	cloud := leader.NewCloudClient(s.External.Cloud, s.Facts.Cloud.RPS, dialer)
+	store := storage.New(s.External.State, s.Deployment.State).WithDialer(dialer)
+	cloud := leader.NewCloudClient(s.External.Cloud, s.Deployment.Cloud.RPS, dialer)
 	peers, err := peer.Dial(s.Members, dialer)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 		Store:         store,
 		Peers:         peers,
 		LeaseDuration: time.Duration(options.Leadership.LeaderLease),
-		VoteLease:     limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)),
+		VoteLease:     limits.VoteLease(limits.Seconds(s.Deployment.Workers.LeaseS)),
 		Lead:          dispatcher.RunTerm,
 		Log:           log,
 	})
@@ -79,7 +79,7 @@
 	return gateway.New(gateway.Options{
 		Node:       c.settings.NodeName,
 		Settings:   c.settings,
-		Store:      c.store.ForUsers(),
+		Store:      c.store.ForUserRequests(),
 		Dispatcher: c.dispatcher,
 		Peers:      c.peers,
 		LeaderName: c.elector.Leader,
@@ -94,7 +94,7 @@
 		Addr:        c.settings.ClientListen,
 		MaxConns:    shares.Inbound,
 		MaxMachines: shares.MachineConns,
-		MachineIdle: limits.Seconds(c.settings.Facts.Workers.LeaseS),
+		MachineIdle: limits.Seconds(c.settings.Deployment.Workers.LeaseS),
 		Sockets:     sockets,
 		Handle:      c.gateway.Handle,
 		Log:         c.log,
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -56,7 +56,7 @@
 		c.checkSameZone(j, task, machine)
 	}
 	for _, team := range teams {
-		if used := c.usedCPUs(team.Name); used > team.CPUsMax {
+		if used := c.usedCPUs(team.Name); used > team.MaxCPUs {
 			c.violation("quota: %s uses %v", team.Name, used)
 		}
 	}
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -257,7 +257,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, team := range teams {
-		if team.Name == j.spec.Team && c.usedCPUs(team.Name)+j.spec.CPUs > team.CPUsMax {
+		if team.Name == j.spec.Team && c.usedCPUs(team.Name)+j.spec.CPUs > team.MaxCPUs {
 			return false
 		}
 	}
--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -31,7 +31,7 @@
 		return fmt.Errorf("create lease: %w", err)
 	}
 	c := candidacy{
-		leader:     storage.LeaderRecord{Node: e.options.Node, Term: last.Term + 1, Nonce: e.voter.nonce},
+		leader:     storage.LeaderRecord{Node: e.options.Node, Term: last.Term + 1, ProcessNonce: e.voter.nonce},
 		leaseID:    leaseID,
 		conditions: append(conditions, unchanged(storage.KeyTerm, termVersion)),
 	}
--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -84,7 +84,7 @@
 	}
 	_, err := e.options.Store.CompareAndSwap(ctx, protocol.Transaction{Operations: []protocol.Operation{{
 		Put:   storage.VoteWithdrawalKey(e.options.Node),
-		Value: protocol.Encode(storage.VoteWithdrawal{Heartbeat: s.heartbeat}),
+		Value: protocol.Encode(storage.VoteWithdrawal{HeartbeatVersion: s.heartbeat}),
 	}}})
 	s.withdrawn = err == nil
 	return s.withdrawn
@@ -99,7 +99,7 @@
 		if err := protocol.Decode(key.Value, &w); err != nil {
 			return err
 		}
-		if w.Heartbeat >= heartbeat {
+		if w.HeartbeatVersion >= heartbeat {
 			withdrawals++
 		}
 		return nil
--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -48,7 +48,7 @@
 		return g.answerCancelled(ctx, id, open), true
 	}
 	record.Cancelled, record.CancelledAtMs = true, time.Now().UnixMilli()
-	data := protocol.Encode(record.Shortened(g.settings.Facts.State.ValueKB))
+	data := protocol.Encode(record.TrimmedToLimit(g.settings.Deployment.State.ValueKB))
 	revision, err := g.store.CompareAndSwap(ctx, protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: storage.OpenJobKey(id), Version: open.Version}},
 		Operations: []protocol.Operation{{Put: storage.OpenJobKey(id), Value: data}},
--- a/internal/coordination/gateway/fixture_test.go
+++ b/internal/coordination/gateway/fixture_test.go
@@ -41,14 +41,14 @@
 	stateAddress := freePort(t)
 	serve(t, f.state.Server(stateAddress, log))
 
-	settings := &config.Settings{NodeName: testNode, Facts: config.Facts{
-		Teams: []config.Team{{Name: "vision", CPUsMax: 100, GPUsMax: 4}, {Name: "tiny", CPUsMax: 1}},
-		State: config.State{RPS: 10_000, WriteRPS: 10_000, ValueKB: 4, TxnOps: 8},
+	settings := &config.Settings{NodeName: testNode, Deployment: config.Deployment{
+		Teams: []config.Team{{Name: "vision", MaxCPUs: 100, MaxGPUs: 4}, {Name: "tiny", MaxCPUs: 1}},
+		State: config.StateLimits{RPS: 10_000, WriteRPS: 10_000, ValueKB: 4, TxnOps: 8},
 	}}
 	for _, change := range changes {
 		change(settings)
 	}
-	store := storage.New(stateAddress, settings.Facts.State)
+	store := storage.New(stateAddress, settings.Deployment.State)
 	g := New(Options{
 		Node:     testNode,
 		Settings: settings,
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 
 // supportGangs makes the workers of a fixture support gangs.
 func supportGangs(s *config.Settings) {
-	s.Facts.Workers.GangWaitS, s.Facts.Workers.GangPeerS = new(float64), new(float64)
+	s.Deployment.Workers.GangWaitTimeoutS, s.Deployment.Workers.GangPeerDetectionS = new(float64), new(float64)
 }
 
 // TestUsersAPI sends a sequence of requests: the later ones meet the jobs of those before.
@@ -260,7 +260,7 @@
 // repeated submission of it is known.
 func TestLargeRecord(t *testing.T) {
 	const valueKB = 0.5
-	f := newGatewayFixture(t, func(s *config.Settings) { s.Facts.State.ValueKB = valueKB })
+	f := newGatewayFixture(t, func(s *config.Settings) { s.Deployment.State.ValueKB = valueKB })
 	stored := protocol.Spec{
 		ID: "job-1", Class: "train", Team: "vision", Shape: protocol.ShapeArray, Priority: "high",
 		Tasks: 2, CPUs: 8, Image: "img",
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -57,7 +57,7 @@
 	f := &loadFixture{
 		t:          t,
 		settings:   settings,
-		shares:     limits.DivideSockets(settings.Facts.Machine.MaxSockets, 4),
+		shares:     limits.DivideSockets(settings.Deployment.MachineLimits.MaxSockets, 4),
 		state:      standin.NewStateService(),
 		address:    freePort(t),
 		readBuffer: make([]byte, 64<<10),
@@ -85,12 +85,12 @@
 }
 
 func loadSettings() *config.Settings {
-	return &config.Settings{NodeName: testNode, Facts: config.Facts{
-		Teams:   []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}},
-		Workers: config.Workers{ReportS: 5, LeaseS: 27, CancelS: 47},
-		State:   config.State{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 8},
-		Cloud:   config.Cloud{RPS: 100, ListLagS: 3},
-		Machine: config.MachineLimits{CoreShare: 0.3, MemoryMB: loadMemoryMB, MaxSockets: loadMaxSockets},
+	return &config.Settings{NodeName: testNode, Deployment: config.Deployment{
+		Teams:         []config.Team{{Name: "red", GuaranteedCPUs: 100, MaxCPUs: 1e6}},
+		Workers:       config.WorkerTimes{HeartbeatIntervalS: 5, LeaseS: 27, CancelWithinS: 47},
+		State:         config.StateLimits{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 8},
+		Cloud:         config.CloudLimits{RPS: 100, ListLagS: 3},
+		MachineLimits: config.MachineLimits{CoreShare: 0.3, MemoryMB: loadMemoryMB, MaxSockets: loadMaxSockets},
 	}}
 }
 
@@ -147,7 +147,7 @@
 	}))
 
 	sockets := transport.NewSocketBudget(f.shares.Total, f.shares.Headroom)
-	store := storage.New(stateAddress, f.settings.Facts.State)
+	store := storage.New(stateAddress, f.settings.Deployment.State)
 	f.dispatcher = leader.NewDispatcher(leader.DispatcherOptions{
 		Settings: f.settings,
 		Options:  config.DefaultOptions(),
@@ -159,7 +159,7 @@
 	g := New(Options{
 		Node:       testNode,
 		Settings:   f.settings,
-		Store:      store.ForUsers(),
+		Store:      store.ForUserRequests(),
 		Dispatcher: f.dispatcher,
 		Peers:      noPeers(f.t),
 		LeaderName: func() string { return "" },
--- a/internal/coordination/gateway/submissions.go
+++ b/internal/coordination/gateway/submissions.go
@@ -32,7 +32,7 @@
 		return g.rejectUnlessAccepted(ctx, spec.ID, http.StatusUnprocessableEntity, reason)
 	}
 	record := storage.OpenJob{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
-	if !storage.FitsValueLimit(record, g.settings.Facts.State.ValueKB) {
+	if !storage.FitsValueLimit(record, g.settings.Deployment.State.ValueKB) {
 		return g.rejectUnlessAccepted(ctx, spec.ID, http.StatusBadRequest, "too long")
 	}
 	return g.storeSubmission(ctx, record)
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("submission: %w", err)
 	}
-	if spec.Gang() && !g.settings.Facts.Workers.Gangs() {
+	if spec.Gang() && !g.settings.Deployment.Workers.SupportsGangs() {
 		return nil, fmt.Errorf("%w: Shape: %s is not known to the workers here", protocol.ErrInvalid, spec.Shape)
 	}
 	return spec, nil
@@ -101,11 +101,11 @@
 
 // rejectionReason returns why a job can never run, or "".
 func (g *Gateway) rejectionReason(spec *protocol.Spec, types []protocol.MachineType) string {
-	for _, team := range g.settings.Facts.Teams {
+	for _, team := range g.settings.Deployment.Teams {
 		if team.Name != spec.Team {
 			continue
 		}
-		if !scheduler.CanEverRun(spec, types, team.CPUsMax, team.GPUsMax) {
+		if !scheduler.CanEverRun(spec, types, team.MaxCPUs, team.MaxGPUs) {
 			return "no allowed machine type holds a task, " +
 				"or the team's limit is below one task, or below all tasks of a gang"
 		}
--- a/internal/coordination/leader/load.go
+++ b/internal/coordination/leader/load.go
@@ -112,7 +112,7 @@
 	if record.CancelledAtMs != 0 {
 		// CancelledAtMs is the time of another controller's clock. Each of the two clocks may be off by
 		// SkewMs, so twice that is added: SinceCancellation must not be too short.
-		skew := limits.Seconds(t.dispatcher.settings.Facts.SkewMs / 1000)
+		skew := limits.Seconds(t.dispatcher.settings.Deployment.MaxClockSkewMs / 1000)
 		change.SinceCancellation = max(sinceUnixMilli(record.CancelledAtMs)+2*skew, 0)
 	}
 	return change, nil
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -40,8 +40,8 @@
 
 // newTermActor returns the actor of a term that starts now.
 func newTermActor(d *Dispatcher, leadership *election.Leadership) *termActor {
-	facts := &d.settings.Facts
-	shares := limits.DivideSockets(facts.Machine.MaxSockets, len(d.settings.Members))
+	facts := &d.settings.Deployment
+	shares := limits.DivideSockets(facts.MachineLimits.MaxSockets, len(d.settings.Members))
 	options := d.options
 	if options.Fleet.MaxMachines == 0 {
 		options.Fleet.MaxMachines = shares.MaxMachines
@@ -67,7 +67,7 @@
 			State:      facts.State,
 			ListLag:    limits.Seconds(facts.Cloud.ListLagS),
 			CloudRPS:   facts.Cloud.RPS * limits.CloudRateShare,
-			CoreShare:  facts.Machine.CoreShare,
+			CoreShare:  facts.MachineLimits.CoreShare,
 			Options:    options,
 		}, 0),
 	}
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -41,7 +41,7 @@
 func (w *writer) collectBatch(
 	first scheduler.WriteRecords,
 ) (batch []scheduler.WriteRecords, overflow *scheduler.WriteRecords) {
-	maxOperations := w.actor.dispatcher.store.Settings().TxnOps
+	maxOperations := w.actor.dispatcher.store.ServiceLimits().TxnOps
 	maxConditions := maxOperations * limits.ConditionsPerOperation
 	batch = append(batch, first)
 	operations := len(first.Operations)
--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -36,7 +36,8 @@
 	actor.mailbox = make(chan message, 10)
 	actor.toWriter = make(chan scheduler.WriteRecords, 10)
 	actor.dispatcher.onTermLost = func(uint64) { f.termLost = true }
-	actor.dispatcher.store = storage.New(server.Addr(), config.State{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 4})
+	actor.dispatcher.store = storage.New(server.Addr(),
+		config.StateLimits{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 4})
 	f.writer = &writer{actor: actor}
 	return f
 }
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -72,10 +72,13 @@
 	options := config.DefaultOptions()
 	options.Fleet.MaxMachines = setup.machines
 	s := New(Config{
-		Term:    1,
-		Teams:   []config.Team{{Name: "red", CPUs: 100, CPUsMax: 20000}, {Name: "blue", CPUs: 100, CPUsMax: 20000}},
-		Workers: config.Workers{ReportS: 1.5, LeaseS: 14, CancelS: 34},
-		State:   config.State{ValueKB: 4, TxnOps: 8},
+		Term: 1,
+		Teams: []config.Team{
+			{Name: "red", GuaranteedCPUs: 100, MaxCPUs: 20000},
+			{Name: "blue", GuaranteedCPUs: 100, MaxCPUs: 20000},
+		},
+		Workers: config.WorkerTimes{HeartbeatIntervalS: 1.5, LeaseS: 14, CancelWithinS: 34},
+		State:   config.StateLimits{ValueKB: 4, TxnOps: 8},
 		Options: options,
 	}, 0)
 	s.Step(machineTypesOf(benchmarkCPUs), 0)
@@ -236,9 +239,9 @@
 	options.Fleet.MaxMachines = machines
 	s := New(Config{
 		Term:    1,
-		Teams:   []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}},
-		Workers: config.Workers{ReportS: 5, LeaseS: 27, CancelS: 47},
-		State:   config.State{ValueKB: 8, TxnOps: 8},
+		Teams:   []config.Team{{Name: "red", GuaranteedCPUs: 100, MaxCPUs: 1e6}},
+		Workers: config.WorkerTimes{HeartbeatIntervalS: 5, LeaseS: 27, CancelWithinS: 47},
+		State:   config.StateLimits{ValueKB: 8, TxnOps: 8},
 		Options: options,
 	}, 0)
 	s.Step(machineTypesOf(8), 0)
--- a/internal/coordination/scheduler/cancel_deadlines.go
+++ b/internal/coordination/scheduler/cancel_deadlines.go
@@ -21,7 +21,7 @@
 // enough that the cloud has answered by cancelReplyDeadline. A leader that has only just learned of
 // the cancellation lets the stops arrive first, while there is time.
 func (e *environment) cancelDeletionTime(j *job) time.Duration {
-	cancelLimit := limits.Seconds(e.cfg.Workers.CancelS)
+	cancelLimit := limits.Seconds(e.cfg.Workers.CancelWithinS)
 	window := limits.CancelHeartbeatWindow(cancelLimit, e.workerLease)
 	early := j.cancelledAt + time.Duration(limits.CancelDeleteShare*float64(window))
 	late := j.cancelledAt + time.Duration(limits.CancelDeleteLatestShare*float64(cancelLimit))
@@ -32,5 +32,5 @@
 // not confirmed by then, nothing but the end of its lease stops the task in time, also if it hangs
 // and goes on. Its other tasks are lost with that, as they would be by the deletion.
 func (e *environment) cancelReplyDeadline(j *job) time.Duration {
-	return j.cancelledAt + limits.CancelHeartbeatWindow(limits.Seconds(e.cfg.Workers.CancelS), e.workerLease)
+	return j.cancelledAt + limits.CancelHeartbeatWindow(limits.Seconds(e.cfg.Workers.CancelWithinS), e.workerLease)
 }
--- a/internal/coordination/scheduler/capacity_planner_test.go
+++ b/internal/coordination/scheduler/capacity_planner_test.go
@@ -57,7 +57,7 @@
 	}}})
 	f.scheduler.cfg.CloudRPS = 4
 	f.step(JobChanged{JobID: "job-1", Version: 100, Record: waitingJob("job-1", "red", 5000, true)})
-	f.scheduler.jobs.teams["red"].cfg.CPUsMax = 1e6
+	f.scheduler.jobs.teams["red"].cfg.MaxCPUs = 1e6
 	untilRequested := func() (spot, onDemand int) {
 		for f.now += time.Second; ; f.now += time.Second {
 			f.step(Tick{Entitled: true})
--- a/internal/coordination/scheduler/deadline.go
+++ b/internal/coordination/scheduler/deadline.go
@@ -35,7 +35,7 @@
 		}
 		switch {
 		case objective.Kind == objectiveDeadline && j.spec.DeadlineS > 0:
-			add(j.spec.DeadlineS*max(objective.Times, 1), false)
+			add(j.spec.DeadlineS*max(objective.DeadlineMultiple, 1), false)
 		case objective.Kind == objectiveFinished && objective.WithinS > 0:
 			add(objective.WithinS, false)
 		case objective.Kind == objectiveWait && objective.WithinS > 0:
--- a/internal/coordination/scheduler/dispatcher_test.go
+++ b/internal/coordination/scheduler/dispatcher_test.go
@@ -53,7 +53,7 @@
 func TestDirectCommandsAreBounded(t *testing.T) {
 	const machines = 3 * limits.MaxDirectCommands
 	f := newSchedulerFixture(t, machines)
-	f.scheduler.jobs.teams["red"].cfg.CPUsMax = 8 * machines
+	f.scheduler.jobs.teams["red"].cfg.MaxCPUs = 8 * machines
 	for range 2 { // the second verifies the machines
 		for i := range machines {
 			f.report(i)
--- a/internal/coordination/scheduler/environment.go
+++ b/internal/coordination/scheduler/environment.go
@@ -24,7 +24,7 @@
 		now:               now,
 		termStartedAt:     now,
 		workerLease:       limits.Seconds(cfg.Workers.LeaseS),
-		heartbeatInterval: limits.Seconds(cfg.Workers.ReportS),
+		heartbeatInterval: limits.Seconds(cfg.Workers.HeartbeatIntervalS),
 		outbox:            newOutbox(),
 	}
 }
--- a/internal/coordination/scheduler/filter_test.go
+++ b/internal/coordination/scheduler/filter_test.go
@@ -36,7 +36,7 @@
 func TestEvaluateViews(t *testing.T) {
 	env := &environment{now: 10 * time.Second, cfg: Config{Options: config.DefaultOptions()}}
 	placer := newPlacer(env, nil, nil)
-	owner := &team{cfg: config.Team{CPUs: 8, CPUsMax: 8}}
+	owner := &team{cfg: config.Team{GuaranteedCPUs: 8, MaxCPUs: 8}}
 	low := &job{id: "job-1", team: owner, priority: protocol.PriorityLow, demand: resource.Vector{CPUs: 6}}
 	high := &job{id: "job-2", team: owner, priority: protocol.PriorityHigh, demand: resource.Vector{CPUs: 4}}
 	full, empty := newTestMachine("m-1", "a", 8), newTestMachine("m-2", "a", 8)
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -56,7 +56,7 @@
 
 // load marks the tasks of a record as done, at the start of the term.
 func (w *finishedTaskWriter) load(e FinishedTasksLoaded) {
-	key := storage.FinishedTasksKey(e.JobID, e.Record.Base)
+	key := storage.FinishedTasksKey(e.JobID, e.Record.FirstTask)
 	j := w.jobs.find(e.JobID)
 	if j == nil {
 		w.orphans = append(w.orphans, orphanedRecord{e.JobID, key})
@@ -73,8 +73,8 @@
 			j.doneCount++
 		}
 	})
-	chunk := e.Record.Base / w.tasksPerChunk
-	if e.Record.Base%w.tasksPerChunk != 0 || chunk >= len(j.chunks) {
+	chunk := e.Record.FirstTask / w.tasksPerChunk
+	if e.Record.FirstTask%w.tasksPerChunk != 0 || chunk >= len(j.chunks) {
 		j.otherRecordKeys = append(j.otherRecordKeys, key)
 		return
 	}
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -20,7 +20,7 @@
 		const tasks, job = 6000, "job-1"
 		sizes := []float64{0.5, 1, 2} // of a value, in KB
 		before := storage.TasksPerChunk(rapid.SampledFrom(sizes).Draw(t, "before"))
-		state := config.State{WriteRPS: 200, ValueKB: rapid.SampledFrom(sizes).Draw(t, "now"), TxnOps: 4}
+		state := config.StateLimits{WriteRPS: 200, ValueKB: rapid.SampledFrom(sizes).Draw(t, "now"), TxnOps: 4}
 		finished := newBitmap(tasks)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			finished.add(rapid.IntRange(0, tasks-2).Draw(t, "task"))
@@ -71,11 +71,11 @@
 }
 
 // newSchedulerOfOneJob returns a scheduler that has loaded a job array, and nothing else yet.
-func newSchedulerOfOneJob(state config.State, job string, tasks int) *Scheduler {
+func newSchedulerOfOneJob(state config.StateLimits, job string, tasks int) *Scheduler {
 	s := New(Config{
 		Term:    3,
-		Teams:   []config.Team{{Name: "red", CPUsMax: 100}},
-		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
+		Teams:   []config.Team{{Name: "red", MaxCPUs: 100}},
+		Workers: config.WorkerTimes{HeartbeatIntervalS: 2, LeaseS: 14, CancelWithinS: 34},
 		State:   state,
 		Options: config.DefaultOptions(),
 	}, 0)
@@ -90,7 +90,7 @@
 func loadFinishedTasks(s *Scheduler, store *memoryStore, job string, finished bitmap, tasks, size int) {
 	for base := 0; base < tasks; base += size {
 		record := storage.EncodeFinishedTasks(finished, base, size)
-		if record.Bits == "" {
+		if record.Bitmap == "" {
 			continue
 		}
 		version := store.put(storage.FinishedTasksKey(job, base), record)
@@ -137,7 +137,7 @@
 	s := New(f.scheduler.cfg, 0)
 	spec := protocol.Spec{ID: "job-1", Team: "gone", Priority: "low", Tasks: 2}
 	s.Step(JobChanged{JobID: "job-1", Version: 5, Record: storage.OpenJob{Spec: spec}}, 0)
-	s.Step(FinishedTasksLoaded{JobID: "job-1", Version: 6, Record: storage.FinishedTasks{Bits: "AQ"}}, 0)
+	s.Step(FinishedTasksLoaded{JobID: "job-1", Version: 6, Record: storage.FinishedTasks{Bitmap: "AQ"}}, 0)
 	noOpenRecord := protocol.Condition{Key: storage.OpenJobKey("job-1")}
 	for _, effect := range s.Step(StateLoaded{}, 0) {
 		if write, ok := effect.(WriteRecords); ok && write.Operations[0].Delete != "" {
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -61,7 +61,7 @@
 // have been waiting since the previous heartbeat, so staleAfter is subtracted.
 func (t *gangTable) setCompletionDeadline(g *gang) {
 	if g != nil && g.completionDeadline == 0 {
-		g.completionDeadline = t.now + optionalSeconds(t.cfg.Workers.GangWaitS) - t.staleAfter()
+		g.completionDeadline = t.now + optionalSeconds(t.cfg.Workers.GangWaitTimeoutS) - t.staleAfter()
 	}
 }
 
@@ -144,7 +144,7 @@
 // saveDeadline returns the time until which a stopping gang may need its machines to save its work.
 // It includes the time in which the other tasks notice that one was stopped (gang_peer_s).
 func (t *gangTable) saveDeadline(g *gang) time.Duration {
-	peers := optionalSeconds(t.cfg.Workers.GangPeerS)
+	peers := optionalSeconds(t.cfg.Workers.GangPeerDetectionS)
 	return g.stopStartedAt + limits.Seconds(g.job.spec.SaveS) + limits.SaveMargin + peers
 }
 
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -25,7 +25,7 @@
 		// a failover. If it is over already, no leader knew of the cancellation, as it would have let
 		// the leases expire in time; so the user was not told, and the time begins now.
 		j.cancelled, j.cancelledAt, j.cancelSeenAt = true, s.now, s.now
-		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
+		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelWithinS) {
 			j.cancelledAt -= e.SinceCancellation
 		}
 		s.logInfo("job cancelled", keyJob, j.id, "assigned", len(j.assignments))
--- a/internal/coordination/scheduler/job_plan.go
+++ b/internal/coordination/scheduler/job_plan.go
@@ -49,7 +49,7 @@
 func (j *job) tasksWithinTeamLimit() int {
 	tasks := j.waitingTasks()
 	if j.demand.CPUs > 0 {
-		tasks = min(tasks, int((j.team.cfg.CPUsMax-j.team.allocated.CPUs)/j.demand.CPUs+limits.Epsilon))
+		tasks = min(tasks, int((j.team.cfg.MaxCPUs-j.team.allocated.CPUs)/j.demand.CPUs+limits.Epsilon))
 	}
 	return tasks
 }
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -68,11 +68,14 @@
 	}
 	f.scheduler = New(Config{
 		Term:    1,
-		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
-		State:   config.State{ValueKB: 4, TxnOps: 8},
-		Teams:   []config.Team{{Name: "red", CPUs: 40, CPUsMax: 1000}, {Name: "blue", CPUs: 40, CPUsMax: 1000}},
+		Workers: config.WorkerTimes{HeartbeatIntervalS: 2, LeaseS: 14, CancelWithinS: 34},
+		State:   config.StateLimits{ValueKB: 4, TxnOps: 8},
+		Teams: []config.Team{
+			{Name: "red", GuaranteedCPUs: 40, MaxCPUs: 1000},
+			{Name: "blue", GuaranteedCPUs: 40, MaxCPUs: 1000},
+		},
 		Objectives: []config.Objective{
-			{Kind: "deadline", Class: "small", Times: 1},
+			{Kind: "deadline", Class: "small", DeadlineMultiple: 1},
 			{Kind: "wait", Class: "large", WithinS: 70},
 		},
 		Options: config.DefaultOptions(),
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -105,11 +105,14 @@
 	g := &fleetGenerator{random: rand.New(rand.NewPCG(seed, 11)), usedCPUs: map[string]float64{}}
 	s := New(Config{
 		Term:    1,
-		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34},
-		State:   config.State{ValueKB: 4, TxnOps: 8},
-		Teams:   []config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 20, CPUsMax: 70}},
+		Workers: config.WorkerTimes{HeartbeatIntervalS: 2, LeaseS: 14, CancelWithinS: 34},
+		State:   config.StateLimits{ValueKB: 4, TxnOps: 8},
+		Teams: []config.Team{
+			{Name: "red", GuaranteedCPUs: 30, MaxCPUs: 90},
+			{Name: "blue", GuaranteedCPUs: 20, MaxCPUs: 70},
+		},
 		Objectives: []config.Objective{
-			{Kind: "deadline", Class: "x", Times: 1},
+			{Kind: "deadline", Class: "x", DeadlineMultiple: 1},
 			{Kind: "finished", Class: "y", WithinS: 40},
 		},
 		Options: config.DefaultOptions(),
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -15,9 +15,9 @@
 func newFailover(machines int, coreShare float64) *Scheduler {
 	s := New(Config{
 		Term:      3,
-		Teams:     []config.Team{{Name: "red", CPUs: 8, CPUsMax: 100}},
-		Workers:   config.Workers{ReportS: 60, LeaseS: 600, CancelS: 900},
-		State:     config.State{WriteRPS: 20, ValueKB: 4, TxnOps: 8},
+		Teams:     []config.Team{{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 100}},
+		Workers:   config.WorkerTimes{HeartbeatIntervalS: 60, LeaseS: 600, CancelWithinS: 900},
+		State:     config.StateLimits{WriteRPS: 20, ValueKB: 4, TxnOps: 8},
 		CoreShare: coreShare,
 		Options:   config.DefaultOptions(),
 	}, 0)
--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -22,8 +22,11 @@
 
 func newQueueFixture(objectives ...config.Objective) *queueFixture {
 	env := newEnvironment(Config{
-		Term:       3,
-		Teams:      []config.Team{{Name: "red", CPUs: 8, CPUsMax: 100}, {Name: "blue", CPUs: 0, CPUsMax: 100}},
+		Term: 3,
+		Teams: []config.Team{
+			{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 100},
+			{Name: "blue", GuaranteedCPUs: 0, MaxCPUs: 100},
+		},
 		Objectives: objectives,
 	}, 0)
 	jobs := newJobTable(env)
@@ -141,7 +144,7 @@
 		{"the next deadline after a missed one", []config.Objective{wait, {Kind: "deadline", Class: "c"}},
 			60, 20 * time.Second, 30 * time.Second, false},
 		{"of another class", []config.Objective{{Kind: "wait", Class: "d", WithinS: 20}}, 0, time.Minute, never, false},
-		{"a multiple of the deadline", []config.Objective{{Kind: "deadline", Class: "c", Times: 2}},
+		{"a multiple of the deadline", []config.Objective{{Kind: "deadline", Class: "c", DeadlineMultiple: 2}},
 			60, 20 * time.Second, 90 * time.Second, false},
 		{"finished within a time", []config.Objective{{Kind: "finished", Class: "c", WithinS: 40}},
 			60, 20 * time.Second, 10 * time.Second, false},
--- a/internal/coordination/scheduler/reservation_test.go
+++ b/internal/coordination/scheduler/reservation_test.go
@@ -41,7 +41,7 @@
 			}
 			j := &job{
 				spec:   protocol.Spec{Shape: protocol.ShapeGang, SameZone: c.sameZone, Tasks: c.tasks},
-				demand: resource.Vector{CPUs: 5}, team: &team{cfg: config.Team{CPUsMax: 100}},
+				demand: resource.Vector{CPUs: 5}, team: &team{cfg: config.Team{MaxCPUs: 100}},
 			}
 			j.gang = newGang(j)
 			p := newPlacer(&environment{}, nil, nil)
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -16,11 +16,11 @@
 	Term       uint64 // the fencing token of the leader
 	Teams      []config.Team
 	Objectives []config.Objective
-	Workers    config.Workers
-	State      config.State  // limits of the state service
-	ListLag    time.Duration // how far the cloud's list of machines usually lags behind
-	CloudRPS   float64       // requests to the cloud that may go out in a second
-	CoreShare  float64       // the share of a core that this controller has; 0 if it is not known
+	Workers    config.WorkerTimes
+	State      config.StateLimits // limits of the state service
+	ListLag    time.Duration      // how far the cloud's list of machines usually lags behind
+	CloudRPS   float64            // requests to the cloud that may go out in a second
+	CoreShare  float64            // the share of a core that this controller has; 0 if it is not known
 	Options    config.Options
 }
 
--- a/internal/coordination/scheduler/scheduler_fixture_test.go
+++ b/internal/coordination/scheduler/scheduler_fixture_test.go
@@ -25,11 +25,14 @@
 	cfg := Config{
 		Term: 3,
 		Teams: []config.Team{
-			{Name: "red", CPUs: 8, CPUsMax: 100},
-			{Name: "blue", CPUs: 8, CPUsMax: 100},
+			{Name: "red", GuaranteedCPUs: 8, MaxCPUs: 100},
+			{Name: "blue", GuaranteedCPUs: 8, MaxCPUs: 100},
 		},
-		Workers: config.Workers{ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4)},
-		State:   config.State{WriteRPS: 20, ValueKB: 4, TxnOps: 8},
+		Workers: config.WorkerTimes{
+			HeartbeatIntervalS: 2, LeaseS: 14, CancelWithinS: 34,
+			GangWaitTimeoutS: seconds(20), GangPeerDetectionS: seconds(4),
+		},
+		State:   config.StateLimits{WriteRPS: 20, ValueKB: 4, TxnOps: 8},
 		Options: config.DefaultOptions(),
 	}
 	f := &schedulerFixture{t: t, scheduler: New(cfg, 0)}
--- a/internal/coordination/scheduler/simulation_controller_test.go
+++ b/internal/coordination/scheduler/simulation_controller_test.go
@@ -28,7 +28,7 @@
 		Term:    s.term,
 		Teams:   s.teams,
 		Workers: s.workers,
-		State:   config.State{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8},
+		State:   config.StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8},
 		ListLag: 3 * time.Second,
 		Options: config.DefaultOptions(),
 	}
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -53,7 +53,7 @@
 
 // peerTimeout is the longest time in which a gang's tasks notice that one is gone.
 func (s *simulation) peerTimeout() time.Duration {
-	return limits.Seconds(*s.workers.GangPeerS)
+	return limits.Seconds(*s.workers.GangPeerDetectionS)
 }
 
 // placedTasks returns the tasks of each attempt that are on their machines.
@@ -83,7 +83,7 @@
 	}
 	id, index, _ := protocol.ParseTaskName(task.name)
 	task.state = protocol.TaskGathering
-	task.gatherDeadline = s.now + limits.Seconds(*s.workers.GangWaitS)
+	task.gatherDeadline = s.now + limits.Seconds(*s.workers.GangWaitTimeoutS)
 	if s.jobs[id].done[index] {
 		s.endTask(machine, task, protocol.ReasonDone)
 	}
--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -93,7 +93,7 @@
 		running = append(running, description)
 	}
 	for _, team := range s.teams {
-		if used[team.Name] > team.CPUsMax+1e-9 {
+		if used[team.Name] > team.MaxCPUs+1e-9 {
 			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], where, running)
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 func (s *simulation) checkCancelled(job *simulatedJob, where string) {
-	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workers.CancelS) {
+	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workers.CancelWithinS) {
 		s.t.Fatalf("ran_cancelled: %s", where)
 	}
 }
--- a/internal/coordination/scheduler/simulation_test.go
+++ b/internal/coordination/scheduler/simulation_test.go
@@ -28,7 +28,7 @@
 	rentals         map[string][]string // machines that were given for each request
 	types           []protocol.MachineType
 	teams           []config.Team
-	workers         config.Workers
+	workers         config.WorkerTimes
 	jobs            map[string]*simulatedJob
 	jobSequence     int
 	deliveries      []delivery      // in the order in which they were asked for
@@ -57,11 +57,12 @@
 		gangs:         map[string]*simulatedGang{},
 		seen:          &gangEvents{},
 		teams: []config.Team{
-			{Name: "red", CPUs: 12, CPUsMax: 32},
-			{Name: "blue", CPUs: 12, CPUsMax: 20},
+			{Name: "red", GuaranteedCPUs: 12, MaxCPUs: 32},
+			{Name: "blue", GuaranteedCPUs: 12, MaxCPUs: 20},
 		},
-		workers: config.Workers{
-			ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4),
+		workers: config.WorkerTimes{
+			HeartbeatIntervalS: 2, LeaseS: 14, CancelWithinS: 34,
+			GangWaitTimeoutS: seconds(20), GangPeerDetectionS: seconds(4),
 		},
 		types: []protocol.MachineType{{
 			Name: "s4", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1,
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -90,8 +90,8 @@
 	view := TeamView{
 		Name:           settings.Name,
 		UsedCPUs:       team.allocated.CPUs,
-		GuaranteedCPUs: settings.CPUs,
-		MaxCPUs:        settings.CPUsMax,
+		GuaranteedCPUs: settings.GuaranteedCPUs,
+		MaxCPUs:        settings.MaxCPUs,
 	}
 	for _, j := range t.bySubmission {
 		if j.team == team && !j.cancelled {
@@ -140,7 +140,7 @@
 			len(j.failedMachines), (j.retryAt - s.now).Round(time.Second))
 	}
 	if !j.withinTeamLimit() {
-		e.add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.CPUs, j.team.cfg.CPUsMax)
+		e.add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.CPUs, j.team.cfg.MaxCPUs)
 	}
 	if j.gang != nil {
 		e.add("a gang, %s: its %d tasks start together or not at all", j.gang.state, j.spec.Tasks)
--- a/internal/coordination/scheduler/team.go
+++ b/internal/coordination/scheduler/team.go
@@ -16,14 +16,14 @@
 // fits reports whether the team's limit lets it use that much more.
 func (t *team) fits(demand resource.Vector) bool {
 	const eps = limits.Epsilon
-	return t.allocated.CPUs+demand.CPUs <= t.cfg.CPUsMax+eps &&
-		t.allocated.Accelerators+demand.Accelerators <= t.cfg.GPUsMax+eps
+	return t.allocated.CPUs+demand.CPUs <= t.cfg.MaxCPUs+eps &&
+		t.allocated.Accelerators+demand.Accelerators <= t.cfg.MaxGPUs+eps
 }
 
 // guarantees reports whether the team's guarantee covers that much.
 func (t *team) guarantees(demand resource.Vector) bool {
 	const eps = limits.Epsilon
-	return demand.CPUs <= t.cfg.CPUs+eps && demand.Accelerators <= t.cfg.GPUs+eps
+	return demand.CPUs <= t.cfg.GuaranteedCPUs+eps && demand.Accelerators <= t.cfg.GuaranteedGPUs+eps
 }
 
 // usesBorrowed reports whether the team uses more than its guarantee.
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/thousands_test.go
@@ -26,13 +26,13 @@
 	return &largeFleet{
 		t: t,
 		settings: Config{
-			Teams:    []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}},
+			Teams:    []config.Team{{Name: "red", GuaranteedCPUs: 100, MaxCPUs: 1e6}},
 			CloudRPS: 5,
-			Workers: config.Workers{
-				ReportS: 2, LeaseS: 14, CancelS: 34,
-				GangWaitS: seconds(20), GangPeerS: seconds(4),
+			Workers: config.WorkerTimes{
+				HeartbeatIntervalS: 2, LeaseS: 14, CancelWithinS: 34,
+				GangWaitTimeoutS: seconds(20), GangPeerDetectionS: seconds(4),
 			},
-			State:   config.State{WriteRPS: 15, ValueKB: 2, TxnOps: 4},
+			State:   config.StateLimits{WriteRPS: 15, ValueKB: 2, TxnOps: 4},
 			Options: config.DefaultOptions(),
 		},
 		machines: machines,
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -18,8 +18,8 @@
 func TestNoPreemptionCycles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := []*team{
-			{cfg: config.Team{CPUs: 1}, allocated: resource.Vector{CPUs: 5}},
-			{cfg: config.Team{CPUs: 9}, allocated: resource.Vector{CPUs: 5}},
+			{cfg: config.Team{GuaranteedCPUs: 1}, allocated: resource.Vector{CPUs: 5}},
+			{cfg: config.Team{GuaranteedCPUs: 9}, allocated: resource.Vector{CPUs: 5}},
 		}
 		draw := func(name string) *assignment {
 			return &assignment{state: stateRunning, job: &job{
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -27,7 +27,7 @@
 	// Network connects workers and controllers; nil: TCP.
 	Network *Network
 	// WorkerTimes are the times that workers keep; zero: those of the quick start.
-	WorkerTimes config.Workers
+	WorkerTimes config.WorkerTimes
 	// JobSpec returns what a worker knows of a job; nil: it reads the state service.
 	JobSpec func(job string) (protocol.Spec, bool)
 	// OnTaskChange is called when a task begins to run on a machine, or is gone from it.
@@ -56,8 +56,10 @@
 
 // NewCloud returns a cloud without machines. The machines that are rented end with the context.
 func NewCloud(ctx context.Context, options CloudOptions) *Cloud {
-	if options.WorkerTimes == (config.Workers{}) {
-		options.WorkerTimes = config.Workers{ReportS: heartbeatInterval.Seconds(), LeaseS: leaseDuration.Seconds()}
+	if options.WorkerTimes == (config.WorkerTimes{}) {
+		options.WorkerTimes = config.WorkerTimes{
+			HeartbeatIntervalS: heartbeatInterval.Seconds(), LeaseS: leaseDuration.Seconds(),
+		}
 	}
 	c := &Cloud{
 		options:   options,
@@ -233,10 +235,10 @@
 }
 
 func (c *Cloud) gangTimes() gangTimes {
-	if times := c.options.WorkerTimes; times.Gangs() {
+	if times := c.options.WorkerTimes; times.SupportsGangs() {
 		return gangTimes{
-			giveUpAfter: limits.Seconds(*times.GangWaitS),
-			noticeAfter: limits.Seconds(*times.GangPeerS),
+			giveUpAfter: limits.Seconds(*times.GangWaitTimeoutS),
+			noticeAfter: limits.Seconds(*times.GangPeerDetectionS),
 		}
 	}
 	return gangTimes{giveUpAfter: gangWaitTimeout, noticeAfter: gangPeerTimeout}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -102,7 +102,7 @@
 		if time.Since(sent) < answerTimeout {
 			w.applyReply(heartbeat.Incarnation, answer.reply, sent)
 		}
-		return limits.Seconds(w.cloud.options.WorkerTimes.ReportS), true
+		return limits.Seconds(w.cloud.options.WorkerTimes.HeartbeatIntervalS), true
 	case answer.status == http.StatusMisdirectedRequest && answer.leader != "" && answer.leader != controllers.name():
 		controllers.follow(answer.leader)
 		return retryInterval / 10, true
--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -10,20 +10,20 @@
 
 // Backoff is a jittered pause between tries that grows from limits.RetryMin to limits.RetryMax. Its
 // zero value is ready for use.
-type Backoff struct{ next time.Duration }
+type Backoff struct{ delay time.Duration }
 
 // Wait sleeps and reports whether the context is still alive.
 func (b *Backoff) Wait(ctx context.Context) bool {
-	if b.next == 0 {
-		b.next = limits.RetryMin
+	if b.delay == 0 {
+		b.delay = limits.RetryMin
 	}
-	pause := b.next/2 + rand.N(b.next)
-	b.next = min(b.next*2, limits.RetryMax)
+	pause := b.delay/2 + rand.N(b.delay)
+	b.delay = min(b.delay*2, limits.RetryMax)
 	return Sleep(ctx, pause)
 }
 
 // Reset starts over with short pauses.
-func (b *Backoff) Reset() { b.next = 0 }
+func (b *Backoff) Reset() { b.delay = 0 }
 
 // Sleep waits and reports whether the context is still alive.
 func Sleep(ctx context.Context, d time.Duration) bool {
--- a/internal/storage/calls_test.go
+++ b/internal/storage/calls_test.go
@@ -20,7 +20,7 @@
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	return New(address, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
+	return New(address, config.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
 }
 
 // storeCalls are all calls of a Store, by what their errors begin with.
@@ -48,8 +48,8 @@
 	},
 }
 
-// TestErrorsOfAllCalls: every call says what it was doing and whether it was executed.
-func TestErrorsOfAllCalls(t *testing.T) {
+// TestCallErrors: every call says what it was doing and whether it was executed.
+func TestCallErrors(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 	}
@@ -67,22 +67,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestStore(t, c.handler)
-			for doing, call := range storeCalls {
+			for prefix, call := range storeCalls {
 				err := call(t.Context(), s)
-				if !errors.Is(err, c.is) || errors.Is(err, c.not) || !strings.HasPrefix(err.Error(), doing) {
-					t.Errorf("%q, want an error that begins with %q and is %q", err, doing, c.is)
+				if !errors.Is(err, c.is) || errors.Is(err, c.not) || !strings.HasPrefix(err.Error(), prefix) {
+					t.Errorf("%q, want an error that begins with %q and is %q", err, prefix, c.is)
 				}
 			}
 		})
 	}
 }
 
-// TestNothingListens: a call that could not be sent was not executed.
-func TestNothingListens(t *testing.T) {
-	s := New("127.0.0.1:1", config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
-	for doing, call := range storeCalls {
+// TestConnectionRefused: a call that could not be sent was not executed.
+func TestConnectionRefused(t *testing.T) {
+	s := New("127.0.0.1:1", config.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
+	for prefix, call := range storeCalls {
 		if err := call(t.Context(), s); !errors.Is(err, ErrNotExecuted) {
-			t.Errorf("%s%v, want %q", doing, err, ErrNotExecuted)
+			t.Errorf("%s%v, want %q", prefix, err, ErrNotExecuted)
 		}
 	}
 }
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestExpiry: a renewal of a lease that is over, and a watch that began too long ago, have errors of
-// their own.
-func TestExpiry(t *testing.T) {
+// TestExpiredLeaseAndCompactedWatch: a renewal of a lease that is over, and a watch that began too
+// long ago, have errors of their own.
+func TestExpiredLeaseAndCompactedWatch(t *testing.T) {
 	s := newTestStore(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/watch" {
 			w.WriteHeader(http.StatusGone)
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestListPages: all pages are read, each from after the last key of the one before, and the revision
+// TestListReadsAllPages: all pages are read, each from after the last key of the one before, and the revision
 // is that of the first.
-func TestListPages(t *testing.T) {
+func TestListReadsAllPages(t *testing.T) {
 	pages := map[string]protocol.KeyPage{
 		"":    {Items: []protocol.KeyValue{{Key: "a/1"}, {Key: "a/2"}}, Truncated: true, Revision: 5},
 		"a/2": {Items: []protocol.KeyValue{{Key: "a/3"}}, Revision: 9},
--- a/internal/storage/finished_tasks.go
+++ b/internal/storage/finished_tasks.go
@@ -18,17 +18,17 @@
 
 // FinishedTasks is a chunk of a job's finished tasks.
 type FinishedTasks struct {
-	Base int    `cbor:"Base" json:"Base"` // first task of the chunk
-	Bits string `cbor:"Bits" json:"Bits"` // bitmap in base64: bit i is task Base+i; zero bytes at the end are left out
+	FirstTask int    `cbor:"Base" json:"Base"` // first task of the chunk
+	Bitmap    string `cbor:"Bits" json:"Bits"` // base64; bit i is task FirstTask+i; zero bytes at the end are left out
 }
 
 // FinishedTasksKey returns the key of a chunk of a job's finished tasks.
-func FinishedTasksKey(id string, base int) string {
-	return fmt.Sprintf("%s%s/%d", PrefixFinishedTasks, id, base)
+func FinishedTasksKey(id string, firstTask int) string {
+	return fmt.Sprintf("%s%s/%d", PrefixFinishedTasks, id, firstTask)
 }
 
 // ParseFinishedTasksKey splits a key that FinishedTasksKey returned, and reports whether it is one.
-func ParseFinishedTasksKey(key string) (id string, base int, ok bool) {
+func ParseFinishedTasksKey(key string) (id string, firstTask int, ok bool) {
 	rest, ok := strings.CutPrefix(key, PrefixFinishedTasks)
 	if !ok {
 		return "", 0, false
@@ -37,8 +37,8 @@
 	if !ok {
 		return "", 0, false
 	}
-	base, err := strconv.Atoi(number)
-	return id, base, err == nil
+	firstTask, err := strconv.Atoi(number)
+	return id, firstTask, err == nil
 }
 
 // TasksPerChunk returns how many tasks a chunk holds so that its record stays below the value limit.
@@ -49,13 +49,13 @@
 	return max(tasks/wordBits*wordBits, wordBits)
 }
 
-// EncodeFinishedTasks returns the chunk of size tasks that starts at task base, from a bitmap of all
-// tasks of the job. Both base and size are multiples of 64.
-func EncodeFinishedTasks(bits []uint64, base, size int) FinishedTasks {
-	first := base / wordBits
-	last := min(first+size/wordBits, len(bits))
-	b := make([]byte, 0, (last-first)*8)
-	for _, word := range bits[first:last] {
+// EncodeFinishedTasks returns the chunk of size tasks that starts at firstTask, from a bitmap of all
+// tasks of the job. Both firstTask and size are multiples of 64.
+func EncodeFinishedTasks(bitmap []uint64, firstTask, size int) FinishedTasks {
+	firstWord := firstTask / wordBits
+	endWord := min(firstWord+size/wordBits, len(bitmap))
+	b := make([]byte, 0, (endWord-firstWord)*8)
+	for _, word := range bitmap[firstWord:endWord] {
 		for k := range 8 {
 			b = append(b, byte(word>>(8*k)))
 		}
@@ -63,20 +63,20 @@
 	for len(b) > 0 && b[len(b)-1] == 0 {
 		b = b[:len(b)-1]
 	}
-	return FinishedTasks{Base: base, Bits: base64.RawStdEncoding.EncodeToString(b)}
+	return FinishedTasks{FirstTask: firstTask, Bitmap: base64.RawStdEncoding.EncodeToString(b)}
 }
 
 // Decode calls set for each finished task of a chunk. The error says that the bitmap is not base64;
 // then set was not called.
 func (f FinishedTasks) Decode(set func(task int)) error {
-	b, err := base64.RawStdEncoding.DecodeString(f.Bits)
+	b, err := base64.RawStdEncoding.DecodeString(f.Bitmap)
 	if err != nil {
 		return fmt.Errorf("decode finished tasks: %w", err)
 	}
 	for i, x := range b {
 		for k := range 8 {
 			if x>>k&1 != 0 {
-				set(f.Base + i*8 + k)
+				set(f.FirstTask + i*8 + k)
 			}
 		}
 	}
--- a/internal/storage/health.go
+++ b/internal/storage/health.go
@@ -11,27 +11,27 @@
 
 // serviceHealth is what the last calls show of the service. Times are Unix nanoseconds.
 type serviceHealth struct {
-	failingSince atomic.Int64 // since when no call succeeded; 0 if the last one did
-	lastCallAt   atomic.Int64 // when the last call began
-	writes       atomic.Int64 // operations sent in transactions
-	refused      atomic.Int64 // calls answered 429 or 503
+	failingSince    atomic.Int64 // since when no call succeeded; 0 if the last one did
+	lastCallAt      atomic.Int64 // when the last call began
+	writeOperations atomic.Int64 // operations sent in transactions
+	rejectedCalls   atomic.Int64 // calls answered 429 or 503
 }
 
-func (h *serviceHealth) callBegan(at time.Time) { h.lastCallAt.Store(at.UnixNano()) }
+func (h *serviceHealth) recordStart(startedAt time.Time) { h.lastCallAt.Store(startedAt.UnixNano()) }
 
 // callEnded notes the outcome of a call. A 429 is an answer of a service that works.
-func (h *serviceHealth) callEnded(began time.Time, reply *transport.Message, err error) {
+func (h *serviceHealth) recordOutcome(startedAt time.Time, reply *transport.Message, err error) {
 	if err != nil {
-		h.failingSince.CompareAndSwap(0, began.UnixNano())
+		h.failingSince.CompareAndSwap(0, startedAt.UnixNano())
 		return
 	}
 	switch reply.Status {
 	case http.StatusServiceUnavailable:
-		h.failingSince.CompareAndSwap(0, began.UnixNano())
-		h.refused.Add(1)
+		h.failingSince.CompareAndSwap(0, startedAt.UnixNano())
+		h.rejectedCalls.Add(1)
 	case http.StatusTooManyRequests:
 		h.failingSince.Store(0)
-		h.refused.Add(1)
+		h.rejectedCalls.Add(1)
 	default:
 		h.failingSince.Store(0)
 	}
@@ -47,8 +47,8 @@
 
 // Counters returns how many operations were sent and how many calls were refused so far, for the
 // log.
-func (s *Store) Counters() (writes, refused int64) {
-	return s.health.writes.Load(), s.health.refused.Load()
+func (s *Store) Counters() (writeOperations, rejectedCalls int64) {
+	return s.health.writeOperations.Load(), s.health.rejectedCalls.Load()
 }
 
 // Unavailable reports whether the service is known to be unreachable, so that one more call would
--- a/internal/storage/health_test.go
+++ b/internal/storage/health_test.go
@@ -9,34 +9,34 @@
 	"quillshunt/internal/limits"
 )
 
-// TestUnavailable: users' calls fail at once while the state service is known to be unreachable, but
+// TestUnavailableFailsFast: users' calls fail at once while the state service is known to be unreachable, but
 // one is allowed often enough that nobody waits long for an answer once it is back.
-func TestUnavailable(t *testing.T) {
+func TestUnavailableFailsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		controllers := New("127.0.0.1:1", config.State{RPS: 100, WriteRPS: 10, TxnOps: 8})
-		users := controllers.ForUsers()
-		failed := func() { // as a failed call records it
+		controllers := New("127.0.0.1:1", config.StateLimits{RPS: 100, WriteRPS: 10, TxnOps: 8})
+		users := controllers.ForUserRequests()
+		recordFailure := func() { // as a failed call records it
 			users.health.lastCallAt.Store(time.Now().UnixNano())
 			users.health.failingSince.CompareAndSwap(0, time.Now().UnixNano())
 		}
-		failed()
+		recordFailure()
 		if users.Unavailable() {
 			t.Error("unavailable after one failure")
 		}
 		time.Sleep(2 * limits.UnavailableAfter)
-		failed()
-		if !users.Unavailable() || users.waitForRate(t.Context(), 0) == nil {
+		recordFailure()
+		if !users.Unavailable() || users.waitForRateLimit(t.Context(), 0) == nil {
 			t.Error("still available after a while of failures")
 		}
-		if controllers.waitForRate(t.Context(), 0) != nil {
+		if controllers.waitForRateLimit(t.Context(), 0) != nil {
 			t.Error("the controllers' own calls fail too")
 		}
 		allowed := 0
 		for range 75 { // the longest a user may be without an answer, in seconds
 			time.Sleep(time.Second)
-			if users.waitForRate(t.Context(), 0) == nil {
+			if users.waitForRateLimit(t.Context(), 0) == nil {
 				allowed++
-				failed()
+				recordFailure()
 			}
 		}
 		if allowed < 37 {
--- a/internal/storage/jobs.go
+++ b/internal/storage/jobs.go
@@ -22,10 +22,10 @@
 	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // nobody was told of the cancellation before this
 }
 
-// Shortened returns a cancelled job's record in a form that fits the value limit, should it have
+// TrimmedToLimit returns a cancelled job's record in a form that fits the value limit, should it have
 // been stored when values could be larger. No task of it will start again, so what only says where
 // and when a task may start can go. Other records are returned as they are.
-func (o OpenJob) Shortened(valueKB float64) OpenJob {
+func (o OpenJob) TrimmedToLimit(valueKB float64) OpenJob {
 	if !o.Cancelled || FitsValueLimit(o, valueKB) {
 		return o
 	}
--- a/internal/storage/leadership.go
+++ b/internal/storage/leadership.go
@@ -13,9 +13,9 @@
 
 // LeaderRecord names the leading controller. Its key is attached to the leader's lease.
 type LeaderRecord struct {
-	Node  string `cbor:"Node" json:"Node"`
-	Term  uint64 `cbor:"Term" json:"Term"`
-	Nonce uint64 `cbor:"Nonce" json:"Nonce"` // differs from one process of a node to the next
+	Node         string `cbor:"Node" json:"Node"`
+	Term         uint64 `cbor:"Term" json:"Term"`
+	ProcessNonce uint64 `cbor:"Nonce" json:"Nonce"` // differs from one process of a node to the next
 }
 
 // TermRecord is the highest term so far.
@@ -34,5 +34,5 @@
 // VoteWithdrawal means that a controller no longer votes for a leader whose last heartbeat has this
 // version or an earlier one.
 type VoteWithdrawal struct {
-	Heartbeat uint64 `cbor:"Beat" json:"Heartbeat"`
+	HeartbeatVersion uint64 `cbor:"Beat" json:"Heartbeat"`
 }
--- a/internal/storage/lease.go
+++ b/internal/storage/lease.go
@@ -44,7 +44,7 @@
 func (s *Store) RenewLease(ctx context.Context, id uint64) error {
 	reply, err := s.callWithTimeout(ctx, limits.LeaseRenewTimeout, http.MethodPost, leasePath(id)+"/touch", nil)
 	if err == nil {
-		err = checkRenewal(reply.Status)
+		err = checkRenewalStatus(reply.Status)
 	}
 	if err != nil {
 		return fmt.Errorf("renew lease %d: %w", id, err)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func checkRenewal(status int) error {
+func checkRenewalStatus(status int) error {
 	switch status {
 	case http.StatusOK:
 		return nil
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -36,12 +36,12 @@
 	var parts []MachineTypesPart
 	for _, t := range types {
 		if last := len(parts) - 1; last >= 0 {
-			grown := MachineTypesPart{
+			extended := MachineTypesPart{
 				MachineTypes: append(slices.Clone(parts[last].MachineTypes), t),
 				Parts:        limits.MaxMachineTypes, // the widest number that can stand here
 			}
-			if FitsValueLimit(grown, valueKB) {
-				parts[last] = grown
+			if FitsValueLimit(extended, valueKB) {
+				parts[last] = extended
 				continue
 			}
 		}
@@ -97,7 +97,7 @@
 		return stored, fmt.Errorf("read machine types: %w", err)
 	}
 	stored.SingleRecordVersion = single.Version
-	if stored.Types, err = chooseMachineTypes(parts, single); err != nil {
+	if stored.Types, err = decodeMachineTypes(parts, single); err != nil {
 		return stored, fmt.Errorf("read machine types: %w", err)
 	}
 	return stored, nil
@@ -105,7 +105,7 @@
 
 // chooseMachineTypes returns the machine types of the parts, or those of the single record if there
 // are no parts.
-func chooseMachineTypes(parts []MachineTypesPart, single protocol.KeyValue) ([]protocol.MachineType, error) {
+func decodeMachineTypes(parts []MachineTypesPart, single protocol.KeyValue) ([]protocol.MachineType, error) {
 	if len(parts) > 0 {
 		types, complete := JoinMachineTypes(parts)
 		if !complete {
@@ -126,15 +126,15 @@
 // MachineTypesTransactions returns the transactions that replace the stored machine types by others,
 // each within the limits of the service. Each has the leader's guard as its first condition.
 func (s *Store) MachineTypesTransactions(
-	stored StoredMachineTypes, types []protocol.MachineType, guard protocol.Condition,
+	stored StoredMachineTypes, types []protocol.MachineType, fencingCondition protocol.Condition,
 ) []protocol.Transaction {
 	operations := s.machineTypesOperations(stored, types)
 	var transactions []protocol.Transaction
-	for batch := range slices.Chunk(operations, s.settings.TxnOps) {
-		t := protocol.Transaction{Conditions: []protocol.Condition{guard}, Operations: batch}
+	for batch := range slices.Chunk(operations, s.serviceLimits.TxnOps) {
+		t := protocol.Transaction{Conditions: []protocol.Condition{fencingCondition}, Operations: batch}
 		for _, op := range batch {
 			key := op.Put + op.Delete // one of them is empty
-			t.Conditions = append(t.Conditions, protocol.Condition{Key: key, Version: stored.version(key)})
+			t.Conditions = append(t.Conditions, protocol.Condition{Key: key, Version: stored.recordVersion(key)})
 		}
 		transactions = append(transactions, t)
 	}
@@ -152,10 +152,10 @@
 		operations = append(operations, protocol.Operation{Put: key, Value: protocol.Encode(record)})
 		written[key] = true
 	}
-	if single := (MachineTypes{MachineTypes: types}); FitsValueLimit(single, s.settings.ValueKB) {
+	if single := (MachineTypes{MachineTypes: types}); FitsValueLimit(single, s.serviceLimits.ValueKB) {
 		put(KeyMachineTypes, single)
 	} else {
-		for i, part := range SplitMachineTypes(types, s.settings.ValueKB) {
+		for i, part := range SplitMachineTypes(types, s.serviceLimits.ValueKB) {
 			put(MachineTypesPartKey(i), part)
 		}
 	}
@@ -168,7 +168,7 @@
 }
 
 // version returns the version of one of the records, or 0 if it does not exist.
-func (s StoredMachineTypes) version(key string) uint64 {
+func (s StoredMachineTypes) recordVersion(key string) uint64 {
 	if key == KeyMachineTypes {
 		return s.SingleRecordVersion
 	}
--- a/internal/storage/machine_types_test.go
+++ b/internal/storage/machine_types_test.go
@@ -11,12 +11,12 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestMachineTypesInParts: any number of machine types is written in values and transactions within
+// TestMachineTypesRoundTrip: any number of machine types is written in values and transactions within
 // the limits, and read back in order, also where they replace others; a set of which parts are
 // missing is not accepted as complete.
-func TestMachineTypesInParts(t *testing.T) {
+func TestMachineTypesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := New("127.0.0.1:1", config.State{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 4})
+		store := New("127.0.0.1:1", config.StateLimits{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 4})
 		records := map[string]protocol.Raw{}
 		for range 2 {
 			var types []protocol.MachineType
@@ -43,7 +43,7 @@
 					}
 				}
 			}
-			if got := readTypes(t, records); !reflect.DeepEqual(got, types) {
+			if got := readMachineTypes(t, records); !reflect.DeepEqual(got, types) {
 				t.Fatalf("read %d types, wrote %d", len(got), len(types))
 			}
 		}
@@ -58,8 +58,8 @@
 	})
 }
 
-// readTypes reads records as ReadMachineTypes does.
-func readTypes(t *rapid.T, records map[string]protocol.Raw) []protocol.MachineType {
+// readMachineTypes reads records as ReadMachineTypes does.
+func readMachineTypes(t *rapid.T, records map[string]protocol.Raw) []protocol.MachineType {
 	t.Helper()
 	var parts []MachineTypesPart
 	for i := 0; records[MachineTypesPartKey(i)] != nil; i++ {
--- a/internal/storage/rate.go
+++ b/internal/storage/rate.go
@@ -15,7 +15,7 @@
 
 // waitForRate waits for the share of the rates that a request with some writes needs. Its errors
 // wrap ErrNotExecuted.
-func (s *Store) waitForRate(ctx context.Context, writes int) error {
+func (s *Store) waitForRateLimit(ctx context.Context, operations int) error {
 	if s.maxRateWait > 0 {
 		if s.Unavailable() {
 			return fmt.Errorf("%w: known to be unreachable", ErrNotExecuted)
@@ -24,13 +24,13 @@
 		ctx, cancel = context.WithTimeout(ctx, s.maxRateWait)
 		defer cancel()
 	}
-	if err := s.requests.Wait(ctx); err != nil {
+	if err := s.requestLimiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: wait for request rate: %w", ErrNotExecuted, err)
 	}
-	if writes == 0 {
+	if operations == 0 {
 		return nil
 	}
-	if err := s.writes.WaitN(ctx, writes); err != nil {
+	if err := s.writeLimiter.WaitN(ctx, operations); err != nil {
 		return fmt.Errorf("%w: wait for write rate: %w", ErrNotExecuted, err)
 	}
 	return nil
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -23,7 +23,7 @@
 
 func (s *Store) get(ctx context.Context, key string) (protocol.KeyValue, error) {
 	var kv protocol.KeyValue
-	if err := s.waitForRate(ctx, 0); err != nil {
+	if err := s.waitForRateLimit(ctx, 0); err != nil {
 		return kv, err
 	}
 	reply, err := s.call(ctx, http.MethodGet, "/kv/"+key, nil)
@@ -45,7 +45,7 @@
 // List calls each for all keys with a prefix, in the order of the keys. An error of each ends it and
 // is returned as it is. The revision returned is that of the first page, from which a Watch misses
 // nothing.
-func (s *Store) List(ctx context.Context, prefix string, each func(protocol.KeyValue) error) (uint64, error) {
+func (s *Store) List(ctx context.Context, prefix string, visit func(protocol.KeyValue) error) (uint64, error) {
 	var revision uint64
 	after, first := "", true
 	for {
@@ -57,7 +57,7 @@
 			revision, first = page.Revision, false
 		}
 		for _, kv := range page.Items {
-			if err := each(kv); err != nil {
+			if err := visit(kv); err != nil {
 				return 0, err
 			}
 			after = kv.Key
@@ -71,7 +71,7 @@
 // listPage reads one page of the keys with a prefix, after a key unless that is empty.
 func (s *Store) listPage(ctx context.Context, prefix, after string) (protocol.KeyPage, error) {
 	var page protocol.KeyPage
-	if err := s.waitForRate(ctx, 0); err != nil {
+	if err := s.waitForRateLimit(ctx, 0); err != nil {
 		return page, err
 	}
 	target := "/kv?Starts=" + url.QueryEscape(prefix) + "&Limit=" + strconv.Itoa(limits.StatePageSize)
--- a/internal/storage/rentals_test.go
+++ b/internal/storage/rentals_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestRentalFits: the record of a rental with the most machines that one may be for keeps to the
+// TestRentalFitsValueLimit: the record of a rental with the most machines that one may be for keeps to the
 // value limit.
-func TestRentalFits(t *testing.T) {
+func TestRentalFitsValueLimit(t *testing.T) {
 	for _, kb := range []float64{0.5, 1, 2, 4} {
 		r := Rental{
 			MachineType: "a-type-with-a-rather-long-name", Zone: "a-zone-with-a-rather-long-name",
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -17,31 +17,32 @@
 
 // Store calls the state service within a share of its rates. It is safe for concurrent use.
 //
-// The store from New is for the controllers' own work. Users' requests go through one from ForUsers,
+// The store from New is for the controllers' own work. Users' requests go through one from
+// ForUserRequests,
 // which has a share of its own. Any controller may use that share up, as users load now this one and
 // now that one; should the sum exceed the service's rate, the service answers 429 and executes
 // nothing.
 type Store struct {
-	client      *transport.Client
-	watchClient *transport.Client // apart, as a watch keeps its connection for long
-	requests    *rate.Limiter
-	writes      *rate.Limiter
-	maxRateWait time.Duration // longest wait for a share of the rates; 0: as long as the context lives
-	settings    config.State
-	health      *serviceHealth
+	client         *transport.Client
+	watchClient    *transport.Client // apart, as a watch keeps its connection for long
+	requestLimiter *rate.Limiter
+	writeLimiter   *rate.Limiter
+	maxRateWait    time.Duration // longest wait for a share of the rates; 0: as long as the context lives
+	serviceLimits  config.StateLimits
+	health         *serviceHealth
 }
 
 // New returns a Store for the work of the controllers themselves, of which only the leader's amounts
 // to much.
-func New(address string, settings config.State) *Store {
+func New(address string, serviceLimits config.StateLimits) *Store {
 	client := transport.NewClient(address, limits.StateIdle, limits.MaxUpstreamBytes)
 	return &Store{
-		client:      client.WithDialTimeout(limits.LeaseRenewTimeout),
-		watchClient: transport.NewClient(address, limits.WatchIdle, limits.MaxUpstreamBytes),
-		requests:    newLimiter(settings.RPS, limits.ControllerReadShare, 1),
-		writes:      newLimiter(settings.WriteRPS, limits.ControllerWriteShare, settings.TxnOps),
-		settings:    settings,
-		health:      &serviceHealth{},
+		client:         client.WithDialTimeout(limits.LeaseRenewTimeout),
+		watchClient:    transport.NewClient(address, limits.WatchIdle, limits.MaxUpstreamBytes),
+		requestLimiter: newLimiter(serviceLimits.RPS, limits.ControllerReadShare, 1),
+		writeLimiter:   newLimiter(serviceLimits.WriteRPS, limits.ControllerWriteShare, serviceLimits.TxnOps),
+		serviceLimits:  serviceLimits,
+		health:         &serviceHealth{},
 	}
 }
 
@@ -53,19 +54,19 @@
 	return s
 }
 
-// ForUsers returns a Store over the same connections with the users' share of the rates. Its calls
+// ForUserRequests returns a Store over the same connections with the users' share of the rates. Its calls
 // fail with ErrNotExecuted if they would have to wait long for that share, or while the service is
 // known to be unreachable.
-func (s *Store) ForUsers() *Store {
+func (s *Store) ForUserRequests() *Store {
 	users := *s
-	users.requests = newLimiter(s.settings.RPS, limits.UserReadShare, 1)
-	users.writes = newLimiter(s.settings.WriteRPS, limits.UserWriteShare, s.settings.TxnOps)
+	users.requestLimiter = newLimiter(s.serviceLimits.RPS, limits.UserReadShare, 1)
+	users.writeLimiter = newLimiter(s.serviceLimits.WriteRPS, limits.UserWriteShare, s.serviceLimits.TxnOps)
 	users.maxRateWait = limits.UserRateWait
 	return &users
 }
 
-// Settings returns the limits of the service.
-func (s *Store) Settings() config.State { return s.settings }
+// ServiceLimits returns the limits of the service.
+func (s *Store) ServiceLimits() config.StateLimits { return s.serviceLimits }
 
 // call makes a call with the usual timeout.
 func (s *Store) call(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
@@ -78,10 +79,10 @@
 ) (*transport.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := time.Now()
-	s.health.callBegan(began)
+	startedAt := time.Now()
+	s.health.recordStart(startedAt)
 	reply, err := s.client.Do(ctx, method, target, body)
-	s.health.callEnded(began, reply, err)
+	s.health.recordOutcome(startedAt, reply, err)
 	return checkReply(reply, err)
 }
 
--- a/internal/storage/transaction.go
+++ b/internal/storage/transaction.go
@@ -20,10 +20,10 @@
 }
 
 func (s *Store) compareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
-	if err := s.waitForRate(ctx, len(t.Operations)); err != nil {
+	if err := s.waitForRateLimit(ctx, len(t.Operations)); err != nil {
 		return 0, err
 	}
-	s.health.writes.Add(int64(len(t.Operations)))
+	s.health.writeOperations.Add(int64(len(t.Operations)))
 	reply, err := s.call(ctx, http.MethodPost, "/txn", protocol.Encode(t))
 	if err != nil {
 		return 0, err
--- a/internal/storage/watch.go
+++ b/internal/storage/watch.go
@@ -27,7 +27,7 @@
 // watch does not touch the service's health: a watch stays open without an answer in an outage.
 func (s *Store) watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
 	var none protocol.WatchReply
-	if err := s.waitForRate(ctx, 0); err != nil {
+	if err := s.waitForRateLimit(ctx, 0); err != nil {
 		return none, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.WatchDuration+limits.WatchGrace)
