--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,7 +9,8 @@
 	"quillshunt/internal/limits"
 )
 
-// check returns the first fault of the settings. Each error begins with the path of the field.
+// check returns an error for the first invalid field of the settings, or nil if all are valid. The
+// error text begins with the JSON path of the field.
 func (s *Settings) check() error {
 	return firstError(
 		checkPresent("node_name", s.NodeName),
@@ -44,7 +45,7 @@
 
 func checkGangTime(field string, v *float64) error {
 	if v == nil {
-		return fmt.Errorf("%s: missing; the two times of gangs are given together or not at all", field)
+		return fmt.Errorf("%s: missing; the two times for gangs must be set together", field)
 	}
 	return checkPositive(field, *v)
 }
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// firstError returns the first of some errors that is not nil.
+// firstError returns the first error that is not nil, or nil if there is none.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// checkIfSet checks a field that may be missing.
+// checkIfSet applies check to an optional field. A missing field is valid.
 func checkIfSet[T any](check func(string, T) error, field string, v *T) error {
 	if v == nil {
 		return nil
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// checkUniqueName checks that a name is there and not among those of others, and adds it to them.
+// checkUniqueName checks that a name is neither empty nor in names, and adds it to names.
 func checkUniqueName(field, name string, names map[string]bool) error {
 	if err := checkPresent(field, name); err != nil {
 		return err
@@ -159,16 +160,16 @@
 
 func checkAddress(field, v string) error {
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		return fmt.Errorf("%s: %q is not an address like 10.0.0.1:8080", field, v)
+		return fmt.Errorf("%s: %q is not an IP address with a port, such as 10.0.0.1:8080", field, v)
 	}
 	return nil
 }
 
-// The comparisons below are written so that NaN fails.
+// The comparisons of floating-point values below are negated so that they reject NaN.
 
 func checkPositive(field string, v float64) error {
 	if !(v > 0) || math.IsInf(v, 0) {
-		return fmt.Errorf("%s: must be above 0, got %v", field, v)
+		return fmt.Errorf("%s: must be greater than 0, got %v", field, v)
 	}
 	return nil
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -13,12 +13,13 @@
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("read settings: %w", err)
 	}
 	return Parse(b)
 }
 
-// Parse reads and checks settings. The error is one line that names the field at fault.
+// Parse decodes and checks settings. Its error is a single line and names the invalid field if the
+// text is valid JSON.
 func Parse(b []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -26,7 +27,7 @@
 		if errors.As(err, &typeErr) {
 			return nil, fmt.Errorf("settings: %s: must be %s, got %s", typeErr.Field, typeErr.Type, typeErr.Value)
 		}
-		return nil, fmt.Errorf("settings: not JSON: %w", err)
+		return nil, fmt.Errorf("settings: invalid JSON: %w", err)
 	}
 	if err := s.check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -35,11 +36,13 @@
 	return &s, nil
 }
 
-// Warnings returns a line for each setting that a controller can run with, but hardly serve with.
+// Warnings returns one line for each machine limit that is high enough for a controller to start but
+// too low for the leader.
 func (s *Settings) Warnings() []string {
 	var lines []string
 	warnLow := func(field string, v, recommended float64) {
-		lines = append(lines, fmt.Sprintf("facts.machine_limits.%s: %v is little; a leader of a few machines needs %v",
+		lines = append(lines, fmt.Sprintf(
+			"facts.machine_limits.%s: %v is low; the leader of a small cluster needs at least %v",
 			field, v, recommended))
 	}
 	m := s.Deployment.MachineLimits
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// validSettings are complete settings, with a field that no version knows.
+// validSettings are complete settings with an additional field, "future", that no version defines.
 const validSettings = `{"node_name":"node-0","zone":"z","client_listen":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081",
 "future":{"a":1},
 "members":[{"node_name":"node-1","zone":"z","address":"10.0.0.2:8081"}],
@@ -16,17 +16,17 @@
 "workers":{"report_s":1.5,"lease_s":14,"cancel_s":34},"state":{"rps":150,"write_rps":20,"value_kb":4,"txn_ops":8},
 "cloud":{"rps":3,"list_lag_s":4},"machine_limits":{"core_share":0.1,"memory_mb":98,"max_sockets":900},"skew_ms":100}}`
 
-// TestParseIgnoresUnknownFields: valid settings are read, and unknown fields ignored.
+// TestParseIgnoresUnknownFields checks that valid settings are decoded and unknown fields are ignored.
 func TestParseIgnoresUnknownFields(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
 	if err != nil || s.NodeName != "node-0" || s.Deployment.Teams[0].MaxCPUs != 2 ||
 		s.Deployment.MachineLimits.MaxSockets != 900 {
-		t.Fatalf("%+v %v", s, err)
+		t.Fatalf("parsed settings %+v, error %v", s, err)
 	}
 }
 
-// TestLowMachineLimitsWarn: settings that a controller can run with, but hardly serve with, are accepted with a
-// warning that names the field.
+// TestLowMachineLimitsWarn checks that low machine limits are accepted with a warning that names the
+// field.
 func TestLowMachineLimitsWarn(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{`"core_share":0.1`, `"core_share":0.1`, ""},
@@ -39,13 +39,13 @@
 		}
 		w := s.Warnings()
 		if (c.field == "") != (len(w) == 0) || (len(w) > 0 && !strings.Contains(w[0], c.field)) {
-			t.Errorf("%s: %v", c.to, w)
+			t.Errorf("%s: warnings %q, want one that names %q, or none if that is empty", c.to, w, c.field)
 		}
 	}
 }
 
-// TestAnnouncedLimitsApplyFromStart: announced limits apply from the start, each by itself, and only where they are
-// lower.
+// TestAnnouncedLimitsApplyFromStart checks that each announced limit of the state service is in force
+// from the start if it is lower than the current limit.
 func TestAnnouncedLimitsApplyFromStart(t *testing.T) {
 	withNext := `"txn_ops":8,"next":{"write_rps":15,"value_kb":8,"txn_ops":4}}`
 	s, err := Parse([]byte(strings.Replace(validSettings, `"txn_ops":8}`, withNext, 1)))
@@ -53,14 +53,15 @@
 		t.Fatal(err)
 	}
 	if got, want := s.Deployment.State, (StateLimits{RPS: 150, WriteRPS: 15, ValueKB: 4, TxnOps: 4}); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("limits in force are %+v, want %+v", got, want)
 	}
 }
 
-// TestGangTimesGivenTogether: both times of gangs or none; a deployment with neither has no gangs.
+// TestGangTimesGivenTogether checks that the two times for gangs must be set together, and that a
+// deployment without them does not support gangs.
 func TestGangTimesGivenTogether(t *testing.T) {
 	for _, c := range []struct {
-		fields, faulty string // what is added to the workers' times, and the field that the error must name
+		fields, faulty string // JSON added to the workers' times, and the field that the error must name
 		gangs          bool
 	}{
 		{"", "", false},
@@ -75,15 +76,16 @@
 		switch {
 		case c.faulty != "":
 			if err == nil || !strings.Contains(err.Error(), c.faulty) {
-				t.Errorf("%s: %v", c.fields, err)
+				t.Errorf("%s: error %v, want one that names %s", c.fields, err, c.faulty)
 			}
 		case err != nil || s.Deployment.Workers.SupportsGangs() != c.gangs:
-			t.Errorf("%s: %v", c.fields, err)
+			t.Errorf("%s: error %v, want none and SupportsGangs() = %v", c.fields, err, c.gangs)
 		}
 	}
 }
 
-// TestErrorNamesField: whatever is wrong, the error is one line that names the field.
+// TestErrorNamesField checks that an invalid value in any field gives a one-line error that names the
+// field, and that malformed JSON and duplicate node names are rejected.
 func TestErrorNamesField(t *testing.T) {
 	withNext := strings.Replace(validSettings, `"txn_ops":8}`, `"txn_ops":8,"next":{}}`, 1)
 	for field, value := range map[string]any{
@@ -112,12 +114,12 @@
 		}
 		_, err = Parse(b)
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s = %v: %v", field, value, err)
+			t.Errorf("%s = %v: error %v, want one line that names the field", field, value, err)
 		}
 	}
 	for _, b := range []string{"", "[]", "{", strings.Replace(validSettings, "node-1", "node-0", 1)} {
 		if _, err := Parse([]byte(b)); err == nil {
-			t.Errorf("accepted %.20q", b)
+			t.Errorf("invalid settings that begin with %.20q were accepted", b)
 		}
 	}
 }
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -12,50 +12,61 @@
 	"quillshunt/internal/limits"
 )
 
-// Options are the operators' own settings, beyond the platform's file. They are read from TOML;
-// what is not set keeps its default. docs/options.example.toml explains each.
+// Options are set by the operators in a TOML file, beside the settings file that the platform writes.
+// An option that the file does not set keeps its default. docs/options.example.toml explains each one.
 type Options struct {
 	Leadership LeadershipOptions `toml:"leadership"`
 	Preemption PreemptionOptions `toml:"preemption"`
 	Fleet      FleetOptions      `toml:"fleet"`
 }
 
-// LeadershipOptions are about the leader's lease.
+// LeadershipOptions configure the leader's lease.
 type LeadershipOptions struct {
-	LeaderLease Duration `toml:"leader_lease"` // time after which it expires without a renewal
+	LeaderLease Duration `toml:"leader_lease"` // time after the last renewal until it expires
 }
 
-// PreemptionOptions are about stopping tasks for other tasks.
+// PreemptionOptions configure when running tasks are stopped to free resources for other jobs.
 type PreemptionOptions struct {
-	Slack         Duration `toml:"slack"`          // a job with more time than this left does not preempt
-	RestartWeight float64  `toml:"restart_weight"` // added cost of a task for each time it was stopped before
+	Slack         Duration `toml:"slack"`          // only jobs with less slack than this preempt others
+	RestartWeight float64  `toml:"restart_weight"` // cost added per earlier stop, as a multiple of the cost
 }
 
-// FleetOptions are about scaling out and in.
+// FleetOptions configure how machines are rented (scaling out) and returned (scaling in). A pool is
+// the machines of one type in one zone, spot or not.
 type FleetOptions struct {
-	MaxMachines           int      `toml:"max_machines"`             // most machines rented at once; 0: by the sockets
-	MaxPlannedWait        Duration `toml:"max_planned_wait"`         // longest planned wait for room
-	PlannedWaitSlackRatio float64  `toml:"planned_wait_slack_ratio"` // part of a job's slack that it may wait
-	IdleTimeout           Duration `toml:"idle_timeout"`             // idle time before a machine is returned
-	Headroom              float64  `toml:"headroom"`                 // free part kept before machines are drained
-	ExpensivePoolRatio    float64  `toml:"expensive_pool_ratio"`     // multiple of the lowest price
-	ExpensivePoolSlack    Duration `toml:"expensive_pool_slack"`     // jobs with more slack do not get expensive pools
+	// MaxMachines limits how many machines are rented at once. With 0, the limit follows from the
+	// sockets that the controller may open.
+	MaxMachines int `toml:"max_machines"`
+	// MaxPlannedWait is the longest time that a job is planned to wait for free resources.
+	MaxPlannedWait Duration `toml:"max_planned_wait"`
+	// PlannedWaitSlackRatio is the part of its slack that a job is planned to wait.
+	PlannedWaitSlackRatio float64 `toml:"planned_wait_slack_ratio"`
+	// IdleTimeout is how long a machine is idle before it is returned.
+	IdleTimeout Duration `toml:"idle_timeout"`
+	// Headroom is the share of the CPUs of running and waiting tasks that must be free before machines
+	// are drained.
+	Headroom float64 `toml:"headroom"`
+	// ExpensivePoolRatio is the price of a CPU, as a multiple of the lowest, from which a pool counts
+	// as expensive.
+	ExpensivePoolRatio float64 `toml:"expensive_pool_ratio"`
+	// ExpensivePoolSlack is the slack below which a job may use expensive pools.
+	ExpensivePoolSlack Duration `toml:"expensive_pool_slack"`
 }
 
-// Duration is written as text like "25s".
+// Duration is a time.Duration that is written in TOML as a string such as "25s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
-		return fmt.Errorf("%q is not a duration like 25s", b)
+		return fmt.Errorf("%q is not a duration such as 25s", b)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// DefaultOptions returns the options that are in force where an operator sets nothing.
+// DefaultOptions returns the defaults of all options.
 func DefaultOptions() Options {
 	return Options{
 		Leadership: LeadershipOptions{LeaderLease: Duration(limits.LeaderLease)},
@@ -74,15 +85,15 @@
 	}
 }
 
-// LoadOptions reads and checks the file at path; with an empty path it returns the defaults. The
-// warnings, a line each, name options that are given by an old name.
+// LoadOptions reads and checks the options file at path. If path is empty, it returns the defaults.
+// There is one warning, a line of text, for each option that is set by its deprecated name.
 func LoadOptions(path string) (options Options, warnings []string, err error) {
 	if path == "" {
 		return DefaultOptions(), nil, nil
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return Options{}, nil, fmt.Errorf("options: %w", err)
+		return Options{}, nil, fmt.Errorf("read options: %w", err)
 	}
 	options, warnings, err = ParseOptions(b)
 	if err != nil {
@@ -91,8 +102,8 @@
 	return options, warnings, nil
 }
 
-// ParseOptions reads and checks options. Unknown keys are refused with their line. The warnings, a
-// line each, name options that are given by an old name.
+// ParseOptions decodes and checks options. An unknown key is an error that names the key and its line.
+// There is one warning, a line of text, for each option that is set by its deprecated name.
 func ParseOptions(b []byte) (options Options, warnings []string, err error) {
 	file := optionsFile{}
 	file.setDefaults(DefaultOptions())
@@ -109,8 +120,8 @@
 	return options, old.warnings(), options.check(old)
 }
 
-// describeDecodeError returns an error that names the line and the key at fault, as far as they are
-// known.
+// describeDecodeError adds the line and the key at which decoding failed to a TOML error that has
+// them. Other errors are returned unchanged.
 func describeDecodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -125,10 +136,11 @@
 	return err
 }
 
-// check checks the ranges. Its errors name an option as the operator wrote it.
+// check checks that all options are within their ranges. Its error text has one line for each option
+// that is not, under the name by which the file sets it.
 func (o *Options) check(old oldNames) error {
 	number := func(key string, v, lo, hi float64) error {
-		if !(v >= lo && v <= hi) { // written so that NaN fails
+		if !(v >= lo && v <= hi) { // negated so that NaN is rejected
 			return fmt.Errorf("%s: must be between %v and %v, got %v", old.nameInFile(key), lo, hi, v)
 		}
 		return nil
--- a/internal/config/options_renamed.go
+++ b/internal/config/options_renamed.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// optionsFile is what an options file may contain: the options, and those of them that were renamed
-// by their old names as well.
+// optionsFile is the structure of an options file: all options, and in addition the old names of
+// those that were renamed.
 type optionsFile struct {
 	Leadership struct {
 		LeadershipOptions
@@ -35,10 +35,10 @@
 	return Options{Leadership: f.Leadership.LeadershipOptions, Preemption: f.Preemption, Fleet: f.Fleet.FleetOptions}
 }
 
-// renamedOption is an option that has an old name. Both names include the table.
+// renamedOption is an option that can also be set by its old name. Both names include the TOML table.
 type renamedOption struct {
 	oldName, newName string
-	apply            func() bool // sets the option if its old name is given, and reports whether it is
+	apply            func() bool // copies the value given by the old name, and reports whether there is one
 }
 
 func (f *optionsFile) renamedOptions() []renamedOption {
@@ -65,8 +65,9 @@
 	}
 }
 
-// applyOldNames sets the options that the text b of the file gives by their old names. An option
-// that is given by both names is an error, as one of the values would have no effect.
+// applyOldNames sets the options that the file sets by their old names and returns them. b is the
+// text of the file, which has been decoded into f already. Setting an option by both names is an
+// error, as one of the values would have no effect.
 func (f *optionsFile) applyOldNames(b []byte) (oldNames, error) {
 	var document map[string]any
 	if err := toml.Unmarshal(b, &document); err != nil {
@@ -78,7 +79,7 @@
 			continue
 		}
 		if containsKey(document, r.newName) {
-			return nil, fmt.Errorf("%s and %s are the same option; remove the first, its old name",
+			return nil, fmt.Errorf("%s and %s set the same option; remove %[1]s, its old name",
 				r.oldName, r.newName)
 		}
 		old = append(old, r)
@@ -86,8 +87,8 @@
 	return old, nil
 }
 
-// containsKey reports whether a file gives a key. Letter case does not matter, as it does not when the
-// file is decoded into a struct.
+// containsKey reports whether a TOML document has a key, given as TABLE.KEY. Like the decoder of
+// structs, it ignores letter case.
 func containsKey(document map[string]any, name string) bool {
 	table, key, _ := strings.Cut(name, ".")
 	for t, v := range document {
@@ -101,19 +102,20 @@
 	return false
 }
 
-// oldNames are the renamed options that a file gives by their old names.
+// oldNames are the options that a file sets by their old names.
 type oldNames []renamedOption
 
-// warnings returns a line for each.
+// warnings returns a line for each of these options.
 func (o oldNames) warnings() []string {
 	var lines []string
 	for _, r := range o {
-		lines = append(lines, fmt.Sprintf("%s is deprecated; its name is %s now", r.oldName, r.newName))
+		lines = append(lines, fmt.Sprintf("%s is deprecated; use %s instead", r.oldName, r.newName))
 	}
 	return lines
 }
 
-// nameInFile returns the name by which the file gives an option.
+// nameInFile returns the name by which the file sets an option. After an old name it also gives the
+// current one.
 func (o oldNames) nameInFile(name string) string {
 	for _, r := range o {
 		if r.newName == name {
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -7,11 +7,13 @@
 	"time"
 )
 
+// TestParseOptions checks that options which are not set keep their defaults, and that an error names
+// the line or the key at fault.
 func TestParseOptions(t *testing.T) {
 	o, warnings, err := ParseOptions([]byte("[fleet]\nmax_machines = 12\nidle_timeout = \"40s\"\n"))
 	if err != nil || len(warnings) != 0 || o.Fleet.MaxMachines != 12 ||
 		time.Duration(o.Fleet.IdleTimeout) != 40*time.Second || o.Leadership != DefaultOptions().Leadership {
-		t.Fatalf("%+v %v %v", o, warnings, err)
+		t.Fatalf("parsed options %+v, warnings %q, error %v", o, warnings, err)
 	}
 	for in, want := range map[string]string{
 		"[fleet]\nmax_machine = 12\n":                   "line 2: unknown key fleet.max_machine",
@@ -29,12 +31,12 @@
 		"[fleet\n":                                      "line 1",
 	} {
 		if _, _, err := ParseOptions([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", in, err, want)
+			t.Errorf("%q: error %v, want one that contains %q", in, err, want)
 		}
 	}
 }
 
-// TestExampleOptions: the example is complete, checked, and says the defaults.
+// TestExampleOptions checks that the documented example is valid and sets every option to its default.
 func TestExampleOptions(t *testing.T) {
 	b, err := os.ReadFile("../../docs/options.example.toml")
 	if err != nil {
@@ -42,12 +44,12 @@
 	}
 	o, warnings, err := ParseOptions(b)
 	if err != nil || len(warnings) != 0 || o != DefaultOptions() {
-		t.Fatalf("%+v %v %v, defaults %+v", o, warnings, err, DefaultOptions())
+		t.Fatalf("example sets %+v, warnings %q, error %v; defaults are %+v", o, warnings, err, DefaultOptions())
 	}
 }
 
-// TestOldOptions: a file of the previous version sets the same values, with one warning for each old
-// name that names the new one.
+// TestOldOptions checks that an options file with the names of the previous version sets the same
+// values, and gives one warning for each old name, which also names the new one.
 func TestOldOptions(t *testing.T) {
 	o, warnings, err := ParseOptions([]byte(`
 [leadership]
@@ -77,7 +79,7 @@
 		},
 	}
 	if o != want {
-		t.Errorf("%+v, want %+v", o, want)
+		t.Errorf("options %+v, want %+v", o, want)
 	}
 	names := []struct{ oldName, newName string }{
 		{"leadership.hold_life", "leadership.leader_lease"},
@@ -92,13 +94,13 @@
 	}
 	for i, n := range names {
 		if !strings.Contains(warnings[i], n.oldName) || !strings.Contains(warnings[i], n.newName) {
-			t.Errorf("warning %q, want both %s and %s", warnings[i], n.oldName, n.newName)
+			t.Errorf("warning %q does not name both %s and %s", warnings[i], n.oldName, n.newName)
 		}
 	}
 }
 
-// TestOptionGivenByBothNames: an option that is given by both names is an error that names both, in every
-// notation of TOML.
+// TestOptionGivenByBothNames checks that setting an option by both its names is an error that contains
+// both names, in every TOML notation.
 func TestOptionGivenByBothNames(t *testing.T) {
 	for name, in := range map[string]string{
 		"table":         "[fleet]\ndear_ratio = 3.0\nexpensive_pool_ratio = 3.0\n",
@@ -109,7 +111,7 @@
 		_, _, err := ParseOptions([]byte(in))
 		if err == nil || !strings.Contains(err.Error(), "fleet.dear_ratio") ||
 			!strings.Contains(err.Error(), "fleet.expensive_pool_ratio") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want one that contains both names", name, err)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,32 +1,33 @@
-// Package config reads and checks what a controller is started with: the settings file (JSON), which
-// the platform writes, and the options file (TOML), which the operators may add.
+// Package config reads and checks the two files that a controller is started with: the settings file
+// (JSON), which the platform writes, and the options file (TOML), which operators may add.
 package config
 
-// Settings are a controller's settings. Fields that this version does not know are ignored.
+// Settings are the contents of the settings file. Fields that this version does not define are ignored.
 type Settings struct {
 	NodeName     string     `json:"node_name"`
 	Zone         string     `json:"zone"`
-	ClientListen string     `json:"client_listen"` // address for users and workers
-	PeerBind     string     `json:"peer_bind"`     // address for the other controllers
-	Members      []Member   `json:"members"`       // the other controllers
+	ClientListen string     `json:"client_listen"` // address on which users and workers connect
+	PeerBind     string     `json:"peer_bind"`     // address on which the other controllers connect
+	Members      []Member   `json:"members"`       // the other controllers of the deployment
 	External     External   `json:"external"`
 	Deployment   Deployment `json:"facts"`
 }
 
-// Member is another controller.
+// Member is one of the other controllers.
 type Member struct {
 	NodeName string `json:"node_name"`
 	Zone     string `json:"zone"`
 	Address  string `json:"address"`
 }
 
-// External has the addresses of the services that a controller depends on.
+// External holds the addresses of the cloud API and the state service.
 type External struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
 
-// Deployment describes the deployment.
+// Deployment describes what all controllers of a deployment have in common: its teams, service-level
+// objectives, timings and limits.
 type Deployment struct {
 	InitialSize    int           `json:"initial_size"`
 	Zones          []string      `json:"zones"`
@@ -39,7 +40,8 @@
 	MaxClockSkewMs float64       `json:"skew_ms"`
 }
 
-// Team has a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax). Zero means none.
+// Team is a tenant with guaranteed resources and a limit on what its tasks may use. A guarantee of 0
+// reserves nothing, and a limit of 0 allows no use.
 type Team struct {
 	Name           string  `json:"name"`
 	GuaranteedCPUs float64 `json:"cpus"`
@@ -48,41 +50,41 @@
 	MaxGPUs        float64 `json:"gpus_max"`
 }
 
-// Objective is a service-level objective for a class of jobs.
+// Objective is a service-level objective for the jobs of a class. Kind says what has to happen in time.
 type Objective struct {
 	Kind             string  `json:"kind"`
 	Class            string  `json:"class"`
-	WithinS          float64 `json:"within_s"` // time that a job has
-	Share            float64 `json:"share"`    // share of the jobs that must keep to it
-	DeadlineMultiple float64 `json:"times"`    // for deadlines: how often the time up to the deadline a job has
+	WithinS          float64 `json:"within_s"` // time from the submission of a job
+	Share            float64 `json:"share"`    // share of the jobs that must meet the objective
+	DeadlineMultiple float64 `json:"times"`    // allowed time as a multiple of the job's own deadline
 }
 
-// WorkerTimes are the times that workers keep to, in seconds. A deployment without the two times of
-// gangs has no gangs.
+// WorkerTimes are the intervals and timeouts that workers keep to, in seconds. A deployment without
+// the two times for gangs does not support gangs.
 type WorkerTimes struct {
-	HeartbeatIntervalS float64  `json:"report_s"`    // interval of heartbeats, give or take a quarter
+	HeartbeatIntervalS float64  `json:"report_s"`    // interval between heartbeats, within 25 %
 	LeaseS             float64  `json:"lease_s"`     // age of its last answered heartbeat when a worker kills its tasks
-	CancelWithinS      float64  `json:"cancel_s"`    // the tasks of a cancelled job must be gone after this
+	CancelWithinS      float64  `json:"cancel_s"`    // time after a cancellation by which the job's tasks must be gone
 	GangWaitTimeoutS   *float64 `json:"gang_wait_s"` // how long a gang's task waits for the others
-	GangPeerDetectionS *float64 `json:"gang_peer_s"` // how soon the others notice that one is gone or stopped
+	GangPeerDetectionS *float64 `json:"gang_peer_s"` // time until the others notice that one is gone or stopped
 }
 
-// SupportsGangs reports whether the workers of the deployment know gangs.
+// SupportsGangs reports whether the workers of the deployment can run gangs.
 func (w *WorkerTimes) SupportsGangs() bool {
 	return w.GangWaitTimeoutS != nil && w.GangPeerDetectionS != nil
 }
 
-// StateLimits are the limits of the state service.
+// StateLimits are the rate and size limits of the state service.
 type StateLimits struct {
-	RPS      float64          `json:"rps"`       // requests a second, reads and writes
-	WriteRPS float64          `json:"write_rps"` // operations of transactions a second
-	ValueKB  float64          `json:"value_kb"`  // size of a value, in KiB of JSON
-	TxnOps   int              `json:"txn_ops"`   // operations of one transaction
+	RPS      float64          `json:"rps"`       // requests per second, reads and writes
+	WriteRPS float64          `json:"write_rps"` // operations in transactions per second
+	ValueKB  float64          `json:"value_kb"`  // size of a value, in KiB of its JSON form
+	TxnOps   int              `json:"txn_ops"`   // operations per transaction
 	Next     *NextStateLimits `json:"next"`
 }
 
-// NextStateLimits are the limits that the state service will have from an unknown moment on. What is
-// missing stays as it is.
+// NextStateLimits are limits that the state service will apply from an unannounced time on. A limit
+// that is missing here does not change.
 type NextStateLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -90,9 +92,8 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Lowest returns the limits that hold both now and after the announced change: for each limit the
-// lower one. All requests keep to these from the start, so that the moment of the change does not
-// matter.
+// Lowest returns the lower of the current and the announced value of each limit. As all requests keep
+// to these from the start, it does not matter when the change takes effect.
 func (s StateLimits) Lowest() StateLimits {
 	if s.Next == nil {
 		return s
@@ -105,21 +106,22 @@
 	return s
 }
 
+// lowerTo lowers a limit to the announced value if there is one that is lower.
 func lowerTo[T int | float64](limit, announced *T) {
 	if announced != nil {
 		*limit = min(*limit, *announced)
 	}
 }
 
-// CloudLimits are the limits of the cloud.
+// CloudLimits describe the cloud API.
 type CloudLimits struct {
-	RPS      float64 `json:"rps"`        // requests a second
-	ListLagS float64 `json:"list_lag_s"` // usual lag of the list of machines
+	RPS      float64 `json:"rps"`        // requests per second
+	ListLagS float64 `json:"list_lag_s"` // usual delay until a change appears in the machine list
 }
 
-// MachineLimits are the limits of the machine that a controller runs on.
+// MachineLimits are the resources of the machine that a controller runs on.
 type MachineLimits struct {
-	CoreShare  float64 `json:"core_share"` // part of one core; 0: unknown
+	CoreShare  float64 `json:"core_share"` // fraction of one core; 0: unknown
 	MemoryMB   float64 `json:"memory_mb"`
 	MaxSockets int     `json:"max_sockets"`
 }
