--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -8,11 +8,11 @@
 	"quillshunt/internal/limits"
 )
 
-// Backoff is a jittered pause between tries that grows from limits.RetryMin to limits.RetryMax. Its
-// zero value is ready for use.
+// Backoff waits between retries. The delay doubles with each wait, from limits.RetryMin up to
+// limits.RetryMax, and is jittered by up to half. The zero value is ready to use.
 type Backoff struct{ delay time.Duration }
 
-// Wait sleeps and reports whether the context is still alive.
+// Wait waits for the next delay. It returns false as soon as the context is done.
 func (b *Backoff) Wait(ctx context.Context) bool {
 	if b.delay == 0 {
 		b.delay = limits.RetryMin
@@ -22,10 +22,10 @@
 	return Sleep(ctx, pause)
 }
 
-// Reset starts over with short pauses.
+// Reset makes the next delay the shortest one again.
 func (b *Backoff) Reset() { b.delay = 0 }
 
-// Sleep waits and reports whether the context is still alive.
+// Sleep waits for a duration. It returns false as soon as the context is done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/storage/calls_test.go
+++ b/internal/storage/calls_test.go
@@ -14,7 +14,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// newTestStore returns a store that calls a handler in place of the state service.
+// newTestStore returns a Store whose calls are served by a handler in place of the state service.
 func newTestStore(t *testing.T, handler http.HandlerFunc) *Store {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -23,7 +23,7 @@
 	return New(address, config.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
 }
 
-// storeCalls are all calls of a Store, by what their errors begin with.
+// storeCalls holds the calls of a Store except RevokeLease, by the prefix of their error texts.
 var storeCalls = map[string]func(context.Context, *Store) error{
 	"get a/b: ": func(ctx context.Context, s *Store) error {
 		_, err := s.Get(ctx, "a/b")
@@ -33,7 +33,7 @@
 		_, err := s.List(ctx, "a/", func(protocol.KeyValue) error { return nil })
 		return err
 	},
-	"transaction: ": func(ctx context.Context, s *Store) error {
+	"execute transaction: ": func(ctx context.Context, s *Store) error {
 		_, err := s.CompareAndSwap(ctx, protocol.Transaction{})
 		return err
 	},
@@ -48,7 +48,8 @@
 	},
 }
 
-// TestCallErrors: every call says what it was doing and whether it was executed.
+// TestCallErrors checks that the error of every call begins with what was being done, and wraps the error
+// that says whether the service executed the request.
 func TestCallErrors(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
@@ -59,10 +60,10 @@
 		is, not error
 	}{
 		{"rate limited", status(http.StatusTooManyRequests), ErrNotExecuted, ErrOutcomeUnknown},
-		{"rate limited, in detail", status(http.StatusTooManyRequests), ErrRateLimited, ErrBadRequest},
+		{"rate limited, error of its own", status(http.StatusTooManyRequests), ErrRateLimited, ErrBadRequest},
 		{"unavailable", status(http.StatusServiceUnavailable), ErrNotExecuted, ErrRateLimited},
 		{"unexpected status", status(http.StatusTeapot), ErrBadRequest, ErrNotExecuted},
-		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		{"no response", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			ErrOutcomeUnknown, ErrNotExecuted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,24 +71,25 @@
 			for prefix, call := range storeCalls {
 				err := call(t.Context(), s)
 				if !errors.Is(err, c.is) || errors.Is(err, c.not) || !strings.HasPrefix(err.Error(), prefix) {
-					t.Errorf("%q, want an error that begins with %q and is %q", err, prefix, c.is)
+					t.Errorf("error %q, want one that begins with %q, is %q and not %q",
+						err, prefix, c.is, c.not)
 				}
 			}
 		})
 	}
 }
 
-// TestConnectionRefused: a call that could not be sent was not executed.
+// TestConnectionRefused checks that a request that could not be sent counts as not executed.
 func TestConnectionRefused(t *testing.T) {
 	s := New("127.0.0.1:1", config.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
 	for prefix, call := range storeCalls {
 		if err := call(t.Context(), s); !errors.Is(err, ErrNotExecuted) {
-			t.Errorf("%s%v, want %q", prefix, err, ErrNotExecuted)
+			t.Errorf("call %q: error %v, want %q", prefix, err, ErrNotExecuted)
 		}
 	}
 }
 
-// TestTransactionErrors: each answer to a transaction has its error.
+// TestTransactionErrors checks the error for each kind of response to a transaction that is not a success.
 func TestTransactionErrors(t *testing.T) {
 	withLease := protocol.Transaction{Operations: []protocol.Operation{{Put: "a", Value: protocol.Raw{1}, Lease: 7}}}
 	withoutLease := protocol.Transaction{Operations: []protocol.Operation{{Delete: "a"}}}
@@ -100,7 +102,7 @@
 	}{
 		{"lease expired", withLease, http.StatusBadRequest, nil, ErrLeaseExpired},
 		{"malformed", withoutLease, http.StatusBadRequest, nil, ErrBadRequest},
-		{"answer cut short", withoutLease, http.StatusOK, []byte{0xa1}, ErrOutcomeUnknown},
+		{"truncated response", withoutLease, http.StatusOK, []byte{0xa1}, ErrOutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestStore(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -108,7 +110,7 @@
 				_, _ = w.Write(c.body)
 			})
 			if _, err := s.CompareAndSwap(t.Context(), c.transaction); !errors.Is(err, c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want %q", err, c.want)
 			}
 		})
 	}
@@ -119,12 +121,12 @@
 	_, err := s.CompareAndSwap(t.Context(), withoutLease)
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) || !conflict.Has("a") || conflict.Has("b") {
-		t.Errorf("%v, want a conflict on a", err)
+		t.Errorf("error %v, want a conflict on key a only", err)
 	}
 }
 
-// TestExpiredLeaseAndCompactedWatch: a renewal of a lease that is over, and a watch that began too
-// long ago, have errors of their own.
+// TestExpiredLeaseAndCompactedWatch checks that the renewal of an expired lease and a watch from a
+// compacted revision fail with ErrLeaseExpired and ErrCompacted.
 func TestExpiredLeaseAndCompactedWatch(t *testing.T) {
 	s := newTestStore(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/watch" {
@@ -134,15 +136,16 @@
 		http.NotFound(w, r)
 	})
 	if err := s.RenewLease(t.Context(), 7); !errors.Is(err, ErrLeaseExpired) {
-		t.Errorf("renewal: %v, want %q", err, ErrLeaseExpired)
+		t.Errorf("renewal: error %v, want %q", err, ErrLeaseExpired)
 	}
 	if _, err := s.Watch(t.Context(), "a/", 1); !errors.Is(err, ErrCompacted) {
-		t.Errorf("watch: %v, want %q", err, ErrCompacted)
+		t.Errorf("watch: error %v, want %q", err, ErrCompacted)
 	}
 }
 
-// TestListReadsAllPages: all pages are read, each from after the last key of the one before, and the revision
-// is that of the first.
+// TestListReadsAllPages checks that List reads all pages, each starting after the last key of the previous
+// one, and returns the revision of the first page. It also checks that an error of the callback ends the
+// list and is returned unchanged.
 func TestListReadsAllPages(t *testing.T) {
 	pages := map[string]protocol.KeyPage{
 		"":    {Items: []protocol.KeyValue{{Key: "a/1"}, {Key: "a/2"}}, Truncated: true, Revision: 5},
@@ -157,10 +160,10 @@
 		return nil
 	})
 	if err != nil || revision != 5 || !reflect.DeepEqual(keys, []string{"a/1", "a/2", "a/3"}) {
-		t.Errorf("%v at revision %d, %v", keys, revision, err)
+		t.Errorf("listed keys %v at revision %d, error %v; want a/1 to a/3 at revision 5", keys, revision, err)
 	}
 	stop := errors.New("stop")
 	if _, err := s.List(t.Context(), "a/", func(protocol.KeyValue) error { return stop }); err != stop {
-		t.Errorf("%v, want the function's own error", err)
+		t.Errorf("error %v, want that of the callback unchanged", err)
 	}
 }
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -7,49 +7,50 @@
 	"slices"
 )
 
-// The errors of a Store wrap one of these, or are a *ConflictError, unless an answer could not be
-// decoded or the caller's own function failed. Each says what the caller may conclude.
+// An error of a Store wraps one of these errors or a *ConflictError, unless a response could not be
+// decoded or the caller's own function failed.
 var (
-	// ErrNotExecuted means: the request was not executed and never will be. The service refused it (429
-	// or 503), nothing was sent, or the wait for a share of the rate took too long. It may be
-	// repeated.
+	// ErrNotExecuted means that the request was not executed and never will be, so it may be repeated:
+	// the service rejected it (429 or 503), it was not sent, or the wait for the client-side rate limit
+	// took too long.
 	ErrNotExecuted = errors.New("state service did not execute the request")
-	// ErrRateLimited means: the service refused the request because its rate was used up (429). An error
-	// that wraps it wraps ErrNotExecuted as well.
+	// ErrRateLimited means that the service rejected the request because its own rate limit was exceeded
+	// (429). An error that wraps it also wraps ErrNotExecuted.
 	ErrRateLimited = errors.New("rate limit of the state service exceeded")
-	// ErrOutcomeUnknown means: no usable answer came. The request may have been executed, or may still
-	// be; only reading the keys can show it.
-	ErrOutcomeUnknown = errors.New("state service did not answer")
-	// ErrLeaseExpired means: the lease does not exist any more, and neither do the keys attached to it. A
-	// transaction that fails with it was not executed.
+	// ErrOutcomeUnknown means that no usable response arrived. The request may have been executed, or may
+	// still be executed later. Only reading the keys can show it.
+	ErrOutcomeUnknown = errors.New("no usable response from the state service; outcome unknown")
+	// ErrLeaseExpired means that the lease no longer exists, and neither do the keys attached to it. A
+	// transaction that fails with this error was not executed.
 	ErrLeaseExpired = errors.New("lease expired or unknown")
-	// ErrCompacted means: the changes since the given revision are no longer available. The keys must be
+	// ErrCompacted means that the changes since the given revision cannot be read. The keys must be
 	// listed again.
-	ErrCompacted = errors.New("changes are compacted")
-	// ErrBadRequest means: the service answered with a status that the call does not provide for, as 400
-	// for a malformed or too large request. It was not executed, and repeating it does not help.
+	ErrCompacted = errors.New("changes since the revision are no longer available")
+	// ErrBadRequest means that the service responded with a status that the call does not expect, such as
+	// 400 for a malformed or too large request. The request was not executed, and a retry would fail in
+	// the same way.
 	ErrBadRequest = errors.New("state service rejected the request")
-	// ErrNoMachineTypes means: no machine types are stored yet, or they are just being replaced.
-	ErrNoMachineTypes = errors.New("machine types are not stored yet")
+	// ErrNoMachineTypes means that no machine types are stored yet, or that they are being replaced.
+	ErrNoMachineTypes = errors.New("no complete machine types are stored")
 )
 
-// ConflictError means that a transaction was not executed because some of its conditions did not
-// hold. The keys can be read again to see why. If an earlier try of the same transaction ended with
-// ErrOutcomeUnknown, that one may have been executed.
+// ConflictError means that a transaction was not executed because some of its conditions did not hold.
+// If an earlier attempt at the same transaction ended with ErrOutcomeUnknown, the conflict may be due
+// to that attempt having been executed; reading the keys shows it.
 type ConflictError struct {
 	FailedKeys []string // keys of the conditions that did not hold
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (c *ConflictError) Error() string {
-	return fmt.Sprintf("conditions failed for keys %v", c.FailedKeys)
+	return fmt.Sprintf("conditions on keys %v do not hold", c.FailedKeys)
 }
 
-// Has reports whether the condition on a key is among those that did not hold.
+// Has reports whether the condition on a key did not hold.
 func (c *ConflictError) Has(key string) bool { return slices.Contains(c.FailedKeys, key) }
 
-// IsTimeout reports whether a call failed only because time went by without an answer. The service
-// may then be unreachable, but a process that gets too little of its processor sees the same.
+// IsTimeout reports whether a call failed because its timeout passed without a response. The cause may
+// be an unreachable service, or too little CPU time for this process.
 func IsTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/storage/finished_tasks.go
+++ b/internal/storage/finished_tasks.go
@@ -9,25 +9,26 @@
 	"quillshunt/internal/limits"
 )
 
-// PrefixFinishedTasks is the prefix of the keys of finished tasks; the job's ID and the first task
-// of the chunk follow.
+// PrefixFinishedTasks is the prefix of the keys of chunks of finished tasks. The job's ID and the first
+// task of the chunk follow.
 const PrefixFinishedTasks = "fin/"
 
-// wordBits is the size of the words of a bitmap of tasks; chunks begin and end between words.
+// wordBits is the word size of a bitmap of tasks. Chunks begin and end at word boundaries.
 const wordBits = 64
 
-// FinishedTasks is a chunk of a job's finished tasks.
+// FinishedTasks is the record of one chunk of a job's tasks. It says which of them have finished.
 type FinishedTasks struct {
 	FirstTask int    `cbor:"Base" json:"Base"` // first task of the chunk
-	Bitmap    string `cbor:"Bits" json:"Bits"` // base64; bit i is task FirstTask+i; zero bytes at the end are left out
+	Bitmap    string `cbor:"Bits" json:"Bits"` // in base64; bit i is task FirstTask+i; trailing zero bytes are omitted
 }
 
-// FinishedTasksKey returns the key of a chunk of a job's finished tasks.
+// FinishedTasksKey returns the key of the chunk of a job's finished tasks that starts at firstTask.
 func FinishedTasksKey(id string, firstTask int) string {
 	return fmt.Sprintf("%s%s/%d", PrefixFinishedTasks, id, firstTask)
 }
 
-// ParseFinishedTasksKey splits a key that FinishedTasksKey returned, and reports whether it is one.
+// ParseFinishedTasksKey returns the job's ID and the first task from a key of FinishedTasksKey. For any
+// other key, ok is false.
 func ParseFinishedTasksKey(key string) (id string, firstTask int, ok bool) {
 	rest, ok := strings.CutPrefix(key, PrefixFinishedTasks)
 	if !ok {
@@ -41,16 +42,16 @@
 	return id, firstTask, err == nil
 }
 
-// TasksPerChunk returns how many tasks a chunk holds so that its record stays below the value limit.
-// It is a multiple of 64.
+// TasksPerChunk returns the number of tasks in a chunk, a multiple of 64, for which its record fits the
+// value limit.
 func TasksPerChunk(valueKB float64) int {
 	chars := int(valueKB*1024) - limits.FinishedTasksOverhead
-	tasks := chars / 4 * 3 * 8 // base64 carries three bytes in four characters
+	tasks := chars / 4 * 3 * 8 // four characters of base64 encode three bytes
 	return max(tasks/wordBits*wordBits, wordBits)
 }
 
-// EncodeFinishedTasks returns the chunk of size tasks that starts at firstTask, from a bitmap of all
-// tasks of the job. Both firstTask and size are multiples of 64.
+// EncodeFinishedTasks returns the record of the chunk of size tasks that starts at firstTask. The bitmap
+// covers all tasks of the job. Both firstTask and size must be multiples of 64.
 func EncodeFinishedTasks(bitmap []uint64, firstTask, size int) FinishedTasks {
 	firstWord := firstTask / wordBits
 	endWord := min(firstWord+size/wordBits, len(bitmap))
@@ -66,8 +67,8 @@
 	return FinishedTasks{FirstTask: firstTask, Bitmap: base64.RawStdEncoding.EncodeToString(b)}
 }
 
-// Decode calls set for each finished task of a chunk. The error says that the bitmap is not base64;
-// then set was not called.
+// Decode calls set for each finished task of the chunk. If the bitmap is not valid base64, it returns
+// an error without calling set.
 func (f FinishedTasks) Decode(set func(task int)) error {
 	b, err := base64.RawStdEncoding.DecodeString(f.Bitmap)
 	if err != nil {
--- a/internal/storage/finished_tasks_test.go
+++ b/internal/storage/finished_tasks_test.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestFinishedTasksRoundTrip: chunks hold exactly the finished tasks, whatever the chunk size, and
-// keep to the value limit.
+// TestFinishedTasksRoundTrip checks that the chunks of a job together hold exactly its finished tasks,
+// for several value limits, and that each record fits the limit.
 func TestFinishedTasksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kb := rapid.SampledFrom([]float64{0.25, 1, 4, 8}).Draw(t, "kb")
@@ -32,7 +32,7 @@
 		for base := 0; base < tasks; base += size {
 			chunk := EncodeFinishedTasks(bits, base, size)
 			if !FitsValueLimit(chunk, kb) {
-				t.Fatalf("chunk of %d tasks does not fit %v KiB", size, kb)
+				t.Fatalf("record of a chunk of %d tasks does not fit %v KiB", size, kb)
 			}
 			var decoded FinishedTasks
 			if err := protocol.Decode(protocol.Encode(chunk), &decoded); err != nil {
@@ -47,19 +47,20 @@
 		}
 		for i := range want {
 			if !got[i] {
-				t.Fatalf("task %d lost", i)
+				t.Fatalf("finished task %d is missing from the decoded chunks", i)
 			}
 		}
 	})
 }
 
+// TestFinishedTasksKey checks that a key is parsed into its parts, and that other keys are rejected.
 func TestFinishedTasksKey(t *testing.T) {
 	if id, base, ok := ParseFinishedTasksKey(FinishedTasksKey("job-7", 4096)); !ok || id != "job-7" || base != 4096 {
-		t.Fatalf("parsed as job %q, base %d, %v", id, base, ok)
+		t.Fatalf("parsed as job %q, first task %d, ok %v", id, base, ok)
 	}
 	for _, key := range []string{"open/job-7", "fin/job-7", "fin/job-7/x"} {
 		if _, _, ok := ParseFinishedTasksKey(key); ok {
-			t.Errorf("%q parsed", key)
+			t.Errorf("key %q was accepted as one of finished tasks", key)
 		}
 	}
 }
--- a/internal/storage/health.go
+++ b/internal/storage/health.go
@@ -9,17 +9,19 @@
 	"quillshunt/internal/transport"
 )
 
-// serviceHealth is what the last calls show of the service. Times are Unix nanoseconds.
+// serviceHealth records the outcomes of calls to the service. Times are Unix nanoseconds.
 type serviceHealth struct {
-	failingSince    atomic.Int64 // since when no call succeeded; 0 if the last one did
-	lastCallAt      atomic.Int64 // when the last call began
+	failingSince    atomic.Int64 // start of the first failed call since the last success; 0 if the last call succeeded
+	lastCallAt      atomic.Int64 // start of the last call
 	writeOperations atomic.Int64 // operations sent in transactions
-	rejectedCalls   atomic.Int64 // calls answered 429 or 503
+	rejectedCalls   atomic.Int64 // calls that the service rejected with 429 or 503
 }
 
+// recordStart records that a call starts.
 func (h *serviceHealth) recordStart(startedAt time.Time) { h.lastCallAt.Store(startedAt.UnixNano()) }
 
-// callEnded notes the outcome of a call. A 429 is an answer of a service that works.
+// recordOutcome records the outcome of a call. A 429 counts as a success: it shows that the service
+// works.
 func (h *serviceHealth) recordOutcome(startedAt time.Time, reply *transport.Message, err error) {
 	if err != nil {
 		h.failingSince.CompareAndSwap(0, startedAt.UnixNano())
@@ -37,7 +39,7 @@
 	}
 }
 
-// FailingFor returns for how long no call succeeded, or 0 if the last one did.
+// FailingFor returns for how long no call has succeeded, or 0 if the last call succeeded.
 func (s *Store) FailingFor() time.Duration {
 	if since := s.health.failingSince.Load(); since != 0 {
 		return time.Since(time.Unix(0, since))
@@ -45,15 +47,15 @@
 	return 0
 }
 
-// Counters returns how many operations were sent and how many calls were refused so far, for the
-// log.
+// Counters returns how many operations were sent in transactions, and how many calls the service
+// rejected, since the Store was created. They are for the log.
 func (s *Store) Counters() (writeOperations, rejectedCalls int64) {
 	return s.health.writeOperations.Load(), s.health.rejectedCalls.Load()
 }
 
-// Unavailable reports whether the service is known to be unreachable, so that one more call would
-// only keep somebody waiting. Now and then it returns false all the same, so that a call shows
-// whether the outage is over.
+// Unavailable reports whether calls have failed for so long that another one would only make its caller
+// wait. During an outage it returns false at intervals of limits.UnavailableProbeInterval, so that one
+// call can show whether the outage is over.
 func (s *Store) Unavailable() bool {
 	sinceLastCall := time.Since(time.Unix(0, s.health.lastCallAt.Load()))
 	return s.FailingFor() > limits.UnavailableAfter && sinceLastCall < limits.UnavailableProbeInterval
--- a/internal/storage/health_test.go
+++ b/internal/storage/health_test.go
@@ -9,30 +9,31 @@
 	"quillshunt/internal/limits"
 )
 
-// TestUnavailableFailsFast: users' calls fail at once while the state service is known to be unreachable, but
-// one is allowed often enough that nobody waits long for an answer once it is back.
+// TestUnavailableFailsFast checks that calls for users fail at once in an outage of the state service,
+// while calls for the controllers' own work are still made. At intervals, one call for a user is
+// allowed as well, so that the end of the outage is noticed soon.
 func TestUnavailableFailsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controllers := New("127.0.0.1:1", config.StateLimits{RPS: 100, WriteRPS: 10, TxnOps: 8})
 		users := controllers.ForUserRequests()
-		recordFailure := func() { // as a failed call records it
+		recordFailure := func() { // has the effect of a failed call on the health
 			users.health.lastCallAt.Store(time.Now().UnixNano())
 			users.health.failingSince.CompareAndSwap(0, time.Now().UnixNano())
 		}
 		recordFailure()
 		if users.Unavailable() {
-			t.Error("unavailable after one failure")
+			t.Error("Unavailable() is true after a single failure")
 		}
 		time.Sleep(2 * limits.UnavailableAfter)
 		recordFailure()
 		if !users.Unavailable() || users.waitForRateLimit(t.Context(), 0) == nil {
-			t.Error("still available after a while of failures")
+			t.Error("calls for users are still allowed after calls have failed for longer than UnavailableAfter")
 		}
 		if controllers.waitForRateLimit(t.Context(), 0) != nil {
-			t.Error("the controllers' own calls fail too")
+			t.Error("calls for the controllers' own work fail at once too")
 		}
 		allowed := 0
-		for range 75 { // the longest a user may be without an answer, in seconds
+		for range 75 { // the longest time that a user may be without a response, in seconds
 			time.Sleep(time.Second)
 			if users.waitForRateLimit(t.Context(), 0) == nil {
 				allowed++
@@ -40,11 +41,11 @@
 			}
 		}
 		if allowed < 37 {
-			t.Errorf("%d of 75 calls allowed", allowed)
+			t.Errorf("%d of 75 calls for users were allowed during the outage, want at least 37", allowed)
 		}
 		users.health.failingSince.Store(0)
 		if users.Unavailable() {
-			t.Error("unavailable after a success")
+			t.Error("Unavailable() is still true after a success")
 		}
 	})
 }
--- a/internal/storage/jobs.go
+++ b/internal/storage/jobs.go
@@ -2,29 +2,30 @@
 
 import "quillshunt/internal/protocol"
 
-// PrefixOpenJob is the prefix of the keys of jobs that are not over; the job's ID follows.
+// PrefixOpenJob is the prefix of the keys of open jobs, those that have not ended. The job's ID follows.
 const PrefixOpenJob = "open/"
 
-// prefixFinalJob is the prefix of the keys of jobs that are over; the job's ID follows.
+// prefixFinalJob is the prefix of the keys of jobs that have ended. The job's ID follows.
 const prefixFinalJob = "final/"
 
-// OpenJobKey returns the key of a job while it is not over.
+// OpenJobKey returns the key of the record of an open job.
 func OpenJobKey(id string) string { return PrefixOpenJob + id }
 
-// FinalJobKey returns the key of a job once it is over.
+// FinalJobKey returns the key of the record of a job that has ended.
 func FinalJobKey(id string) string { return prefixFinalJob + id }
 
-// OpenJob is a job that is not over. Times are Unix milliseconds of the controller that wrote them.
+// OpenJob is the record of an open job. Times are Unix milliseconds by the clock of the controller that
+// wrote them.
 type OpenJob struct {
 	Spec          protocol.Spec `cbor:"Spec" json:"Spec"`
 	Cancelled     bool          `cbor:"Cancelled" json:"Cancelled"`
 	SubmittedAtMs int64         `cbor:"AtMs" json:"AtMs"`
-	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // nobody was told of the cancellation before this
+	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // no user was told of the cancellation earlier
 }
 
-// TrimmedToLimit returns a cancelled job's record in a form that fits the value limit, should it have
-// been stored when values could be larger. No task of it will start again, so what only says where
-// and when a task may start can go. Other records are returned as they are.
+// TrimmedToLimit returns the record of a cancelled job without some fields if it exceeds the value
+// limit, as a record can that was stored under a higher limit. The fields only matter for starting
+// tasks, which a cancelled job no longer does. Other records are returned unchanged.
 func (o OpenJob) TrimmedToLimit(valueKB float64) OpenJob {
 	if !o.Cancelled || FitsValueLimit(o, valueKB) {
 		return o
@@ -33,7 +34,7 @@
 	return o
 }
 
-// FinalJob is a job that is over.
+// FinalJob is the record of a job that has ended.
 type FinalJob struct {
 	State protocol.JobState `cbor:"Standing" json:"Standing"`
 }
--- a/internal/storage/lease.go
+++ b/internal/storage/lease.go
@@ -11,14 +11,14 @@
 	"quillshunt/internal/protocol"
 )
 
-// The calls on leases do not wait for the shared rate: they are few, and a late renewal costs the
-// leadership.
+// Calls for leases are not subject to the client-side rate limit: there are few of them, and a late
+// renewal would cost the leadership.
 
-// leasePath returns the path of a lease. On the wire, leases are holds.
+// leasePath returns the URL path of a lease. The protocol calls leases holds.
 func leasePath(id uint64) string { return "/holds/" + strconv.FormatUint(id, 10) }
 
-// CreateLease creates a lease and returns its ID. Unless it is renewed, it expires after the given
-// duration, by the service's clock, and the keys attached to it are removed.
+// CreateLease creates a lease and returns its ID. Unless it is renewed, the lease expires after the
+// given duration by the service's clock. The service then removes the keys attached to it.
 func (s *Store) CreateLease(ctx context.Context, duration time.Duration) (uint64, error) {
 	id, err := s.createLease(ctx, duration)
 	if err != nil {
@@ -27,6 +27,7 @@
 	return id, nil
 }
 
+// createLease makes the call of CreateLease.
 func (s *Store) createLease(ctx context.Context, duration time.Duration) (uint64, error) {
 	request := protocol.LeaseRequest{DurationMs: duration.Milliseconds()}
 	reply, err := s.call(ctx, http.MethodPost, "/holds", protocol.Encode(request))
@@ -40,7 +41,8 @@
 	return lease.Lease, err
 }
 
-// RenewLease gives a lease its full duration again. The error wraps ErrLeaseExpired if it is over.
+// RenewLease extends a lease to its full duration again. If the lease no longer exists, the error wraps
+// ErrLeaseExpired.
 func (s *Store) RenewLease(ctx context.Context, id uint64) error {
 	reply, err := s.callWithTimeout(ctx, limits.LeaseRenewTimeout, http.MethodPost, leasePath(id)+"/touch", nil)
 	if err == nil {
@@ -52,6 +54,7 @@
 	return nil
 }
 
+// checkRenewalStatus returns the error for the response status of a renewal, or nil.
 func checkRenewalStatus(status int) error {
 	switch status {
 	case http.StatusOK:
@@ -62,8 +65,8 @@
 	return unexpectedStatus(status)
 }
 
-// RevokeLease ends a lease at once, which removes the keys attached to it. A lease that is over
-// already is no error.
+// RevokeLease ends a lease at once, so that the service removes the keys attached to it. It is no error
+// if the lease no longer exists.
 func (s *Store) RevokeLease(ctx context.Context, id uint64) error {
 	if _, err := s.call(ctx, http.MethodDelete, leasePath(id), nil); err != nil {
 		return fmt.Errorf("revoke lease %d: %w", id, err)
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -9,7 +9,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// Keys of the machine types: one record, or several parts if one record would be too large.
+// Keys of the machine types, which are stored as a single record, or as several parts if a single record
+// would be too large.
 const (
 	KeyMachineTypes        = "types"
 	PrefixMachineTypesPart = "type/" // followed by the part's number
@@ -18,27 +19,28 @@
 // MachineTypesPartKey returns the key of a part of the machine types.
 func MachineTypesPartKey(part int) string { return fmt.Sprintf("%s%03d", PrefixMachineTypesPart, part) }
 
-// MachineTypes is a copy of the cloud's machine types, so that a controller can check submissions
-// after a restart.
+// MachineTypes is a stored copy of the cloud's machine types. With it, a restarted controller can check
+// submissions without calling the cloud.
 type MachineTypes struct {
 	MachineTypes []protocol.MachineType `cbor:"Rigkinds" json:"Rigkinds"`
 }
 
-// MachineTypesPart is one of several records that together replace a MachineTypes that is too large.
+// MachineTypesPart is one of several records that together hold the machine types if a single record
+// would exceed the value limit.
 type MachineTypesPart struct {
 	MachineTypes []protocol.MachineType `cbor:"Rigkinds" json:"Rigkinds"`
-	Parts        int                    `cbor:"Parts" json:"Parts"` // how many parts there are
+	Parts        int                    `cbor:"Parts" json:"Parts"` // number of parts
 }
 
-// SplitMachineTypes cuts machine types into parts that fit the value limit. A type that is too large
-// by itself gets a part of its own.
+// SplitMachineTypes divides machine types into parts that fit the value limit. A type that exceeds the
+// limit alone gets a part of its own.
 func SplitMachineTypes(types []protocol.MachineType, valueKB float64) []MachineTypesPart {
 	var parts []MachineTypesPart
 	for _, t := range types {
 		if last := len(parts) - 1; last >= 0 {
 			extended := MachineTypesPart{
 				MachineTypes: append(slices.Clone(parts[last].MachineTypes), t),
-				Parts:        limits.MaxMachineTypes, // the widest number that can stand here
+				Parts:        limits.MaxMachineTypes, // has the most digits that the final number can have
 			}
 			if FitsValueLimit(extended, valueKB) {
 				parts[last] = extended
@@ -53,8 +55,8 @@
 	return parts
 }
 
-// JoinMachineTypes puts parts together again. It returns false if some are missing, as while they
-// are being written.
+// JoinMachineTypes returns the machine types of all parts. It returns false if parts are missing, for
+// example because another transaction has yet to write them.
 func JoinMachineTypes(parts []MachineTypesPart) ([]protocol.MachineType, bool) {
 	var types []protocol.MachineType
 	for _, part := range parts {
@@ -66,17 +68,17 @@
 	return types, len(parts) > 0
 }
 
-// StoredMachineTypes are the machine types as they are stored, with the versions of their records.
+// StoredMachineTypes are the machine types in the state service, with the versions of their records.
 type StoredMachineTypes struct {
 	Types               []protocol.MachineType
-	SingleRecordVersion uint64            // version of the record at KeyMachineTypes; 0: there is none
-	PartVersions        map[string]uint64 // versions of the records of parts, by key
+	SingleRecordVersion uint64            // version of the record at KeyMachineTypes; 0: no such record
+	PartVersions        map[string]uint64 // versions of the parts, by key
 }
 
-// ReadMachineTypes reads the machine types. If there are no complete ones, the error wraps
-// ErrNoMachineTypes, and the versions of the records are returned all the same. Parts count before
-// the single record: that one may come from an earlier version of this program, which knows no
-// parts.
+// ReadMachineTypes reads the machine types. If none are stored, or parts are missing, the error wraps
+// ErrNoMachineTypes, and the versions of the records that exist are still returned. If there are parts,
+// the single record is ignored: an earlier version of this program, which does not support parts, may
+// have written it.
 func (s *Store) ReadMachineTypes(ctx context.Context) (StoredMachineTypes, error) {
 	stored := StoredMachineTypes{PartVersions: map[string]uint64{}}
 	var parts []MachineTypesPart
@@ -103,8 +105,8 @@
 	return stored, nil
 }
 
-// chooseMachineTypes returns the machine types of the parts, or those of the single record if there
-// are no parts.
+// decodeMachineTypes returns the machine types of the parts, or those of the single record if there are
+// no parts.
 func decodeMachineTypes(parts []MachineTypesPart, single protocol.KeyValue) ([]protocol.MachineType, error) {
 	if len(parts) > 0 {
 		types, complete := JoinMachineTypes(parts)
@@ -123,8 +125,8 @@
 	return record.MachineTypes, nil
 }
 
-// MachineTypesTransactions returns the transactions that replace the stored machine types by others,
-// each within the limits of the service. Each has the leader's guard as its first condition.
+// MachineTypesTransactions returns the transactions that replace the stored machine types by types. Each
+// is within the limits of the service and has the leader's fencing condition as its first condition.
 func (s *Store) MachineTypesTransactions(
 	stored StoredMachineTypes, types []protocol.MachineType, fencingCondition protocol.Condition,
 ) []protocol.Transaction {
@@ -141,8 +143,8 @@
 	return transactions
 }
 
-// machineTypesOperations returns the operations that write machine types, in one record if that
-// fits, and remove the stored parts that are not needed any more.
+// machineTypesOperations returns the operations that write machine types, as a single record if that fits
+// the value limit, and that remove stored parts which are no longer needed.
 func (s *Store) machineTypesOperations(
 	stored StoredMachineTypes, types []protocol.MachineType,
 ) []protocol.Operation {
@@ -167,7 +169,7 @@
 	return operations
 }
 
-// version returns the version of one of the records, or 0 if it does not exist.
+// recordVersion returns the version of the record at a key, or 0 if there is no such record.
 func (s StoredMachineTypes) recordVersion(key string) uint64 {
 	if key == KeyMachineTypes {
 		return s.SingleRecordVersion
--- a/internal/storage/machine_types_test.go
+++ b/internal/storage/machine_types_test.go
@@ -11,9 +11,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestMachineTypesRoundTrip: any number of machine types is written in values and transactions within
-// the limits, and read back in order, also where they replace others; a set of which parts are
-// missing is not accepted as complete.
+// TestMachineTypesRoundTrip checks that any number of machine types is written in records and
+// transactions within the limits and read back in order, also where it replaces stored machine types.
+// Parts of which one is missing must not count as complete.
 func TestMachineTypesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := New("127.0.0.1:1", config.StateLimits{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 4})
@@ -34,7 +34,8 @@
 			guard := protocol.Condition{Key: KeyLeader, Version: 1}
 			for _, txn := range store.MachineTypesTransactions(stored, types, guard) {
 				if len(txn.Operations) > 4 || len(txn.Conditions) != len(txn.Operations)+1 {
-					t.Fatalf("transaction: %d operations, %d conditions", len(txn.Operations), len(txn.Conditions))
+					t.Fatalf("transaction with %d operations, want at most 4, and %d conditions, want one more",
+						len(txn.Operations), len(txn.Conditions))
 				}
 				for _, op := range txn.Operations {
 					delete(records, op.Delete)
@@ -44,7 +45,7 @@
 				}
 			}
 			if got := readMachineTypes(t, records); !reflect.DeepEqual(got, types) {
-				t.Fatalf("read %d types, wrote %d", len(got), len(types))
+				t.Fatalf("read %d machine types that differ from the %d written", len(got), len(types))
 			}
 		}
 		parts := SplitMachineTypes([]protocol.MachineType{
@@ -53,26 +54,27 @@
 			{Name: "c", Zones: make([]string, 60)},
 		}, 0.5)
 		if _, complete := JoinMachineTypes(parts[1:]); complete || len(parts) != 3 {
-			t.Fatalf("%d parts of 3 accepted as complete", len(parts)-1)
+			t.Fatalf("types split into %d parts, want 3; without the first, complete is %v", len(parts), complete)
 		}
 	})
 }
 
-// readMachineTypes reads records as ReadMachineTypes does.
+// readMachineTypes decodes the machine types from records, as Store.ReadMachineTypes does, and checks the
+// size of the parts.
 func readMachineTypes(t *rapid.T, records map[string]protocol.Raw) []protocol.MachineType {
 	t.Helper()
 	var parts []MachineTypesPart
 	for i := 0; records[MachineTypesPartKey(i)] != nil; i++ {
 		var part MachineTypesPart
 		if err := protocol.Decode(records[MachineTypesPartKey(i)], &part); err != nil || !FitsValueLimit(part, 0.5) {
-			t.Fatalf("part %d: %v, size %d", i, err, EncodedSize(part))
+			t.Fatalf("part %d: decoding error %v, size %d bytes", i, err, EncodedSize(part))
 		}
 		parts = append(parts, part)
 	}
 	if len(parts) > 0 {
 		types, complete := JoinMachineTypes(parts)
 		if !complete {
-			t.Fatalf("%d parts are not complete", len(parts))
+			t.Fatalf("JoinMachineTypes reports that parts are missing; it got %d", len(parts))
 		}
 		return types
 	}
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// Get reads a key. An absent key has Version 0 and no Value, and the Revision at which it was
-// absent.
+// Get reads a key. If the key does not exist, the result has Version 0, no Value, and the revision of the
+// service at the time of the read.
 func (s *Store) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
 	kv, err := s.get(ctx, key)
 	if err != nil {
@@ -21,6 +21,7 @@
 	return kv, nil
 }
 
+// get makes the call of Get.
 func (s *Store) get(ctx context.Context, key string) (protocol.KeyValue, error) {
 	var kv protocol.KeyValue
 	if err := s.waitForRateLimit(ctx, 0); err != nil {
@@ -42,9 +43,9 @@
 	return kv, nil
 }
 
-// List calls each for all keys with a prefix, in the order of the keys. An error of each ends it and
-// is returned as it is. The revision returned is that of the first page, from which a Watch misses
-// nothing.
+// List reads all keys with a prefix, page by page, and calls visit for each in the order of the keys. If
+// visit returns an error, List stops and returns that error unchanged. It returns the revision of the
+// first page: a Watch from there misses no change, including those between two pages.
 func (s *Store) List(ctx context.Context, prefix string, visit func(protocol.KeyValue) error) (uint64, error) {
 	var revision uint64
 	after, first := "", true
@@ -68,7 +69,8 @@
 	}
 }
 
-// listPage reads one page of the keys with a prefix, after a key unless that is empty.
+// listPage reads one page of the keys with a prefix. The page starts after the given key, or with the
+// first key if that is empty.
 func (s *Store) listPage(ctx context.Context, prefix, after string) (protocol.KeyPage, error) {
 	var page protocol.KeyPage
 	if err := s.waitForRateLimit(ctx, 0); err != nil {
--- a/internal/storage/rentals_test.go
+++ b/internal/storage/rentals_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRentalFitsValueLimit: the record of a rental with the most machines that one may be for keeps to the
-// value limit.
+// TestRentalFitsValueLimit checks that the record of a rental of MaxRentalMachines machines fits the value
+// limit.
 func TestRentalFitsValueLimit(t *testing.T) {
 	for _, kb := range []float64{0.5, 1, 2, 4} {
 		r := Rental{
@@ -17,7 +17,8 @@
 			r.Machines = append(r.Machines, fmt.Sprintf("machine-of-the-cloud-%06d", i))
 		}
 		if !FitsValueLimit(r, kb) {
-			t.Errorf("%v KB: %d machines need %d bytes", kb, len(r.Machines), EncodedSize(r))
+			t.Errorf("the record of a rental of %d machines has %d bytes, the limit is %v KiB",
+				len(r.Machines), EncodedSize(r), kb)
 		}
 	}
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -15,25 +15,25 @@
 	"quillshunt/internal/transport"
 )
 
-// Store calls the state service within a share of its rates. It is safe for concurrent use.
+// Store is a client of the state service that keeps its calls within a share of the service's rate
+// limits. It is safe for concurrent use.
 //
-// The store from New is for the controllers' own work. Users' requests go through one from
-// ForUserRequests,
-// which has a share of its own. Any controller may use that share up, as users load now this one and
-// now that one; should the sum exceed the service's rate, the service answers 429 and executes
-// nothing.
+// The Store that New returns is for the controllers' own work. The one that ForUserRequests returns is
+// for requests of users and has a separate share. Each controller may use all of that share, because
+// the users' load is not spread evenly over the controllers. If the controllers together exceed a limit
+// of the service, it rejects calls with status 429 without executing them.
 type Store struct {
 	client         *transport.Client
-	watchClient    *transport.Client // apart, as a watch keeps its connection for long
+	watchClient    *transport.Client // separate, because a watch occupies its connection for long
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
-	maxRateWait    time.Duration // longest wait for a share of the rates; 0: as long as the context lives
+	maxRateWait    time.Duration // longest wait for the rate limits; 0: until the context is done
 	serviceLimits  config.StateLimits
 	health         *serviceHealth
 }
 
-// New returns a Store for the work of the controllers themselves, of which only the leader's amounts
-// to much.
+// New returns a Store for the controllers' own work. Its share of the rate limits is not divided among
+// the controllers, because nearly all of this work is the leader's.
 func New(address string, serviceLimits config.StateLimits) *Store {
 	client := transport.NewClient(address, limits.StateIdle, limits.MaxUpstreamBytes)
 	return &Store{
@@ -46,17 +46,17 @@
 	}
 }
 
-// WithDialer makes the store dial another way, and returns it. It must be called before the first
-// use.
+// WithDialer sets the dialer for connections to the service, and returns s. It must be called before the
+// first call.
 func (s *Store) WithDialer(d transport.Dialer) *Store {
 	s.client.WithDialer(d)
 	s.watchClient.WithDialer(d)
 	return s
 }
 
-// ForUserRequests returns a Store over the same connections with the users' share of the rates. Its calls
-// fail with ErrNotExecuted if they would have to wait long for that share, or while the service is
-// known to be unreachable.
+// ForUserRequests returns a Store that uses the same connections, but the users' share of the rate
+// limits. A call fails with ErrNotExecuted if it would have to wait for longer than
+// limits.UserRateWait, or if Unavailable returns true.
 func (s *Store) ForUserRequests() *Store {
 	users := *s
 	users.requestLimiter = newLimiter(s.serviceLimits.RPS, limits.UserReadShare, 1)
@@ -65,15 +65,15 @@
 	return &users
 }
 
-// ServiceLimits returns the limits of the service.
+// ServiceLimits returns the rate and size limits of the service.
 func (s *Store) ServiceLimits() config.StateLimits { return s.serviceLimits }
 
-// call makes a call with the usual timeout.
+// call makes a call with the default timeout, limits.StateTimeout.
 func (s *Store) call(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
 	return s.callWithTimeout(ctx, limits.StateTimeout, method, target, body)
 }
 
-// callWithTimeout makes a call and notes its outcome in the service's health.
+// callWithTimeout makes a call and records its outcome in the service's health.
 func (s *Store) callWithTimeout(
 	ctx context.Context, timeout time.Duration, method, target string, body []byte,
 ) (*transport.Message, error) {
@@ -86,8 +86,8 @@
 	return checkReply(reply, err)
 }
 
-// checkReply turns a failed call, and an answer that says that nothing was executed, into an error
-// that wraps ErrNotExecuted or ErrOutcomeUnknown.
+// checkReply returns an error that wraps ErrNotExecuted or ErrOutcomeUnknown if the call failed, or if its
+// response says that the service did not execute it.
 func checkReply(reply *transport.Message, err error) (*transport.Message, error) {
 	switch {
 	case errors.Is(err, transport.ErrNotSent):
@@ -102,10 +102,10 @@
 	return reply, nil
 }
 
-// unexpectedStatus returns the error for a status that a call does not provide for.
+// unexpectedStatus returns the error for a response status that the call does not expect.
 func unexpectedStatus(status int) error { return fmt.Errorf("%w: status %d", ErrBadRequest, status) }
 
-// decodeReply decodes the body of an answer.
+// decodeReply decodes the body of a response.
 func decodeReply[T any](reply *transport.Message) (T, error) {
 	var v T
 	err := protocol.Decode(reply.Body, &v)
--- a/internal/storage/transaction.go
+++ b/internal/storage/transaction.go
@@ -8,17 +8,18 @@
 	"quillshunt/internal/protocol"
 )
 
-// CompareAndSwap executes a transaction, all of it or nothing, and returns its revision, which is
-// the new version of the keys that it puts. If a condition does not hold, the error is a
-// *ConflictError; if the lease of an operation is over, it wraps ErrLeaseExpired.
+// CompareAndSwap executes a transaction atomically and returns its revision, which is the new version of
+// the keys that it puts. If a condition does not hold, the error wraps a *ConflictError. If an operation
+// refers to a lease that no longer exists, the error wraps ErrLeaseExpired.
 func (s *Store) CompareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
 	revision, err := s.compareAndSwap(ctx, t)
 	if err != nil {
-		return 0, fmt.Errorf("transaction: %w", err)
+		return 0, fmt.Errorf("execute transaction: %w", err)
 	}
 	return revision, nil
 }
 
+// compareAndSwap makes the call of CompareAndSwap.
 func (s *Store) compareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
 	if err := s.waitForRateLimit(ctx, len(t.Operations)); err != nil {
 		return 0, err
@@ -39,7 +40,7 @@
 		}
 		return result.Revision, nil
 	case http.StatusBadRequest:
-		// The only well-formed transaction that is rejected is one whose lease is over.
+		// A well-formed transaction is rejected only if a lease that it refers to no longer exists.
 		if hasLease(t) {
 			return 0, ErrLeaseExpired
 		}
@@ -47,7 +48,7 @@
 	return 0, unexpectedStatus(reply.Status)
 }
 
-// hasLease reports whether an operation of a transaction attaches its key to a lease.
+// hasLease reports whether any operation of a transaction attaches a key to a lease.
 func hasLease(t protocol.Transaction) bool {
 	for _, op := range t.Operations {
 		if op.Lease != 0 {
--- a/internal/storage/watch.go
+++ b/internal/storage/watch.go
@@ -13,9 +13,9 @@
 	"quillshunt/internal/transport"
 )
 
-// Watch waits for changes of keys with a prefix after a revision, for limits.WatchDuration at most;
-// then it returns no changes. The error wraps ErrCompacted if those changes are no longer available,
-// or are too many for one answer.
+// Watch returns the changes of keys with a prefix after a revision. If there are none yet, it waits for
+// up to limits.WatchDuration, and then returns no changes. The error wraps ErrCompacted if the changes
+// are no longer available, or too large for one response.
 func (s *Store) Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
 	changes, err := s.watch(ctx, prefix, since)
 	if err != nil {
@@ -24,7 +24,8 @@
 	return changes, nil
 }
 
-// watch does not touch the service's health: a watch stays open without an answer in an outage.
+// watch makes the call of Watch. It does not record the outcome in the service's health, because a watch
+// stays open without a response during an outage.
 func (s *Store) watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
 	var none protocol.WatchReply
 	if err := s.waitForRateLimit(ctx, 0); err != nil {
--- a/internal/storage/wire_test.go
+++ b/internal/storage/wire_test.go
@@ -8,10 +8,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestRecordBytes pins every record to the bytes that other builds read, and to its size as the
-// state service counts it: a rename in Go must change neither. The bytes are those that commit
-// 9ae7341 writes, the version that the first rolling upgrade starts from: what it has stored is
-// read as it was meant, and it reads what this version stores.
+// TestRecordBytes checks the encoding of every record, and its size as the state service counts it. Neither
+// may change with a rename in Go. The expected bytes are those that commit 9ae7341 writes, the version
+// from which the first rolling upgrade starts: each of the two versions must read what the other stores.
 func TestRecordBytes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -46,7 +45,7 @@
 		{"FinishedTasks", FinishedTasks{64, "AQ"}, "a2644261736518406442697473624151", 23},
 	} {
 		if got := hex.EncodeToString(protocol.Encode(c.record)); got != c.bytes {
-			t.Errorf("%s: %s, want %s", c.name, got, c.bytes)
+			t.Errorf("%s: encoded as %s, want %s", c.name, got, c.bytes)
 		}
 		read := reflect.New(reflect.TypeOf(c.record))
 		b, err := hex.DecodeString(c.bytes)
@@ -55,15 +54,15 @@
 		}
 		err = protocol.Decode(b, read.Interface())
 		if err != nil || !reflect.DeepEqual(read.Elem().Interface(), c.record) {
-			t.Errorf("%s: read as %+v, %v", c.name, read.Elem(), err)
+			t.Errorf("%s: decoded as %+v, error %v; want %+v", c.name, read.Elem(), err, c.record)
 		}
 		if got := EncodedSize(c.record); got != c.size {
-			t.Errorf("%s: size %d, want %d", c.name, got, c.size)
+			t.Errorf("%s: size %d bytes, want %d", c.name, got, c.size)
 		}
 	}
 }
 
-// TestKeys pins the keys of the state service.
+// TestKeys checks the keys under which records are stored, which other versions read and write as well.
 func TestKeys(t *testing.T) {
 	for _, c := range []struct{ key, want string }{
 		{KeyLeader, "leader"}, {KeyTerm, "term"}, {KeyLeaderHeartbeat, "beat"}, {KeyMachineTypes, "types"},
