--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -181,9 +181,9 @@
 	return nil
 }
 
-func checkValueSize(field string, kb float64) error {
-	if !(kb >= limits.MinValueKB) || math.IsInf(kb, 0) {
-		return fmt.Errorf("%s: must be at least %v, got %v", field, limits.MinValueKB, kb)
+func checkValueSize(field string, valueKB float64) error {
+	if !(valueKB >= limits.MinValueKB) || math.IsInf(valueKB, 0) {
+		return fmt.Errorf("%s: must be at least %v, got %v", field, limits.MinValueKB, valueKB)
 	}
 	return nil
 }
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -139,28 +139,29 @@
 // check checks that all options are within their ranges. Its error text has one line for each option
 // that is not, under the name by which the file sets it.
 func (o *Options) check(old oldNames) error {
-	number := func(key string, v, lo, hi float64) error {
+	checkNumber := func(key string, v, lo, hi float64) error {
 		if !(v >= lo && v <= hi) { // negated so that NaN is rejected
 			return fmt.Errorf("%s: must be between %v and %v, got %v", old.nameInFile(key), lo, hi, v)
 		}
 		return nil
 	}
-	duration := func(key string, d Duration, lo, hi time.Duration) error {
+	checkDuration := func(key string, d Duration, lo, hi time.Duration) error {
 		if v := time.Duration(d); v < lo || v > hi {
 			return fmt.Errorf("%s: must be between %v and %v, got %v", old.nameInFile(key), lo, hi, v)
 		}
 		return nil
 	}
 	return errors.Join(
-		duration("leadership.leader_lease", o.Leadership.LeaderLease, limits.LeaderLeaseMin, limits.LeaderLeaseMax),
-		duration("preemption.slack", o.Preemption.Slack, 0, time.Hour),
-		number("preemption.restart_weight", o.Preemption.RestartWeight, 0, 1000),
-		number("fleet.max_machines", float64(o.Fleet.MaxMachines), 0, 100_000),
-		duration("fleet.max_planned_wait", o.Fleet.MaxPlannedWait, 0, time.Hour),
-		number("fleet.planned_wait_slack_ratio", o.Fleet.PlannedWaitSlackRatio, 0, 1),
-		duration("fleet.idle_timeout", o.Fleet.IdleTimeout, 0, 24*time.Hour),
-		number("fleet.headroom", o.Fleet.Headroom, 0, 100),
-		number("fleet.expensive_pool_ratio", o.Fleet.ExpensivePoolRatio, 1, 1e6),
-		duration("fleet.expensive_pool_slack", o.Fleet.ExpensivePoolSlack, 0, 24*time.Hour),
+		checkDuration("leadership.leader_lease", o.Leadership.LeaderLease,
+			limits.LeaderLeaseMin, limits.LeaderLeaseMax),
+		checkDuration("preemption.slack", o.Preemption.Slack, 0, time.Hour),
+		checkNumber("preemption.restart_weight", o.Preemption.RestartWeight, 0, 1000),
+		checkNumber("fleet.max_machines", float64(o.Fleet.MaxMachines), 0, 100_000),
+		checkDuration("fleet.max_planned_wait", o.Fleet.MaxPlannedWait, 0, time.Hour),
+		checkNumber("fleet.planned_wait_slack_ratio", o.Fleet.PlannedWaitSlackRatio, 0, 1),
+		checkDuration("fleet.idle_timeout", o.Fleet.IdleTimeout, 0, 24*time.Hour),
+		checkNumber("fleet.headroom", o.Fleet.Headroom, 0, 100),
+		checkNumber("fleet.expensive_pool_ratio", o.Fleet.ExpensivePoolRatio, 1, 1e6),
+		checkDuration("fleet.expensive_pool_slack", o.Fleet.ExpensivePoolSlack, 0, 24*time.Hour),
 	)
 }
--- a/internal/storage/calls_test.go
+++ b/internal/storage/calls_test.go
@@ -162,8 +162,8 @@
 	if err != nil || revision != 5 || !reflect.DeepEqual(keys, []string{"a/1", "a/2", "a/3"}) {
 		t.Errorf("listed keys %v at revision %d, error %v; want a/1 to a/3 at revision 5", keys, revision, err)
 	}
-	stop := errors.New("stop")
-	if _, err := s.List(t.Context(), "a/", func(protocol.KeyValue) error { return stop }); err != stop {
+	errStop := errors.New("stop")
+	if _, err := s.List(t.Context(), "a/", func(protocol.KeyValue) error { return errStop }); err != errStop {
 		t.Errorf("error %v, want that of the callback unchanged", err)
 	}
 }
--- a/internal/storage/finished_tasks_test.go
+++ b/internal/storage/finished_tasks_test.go
@@ -12,42 +12,42 @@
 // for several value limits, and that each record fits the limit.
 func TestFinishedTasksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kb := rapid.SampledFrom([]float64{0.25, 1, 4, 8}).Draw(t, "kb")
-		size := TasksPerChunk(kb)
+		valueKB := rapid.SampledFrom([]float64{0.25, 1, 4, 8}).Draw(t, "kb")
+		size := TasksPerChunk(valueKB)
 		tasks := rapid.IntRange(1, 100_000).Draw(t, "tasks")
 		bits := make([]uint64, (tasks+63)/64)
 		want := map[int]bool{}
 		for range rapid.IntRange(0, 200).Draw(t, "done") {
-			i := rapid.IntRange(0, tasks-1).Draw(t, "i")
-			bits[i/64] |= 1 << (i % 64)
-			want[i] = true
+			task := rapid.IntRange(0, tasks-1).Draw(t, "i")
+			bits[task/64] |= 1 << (task % 64)
+			want[task] = true
 		}
 		if rapid.Bool().Draw(t, "all") {
-			for i := range tasks {
-				bits[i/64] |= 1 << (i % 64)
-				want[i] = true
+			for task := range tasks {
+				bits[task/64] |= 1 << (task % 64)
+				want[task] = true
 			}
 		}
 		got := map[int]bool{}
-		for base := 0; base < tasks; base += size {
-			chunk := EncodeFinishedTasks(bits, base, size)
-			if !FitsValueLimit(chunk, kb) {
-				t.Fatalf("record of a chunk of %d tasks does not fit %v KiB", size, kb)
+		for firstTask := 0; firstTask < tasks; firstTask += size {
+			chunk := EncodeFinishedTasks(bits, firstTask, size)
+			if !FitsValueLimit(chunk, valueKB) {
+				t.Fatalf("record of a chunk of %d tasks does not fit %v KiB", size, valueKB)
 			}
 			var decoded FinishedTasks
 			if err := protocol.Decode(protocol.Encode(chunk), &decoded); err != nil {
 				t.Fatal(err)
 			}
-			if err := decoded.Decode(func(i int) { got[i] = true }); err != nil {
+			if err := decoded.Decode(func(task int) { got[task] = true }); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if len(got) != len(want) {
 			t.Fatalf("decoded %d finished tasks, want %d", len(got), len(want))
 		}
-		for i := range want {
-			if !got[i] {
-				t.Fatalf("finished task %d is missing from the decoded chunks", i)
+		for task := range want {
+			if !got[task] {
+				t.Fatalf("finished task %d is missing from the decoded chunks", task)
 			}
 		}
 	})
@@ -55,8 +55,9 @@
 
 // TestFinishedTasksKey checks that a key is parsed into its parts, and that other keys are rejected.
 func TestFinishedTasksKey(t *testing.T) {
-	if id, base, ok := ParseFinishedTasksKey(FinishedTasksKey("job-7", 4096)); !ok || id != "job-7" || base != 4096 {
-		t.Fatalf("parsed as job %q, first task %d, ok %v", id, base, ok)
+	if id, firstTask, ok := ParseFinishedTasksKey(FinishedTasksKey("job-7", 4096)); !ok ||
+		id != "job-7" || firstTask != 4096 {
+		t.Fatalf("parsed as job %q, first task %d, ok %v", id, firstTask, ok)
 	}
 	for _, key := range []string{"open/job-7", "fin/job-7", "fin/job-7/x"} {
 		if _, _, ok := ParseFinishedTasksKey(key); ok {
