--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -14,6 +14,8 @@
 
 // Options are set by the operators in a TOML file, beside the settings file that the platform writes.
 // An option that the file does not set keeps its default. docs/options.example.toml explains each one.
+// The slack of a job, to which some options refer, is how long it can still wait and meet its next
+// deadline.
 type Options struct {
 	Leadership LeadershipOptions `toml:"leadership"`
 	Preemption PreemptionOptions `toml:"preemption"`
@@ -34,8 +36,8 @@
 // FleetOptions configure how machines are rented (scaling out) and returned (scaling in). A pool is
 // the machines of one type in one zone, spot or not.
 type FleetOptions struct {
-	// MaxMachines limits how many machines are rented at once. With 0, the limit follows from the
-	// sockets that the controller may open.
+	// MaxMachines limits how many machines are rented at the same time. With 0, the limit follows from
+	// the number of sockets that the controller may open.
 	MaxMachines int `toml:"max_machines"`
 	// MaxPlannedWait is the longest time that a job is planned to wait for free resources.
 	MaxPlannedWait Duration `toml:"max_planned_wait"`
--- a/internal/config/options_renamed.go
+++ b/internal/config/options_renamed.go
@@ -38,7 +38,7 @@
 // renamedOption is an option that can also be set by its old name. Both names include the TOML table.
 type renamedOption struct {
 	oldName, newName string
-	apply            func() bool // copies the value given by the old name, and reports whether there is one
+	apply            func() bool // copies a value set by the old name to the option; reports whether there is one
 }
 
 func (f *optionsFile) renamedOptions() []renamedOption {
@@ -55,6 +55,7 @@
 	}
 }
 
+// setIfGiven returns a function that copies old to option unless old is nil, and reports whether it did.
 func setIfGiven[T any](option, old *T) func() bool {
 	return func() bool {
 		if old == nil {
--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -9,7 +9,7 @@
 )
 
 // Backoff waits between retries. The delay doubles with each wait, from limits.RetryMin up to
-// limits.RetryMax, and is jittered by up to half. The zero value is ready to use.
+// limits.RetryMax, with a jitter of up to half of it either way. The zero value is ready to use.
 type Backoff struct{ delay time.Duration }
 
 // Wait waits for the next delay. It returns false as soon as the context is done.
--- a/internal/storage/calls_test.go
+++ b/internal/storage/calls_test.go
@@ -23,7 +23,8 @@
 	return New(address, config.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8})
 }
 
-// storeCalls holds the calls of a Store except RevokeLease, by the prefix of their error texts.
+// storeCalls holds the calls of a Store by the prefix of their error texts. RevokeLease is not among them,
+// as it accepts every status that other calls do not expect.
 var storeCalls = map[string]func(context.Context, *Store) error{
 	"get a/b: ": func(ctx context.Context, s *Store) error {
 		_, err := s.Get(ctx, "a/b")
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -10,9 +10,9 @@
 // An error of a Store wraps one of these errors or a *ConflictError, unless a response could not be
 // decoded or the caller's own function failed.
 var (
-	// ErrNotExecuted means that the request was not executed and never will be, so it may be repeated:
-	// the service rejected it (429 or 503), it was not sent, or the wait for the client-side rate limit
-	// took too long.
+	// ErrNotExecuted means that the request was not executed and never will be, so it may be repeated.
+	// Either the service rejected it (429 or 503), or it was not sent, for example because the wait for
+	// the client-side rate limit took too long.
 	ErrNotExecuted = errors.New("state service did not execute the request")
 	// ErrRateLimited means that the service rejected the request because its own rate limit was exceeded
 	// (429). An error that wraps it also wraps ErrNotExecuted.
--- a/internal/storage/health.go
+++ b/internal/storage/health.go
@@ -17,7 +17,6 @@
 	rejectedCalls   atomic.Int64 // calls that the service rejected with 429 or 503
 }
 
-// recordStart records that a call starts.
 func (h *serviceHealth) recordStart(startedAt time.Time) { h.lastCallAt.Store(startedAt.UnixNano()) }
 
 // recordOutcome records the outcome of a call. A 429 counts as a success: it shows that the service
@@ -48,7 +47,7 @@
 }
 
 // Counters returns how many operations were sent in transactions, and how many calls the service
-// rejected, since the Store was created. They are for the log.
+// rejected, since New. They are for the log.
 func (s *Store) Counters() (writeOperations, rejectedCalls int64) {
 	return s.health.writeOperations.Load(), s.health.rejectedCalls.Load()
 }
--- a/internal/storage/health_test.go
+++ b/internal/storage/health_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		controllers := New("127.0.0.1:1", config.StateLimits{RPS: 100, WriteRPS: 10, TxnOps: 8})
 		users := controllers.ForUserRequests()
-		recordFailure := func() { // has the effect of a failed call on the health
+		recordFailure := func() { // changes the recorded health as a failed call does
 			users.health.lastCallAt.Store(time.Now().UnixNano())
 			users.health.failingSince.CompareAndSwap(0, time.Now().UnixNano())
 		}
--- a/internal/storage/jobs.go
+++ b/internal/storage/jobs.go
@@ -20,7 +20,7 @@
 	Spec          protocol.Spec `cbor:"Spec" json:"Spec"`
 	Cancelled     bool          `cbor:"Cancelled" json:"Cancelled"`
 	SubmittedAtMs int64         `cbor:"AtMs" json:"AtMs"`
-	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // no user was told of the cancellation earlier
+	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // no user has been told of the cancellation earlier
 }
 
 // TrimmedToLimit returns the record of a cancelled job without some fields if it exceeds the value
--- a/internal/storage/lease.go
+++ b/internal/storage/lease.go
@@ -27,7 +27,6 @@
 	return id, nil
 }
 
-// createLease makes the call of CreateLease.
 func (s *Store) createLease(ctx context.Context, duration time.Duration) (uint64, error) {
 	request := protocol.LeaseRequest{DurationMs: duration.Milliseconds()}
 	reply, err := s.call(ctx, http.MethodPost, "/holds", protocol.Encode(request))
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -40,7 +40,7 @@
 		if last := len(parts) - 1; last >= 0 {
 			extended := MachineTypesPart{
 				MachineTypes: append(slices.Clone(parts[last].MachineTypes), t),
-				Parts:        limits.MaxMachineTypes, // has the most digits that the final number can have
+				Parts:        limits.MaxMachineTypes, // not known yet; no number of parts has more digits
 			}
 			if FitsValueLimit(extended, valueKB) {
 				parts[last] = extended
--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -21,7 +21,6 @@
 	return kv, nil
 }
 
-// get makes the call of Get.
 func (s *Store) get(ctx context.Context, key string) (protocol.KeyValue, error) {
 	var kv protocol.KeyValue
 	if err := s.waitForRateLimit(ctx, 0); err != nil {
--- a/internal/storage/transaction.go
+++ b/internal/storage/transaction.go
@@ -19,7 +19,6 @@
 	return revision, nil
 }
 
-// compareAndSwap makes the call of CompareAndSwap.
 func (s *Store) compareAndSwap(ctx context.Context, t protocol.Transaction) (uint64, error) {
 	if err := s.waitForRateLimit(ctx, len(t.Operations)); err != nil {
 		return 0, err
