--- a/internal/coordination/leader/load.go
+++ b/internal/coordination/leader/load.go
@@ -24,7 +24,7 @@
 				t.step(ctx, event)
 			}
 			t.step(ctx, scheduler.StateLoaded{})
-			t.leadership.Observe(revision)
+			t.leadership.SetObservedRevision(revision)
 			return revision, true
 		}
 		t.log.Warn("failed to load the scheduler's state; retrying", "err", err)
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -41,7 +41,7 @@
 	t.sendEvent(ctx, scheduler.ProbeDone{
 		Machine:   probe.Machine,
 		Heartbeat: heartbeat,
-		Took:      time.Since(startedAt),
+		Elapsed:   time.Since(startedAt),
 		NotSent:   errors.Is(err, transport.ErrSocketBudget),
 	})
 }
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -111,7 +111,7 @@
 	case eventMessage:
 		t.step(ctx, msg.event)
 	case observedRevisionMessage:
-		t.leadership.Observe(msg.revision)
+		t.leadership.SetObservedRevision(msg.revision)
 	case taskCountsMessage:
 		t.step(ctx, scheduler.TaskCountsRequested{JobID: msg.job, ReplyTo: msg.reply})
 	case cancellationMessage:
