--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -63,9 +63,9 @@
 var (
 	gangWaitTimeoutS   = 20.0
 	gangPeerDetectionS = 5.0
-	workerTimes        = config.Workers{
-		ReportS: heartbeatIntervalS, LeaseS: workerLeaseS, CancelS: cancelWithinS,
-		GangWaitS: &gangWaitTimeoutS, GangPeerS: &gangPeerDetectionS,
+	workerTimes        = config.WorkerTimes{
+		HeartbeatIntervalS: heartbeatIntervalS, LeaseS: workerLeaseS, CancelWithinS: cancelWithinS,
+		GangWaitTimeoutS: &gangWaitTimeoutS, GangPeerDetectionS: &gangPeerDetectionS,
 	}
 )
 
@@ -73,15 +73,15 @@
 var (
 	announcedValueKB = 2.0
 	announcedTxnOps  = 4
-	stateLimits      = config.State{
+	stateLimits      = config.StateLimits{
 		RPS: 300, WriteRPS: 60, ValueKB: 4, TxnOps: 8,
-		Next: &config.NextState{ValueKB: &announcedValueKB, TxnOps: &announcedTxnOps},
+		Next: &config.NextStateLimits{ValueKB: &announcedValueKB, TxnOps: &announcedTxnOps},
 	}
 )
 
 var teams = []config.Team{
-	{Name: "red", CPUs: 16, CPUsMax: 32},
-	{Name: "blue", CPUs: 16, CPUsMax: 48},
+	{Name: "red", GuaranteedCPUs: 16, MaxCPUs: 32},
+	{Name: "blue", GuaranteedCPUs: 16, MaxCPUs: 48},
 }
 
 // runScenario starts a cluster in a synctest bubble, which has virtual time, and runs a scenario in it.
@@ -170,14 +170,14 @@
 		NodeName: name,
 		Zone:     "a",
 		External: config.External{Cloud: "cloud:1", State: "state-" + name + ":1"},
-		Facts: config.Facts{
-			Zones:   c.zones,
-			Teams:   teams,
-			Workers: workerTimes,
-			State:   stateLimits.Lowest(),
-			Cloud:   config.Cloud{RPS: 5, ListLagS: 2},
-			Machine: config.MachineLimits{CoreShare: 0.2, MemoryMB: 100, MaxSockets: 500},
-			SkewMs:  100,
+		Deployment: config.Deployment{
+			Zones:          c.zones,
+			Teams:          teams,
+			Workers:        workerTimes,
+			State:          stateLimits.Lowest(),
+			Cloud:          config.CloudLimits{RPS: 5, ListLagS: 2},
+			MachineLimits:  config.MachineLimits{CoreShare: 0.2, MemoryMB: 100, MaxSockets: 500},
+			MaxClockSkewMs: 100,
 		},
 	}
 	for i, other := range c.nodeNames {
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -36,12 +36,12 @@
 // New assembles a controller without starting it. If dialer is nil, connections are made over TCP.
 // New returns an error if the address of another controller is malformed.
 func New(s *config.Settings, options config.Options, dialer transport.Dialer, log *slog.Logger) (*Controller, error) {
-	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, len(s.Members))
+	shares := limits.DivideSockets(s.Deployment.MachineLimits.MaxSockets, len(s.Members))
 	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
 
 	// Clients of the state service, the cloud and the other controllers.
-	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
-	cloud := leader.NewCloudClient(s.External.Cloud, s.Facts.Cloud.RPS, dialer)
+	store := storage.New(s.External.State, s.Deployment.State).WithDialer(dialer)
+	cloud := leader.NewCloudClient(s.External.Cloud, s.Deployment.Cloud.RPS, dialer)
 	peers, err := peer.NewPeers(s.Members, dialer)
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 		Store:         store,
 		Peers:         peers,
 		LeaseDuration: time.Duration(options.Leadership.LeaderLease),
-		VoteLease:     limits.VoteLease(limits.Seconds(s.Facts.Workers.LeaseS)),
+		VoteLease:     limits.VoteLease(limits.Seconds(s.Deployment.Workers.LeaseS)),
 		RunTerm:       dispatcher.RunTerm,
 		Log:           log,
 	})
@@ -80,7 +80,7 @@
 	return gateway.New(gateway.Options{
 		Node:       c.settings.NodeName,
 		Settings:   c.settings,
-		Store:      c.store.ForUsers(),
+		Store:      c.store.ForUserRequests(),
 		Dispatcher: c.dispatcher,
 		Peers:      c.peers,
 		LeaderName: c.elector.Leader,
@@ -95,7 +95,7 @@
 		Addr:               c.settings.ClientListen,
 		MaxConns:           shares.Inbound,
 		MaxMachineConns:    shares.MachineConns,
-		MachineIdleTimeout: limits.Seconds(c.settings.Facts.Workers.LeaseS),
+		MachineIdleTimeout: limits.Seconds(c.settings.Deployment.Workers.LeaseS),
 		Sockets:            sockets,
 		Handle:             c.gateway.Handle,
 		Log:                c.log,
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -59,8 +59,8 @@
 		c.checkSameZone(j, task, machine)
 	}
 	for _, team := range teams {
-		if used := c.usedCPUs(team.Name); used > team.CPUsMax {
-			c.recordViolation("quota: team %s uses %v CPUs, limit %v", team.Name, used, team.CPUsMax)
+		if used := c.usedCPUs(team.Name); used > team.MaxCPUs {
+			c.recordViolation("quota: team %s uses %v CPUs, limit %v", team.Name, used, team.MaxCPUs)
 		}
 	}
 }
--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -32,7 +32,7 @@
 		return fmt.Errorf("create the lease of the leader key: %w", err)
 	}
 	c := candidacy{
-		leader:     storage.LeaderRecord{Node: e.options.Node, Term: last.Term + 1, Nonce: e.voter.nonce},
+		leader:     storage.LeaderRecord{Node: e.options.Node, Term: last.Term + 1, ProcessNonce: e.voter.nonce},
 		leaseID:    leaseID,
 		conditions: append(conditions, versionCondition(storage.KeyTerm, termVersion)),
 	}
--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -89,7 +89,7 @@
 	}
 	_, err := e.options.Store.CompareAndSwap(ctx, protocol.Transaction{Operations: []protocol.Operation{{
 		Put:   storage.VoteWithdrawalKey(e.options.Node),
-		Value: protocol.Encode(storage.VoteWithdrawal{Heartbeat: s.heartbeatVersion}),
+		Value: protocol.Encode(storage.VoteWithdrawal{HeartbeatVersion: s.heartbeatVersion}),
 	}}})
 	s.withdrawalRecorded = err == nil
 	return s.withdrawalRecorded
@@ -104,7 +104,7 @@
 		if err := protocol.Decode(key.Value, &w); err != nil {
 			return err
 		}
-		if w.Heartbeat >= heartbeatVersion {
+		if w.HeartbeatVersion >= heartbeatVersion {
 			withdrawals++
 		}
 		return nil
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 
 // enableGangs changes the settings so that the workers support gangs.
 func enableGangs(s *config.Settings) {
-	s.Facts.Workers.GangWaitS, s.Facts.Workers.GangPeerS = new(float64), new(float64)
+	s.Deployment.Workers.GangWaitTimeoutS, s.Deployment.Workers.GangPeerDetectionS = new(float64), new(float64)
 }
 
 // TestUserAPI checks the responses to a sequence of requests, which depend on the jobs that earlier
@@ -274,7 +274,7 @@
 // record is above the new limit can still be cancelled, and a repeated submission of it is recognized.
 func TestRecordAboveLoweredValueLimit(t *testing.T) {
 	const valueKB = 0.5
-	f := newGatewayFixture(t, func(s *config.Settings) { s.Facts.State.ValueKB = valueKB })
+	f := newGatewayFixture(t, func(s *config.Settings) { s.Deployment.State.ValueKB = valueKB })
 	stored := protocol.Spec{
 		ID: "job-1", Class: "train", Team: "vision", Shape: protocol.ShapeArray, Priority: "high",
 		Tasks: 2, CPUs: 8, Image: "img",
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -59,7 +59,7 @@
 	f := &loadFixture{
 		t:            t,
 		settings:     settings,
-		socketShares: limits.DivideSockets(settings.Facts.Machine.MaxSockets, 4),
+		socketShares: limits.DivideSockets(settings.Deployment.MachineLimits.MaxSockets, 4),
 		state:        standin.NewStateService(),
 		address:      unusedAddress(t),
 		readBuffer:   make([]byte, 64<<10),
@@ -87,12 +87,12 @@
 }
 
 func loadSettings() *config.Settings {
-	return &config.Settings{NodeName: testNode, Facts: config.Facts{
-		Teams:   []config.Team{{Name: "red", CPUs: 100, CPUsMax: 1e6}},
-		Workers: config.Workers{ReportS: 5, LeaseS: 27, CancelS: 47},
-		State:   config.State{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 8},
-		Cloud:   config.Cloud{RPS: 100, ListLagS: 3},
-		Machine: config.MachineLimits{CoreShare: 0.3, MemoryMB: loadMemoryMB, MaxSockets: loadMaxSockets},
+	return &config.Settings{NodeName: testNode, Deployment: config.Deployment{
+		Teams:         []config.Team{{Name: "red", GuaranteedCPUs: 100, MaxCPUs: 1e6}},
+		Workers:       config.WorkerTimes{HeartbeatIntervalS: 5, LeaseS: 27, CancelWithinS: 47},
+		State:         config.StateLimits{RPS: 1e5, WriteRPS: 1e5, ValueKB: 8, TxnOps: 8},
+		Cloud:         config.CloudLimits{RPS: 100, ListLagS: 3},
+		MachineLimits: config.MachineLimits{CoreShare: 0.3, MemoryMB: loadMemoryMB, MaxSockets: loadMaxSockets},
 	}}
 }
 
@@ -150,7 +150,7 @@
 	}))
 
 	sockets := transport.NewSocketBudget(f.socketShares.Total, f.socketShares.Headroom)
-	store := storage.New(stateAddress, f.settings.Facts.State)
+	store := storage.New(stateAddress, f.settings.Deployment.State)
 	f.dispatcher = leader.NewDispatcher(leader.DispatcherOptions{
 		Settings: f.settings,
 		Options:  config.DefaultOptions(),
@@ -162,7 +162,7 @@
 	g := New(Options{
 		Node:       testNode,
 		Settings:   f.settings,
-		Store:      store.ForUsers(),
+		Store:      store.ForUserRequests(),
 		Dispatcher: f.dispatcher,
 		Peers:      noPeers(f.t),
 		LeaderName: func() string { return "" },
--- a/internal/coordination/scheduler/cancel_deadlines.go
+++ b/internal/coordination/scheduler/cancel_deadlines.go
@@ -22,7 +22,7 @@
 // of the cancellation late first waits limits.CancelStopGrace for its stop commands to take effect, but
 // not beyond limits.CancelDeleteLatestShare of cancel_s.
 func (e *environment) cancelDeletionAt(j *job) time.Duration {
-	cancelLimit := limits.Seconds(e.cfg.Workers.CancelS)
+	cancelLimit := limits.Seconds(e.cfg.Workers.CancelWithinS)
 	window := limits.CancelHeartbeatWindow(cancelLimit, e.workerLease)
 	usual := j.cancelledAt + time.Duration(limits.CancelDeleteShare*float64(window))
 	latest := j.cancelledAt + time.Duration(limits.CancelDeleteLatestShare*float64(cancelLimit))
@@ -35,5 +35,5 @@
 // even if the worker ignores stop commands, or hangs and then resumes. The machine's other tasks are
 // lost, as they would be by the deletion.
 func (e *environment) cancelReplyUntil(j *job) time.Duration {
-	return j.cancelledAt + limits.CancelHeartbeatWindow(limits.Seconds(e.cfg.Workers.CancelS), e.workerLease)
+	return j.cancelledAt + limits.CancelHeartbeatWindow(limits.Seconds(e.cfg.Workers.CancelWithinS), e.workerLease)
 }
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -27,7 +27,7 @@
 		// no earlier leader has seen the cancellation, as it would have let the workers' leases expire
 		// in time. The user cannot have been told in that case, so the period starts now.
 		j.cancelled, j.cancelledAt, j.cancelObservedAt = true, s.now, s.now
-		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelS) {
+		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelWithinS) {
 			j.cancelledAt -= e.SinceCancellation
 		}
 		s.logInfo("job cancelled", keyJob, j.id, "assigned_tasks", len(j.assignments))
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -16,11 +16,11 @@
 	Term       uint64 // also the leader's fencing token
 	Teams      []config.Team
 	Objectives []config.Objective
-	Workers    config.Workers
-	State      config.State  // limits of the state service
-	ListLag    time.Duration // usual delay until a change shows in the cloud's list of machines
-	CloudRPS   float64       // limit on requests to the cloud per second
-	CoreShare  float64       // CPU cores available to this controller, as a share of one; 0 if unknown
+	Workers    config.WorkerTimes
+	State      config.StateLimits // limits of the state service
+	ListLag    time.Duration      // usual delay until a change shows in the cloud's list of machines
+	CloudRPS   float64            // limit on requests to the cloud per second
+	CoreShare  float64            // CPU cores available to this controller, as a share of one; 0 if unknown
 	Options    config.Options
 }
 
--- a/internal/coordination/scheduler/team.go
+++ b/internal/coordination/scheduler/team.go
@@ -17,14 +17,14 @@
 // withinLimit reports whether the team stays within its limit if it uses the given resources in addition.
 func (t *team) withinLimit(demand resource.Vector) bool {
 	const eps = limits.Epsilon
-	return t.allocated.CPUs+demand.CPUs <= t.cfg.CPUsMax+eps &&
-		t.allocated.Accelerators+demand.Accelerators <= t.cfg.GPUsMax+eps
+	return t.allocated.CPUs+demand.CPUs <= t.cfg.MaxCPUs+eps &&
+		t.allocated.Accelerators+demand.Accelerators <= t.cfg.MaxGPUs+eps
 }
 
 // guaranteeCovers reports whether the team's guarantee is at least as large as the given resources.
 func (t *team) guaranteeCovers(demand resource.Vector) bool {
 	const eps = limits.Epsilon
-	return demand.CPUs <= t.cfg.CPUs+eps && demand.Accelerators <= t.cfg.GPUs+eps
+	return demand.CPUs <= t.cfg.GuaranteedCPUs+eps && demand.Accelerators <= t.cfg.GuaranteedGPUs+eps
 }
 
 // isBorrowing reports whether the team uses more resources than it is guaranteed.
--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -8,24 +8,24 @@
 	"quillshunt/internal/limits"
 )
 
-// Backoff is a jittered pause between tries that grows from limits.RetryMin to limits.RetryMax. Its
-// zero value is ready for use.
-type Backoff struct{ next time.Duration }
+// Backoff waits between retries. The delay doubles with each wait, from limits.RetryMin up to
+// limits.RetryMax, with a jitter of up to half of it either way. The zero value is ready to use.
+type Backoff struct{ delay time.Duration }
 
-// Wait sleeps and reports whether the context is still alive.
+// Wait waits for the next delay. It returns false as soon as the context is done.
 func (b *Backoff) Wait(ctx context.Context) bool {
-	if b.next == 0 {
-		b.next = limits.RetryMin
+	if b.delay == 0 {
+		b.delay = limits.RetryMin
 	}
-	pause := b.next/2 + rand.N(b.next)
-	b.next = min(b.next*2, limits.RetryMax)
+	pause := b.delay/2 + rand.N(b.delay)
+	b.delay = min(b.delay*2, limits.RetryMax)
 	return Sleep(ctx, pause)
 }
 
-// Reset starts over with short pauses.
-func (b *Backoff) Reset() { b.next = 0 }
+// Reset makes the next delay the shortest one again.
+func (b *Backoff) Reset() { b.delay = 0 }
 
-// Sleep waits and reports whether the context is still alive.
+// Sleep waits for a duration. It returns false as soon as the context is done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/storage/finished_tasks.go
+++ b/internal/storage/finished_tasks.go
@@ -9,26 +9,27 @@
 	"quillshunt/internal/limits"
 )
 
-// PrefixFinishedTasks is the prefix of the keys of finished tasks; the job's ID and the first task
-// of the chunk follow.
+// PrefixFinishedTasks is the prefix of the keys of chunks of finished tasks. The job's ID and the first
+// task of the chunk follow.
 const PrefixFinishedTasks = "fin/"
 
-// wordBits is the size of the words of a bitmap of tasks; chunks begin and end between words.
+// wordBits is the word size of a bitmap of tasks. Chunks begin and end at word boundaries.
 const wordBits = 64
 
-// FinishedTasks is a chunk of a job's finished tasks.
+// FinishedTasks is the record of one chunk of a job's tasks. It says which of them have finished.
 type FinishedTasks struct {
-	Base int    `cbor:"Base" json:"Base"` // first task of the chunk
-	Bits string `cbor:"Bits" json:"Bits"` // bitmap in base64: bit i is task Base+i; zero bytes at the end are left out
+	FirstTask int    `cbor:"Base" json:"Base"` // first task of the chunk
+	Bitmap    string `cbor:"Bits" json:"Bits"` // in base64; bit i is task FirstTask+i; trailing zero bytes are omitted
 }
 
-// FinishedTasksKey returns the key of a chunk of a job's finished tasks.
-func FinishedTasksKey(id string, base int) string {
-	return fmt.Sprintf("%s%s/%d", PrefixFinishedTasks, id, base)
+// FinishedTasksKey returns the key of the chunk of a job's finished tasks that starts at firstTask.
+func FinishedTasksKey(id string, firstTask int) string {
+	return fmt.Sprintf("%s%s/%d", PrefixFinishedTasks, id, firstTask)
 }
 
-// ParseFinishedTasksKey splits a key that FinishedTasksKey returned, and reports whether it is one.
-func ParseFinishedTasksKey(key string) (id string, base int, ok bool) {
+// ParseFinishedTasksKey returns the job's ID and the first task from a key of FinishedTasksKey. For any
+// other key, ok is false.
+func ParseFinishedTasksKey(key string) (id string, firstTask int, ok bool) {
 	rest, ok := strings.CutPrefix(key, PrefixFinishedTasks)
 	if !ok {
 		return "", 0, false
@@ -37,25 +38,25 @@
 	if !ok {
 		return "", 0, false
 	}
-	base, err := strconv.Atoi(number)
-	return id, base, err == nil
+	firstTask, err := strconv.Atoi(number)
+	return id, firstTask, err == nil
 }
 
-// TasksPerChunk returns how many tasks a chunk holds so that its record stays below the value limit.
-// It is a multiple of 64.
+// TasksPerChunk returns the number of tasks in a chunk, a multiple of 64, for which its record fits the
+// value limit.
 func TasksPerChunk(valueKB float64) int {
 	chars := int(valueKB*1024) - limits.FinishedTasksOverhead
-	tasks := chars / 4 * 3 * 8 // base64 carries three bytes in four characters
+	tasks := chars / 4 * 3 * 8 // four characters of base64 encode three bytes
 	return max(tasks/wordBits*wordBits, wordBits)
 }
 
-// EncodeFinishedTasks returns the chunk of size tasks that starts at task base, from a bitmap of all
-// tasks of the job. Both base and size are multiples of 64.
-func EncodeFinishedTasks(bits []uint64, base, size int) FinishedTasks {
-	first := base / wordBits
-	last := min(first+size/wordBits, len(bits))
-	b := make([]byte, 0, (last-first)*8)
-	for _, word := range bits[first:last] {
+// EncodeFinishedTasks returns the record of the chunk of size tasks that starts at firstTask. The bitmap
+// covers all tasks of the job. Both firstTask and size must be multiples of 64.
+func EncodeFinishedTasks(bitmap []uint64, firstTask, size int) FinishedTasks {
+	firstWord := firstTask / wordBits
+	endWord := min(firstWord+size/wordBits, len(bitmap))
+	b := make([]byte, 0, (endWord-firstWord)*8)
+	for _, word := range bitmap[firstWord:endWord] {
 		for k := range 8 {
 			b = append(b, byte(word>>(8*k)))
 		}
@@ -63,20 +64,20 @@
 	for len(b) > 0 && b[len(b)-1] == 0 {
 		b = b[:len(b)-1]
 	}
-	return FinishedTasks{Base: base, Bits: base64.RawStdEncoding.EncodeToString(b)}
+	return FinishedTasks{FirstTask: firstTask, Bitmap: base64.RawStdEncoding.EncodeToString(b)}
 }
 
-// Decode calls set for each finished task of a chunk. The error says that the bitmap is not base64;
-// then set was not called.
+// Decode calls set for each finished task of the chunk. If the bitmap is not valid base64, it returns
+// an error without calling set.
 func (f FinishedTasks) Decode(set func(task int)) error {
-	b, err := base64.RawStdEncoding.DecodeString(f.Bits)
+	b, err := base64.RawStdEncoding.DecodeString(f.Bitmap)
 	if err != nil {
 		return fmt.Errorf("decode finished tasks: %w", err)
 	}
 	for i, x := range b {
 		for k := range 8 {
 			if x>>k&1 != 0 {
-				set(f.Base + i*8 + k)
+				set(f.FirstTask + i*8 + k)
 			}
 		}
 	}
--- a/internal/storage/health_test.go
+++ b/internal/storage/health_test.go
@@ -9,42 +9,43 @@
 	"quillshunt/internal/limits"
 )
 
-// TestUnavailable: users' calls fail at once while the state service is known to be unreachable, but
-// one is allowed often enough that nobody waits long for an answer once it is back.
-func TestUnavailable(t *testing.T) {
+// TestUnavailableFailsFast checks that calls for users fail at once in an outage of the state service,
+// while calls for the controllers' own work are still made. At intervals, one call for a user is
+// allowed as well, so that the end of the outage is noticed soon.
+func TestUnavailableFailsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		controllers := New("127.0.0.1:1", config.State{RPS: 100, WriteRPS: 10, TxnOps: 8})
-		users := controllers.ForUsers()
-		failed := func() { // as a failed call records it
+		controllers := New("127.0.0.1:1", config.StateLimits{RPS: 100, WriteRPS: 10, TxnOps: 8})
+		users := controllers.ForUserRequests()
+		recordFailure := func() { // changes the recorded health as a failed call does
 			users.health.lastCallAt.Store(time.Now().UnixNano())
 			users.health.failingSince.CompareAndSwap(0, time.Now().UnixNano())
 		}
-		failed()
+		recordFailure()
 		if users.Unavailable() {
-			t.Error("unavailable after one failure")
+			t.Error("Unavailable() is true after a single failure")
 		}
 		time.Sleep(2 * limits.UnavailableAfter)
-		failed()
-		if !users.Unavailable() || users.waitForRate(t.Context(), 0) == nil {
-			t.Error("still available after a while of failures")
+		recordFailure()
+		if !users.Unavailable() || users.waitForRateLimit(t.Context(), 0) == nil {
+			t.Error("calls for users are still allowed after calls have failed for longer than UnavailableAfter")
 		}
-		if controllers.waitForRate(t.Context(), 0) != nil {
-			t.Error("the controllers' own calls fail too")
+		if controllers.waitForRateLimit(t.Context(), 0) != nil {
+			t.Error("calls for the controllers' own work fail at once too")
 		}
 		allowed := 0
-		for range 75 { // the longest a user may be without an answer, in seconds
+		for range 75 { // the longest time that a user may be without a response, in seconds
 			time.Sleep(time.Second)
-			if users.waitForRate(t.Context(), 0) == nil {
+			if users.waitForRateLimit(t.Context(), 0) == nil {
 				allowed++
-				failed()
+				recordFailure()
 			}
 		}
 		if allowed < 37 {
-			t.Errorf("%d of 75 calls allowed", allowed)
+			t.Errorf("%d of 75 calls for users were allowed during the outage, want at least 37", allowed)
 		}
 		users.health.failingSince.Store(0)
 		if users.Unavailable() {
-			t.Error("unavailable after a success")
+			t.Error("Unavailable() is still true after a success")
 		}
 	})
 }
--- a/internal/storage/rentals_test.go
+++ b/internal/storage/rentals_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// TestRentalFits: the record of a rental with the most machines that one may be for keeps to the
-// value limit.
-func TestRentalFits(t *testing.T) {
-	for _, kb := range []float64{0.5, 1, 2, 4} {
+// TestRentalFitsValueLimit checks that the record of a rental of MaxRentalMachines machines fits the value
+// limit.
+func TestRentalFitsValueLimit(t *testing.T) {
+	for _, valueKB := range []float64{0.5, 1, 2, 4} {
 		r := Rental{
 			MachineType: "a-type-with-a-rather-long-name", Zone: "a-zone-with-a-rather-long-name",
 			Count: 50, Answered: true,
 		}
-		for i := range MaxRentalMachines(kb) {
+		for i := range MaxRentalMachines(valueKB) {
 			r.Machines = append(r.Machines, fmt.Sprintf("machine-of-the-cloud-%06d", i))
 		}
-		if !FitsValueLimit(r, kb) {
-			t.Errorf("%v KB: %d machines need %d bytes", kb, len(r.Machines), EncodedSize(r))
+		if !FitsValueLimit(r, valueKB) {
+			t.Errorf("the record of a rental of %d machines has %d bytes, the limit is %v KiB",
+				len(r.Machines), EncodedSize(r), valueKB)
 		}
 	}
 }
