--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -36,7 +36,7 @@
 // the address of another controller is malformed.
 func New(s *config.Settings, options config.Options, dialer transport.Dialer, log *slog.Logger) (*Controller, error) {
 	shares := limits.DivideSockets(s.Facts.Machine.MaxSockets, len(s.Members))
-	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
+	sockets := transport.NewSocketBudget(shares.MaxConns, shares.InboundHeadroom)
 
 	// The services around the controller.
 	store := storage.New(s.External.State, s.Facts.State).WithDialer(dialer)
@@ -92,8 +92,8 @@
 func (c *Controller) newClientServer(shares limits.SocketShares, sockets *transport.SocketBudget) *transport.Server {
 	return transport.NewServer(transport.ServerOptions{
 		Addr:        c.settings.ClientListen,
-		MaxConns:    shares.Inbound,
-		MaxMachines: shares.MachineConns,
+		MaxConns:    shares.MaxInboundConns,
+		MaxMachines: shares.MaxMachineConns,
 		MachineIdle: limits.Seconds(c.settings.Facts.Workers.LeaseS),
 		Sockets:     sockets,
 		Handle:      c.gateway.Handle,
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -137,7 +137,7 @@
 		c.violation("went_back: %s was %s, is %s", id, j.finalState, state)
 	}
 	switch state {
-	case protocol.JobAborted:
+	case protocol.JobCancelled:
 		if j.cancelRequestedAt.IsZero() {
 			c.violation("went_back: %s is cancelled, which nobody asked for", id)
 		}
--- a/internal/coordination/controller/scenarios_cancellation_test.go
+++ b/internal/coordination/controller/scenarios_cancellation_test.go
@@ -164,7 +164,7 @@
 			}
 			time.Sleep(2 * time.Second)
 			c.expect(c.entitled(leader), "the old leader still entitled")
-			time.Sleep(limits.IsolatedAfter)
+			time.Sleep(limits.IsolationThreshold)
 			c.expect(c.turnsAway(leader, jobs[0]) && !c.turnsAway(c.otherThan(leader), jobs[0]),
 				"users turned away by the one that is cut off, and only there")
 			for c.currentTerm() == before {
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -334,7 +334,7 @@
 	defer c.mu.Unlock()
 	confirmed := 0
 	for _, j := range jobs {
-		if j.finalState == protocol.JobAborted {
+		if j.finalState == protocol.JobCancelled {
 			confirmed++
 		}
 	}
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -12,7 +12,7 @@
 // for a controller that is not: the lease was renewed too long ago, and the last renewal failed for
 // a reason that is not in this process.
 func (e *Elector) isolated(ctx context.Context, sinceRenewal time.Duration, err error) bool {
-	return e.options.Peers != nil && sinceRenewal > limits.IsolatedAfter && e.blamesStateService(ctx, err)
+	return e.options.Peers != nil && sinceRenewal > limits.IsolationThreshold && e.blamesStateService(ctx, err)
 }
 
 // blamesStateService reports whether a failed renewal is evidence that the state service is
--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -73,7 +73,7 @@
 		return g.retryLater(err), true
 	case !found:
 		return jobNotFound(), true
-	case status.State == protocol.JobDone || status.State == protocol.JobAborted:
+	case status.State == protocol.JobDone || status.State == protocol.JobCancelled:
 		return statusResponse(http.StatusOK, status), true
 	}
 	return response{}, false // submitted between the two reads
@@ -84,7 +84,7 @@
 	if !g.confirmCancellation(ctx, id, open) {
 		return g.retryLater(errUnconfirmed)
 	}
-	return statusResponse(http.StatusOK, protocol.JobStatus{ID: id, State: protocol.JobAborted})
+	return statusResponse(http.StatusOK, protocol.JobStatus{ID: id, State: protocol.JobCancelled})
 }
 
 // confirmCancellation reports whether a cancellation that is in the state service binds every
@@ -103,7 +103,7 @@
 		g.peers.ConfirmCancellation(ctx, g.leaderName(), id, open.Version, open.Value) ||
 		g.coveredByLeaderHeartbeat(ctx, open.Version)
 	if confirmed {
-		g.finalStates.put(id, protocol.JobAborted) // whatever leader comes
+		g.finalStates.put(id, protocol.JobCancelled) // whatever leader comes
 	}
 	return confirmed
 }
--- a/internal/coordination/gateway/final_states_test.go
+++ b/internal/coordination/gateway/final_states_test.go
@@ -16,20 +16,20 @@
 	for i := range limits.FinalStateCacheSize {
 		cache.put(job(i), protocol.JobDone)
 	}
-	cache.put(job(0), protocol.JobAborted) // known already
+	cache.put(job(0), protocol.JobCancelled) // known already
 	if state, ok := cache.get(job(0)); !ok || state != protocol.JobDone {
 		t.Errorf("first job: %q, cached %v", state, ok)
 	}
 	const added = 3
 	for i := range added {
-		cache.put(job(limits.FinalStateCacheSize+i), protocol.JobAborted)
+		cache.put(job(limits.FinalStateCacheSize+i), protocol.JobCancelled)
 	}
 	for i := range limits.FinalStateCacheSize + added {
 		if _, ok := cache.get(job(i)); ok != (i >= added) {
 			t.Fatalf("job %d: cached %v", i, ok)
 		}
 	}
-	if state, _ := cache.get(job(limits.FinalStateCacheSize)); state != protocol.JobAborted {
+	if state, _ := cache.get(job(limits.FinalStateCacheSize)); state != protocol.JobCancelled {
 		t.Errorf("added last: %q", state)
 	}
 }
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -92,10 +92,10 @@
 		{"repeated", submit(spec("job-1", nil)), http.StatusOK, protocol.JobPending},
 		{"repeated, can never run", submit(spec("job-1", changed("Vcpus", 17))), http.StatusOK, protocol.JobPending},
 		{"poll", get("/v2/runs/job-1"), http.StatusOK, protocol.JobPending},
-		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
-		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
-		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted},
-		{"submission of a cancelled job", submit(spec("job-1", nil)), http.StatusOK, protocol.JobAborted},
+		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobCancelled},
+		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobCancelled},
+		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.JobCancelled},
+		{"submission of a cancelled job", submit(spec("job-1", nil)), http.StatusOK, protocol.JobCancelled},
 	}
 }
 
@@ -105,7 +105,7 @@
 	f.t.Helper()
 	f.expectRetryLater("open job in an outage", get("/v2/runs/job-4"))
 	// A cancellation that was confirmed here is as final as the end of a job.
-	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted)
+	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.JobCancelled)
 	f.expect("done job in an outage", get("/v2/runs/job-2"), http.StatusOK, protocol.JobDone)
 	// The answer comes at once, not only when the user has no time left to retry.
 	startedAt := time.Now()
@@ -147,9 +147,9 @@
 				storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: open.Version - 1})
 			checkCancelledJob(f, http.StatusServiceUnavailable, "")
 			c.confirm(f, lease, open.Version)
-			checkCancelledJob(f, http.StatusOK, protocol.JobAborted)
+			checkCancelledJob(f, http.StatusOK, protocol.JobCancelled)
 			f.state.SetUnavailable(true)
-			checkCancelledJob(f, http.StatusOK, protocol.JobAborted) // known for good
+			checkCancelledJob(f, http.StatusOK, protocol.JobCancelled) // known for good
 		})
 	}
 }
@@ -271,7 +271,7 @@
 	f.write(storage.OpenJobKey("job-1"), storage.OpenJob{Spec: stored})
 	repeated := spec("job-1", changed("Rigkinds", append([]string{"g8"}, stored.MachineTypes...)))
 	f.expect("repeated submission", submit(repeated), http.StatusOK, protocol.JobPending)
-	f.expect("cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted)
+	f.expect("cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobCancelled)
 
 	open, _ := f.state.Get(storage.OpenJobKey("job-1"))
 	var record storage.OpenJob
--- a/internal/coordination/gateway/health.go
+++ b/internal/coordination/gateway/health.go
@@ -12,7 +12,7 @@
 // all controllers were taken out of service. A controller that reaches no other one either cannot
 // distinguish the two cases.
 func (g *Gateway) health() int {
-	if g.store.FailingFor() < limits.IsolatedAfter {
+	if g.store.FailingFor() < limits.IsolationThreshold {
 		g.isolated.Store(false)
 		return http.StatusOK
 	}
--- a/internal/coordination/gateway/job_status.go
+++ b/internal/coordination/gateway/job_status.go
@@ -93,5 +93,5 @@
 	if !g.confirmCancellation(ctx, id, open) {
 		return status, false, errUnconfirmed
 	}
-	return protocol.JobStatus{ID: id, State: protocol.JobAborted}, true, nil
+	return protocol.JobStatus{ID: id, State: protocol.JobCancelled}, true, nil
 }
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -146,7 +146,7 @@
 		Addr: cloudAddress, MaxConns: 100, Handle: handleCloudRequest, Log: log,
 	}))
 
-	sockets := transport.NewSocketBudget(f.shares.Total, f.shares.Headroom)
+	sockets := transport.NewSocketBudget(f.shares.MaxConns, f.shares.InboundHeadroom)
 	store := storage.New(stateAddress, f.settings.Facts.State)
 	f.dispatcher = leader.NewDispatcher(leader.DispatcherOptions{
 		Settings: f.settings,
@@ -169,8 +169,8 @@
 	g.Start(f.ctx)
 	serve(f.t, transport.NewServer(transport.ServerOptions{
 		Addr:        f.address,
-		MaxConns:    f.shares.Inbound,
-		MaxMachines: f.shares.MachineConns,
+		MaxConns:    f.shares.MaxInboundConns,
+		MaxMachines: f.shares.MaxMachineConns,
 		Sockets:     sockets,
 		Handle:      g.Handle,
 		Log:         log,
--- a/internal/coordination/gateway/submissions.go
+++ b/internal/coordination/gateway/submissions.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("submission: %w", err)
 	}
-	if spec.Gang() && !g.settings.Facts.Workers.Gangs() {
+	if spec.IsGang() && !g.settings.Facts.Workers.Gangs() {
 		return nil, fmt.Errorf("%w: Shape: %s is not known to the workers here", protocol.ErrInvalid, spec.Shape)
 	}
 	return spec, nil
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -54,7 +54,7 @@
 	if answer.status == http.StatusServiceUnavailable {
 		failingFor := g.store.FailingFor()
 		retryAfter = limits.RetryAfterSeconds(failingFor)
-		if failingFor > limits.IsolatedAfter {
+		if failingFor > limits.IsolationThreshold {
 			// Perhaps only this controller is cut off, and from the other controllers as well, so that
 			// it stays in service. The user's next try must not come here again only because the
 			// connection is still open.
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -53,7 +53,7 @@
 		log:        d.log.With("term", leadership.Term),
 		mailbox:    make(chan message, limits.MailboxSize(shares)),
 		toWriter:   make(chan scheduler.WriteRecords),
-		probeSlots: make(chan struct{}, shares.Probes),
+		probeSlots: make(chan struct{}, shares.MaxProbes),
 		workerClients: workerClientPool{
 			newClient:  d.newWorkerClient,
 			byAddress:  map[string]*transport.Client{},
@@ -126,7 +126,7 @@
 func (t *termActor) handleHeartbeat(ctx context.Context, msg heartbeatMessage) {
 	wait := time.Since(msg.arrivedAt)
 	t.longestMailboxWait = max(t.longestMailboxWait, wait)
-	if wait > limits.SlowHeartbeatWait {
+	if wait > limits.SlowHeartbeatThreshold {
 		t.lastSlowHeartbeatAt.Store(int64(t.now()))
 	}
 	var heartbeat protocol.Heartbeat
@@ -140,7 +140,7 @@
 	t.step(ctx, scheduler.HeartbeatReceived{
 		Heartbeat:      &heartbeat,
 		ReplyTo:        msg.respond,
-		Entitled:       wait < limits.HeartbeatAnswerTimeout && t.leadership.Entitled(),
+		Entitled:       wait < limits.HeartbeatReplyTimeout && t.leadership.Entitled(),
 		Relayed:        msg.relayed,
 		SameConnection: msg.sameConnection,
 	})
--- a/internal/coordination/peer/dial.go
+++ b/internal/coordination/peer/dial.go
@@ -30,16 +30,16 @@
 			grpc.WithContextDialer(dialer.Dial),
 			grpc.WithConnectParams(grpc.ConnectParams{
 				Backoff: backoff.Config{
-					BaseDelay:  limits.RetryMin,
+					BaseDelay:  limits.RetryBackoffMin,
 					Multiplier: 2,
 					Jitter:     0.2,
-					MaxDelay:   limits.RetryMax,
+					MaxDelay:   limits.RetryBackoffMax,
 				},
 				MinConnectTimeout: limits.DialTimeout,
 			}),
 			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(limits.MaxBodyBytes)),
 			grpc.WithDisableServiceConfig(),
-			grpc.WithIdleTimeout(limits.PeerIdle),
+			grpc.WithIdleTimeout(limits.PeerConnIdleTimeout),
 		)
 		if err != nil {
 			return nil, fmt.Errorf("controller %s: %w", m.NodeName, err)
--- a/internal/coordination/peer/server.go
+++ b/internal/coordination/peer/server.go
@@ -56,7 +56,7 @@
 func NewServer(leader Leader, elector Elector, peers *Peers) *Server {
 	s := &Server{peers: peers, leader: leader, elector: elector, grpc: grpc.NewServer(
 		grpc.MaxRecvMsgSize(limits.MaxBodyBytes),
-		grpc.MaxConcurrentStreams(limits.PeerStreams),
+		grpc.MaxConcurrentStreams(limits.MaxPeerStreams),
 		grpc.NumStreamWorkers(0),
 	)}
 	peerpb.RegisterPeerServer(s.grpc, s)
--- a/internal/coordination/placement/doc.go
+++ b/internal/coordination/placement/doc.go
@@ -11,5 +11,5 @@
 //   - Section 4.1, the weighted sum of rescaled scores, and Best Host of Algorithm 2: Best.
 //   - Algorithm 5, Select and Terminate: CheapestVictims.
 //
-// One thing is added for large fleets: Groups rank machines with the same scores once.
+// One thing is added for large fleets: ScoreGroups rank machines with the same scores once.
 package placement
--- a/internal/coordination/placement/groups.go
+++ b/internal/coordination/placement/groups.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// Groups are candidates grouped by equal scores. Only the first of a group, in the order of
+// ScoreGroups are candidates grouped by equal scores. Only the first of a group, in the order of
 // compare, can be the best candidate, and on a large fleet most machines have the same scores as
 // others: ranking costs by the number of groups, not of machines.
-type Groups[T any] struct {
+type ScoreGroups[T any] struct {
 	compare func(a, b T) int
 	firsts  []Candidate[T] // the first of each group
 	members [][]T          // all of each group, in order
 	index   map[Scores]int // of the group with these scores
 }
 
-// NewGroups returns an empty set of groups whose members are ordered by compare.
-func NewGroups[T any](compare func(a, b T) int) Groups[T] {
-	return Groups[T]{compare: compare, index: map[Scores]int{}}
+// NewScoreGroups returns an empty set of groups whose members are ordered by compare.
+func NewScoreGroups[T any](compare func(a, b T) int) ScoreGroups[T] {
+	return ScoreGroups[T]{compare: compare, index: map[Scores]int{}}
 }
 
 // Clear removes all candidates and keeps their memory for the next ones.
-func (g *Groups[T]) Clear() {
+func (g *ScoreGroups[T]) Clear() {
 	g.firsts, g.members = g.firsts[:0], g.members[:0]
 	clear(g.index)
 }
 
 // Add adds a candidate to the group with its scores.
-func (g *Groups[T]) Add(c Candidate[T]) {
+func (g *ScoreGroups[T]) Add(c Candidate[T]) {
 	group, ok := g.index[c.Scores]
 	if !ok {
 		g.addGroup(c)
@@ -35,7 +35,7 @@
 	g.firsts[group].Target = g.members[group][0]
 }
 
-func (g *Groups[T]) addGroup(c Candidate[T]) {
+func (g *ScoreGroups[T]) addGroup(c Candidate[T]) {
 	group := len(g.firsts)
 	g.index[c.Scores] = group
 	g.firsts = append(g.firsts, c)
@@ -48,14 +48,14 @@
 }
 
 // Best returns the group whose first member is the best candidate, or -1 if there are none.
-func (g *Groups[T]) Best() int { return Best(g.firsts, g.compare) }
+func (g *ScoreGroups[T]) Best() int { return Best(g.firsts, g.compare) }
 
 // First returns the first member of a group.
-func (g *Groups[T]) First(group int) Candidate[T] { return g.firsts[group] }
+func (g *ScoreGroups[T]) First(group int) Candidate[T] { return g.firsts[group] }
 
 // RemoveFirst removes the first member of a group, and the group if that was the last one. The
 // numbers of groups are valid until then.
-func (g *Groups[T]) RemoveFirst(group int) {
+func (g *ScoreGroups[T]) RemoveFirst(group int) {
 	if g.members[group] = slices.Delete(g.members[group], 0, 1); len(g.members[group]) > 0 {
 		g.firsts[group].Target = g.members[group][0]
 		return
--- a/internal/coordination/placement/groups_test.go
+++ b/internal/coordination/placement/groups_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestGroupsRankLikeTheirMembers: whatever is added, removed and cleared, the best of the groups is
+// TestBestGroupIsBestCandidate: whatever is added, removed and cleared, the best of the groups is
 // the best of all candidates.
-func TestGroupsRankLikeTheirMembers(t *testing.T) {
+func TestBestGroupIsBestCandidate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		groups := NewGroups(cmp.Compare[int])
+		groups := NewScoreGroups(cmp.Compare[int])
 		var all []Candidate[int]
 		for target := range rapid.IntRange(0, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 19).Draw(t, "step") {
@@ -40,7 +40,7 @@
 }
 
 // removeBest removes the best candidate from the groups and from the list of all, and compares them.
-func removeBest(t *rapid.T, groups *Groups[int], all *[]Candidate[int]) {
+func removeBest(t *rapid.T, groups *ScoreGroups[int], all *[]Candidate[int]) {
 	t.Helper()
 	best, group := Best(*all, cmp.Compare[int]), groups.Best()
 	if (best < 0) != (group < 0) {
--- a/internal/coordination/placement/rank.go
+++ b/internal/coordination/placement/rank.go
@@ -22,7 +22,7 @@
 	}
 	best, bestSum := -1, 0.0
 	for i := range candidates {
-		sum := candidates[i].Scores.weigh(&lowest, &highest)
+		sum := candidates[i].Scores.weightedSum(&lowest, &highest)
 		if best < 0 || sum > bestSum ||
 			(sum == bestSum && compare(candidates[i].Target, candidates[best].Target) < 0) {
 			best, bestSum = i, sum
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/limits"
 )
 
-// Option is what may be preempted on a machine: a task, or all tasks of a gang there.
-type Option[T any] struct {
+// PreemptionOption is what may be preempted on a machine: a task, or all tasks of a gang there.
+type PreemptionOption[T any] struct {
 	Task      T
 	Resources resource.Vector // that preempting it frees
 	Cost      float64         // of preempting it
@@ -18,7 +18,7 @@
 // CheapestVictims returns the indexes of the options to preempt: the set of least cost that covers
 // the shortfall in every resource, or nil if none does. Up to limits.MaxExhaustiveVictims options every set
 // is tried, as the paper does; beyond that the set is chosen greedily.
-func CheapestVictims[T any](options []Option[T], shortfall resource.Vector) []int {
+func CheapestVictims[T any](options []PreemptionOption[T], shortfall resource.Vector) []int {
 	if len(options) <= limits.MaxExhaustiveVictims {
 		return cheapestSet(options, shortfall)
 	}
@@ -26,7 +26,7 @@
 }
 
 // cheapestSet tries every set of options. A set is a bit mask of indexes.
-func cheapestSet[T any](options []Option[T], shortfall resource.Vector) []int {
+func cheapestSet[T any](options []PreemptionOption[T], shortfall resource.Vector) []int {
 	leastCost, best := 0.0, 0
 	for set := 1; set < 1<<len(options); set++ {
 		var freed resource.Vector
@@ -37,7 +37,7 @@
 				cost += options[i].Cost
 			}
 		}
-		if freed.Fits(shortfall) && (best == 0 || cost < leastCost) {
+		if freed.Covers(shortfall) && (best == 0 || cost < leastCost) {
 			leastCost, best = cost, set
 		}
 	}
@@ -52,7 +52,7 @@
 
 // greedySet adds options by least cost for the shortfall that they cover, and drops those that
 // turned out not to be needed.
-func greedySet[T any](options []Option[T], shortfall resource.Vector) []int {
+func greedySet[T any](options []PreemptionOption[T], shortfall resource.Vector) []int {
 	order := make([]int, len(options))
 	for i := range order {
 		order[i] = i
@@ -62,17 +62,17 @@
 	var freed resource.Vector
 	var victims []int
 	for _, i := range order {
-		if freed.Fits(shortfall) {
+		if freed.Covers(shortfall) {
 			break
 		}
 		freed = freed.Plus(options[i].Resources)
 		victims = append(victims, i)
 	}
-	if !freed.Fits(shortfall) {
+	if !freed.Covers(shortfall) {
 		return nil
 	}
 	for k := len(victims) - 1; k >= 0; k-- { // the costliest first
-		if rest := freed.Minus(options[victims[k]].Resources); rest.Fits(shortfall) {
+		if rest := freed.Minus(options[victims[k]].Resources); rest.Covers(shortfall) {
 			freed = rest
 			victims = slices.Delete(victims, k, k+1)
 		}
--- a/internal/coordination/placement/victims_test.go
+++ b/internal/coordination/placement/victims_test.go
@@ -15,7 +15,7 @@
 func TestCheapestVictims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, limits.MaxExhaustiveVictims+4).Draw(t, "n")
-		options := make([]Option[int], n)
+		options := make([]PreemptionOption[int], n)
 		for i := range options {
 			options[i].Resources = resource.Vector{
 				CPUs:     float64(rapid.IntRange(0, 4).Draw(t, "cpus")),
@@ -36,12 +36,12 @@
 			return
 		}
 		freed, cost := sumOf(options, victims)
-		if !freed.Fits(shortfall) || (n <= limits.MaxExhaustiveVictims && cost > leastCost) {
+		if !freed.Covers(shortfall) || (n <= limits.MaxExhaustiveVictims && cost > leastCost) {
 			t.Fatalf("got %v: %+v at cost %v, least cost %v, shortfall %+v", victims, freed, cost, leastCost, shortfall)
 		}
 		for k := range victims {
 			rest := slices.Delete(slices.Clone(victims), k, k+1)
-			if freed, _ := sumOf(options, rest); n > limits.MaxExhaustiveVictims && freed.Fits(shortfall) {
+			if freed, _ := sumOf(options, rest); n > limits.MaxExhaustiveVictims && freed.Covers(shortfall) {
 				t.Fatalf("task %d of %v is not needed", victims[k], victims)
 			}
 		}
@@ -49,7 +49,7 @@
 }
 
 // leastCostOfAllSets returns the least cost of a set that covers the shortfall, or -1.
-func leastCostOfAllSets(options []Option[int], shortfall resource.Vector) float64 {
+func leastCostOfAllSets(options []PreemptionOption[int], shortfall resource.Vector) float64 {
 	least := -1.0
 	for mask := range 1 << len(options) {
 		var set []int
@@ -58,7 +58,7 @@
 				set = append(set, i)
 			}
 		}
-		if freed, cost := sumOf(options, set); freed.Fits(shortfall) && (least < 0 || cost < least) {
+		if freed, cost := sumOf(options, set); freed.Covers(shortfall) && (least < 0 || cost < least) {
 			least = cost
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // sumOf returns what preempting a set of options frees and costs.
-func sumOf(options []Option[int], set []int) (freed resource.Vector, cost float64) {
+func sumOf(options []PreemptionOption[int], set []int) (freed resource.Vector, cost float64) {
 	for _, i := range set {
 		freed, cost = freed.Plus(options[i].Resources), cost+options[i].Cost
 	}
--- a/internal/coordination/placement/weigher.go
+++ b/internal/coordination/placement/weigher.go
@@ -31,10 +31,10 @@
 	GangReservation: limits.WeightGangReservation,
 }
 
-// weigh returns the sum of multiplier times score over all weighers, each score rescaled between
+// weightedSum returns the sum of multiplier times score over all weighers, each score rescaled between
 // the lowest and the highest among the candidates. A weigher that scores all of them equally counts
 // nothing.
-func (s *Scores) weigh(lowest, highest *Scores) float64 {
+func (s *Scores) weightedSum(lowest, highest *Scores) float64 {
 	sum := 0.0
 	for w := range weigherCount {
 		if highest[w] > lowest[w] {
--- a/internal/coordination/resource/resource.go
+++ b/internal/coordination/resource/resource.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Fits reports whether a demand fits into the amount in every resource, but for rounding.
-func (v Vector) Fits(demand Vector) bool {
+// Covers reports whether a demand fits into the amount in every resource, but for rounding.
+func (v Vector) Covers(demand Vector) bool {
 	const eps = limits.Epsilon
 	return demand.CPUs <= v.CPUs+eps &&
 		demand.Accelerators <= v.Accelerators+eps &&
--- a/internal/coordination/resource/resource_test.go
+++ b/internal/coordination/resource/resource_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestFits(t *testing.T) {
+func TestCovers(t *testing.T) {
 	free := Vector{CPUs: 4, Accelerators: 1, MemoryGB: 8}
 	for _, c := range []struct {
 		name   string
@@ -39,7 +39,7 @@
 		{"too many accelerators", Vector{Accelerators: 2}, false},
 		{"too much memory", Vector{MemoryGB: 9}, false},
 	} {
-		if got := free.Fits(c.demand); got != c.want {
+		if got := free.Covers(c.demand); got != c.want {
 			t.Errorf("%s: %+v fits into %+v: %v", c.name, c.demand, free, got)
 		}
 	}
--- a/internal/coordination/scheduler/capacity.go
+++ b/internal/coordination/scheduler/capacity.go
@@ -39,7 +39,7 @@
 	if c.machine != nil && (j.avoids(c.machine) || (c.machine.reservedForGangs && !j.mayUseGangReservation)) {
 		return false
 	}
-	return typeResources(c.machineType).Fits(j.demand) && j.mayUsePool(c.pool)
+	return typeResources(c.machineType).Covers(j.demand) && j.mayUsePool(c.pool)
 }
 
 // allocateTasks allocates the capacity to tasks of a job and returns how many: those that can start
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -85,7 +85,7 @@
 	if age > limits.BootPlanFactor*m.machineType.BootS {
 		return 0, false
 	}
-	return limits.OverdueBootS, true
+	return limits.OverdueBootRemainingS, true
 }
 
 // isLongUnreachable reports whether a machine has been unreachable or unverified for so long that it
--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -36,7 +36,7 @@
 func (c *typeCatalog) quickestBoot(j *job) float64 {
 	least := math.Inf(1)
 	for _, t := range c.sorted {
-		if typeResources(t).Fits(j.demand) && typeAllowed(&j.spec, t.Name) {
+		if typeResources(t).Covers(j.demand) && typeAllowed(&j.spec, t.Name) {
 			least = min(least, estimatedBootS(t))
 		}
 	}
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -66,7 +66,7 @@
 		switch {
 		case a.committed:
 			// Its room is kept; see commitGangs.
-		case a.job.gang != nil || !size.Fits(committed.Plus(a.job.demand)):
+		case a.job.gang != nil || !size.Covers(committed.Plus(a.job.demand)):
 			continue // its room is not confirmed yet
 		default:
 			committed = committed.Plus(a.job.demand)
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -13,7 +13,7 @@
 
 // collectCandidates returns the machines that pass the filters for a task of the job, with their
 // scores. They are valid until the next call.
-func (p *placer) collectCandidates(j *job, preempting bool) *placement.Groups[*machine] {
+func (p *placer) collectCandidates(j *job, preempting bool) *placement.ScoreGroups[*machine] {
 	groups := &p.pass.groups
 	groups.Clear()
 	for _, m := range p.pass.eligibleMachines(preempting) {
@@ -30,14 +30,14 @@
 // decided for the machine so far, or nil.
 func (p *placer) evaluate(j *job, m *machine, preempting bool, planned *plannedView) (c candidate, ok bool) {
 	free := planned.freeResources(m) // on the full view
-	overcommitted := !free.Fits(j.demand)
+	overcommitted := !free.Covers(j.demand)
 	if overcommitted && !preempting {
 		return c, false
 	}
 	if m.isReservedForOthers(j) || !j.mayUse(m) || planned.taskCount(m) >= limits.MaxTasksPerMachine {
 		return c, false
 	}
-	if overcommitted && !freeOnNormalView(j, m, planned).Fits(j.demand) {
+	if overcommitted && !freeOnNormalView(j, m, planned).Covers(j.demand) {
 		return c, false
 	}
 	c.Target = m
@@ -103,7 +103,7 @@
 
 // mayUse reports whether the job's tasks may run on the machine, whatever else runs there.
 func (j *job) mayUse(m *machine) bool {
-	return j.mayUsePool(m.pool()) && m.size().Fits(j.demand) && !j.avoids(m)
+	return j.mayUsePool(m.pool()) && m.size().Covers(j.demand) && !j.avoids(m)
 }
 
 // mayUsePool reports whether the job's next task may run on a machine of the pool: the job's spec
@@ -149,5 +149,5 @@
 // avoids reports whether the job's tasks don't use a machine because tasks have failed there. Once
 // they fail everywhere, any machine will do.
 func (j *job) avoids(m *machine) bool {
-	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
+	return j.failedMachines[m.name] && len(j.failedMachines) < limits.FaultyJobMachines
 }
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -61,7 +61,7 @@
 
 // newGang returns the gang of a job, or nil if the job's tasks are independent.
 func newGang(j *job) *gang {
-	if !j.spec.Gang() {
+	if !j.spec.IsGang() {
 		return nil
 	}
 	return &gang{job: j, machinesWithLostTasks: map[string]bool{}}
@@ -104,9 +104,9 @@
 // taskEnded updates the gang from the reason for which one of its tasks ended.
 func (g *gang) taskEnded(a *assignment, reason protocol.EndReason) {
 	switch {
-	case reason == protocol.ReasonIncomplete:
+	case reason == protocol.ReasonGangIncomplete:
 		g.abortReason = "a task stopped waiting for the rest of the gang"
-	case reason == protocol.ReasonPeers && g.state < gangRunning:
+	case reason == protocol.ReasonPeerLost && g.state < gangRunning:
 		g.state = gangRunning // the gang had started, although no heartbeat reported a running task
 	case reason == protocol.ReasonStopped && !a.stopping:
 		g.abortReason = "a task was stopped by an earlier leader"
--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -77,7 +77,7 @@
 			t.Fatalf("start commands while a task of the old attempt is on a machine: %+v", starts)
 		}
 	}
-	f.endTask(other, "job-1/1", protocol.ReasonPeers)
+	f.endTask(other, "job-1/1", protocol.ReasonPeerLost)
 	f.reportAll()
 	f.reportAll()
 	if machine, nextAttempt := f.findTask("job-1/0"); machine < 0 || nextAttempt <= attempt {
@@ -184,7 +184,7 @@
 	second, _ := f.findTask("job-1/1")
 	f.setTaskStates("job-1", protocol.TaskGathering)
 	f.reportAll()
-	f.endTask(first, "job-1/0", protocol.ReasonIncomplete)
+	f.endTask(first, "job-1/0", protocol.ReasonGangIncomplete)
 	f.report(first, f.tasks[first]...)
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 1 {
 		t.Fatalf("want one stop command, for the other task; effects: %+v", f.effects)
@@ -236,7 +236,7 @@
 	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	m := f.scheduler.inventory.find(f.machine(0))
-	m.consecutiveFailures, m.failedJobs = limits.FaultyFailures, map[string]bool{"job-9": true}
+	m.consecutiveFailures, m.failedJobs = limits.FaultyMachineFailures, map[string]bool{"job-9": true}
 	f.step(Tick{Entitled: true})
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 2 || m.deleting {
 		t.Fatalf("stop commands %+v, want 2; machine is being returned: %v, want false", stops, m.deleting)
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -182,7 +182,7 @@
 	preempting bool
 	onlyZone   string // the zone in which all tasks must be; "" if any zone is allowed
 
-	candidates  placement.Groups[*machine]
+	candidates  placement.ScoreGroups[*machine]
 	views       map[*machine]*plannedView
 	tasksInZone map[string]int // planned or assigned tasks of the gang, by zone
 
@@ -201,7 +201,7 @@
 func (p *placer) newGangPlacement(j *job, zone string, preempting bool) *gangPlacement {
 	g := &gangPlacement{
 		placer: p, job: j, preempting: preempting, onlyZone: zone,
-		candidates:  placement.NewGroups(compareNames),
+		candidates:  placement.NewScoreGroups(compareNames),
 		views:       map[*machine]*plannedView{},
 		tasksInZone: map[string]int{},
 	}
--- a/internal/coordination/scheduler/gang_plan.go
+++ b/internal/coordination/scheduler/gang_plan.go
@@ -119,7 +119,7 @@
 	}
 	zones := map[string]bool{}
 	for _, t := range p.catalog.all() {
-		if !typeResources(t).Fits(j.demand) || !typeAllowed(&j.spec, t.Name) {
+		if !typeResources(t).Covers(j.demand) || !typeAllowed(&j.spec, t.Name) {
 			continue
 		}
 		for _, zone := range t.Zones {
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -224,7 +224,7 @@
 	if d.reservedZone != "" && m.zone != d.reservedZone {
 		return false
 	}
-	return d.newestJob.specAllows(m.pool()) && m.size().Fits(d.newestJob.demand)
+	return d.newestJob.specAllows(m.pool()) && m.size().Covers(d.newestJob.demand)
 }
 
 // chooseZone returns the zone in which to reserve machines for gangs that must be in one zone: the
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -134,7 +134,7 @@
 		if m.registration != registered || !t.isSchedulable(m) {
 			return false
 		}
-		if !m.size().Fits(m.committedResources().Plus(d)) {
+		if !m.size().Covers(m.committedResources().Plus(d)) {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -78,8 +78,8 @@
 		wantState gangState
 		wantAbort bool
 	}{
-		{"gang not complete in time", protocol.ReasonIncomplete, false, gangGathering, true},
-		{"another task ended, so the gang had started", protocol.ReasonPeers, false, gangRunning, false},
+		{"gang not complete in time", protocol.ReasonGangIncomplete, false, gangGathering, true},
+		{"another task ended, so the gang had started", protocol.ReasonPeerLost, false, gangRunning, false},
 		{"stopped by an earlier leader", protocol.ReasonStopped, false, gangGathering, true},
 		{"stopped by this leader", protocol.ReasonStopped, true, gangGathering, false},
 		{"failed", protocol.ReasonError, false, gangGathering, false},
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -5,7 +5,7 @@
 // isFaulty reports whether a machine should get no more tasks: it has failed several in a row, and not
 // just those of a job that fails everywhere.
 func (m *machine) isFaulty() bool {
-	return m.consecutiveFailures >= limits.FaultyFailures && len(m.failedJobs) > 0
+	return m.consecutiveFailures >= limits.FaultyMachineFailures && len(m.failedJobs) > 0
 }
 
 // isSlow reports whether a machine takes far longer for its tasks than others do for the same jobs.
@@ -23,7 +23,7 @@
 // machines.
 func (i *machineInventory) recordFailure(j *job, m *machine) {
 	j.failedMachines[m.name] = true
-	if len(j.failedMachines) >= limits.JobFaultMachines {
+	if len(j.failedMachines) >= limits.FaultyJobMachines {
 		// It fails wherever it goes, with no success between. It waits longer and longer, and its
 		// failures count against no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -76,7 +76,7 @@
 // may have been a copy that overtook it, and the worker waits for this answer.
 func (s *Scheduler) answerOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
 	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
-	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout
+	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatReplyTimeout
 	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelReplyDeadline) {
 		s.rejectHeartbeat(e)
 		return
--- a/internal/coordination/scheduler/job_class.go
+++ b/internal/coordination/scheduler/job_class.go
@@ -16,14 +16,14 @@
 // learnFetchTime adds how long a task waited for its image, in seconds.
 func (c *jobClass) learnFetchTime(seconds float64) {
 	c.fetchSamples++
-	weight := max(1/float64(c.fetchSamples), limits.RunTimeLearningRate)
+	weight := max(1/float64(c.fetchSamples), limits.MinAverageWeight)
 	c.fetchSeconds += weight * (seconds - c.fetchSeconds)
 }
 
 // learnRunTime adds a task's run time over the submitter's estimate.
 func (c *jobClass) learnRunTime(ratio float64) {
 	c.runSamples++
-	weight := max(1/float64(c.runSamples), limits.RunTimeLearningRate)
+	weight := max(1/float64(c.runSamples), limits.MinAverageWeight)
 	c.estimateRatio += weight * (ratio - c.estimateRatio)
 }
 
@@ -33,7 +33,7 @@
 func (j *job) estimate() float64 {
 	prior := j.spec.EstimateS * j.class.estimateRatio
 	open := float64(len(j.assignments) + limits.EstimatePriorTasks)
-	return max((j.runSum+prior*open)/(float64(j.runCount)+open), limits.MinRunTime)
+	return max((j.runSum+prior*open)/(float64(j.runCount)+open), limits.MinRunTimeS)
 }
 
 // occupancy is how long a task is expected to occupy its machine, in seconds: its run time and the
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -44,7 +44,7 @@
 	}
 	state := protocol.JobDone
 	if j.cancelled {
-		state = protocol.JobAborted
+		state = protocol.JobCancelled
 	}
 	operations := []protocol.Operation{
 		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: state})},
--- a/internal/coordination/scheduler/machine_removal_test.go
+++ b/internal/coordination/scheduler/machine_removal_test.go
@@ -87,7 +87,7 @@
 func TestRemovalOfReachableMachines(t *testing.T) {
 	survey := fleetSurvey{reported: 40}
 	fault := func(m *machine) {
-		m.consecutiveFailures, m.failedJobs["job-1"] = limits.FaultyFailures, true
+		m.consecutiveFailures, m.failedJobs["job-1"] = limits.FaultyMachineFailures, true
 	}
 	slow := func(m *machine) { m.speedCount, m.speedSum = limits.SlowMachineTasks, 1e6 }
 	assign := func(m *machine, j *job, state assignmentState) {
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -42,8 +42,8 @@
 	unplaceable      map[placementRequest]bool // requests for which no machine was found
 	unplaceableGangs map[gangRequest]bool
 
-	groups                placement.Groups[*machine] // kept for its memory; see collectCandidates
-	reservationCandidates []*machine                 // kept for its memory; see reserveForJob
+	groups                placement.ScoreGroups[*machine] // kept for its memory; see collectCandidates
+	reservationCandidates []*machine                      // kept for its memory; see reserveForJob
 }
 
 // placementRequest is what decides where a task of a job may go, for jobs without particular
@@ -67,7 +67,7 @@
 		pass: placementPass{
 			unplaceable:      map[placementRequest]bool{},
 			unplaceableGangs: map[gangRequest]bool{},
-			groups:           placement.NewGroups(compareNames),
+			groups:           placement.NewScoreGroups(compareNames),
 		},
 		nextPreemptionSearch: map[placementRequest]time.Duration{},
 	}
@@ -116,12 +116,12 @@
 			continue
 		}
 		pass.machines = append(pass.machines, m)
-		if free := m.freeResources(); free.Fits(pass.minDemand) {
+		if free := m.freeResources(); free.Covers(pass.minDemand) {
 			pass.withFreeResources = append(pass.withFreeResources, m)
 			pass.maxFreeResources = pass.maxFreeResources.Max(free)
 		}
 	}
-	pass.reservationsLeft = (len(pass.machines) + limits.ReservedMachinesRatio - 1) / limits.ReservedMachinesRatio
+	pass.reservationsLeft = (len(pass.machines) + limits.MachinesPerReservation - 1) / limits.MachinesPerReservation
 }
 
 // jobSearch is the search for machines for the tasks of one job in a pass.
@@ -161,7 +161,7 @@
 
 // mayFit reports whether there may be a machine for a task of the job.
 func (p *placer) mayFit(j *job, preempting bool) bool {
-	return preempting || p.pass.maxFreeResources.Fits(j.demand)
+	return preempting || p.pass.maxFreeResources.Covers(j.demand)
 }
 
 // searchFailed notes that a search found no machine for a task.
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -48,7 +48,7 @@
 func (b *probeBudget) refill(now time.Duration) {
 	rate := b.rate
 	if now < b.slowUntil {
-		rate *= limits.ProbeSlowdown
+		rate *= limits.ProbeSlowdownRatio
 	}
 	b.tokens = min(b.tokens+rate*(now-b.refilledAt).Seconds(), rate)
 	b.refilledAt = now
@@ -105,7 +105,7 @@
 // done notes how a probe went. Probes are slowed down after one that took this controller long, or
 // that it could not send; one that was not answered says nothing about that.
 func (p *machineProber) done(e ProbeDone) {
-	answeredLate := e.Heartbeat != nil && e.Took > limits.SlowHeartbeatWait
+	answeredLate := e.Heartbeat != nil && e.Took > limits.SlowHeartbeatThreshold
 	if e.NotSent || answeredLate {
 		p.budget.slowUntil = p.now + limits.ProbeInterval
 	}
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -66,7 +66,7 @@
 		share float64 // of the full rate
 	}{
 		{"answered at once", time.Millisecond, 1},
-		{"answered late", time.Second, limits.ProbeSlowdown},
+		{"answered late", time.Second, limits.ProbeSlowdownRatio},
 		{"not answered", 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -76,7 +76,7 @@
 		m.redirected = true
 		return false
 	}
-	if m.relayed && r.now > m.relayedSince+limits.RelayRetryAfter {
+	if m.relayed && r.now > m.relayedSince+limits.RelayDuration {
 		m.relayed = false
 		return false
 	}
--- a/internal/coordination/scheduler/reachability_test.go
+++ b/internal/coordination/scheduler/reachability_test.go
@@ -23,10 +23,10 @@
 	}{
 		{"never reached us", false, []heartbeat{
 			{0, true, true}, {time.Second, true, false}, {time.Second, true, false},
-			{limits.RelayRetryAfter, true, true}, {time.Second, true, false},
+			{limits.RelayDuration, true, true}, {time.Second, true, false},
 		}},
 		{"reached us before", false, []heartbeat{
-			{0, false, false}, {time.Second, true, false}, {limits.RelayRetryAfter + time.Second, true, true},
+			{0, false, false}, {time.Second, true, false}, {limits.RelayDuration + time.Second, true, true},
 		}},
 		{"not reached by a probe", true, []heartbeat{{0, true, false}}},
 		{"comes itself again", false, []heartbeat{
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -16,7 +16,7 @@
 	}
 	candidates := pass.reservationCandidates[:0]
 	for _, m := range pass.machines {
-		if m.reservedFor == nil && j.mayUse(m) && !m.freeResources().Fits(j.demand) {
+		if m.reservedFor == nil && j.mayUse(m) && !m.freeResources().Covers(j.demand) {
 			candidates = append(candidates, m)
 		}
 	}
--- a/internal/coordination/scheduler/runnable.go
+++ b/internal/coordination/scheduler/runnable.go
@@ -12,7 +12,7 @@
 // and its team's limit allows the task; of a gang, all tasks together.
 func CanEverRun(spec *protocol.Spec, types []protocol.MachineType, cpusMax, gpusMax float64) bool {
 	together := 1.0
-	if spec.Gang() {
+	if spec.IsGang() {
 		together = float64(spec.Tasks)
 	}
 	return fitsSomeType(spec, types) &&
@@ -25,7 +25,7 @@
 	for i := range types {
 		t := &types[i]
 		inZone := spec.Zone == "" || slices.Contains(t.Zones, spec.Zone)
-		if inZone && typeAllowed(spec, t.Name) && typeResources(t).Fits(demand) {
+		if inZone && typeAllowed(spec, t.Name) && typeResources(t).Covers(demand) {
 			return true
 		}
 	}
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -17,7 +17,7 @@
 	slices.SortStableFunc(candidates, compareForDraining)
 	for _, m := range candidates {
 		size := m.size().CPUs
-		if m.freeResources().CPUs > 0 && size <= surplus && p.now > m.createdAt+limits.DrainAge {
+		if m.freeResources().CPUs > 0 && size <= surplus && p.now > m.createdAt+limits.MinDrainAge {
 			m.draining = true
 			surplus -= size
 		}
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -39,7 +39,7 @@
 func (s *simulation) gangOf(task *simulatedTask) *simulatedGang {
 	id, _, _ := protocol.ParseTaskName(task.name)
 	spec := s.jobs[id].spec
-	if !spec.Gang() {
+	if !spec.IsGang() {
 		return nil
 	}
 	key := fmt.Sprintf("%s#%x", id, task.attempt)
@@ -116,7 +116,7 @@
 		s.gatherGang(gang, responsive)
 	case gang.lostTaskAt != 0:
 		if s.now >= gang.lostTaskAt+gang.noticeDelay {
-			s.endTasks(responsive, protocol.ReasonPeers)
+			s.endTasks(responsive, protocol.ReasonPeerLost)
 		}
 	case len(responsive) < gang.spec.Tasks && gang.firstStopAt == 0:
 		gang.lostTaskAt = s.now
@@ -152,7 +152,7 @@
 	}
 	for _, m := range members {
 		if s.now >= m.task.gatherDeadline {
-			s.endTask(m.machine, m.task, protocol.ReasonIncomplete)
+			s.endTask(m.machine, m.task, protocol.ReasonGangIncomplete)
 			s.seen.incomplete++
 		}
 	}
@@ -198,7 +198,7 @@
 		s.endTasks(members, protocol.ReasonStopped)
 		s.seen.saved++
 	case s.now >= gang.firstStopAt+s.peerTimeout()+save:
-		s.endTasks(members, protocol.ReasonPeers)
+		s.endTasks(members, protocol.ReasonPeerLost)
 		s.seen.unsaved++
 	}
 }
--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -19,7 +19,7 @@
 		s.t.Fatalf("invented: %s", id)
 	case final.State == protocol.JobDone && len(job.done) < job.spec.Tasks:
 		s.t.Fatalf("not_done: %s with %d of %d", id, len(job.done), job.spec.Tasks)
-	case final.State == protocol.JobAborted && job.cancelledAt == 0:
+	case final.State == protocol.JobCancelled && job.cancelledAt == 0:
 		s.t.Fatalf("went_back: %s cancelled by nobody", id)
 	case final.State == protocol.JobDone && job.cancelledAt != 0:
 		s.t.Fatalf("went_back: %s done after it was cancelled", id)
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -279,7 +279,7 @@
 	job := s.jobs[id]
 	switch {
 	case otherAttempt:
-		task.state, task.reason = protocol.TaskEnded, protocol.ReasonBusy
+		task.state, task.reason = protocol.TaskEnded, protocol.ReasonAttemptExists
 	case used+job.spec.CPUs > s.cpusOf(machine)+1e-9:
 		task.state, task.reason = protocol.TaskEnded, protocol.ReasonNoRoom
 	case job.done[index]:
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -161,7 +161,7 @@
 			continue
 		}
 		allowed++
-		if m.freeResources().Fits(j.demand) {
+		if m.freeResources().Covers(j.demand) {
 			withRoom++
 		}
 	}
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -97,7 +97,7 @@
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
 		s.logWarn("task failed", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt, keyMachine, m.name)
 		s.inventory.recordFailure(j, m)
-	case protocol.ReasonPeers, protocol.ReasonIncomplete:
+	case protocol.ReasonPeerLost, protocol.ReasonGangIncomplete:
 		// Another task of the gang is gone, or did not come: neither the machine nor the job has failed.
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
 		s.logInfo("gang's task ended", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt,
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -7,7 +7,7 @@
 )
 
 // preemptionOption is a task, or the tasks of a gang on one machine, that may be preempted.
-type preemptionOption = placement.Option[*assignment]
+type preemptionOption = placement.PreemptionOption[*assignment]
 
 // chooseVictims returns the tasks to preempt on the best machine, the cheapest set that leaves
 // enough free resources for a task of the job: Select and Terminate (Algorithm 5 of the paper). It
--- a/internal/limits/capacity.go
+++ b/internal/limits/capacity.go
@@ -36,9 +36,9 @@
 	// BootPlanFactor is the number of nominal boot times after which planning no longer counts on a
 	// machine: it may never come up.
 	BootPlanFactor = 2.75
-	// OverdueBootS is how many seconds more a boot is expected to take that takes longer than
+	// OverdueBootRemainingS is how many seconds more a boot is expected to take that takes longer than
 	// estimated.
-	OverdueBootS = 2.0
+	OverdueBootRemainingS = 2.0
 	// BootTimeoutFactor is the number of nominal boot times after which a machine is given up, but not
 	// before MinBootTimeout.
 	BootTimeoutFactor = 3.0
@@ -56,9 +56,9 @@
 	// DrainHeadroom is the default of the share of the CPUs of running and waiting tasks that is kept
 	// free, for tasks to come, before machines are drained.
 	DrainHeadroom = 0.4
-	// DrainAge is how old a machine must be before it is drained: it is charged for MinChargedTime
+	// MinDrainAge is how old a machine must be before it is drained: it is charged for MinChargedTime
 	// anyway.
-	DrainAge = MinChargedTime / 2
+	MinDrainAge = MinChargedTime / 2
 	// SummaryInterval is how often the leader logs a summary.
 	SummaryInterval = 10 * time.Second
 )
--- a/internal/limits/connections.go
+++ b/internal/limits/connections.go
@@ -23,8 +23,8 @@
 	// thousand of them stay far below the memory of a controller that has as many sockets.
 	MaxIdleConnBytes = 8 << 10
 
-	// PeerStreams is how many calls of one other controller are served at once.
-	PeerStreams = 64
-	// PeerIdle is how long an unused connection to another controller is kept.
-	PeerIdle = 10 * time.Minute
+	// MaxPeerStreams is how many calls of one other controller are served at once.
+	MaxPeerStreams = 64
+	// PeerConnIdleTimeout is how long an unused connection to another controller is kept.
+	PeerConnIdleTimeout = 10 * time.Minute
 )
--- a/internal/limits/gateway.go
+++ b/internal/limits/gateway.go
@@ -29,16 +29,16 @@
 
 // Workers' heartbeats on their way to the leader.
 const (
-	// HeartbeatAnswerTimeout is how long a heartbeat may wait for the leader's answer. A worker drops
+	// HeartbeatReplyTimeout is how long a heartbeat may wait for the leader's answer. A worker drops
 	// an answer after 4 s.
-	HeartbeatAnswerTimeout = 3 * time.Second
+	HeartbeatReplyTimeout = 3 * time.Second
 	// RelayTimeout is the longest wait for the answer to a heartbeat that is relayed to the leader.
 	RelayTimeout = 1500 * time.Millisecond
 	// RelaySlots is how many heartbeats are relayed at once.
 	RelaySlots = 64
-	// RelayRetryAfter is how long a worker's heartbeats are relayed before the worker is told to try
+	// RelayDuration is how long a worker's heartbeats are relayed before the worker is told to try
 	// the leader itself again. A try that fails costs it 5 s of its lease.
-	RelayRetryAfter = 30 * time.Second
+	RelayDuration = 30 * time.Second
 	// LeaderUnreachableBackoff is how long a controller that could not reach the leader sends workers
 	// elsewhere before it tries again.
 	LeaderUnreachableBackoff = 3 * time.Second
--- a/internal/limits/jobs.go
+++ b/internal/limits/jobs.go
@@ -4,27 +4,27 @@
 
 // Estimates of run times.
 const (
-	// MinRunTime is the least run time that a task is expected to have, in seconds, so that no
+	// MinRunTimeS is the least run time that a task is expected to have, in seconds, so that no
 	// estimate is 0.
-	MinRunTime = 0.5
+	MinRunTimeS = 0.5
 	// MinRemainingShare is the least share of its run time that a running task is expected to need
 	// still, however long it has run.
 	MinRemainingShare = 0.1
 	// EstimatePriorTasks is how many tasks the class's run time counts for in a job's estimate, beside
 	// the tasks on machines.
 	EstimatePriorTasks = 2
-	// RunTimeLearningRate is the least weight of a new observation in the averages of a class: its run
+	// MinAverageWeight is the least weight of a new observation in the averages of a class: its run
 	// times against the estimates, and its fetch times.
-	RunTimeLearningRate = 0.05
+	MinAverageWeight = 0.05
 	// MinImageFetchRate is the slowest image fetch that is expected, in GB a second.
 	MinImageFetchRate = 1e-3
 )
 
 // Jobs that fail on every machine.
 const (
-	// JobFaultMachines is how many machines must fail a job's tasks before the job itself counts as
+	// FaultyJobMachines is how many machines must fail a job's tasks before the job itself counts as
 	// faulty.
-	JobFaultMachines = 3
+	FaultyJobMachines = 3
 	// JobBackoffMin and JobBackoffMax bound the growing pause before such a job is tried again.
 	JobBackoffMin = 2 * time.Second
 	JobBackoffMax = 60 * time.Second
--- a/internal/limits/leadership.go
+++ b/internal/limits/leadership.go
@@ -27,9 +27,9 @@
 
 // Handover to another controller.
 const (
-	// IsolatedAfter is how long renewals must have failed before the leader asks the other controllers
+	// IsolationThreshold is how long renewals must have failed before the leader asks the other controllers
 	// whether they can reach the state service.
-	IsolatedAfter = 4 * time.Second
+	IsolationThreshold = 4 * time.Second
 	// ConnectivityTimeout is the longest wait for their answers.
 	ConnectivityTimeout = time.Second
 	// SchedulingDelaySample is the length of the sleep by which a process measures how far it is
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -31,14 +31,14 @@
 	}
 }
 
-// TestLeaseBounds: a lease is not used for as long as it may last, and counts as over only after it
+// TestLeaseValidityBounds: a lease is not used for as long as it may last, and counts as over only after it
 // is, by twice the drift and the margin.
-func TestLeaseBounds(t *testing.T) {
+func TestLeaseValidityBounds(t *testing.T) {
 	lease := 20 * time.Second
-	if got, want := LeaseValidFor(lease), lease-20*time.Millisecond-LeaderLeaseMargin; got != want {
+	if got, want := LeaseValidFor(lease), lease-20*time.Millisecond-LeaseValidityMargin; got != want {
 		t.Errorf("valid for %v, want %v", got, want)
 	}
-	if got, want := LeaseExpiredAfter(lease), lease+20*time.Millisecond+LeaseMargin; got != want {
+	if got, want := LeaseExpiredAfter(lease), lease+20*time.Millisecond+LeaseExpiryMargin; got != want {
 		t.Errorf("expired after %v, want %v", got, want)
 	}
 }
--- a/internal/limits/machines.go
+++ b/internal/limits/machines.go
@@ -50,12 +50,12 @@
 	// but not below MinProbeRate, in probes a second.
 	ProbeCost    = 400 * time.Microsecond
 	MinProbeRate = 40.0
-	// SlowHeartbeatWait is how long a heartbeat may wait in the mailbox until probes are limited to
-	// ProbeSlowdown of that rate, for SlowHeartbeatMemory: heartbeats, the lease and votes need the
+	// SlowHeartbeatThreshold is how long a heartbeat may wait in the mailbox until probes are limited to
+	// ProbeSlowdownRatio of that rate, for ProbeSlowdownPeriod: heartbeats, the lease and votes need the
 	// processor more.
-	SlowHeartbeatWait   = 250 * time.Millisecond
-	SlowHeartbeatMemory = time.Second
-	ProbeSlowdown       = 0.25
+	SlowHeartbeatThreshold = 250 * time.Millisecond
+	ProbeSlowdownPeriod    = time.Second
+	ProbeSlowdownRatio     = 0.25
 	// DirectCommandTimeout is the longest wait for the answer to a direct command. A worker answers in
 	// milliseconds or not at all.
 	DirectCommandTimeout = 2 * time.Second
@@ -72,9 +72,9 @@
 
 // Faulty and slow machines.
 const (
-	// FaultyFailures is how many failures in a row, with no success between them, make a machine
+	// FaultyMachineFailures is how many failures in a row, with no success between them, make a machine
 	// faulty.
-	FaultyFailures = 2
+	FaultyMachineFailures = 2
 	// SlowMachineTasks and SlowMachineFactor: a machine whose last tasks, at least this many, took
 	// this many times as long as tasks of the same jobs elsewhere is faulty. Healthy machines differ
 	// by a tenth. Tasks of one job differ more, which is why several are needed.
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -32,9 +32,9 @@
 	// UnderservedShare is the share of their credit from which jobs of a group that have begun wait in
 	// the ordinary order. Users expect half.
 	UnderservedShare = 0.65
-	// ReservedMachinesRatio: one of this many machines may be reserved for jobs that are behind their
+	// MachinesPerReservation: one of this many machines may be reserved for jobs that are behind their
 	// credit and lack room.
-	ReservedMachinesRatio = 6
+	MachinesPerReservation = 6
 )
 
 // Preemption.
--- a/internal/limits/sockets.go
+++ b/internal/limits/sockets.go
@@ -20,11 +20,11 @@
 	// StaleConnShare is the part of the machines' connections that may be dead but not closed yet, or
 	// belong to machines that were returned.
 	StaleConnShare = 0.1
-	// ProbeShare is the part of the sockets that probes may use at once, and MaxProbes the largest
+	// ProbeSocketShare is the part of the sockets that probes may use at once, and MaxProbes the largest
 	// number of probes under way. A new leader probes all machines at once, and each that is
 	// unreachable keeps its socket for ProbeTimeout.
-	ProbeShare = 0.2
-	MaxProbes  = 512
+	ProbeSocketShare = 0.2
+	MaxProbes        = 512
 	// UserSlots is how many users' requests are served at once; further ones are told to retry later.
 	// Each makes one call to the state service at a time, so no more than UserSlotsShare of all
 	// sockets are used for them.
@@ -38,34 +38,34 @@
 // the other controllers are reserved. The rest is shared, as needed, by inbound connections and
 // connections to workers.
 type SocketShares struct {
-	Total        int // inbound connections and connections to workers, together
-	Headroom     int // part of Total that connections to workers leave free
-	Inbound      int // most inbound connections
-	MachineConns int // part of Inbound that machines may use
-	MaxMachines  int // most machines that are rented at once, unless the operator sets another number
-	Probes       int // most probes under way
-	UserSlots    int // most users' requests served at once
+	MaxConns        int // inbound connections and connections to workers, together
+	InboundHeadroom int // part of MaxConns that connections to workers leave free
+	MaxInboundConns int // most inbound connections
+	MaxMachineConns int // part of MaxInboundConns that machines may use
+	MaxMachines     int // most machines that are rented at once, unless the operator sets another number
+	MaxProbes       int // most probes under way
+	UserSlots       int // most users' requests served at once
 }
 
 // DivideSockets divides the sockets of a controller that has some number of other controllers beside
 // it. Every share is at least 1.
-func DivideSockets(sockets, others int) SocketShares {
-	userSlots := min(UserSlots, part(sockets, UserSlotsShare))
-	needed := userSlots + StateConns + MaxCloudCalls + 2*others + SpareSockets
+func DivideSockets(sockets, otherControllers int) SocketShares {
+	userSlots := min(UserSlots, shareOf(sockets, UserSlotsShare))
+	needed := userSlots + ControllerStateConns + MaxCloudCalls + 2*otherControllers + SpareSockets
 	reserved := min(needed, int(float64(sockets)*ReservedSocketShare))
 
-	s := SocketShares{UserSlots: userSlots, Total: sockets - reserved}
-	s.Headroom = part(s.Total, InboundHeadroomShare)
-	s.Inbound = s.Total - part(s.Total, OutboundReserveShare) - s.Headroom
-	s.MachineConns = s.Inbound - part(s.Inbound, UserConnShare)
-	s.MaxMachines = part(s.MachineConns, 1-StaleConnShare)
-	s.Probes = min(MaxProbes, part(s.Total, ProbeShare))
+	s := SocketShares{UserSlots: userSlots, MaxConns: sockets - reserved}
+	s.InboundHeadroom = shareOf(s.MaxConns, InboundHeadroomShare)
+	s.MaxInboundConns = s.MaxConns - shareOf(s.MaxConns, OutboundReserveShare) - s.InboundHeadroom
+	s.MaxMachineConns = s.MaxInboundConns - shareOf(s.MaxInboundConns, UserConnShare)
+	s.MaxMachines = shareOf(s.MaxMachineConns, 1-StaleConnShare)
+	s.MaxProbes = min(MaxProbes, shareOf(s.MaxConns, ProbeSocketShare))
 	return s
 }
 
-// part returns a share of a number, rounded down, but at least 1.
-func part(of int, share float64) int { return max(1, int(float64(of)*share)) }
+// shareOf returns a share of a number, rounded down, but at least 1.
+func shareOf(total int, share float64) int { return max(1, int(float64(total)*share)) }
 
 // MailboxSize returns the size of the mailbox of the leader's scheduler: one heartbeat of each worker
 // that can be connected, as each has one in flight at most.
-func MailboxSize(s SocketShares) int { return max(MinMailboxSize, s.MachineConns) }
+func MailboxSize(s SocketShares) int { return max(MinMailboxSize, s.MaxMachineConns) }
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -12,25 +12,25 @@
 	// WatchGrace is how long after WatchDuration the answer may still come. Watches stay open in an
 	// outage, so a long wait is no fault; a dead connection is noticed after this.
 	WatchGrace = 10 * time.Second
-	// RetryMin and RetryMax bound the jittered pause between tries at the state service, at the cloud
+	// RetryBackoffMin and RetryBackoffMax bound the jittered pause between tries at the state service, at the cloud
 	// and at connections to other controllers.
-	RetryMin = 100 * time.Millisecond
-	RetryMax = 2 * time.Second
+	RetryBackoffMin = 100 * time.Millisecond
+	RetryBackoffMax = 2 * time.Second
 	// StatePageSize is how many keys are asked for in one page. A page stays below MaxUpstreamBytes at
 	// the largest values seen so far.
 	StatePageSize = 200
 	// ConditionsPerOperation is how many conditions a transaction may have for each operation that it
 	// may have, by the protocol.
 	ConditionsPerOperation = 4
-	// StateConns is how many connections the controller's own work needs at once.
-	StateConns = 8
-	// StateIdle is how many connections are kept when they are not in use, for the controller's own
+	// ControllerStateConns is how many connections the controller's own work needs at once.
+	ControllerStateConns = 8
+	// MaxIdleStateConns is how many connections are kept when they are not in use, for the controller's own
 	// work and users' requests together: as many as may be used at once, since a controller that is
 	// behind with its work cannot open one in time.
-	StateIdle = StateConns + UserSlots
-	// WatchIdle is how many connections for watches are kept: that of the leader's key and, in the
+	MaxIdleStateConns = ControllerStateConns + UserSlots
+	// MaxIdleWatchConns is how many connections for watches are kept: that of the leader's key and, in the
 	// leader, that of the open jobs.
-	WatchIdle = 2
+	MaxIdleWatchConns = 2
 	// UnavailableAfter is how long no call must have succeeded until users are turned away without
 	// one, and UnavailableProbeInterval how often one call is made all the same.
 	UnavailableAfter         = time.Second
@@ -47,9 +47,9 @@
 	// theirs while many machines boot.
 	ControllerReadShare  = 0.5
 	ControllerWriteShare = 0.7
-	// UserRateWait is how long a user's request waits for its share: about as long as an answer of the
+	// UserRateLimitWait is how long a user's request waits for its share: about as long as an answer of the
 	// service takes now and then.
-	UserRateWait = 100 * time.Millisecond
+	UserRateLimitWait = 100 * time.Millisecond
 	// ChunkWriteShare is the part of the writes that may go into records of finished tasks: a third of
 	// what users do not need. Final records, rentals and registrations need the rest, and nothing
 	// starts or ends without them.
--- a/internal/limits/wire.go
+++ b/internal/limits/wire.go
@@ -9,8 +9,8 @@
 	MaxHeadBytes = 8 << 10
 	// MaxHeaders is the largest number of header lines, for the same reason.
 	MaxHeaders = 64
-	// MaxChunkLine is the longest size line of a chunk with its extensions, in bytes.
-	MaxChunkLine = 256
+	// MaxChunkLineBytes is the longest size line of a chunk with its extensions, in bytes.
+	MaxChunkLineBytes = 256
 	// MaxUpstreamBytes is the largest answer that is read from the state service or the cloud, in
 	// bytes. A page of keys has at most 512 KiB. The answer to a watch has no limit; if it is larger
 	// than this, the keys are listed again instead.
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -24,8 +24,8 @@
 	DeadlineS    float64  `cbor:"DueS" json:"DueS"`           // from the submission; 0: no deadline
 }
 
-// Gang reports whether the job's tasks run at the same time or not at all.
-func (s *Spec) Gang() bool { return s.Shape == ShapeGang }
+// IsGang reports whether the job's tasks run at the same time or not at all.
+func (s *Spec) IsGang() bool { return s.Shape == ShapeGang }
 
 // Shape says how the tasks of a job run.
 type Shape string
@@ -65,10 +65,10 @@
 
 // States of a job.
 const (
-	JobPending JobState = "pending" // no task runs
-	JobRunning JobState = "running"
-	JobDone    JobState = "done"
-	JobAborted JobState = "aborted" // cancelled by its user
+	JobPending   JobState = "pending" // no task runs
+	JobRunning   JobState = "running"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "aborted" // cancelled by its user
 )
 
 // JobStatus is the answer to users. The counts are for display; they are nil if they are not known.
--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/limits"
 )
 
-// TestTaskNames: names are read as they were written, and nothing else is read as a name.
-func TestTaskNames(t *testing.T) {
+// TestTaskNameRoundTrip: names are read as they were written, and nothing else is read as a name.
+func TestTaskNameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`job-[0-9]{1,12}`).Draw(t, "id")
 		index := rapid.IntRange(0, limits.MaxTasksPerJob-1).Draw(t, "index")
--- a/internal/protocol/parse.go
+++ b/internal/protocol/parse.go
@@ -21,7 +21,7 @@
 		return nil, fmt.Errorf("%w: not a map", ErrInvalid)
 	}
 	r := &fieldReader{fields: fields}
-	spec := r.spec()
+	spec := r.readSpec()
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -45,7 +45,7 @@
 }
 
 // spec reads a submission. The names are those of the wire; see the tags of Spec.
-func (r *fieldReader) spec() *Spec {
+func (r *fieldReader) readSpec() *Spec {
 	return &Spec{
 		ID:           r.text("NameId", required),
 		Class:        r.text("Docket", required),
@@ -56,11 +56,11 @@
 		CPUs:         r.amount("Vcpus", required),
 		Accelerators: r.amount("Accelerators", required),
 		MemoryGB:     r.amount("RamGb", required),
-		MachineTypes: r.names("Rigkinds"),
+		MachineTypes: r.nameList("Rigkinds"),
 		Zone:         r.text("Yard", optional),
-		SameZone:     r.flag("Together"),
-		SpreadZones:  r.flag("Scatter"),
-		Spot:         r.flag("Lendable"),
+		SameZone:     r.boolean("Together"),
+		SpreadZones:  r.boolean("Scatter"),
+		Spot:         r.boolean("Lendable"),
 		Image:        r.text("Bundle", required),
 		ImageGB:      r.amount("SizeGb", required),
 		EstimateS:    r.amount("ReckonS", required),
@@ -78,69 +78,69 @@
 	optional presence = false
 )
 
-func (r *fieldReader) fail(name, why string) {
+func (r *fieldReader) recordError(name, reason string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%w: %s: %s", ErrInvalid, name, why)
+		r.err = fmt.Errorf("%w: %s: %s", ErrInvalid, name, reason)
 	}
 }
 
 // get returns a field's value, and false if it is missing.
-func (r *fieldReader) get(name string, p presence) (any, bool) {
+func (r *fieldReader) value(name string, p presence) (any, bool) {
 	v := r.fields[name]
 	if v == nil && p == required {
-		r.fail(name, "missing")
+		r.recordError(name, "missing")
 	}
 	return v, v != nil
 }
 
 func (r *fieldReader) text(name string, p presence) string {
-	v, ok := r.get(name, p)
+	v, ok := r.value(name, p)
 	if !ok {
 		return ""
 	}
 	s, ok := v.(string)
 	if !ok {
-		r.fail(name, "must be text")
+		r.recordError(name, "must be text")
 		return ""
 	}
 	if !validName(s) {
-		r.fail(name, "empty or too long")
+		r.recordError(name, "empty or too long")
 		return ""
 	}
 	return s
 }
 
-func (r *fieldReader) flag(name string) bool {
-	v, ok := r.get(name, required)
+func (r *fieldReader) boolean(name string) bool {
+	v, ok := r.value(name, required)
 	if !ok {
 		return false
 	}
 	b, ok := v.(bool)
 	if !ok {
-		r.fail(name, "must be true or false")
+		r.recordError(name, "must be true or false")
 	}
 	return b
 }
 
 // amount reads a number that is not negative. Whole numbers may be encoded as integers.
 func (r *fieldReader) amount(name string, p presence) float64 {
-	v, ok := r.get(name, p)
+	v, ok := r.value(name, p)
 	if !ok {
 		return 0
 	}
-	x, ok := toFloat(v)
+	x, ok := toFloat64(v)
 	if !ok {
-		r.fail(name, "must be a number")
+		r.recordError(name, "must be a number")
 		return 0
 	}
 	if math.IsNaN(x) || x < 0 || x > limits.MaxAmount {
-		r.fail(name, "out of range")
+		r.recordError(name, "out of range")
 		return 0
 	}
 	return x
 }
 
-func toFloat(v any) (float64, bool) {
+func toFloat64(v any) (float64, bool) {
 	switch n := v.(type) {
 	case float64:
 		return n, true
@@ -153,43 +153,43 @@
 }
 
 // count reads a whole number from 1 to most.
-func (r *fieldReader) count(name string, most uint64) int {
-	v, ok := r.get(name, required)
+func (r *fieldReader) count(name string, maxCount uint64) int {
+	v, ok := r.value(name, required)
 	if !ok {
 		return 0
 	}
 	n, ok := v.(uint64)
 	if !ok {
-		r.fail(name, "must be a whole number")
+		r.recordError(name, "must be a whole number")
 		return 0
 	}
-	if n < 1 || n > most {
-		r.fail(name, "out of range")
+	if n < 1 || n > maxCount {
+		r.recordError(name, "out of range")
 		return 0
 	}
 	return int(n)
 }
 
 // names reads an optional list of names of machine types.
-func (r *fieldReader) names(name string) []string {
-	v, ok := r.get(name, optional)
+func (r *fieldReader) nameList(name string) []string {
+	v, ok := r.value(name, optional)
 	if !ok {
 		return nil
 	}
 	list, ok := v.([]any)
 	if !ok {
-		r.fail(name, "must be a list of names")
+		r.recordError(name, "must be a list of names")
 		return nil
 	}
 	if len(list) > limits.MaxMachineTypes {
-		r.fail(name, "too long")
+		r.recordError(name, "too long")
 		return nil
 	}
 	names := make([]string, 0, len(list))
 	for _, e := range list {
 		s, ok := e.(string)
 		if !ok || !validName(s) {
-			r.fail(name, "must be a list of names")
+			r.recordError(name, "must be a list of names")
 			return nil
 		}
 		names = append(names, s)
--- a/internal/protocol/parse_test.go
+++ b/internal/protocol/parse_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// TestSpecAccepted: a submission is read field by field, with whole numbers for amounts, unknown
+// TestParseSpecAccepts: a submission is read field by field, with whole numbers for amounts, unknown
 // fields, and optional fields that are null or omitted.
-func TestSpecAccepted(t *testing.T) {
+func TestParseSpecAccepts(t *testing.T) {
 	submission := validSubmission()
 	want, err := ParseSpec(Encode(submission))
 	if err != nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestSpecRefused: each field is checked, and so is the encoding as a whole.
-func TestSpecRefused(t *testing.T) {
+// TestParseSpecRejects: each field is checked, and so is the encoding as a whole.
+func TestParseSpecRejects(t *testing.T) {
 	long := strings.Repeat("n", limits.MaxNameBytes+1)
 	bad := map[string][]any{
 		"NameId":       {nil, 7, "", "job-", "job-12x", "run-1", "job-1/2", long},
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -109,11 +109,12 @@
 		want string
 	}{
 		{"Shape", []any{ShapeArray, ShapeGang}, "[sweep ensemble]"},
-		{"JobState", []any{JobPending, JobRunning, JobDone, JobAborted}, "[pending running done aborted]"},
+		{"JobState", []any{JobPending, JobRunning, JobDone, JobCancelled}, "[pending running done aborted]"},
 		{"TaskState", []any{TaskFetching, TaskGathering, TaskRunning, TaskSaving, TaskEnded},
 			"[fetching gathering running saving ended]"},
-		{"EndReason", []any{ReasonDone, ReasonStopped, ReasonError, ReasonNoRoom, ReasonBusy, ReasonUnknownTask,
-			ReasonPeers, ReasonIncomplete}, "[done halted error no_room busy no_such peers incomplete]"},
+		{"EndReason", []any{ReasonDone, ReasonStopped, ReasonError, ReasonNoRoom, ReasonAttemptExists,
+			ReasonUnknownTask, ReasonPeerLost, ReasonGangIncomplete},
+			"[done halted error no_room busy no_such peers incomplete]"},
 		{"CommandVerb", []any{CommandStart, CommandStop, CommandForget}, "[start stop forget]"},
 		{"MachineState", []any{MachineBooting, MachineRunning, MachineFailed}, "[booting running failed]"},
 	} {
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -17,15 +17,15 @@
 
 // Reasons for the end of a task.
 const (
-	ReasonDone        EndReason = "done"    // completed; the worker keeps the result
-	ReasonStopped     EndReason = "halted"  // stopped by a command
-	ReasonError       EndReason = "error"   // failed, mostly by a fault of the machine
-	ReasonNoRoom      EndReason = "no_room" // start refused: not enough free resources
-	ReasonBusy        EndReason = "busy"    // start refused: another attempt of the task is there
-	ReasonUnknownTask EndReason = "no_such" // start refused: no such job or task
+	ReasonDone          EndReason = "done"    // completed; the worker keeps the result
+	ReasonStopped       EndReason = "halted"  // stopped by a command
+	ReasonError         EndReason = "error"   // failed, mostly by a fault of the machine
+	ReasonNoRoom        EndReason = "no_room" // start refused: not enough free resources
+	ReasonAttemptExists EndReason = "busy"    // start refused: another attempt of the task is there
+	ReasonUnknownTask   EndReason = "no_such" // start refused: no such job or task
 
-	ReasonPeers      EndReason = "peers"      // of a gang: another task of it is gone
-	ReasonIncomplete EndReason = "incomplete" // of a gang: it was not complete in time
+	ReasonPeerLost       EndReason = "peers"      // of a gang: another task of it is gone
+	ReasonGangIncomplete EndReason = "incomplete" // of a gang: it was not complete in time
 )
 
 // TaskStatus is one task in a worker's heartbeat.
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -128,20 +128,20 @@
 	save := limits.Seconds(g.spec.SaveS)
 	switch {
 	case m == nil:
-		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeerLost}
 	case g.completed:
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonDone}
 	case g.startedAt.IsZero() && now.After(m.joinedAt.Add(g.times.giveUpAfter)):
-		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonIncomplete}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonGangIncomplete}
 	case g.startedAt.IsZero():
 		return protocol.TaskStatus{State: protocol.TaskGathering}
 	case !g.memberLostAt.IsZero() && now.After(g.memberLostAt.Add(g.times.noticeAfter)):
-		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeerLost}
 	case !g.firstStopAt.IsZero() && g.allStopping() && now.After(g.firstStopAt.Add(save)):
 		g.registry.saveProgress(g.spec.ID, g.progress(g.firstStopAt))
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonStopped, Saved: true}
 	case !g.firstStopAt.IsZero() && now.After(g.firstStopAt.Add(g.times.noticeAfter+save)):
-		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
+		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeerLost}
 	}
 	return protocol.TaskStatus{State: protocol.TaskRunning}
 }
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -72,7 +72,7 @@
 	}
 	for _, other := range w.tasks {
 		if other.Task == command.Task && other.State != protocol.TaskEnded {
-			t.Reason = protocol.ReasonBusy
+			t.Reason = protocol.ReasonAttemptExists
 			return t
 		}
 	}
@@ -85,7 +85,7 @@
 		return t
 	}
 	t.Reason = ""
-	if spec.Gang() {
+	if spec.IsGang() {
 		t.State = protocol.TaskGathering
 		t.gang = w.cloud.gangs.attempt(spec, command.Attempt, w.cloud.gangTimes())
 		t.gang.join(command.Task, func() bool { return w.hungFor() > 0 })
--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -15,10 +15,10 @@
 // Wait sleeps and reports whether the context is still alive.
 func (b *Backoff) Wait(ctx context.Context) bool {
 	if b.next == 0 {
-		b.next = limits.RetryMin
+		b.next = limits.RetryBackoffMin
 	}
 	pause := b.next/2 + rand.N(b.next)
-	b.next = min(b.next*2, limits.RetryMax)
+	b.next = min(b.next*2, limits.RetryBackoffMax)
 	return Sleep(ctx, pause)
 }
 
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -34,10 +34,10 @@
 // New returns a Store for the work of the controllers themselves, of which only the leader's amounts
 // to much.
 func New(address string, settings config.State) *Store {
-	client := transport.NewClient(address, limits.StateIdle, limits.MaxUpstreamBytes)
+	client := transport.NewClient(address, limits.MaxIdleStateConns, limits.MaxUpstreamBytes)
 	return &Store{
 		client:      client.WithDialTimeout(limits.LeaseRenewTimeout),
-		watchClient: transport.NewClient(address, limits.WatchIdle, limits.MaxUpstreamBytes),
+		watchClient: transport.NewClient(address, limits.MaxIdleWatchConns, limits.MaxUpstreamBytes),
 		requests:    newLimiter(settings.RPS, limits.ControllerReadShare, 1),
 		writes:      newLimiter(settings.WriteRPS, limits.ControllerWriteShare, settings.TxnOps),
 		settings:    settings,
@@ -60,7 +60,7 @@
 	users := *s
 	users.requests = newLimiter(s.settings.RPS, limits.UserReadShare, 1)
 	users.writes = newLimiter(s.settings.WriteRPS, limits.UserWriteShare, s.settings.TxnOps)
-	users.maxRateWait = limits.UserRateWait
+	users.maxRateWait = limits.UserRateLimitWait
 	return &users
 }
 
--- a/internal/transport/decoder.go
+++ b/internal/transport/decoder.go
@@ -172,7 +172,7 @@
 
 func (d *Decoder) readChunkSize() (m *Message, more bool, err error) {
 	i := bytes.Index(d.buffer, []byte("\r\n"))
-	if i > limits.MaxChunkLine || (i < 0 && len(d.buffer) > limits.MaxChunkLine) {
+	if i > limits.MaxChunkLineBytes || (i < 0 && len(d.buffer) > limits.MaxChunkLineBytes) {
 		return nil, false, ErrMalformed
 	}
 	if i < 0 {
--- a/internal/transport/decoder_test.go
+++ b/internal/transport/decoder_test.go
@@ -171,7 +171,7 @@
 		"head without end":     {"GET /" + long, ErrTooLarge},
 		"too many headers":     {postHead + strings.Repeat("A: b\r\n", limits.MaxHeaders+1) + "\r\n", ErrTooLarge},
 		"trailer without end":  {chunkedHead + "0\r\n" + long, ErrTooLarge},
-		"endless size line":    {chunkedHead + strings.Repeat("0", limits.MaxChunkLine+1), ErrMalformed},
+		"endless size line":    {chunkedHead + strings.Repeat("0", limits.MaxChunkLineBytes+1), ErrMalformed},
 		"length beyond digits": {postHead + "Content-Length: 99999999999\r\n\r\n", ErrMalformed},
 	}
 	for name, test := range tests {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -122,7 +122,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(limits.RetryMin):
+		case <-time.After(limits.RetryBackoffMin):
 		}
 	}
 }
