--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -50,7 +50,7 @@
 // that had waited in the mailbox for longer than SlowHeartbeatWait.
 func (t *termActor) hasRecentSlowHeartbeat() bool {
 	slowAt := t.lastSlowHeartbeatAt.Load()
-	return slowAt != 0 && t.now()-time.Duration(slowAt) < limits.ProbeSlowdownPeriod
+	return slowAt != 0 && t.now()-time.Duration(slowAt) < limits.ProbePause
 }
 
 // probeWorker asks a worker for its incarnation, sends it an empty list of commands with this term's
--- a/internal/coordination/leader/probes_test.go
+++ b/internal/coordination/leader/probes_test.go
@@ -34,7 +34,7 @@
 		notSent   bool
 	}{
 		{"slow heartbeat just now", 0, true},
-		{"last slow heartbeat long ago", 2 * limits.ProbeSlowdownPeriod, false},
+		{"last slow heartbeat long ago", 2 * limits.ProbePause, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			actor.lastSlowHeartbeatAt.Store(int64(actor.now() - c.sinceSlow))
--- a/internal/limits/machines.go
+++ b/internal/limits/machines.go
@@ -51,10 +51,10 @@
 	ProbeCost    = 400 * time.Microsecond
 	MinProbeRate = 40.0
 	// SlowHeartbeatThreshold is how long a heartbeat may wait in the mailbox until probes are limited to
-	// ProbeSlowdownRatio of that rate, for ProbeSlowdownPeriod: heartbeats, the lease and votes need the
+	// ProbeSlowdownRatio of that rate, for ProbePause: heartbeats, the lease and votes need the
 	// processor more.
 	SlowHeartbeatThreshold = 250 * time.Millisecond
-	ProbeSlowdownPeriod    = time.Second
+	ProbePause             = time.Second
 	ProbeSlowdownRatio     = 0.25
 	// DirectCommandTimeout is the longest wait for the answer to a direct command. A worker answers in
 	// milliseconds or not at all.
