--- a/internal/limits/capacity.go
+++ b/internal/limits/capacity.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// Scaling out. A pool is the machines of one type in one zone, spot or not.
+// Scaling out. A pool is all machines of one machine type in one zone, either spot or ordinary ones.
 const (
-	// PlanInterval is how often it is planned which machines to rent and return.
+	// PlanInterval is the time between two runs of the capacity planner, which decides which machines to
+	// rent and to return.
 	PlanInterval = time.Second
-	// MaxPlannedWait is the default of the longest time that a job is planned to wait for room.
+	// MaxPlannedWait is the default limit on how long a job is planned to wait for free resources.
 	MaxPlannedWait = 15 * time.Second
-	// PlannedWaitSlackRatio is the default of the part of a job's slack that it is planned to wait. The
-	// rest is for what goes wrong.
+	// PlannedWaitSlackRatio is the default share of a job's slack that the job is planned to wait. The
+	// rest is kept for unforeseen delays.
 	PlannedWaitSlackRatio = 0.25
-	// ExpensivePoolRatio and ExpensivePoolSlack are defaults: a pool whose CPUs cost at least this many
-	// times as much as the cheapest is used only for jobs with less slack than this.
+	// ExpensivePoolRatio and ExpensivePoolSlack are defaults. A pool that costs more than this multiple of
+	// the cheapest pool's price is used only for jobs with at most this slack.
 	ExpensivePoolRatio = 2.5
 	ExpensivePoolSlack = 60 * time.Second
-	// SimilarPriceRatio: pools whose CPUs cost up to this many times as much as the cheapest are asked
-	// for machines beside it.
+	// SimilarPriceRatio is the multiple of the cheapest pool's price up to which another pool is used
+	// beside the cheapest one.
 	SimilarPriceRatio = 1.5
-	// MinPoolRequests is how many rental requests for one pool may wait in any case.
+	// MinPoolRequests is the least value of the limit on pending rental requests for one pool.
 	MinPoolRequests = 2
-	// ZoneSpreadPenalty raises the price of a pool for each machine in its zone, as a fraction: just
-	// enough to spread machines over zones where all else is equal.
+	// ZoneSpreadPenalty is the fraction by which each machine in a zone raises the price that is compared
+	// for further pools there. It is just large enough to spread machines over zones of equal price.
 	ZoneSpreadPenalty = 0.001
-	// MinRentalFraction is how much of one more machine must be needed before it is rented while
-	// others are up, as a fraction of the machine.
+	// MinRentalFraction is the fraction of an additional machine that must be needed before it is rented.
+	// It does not apply while there are no machines at all.
 	MinRentalFraction = 0.3
-	// FractionalRentalDelay is how long after its submission or its last start a job has to wait until
-	// a machine is rented for it however little of it is needed.
+	// FractionalRentalDelay is how long a job waits, counted from its submission or the last time one of
+	// its tasks was assigned, until a machine is rented for it even if it needs only a small part of it.
 	FractionalRentalDelay = 30 * time.Second
 
-	// BootEstimateFactor is how many nominal boot times a machine is expected to take. Usual are 0.6
-	// to 1.5.
+	// BootEstimateFactor is the expected boot time of a machine in multiples of the nominal one. Actual
+	// boots usually take 0.6 to 1.5 times the nominal time.
 	BootEstimateFactor = 1.1
-	// BootPlanFactor is the number of nominal boot times after which planning no longer counts on a
-	// machine: it may never come up.
+	// BootPlanFactor is the number of nominal boot times after which the planner no longer counts on a
+	// booting machine, as it may never come up.
 	BootPlanFactor = 2.75
-	// OverdueBootRemainingS is how many seconds more a boot is expected to take that takes longer than
-	// estimated.
+	// OverdueBootRemainingS is the remaining boot time, in seconds, that is expected of a machine that
+	// has been booting for longer than estimated.
 	OverdueBootRemainingS = 2.0
-	// BootTimeoutFactor is the number of nominal boot times after which a machine is given up, but not
-	// before MinBootTimeout.
+	// BootTimeoutFactor is the number of nominal boot times after which a machine that has not come up is
+	// returned to the cloud. It is kept for at least MinBootTimeout.
 	BootTimeoutFactor = 3.0
 	MinBootTimeout    = 60 * time.Second
 )
@@ -49,16 +50,16 @@
 const (
 	// MinChargedTime is the least time that the cloud charges for a machine.
 	MinChargedTime = 60 * time.Second
-	// IdleTimeout is the default of how long a machine is idle before it is returned.
+	// IdleTimeout is the default for how long a machine must be idle before it is returned.
 	IdleTimeout = 15 * time.Second
-	// DrainedIdleTimeout is the same for a machine that is being drained.
+	// DrainedIdleTimeout replaces IdleTimeout for a machine that is being drained.
 	DrainedIdleTimeout = 3 * time.Second
-	// DrainHeadroom is the default of the share of the CPUs of running and waiting tasks that is kept
-	// free, for tasks to come, before machines are drained.
+	// DrainHeadroom is the default for how many CPUs are kept free for future tasks when machines are
+	// drained, as a fraction of the CPUs of all running and waiting tasks.
 	DrainHeadroom = 0.4
-	// MinDrainAge is how old a machine must be before it is drained: it is charged for MinChargedTime
-	// anyway.
+	// MinDrainAge is the age from which a machine may be drained. Returning a machine before
+	// MinChargedTime saves nothing.
 	MinDrainAge = MinChargedTime / 2
-	// SummaryInterval is how often the leader logs a summary.
+	// SummaryInterval is the time between two summaries in the leader's log.
 	SummaryInterval = 10 * time.Second
 )
--- a/internal/limits/clocks.go
+++ b/internal/limits/clocks.go
@@ -4,24 +4,24 @@
 
 // Clocks.
 const (
-	// ClockDriftRatio is how far a steady clock may drift from true time, as a fraction of the time that
-	// goes by. Twice as much is allowed for between two clocks.
+	// ClockDriftRatio is the assumed upper bound on the drift of a monotonic clock from true time, as a
+	// fraction of the elapsed time. Two clocks may drift apart by twice as much.
 	ClockDriftRatio = 0.0005
-	// LeaseExpiryMargin is added wherever the end of another's lease is waited for: timers fire in steps of
-	// some milliseconds.
+	// LeaseExpiryMargin is added when waiting for another process's lease to expire, because timers have
+	// a granularity of some milliseconds.
 	LeaseExpiryMargin = 500 * time.Millisecond
-	// LeaseValidityMargin is subtracted from the leader's own lease for the same reason.
+	// LeaseValidityMargin is subtracted from a process's own lease for the same reason.
 	LeaseValidityMargin = 500 * time.Millisecond
 )
 
-// LeaseExpiredAfter returns how long to wait, by this clock, until a lease of a duration by another
-// clock has certainly expired.
+// LeaseExpiredAfter returns how long to wait, measured by the local clock, until a lease that another
+// clock measures has certainly expired.
 func LeaseExpiredAfter(duration time.Duration) time.Duration {
 	return duration + maxDrift(duration) + LeaseExpiryMargin
 }
 
-// LeaseValidFor returns how long, by this clock, a lease of a duration by another clock is certainly
-// valid. The time counts from when its creation or renewal was sent.
+// LeaseValidFor returns how long, measured by the local clock, a lease that another clock measures is
+// certainly valid. The time starts when the request that created or renewed the lease was sent.
 func LeaseValidFor(duration time.Duration) time.Duration {
 	return duration - maxDrift(duration) - LeaseValidityMargin
 }
@@ -31,5 +31,5 @@
 	return time.Duration(float64(duration) * 2 * ClockDriftRatio)
 }
 
-// Seconds converts a duration of the protocol or the settings, in seconds.
+// Seconds converts a number of seconds, as in the protocol and the settings, to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/limits/cloud.go
+++ b/internal/limits/cloud.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Calls to the cloud.
+// Calls to the cloud API.
 const (
-	// CloudTimeout is the longest wait for an answer. Usually it takes up to about a second.
+	// CloudTimeout is the timeout of a call. A reply usually takes up to about a second.
 	CloudTimeout = 8 * time.Second
-	// MaxCloudCalls is how many calls are under way at once: rentals, deletions, a page of the list
-	// and the types. Further ones would wait for the rate anyway.
+	// MaxCloudCalls is the largest number of concurrent calls: rentals, deletions, one page of the machine
+	// list and the machine types. More would only wait for the rate limit.
 	MaxCloudCalls = 24
-	// CloudRateShare is the part of the cloud's rate that a leader uses. At a failover two leaders may
-	// make calls for a moment.
+	// CloudRateShare is the share of the cloud's rate limit that a leader uses. During a failover, two
+	// leaders may make calls for a moment.
 	CloudRateShare = 0.8
-	// CloudRetryInterval is the pause before a call without a clear answer is repeated.
+	// CloudRetryInterval is the delay before a call with an unknown outcome is repeated.
 	CloudRetryInterval = 2 * time.Second
-	// CloudPageSize is how many machines are asked for in one page, the most that the protocol allows.
+	// CloudPageSize is the number of machines requested per page of the machine list, the maximum of the
+	// protocol.
 	CloudPageSize = 500
-	// MaxRentalSize is the largest number of machines in one rental request, by the protocol.
+	// MaxRentalSize is the maximum number of machines in a rental request, set by the protocol.
 	MaxRentalSize = 50
-	// MaxDeleteSize is the largest number of machines in one deletion, by the protocol.
+	// MaxDeleteSize is the maximum number of machines in a delete request, set by the protocol.
 	MaxDeleteSize = 100
-	// MachineListInterval is how often the cloud's list of machines is read.
+	// MachineListInterval is the time between two reads of the cloud's machine list.
 	MachineListInterval = 10 * time.Second
-	// MachineTypesInterval is how often machine types and prices are read.
+	// MachineTypesInterval is the time between two reads of the machine types and prices.
 	MachineTypesInterval = 120 * time.Second
-	// MissingListsBeforeDelete is how many lists in a row must lack an unreachable machine that was
-	// listed before until it is deleted. A list can be older than the one before it.
+	// MissingListsBeforeDelete is the number of consecutive machine lists from which an unreachable
+	// machine must be missing, after it was listed once, before it is deleted. One list is not enough,
+	// because it can be older than the list read before it.
 	MissingListsBeforeDelete = 2
-	// CapacityBackoffMin and CapacityBackoffMax bound the pause after the cloud had no machine of one
-	// type in one zone, spot or not.
+	// CapacityBackoffMin and CapacityBackoffMax bound the exponential delay before the next rental request
+	// for a pool that had fewer machines than were requested.
 	CapacityBackoffMin = 5 * time.Second
 	CapacityBackoffMax = 40 * time.Second
 )
--- a/internal/limits/connections.go
+++ b/internal/limits/connections.go
@@ -4,27 +4,28 @@
 
 // Connections.
 const (
-	// DialTimeout is the longest wait for a connection.
+	// DialTimeout is the timeout for establishing a connection.
 	DialTimeout = time.Second
-	// ConnIdleTimeout is how long an inbound connection may be idle before it is closed. Users poll
-	// every 5 s, and workers send heartbeats more often.
+	// ConnIdleTimeout is how long an inbound connection may be idle before it is closed. Users poll every
+	// 5 s, and workers send heartbeats more often than that.
 	ConnIdleTimeout = 60 * time.Second
-	// RequestReadTimeout is how long a request may take to arrive as a whole before its connection is
+	// RequestReadTimeout is the time within which a whole request must arrive. Otherwise its connection is
 	// closed.
 	RequestReadTimeout = 10 * time.Second
-	// ConnSweepInterval is how often connections are checked for these two timeouts.
+	// ConnSweepInterval is the time between two checks of all connections for these two timeouts.
 	ConnSweepInterval = 2 * time.Second
-	// MaxServerLoopFailures is how many times in a row a server's loop may end right after its start
-	// before the server gives up.
+	// MaxServerLoopFailures is how many times in a row a server's event loop is restarted after it ended
+	// shortly after its start. Then the server returns an error.
 	MaxServerLoopFailures = 20
-	// ReadBufferBytes is the size of a buffer that one read fills, in bytes. Most messages fit.
+	// ReadBufferBytes is the size of the buffer for one read, in bytes. Most messages fit into it.
 	ReadBufferBytes = 4096
-	// MaxIdleConnBytes is how much of the heap a connection may keep between requests, in bytes. Two
-	// thousand of them stay far below the memory of a controller that has as many sockets.
+	// MaxIdleConnBytes is the largest amount of heap memory that a connection may keep between requests,
+	// in bytes. It keeps the total for two thousand connections far below the memory of a controller that
+	// has as many sockets.
 	MaxIdleConnBytes = 8 << 10
 
-	// MaxPeerStreams is how many calls of one other controller are served at once.
+	// MaxPeerStreams is the maximum number of concurrent calls from one other controller.
 	MaxPeerStreams = 64
-	// PeerConnIdleTimeout is how long an unused connection to another controller is kept.
+	// PeerConnIdleTimeout is how long an unused connection to another controller is kept open.
 	PeerConnIdleTimeout = 10 * time.Minute
 )
--- a/internal/limits/doc.go
+++ b/internal/limits/doc.go
@@ -1,7 +1,7 @@
-// Package limits holds every constant of quillshunt that is a matter of judgement or of the published
-// protocol, with its unit and the reason for its value. What depends on a deployment is a function of
-// its settings here.
+// Package limits holds the constants that quillshunt is tuned by and those that the published protocol
+// prescribes, each with its unit and the reason for its value. Values that depend on the settings of a
+// deployment are computed by functions of this package.
 //
-// Times are time.Duration. Names that end in Share or Ratio are fractions without a unit, those in
-// Factor multiples; others give their unit in the comment.
+// Times are of type time.Duration. Names that end in Share, Fraction, Ratio or Factor are plain numbers
+// without a unit. The unit of everything else is given in its comment.
 package limits
--- a/internal/limits/gangs.go
+++ b/internal/limits/gangs.go
@@ -4,17 +4,19 @@
 
 // Gang scheduling.
 const (
-	// GangDemandWindow is how long room is reserved for as many gangs as there were at once: longer
-	// than a gang runs and a machine boots, but not much longer, as the room is paid for.
+	// GangDemandWindow is how long machines stay reserved for the peak demand of gangs of one kind. It is
+	// longer than a gang runs plus the time that a machine boots, but not much longer, because the
+	// reserved machines cost money.
 	GangDemandWindow = 90 * time.Second
-	// GangCapacityTimeout is how long machines are rented and kept for a gang that cannot get all that
-	// it needs. Refusals of the cloud last some seconds, and a machine takes up to about a minute to
-	// boot.
+	// GangCapacityTimeout is how long machines are rented and kept for a gang while the cloud does not
+	// have enough machines for all of it. The cloud refuses requests for some seconds at a time, and a
+	// machine takes up to about a minute to boot.
 	GangCapacityTimeout = 60 * time.Second
-	// GangReservationShare is the largest part of all machines that is reserved for gangs of one kind.
-	// Under lasting overload others need the rest.
+	// GangReservationShare is the largest share of all CPUs that is reserved for gangs of one kind. Other
+	// jobs need the rest under sustained overload.
 	GangReservationShare = 0.5
-	// GangReservationYieldAge is how long after its submission or last start a job may use what is
-	// reserved for gangs: well below the 90 s for which nobody may wait while a machine has room.
+	// GangReservationYieldAge is how long a job waits, counted from its submission or the last time one of
+	// its tasks was assigned, until it may use machines that are reserved for gangs. It is well below the
+	// 90 s after which no job may be waiting while a machine has free resources for it.
 	GangReservationYieldAge = 45 * time.Second
 )
--- a/internal/limits/jobs.go
+++ b/internal/limits/jobs.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Estimates of run times.
+// Run time estimates.
 const (
-	// MinRunTimeS is the least run time that a task is expected to have, in seconds, so that no
-	// estimate is 0.
+	// MinRunTimeS is the least estimated run time of a task, in seconds, so that no estimate is 0.
 	MinRunTimeS = 0.5
-	// MinRemainingShare is the least share of its run time that a running task is expected to need
-	// still, however long it has run.
+	// MinRemainingShare is the least estimated remaining run time of a running task, as a share of its
+	// estimated run time. It applies also to a task that has run for longer than estimated.
 	MinRemainingShare = 0.1
-	// EstimatePriorTasks is how many tasks the class's run time counts for in a job's estimate, beside
-	// the tasks on machines.
+	// EstimatePriorTasks is the weight of the class's mean run time in a job's estimate, as a number of
+	// tasks. It is added to the number of the job's tasks that are on machines.
 	EstimatePriorTasks = 2
-	// MinAverageWeight is the least weight of a new observation in the averages of a class: its run
-	// times against the estimates, and its fetch times.
+	// MinAverageWeight is the least weight of a new sample in the moving averages of a job class: the ratio
+	// of run times to the users' estimates, and the image fetch times.
 	MinAverageWeight = 0.05
-	// MinImageFetchRate is the slowest image fetch that is expected, in GB a second.
+	// MinImageFetchRate is the slowest image fetch rate that estimates assume, in GB per second.
 	MinImageFetchRate = 1e-3
 )
 
 // Jobs that fail on every machine.
 const (
-	// FaultyJobMachines is how many machines must fail a job's tasks before the job itself counts as
-	// faulty.
+	// FaultyJobMachines is the number of machines on which a job's tasks must fail, without a success in
+	// between, before the failures are attributed to the job instead of the machines.
 	FaultyJobMachines = 3
-	// JobBackoffMin and JobBackoffMax bound the growing pause before such a job is tried again.
+	// JobBackoffMin and JobBackoffMax bound the exponential delay before such a job is retried.
 	JobBackoffMin = 2 * time.Second
 	JobBackoffMax = 60 * time.Second
 )
 
-// Cancellations. The settings' cancel_s says when the tasks of a cancelled job must be gone.
+// Cancellations. The setting cancel_s is the time within which the tasks of a cancelled job must have
+// ended.
 const (
-	// CancelDeleteShare is the share of CancelHeartbeatWindow after which a machine that still has
-	// tasks of a cancelled job is deleted.
+	// CancelDeleteShare is the share of CancelHeartbeatWindow after which a machine that still has tasks
+	// of a cancelled job is deleted.
 	CancelDeleteShare = 0.6
-	// CancelStopGrace is how long a leader that learns of an older cancellation only now waits for its
-	// stop commands to work before it deletes machines, but not past CancelDeleteLatestShare of
-	// cancel_s.
+	// CancelStopGrace is how long a leader that learns late of a cancellation, as after a failover, waits
+	// for its stop commands to take effect before it deletes machines. It waits at most until
+	// CancelDeleteLatestShare of cancel_s has passed.
 	CancelStopGrace         = 3 * time.Second
 	CancelDeleteLatestShare = 0.85
 )
 
-// CancelHeartbeatWindow returns how long after a cancellation the heartbeats of a machine that still
-// has the job's tasks may be answered. Its lease then ends within cancelWithin, even if its deletion
-// fails. It is at least half of cancelWithin, for leases that are too long for this.
+// CancelHeartbeatWindow returns how long after a cancellation the leader still answers heartbeats of a
+// machine that has tasks of the cancelled job. Without further replies the worker's lease expires, and
+// the tasks end within cancelWithin even if deleting the machine fails. The window is at least half of
+// cancelWithin, for worker leases that are too long for this.
 func CancelHeartbeatWindow(cancelWithin, workerLease time.Duration) time.Duration {
 	return max(cancelWithin-LeaseExpiredAfter(workerLease), cancelWithin/2)
 }
--- a/internal/limits/leadership.go
+++ b/internal/limits/leadership.go
@@ -4,66 +4,68 @@
 
 // The leader's lease.
 const (
-	// LeaderLease is the default duration of the leader's lease. With the workers' leases it has to
-	// outlast an outage of the state service. A long one costs little: a leader that crashed is back
-	// under its own name, and elected, long before, and one that alone cannot reach the state service
-	// hands over. Only a leader whose machine is lost for good is replaced this much later.
+	// LeaderLease is the default duration of the leader's lease. Together with the workers' leases it has
+	// to outlast an outage of the state service. A long lease costs little: a leader that crashed is
+	// restarted and reelected under the same name long before the lease expires, and a leader that alone
+	// cannot reach the state service hands over the leadership. Only the replacement of a leader whose
+	// machine is lost for good is delayed by the length of the lease.
 	LeaderLease = 60 * time.Second
-	// LeaderLeaseMin and LeaderLeaseMax bound what an operator may set. Below, one slow answer of the
-	// state service costs the leadership; the state service does not accept more than the maximum.
+	// LeaderLeaseMin and LeaderLeaseMax bound what an operator may set. With a lease shorter than the
+	// minimum, a single slow reply of the state service would end the term. The state service rejects
+	// leases longer than the maximum.
 	LeaderLeaseMin = 5 * time.Second
 	LeaderLeaseMax = 600 * time.Second
-	// LeaseRenewInterval is how often the lease is renewed: often enough that nearly all of it is left
-	// when an outage begins.
+	// LeaseRenewInterval is the time between two renewals of the lease. It is short, so that nearly all of
+	// the lease is left when an outage begins.
 	LeaseRenewInterval = 2 * time.Second
-	// LeaseRenewTimeout is the longest wait for a renewal, and for a connection to the state service.
-	// It is longer than StateTimeout, as a leader that is behind with its work reads the answer late.
-	// It is short enough that a handover still comes after two failed renewals.
+	// LeaseRenewTimeout is the timeout for a renewal and for connecting to the state service. It is longer
+	// than StateTimeout because an overloaded leader reads the reply late. It is short enough for a
+	// handover to take place after two failed renewals.
 	LeaseRenewTimeout = 3500 * time.Millisecond
-	// AttemptTermShift is the bit of an attempt number at which the term begins, so that attempts rise
-	// from one leader to the next.
+	// AttemptTermShift is the bit position of the term in the number of a task attempt. The bits below
+	// count the attempts of the term, so attempt numbers increase across leaders.
 	AttemptTermShift = 32
 )
 
 // Handover to another controller.
 const (
-	// IsolationThreshold is how long renewals must have failed before the leader asks the other controllers
-	// whether they can reach the state service.
+	// IsolationThreshold is how long a controller's calls to the state service must have been failing before
+	// it asks the other controllers whether they can reach the service.
 	IsolationThreshold = 4 * time.Second
-	// ConnectivityTimeout is the longest wait for their answers.
+	// ConnectivityTimeout is the timeout for their replies.
 	ConnectivityTimeout = time.Second
-	// SchedulingDelaySample is the length of the sleep by which a process measures how far it is
-	// behind with its work. If it wakes later than MaxSchedulingDelay, a missing answer is no sign of
-	// a fault on the other side.
+	// SchedulingDelaySample is the length of the sleep with which a process measures its scheduling delay.
+	// If it wakes up more than MaxSchedulingDelay late, the process is overloaded, and a missing reply does
+	// not show that the other side has failed.
 	SchedulingDelaySample = 50 * time.Millisecond
 	MaxSchedulingDelay    = 200 * time.Millisecond
-	// HandoverAttempts is how often a leader that hands over tells its successor. If all of these are
-	// lost, the end of the lease does it.
+	// HandoverAttempts is how many times a leader that hands over sends the offer to its successor. If all
+	// of them are lost, the successor takes over when the lease expires.
 	HandoverAttempts = 3
 )
 
 // Votes of the quorum lease.
 const (
-	// VoteLeaseShare is the duration of a vote as a share of the workers' lease, within VoteLeaseMin
-	// and VoteLeaseMax. A new leader should be there before the leases end of workers that the old one
-	// answered last, and a slow answer should not cost the leadership.
+	// VoteLeaseShare is the duration of a vote as a share of the workers' lease. The duration is at least
+	// VoteLeaseMin and at most VoteLeaseMax. Votes should expire early enough for a new leader to be
+	// elected before the workers' leases end that the old leader renewed last. They should last long
+	// enough that one slow reply does not end the term.
 	VoteLeaseShare = 0.4
 	VoteLeaseMin   = 5 * time.Second
 	VoteLeaseMax   = 12 * time.Second
-	// VoteRenewShare is how often votes are renewed, as a share of their duration. Three renewals may
-	// fail.
+	// VoteRenewShare is the time between two renewals of the votes, as a share of their duration. Three
+	// renewals in a row may fail.
 	VoteRenewShare = 0.25
-	// VoteTimeout is the longest wait for a round of votes. It is well below VoteRenewShare of
-	// VoteLeaseMin.
+	// VoteTimeout is the timeout for a round of votes. It is well below VoteRenewShare of VoteLeaseMin.
 	VoteTimeout = 800 * time.Millisecond
-	// SuspicionShare is the share of a vote's duration after which a follower that got no request for
-	// a vote suspects the leader. This only starts the wait for the end of the votes.
+	// SuspicionShare is the share of a vote's duration after which a follower that has received no vote
+	// request suspects the leader. A suspicion only starts the wait until the votes have expired.
 	SuspicionShare = 0.4
-	// SuspicionCheckInterval is how often a follower checks for this.
+	// SuspicionCheckInterval is the time between two checks of a follower for this.
 	SuspicionCheckInterval = 250 * time.Millisecond
 )
 
-// VoteLease returns how long a controller's vote for a leader lasts, by the workers' lease.
+// VoteLease returns how long a controller's vote for a leader lasts, given the workers' lease.
 func VoteLease(workerLease time.Duration) time.Duration {
 	return min(max(time.Duration(float64(workerLease)*VoteLeaseShare), VoteLeaseMin), VoteLeaseMax)
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestDivideSockets pins the division of sockets, from the fewest that a controller starts with to
-// more than any deployment has had.
+// TestDivideSockets checks the exact division of sockets, from the least number with which a controller
+// starts to more than any deployment has had.
 func TestDivideSockets(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		sockets, others int
-		want            SocketShares
-		mailboxSize     int
+		name                      string
+		sockets, otherControllers int
+		want                      SocketShares
+		mailboxSize               int
 	}{
 		{"fewest", MinSockets, 2, SocketShares{20, 1, 18, 16, 14, 4, 4}, MinMailboxSize},
 		{"small", 333, 2, SocketShares{232, 13, 213, 188, 169, 46, 49}, MinMailboxSize},
@@ -20,37 +20,38 @@
 		{"large", 5002, 4, SocketShares{4882, 292, 4444, 3911, 3519, MaxProbes, UserSlots}, 3911},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := DivideSockets(c.sockets, c.others)
+			got := DivideSockets(c.sockets, c.otherControllers)
 			if got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("DivideSockets(%d, %d) = %+v, want %+v", c.sockets, c.otherControllers, got, c.want)
 			}
 			if size := MailboxSize(got); size != c.mailboxSize {
-				t.Errorf("mailbox of %d, want %d", size, c.mailboxSize)
+				t.Errorf("mailbox size %d, want %d", size, c.mailboxSize)
 			}
 		})
 	}
 }
 
-// TestLeaseValidityBounds: a lease is not used for as long as it may last, and counts as over only after it
-// is, by twice the drift and the margin.
+// TestLeaseValidityBounds checks that a process stops relying on its own lease earlier than the lease's
+// duration, and treats another process's lease as expired only later than that, by twice the clock drift
+// plus a margin in both cases.
 func TestLeaseValidityBounds(t *testing.T) {
 	lease := 20 * time.Second
 	if got, want := LeaseValidFor(lease), lease-20*time.Millisecond-LeaseValidityMargin; got != want {
-		t.Errorf("valid for %v, want %v", got, want)
+		t.Errorf("LeaseValidFor(%v) = %v, want %v", lease, got, want)
 	}
 	if got, want := LeaseExpiredAfter(lease), lease+20*time.Millisecond+LeaseExpiryMargin; got != want {
-		t.Errorf("expired after %v, want %v", got, want)
+		t.Errorf("LeaseExpiredAfter(%v) = %v, want %v", lease, got, want)
 	}
 }
 
-// TestRetryAfterSeconds: users retry the later the longer the state service has failed, within
-// bounds.
+// TestRetryAfterSeconds checks that the Retry-After value grows with the length of an outage of the state
+// service, between its minimum and maximum.
 func TestRetryAfterSeconds(t *testing.T) {
 	for failingFor, want := range map[time.Duration]int{
 		0: 1, RetryAfterStep - 1: 1, RetryAfterStep: 2, 3 * RetryAfterStep: 4, time.Hour: RetryAfterMax,
 	} {
 		if got := RetryAfterSeconds(failingFor); got != want {
-			t.Errorf("failing for %v: %d s, want %d s", failingFor, got, want)
+			t.Errorf("RetryAfterSeconds(%v) = %d, want %d", failingFor, got, want)
 		}
 	}
 }
--- a/internal/limits/machines.go
+++ b/internal/limits/machines.go
@@ -4,92 +4,96 @@
 
 // Heartbeats and unreachable machines.
 const (
-	// FreshHeartbeatIntervals is for how many heartbeat intervals after its last heartbeat a machine
-	// still gets tasks.
+	// FreshHeartbeatIntervals is the age of a machine's last heartbeat, in heartbeat intervals, up to
+	// which tasks are placed on the machine.
 	FreshHeartbeatIntervals = 2.5
 	// UnreachableLeaseShare is the share of the worker's lease after which a machine that sends no
 	// heartbeats is deleted.
 	UnreachableLeaseShare = 0.75
-	// CorrelatedUnreachableShare is the share of all machines that must become unreachable at about
-	// the same time for the network to be the likely cause. Such machines are not deleted before
-	// CorrelatedUnreachableLeases leases have passed, as they may come back sooner than others boot.
-	// Up to CorrelatedUnreachableMin machines never count as correlated, however few there are in all.
+	// CorrelatedUnreachableShare is the share of all machines above which machines that are unreachable at
+	// the same time are assumed to have a common cause, most likely the network. They are not deleted
+	// before CorrelatedUnreachableLeases lease durations have passed, as they may come back sooner than
+	// replacements would boot. CorrelatedUnreachableMin machines or fewer never count as correlated,
+	// whatever their share.
 	CorrelatedUnreachableShare  = 0.25
 	CorrelatedUnreachableLeases = 4
 	CorrelatedUnreachableMin    = 3
-	// CorrelatedUnverifiedShare is the share of all machines that must be unverified at once for each
-	// to get UnverifiedGraceIntervals heartbeat intervals before it is probed: the heartbeats on new
-	// connections verify most of them without a probe.
+	// CorrelatedUnverifiedShare is the share of all machines above which unverified machines are not
+	// probed at once, but only after UnverifiedGraceIntervals heartbeat intervals. By then the next
+	// heartbeats on their new connections have verified most of them without a probe.
 	CorrelatedUnverifiedShare = 0.05
 	UnverifiedGraceIntervals  = 1.5
 )
 
 // Recovery after a failover.
 const (
-	// RecoveryTimeout and RecoveryTimeoutIntervals (in heartbeat intervals) are how long after a
-	// failover a machine that may have tasks may go without a heartbeat before it is deleted, which
-	// shows sooner than the end of its lease that nothing runs there. Workers find a new leader in a
-	// few seconds.
+	// RecoveryTimeout and RecoveryTimeoutIntervals (a number of heartbeat intervals) say how long after a
+	// failover a machine that may have tasks may send no heartbeat before it is deleted; the longer time
+	// counts. The deletion proves sooner than the expiry of the machine's lease that no task runs there.
+	// Workers find a new leader within a few seconds.
 	RecoveryTimeout          = 6 * time.Second
 	RecoveryTimeoutIntervals = 2.5
-	// FewUnreportedShare is the share of all machines up to which those without a heartbeat since the
-	// failover are given up after UnreportedProbeMisses probes without an answer. The second probe
-	// then follows the first at once.
+	// FewUnreportedShare is the share of all machines up to which machines without a heartbeat since the
+	// failover are deleted as soon as they have missed UnreportedProbeMisses probes. The second probe then
+	// follows directly after the first.
 	FewUnreportedShare    = 0.03
 	UnreportedProbeMisses = 2
 )
 
 // Probes and direct commands.
 const (
-	// ProbeInterval is how often one machine is probed.
+	// ProbeInterval is the time between two probes of the same machine.
 	ProbeInterval = 2 * time.Second
-	// ProbeTimeout is the longest wait for the two calls of a probe.
+	// ProbeTimeout is the timeout for both calls of a probe together.
 	ProbeTimeout = 1500 * time.Millisecond
-	// ProbeCost is about how much processor time a probe takes: a connection, two calls and their
-	// system calls. It limits probes to a rate that the controller's share of a core could sustain,
-	// but not below MinProbeRate, in probes a second.
+	// ProbeCost is the approximate CPU time of a probe: a connection, two calls and their system calls. It
+	// limits probes to the rate that the controller's share of a core can sustain. That limit is at least
+	// MinProbeRate, in probes per second.
 	ProbeCost    = 400 * time.Microsecond
 	MinProbeRate = 40.0
-	// SlowHeartbeatThreshold is how long a heartbeat may wait in the mailbox until probes are limited to
-	// ProbeSlowdownRatio of that rate, for ProbePause: heartbeats, the lease and votes need the
-	// processor more.
+	// SlowHeartbeatThreshold is the time above which the wait of a heartbeat in the mailbox, or of a probe
+	// for its reply, is a sign of an overloaded controller. Heartbeats, the lease and votes need the CPU
+	// more than probes do. No probe is sent for ProbePause after a slow heartbeat, and the rate limit of
+	// probes is then reduced to ProbeSlowdownRatio of its value, as it is after a slow probe.
 	SlowHeartbeatThreshold = 250 * time.Millisecond
 	ProbePause             = time.Second
 	ProbeSlowdownRatio     = 0.25
-	// DirectCommandTimeout is the longest wait for the answer to a direct command. A worker answers in
-	// milliseconds or not at all.
+	// DirectCommandTimeout is the timeout of a direct command. A worker replies within milliseconds or not
+	// at all.
 	DirectCommandTimeout = 2 * time.Second
-	// MaxDirectCommands is how many direct commands are under way at once. Those to unreachable
-	// machines take DirectCommandTimeout.
+	// MaxDirectCommands is the maximum number of concurrent direct commands. Each one to an unreachable
+	// machine takes DirectCommandTimeout.
 	MaxDirectCommands = 64
-	// DirectCommandBackoff is how long a worker that did not answer a direct command gets its commands
-	// only in answers to its heartbeats.
+	// DirectCommandBackoff is how long a worker that did not reply to a direct command is sent commands
+	// only in replies to its heartbeats.
 	DirectCommandBackoff = 10 * time.Second
-	// MaxCommands is the largest number of commands in one answer, which then stays far below
+	// MaxCommands is the maximum number of commands in one reply. It keeps the reply far below
 	// MaxBodyBytes.
 	MaxCommands = 300
 )
 
 // Faulty and slow machines.
 const (
-	// FaultyMachineFailures is how many failures in a row, with no success between them, make a machine
+	// FaultyMachineFailures is the number of consecutive task failures after which a machine counts as
 	// faulty.
 	FaultyMachineFailures = 2
-	// SlowMachineTasks and SlowMachineFactor: a machine whose last tasks, at least this many, took
-	// this many times as long as tasks of the same jobs elsewhere is faulty. Healthy machines differ
-	// by a tenth. Tasks of one job differ more, which is why several are needed.
+	// SlowMachineTasks and SlowMachineFactor define a slow machine: at least this many of its tasks were
+	// compared with tasks of the same jobs on other machines, and took on average more than this many times
+	// as long. Healthy machines differ by a tenth, but tasks of one job differ more, so that several are
+	// needed.
 	SlowMachineTasks  = 4
 	SlowMachineFactor = 2.5
-	// MaxTasksPerMachine is the largest number of tasks on one machine, ended ones included. Its
-	// heartbeat then stays below MaxBodyBytes.
+	// MaxTasksPerMachine is the maximum number of tasks on a machine, including ended tasks that the worker
+	// still reports. It keeps heartbeats below MaxBodyBytes.
 	MaxTasksPerMachine = 400
-	// SpotNoticeSaveIntervals is how many heartbeat intervals before the cloud takes a spot machine
-	// away its tasks are told to save: one for the command, one for a lost message, one in reserve.
+	// SpotNoticeSaveIntervals is how many heartbeat intervals, beyond the time that a task needs to save a
+	// checkpoint, its stop command is sent before the cloud takes its spot machine away: one interval for
+	// the command, one for a lost message, and one in reserve.
 	SpotNoticeSaveIntervals = 3
 )
 
-// ProbeRate returns how many probes a second a controller with a share of a core sends at most. A
-// share that is not known counts as a whole core.
+// ProbeRate returns the maximum number of probes per second for a controller that has the given share of
+// a core. A share of 0 is unknown and counts as a whole core.
 func ProbeRate(coreShare float64) float64 {
 	if coreShare <= 0 {
 		coreShare = 1
--- a/internal/limits/placement.go
+++ b/internal/limits/placement.go
@@ -1,31 +1,31 @@
 package limits
 
-// Weights of the criteria by which machines are ranked for a task. Each multiplies a score of the
-// machine.
+// Weights of the criteria by which machines are ranked for a task. Each weight multiplies the score that
+// a machine gets for one criterion.
 const (
-	// WeightOvercommit is for machines with free room, where nothing has to be preempted. It is more
-	// than all others together, so these come first.
+	// WeightOvercommit favors machines with enough free resources, where no task has to be preempted. It
+	// is larger than the sum of all other weights, so that these machines always rank first.
 	WeightOvercommit = 1000.0
-	// WeightPreemptionCost is against the cost of the tasks that would have to stop.
+	// WeightPreemptionCost favors machines where preempting tasks costs less.
 	WeightPreemptionCost = 100.0
-	// WeightGangReservation is for machines that are reserved for gangs, when a gang is placed. It
-	// outweighs what follows.
+	// WeightGangReservation favors machines that are reserved for gangs when a gang is placed. It is larger
+	// than the sum of the weights below.
 	WeightGangReservation = 20.0
-	// WeightImage is for machines that have the task's image, which saves the fetch.
+	// WeightImage favors machines that already have the task's image, which saves fetching it.
 	WeightImage = 8.0
-	// WeightPrice is for machines whose CPUs cost less, so that the expensive ones empty first.
+	// WeightPrice favors machines with a lower price per CPU, so that expensive ones become idle first.
 	WeightPrice = 6.0
-	// WeightPacking is for machines that are left with less free room (bin packing), so that others
-	// empty and can be returned.
+	// WeightPacking favors machines on which the task leaves less free capacity (bin packing), so that
+	// other machines become idle and can be returned.
 	WeightPacking = 4.0
-	// WeightSpeed is for machines that were seen to be fast.
+	// WeightSpeed favors machines that have run tasks faster than others.
 	WeightSpeed = 1.0
-	// SpeedStep is the step to which observed speeds are rounded, as a share of the usual run time.
-	// Healthy machines differ by a tenth, and what is seen of one is not exact.
+	// SpeedStep is the step to which a machine's relative run time is rounded, as a fraction of the usual
+	// run time. Healthy machines differ by a tenth, and the observed speed of a machine is not exact.
 	SpeedStep = 0.05
-	// MinRunTimeSamples is the number of completed tasks of a job from which on their mean run time
-	// is one to compare machines by.
+	// MinRunTimeSamples is the number of completed tasks of a job from which their mean run time is used to
+	// compare machines.
 	MinRunTimeSamples = 3
-	// MinSpeedSamples is the number of tasks from which on a machine's observed speed counts.
+	// MinSpeedSamples is the number of tasks on a machine from which its observed speed is used.
 	MinSpeedSamples = 3
 )
--- a/internal/limits/process.go
+++ b/internal/limits/process.go
@@ -1,30 +1,29 @@
 package limits
 
-// Memory and processor of a controller.
+// Memory and CPU of a controller.
 const (
-	// HeapLimitShare is the part of the memory that the Go runtime gets as its soft limit. The rest is
-	// for the stacks of threads, the binary and the kernel's buffers.
+	// HeapLimitShare is the share of the memory that is set as the soft memory limit of the Go runtime. The
+	// rest is for thread stacks, the binary and kernel buffers.
 	HeapLimitShare = 0.55
-	// GCPercent is the garbage collector's target, in percent. The live heap is a tenth of the soft
-	// limit or less, so collecting less often saves processor time; near the limit the runtime
-	// collects as often as it must.
+	// GCPercent is the garbage collection target percentage (GOGC). The live heap is at most a tenth of the
+	// soft limit, so that collecting less often saves CPU time. Near the limit, the runtime collects as
+	// often as necessary.
 	GCPercent = 400
-	// MaxProcs is GOMAXPROCS. A controller has a part of one core, so a second thread looking for work
-	// would only take time from the first.
+	// MaxProcs is the value of GOMAXPROCS. A controller has a share of one core, so that a second thread
+	// looking for work would only take CPU time from the first.
 	MaxProcs = 1
 
-	// MinMemoryMB is the least memory that a controller starts with, in MB. A follower without work
-	// uses 7.
+	// MinMemoryMB is the least memory with which a controller starts, in MB. An idle follower uses 7 MB.
 	MinMemoryMB = 8.0
-	// LowMemoryMB and LowCoreShare are less than a leader of some tens of machines needs, in MB and as
-	// a fraction of a core; settings below them give a warning. On simulated machines such a leader
-	// used 8 to 18 MB and less than a hundredth of a core on average.
+	// LowMemoryMB (in MB) and LowCoreShare (a fraction of a core) are the limits below which settings cause
+	// a warning. On simulated machines, a leader of some tens of machines used 8 to 18 MB and on average
+	// less than a hundredth of a core.
 	LowMemoryMB  = 32.0
 	LowCoreShare = 0.01
-	// MinSockets is the least number of sockets that a controller starts with. DivideSockets leaves
-	// twenty of them for users and workers.
+	// MinSockets is the least number of sockets with which a controller starts. DivideSockets leaves 20 of
+	// them for users and workers.
 	MinSockets = 32
 )
 
-// HeapLimit returns the Go runtime's soft limit in bytes, by the memory of the controller's machine.
+// HeapLimit returns the Go runtime's soft memory limit in bytes for a controller with the given memory.
 func HeapLimit(memoryMB float64) int64 { return int64(memoryMB * HeapLimitShare * (1 << 20)) }
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -4,86 +4,88 @@
 
 // Calls to the state service.
 const (
-	// StateTimeout is the longest wait for an answer. Usually it takes 10 ms, now and then a few
-	// hundred.
+	// StateTimeout is the timeout of a call. A reply usually takes 10 ms, and occasionally a few hundred.
 	StateTimeout = 1500 * time.Millisecond
-	// WatchDuration is how long a watch stays open when nothing changes.
+	// WatchDuration is how long a watch stays open when there are no changes.
 	WatchDuration = 30 * time.Second
-	// WatchGrace is how long after WatchDuration the answer may still come. Watches stay open in an
-	// outage, so a long wait is no fault; a dead connection is noticed after this.
+	// WatchGrace is how long after WatchDuration the reply to a watch may arrive. A watch stays open during
+	// an outage, so that waiting for it is no sign of a fault. After WatchGrace, its connection is assumed
+	// to be dead.
 	WatchGrace = 10 * time.Second
-	// RetryBackoffMin and RetryBackoffMax bound the jittered pause between tries at the state service, at the cloud
-	// and at connections to other controllers.
+	// RetryBackoffMin and RetryBackoffMax bound the delay with jitter between attempts to call the state
+	// service or the cloud, or to connect to other controllers.
 	RetryBackoffMin = 100 * time.Millisecond
 	RetryBackoffMax = 2 * time.Second
-	// StatePageSize is how many keys are asked for in one page. A page stays below MaxUpstreamBytes at
-	// the largest values seen so far.
+	// StatePageSize is the number of keys requested per page. With the largest values seen so far, a page
+	// stays below MaxUpstreamBytes.
 	StatePageSize = 200
-	// ConditionsPerOperation is how many conditions a transaction may have for each operation that it
-	// may have, by the protocol.
+	// ConditionsPerOperation is the maximum number of conditions in a transaction, as a multiple of its
+	// maximum number of operations. It is set by the protocol.
 	ConditionsPerOperation = 4
-	// ControllerStateConns is how many connections the controller's own work needs at once.
+	// ControllerStateConns is the number of concurrent connections that a controller's own work needs.
 	ControllerStateConns = 8
-	// MaxIdleStateConns is how many connections are kept when they are not in use, for the controller's own
-	// work and users' requests together: as many as may be used at once, since a controller that is
-	// behind with its work cannot open one in time.
+	// MaxIdleStateConns is the maximum number of idle connections that are kept, for the controller's own
+	// work and user requests together. It is the number of connections that may be in use at the same
+	// time, because an overloaded controller cannot open a connection in time.
 	MaxIdleStateConns = ControllerStateConns + UserSlots
-	// MaxIdleWatchConns is how many connections for watches are kept: that of the leader's key and, in the
-	// leader, that of the open jobs.
+	// MaxIdleWatchConns is the maximum number of idle connections that are kept for watches. There is one
+	// watch of the leader's key and, on the leader, one of the open jobs.
 	MaxIdleWatchConns = 2
-	// UnavailableAfter is how long no call must have succeeded until users are turned away without
-	// one, and UnavailableProbeInterval how often one call is made all the same.
+	// UnavailableAfter is how long no call must have succeeded before user requests are rejected without a
+	// call. One call per UnavailableProbeInterval is still made, to notice the end of the outage.
 	UnavailableAfter         = time.Second
 	UnavailableProbeInterval = 500 * time.Millisecond
 )
 
-// Shares of the state service's rates.
+// Shares of the state service's rate limits.
 const (
-	// UserReadShare and UserWriteShare are for users' requests, at whichever controllers they arrive.
+	// UserReadShare and UserWriteShare are the shares of user requests, over all controllers.
 	UserReadShare  = 0.5
 	UserWriteShare = 0.4
-	// ControllerReadShare and ControllerWriteShare are for the controllers' own work, nearly all of it
-	// the leader's. The shares of the writes add up to a little more than 1, as users seldom need
+	// ControllerReadShare and ControllerWriteShare are the shares of the controllers' own work, nearly all
+	// of which is the leader's. The write shares add up to slightly more than 1, because users seldom need
 	// theirs while many machines boot.
 	ControllerReadShare  = 0.5
 	ControllerWriteShare = 0.7
-	// UserRateLimitWait is how long a user's request waits for its share: about as long as an answer of the
-	// service takes now and then.
+	// UserRateLimitWait is how long a user request may wait for the rate limit. It is about as long as an
+	// occasional slow reply of the state service takes.
 	UserRateLimitWait = 100 * time.Millisecond
-	// ChunkWriteShare is the part of the writes that may go into records of finished tasks: a third of
-	// what users do not need. Final records, rentals and registrations need the rest, and nothing
-	// starts or ends without them.
+	// ChunkWriteShare is the share of writes that may be used for records of finished tasks, a third of
+	// what users do not need. Final records, rentals and registrations need the rest, and no task starts
+	// and no job ends without them.
 	ChunkWriteShare = 0.2
 )
 
 // Sizes of records and transactions.
 const (
-	// MinValueKB is the smallest value limit of the state service that all records fit, in KiB.
+	// MinValueKB is the smallest limit of the state service on the size of a value, in KiB, with which
+	// every kind of record fits.
 	MinValueKB = 0.5
-	// MinTransactionOps is the smallest limit on the operations of a transaction. An election makes
-	// three at once.
+	// MinTransactionOps is the smallest supported limit on the number of operations in a transaction. An
+	// election needs three.
 	MinTransactionOps = 4
-	// FinishedTasksOverhead is the size of a record of finished tasks without its bitmap, in bytes,
-	// rounded up.
+	// FinishedTasksOverhead is the size of a record of finished tasks without its bitmap, in bytes, rounded
+	// up.
 	FinishedTasksOverhead = 128
-	// RentalOverhead is the size of a rental's record without the names of its machines, in bytes,
-	// rounded up; MachineNameBytes is the size of each name, with room for longer ones than were seen.
+	// RentalOverhead is the size of a rental record without the names of its machines, in bytes, rounded
+	// up. MachineNameBytes is the size of each name, in bytes. It is larger than the names seen so far.
 	RentalOverhead   = 256
 	MachineNameBytes = 32
-	// RegistryEntryOverhead is the size of a page of registered machines without its entries, and what
-	// an entry needs beyond its own JSON, in bytes, rounded up.
+	// RegistryEntryOverhead is the size of a page of registered machines without its entries, and also what
+	// each entry needs in addition to its own JSON, in bytes, rounded up.
 	RegistryEntryOverhead = 16
 )
 
-// When records are written.
+// Times between writes of records.
 const (
-	// RegistryWriteInterval is the least time between two writes of newly registered machines. Those
-	// that come up meanwhile go into one write. A machine takes many times as long to boot.
+	// RegistryWriteInterval is the minimum time between two writes of newly registered machines. Machines
+	// that come up in the meantime are written together. The delay is small compared with the boot time of
+	// a machine.
 	RegistryWriteInterval = 200 * time.Millisecond
-	// ChunkWriteInterval is the least time between two writes of one chunk of finished tasks. What is
-	// not written yet is kept by the workers, so this only bounds how long they list it.
+	// ChunkWriteInterval is the minimum time between two writes of the same chunk of finished tasks. Workers
+	// keep reporting results until they have been written, so this only limits how long they do so.
 	ChunkWriteInterval = 3 * time.Second
-	// MaxChunkWriteDelay is how long the finished tasks of a job that is nearly over may go without a
-	// record.
+	// MaxChunkWriteDelay is the maximum delay of writing the finished tasks of a job that is nearly
+	// complete.
 	MaxChunkWriteDelay = 15 * time.Second
 )
