--- a/internal/protocol/cbor.go
+++ b/internal/protocol/cbor.go
@@ -8,7 +8,7 @@
 	"quillshunt/internal/limits"
 )
 
-// Raw is an encoded value that is decoded later.
+// Raw is an encoded CBOR value that is decoded later.
 type Raw = cbor.RawMessage
 
 var (
@@ -16,8 +16,8 @@
 	decMode = newDecMode()
 )
 
-// newEncMode returns the encoding of messages: nil lists are written as empty ones, as other programs
-// do not expect null there.
+// newEncMode returns the encoding mode of messages. Nil slices are encoded as empty lists, because other
+// programs do not expect null there.
 func newEncMode() cbor.EncMode {
 	mode, err := cbor.EncOptions{NilContainers: cbor.NilContainerAsEmpty}.EncMode()
 	if err != nil {
@@ -26,8 +26,8 @@
 	return mode
 }
 
-// newDecMode returns the decoding of messages. It bounds what a sender can make the decoder allocate,
-// and refuses duplicate keys and CBOR tags, which the protocol does not have.
+// newDecMode returns the decoding mode of messages. It limits how much memory a message can make the
+// decoder allocate, and rejects duplicate keys and CBOR tags, which the protocol does not use.
 func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -43,8 +43,8 @@
 	return mode
 }
 
-// Encode returns the CBOR encoding of a message or record. It panics if v cannot be encoded, which no
-// type of this module causes.
+// Encode returns the CBOR encoding of a message or record. It panics if v cannot be encoded, which does
+// not happen for the types of this module.
 func Encode(v any) []byte {
 	b, err := encMode.Marshal(v)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return b
 }
 
-// Decode decodes a message or record into the value that v points to. All of b must be one CBOR
-// value; bytes after it are an error. Unknown fields are ignored.
+// Decode decodes a message or record into the value that v points to. It returns an error unless b is
+// exactly one CBOR value. Unknown fields are ignored.
 func Decode(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("cbor: %w", err)
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,25 +1,26 @@
 package protocol
 
-// MachineType is a type of machine that the cloud rents out. Prices are per hour.
+// MachineType is a machine type that the cloud offers. Prices are per hour.
 type MachineType struct {
 	Name         string   `cbor:"Sku" json:"Sku"`
 	CPUs         float64  `cbor:"Vcpus" json:"Vcpus"`
 	Accelerators float64  `cbor:"Accelerators" json:"Accelerators"`
 	MemoryGB     float64  `cbor:"RamGb" json:"RamGb"`
-	CacheGB      float64  `cbor:"CacheGb" json:"CacheGb"`         // room for images
+	CacheGB      float64  `cbor:"CacheGb" json:"CacheGb"`         // disk space for cached images
 	FetchGBPerS  float64  `cbor:"PullGbPerS" json:"PullGbPerS"`   // rate of image fetches
-	Price        float64  `cbor:"Price" json:"Price"`             // of an ordinary machine
-	SpotPrice    float64  `cbor:"MarketPrice" json:"MarketPrice"` // of a spot machine, now
+	Price        float64  `cbor:"Price" json:"Price"`             // of a machine that is not spot
+	SpotPrice    float64  `cbor:"MarketPrice" json:"MarketPrice"` // current price of a spot machine
 	BootS        float64  `cbor:"StartupS" json:"StartupS"`       // nominal boot time
-	Zones        []string `cbor:"Yards" json:"Yards"`             // where there are such machines
+	Zones        []string `cbor:"Yards" json:"Yards"`             // zones that have this type
 }
 
-// MachineTypeList is the answer to GET /machine_types.
+// MachineTypeList is the reply to GET /machine_types.
 type MachineTypeList struct {
 	Types []MachineType `cbor:"Rigkinds"`
 }
 
-// RentalRequest asks for machines. A repeated Name gets the earlier answer and rents nothing.
+// RentalRequest asks the cloud for machines. A request with a Name that was used before rents no more
+// machines and gets the earlier reply.
 type RentalRequest struct {
 	Name        string `cbor:"Hire"`
 	MachineType string `cbor:"Rigkind"`
@@ -28,27 +29,27 @@
 	Count       int    `cbor:"Number"`
 }
 
-// RentalReply is the answer to a RentalRequest. It may have fewer machines than were asked for.
+// RentalReply is the reply to a RentalRequest. It may list fewer machines than were requested.
 type RentalReply struct {
 	Machines []string `cbor:"Rigs"`
 }
 
-// DeleteRequest returns machines.
+// DeleteRequest returns rented machines to the cloud.
 type DeleteRequest struct {
 	Machines []string `cbor:"Rigs"`
 }
 
-// MachineState is the state of a machine in the cloud's list.
+// MachineState is the state of a machine in the cloud's machine list.
 type MachineState string
 
 // States of a machine.
 const (
 	MachineBooting MachineState = "booting"
 	MachineRunning MachineState = "running"
-	MachineFailed  MachineState = "failed" // stopped by itself
+	MachineFailed  MachineState = "failed" // stopped without having been deleted
 )
 
-// Machine is a machine in the cloud's list.
+// Machine is an entry of the cloud's machine list.
 type Machine struct {
 	Name        string       `cbor:"NameId"`
 	Address     string       `cbor:"Address"`
@@ -56,11 +57,11 @@
 	Zone        string       `cbor:"Yard"`
 	Spot        bool         `cbor:"Lendable"`
 	State       MachineState `cbor:"Standing"`
-	AgeS        float64      `cbor:"AgeS"` // since the rental request, as of the list
+	AgeS        float64      `cbor:"AgeS"` // time since the rental request when the list was made
 }
 
-// MachineList is a page of the cloud's list. If it is truncated, the next page starts after its last
-// machine.
+// MachineList is a page of the cloud's machine list. If it is truncated, the next page starts after its
+// last machine.
 type MachineList struct {
 	Machines  []Machine `cbor:"Rigs"`
 	Truncated bool      `cbor:"Truncated"`
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Spec is a submitted job. Its tasks are alike: amounts are those of one task.
+// Spec is a job as submitted by a user. All tasks of a job need the same resources. Amounts are per task.
 type Spec struct {
 	ID           string   `cbor:"NameId" json:"NameId"`
 	Class        string   `cbor:"Docket" json:"Docket"`
@@ -13,18 +13,18 @@
 	MemoryGB     float64  `cbor:"RamGb" json:"RamGb"`
 	MachineTypes []string `cbor:"Rigkinds" json:"Rigkinds"`   // allowed machine types; empty: any
 	Zone         string   `cbor:"Yard" json:"Yard"`           // allowed zone; empty: any
-	SameZone     bool     `cbor:"Together" json:"Together"`   // all tasks in one zone
-	SpreadZones  bool     `cbor:"Scatter" json:"Scatter"`     // tasks spread over zones
+	SameZone     bool     `cbor:"Together" json:"Together"`   // all tasks must run in one zone
+	SpreadZones  bool     `cbor:"Scatter" json:"Scatter"`     // tasks are spread over zones
 	Spot         bool     `cbor:"Lendable" json:"Lendable"`   // may run on spot machines
-	Image        string   `cbor:"Bundle" json:"Bundle"`       // image that a machine fetches first
-	ImageGB      float64  `cbor:"SizeGb" json:"SizeGb"`       // its size
+	Image        string   `cbor:"Bundle" json:"Bundle"`       // image that a machine fetches before it starts a task
+	ImageGB      float64  `cbor:"SizeGb" json:"SizeGb"`       // size of the image
 	EstimateS    float64  `cbor:"ReckonS" json:"ReckonS"`     // the user's estimate of the run time
 	CheckpointS  float64  `cbor:"BookmarkS" json:"BookmarkS"` // checkpoint interval; 0: no checkpoints
-	SaveS        float64  `cbor:"StashS" json:"StashS"`       // time to save a checkpoint when told to stop
-	DeadlineS    float64  `cbor:"DueS" json:"DueS"`           // from the submission; 0: no deadline
+	SaveS        float64  `cbor:"StashS" json:"StashS"`       // time to save a checkpoint before a stop
+	DeadlineS    float64  `cbor:"DueS" json:"DueS"`           // latest end, counted from the submission; 0: no deadline
 }
 
-// IsGang reports whether the job's tasks run at the same time or not at all.
+// IsGang reports whether the job is a gang: all of its tasks run at the same time or none does.
 func (s *Spec) IsGang() bool { return s.Shape == ShapeGang }
 
 // Shape says how the tasks of a job run.
@@ -36,7 +36,7 @@
 	ShapeGang  Shape = "ensemble" // gang: all tasks run at the same time or none does
 )
 
-// Priority is a job's priority. A higher one goes first.
+// Priority is the priority of a job. A higher value takes precedence.
 type Priority int8
 
 // Priorities of the protocol.
@@ -54,24 +54,25 @@
 	"production": PriorityProduction,
 }
 
-// ParsePriority returns the priority that a Spec names, and whether there is one of that name.
+// ParsePriority returns the priority with the given name, as in Spec.Priority, and whether it exists.
 func ParsePriority(s string) (Priority, bool) {
 	p, ok := priorities[s]
 	return p, ok
 }
 
-// JobState is the state of a job as users see it.
+// JobState is the state of a job in replies to users.
 type JobState string
 
 // States of a job.
 const (
-	JobPending   JobState = "pending" // no task runs
+	JobPending   JobState = "pending" // no task is running
 	JobRunning   JobState = "running"
 	JobDone      JobState = "done"
-	JobCancelled JobState = "aborted" // cancelled by its user
+	JobCancelled JobState = "aborted" // cancelled by the user
 )
 
-// JobStatus is the answer to users. The counts are for display; they are nil if they are not known.
+// JobStatus is the reply to users' submissions, polls and cancellations. The task counts are for display
+// and are nil if unknown.
 type JobStatus struct {
 	ID      string   `cbor:"NameId"`
 	State   JobState `cbor:"Standing"`
--- a/internal/protocol/names.go
+++ b/internal/protocol/names.go
@@ -9,20 +9,21 @@
 
 const (
 	jobIDPrefix = "job-"
-	// maxTaskDigits is the most digits of a task's index; it covers limits.MaxTasksPerJob.
+	// maxTaskDigits is the maximum number of digits of a task index, enough for limits.MaxTasksPerJob.
 	maxTaskDigits = 6
 )
 
-// ValidJobID reports whether an ID has the form of a job ID, like job-000412.
+// ValidJobID reports whether an ID has the form of a job ID, such as job-000412.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
 	return ok && digits != "" && len(id) <= limits.MaxNameBytes && allDigits(digits)
 }
 
-// TaskName returns the name of a job's task.
+// TaskName returns the name of the task of a job with the given index, such as job-000412/7.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskName splits a name that TaskName returned, and reports whether it is one.
+// ParseTaskName returns the job ID and the index of a name built by TaskName. It returns false for any
+// other string.
 func ParseTaskName(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
 	if i < 0 || !ValidJobID(name[:i]) {
--- a/internal/protocol/parse.go
+++ b/internal/protocol/parse.go
@@ -8,10 +8,11 @@
 	"quillshunt/internal/limits"
 )
 
-// ErrInvalid is wrapped by all errors about a malformed submission.
+// ErrInvalid is wrapped by all errors about malformed submissions.
 var ErrInvalid = errors.New("invalid")
 
-// ParseSpec decodes and checks a submission. Errors wrap ErrInvalid and name the field at fault.
+// ParseSpec decodes and validates a submission. Errors wrap ErrInvalid. If a field is invalid, the error
+// names it.
 func ParseSpec(body []byte) (*Spec, error) {
 	var fields map[string]any
 	if err := Decode(body, &fields); err != nil {
@@ -37,14 +38,14 @@
 	return spec, nil
 }
 
-// fieldReader reads typed fields of a decoded map. It keeps the first error; what is faulty or
-// missing reads as zero.
+// fieldReader reads typed fields from a decoded map. It records the first error. Invalid and missing
+// fields are read as zero values.
 type fieldReader struct {
 	fields map[string]any
 	err    error
 }
 
-// spec reads a submission. The names are those of the wire; see the tags of Spec.
+// readSpec reads a submission. The field names are those on the wire; see the tags of Spec.
 func (r *fieldReader) readSpec() *Spec {
 	return &Spec{
 		ID:           r.text("NameId", required),
@@ -70,7 +71,7 @@
 	}
 }
 
-// presence says whether a field may be missing. Null and omitted are the same.
+// presence says whether a field may be missing. A null field counts as missing.
 type presence bool
 
 const (
@@ -84,7 +85,8 @@
 	}
 }
 
-// get returns a field's value, and false if it is missing.
+// value returns the value of a field, or false if the field is missing. A missing required field is an
+// error.
 func (r *fieldReader) value(name string, p presence) (any, bool) {
 	v := r.fields[name]
 	if v == nil && p == required {
@@ -122,7 +124,7 @@
 	return b
 }
 
-// amount reads a number that is not negative. Whole numbers may be encoded as integers.
+// amount reads a non-negative number. Whole numbers may be encoded as integers.
 func (r *fieldReader) amount(name string, p presence) float64 {
 	v, ok := r.value(name, p)
 	if !ok {
@@ -152,7 +154,7 @@
 	return 0, false
 }
 
-// count reads a whole number from 1 to most.
+// count reads a required whole number from 1 to maxCount.
 func (r *fieldReader) count(name string, maxCount uint64) int {
 	v, ok := r.value(name, required)
 	if !ok {
@@ -170,7 +172,7 @@
 	return int(n)
 }
 
-// names reads an optional list of names of machine types.
+// nameList reads an optional list of machine type names.
 func (r *fieldReader) nameList(name string) []string {
 	v, ok := r.value(name, optional)
 	if !ok {
--- a/internal/protocol/parse_test.go
+++ b/internal/protocol/parse_test.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/limits"
 )
 
-// validSubmission returns the fields of a submission that is accepted.
+// validSubmission returns the fields of a valid submission.
 func validSubmission() map[string]any {
 	return map[string]any{
 		"NameId": "job-000412", "Docket": "train", "Crew": "vision", "Shape": "sweep", "Urgency": "high", "Pieces": 16,
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestParseSpecAccepts: a submission is read field by field, with whole numbers for amounts, unknown
-// fields, and optional fields that are null or omitted.
+// TestParseSpecAccepts checks that the fields of a valid submission are read, and that integers are accepted
+// for amounts, unknown fields are ignored, and optional fields may be null or missing.
 func TestParseSpecAccepts(t *testing.T) {
 	submission := validSubmission()
 	want, err := ParseSpec(Encode(submission))
@@ -29,21 +29,22 @@
 	}
 	if want.Tasks != 16 || want.MemoryGB != 64 || want.DeadlineS != 900 || !want.SameZone ||
 		len(want.MachineTypes) != 1 {
-		t.Fatalf("%+v", want)
+		t.Fatalf("spec read as %+v", want)
 	}
 	submission["Vcpus"], submission["DueS"], submission["Extra"] = 8, 900, map[string]any{"a": []int{1}}
 	delete(submission, "Yard")
 	got, err := ParseSpec(Encode(submission))
 	if err != nil || got.CPUs != 8 || got.DeadlineS != 900 || got.Zone != "" {
-		t.Fatalf("%+v %v", got, err)
+		t.Fatalf("spec with integers, an unknown field and no zone read as %+v, error %v", got, err)
 	}
 	submission["Rigkinds"], submission["DueS"] = nil, nil
 	if got, err = ParseSpec(Encode(submission)); err != nil || got.MachineTypes != nil || got.DeadlineS != 0 {
-		t.Fatalf("%+v %v", got, err)
+		t.Fatalf("spec with null fields read as %+v, error %v", got, err)
 	}
 }
 
-// TestParseSpecRejects: each field is checked, and so is the encoding as a whole.
+// TestParseSpecRejects checks that an invalid value of any field and an invalid encoding are rejected with
+// ErrInvalid.
 func TestParseSpecRejects(t *testing.T) {
 	long := strings.Repeat("n", limits.MaxNameBytes+1)
 	bad := map[string][]any{
@@ -73,7 +74,7 @@
 			submission := validSubmission()
 			submission[field] = v
 			if _, err := ParseSpec(Encode(submission)); !errors.Is(err, ErrInvalid) {
-				t.Errorf("%s = %v: %v", field, v, err)
+				t.Errorf("submission with %s = %v: error %v, want ErrInvalid", field, v, err)
 			}
 		}
 	}
@@ -85,12 +86,12 @@
 		"same key twice": {0xa2, 0x61, 'a', 1, 0x61, 'a', 2},
 	} {
 		if _, err := ParseSpec(b); !errors.Is(err, ErrInvalid) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("body %q: error %v, want ErrInvalid", name, err)
 		}
 	}
 }
 
-// FuzzParseSpec: whatever is accepted keeps to the bounds that the scheduler relies on.
+// FuzzParseSpec checks that every accepted submission is within the limits that the scheduler relies on.
 func FuzzParseSpec(f *testing.F) {
 	f.Add(Encode(validSubmission()))
 	f.Add([]byte{0xa0})
@@ -102,7 +103,7 @@
 		}
 		if s.Tasks < 1 || s.Tasks > limits.MaxTasksPerJob || !ValidJobID(s.ID) || !(s.CPUs >= 0) ||
 			(s.Shape != ShapeArray && s.Shape != ShapeGang) {
-			t.Fatalf("accepted %+v", s)
+			t.Fatalf("accepted a spec outside the limits: %+v", s)
 		}
 	})
 }
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// wireMessage is a message with the bytes that it is encoded in, in hexadecimal.
+// wireMessage is a message and its expected encoding in hexadecimal.
 type wireMessage struct {
 	name    string
 	message any
 	bytes   string
 }
 
-var wireNumber, wireCount = 1.5, 3 // for fields that are pointers
+var wireNumber, wireCount = 1.5, 3 // for pointer fields
 
 var userAndWorkerMessages = []wireMessage{
 	{"Spec", Spec{"job-1", "class", "team", ShapeArray, "high", 2, 1, 2, 3, []string{"g8"}, "a",
@@ -43,7 +43,7 @@
 		"a36456657262657374617274655069656365676a6f622d312f306354727902"},
 	{"HeartbeatReply", HeartbeatReply{3, []Command{}}, "a2654261746f6e03664f726465727380"},
 	{"Redirect", Redirect{"rig-1"}, "a167466f72656d616e657269672d31"},
-	{"Redirect to nobody", Redirect{}, "a0"},
+	{"Redirect without a leader", Redirect{}, "a0"},
 	{"DirectCommands", DirectCommands{3, 1, []Command{}}, "a3654261746f6e0365536869667401664f726465727380"},
 }
 
@@ -81,13 +81,13 @@
 	{"WatchReply", WatchReply{2, []Change{}}, "a2664c656467657202634c6f6780"},
 }
 
-// TestWireBytes pins every message to the bytes that other programs and other builds read: a rename
-// in Go must not change them. The bytes are those of commit 9ae7341, the version that the first
-// rolling upgrade starts from.
+// TestWireBytes checks the exact encoding of every message, because other programs and other builds of
+// quillshunt read it: renaming a Go field must not change it. The expected bytes are those of commit
+// 9ae7341, the version from which the first rolling upgrade starts.
 func TestWireBytes(t *testing.T) {
 	for _, c := range slices.Concat(userAndWorkerMessages, cloudMessages, stateMessages) {
 		if got := hex.EncodeToString(Encode(c.message)); got != c.bytes {
-			t.Errorf("%s: %s, want %s", c.name, got, c.bytes)
+			t.Errorf("%s: encoded as %s, want %s", c.name, got, c.bytes)
 		}
 		read := reflect.New(reflect.TypeOf(c.message))
 		b, err := hex.DecodeString(c.bytes)
@@ -96,12 +96,12 @@
 		}
 		err = Decode(b, read.Interface())
 		if err != nil || !reflect.DeepEqual(read.Elem().Interface(), c.message) {
-			t.Errorf("%s: read as %+v, %v", c.name, read.Elem(), err)
+			t.Errorf("%s: decoded as %+v, error %v", c.name, read.Elem(), err)
 		}
 	}
 }
 
-// TestWireValues pins the values of typed fields.
+// TestWireValues checks the exact values on the wire of all typed constants.
 func TestWireValues(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -119,7 +119,7 @@
 		{"MachineState", []any{MachineBooting, MachineRunning, MachineFailed}, "[booting running failed]"},
 	} {
 		if got := fmt.Sprint(c.got); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+			t.Errorf("values of %s: %s, want %s", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -5,90 +5,92 @@
 
 // States of a task.
 const (
-	TaskFetching  TaskState = "fetching"  // waits for its image
-	TaskGathering TaskState = "gathering" // of a gang: waits for the other tasks
+	TaskFetching  TaskState = "fetching"  // waiting for its image
+	TaskGathering TaskState = "gathering" // waiting for the other tasks of its gang
 	TaskRunning   TaskState = "running"
-	TaskSaving    TaskState = "saving" // was told to stop, and saves a checkpoint
-	TaskEnded     TaskState = "ended"  // see the EndReason
+	TaskSaving    TaskState = "saving" // saving a checkpoint after a stop command
+	TaskEnded     TaskState = "ended"  // has an EndReason
 )
 
-// EndReason says why a task ended, or was not started.
+// EndReason says why a task ended or why its start was rejected.
 type EndReason string
 
-// Reasons for the end of a task.
+// Reasons why a task ended or its start was rejected.
 const (
 	ReasonDone          EndReason = "done"    // completed; the worker keeps the result
 	ReasonStopped       EndReason = "halted"  // stopped by a command
-	ReasonError         EndReason = "error"   // failed, mostly by a fault of the machine
-	ReasonNoRoom        EndReason = "no_room" // start refused: not enough free resources
-	ReasonAttemptExists EndReason = "busy"    // start refused: another attempt of the task is there
-	ReasonUnknownTask   EndReason = "no_such" // start refused: no such job or task
+	ReasonError         EndReason = "error"   // failed, usually because of a fault of the machine
+	ReasonNoRoom        EndReason = "no_room" // start rejected: not enough free resources
+	ReasonAttemptExists EndReason = "busy"    // start rejected: the worker has another attempt of the task
+	ReasonUnknownTask   EndReason = "no_such" // start rejected: no such job or task
 
-	ReasonPeerLost       EndReason = "peers"      // of a gang: another task of it is gone
-	ReasonGangIncomplete EndReason = "incomplete" // of a gang: it was not complete in time
+	ReasonPeerLost       EndReason = "peers"      // another task of the same gang ended or was lost
+	ReasonGangIncomplete EndReason = "incomplete" // some tasks of the same gang did not start in time
 )
 
-// TaskStatus is one task in a worker's heartbeat.
+// TaskStatus is the status of one task in a worker's heartbeat.
 type TaskStatus struct {
 	Task    string    `cbor:"Piece"` // see ParseTaskName
 	Attempt uint64    `cbor:"Try"`
 	State   TaskState `cbor:"Standing"`
-	Reason  EndReason `cbor:"Cause"`  // if the task ended
-	Saved   bool      `cbor:"Stored"` // if it was stopped: its checkpoint was saved
+	Reason  EndReason `cbor:"Cause"`  // set if the task ended
+	Saved   bool      `cbor:"Stored"` // whether a stopped task saved a checkpoint
 }
 
-// Heartbeat is a worker's heartbeat with its status. It is also the answer to a probe and to direct
-// commands. Of two heartbeats, the one with the larger incarnation and sequence is the newer one.
+// Heartbeat is a worker's heartbeat with the status of its tasks. It is also the reply to a probe and to
+// direct commands. Heartbeats are ordered by incarnation, and within an incarnation by sequence.
 type Heartbeat struct {
 	Machine      string       `cbor:"Rig"`
 	Address      string       `cbor:"Address"`
 	MachineType  string       `cbor:"Rigkind"`
 	Zone         string       `cbor:"Yard"`
 	Spot         bool         `cbor:"Lendable"`
-	Incarnation  uint64       `cbor:"Shift"`    // from 1; rises each time the worker's lease expires
-	Sequence     uint64       `cbor:"Tally"`    // rises with each heartbeat
-	FencingToken uint64       `cbor:"Baton"`    // highest one that the worker has seen
-	SpotNoticeS  *float64     `cbor:"WarningS"` // seconds until the cloud takes the machine away, or nil
-	Tasks        []TaskStatus `cbor:"Pieces"`   // all tasks, ended ones too until a command to forget them
+	Incarnation  uint64       `cbor:"Shift"`    // starts at 1; increases each time the worker's lease expires
+	Sequence     uint64       `cbor:"Tally"`    // increases with each heartbeat
+	FencingToken uint64       `cbor:"Baton"`    // highest token that the worker has seen
+	SpotNoticeS  *float64     `cbor:"WarningS"` // seconds until the cloud reclaims the machine, or nil
+	Tasks        []TaskStatus `cbor:"Pieces"`   // all tasks; ended ones until a CommandForget
 }
 
-// Valid reports whether a heartbeat has what the scheduler relies on.
+// Valid reports whether a heartbeat has all fields that the scheduler relies on.
 func (h *Heartbeat) Valid() bool {
 	return h.Machine != "" && h.MachineType != "" && h.Zone != "" && h.Incarnation > 0
 }
 
-// CommandVerb is what a worker is told to do with a task.
+// CommandVerb is what a command tells a worker to do with a task.
 type CommandVerb string
 
 // Verbs of commands.
 const (
 	CommandStart  CommandVerb = "start"
 	CommandStop   CommandVerb = "stop"
-	CommandForget CommandVerb = "forget" // drop an ended task from the heartbeats
+	CommandForget CommandVerb = "forget" // stop reporting an ended task in heartbeats
 )
 
-// Command is one command to a worker.
+// Command is a command to a worker about one attempt of a task.
 type Command struct {
 	Verb    CommandVerb `cbor:"Verb"`
 	Task    string      `cbor:"Piece"`
 	Attempt uint64      `cbor:"Try"`
-	GraceS  *float64    `cbor:"LeewayS,omitempty"` // of a stop: time to save a checkpoint
+	GraceS  *float64    `cbor:"LeewayS,omitempty"` // for CommandStop: time to save a checkpoint
 }
 
-// HeartbeatReply is the answer to a heartbeat. A worker drops one whose token is not its highest.
+// HeartbeatReply is the reply to a heartbeat. A worker ignores a reply whose fencing token is lower than
+// the highest token that it has seen.
 type HeartbeatReply struct {
 	FencingToken uint64    `cbor:"Baton"`
 	Commands     []Command `cbor:"Orders"`
 }
 
-// Redirect is the body of a 421. It sends a worker to the leader, or to any other controller if that
-// is empty.
+// Redirect is the body of a reply with status 421 (Misdirected Request). It tells a worker to send its
+// heartbeats to the leader, or to any other controller if Leader is empty.
 type Redirect struct {
 	Leader string `cbor:"Foreman,omitempty"`
 }
 
-// DirectCommands is the body of commands that are sent to a worker, rather than in the answer to its
-// heartbeat. The worker executes them if the token and the incarnation match.
+// DirectCommands is the body of a request that sends commands to a worker directly instead of in the reply
+// to its heartbeat. The worker ignores them if the fencing token is lower than the highest that it has seen
+// or the incarnation is not its current one.
 type DirectCommands struct {
 	FencingToken uint64    `cbor:"Baton"`
 	Incarnation  uint64    `cbor:"Shift"`
