--- a/internal/coordination/placement/doc.go
+++ b/internal/coordination/placement/doc.go
@@ -1,15 +1,16 @@
-// Package placement has the pure functions of the placement algorithm: ranking the machines that
-// passed the filters, and choosing which tasks to preempt on the best one. They work on values and
-// know neither machines nor jobs; package scheduler applies the filters and works out the scores.
+// Package placement contains the pure functions of the placement algorithm: ranking the machines that
+// passed the filters, and choosing which tasks to preempt on the best machine. They work on plain values
+// and do not depend on the types for machines and jobs. Package scheduler applies the filters and computes
+// the scores.
 //
-// The algorithm is that of "An efficient cloud scheduler design supporting preemptible instances"
-// (the paper), section 3.1. Its steps are found here and in package scheduler:
+// The algorithm is that of "An efficient cloud scheduler design supporting preemptible instances" (called
+// the paper below), section 3.1. Its steps are implemented here and in package scheduler:
 //
-//   - Algorithm 2, Select Hosts: the placer's evaluate filters one machine on its full view or its
-//     normal view and scores it on the full view.
-//   - Algorithms 3 and 4, the rank functions: the Weighers.
+//   - Algorithm 2, Select Hosts: the placer in package scheduler filters each machine on its full view or
+//     its normal view, and scores it on the full view.
+//   - Algorithms 3 and 4, the rank functions: Weigher.
 //   - Section 4.1, the weighted sum of rescaled scores, and Best Host of Algorithm 2: Best.
 //   - Algorithm 5, Select and Terminate: CheapestVictims.
 //
-// One thing is added for large fleets: ScoreGroups rank machines with the same scores once.
+// ScoreGroups is an addition for large fleets. It ranks machines with equal scores only once.
 package placement
--- a/internal/coordination/placement/groups.go
+++ b/internal/coordination/placement/groups.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// ScoreGroups are candidates grouped by equal scores. Only the first of a group, in the order of
-// compare, can be the best candidate, and on a large fleet most machines have the same scores as
-// others: ranking costs by the number of groups, not of machines.
+// ScoreGroups holds candidates grouped by equal scores. Only the first member of a group, in the order of
+// compare, can be the best candidate. In a large fleet many machines have equal scores, so that ranking
+// groups instead of machines takes much less time.
 type ScoreGroups[T any] struct {
 	compare func(a, b T) int
-	firsts  []Candidate[T] // the first of each group
-	members [][]T          // all of each group, in order
-	index   map[Scores]int // of the group with these scores
+	firsts  []Candidate[T] // the first member of each group
+	members [][]T          // all members of each group, in the order of compare
+	index   map[Scores]int // number of the group with these scores
 }
 
-// NewScoreGroups returns an empty set of groups whose members are ordered by compare.
+// NewScoreGroups returns a ScoreGroups without candidates. The members of its groups are ordered by compare.
 func NewScoreGroups[T any](compare func(a, b T) int) ScoreGroups[T] {
 	return ScoreGroups[T]{compare: compare, index: map[Scores]int{}}
 }
 
-// Clear removes all candidates and keeps their memory for the next ones.
+// Clear removes all candidates. The allocated memory is reused for the next ones.
 func (g *ScoreGroups[T]) Clear() {
 	g.firsts, g.members = g.firsts[:0], g.members[:0]
 	clear(g.index)
@@ -40,21 +40,22 @@
 	g.index[c.Scores] = group
 	g.firsts = append(g.firsts, c)
 	if group < cap(g.members) {
-		g.members = g.members[:group+1] // with the memory of an earlier group
+		g.members = g.members[:group+1] // reuse the memory of a removed group
 		g.members[group] = append(g.members[group][:0], c.Target)
 		return
 	}
 	g.members = append(g.members, []T{c.Target})
 }
 
-// Best returns the group whose first member is the best candidate, or -1 if there are none.
+// Best returns the number of the group whose first member is the best candidate, or -1 if there are no
+// candidates.
 func (g *ScoreGroups[T]) Best() int { return Best(g.firsts, g.compare) }
 
-// First returns the first member of a group.
+// First returns the first member of the group with the given number.
 func (g *ScoreGroups[T]) First(group int) Candidate[T] { return g.firsts[group] }
 
-// RemoveFirst removes the first member of a group, and the group if that was the last one. The
-// numbers of groups are valid until then.
+// RemoveFirst removes the first member of the group with the given number, and the group if no members are
+// left. Group numbers that were obtained before the call are no longer valid.
 func (g *ScoreGroups[T]) RemoveFirst(group int) {
 	if g.members[group] = slices.Delete(g.members[group], 0, 1); len(g.members[group]) > 0 {
 		g.firsts[group].Target = g.members[group][0]
--- a/internal/coordination/placement/groups_test.go
+++ b/internal/coordination/placement/groups_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBestGroupIsBestCandidate: whatever is added, removed and cleared, the best of the groups is
-// the best of all candidates.
+// TestBestGroupIsBestCandidate checks that after any sequence of additions, removals and clears, the first
+// member of the best group is the best of all candidates.
 func TestBestGroupIsBestCandidate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		groups := NewScoreGroups(cmp.Compare[int])
@@ -34,23 +34,24 @@
 			removeBest(t, &groups, &all)
 		}
 		if group := groups.Best(); group != -1 {
-			t.Fatalf("group %d is left", group)
+			t.Fatalf("best group is %d after all candidates were removed, want -1", group)
 		}
 	})
 }
 
-// removeBest removes the best candidate from the groups and from the list of all, and compares them.
+// removeBest checks that the groups and the list of all candidates have the same best candidate, and removes
+// it from both.
 func removeBest(t *rapid.T, groups *ScoreGroups[int], all *[]Candidate[int]) {
 	t.Helper()
 	best, group := Best(*all, cmp.Compare[int]), groups.Best()
 	if (best < 0) != (group < 0) {
-		t.Fatalf("best of the groups %d, of all %d", group, best)
+		t.Fatalf("best group is %d, best candidate is %d: only one of them exists", group, best)
 	}
 	if best < 0 {
 		return
 	}
 	if got := groups.First(group); got != (*all)[best] {
-		t.Fatalf("best of the groups is %+v, of all %+v", got, (*all)[best])
+		t.Fatalf("best candidate of the groups is %+v, of all candidates %+v", got, (*all)[best])
 	}
 	groups.RemoveFirst(group)
 	*all = slices.Delete(*all, best, best+1)
--- a/internal/coordination/placement/rank.go
+++ b/internal/coordination/placement/rank.go
@@ -1,13 +1,13 @@
 package placement
 
-// Candidate is a machine that passed the filters, with its scores.
+// Candidate is a machine that passed the filters, together with its scores.
 type Candidate[T any] struct {
 	Target T
 	Scores Scores
 }
 
-// Best returns the index of the candidate with the highest weighted sum of rescaled scores, or -1
-// if there is no candidate. Of equals the first in the order of compare wins.
+// Best returns the index of the candidate with the highest weighted sum of rescaled scores, or -1 if there
+// are no candidates. Among candidates with equal sums it returns the first in the order of compare.
 func Best[T any](candidates []Candidate[T], compare func(a, b T) int) int {
 	if len(candidates) == 0 {
 		return -1
--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -8,16 +8,16 @@
 	"quillshunt/internal/limits"
 )
 
-// PreemptionOption is what may be preempted on a machine: a task, or all tasks of a gang there.
+// PreemptionOption is something that may be preempted on a machine: a task, or all tasks of one gang on it.
 type PreemptionOption[T any] struct {
 	Task      T
-	Resources resource.Vector // that preempting it frees
-	Cost      float64         // of preempting it
+	Resources resource.Vector // resources that preempting it frees
+	Cost      float64         // cost of preempting it
 }
 
-// CheapestVictims returns the indexes of the options to preempt: the set of least cost that covers
-// the shortfall in every resource, or nil if none does. Up to limits.MaxExhaustiveVictims options every set
-// is tried, as the paper does; beyond that the set is chosen greedily.
+// CheapestVictims returns the indexes of the options to preempt: the cheapest set that covers the shortfall
+// of every resource, or nil if no set does. For up to limits.MaxExhaustiveVictims options it tries every
+// set, as in the paper. For more options it chooses a set greedily, which may not be the cheapest.
 func CheapestVictims[T any](options []PreemptionOption[T], shortfall resource.Vector) []int {
 	if len(options) <= limits.MaxExhaustiveVictims {
 		return cheapestSet(options, shortfall)
@@ -25,7 +25,7 @@
 	return greedySet(options, shortfall)
 }
 
-// cheapestSet tries every set of options. A set is a bit mask of indexes.
+// cheapestSet tries every set of options. Sets are bit masks of indexes.
 func cheapestSet[T any](options []PreemptionOption[T], shortfall resource.Vector) []int {
 	leastCost, best := 0.0, 0
 	for set := 1; set < 1<<len(options); set++ {
@@ -50,8 +50,8 @@
 	return victims
 }
 
-// greedySet adds options by least cost for the shortfall that they cover, and drops those that
-// turned out not to be needed.
+// greedySet adds options in increasing order of their cost per covered share of the shortfall until the
+// shortfall is covered. Then it drops options that are not needed.
 func greedySet[T any](options []PreemptionOption[T], shortfall resource.Vector) []int {
 	order := make([]int, len(options))
 	for i := range order {
@@ -71,7 +71,7 @@
 	if !freed.Covers(shortfall) {
 		return nil
 	}
-	for k := len(victims) - 1; k >= 0; k-- { // the costliest first
+	for k := len(victims) - 1; k >= 0; k-- { // those with the highest cost per share first
 		if rest := freed.Minus(options[victims[k]].Resources); rest.Covers(shortfall) {
 			freed = rest
 			victims = slices.Delete(victims, k, k+1)
@@ -80,8 +80,8 @@
 	return victims
 }
 
-// coveredShare is how much of the shortfall the freed resources cover: the sum of their shares of
-// each resource that is short, never zero.
+// coveredShare returns how much of the shortfall the freed resources cover: the sum of the covered fractions
+// of all resources that are short. It is never zero, because callers divide by it.
 func coveredShare(freed, shortfall resource.Vector) float64 {
 	share := 0.0
 	if shortfall.CPUs > 0 {
--- a/internal/coordination/placement/victims_test.go
+++ b/internal/coordination/placement/victims_test.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/limits"
 )
 
-// TestCheapestVictims compares the chosen set with every set: up to the cutoff it is the cheapest;
-// beyond, it covers the shortfall and has no task that is not needed.
+// TestCheapestVictims compares the chosen set with all sets. For up to MaxExhaustiveVictims options it must
+// be the cheapest. For more it must cover the shortfall and contain no option that is not needed.
 func TestCheapestVictims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, limits.MaxExhaustiveVictims+4).Draw(t, "n")
@@ -30,25 +30,26 @@
 		leastCost := leastCostOfAllSets(options, shortfall)
 		victims := CheapestVictims(options, shortfall)
 		if (victims == nil) != (leastCost < 0) {
-			t.Fatalf("got %v, least cost %v", victims, leastCost)
+			t.Fatalf("got victims %v, least cost of all sets %v", victims, leastCost)
 		}
 		if victims == nil {
 			return
 		}
 		freed, cost := sumOf(options, victims)
 		if !freed.Covers(shortfall) || (n <= limits.MaxExhaustiveVictims && cost > leastCost) {
-			t.Fatalf("got %v: %+v at cost %v, least cost %v, shortfall %+v", victims, freed, cost, leastCost, shortfall)
+			t.Fatalf("victims %v free %+v at cost %v; shortfall %+v, least cost %v",
+				victims, freed, cost, shortfall, leastCost)
 		}
 		for k := range victims {
 			rest := slices.Delete(slices.Clone(victims), k, k+1)
 			if freed, _ := sumOf(options, rest); n > limits.MaxExhaustiveVictims && freed.Covers(shortfall) {
-				t.Fatalf("task %d of %v is not needed", victims[k], victims)
+				t.Fatalf("victim %d of %v is not needed", victims[k], victims)
 			}
 		}
 	})
 }
 
-// leastCostOfAllSets returns the least cost of a set that covers the shortfall, or -1.
+// leastCostOfAllSets returns the cost of the cheapest set that covers the shortfall, or -1 if no set does.
 func leastCostOfAllSets(options []PreemptionOption[int], shortfall resource.Vector) float64 {
 	least := -1.0
 	for mask := range 1 << len(options) {
@@ -65,7 +66,7 @@
 	return least
 }
 
-// sumOf returns what preempting a set of options frees and costs.
+// sumOf returns the resources that preempting a set of options frees, and the total cost.
 func sumOf(options []PreemptionOption[int], set []int) (freed resource.Vector, cost float64) {
 	for _, i := range set {
 		freed, cost = freed.Plus(options[i].Resources), cost+options[i].Cost
--- a/internal/coordination/placement/weigher.go
+++ b/internal/coordination/placement/weigher.go
@@ -2,25 +2,25 @@
 
 import "quillshunt/internal/limits"
 
-// A Weigher scores machines by one criterion; more is better.
+// Weigher is a criterion by which machines are scored. Higher scores are better.
 type Weigher int
 
-// The weighers. Overcommit and PreemptionCost are those of the paper.
+// Weighers. Overcommit and PreemptionCost are those of the paper.
 const (
-	Overcommit      Weigher = iota // -1 if tasks have to be preempted, else 0
-	PreemptionCost                 // minus the cost of preempting what may be preempted
-	Image                          // minus the time to fetch the image
-	Packing                        // minus the CPUs that stay free
-	Price                          // minus the price of a CPU
-	Speed                          // minus the run time of tasks there, relative to other machines
-	GangReservation                // 1 if the machine is reserved for gangs and the task is one of a gang
+	Overcommit      Weigher = iota // -1 if tasks have to be preempted, otherwise 0
+	PreemptionCost                 // negative cost of preempting what may be preempted
+	Image                          // negative time to fetch the image
+	Packing                        // negative number of CPUs that stay free
+	Price                          // negative price per CPU
+	Speed                          // negative run time of tasks on the machine, relative to other machines
+	GangReservation                // 1 if the machine is reserved for gangs and the task belongs to one, otherwise 0
 	weigherCount
 )
 
-// Scores are what the weighers say of one machine.
+// Scores holds the scores of one machine, indexed by Weigher.
 type Scores [weigherCount]float64
 
-// multipliers say how much each weigher counts in the sum.
+// multipliers holds the weight of each weigher in the weighted sum.
 var multipliers = Scores{
 	Overcommit:      limits.WeightOvercommit,
 	PreemptionCost:  limits.WeightPreemptionCost,
@@ -31,9 +31,9 @@
 	GangReservation: limits.WeightGangReservation,
 }
 
-// weightedSum returns the sum of multiplier times score over all weighers, each score rescaled between
-// the lowest and the highest among the candidates. A weigher that scores all of them equally counts
-// nothing.
+// weightedSum returns the weighted sum of the scores. Each score is first rescaled to the range from 0 to 1
+// by the lowest and the highest score of the same weigher among all candidates. A weigher for which all
+// candidates have the same score is ignored.
 func (s *Scores) weightedSum(lowest, highest *Scores) float64 {
 	sum := 0.0
 	for w := range weigherCount {
--- a/internal/coordination/resource/resource.go
+++ b/internal/coordination/resource/resource.go
@@ -1,4 +1,4 @@
-// Package resource has the amounts of which machines have some and tasks need some.
+// Package resource defines amounts of the resources that machines provide and tasks request.
 package resource
 
 import (
@@ -7,43 +7,45 @@
 	"quillshunt/internal/limits"
 )
 
-// Vector is an amount of each resource: what a machine has, what is free on it, or what a task needs.
+// Vector is an amount of each resource, such as the capacity of a machine, the free resources on it, or the
+// demand of a task.
 type Vector struct {
 	CPUs         float64
 	Accelerators float64
 	MemoryGB     float64
 }
 
-// Plus returns the sum in each resource.
+// Plus returns the sum of two vectors.
 func (v Vector) Plus(other Vector) Vector {
 	return Vector{v.CPUs + other.CPUs, v.Accelerators + other.Accelerators, v.MemoryGB + other.MemoryGB}
 }
 
-// Minus returns the difference in each resource, which may be negative.
+// Minus returns the difference of two vectors. Its amounts may be negative.
 func (v Vector) Minus(other Vector) Vector {
 	return Vector{v.CPUs - other.CPUs, v.Accelerators - other.Accelerators, v.MemoryGB - other.MemoryGB}
 }
 
-// Times returns the amount that many times.
+// Times returns the vector multiplied by a factor.
 func (v Vector) Times(factor float64) Vector {
 	return Vector{factor * v.CPUs, factor * v.Accelerators, factor * v.MemoryGB}
 }
 
-// Max returns the larger amount in each resource.
+// Max returns the larger amount of each resource.
 func (v Vector) Max(other Vector) Vector {
 	return Vector{
 		max(v.CPUs, other.CPUs), max(v.Accelerators, other.Accelerators), max(v.MemoryGB, other.MemoryGB),
 	}
 }
 
-// Min returns the smaller amount in each resource.
+// Min returns the smaller amount of each resource.
 func (v Vector) Min(other Vector) Vector {
 	return Vector{
 		min(v.CPUs, other.CPUs), min(v.Accelerators, other.Accelerators), min(v.MemoryGB, other.MemoryGB),
 	}
 }
 
-// Covers reports whether a demand fits into the amount in every resource, but for rounding.
+// Covers reports whether the vector has at least the demanded amount of every resource, within the rounding
+// tolerance limits.Epsilon.
 func (v Vector) Covers(demand Vector) bool {
 	const eps = limits.Epsilon
 	return demand.CPUs <= v.CPUs+eps &&
@@ -51,8 +53,8 @@
 		demand.MemoryGB <= v.MemoryGB+eps
 }
 
-// TasksThatFit returns how many tasks of a demand the amount has capacity for at once, at most as
-// many as a machine may run.
+// TasksThatFit returns how many tasks with the given demand fit into the vector at the same time, at most
+// limits.MaxTasksPerMachine.
 func (v Vector) TasksThatFit(demand Vector) int {
 	count := math.Inf(1)
 	if demand.CPUs > 0 {
--- a/internal/coordination/resource/resource_test.go
+++ b/internal/coordination/resource/resource_test.go
@@ -32,15 +32,15 @@
 		demand Vector
 		want   bool
 	}{
-		{"all of it", free, true},
-		{"nothing", Vector{}, true},
-		{"more by rounding only", Vector{CPUs: 4 + limits.Epsilon/2}, true},
+		{"all free resources", free, true},
+		{"no demand", Vector{}, true},
+		{"more within the rounding tolerance", Vector{CPUs: 4 + limits.Epsilon/2}, true},
 		{"too many CPUs", Vector{CPUs: 4.5}, false},
 		{"too many accelerators", Vector{Accelerators: 2}, false},
 		{"too much memory", Vector{MemoryGB: 9}, false},
 	} {
 		if got := free.Covers(c.demand); got != c.want {
-			t.Errorf("%s: %+v fits into %+v: %v", c.name, c.demand, free, got)
+			t.Errorf("%s: %+v covers %+v: %v, want %v", c.name, free, c.demand, got, c.want)
 		}
 	}
 }
@@ -52,12 +52,12 @@
 		demand Vector
 		want   int
 	}{
-		{"CPUs are short", Vector{CPUs: 3, Accelerators: 0.5, MemoryGB: 4}, 2},
-		{"accelerators are short", Vector{CPUs: 1, Accelerators: 2, MemoryGB: 4}, 1},
-		{"memory is short", Vector{CPUs: 1, MemoryGB: 10}, 3},
-		{"a share that rounding makes too small", Vector{CPUs: 8.0 / 3}, 3},
-		{"too large", Vector{CPUs: 9}, 0},
-		{"needs nothing", Vector{}, limits.MaxTasksPerMachine},
+		{"limited by CPUs", Vector{CPUs: 3, Accelerators: 0.5, MemoryGB: 4}, 2},
+		{"limited by accelerators", Vector{CPUs: 1, Accelerators: 2, MemoryGB: 4}, 1},
+		{"limited by memory", Vector{CPUs: 1, MemoryGB: 10}, 3},
+		{"quotient just below 3 by rounding", Vector{CPUs: 8.0 / 3}, 3},
+		{"demand exceeds the size", Vector{CPUs: 9}, 0},
+		{"zero demand", Vector{}, limits.MaxTasksPerMachine},
 	} {
 		if got := size.TasksThatFit(c.demand); got != c.want {
 			t.Errorf("%s: %d tasks fit, want %d", c.name, got, c.want)
