--- a/internal/limits/gangs.go
+++ b/internal/limits/gangs.go
@@ -5,8 +5,8 @@
 // Gang scheduling.
 const (
 	// GangDemandWindow is how long machines stay reserved for the peak demand of gangs of one kind. It is
-	// longer than a gang runs plus the time that a machine boots, but not much longer, because the
-	// reserved machines cost money.
+	// longer than a gang runs and a machine takes to boot, but not much longer, because reserved machines
+	// cost money.
 	GangDemandWindow = 90 * time.Second
 	// GangCapacityTimeout is how long machines are rented and kept for a gang while the cloud does not
 	// have enough machines for all of it. The cloud refuses requests for some seconds at a time, and a
--- a/internal/limits/machines.go
+++ b/internal/limits/machines.go
@@ -18,8 +18,8 @@
 	CorrelatedUnreachableShare  = 0.25
 	CorrelatedUnreachableLeases = 4
 	CorrelatedUnreachableMin    = 3
-	// CorrelatedUnverifiedShare is the share of all machines above which unverified machines are not
-	// probed at once, but only after UnverifiedGraceIntervals heartbeat intervals. By then the next
+	// CorrelatedUnverifiedShare is the share of all machines above which machines that are unverified at the
+	// same time are probed only after UnverifiedGraceIntervals heartbeat intervals. By then, the next
 	// heartbeats on their new connections have verified most of them without a probe.
 	CorrelatedUnverifiedShare = 0.05
 	UnverifiedGraceIntervals  = 1.5
@@ -27,15 +27,16 @@
 
 // Recovery after a failover.
 const (
-	// RecoveryTimeout and RecoveryTimeoutIntervals (a number of heartbeat intervals) say how long after a
-	// failover a machine that may have tasks may send no heartbeat before it is deleted; the longer time
-	// counts. The deletion proves sooner than the expiry of the machine's lease that no task runs there.
-	// Workers find a new leader within a few seconds.
+	// RecoveryTimeout and RecoveryTimeoutIntervals (a number of heartbeat intervals) are the times after a
+	// failover after which a machine that may have tasks but has sent no heartbeat is deleted. The longer of
+	// the two applies. A confirmed deletion shows earlier than the expiry of the machine's lease that no task
+	// runs there. Workers find a new leader within a few seconds.
 	RecoveryTimeout          = 6 * time.Second
 	RecoveryTimeoutIntervals = 2.5
-	// FewUnreportedShare is the share of all machines up to which machines without a heartbeat since the
-	// failover are deleted as soon as they have missed UnreportedProbeMisses probes. The second probe then
-	// follows directly after the first.
+	// FewUnreportedShare is the share of all machines up to which the machines without a heartbeat since the
+	// failover count as few. They are then deleted as soon as they have missed UnreportedProbeMisses probes.
+	// The second probe follows directly after the first. CorrelatedUnreachableMin machines or fewer always
+	// count as few.
 	FewUnreportedShare    = 0.03
 	UnreportedProbeMisses = 2
 )
@@ -51,10 +52,11 @@
 	// MinProbeRate, in probes per second.
 	ProbeCost    = 400 * time.Microsecond
 	MinProbeRate = 40.0
-	// SlowHeartbeatThreshold is the time above which the wait of a heartbeat in the mailbox, or of a probe
-	// for its reply, is a sign of an overloaded controller. Heartbeats, the lease and votes need the CPU
-	// more than probes do. No probe is sent for ProbePause after a slow heartbeat, and the rate limit of
-	// probes is then reduced to ProbeSlowdownRatio of its value, as it is after a slow probe.
+	// SlowHeartbeatThreshold is the time in the mailbox above which a heartbeat counts as slow, and the
+	// response time above which a probe does. Both are signs of an overloaded controller, where heartbeats,
+	// the lease and votes need the CPU more than probes do. After a slow heartbeat, no probe is sent for
+	// ProbePause. After a probe that was slow or was not sent, the rate limit of probes is reduced to
+	// ProbeSlowdownRatio of its value.
 	SlowHeartbeatThreshold = 250 * time.Millisecond
 	ProbePause             = time.Second
 	ProbeSlowdownRatio     = 0.25
@@ -64,8 +66,8 @@
 	// MaxDirectCommands is the maximum number of concurrent direct commands. Each one to an unreachable
 	// machine takes DirectCommandTimeout.
 	MaxDirectCommands = 64
-	// DirectCommandBackoff is how long a worker that did not reply to a direct command is sent commands
-	// only in replies to its heartbeats.
+	// DirectCommandBackoff is how long a worker is sent commands only in replies to its heartbeats after it
+	// did not reply to a direct command.
 	DirectCommandBackoff = 10 * time.Second
 	// MaxCommands is the maximum number of commands in one reply. It keeps the reply far below
 	// MaxBodyBytes.
@@ -77,18 +79,17 @@
 	// FaultyMachineFailures is the number of consecutive task failures after which a machine counts as
 	// faulty.
 	FaultyMachineFailures = 2
-	// SlowMachineTasks and SlowMachineFactor define a slow machine: at least this many of its tasks were
-	// compared with tasks of the same jobs on other machines, and took on average more than this many times
-	// as long. Healthy machines differ by a tenth, but tasks of one job differ more, so that several are
-	// needed.
+	// SlowMachineTasks and SlowMachineFactor define a slow machine: at least SlowMachineTasks of its tasks
+	// have taken, on average, more than SlowMachineFactor times as long as tasks of the same jobs elsewhere.
+	// Healthy machines differ by a tenth, but tasks of one job differ more, so that several are needed.
 	SlowMachineTasks  = 4
 	SlowMachineFactor = 2.5
 	// MaxTasksPerMachine is the maximum number of tasks on a machine, including ended tasks that the worker
 	// still reports. It keeps heartbeats below MaxBodyBytes.
 	MaxTasksPerMachine = 400
-	// SpotNoticeSaveIntervals is how many heartbeat intervals, beyond the time that a task needs to save a
-	// checkpoint, its stop command is sent before the cloud takes its spot machine away: one interval for
-	// the command, one for a lost message, and one in reserve.
+	// SpotNoticeSaveIntervals is the safety margin, in heartbeat intervals, for saving a checkpoint before
+	// the cloud reclaims a spot machine. It is added to the task's save time to decide when the task is told
+	// to stop: one interval for the command, one for a lost message, and one in reserve.
 	SpotNoticeSaveIntervals = 3
 )
 
--- a/internal/limits/placement.go
+++ b/internal/limits/placement.go
@@ -23,9 +23,9 @@
 	// SpeedStep is the step to which a machine's relative run time is rounded, as a fraction of the usual
 	// run time. Healthy machines differ by a tenth, and the observed speed of a machine is not exact.
 	SpeedStep = 0.05
-	// MinRunTimeSamples is the number of completed tasks of a job from which their mean run time is used to
-	// compare machines.
+	// MinRunTimeSamples is the least number of completed tasks of a job before their mean run time is used
+	// to measure the speed of machines.
 	MinRunTimeSamples = 3
-	// MinSpeedSamples is the number of tasks on a machine from which its observed speed is used.
+	// MinSpeedSamples is the least number of measured tasks of a machine before its observed speed is used.
 	MinSpeedSamples = 3
 )
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -4,7 +4,8 @@
 
 // Order of the queue.
 const (
-	// TickInterval is the time between two steps of the scheduler that handle time-dependent conditions.
+	// TickInterval is the time between two ticks, in which the scheduler checks conditions that depend only
+	// on time.
 	TickInterval = 500 * time.Millisecond
 	// QueueOrderTTL is how long the computed order of the queue is reused. Slacks of many seconds hardly
 	// change in that time.
@@ -26,15 +27,15 @@
 	// to start within four minutes, and a machine may have to be reserved for it for some of that time.
 	FirstTaskCreditAge = 150 * time.Second
 	// AllTasksCreditAge is the age from which a job gets credit for its other tasks, one by one over
-	// AllTasksCreditSpan. An earlier start would delay jobs that can still meet their deadlines.
+	// AllTasksCreditSpan. Credit at an earlier age would delay jobs that can still meet their deadlines.
 	AllTasksCreditAge  = 240 * time.Second
 	AllTasksCreditSpan = 120 * time.Second
 	// UnderservedShare is the share of a job group's credit below which the group counts as underserved. A
 	// job that has started gets tasks by credit only while its group is underserved, and otherwise by the
 	// usual order. Users expect half of the credit.
 	UnderservedShare = 0.65
-	// MachinesPerReservation is the number of machines for each one that may be reserved for jobs that have
-	// credit but lack free resources.
+	// MachinesPerReservation limits reservations: one in this many machines may be reserved for jobs that
+	// have fewer tasks than their credit and lack free resources.
 	MachinesPerReservation = 6
 )
 
--- a/internal/limits/sockets.go
+++ b/internal/limits/sockets.go
@@ -7,11 +7,13 @@
 	// ReservedSocketShare is the largest share of all sockets that is reserved for the state service, the
 	// cloud and the other controllers. It matters for controllers with few sockets.
 	ReservedSocketShare = 0.4
-	// InboundHeadroomShare is the share that connections to workers leave free. It gives a burst of inbound
-	// connections room until idle connections to workers are closed, half a second later.
+	// InboundHeadroomShare is the share of SocketShares.MaxConns that connections to workers leave free. It
+	// leaves sockets for a burst of inbound connections until idle connections to workers are closed, half a
+	// second later.
 	InboundHeadroomShare = 0.06
-	// OutboundReserveShare is the share that inbound connections leave free for connections to workers, so
-	// that probes and direct commands are possible when all other sockets are in use.
+	// OutboundReserveShare is the share of SocketShares.MaxConns that inbound connections leave free for
+	// connections to workers, so that probes and direct commands are possible when all other sockets are in
+	// use.
 	OutboundReserveShare = 0.03
 	// UserConnShare is the share of inbound connections that machines may not use. Users keep about one
 	// connection for each unfinished job, over all controllers.
@@ -19,9 +21,9 @@
 	// StaleConnShare is the share of the machines' connections that may be dead but not yet closed, or
 	// belong to machines that have been returned.
 	StaleConnShare = 0.1
-	// ProbeSocketShare is the largest share of sockets that probes may use at the same time. MaxProbes
-	// limits the number of concurrent probes. A new leader probes all machines at once, and a probe of an
-	// unreachable machine holds its socket for ProbeTimeout.
+	// ProbeSocketShare is the largest share of SocketShares.MaxConns that probes may use at the same time.
+	// MaxProbes also limits the number of concurrent probes. A new leader probes all machines at once, and a
+	// probe of an unreachable machine holds its socket for ProbeTimeout.
 	ProbeSocketShare = 0.2
 	MaxProbes        = 512
 	// UserSlots is the maximum number of concurrent user requests. Further requests are told to retry
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -58,8 +58,8 @@
 
 // Sizes of records and transactions.
 const (
-	// MinValueKB is the smallest limit of the state service on the size of a value, in KiB, with which
-	// every kind of record fits.
+	// MinValueKB is the smallest supported limit of the state service on the size of a value, in KiB. Every
+	// kind of record fits into it.
 	MinValueKB = 0.5
 	// MinTransactionOps is the smallest supported limit on the number of operations in a transaction. An
 	// election needs three.
