--- a/internal/coordination/leader/machine_types.go
+++ b/internal/coordination/leader/machine_types.go
@@ -45,7 +45,7 @@
 	if err == nil && slices.EqualFunc(stored.Types, types, equalExceptPrices) {
 		return nil
 	}
-	for _, txn := range store.MachineTypesTransactions(stored, types, t.leadership.Guard()) {
+	for _, txn := range store.MachineTypesTransactions(stored, types, t.leadership.FencingCondition()) {
 		_, err := store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
 		if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -10,24 +10,25 @@
 	"quillshunt/internal/limits"
 )
 
-// jobGroup names the jobs of a class and team of about the same size. Such a group must not be left
-// behind as a whole under lasting overload.
+// jobGroup identifies the jobs of one class and team that have about the same number of tasks. Progress
+// is counted for each group, so that no kind of job starves as a whole during a long overload.
 type jobGroup struct {
 	class     *jobClass
 	team      *team
-	sizeClass int // of the number of tasks, in bits
+	sizeClass int // bit length of the number of tasks, so each size class spans a factor of two
 }
 
+// group returns the group that the job belongs to.
 func (j *job) group() jobGroup { return jobGroup{j.class, j.team, bits.Len(uint(j.spec.Tasks))} }
 
-// groupProgress is the aging credit of a group's jobs, in tasks, and how many of these tasks have
-// begun.
-type groupProgress struct{ credit, begun int }
+// groupProgress is the sum of the aging credit of a group's jobs, in tasks, and how much of it has been
+// used by tasks that have started.
+type groupProgress struct{ credit, started int }
 
-// agingCredit is how many tasks of a job should have begun by now. The order of the queue favours
-// jobs that are urgent, small and on time; under lasting overload the others would never begin. So a
-// job gets credit for its first task at one age, and for the others one by one from a later age on,
-// whatever else waits.
+// agingCredit returns how many tasks of a job should have started by now. The queue order favors urgent
+// and small jobs and those that can meet a deadline, so during a long overload other jobs would never
+// start. Each job therefore gets credit for its first task at FirstTaskCreditAge, and for the others
+// one by one during AllTasksCreditSpan after AllTasksCreditAge, whatever else is waiting.
 func (q *jobQueue) agingCredit(j *job) int {
 	age := q.now - j.submittedAt
 	if age <= limits.FirstTaskCreditAge || j.cancelled || j.closed {
@@ -37,49 +38,51 @@
 	return max(1, int(math.Ceil(min(share, 1)*float64(j.spec.Tasks))))
 }
 
-// overdueTasks is how many tasks a job gets before all others: the first if it has not begun, else
-// what it is behind its credit with while its group is underserved.
-func (q *jobQueue) overdueTasks(j *job) int {
-	overdue := min(q.agingCredit(j)-j.begunTasks(), j.waitingTasks())
+// starvedTasks returns how many tasks of a job are placed before those of all other jobs. A job with
+// credit that has started no task gets one. A job that has started gets the unused rest of its credit
+// if its group is underserved, otherwise none.
+func (q *jobQueue) starvedTasks(j *job) int {
+	starved := min(q.agingCredit(j)-j.startedTasks(), j.waitingTasks())
 	switch {
-	case overdue <= 0:
+	case starved <= 0:
 		return 0
-	case j.begunTasks() == 0:
+	case j.startedTasks() == 0:
 		return 1
 	case q.servedShare(j) >= limits.UnderservedShare:
 		return 0
 	}
-	return overdue
+	return starved
 }
 
-// servedShare is the share of the credit of a job's group that has begun.
+// servedShare returns which share of the aging credit of a job's group has been used by started tasks. It
+// is 1 for a group without credit.
 func (q *jobQueue) servedShare(j *job) float64 {
 	progress := q.progress[j.group()]
 	if progress.credit == 0 {
 		return 1
 	}
-	return float64(progress.begun) / float64(progress.credit)
+	return float64(progress.started) / float64(progress.credit)
 }
 
-// updateOverdue works out which jobs are overdue, in order: those that have not begun first, then
-// those whose group has got the smallest share of its credit, then the oldest, so that jobs are
-// completed rather than all of them begun.
-func (q *jobQueue) updateOverdue() {
+// updateStarvedJobs lists the jobs with starved tasks and sorts them: jobs that have not started first,
+// then those of the group with the smallest served share, then the oldest. Among equals the oldest job
+// gets all its tasks first, so that jobs complete one after another instead of all making slow progress.
+func (q *jobQueue) updateStarvedJobs() {
 	q.updateGroupProgress()
-	q.overdue = q.overdue[:0]
+	q.starved = q.starved[:0]
 	for _, j := range q.jobs.oldestFirst() {
 		j.underserved = q.agingCredit(j) > 0 && q.servedShare(j) < limits.UnderservedShare
-		if q.overdueTasks(j) > 0 {
-			q.overdue = append(q.overdue, j)
+		if q.starvedTasks(j) > 0 {
+			q.starved = append(q.starved, j)
 		}
 	}
-	hasBegun := func(j *job) int { return min(j.begunTasks(), 1) }
-	slices.SortStableFunc(q.overdue, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(hasBegun(a), hasBegun(b)), cmp.Compare(q.servedShare(a), q.servedShare(b)))
+	startedRank := func(j *job) int { return min(j.startedTasks(), 1) }
+	slices.SortStableFunc(q.starved, func(a, b *job) int {
+		return cmp.Or(cmp.Compare(startedRank(a), startedRank(b)), cmp.Compare(q.servedShare(a), q.servedShare(b)))
 	})
 }
 
-// updateGroupProgress adds up the credit of each group of jobs, and what of it has begun.
+// updateGroupProgress recomputes the credit of each group and how much of it started tasks have used.
 func (q *jobQueue) updateGroupProgress() {
 	clear(q.progress)
 	maps.Copy(q.progress, q.closedProgress)
@@ -87,7 +90,7 @@
 		if credit := q.agingCredit(j); credit > 0 {
 			progress := q.progress[j.group()]
 			progress.credit += credit
-			progress.begun += min(credit, j.begunTasks())
+			progress.started += min(credit, j.startedTasks())
 			q.progress[j.group()] = progress
 		}
 	}
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -10,21 +10,22 @@
 	"quillshunt/internal/storage"
 )
 
-// TestForgetAfterDurable: a worker is told to forget a result only once it is written down.
-func TestForgetAfterDurable(t *testing.T) {
+// TestResultIsForgottenOnceDurable checks that a worker is told to forget a result only after the state
+// service has confirmed the write of the chunk that contains it.
+func TestResultIsForgottenOnceDurable(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 20, 1, 0)
-	direct := f.direct()
-	if len(direct) != 1 || verbs(direct[0].Commands, protocol.CommandStart) != 8 {
-		t.Fatalf("starts: %+v", f.effects)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 20, 1, 0)
+	direct := f.directCommands()
+	if len(direct) != 1 || countVerb(direct[0].Commands, protocol.CommandStart) != 8 {
+		t.Fatalf("want one direct command with 8 starts: %+v", f.effects)
 	}
-	done, other := completed(direct[0].Commands[0]), running(direct[0].Commands[1])
+	done, other := completedStatus(direct[0].Commands[0]), runningStatus(direct[0].Commands[1])
 	if done.Task != "job-1/0" || other.Task != "job-1/1" {
-		t.Fatalf("starts in another order: %+v", direct[0].Commands)
+		t.Fatalf("starts not in the order of the tasks: %+v", direct[0].Commands)
 	}
-	if commands := f.report(0, done, other); verbs(commands, protocol.CommandForget) != 0 {
-		t.Fatalf("forgotten at once: %+v", commands)
+	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 0 {
+		t.Fatalf("told to forget the result before it is written: %+v", commands)
 	}
 	f.now += 5 * time.Second
 	var result *WriteRecords
@@ -34,31 +35,32 @@
 		}
 	}
 	if result == nil {
-		t.Fatalf("result not written: %+v", f.effects)
+		t.Fatalf("no write of the result: %+v", f.effects)
 	}
-	if commands := f.report(0, done, other); verbs(commands, protocol.CommandForget) != 0 {
-		t.Fatalf("forgotten while the write is in flight: %+v", commands)
+	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 0 {
+		t.Fatalf("told to forget the result while its write is in flight: %+v", commands)
 	}
 	f.step(WriteCompleted{ID: result.ID, OK: true, Version: 500})
-	if commands := f.report(0, done, other); verbs(commands, protocol.CommandForget) != 1 {
-		t.Fatalf("not forgotten: %+v", commands)
+	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 1 {
+		t.Fatalf("not told to forget the durable result: %+v", commands)
 	}
 }
 
-// TestNearlyFinishedJobIsWrittenLate: the results of a job that is nearly over are not written task by
-// task, as its final record replaces them; those of one that drags on are.
-func TestNearlyFinishedJobIsWrittenLate(t *testing.T) {
+// TestNearlyCompleteJobDefersChunkWrite checks that the chunk write of a nearly complete job is deferred,
+// because the job's final record usually replaces it. If the job takes longer than expected, the chunk is
+// written after limits.MaxChunkWriteDelay.
+func TestNearlyCompleteJobDefersChunkWrite(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 2, 1, 0)
-	starts := f.direct()[0].Commands
-	tasks := []protocol.TaskStatus{completed(starts[0])}
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 2, 1, 0)
+	starts := f.directCommands()[0].Commands
+	tasks := []protocol.TaskStatus{completedStatus(starts[0])}
 	for _, start := range starts[1:] {
-		tasks = append(tasks, running(start))
+		tasks = append(tasks, runningStatus(start))
 	}
 	written := time.Duration(0)
 	for began := f.now; f.now < began+2*limits.MaxChunkWriteDelay && written == 0; f.now += time.Second {
-		f.report(0, tasks...)
+		f.sendHeartbeat(0, tasks...)
 		for _, write := range effectsOf[WriteRecords](f.tick()) {
 			if write.Bulk {
 				written = f.now - began
@@ -66,52 +68,54 @@
 		}
 	}
 	if written < limits.MaxChunkWriteDelay {
-		t.Errorf("written after %v", written)
+		t.Errorf("chunk written after %v (0: never), want at least %v", written, limits.MaxChunkWriteDelay)
 	}
 }
 
-// TestDirectAnswerIsNoEvidence: a start that went out in the answer to a heartbeat may still be on its
-// way when a direct command is answered; only the next heartbeat shows that it is lost.
-func TestDirectAnswerIsNoEvidence(t *testing.T) {
+// TestDirectReplyDoesNotReleaseTask checks that a start sent in a heartbeat reply is not given up when the
+// reply to a direct command or a probe does not list its task: the heartbeat reply may still be in flight.
+// Only the next heartbeat shows that the start is lost.
+func TestDirectReplyDoesNotReleaseTask(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
+	f.sendHeartbeat(0)
 	m := f.scheduler.inventory.find(f.machine(0))
-	m.noDirectUntil = time.Hour // commands go out in answers to heartbeats only
-	f.job("job-1", "red", "standard", 1, 1, 0)
-	if n := verbs(f.report(0), protocol.CommandStart); n != 1 {
-		t.Fatalf("%d starts", n)
+	m.directBackoffUntil = time.Hour // send commands only in heartbeat replies
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
+	if n := countVerb(f.sendHeartbeat(0), protocol.CommandStart); n != 1 {
+		t.Fatalf("%d starts in the heartbeat reply, want 1", n)
 	}
-	m.noDirectUntil, m.directID = 0, 77
+	m.directBackoffUntil, m.pendingDirectID = 0, 77
 	f.step(DirectCommandsDone{ID: 77, Machine: m.name, Heartbeat: f.heartbeat(f.machine(0))})
 	if len(m.assignments) != 1 {
-		t.Fatal("released by the answer to a direct command")
+		t.Fatal("task released by the reply to a direct command")
 	}
 	f.step(ProbeDone{Machine: m.name, Heartbeat: f.heartbeat(f.machine(0))})
 	if len(m.assignments) != 1 {
-		t.Fatal("released by the answer to a probe")
+		t.Fatal("task released by the reply to a probe")
 	}
-	m.noDirectUntil = time.Hour
-	// Our answer was lost, so the machine is unverified and gets no start yet.
-	if n := verbs(f.report(0), protocol.CommandStart); n != 0 || len(m.assignments) != 0 {
-		t.Fatalf("after a heartbeat without it: %d starts, %d assigned", n, len(m.assignments))
+	m.directBackoffUntil = time.Hour
+	// The heartbeat shows that the reply with the start was lost. The task is released, but the machine
+	// is now unverified and gets no new start yet.
+	if n := countVerb(f.sendHeartbeat(0), protocol.CommandStart); n != 0 || len(m.assignments) != 0 {
+		t.Fatalf("after a heartbeat without the task: %d starts, %d assignments; want none", n, len(m.assignments))
 	}
-	if n := verbs(f.report(0), protocol.CommandStart); n != 1 || len(m.assignments) != 1 {
-		t.Fatalf("not placed again: %d starts", n)
+	if n := countVerb(f.sendHeartbeat(0), protocol.CommandStart); n != 1 || len(m.assignments) != 1 {
+		t.Fatalf("task not placed again: %d starts, %d assignments", n, len(m.assignments))
 	}
 }
 
-// TestMachineThatHearsNothing: a machine whose heartbeats arrive while answers and commands don't reach
-// it loses one start at most, gets no other until a round trip is seen, and is deleted in time; what it
-// completes counts.
-func TestMachineThatHearsNothing(t *testing.T) {
+// TestMachineThatReceivesNothing checks a machine whose heartbeats arrive but which receives neither
+// replies nor commands. At most one start to it is lost, because it gets no further start until a round
+// trip succeeds. It is deleted in time, and results that it reports still count.
+func TestMachineThatReceivesNothing(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
-	f.report(0)
-	f.job("job-1", "red", "standard", 2, 8, 0)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 2, 8, 0)
 	starts := 0
 	countDirectStarts := func() {
-		for _, direct := range f.direct() {
-			starts += verbs(direct.Commands, protocol.CommandStart)
-			f.step(DirectCommandsDone{ID: direct.ID, Machine: direct.Machine}) // no answer
+		for _, direct := range f.directCommands() {
+			starts += countVerb(direct.Commands, protocol.CommandStart)
+			f.step(DirectCommandsDone{ID: direct.ID, Machine: direct.Machine}) // no reply
 		}
 	}
 	countDirectStarts()
@@ -121,14 +125,14 @@
 	for _, a := range m.assignments {
 		attempt = a.attempt
 	}
-	// Its next heartbeats come on other connections. One task that it had got all the same is done.
-	done := completed(protocol.Command{Task: "job-1/0", Attempt: max(attempt, 1)})
+	// The following heartbeats come on new connections. They report that one task did arrive and is done.
+	done := completedStatus(protocol.Command{Task: "job-1/0", Attempt: max(attempt, 1)})
 	deleted := false
 	for range 20 {
 		f.now += time.Second
 		received := HeartbeatReceived{Entitled: true, Heartbeat: f.heartbeat(f.machine(0), done)}
 		for _, reply := range effectsOf[HeartbeatReply](f.step(received)) {
-			starts += verbs(reply.Commands, protocol.CommandStart)
+			starts += countVerb(reply.Commands, protocol.CommandStart)
 		}
 		countDirectStarts()
 		for _, deletion := range effectsOf[DeleteMachines](f.tick()) {
@@ -137,107 +141,112 @@
 		countDirectStarts()
 	}
 	if starts > 2 {
-		t.Errorf("%d starts to a machine that hears nothing", starts)
+		t.Errorf("%d starts sent to a machine that receives nothing, want at most 2", starts)
 	}
 	if !deleted {
-		t.Error("not deleted")
+		t.Error("machine not deleted")
 	}
 	if j := f.scheduler.jobs.find("job-1"); j.doneCount != 1 {
-		t.Errorf("%d results count", j.doneCount)
+		t.Errorf("%d tasks done, want 1", j.doneCount)
 	}
 }
 
-// TestLateCopies: copies of heartbeats, however late, prove nothing: no machine counts as alive because
-// of them, no lease is extended, and a leader that does not know a machine that is gone does not add it.
-func TestLateCopies(t *testing.T) {
+// TestDuplicateHeartbeats checks that duplicates of heartbeats are no evidence, however late they arrive:
+// they do not make a machine count as alive, do not extend its lease, and do not add a machine that is
+// gone to the inventory.
+func TestDuplicateHeartbeats(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	earlierTerm := f.heartbeatWith(0, 50, running(protocol.Command{Task: "job-1/0", Attempt: 1}))
+	earlierTerm := f.heartbeatWithSequence(0, 50, runningStatus(protocol.Command{Task: "job-1/0", Attempt: 1}))
 	earlierTerm.FencingToken = 2
-	checkCopiesOfEarlierTerm(t, f, earlierTerm)
-	checkOvertakingCopy(t, f)
-	checkOldCopies(t, f, earlierTerm)
+	checkCopyFromEarlierTerm(t, f, earlierTerm)
+	checkCopyBeforeOriginal(t, f)
+	checkStaleCopies(t, f, earlierTerm)
 	checkLateHeartbeat(t, f)
 }
 
-// answerCopy returns the answer to a heartbeat on another connection.
-func (f *schedulerFixture) answerCopy(heartbeat *protocol.Heartbeat, relayed bool) HeartbeatReply {
+// replyToCopy sends a copy of a heartbeat on another connection and returns the reply.
+func (f *schedulerFixture) replyToCopy(heartbeat *protocol.Heartbeat, relayed bool) HeartbeatReply {
 	f.t.Helper()
 	copied := *heartbeat
-	return f.reply(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &copied})
+	return f.replyTo(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &copied})
 }
 
-// checkCopiesOfEarlierTerm: a heartbeat of an earlier term adds no machine that is not known; of one that
-// is, nothing is believed, and it is answered.
-func checkCopiesOfEarlierTerm(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
+// checkCopyFromEarlierTerm checks that a heartbeat of an earlier term does not add an unknown machine. For
+// a known machine it is accepted, but its content is ignored.
+func checkCopyFromEarlierTerm(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
 	gone := *earlierTerm
 	gone.Machine, gone.Tasks = "m-gone", nil
 	for _, relayed := range []bool{false, true} {
-		f.answerCopy(&gone, relayed)
+		f.replyToCopy(&gone, relayed)
 	}
 	if f.scheduler.inventory.find("m-gone") != nil {
-		t.Error("a copy added a machine")
+		t.Error("a heartbeat of an earlier term added an unknown machine")
 	}
-	f.job("job-1", "red", "standard", 1, 1, 0)
-	if reply := f.answerCopy(earlierTerm, false); !reply.Accepted {
-		t.Error("a worker that waits for this answer gets none")
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
+	if reply := f.replyToCopy(earlierTerm, false); !reply.Accepted {
+		t.Error("heartbeat of an earlier term from a known machine not accepted")
 	}
 	m := f.scheduler.inventory.find(f.machine(0))
 	if m.hasReported || m.fenced || len(m.assignments) > 0 || f.scheduler.isSchedulable(m) {
-		t.Errorf("believed: reported %v fenced %v assignments %d", m.hasReported, m.fenced, len(m.assignments))
+		t.Errorf("content of the heartbeat used: reported %v, fenced %v, %d assignments",
+			m.hasReported, m.fenced, len(m.assignments))
 	}
 }
 
-// checkOvertakingCopy: a copy overtakes its original, and the start in its answer gets lost. The answer
-// to the original brings it again, but not once the job is cancelled.
-func checkOvertakingCopy(t *testing.T, f *schedulerFixture) {
+// checkCopyBeforeOriginal lets a copy of a heartbeat arrive before its original, so that the worker never
+// sees the reply to the copy, which contains a start. The reply to the original must repeat the start, but
+// not after the job was cancelled.
+func checkCopyBeforeOriginal(t *testing.T, f *schedulerFixture) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
-	m.noDirectUntil = time.Hour
-	f.report(0)
-	f.report(0)
-	original := f.heartbeatWith(0, f.sequence)
+	m.directBackoffUntil = time.Hour
+	f.sendHeartbeat(0)
+	f.sendHeartbeat(0)
+	original := f.heartbeatWithSequence(0, f.sequence)
 	m.registration = registered
-	if reply := f.answerCopy(original, false); verbs(reply.Commands, protocol.CommandStart) != 1 {
-		t.Errorf("the original brings %+v", reply.Commands)
+	if reply := f.replyToCopy(original, false); countVerb(reply.Commands, protocol.CommandStart) != 1 {
+		t.Errorf("reply to the original: %+v, want one start", reply.Commands)
 	}
 	f.version++
 	cancelled := storage.OpenJob{Cancelled: true, Spec: f.scheduler.jobs.find("job-1").spec}
 	f.step(JobChanged{JobID: "job-1", Version: 100 + f.version, Record: cancelled})
-	if reply := f.answerCopy(original, false); !reply.Accepted || verbs(reply.Commands, protocol.CommandStart) != 0 {
-		t.Errorf("after the cancellation: %+v", reply)
+	if reply := f.replyToCopy(original, false); !reply.Accepted ||
+		countVerb(reply.Commands, protocol.CommandStart) != 0 {
+		t.Errorf("reply to the original after the cancellation: %+v, want it accepted without a start", reply)
 	}
 }
 
-// checkOldCopies: a copy of our term is answered like the original within the time that the worker
-// waits, and does not keep the machine alive.
-func checkOldCopies(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
+// checkStaleCopies checks copies of heartbeats of the current term. A copy of the newest one is accepted
+// while the worker may still wait for the reply, and all others are rejected. None of them counts as a sign
+// of life or renews the lease.
+func checkStaleCopies(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
 	f.sequence = 60
-	f.report(0)
+	f.sendHeartbeat(0)
 	lastHeartbeatAt, leaseRenewedAt := m.lastHeartbeatAt, m.leaseRenewedAt
-	newest := f.heartbeatWith(0, f.sequence)
-	if !f.answerCopy(newest, false).Accepted {
-		t.Error("the original behind a copy is not answered")
+	newest := f.heartbeatWithSequence(0, f.sequence)
+	if !f.replyToCopy(newest, false).Accepted {
+		t.Error("newest heartbeat, repeated at once, not accepted")
 	}
-	if f.answerCopy(f.heartbeatWith(0, 40), true).Accepted {
-		t.Error("an older one is answered")
+	if f.replyToCopy(f.heartbeatWithSequence(0, 40), true).Accepted {
+		t.Error("heartbeat with an older sequence number accepted")
 	}
 	f.now += 30 * time.Second
-	if f.answerCopy(newest, true).Accepted {
-		t.Error("a copy that comes after a lease is answered")
+	if f.replyToCopy(newest, true).Accepted {
+		t.Error("copy of the newest heartbeat accepted after its lease has expired")
 	}
-	if reply := f.answerCopy(earlierTerm, true); reply.Accepted && len(reply.Commands) > 0 {
-		t.Errorf("a copy from an earlier term brings %+v", reply.Commands)
+	if reply := f.replyToCopy(earlierTerm, true); reply.Accepted && len(reply.Commands) > 0 {
+		t.Errorf("commands in the reply to a heartbeat of an earlier term: %+v", reply.Commands)
 	}
 	if m.lastHeartbeatAt != lastHeartbeatAt || m.leaseRenewedAt != leaseRenewedAt {
-		t.Error("a copy counts as a heartbeat")
+		t.Error("a copy updated the time of the last heartbeat or renewed the lease")
 	}
 }
 
-// checkLateHeartbeat: a heartbeat that is new to us and comes after a gap may be late as well, so the
-// machine gets no tasks until it answers.
+// checkLateHeartbeat checks a heartbeat that was not seen before but comes after a gap. It may have been
+// delayed, so the machine gets no tasks until a round trip to it succeeds.
 func checkLateHeartbeat(t *testing.T, f *schedulerFixture) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
@@ -245,49 +254,50 @@
 	late.Incarnation = 2
 	f.step(HeartbeatReceived{Entitled: true, SameConnection: true, Heartbeat: late})
 	if f.scheduler.isSchedulable(m) {
-		t.Error("schedulable by a late heartbeat")
+		t.Error("machine schedulable after a possibly delayed heartbeat")
 	}
 	probed := f.heartbeat(f.machine(0))
 	probed.Incarnation = 2
 	f.step(ProbeDone{Machine: m.name, Heartbeat: probed})
 	if !f.scheduler.isSchedulable(m) {
-		t.Error("not schedulable after a round trip")
+		t.Error("machine not schedulable after a successful probe")
 	}
 }
 
-// TestDeletionConfirmed: tasks of a machine that is being returned stay assigned until the cloud
-// confirms its deletion.
-func TestDeletionConfirmed(t *testing.T) {
+// TestTasksReleasedOnConfirmedDeletion checks that the tasks of a machine that is being returned stay
+// assigned until the cloud confirms the deletion of the machine.
+func TestTasksReleasedOnConfirmedDeletion(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	f.report(0)
-	f.job("job-1", "red", "standard", 1, 1, 0)
+	f.sendHeartbeat(0)
+	f.submitJob("job-1", "red", "standard", 1, 1, 0)
 	m := f.scheduler.inventory.find(f.machine(0))
 	f.scheduler.returnMachine(m, "test")
 	f.tick()
 	f.step(DeletionDone{Machines: []string{m.name}})
 	if len(m.assignments) != 1 || f.scheduler.inventory.find(m.name) == nil {
-		t.Fatal("released by a deletion that was not confirmed")
+		t.Fatal("task released or machine removed by a deletion that was not confirmed")
 	}
 	f.step(DeletionDone{Machines: []string{m.name}, OK: true})
 	if len(m.assignments) != 0 || f.scheduler.inventory.find(m.name) != nil {
-		t.Fatal("not released")
+		t.Fatal("task not released or machine not removed after its deletion was confirmed")
 	}
 }
 
-// TestNotEntitled: who may not act accepts no heartbeat, and takes nothing from it that would count as a
-// renewed lease; so with a worker that has seen a later leader.
-func TestNotEntitled(t *testing.T) {
+// TestHeartbeatWhileNotEntitled checks that a leader whose own lease is not valid accepts no heartbeat and
+// does not count it as a renewed worker lease. The same holds for the heartbeat of a worker that has seen
+// the fencing token of a later leader.
+func TestHeartbeatWhileNotEntitled(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
-	heartbeat, laterTerm := f.heartbeatWith(0, 50), f.heartbeatWith(0, 50)
+	heartbeat, laterTerm := f.heartbeatWithSequence(0, 50), f.heartbeatWithSequence(0, 50)
 	laterTerm.FencingToken = 4
 	for _, e := range []HeartbeatReceived{{Heartbeat: heartbeat}, {Heartbeat: laterTerm, Entitled: true}} {
 		for _, reply := range effectsOf[HeartbeatReply](f.step(e)) {
 			if reply.Accepted {
-				t.Errorf("accepted: %+v", e)
+				t.Errorf("heartbeat accepted: %+v", e)
 			}
 		}
 	}
 	if m := f.scheduler.inventory.find(f.machine(0)); m.hasReported || m.leaseRenewedAt > 0 {
-		t.Errorf("counted as a heartbeat: %+v", m)
+		t.Errorf("rejected heartbeat counted as a report or renewed the lease: %+v", m)
 	}
 }
--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -42,7 +42,7 @@
 	f.setTaskStates("job-1", protocol.TaskGathering)
 	f.reportAll()
 	f.endTask(lostOn, "job-1/0", protocol.ReasonError)
-	f.report(lostOn, f.tasks[lostOn]...)
+	f.sendHeartbeat(lostOn, f.tasks[lostOn]...)
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 1 || stops[0].Task != "job-1/1" {
 		t.Fatalf("want one stop command, for job-1/1; effects: %+v", f.effects)
 	}
@@ -65,7 +65,7 @@
 	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	f.tasks[lostOn] = nil
-	f.report(lostOn)
+	f.sendHeartbeat(lostOn)
 	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 1 || stops[0].Task != "job-1/1" || *stops[0].GraceS != 0 {
 		t.Fatalf("stop commands %+v, want one without a grace period, for job-1/1", stops)
@@ -113,8 +113,8 @@
 func TestGangStopContinuesAfterFailover(t *testing.T) {
 	f := newSchedulerFixture(t, 3)
 	f.submitGang("job-1", 2, 8)
-	f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskRunning})
-	f.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskSaving})
+	f.sendHeartbeat(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskRunning})
+	f.sendHeartbeat(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskSaving})
 	stops := commandsWithVerb(f.effects, protocol.CommandStop)
 	if len(stops) != 2 || f.scheduler.recovery.hasEnded() {
 		t.Fatalf("want 2 stop commands during recovery, got %+v; recovery ended: %v",
@@ -132,8 +132,8 @@
 		t.Run(string(c.state), func(t *testing.T) {
 			f := newSchedulerFixture(t, 2)
 			f.submitGang("job-1", 2, 8)
-			f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: c.state})
-			f.report(1)
+			f.sendHeartbeat(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: c.state})
+			f.sendHeartbeat(1)
 			starts := commandsWithVerb(f.effects, protocol.CommandStart)
 			stops := commandsWithVerb(f.effects, protocol.CommandStop)
 			switch {
@@ -154,7 +154,7 @@
 	f.setTaskStates("job-1", protocol.TaskRunning)
 	f.reportAll()
 	f.endTask(machine, "job-1/0", protocol.ReasonDone)
-	f.report(machine, f.tasks[machine]...)
+	f.sendHeartbeat(machine, f.tasks[machine]...)
 	var final bool
 	for _, effect := range f.effects {
 		if write, ok := effect.(WriteRecords); ok && write.Operations[0].Put == storage.FinalJobKey("job-1") {
@@ -185,7 +185,7 @@
 	f.setTaskStates("job-1", protocol.TaskGathering)
 	f.reportAll()
 	f.endTask(first, "job-1/0", protocol.ReasonGangIncomplete)
-	f.report(first, f.tasks[first]...)
+	f.sendHeartbeat(first, f.tasks[first]...)
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 1 {
 		t.Fatalf("want one stop command, for the other task; effects: %+v", f.effects)
 	}
@@ -222,8 +222,8 @@
 func TestGangWithMixedAttempts(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	f.submitGang("job-1", 2, 8)
-	f.report(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskGathering})
-	f.report(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.TaskGathering})
+	f.sendHeartbeat(0, protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskGathering})
+	f.sendHeartbeat(1, protocol.TaskStatus{Task: "job-1/1", Attempt: 8, State: protocol.TaskGathering})
 	if stops := commandsWithVerb(f.effects, protocol.CommandStop); len(stops) != 2 {
 		t.Errorf("want 2 stop commands; effects: %+v", f.effects)
 	}
@@ -260,9 +260,9 @@
 	waiting := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskGathering}
 	f := newSchedulerFixture(t, 3)
 	f.submitGang("job-1", 2, 8)
-	f.report(0, ended)
-	f.report(1, waiting)
-	f.report(2)
+	f.sendHeartbeat(0, ended)
+	f.sendHeartbeat(1, waiting)
+	f.sendHeartbeat(2)
 	if starts := commandsWithVerb(f.effects, protocol.CommandStart); len(starts) != 1 || starts[0].Attempt != 7 {
 		t.Fatalf("want one start command with attempt 7; effects: %+v", f.effects)
 	}
@@ -271,13 +271,13 @@
 	}
 	f = newSchedulerFixture(t, 2)
 	f.submitGang("job-1", 2, 8)
-	f.report(0, ended)
-	f.report(1, waiting)
+	f.sendHeartbeat(0, ended)
+	f.sendHeartbeat(1, waiting)
 	j := f.scheduler.jobs.find("job-1")
 	if j.assignments[0] == nil {
 		f.scheduler.assignments.assign(j, 0, f.scheduler.inventory.find(f.machine(0)), 7, stateSent)
 	}
-	f.report(0, ended)
+	f.sendHeartbeat(0, ended)
 	if assigned := j.assignments[0]; assigned != nil {
 		t.Errorf("job-1/0 is still assigned: %+v", assigned)
 	}
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -139,7 +139,7 @@
 		if j.gang == nil || j.gang.lacksCapacity || j.cancelled || !r.needsReservation(j) {
 			continue
 		}
-		cpus := j.demandOf(j.spec.Tasks).CPUs
+		cpus := j.demandOfTasks(j.spec.Tasks).CPUs
 		kind := j.gangKind()
 		cpusNow[kind] += cpus
 		d := r.demand[kind]
@@ -163,7 +163,7 @@
 // would be up.
 func (r *gangReservations) needsReservation(j *job) bool {
 	for _, d := range j.deadlines {
-		if d.forStart && (d.at-j.submittedAt).Seconds() < r.catalog.quickestBoot(j) {
+		if d.forStart && (d.at-j.submittedAt).Seconds() < r.catalog.minBootS(j) {
 			return true
 		}
 	}
@@ -184,7 +184,7 @@
 		if missingCPUs <= 0 {
 			break
 		}
-		cpus := m.size().CPUs
+		cpus := m.capacity().CPUs
 		missingCPUs -= cpus
 		m.neededByPlan = true
 		if reservableCPUs >= cpus {
@@ -200,7 +200,7 @@
 // those with most CPUs free.
 func (r *gangReservations) candidates(d *gangDemand) (candidates []*machine, allCPUs float64) {
 	for _, m := range r.inventory.all() {
-		allCPUs += m.size().CPUs
+		allCPUs += m.capacity().CPUs
 		if !m.reservedForGangs && r.canReserve(d, m) {
 			candidates = append(candidates, m)
 		}
@@ -224,7 +224,7 @@
 	if d.reservedZone != "" && m.zone != d.reservedZone {
 		return false
 	}
-	return d.newestJob.specAllows(m.pool()) && m.size().Covers(d.newestJob.demand)
+	return d.newestJob.specAllows(m.pool()) && m.capacity().Covers(d.newestJob.demand)
 }
 
 // chooseZone returns the zone in which to reserve machines for gangs that must be in one zone: the
--- a/internal/coordination/scheduler/summary.go
+++ b/internal/coordination/scheduler/summary.go
@@ -2,10 +2,10 @@
 
 import "quillshunt/internal/limits"
 
-// SummaryMessage is the message of the log entry that shows from time to time how the term stands.
+// SummaryMessage is the message of the periodic log entry with the number of machines, jobs and tasks.
 const SummaryMessage = "summary"
 
-// logSummaryIfDue logs the summary if the last one is old.
+// logSummaryIfDue logs the summary once every limits.SummaryInterval.
 func (s *Scheduler) logSummaryIfDue() {
 	if s.now < s.nextSummaryAt {
 		return
@@ -15,18 +15,18 @@
 }
 
 func (s *Scheduler) logSummary() {
-	var up, booting, unverified, waiting, assigned int
+	var up, notReported, unverified, waiting, assigned int
 	var cpus, usedCPUs float64
 	for _, m := range s.inventory.all() {
 		if !m.hasReported {
-			booting++
+			notReported++
 			continue
 		}
 		up++
 		if !m.verified {
 			unverified++
 		}
-		cpus += m.size().CPUs
+		cpus += m.capacity().CPUs
 		usedCPUs += m.allocated.CPUs
 	}
 	for _, j := range s.jobs.oldestFirst() {
@@ -36,6 +36,7 @@
 		assigned += len(j.assignments)
 	}
 	s.logInfo(SummaryMessage,
-		"up", up, "booting", booting, "unverified", unverified, "cpus", cpus, "used", usedCPUs,
-		"jobs", s.jobs.count(), "waiting", waiting, "assigned", assigned, "recovered", s.recovery.hasEnded())
+		"up", up, "not_reported", notReported, "unverified", unverified, "cpus", cpus, "used_cpus", usedCPUs,
+		"jobs", s.jobs.count(), "waiting_tasks", waiting, "assigned_tasks", assigned,
+		"recovered", s.recovery.hasEnded())
 }
