--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -37,7 +37,7 @@
 // New returns an error if the address of another controller is malformed.
 func New(s *config.Settings, options config.Options, dialer transport.Dialer, log *slog.Logger) (*Controller, error) {
 	shares := limits.DivideSockets(s.Deployment.MachineLimits.MaxSockets, len(s.Members))
-	sockets := transport.NewSocketBudget(shares.Total, shares.Headroom)
+	sockets := transport.NewSocketBudget(shares.MaxConns, shares.InboundHeadroom)
 
 	// Clients of the state service, the cloud and the other controllers.
 	store := storage.New(s.External.State, s.Deployment.State).WithDialer(dialer)
@@ -93,8 +93,8 @@
 func (c *Controller) newClientServer(shares limits.SocketShares, sockets *transport.SocketBudget) *transport.Server {
 	return transport.NewServer(transport.ServerOptions{
 		Addr:               c.settings.ClientListen,
-		MaxConns:           shares.Inbound,
-		MaxMachineConns:    shares.MachineConns,
+		MaxConns:           shares.MaxInboundConns,
+		MaxMachineConns:    shares.MaxMachineConns,
 		MachineIdleTimeout: limits.Seconds(c.settings.Deployment.Workers.LeaseS),
 		Sockets:            sockets,
 		Handle:             c.gateway.Handle,
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -149,7 +149,7 @@
 		c.recordViolation("went_back: job %s changed from final state %q to %q", id, j.finalState, state)
 	}
 	switch state {
-	case protocol.JobAborted:
+	case protocol.JobCancelled:
 		if j.cancelRequestedAt.IsZero() {
 			c.recordViolation("went_back: job %s is reported as cancelled, but no user cancelled it", id)
 		}
--- a/internal/coordination/controller/scenarios_cancellation_test.go
+++ b/internal/coordination/controller/scenarios_cancellation_test.go
@@ -164,7 +164,7 @@
 			}
 			time.Sleep(2 * time.Second)
 			c.expect(c.isEntitled(leader), "the old leader is still entitled")
-			time.Sleep(limits.IsolatedAfter)
+			time.Sleep(limits.IsolationThreshold)
 			c.expect(c.rejectsUserRequest(leader, jobs[0]) && !c.rejectsUserRequest(c.otherController(leader), jobs[0]),
 				"only the controller that is cut off rejects user requests")
 			for c.currentTerm() == oldTerm {
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -12,7 +12,7 @@
 // for a controller that is not. It returns true if no renewal of the lease has succeeded for longer
 // than limits.IsolatedAfter and the cause of the last failure is not in this process.
 func (e *Elector) mayBeIsolated(ctx context.Context, sinceRenewal time.Duration, err error) bool {
-	return e.options.Peers != nil && sinceRenewal > limits.IsolatedAfter && e.isStateServiceFault(ctx, err)
+	return e.options.Peers != nil && sinceRenewal > limits.IsolationThreshold && e.isStateServiceFault(ctx, err)
 }
 
 // isStateServiceFault reports whether a failed renewal is evidence that the state service is
--- a/internal/coordination/election/leadership_test.go
+++ b/internal/coordination/election/leadership_test.go
@@ -11,7 +11,7 @@
 // others wait until it has certainly expired, for the largest drift between two clocks.
 func TestLeaseMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
-		drift := time.Duration(float64(d) * limits.DriftShare)
+		drift := time.Duration(float64(d) * limits.ClockDriftRatio)
 		if limits.LeaseValidFor(d) >= d-2*drift || limits.LeaseExpiredAfter(d) <= d+2*drift {
 			t.Errorf("lease of %v: valid for %v, expired after %v; the margin is below the clock drift",
 				d, limits.LeaseValidFor(d), limits.LeaseExpiredAfter(d))
--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -76,7 +76,7 @@
 		return g.retryLaterResponse(err), true
 	case !found:
 		return jobNotFoundResponse(), true
-	case status.State == protocol.JobDone || status.State == protocol.JobAborted:
+	case status.State == protocol.JobDone || status.State == protocol.JobCancelled:
 		return statusResponse(http.StatusOK, status), true
 	}
 	return response{}, false // the job was submitted between the two reads
@@ -88,7 +88,7 @@
 	if !g.confirmCancellation(ctx, id, open) {
 		return g.retryLaterResponse(errCancellationUnconfirmed)
 	}
-	return statusResponse(http.StatusOK, protocol.JobStatus{ID: id, State: protocol.JobAborted})
+	return statusResponse(http.StatusOK, protocol.JobStatus{ID: id, State: protocol.JobCancelled})
 }
 
 // confirmCancellation reports whether every leader, current or future, is certain to act on a
@@ -108,7 +108,7 @@
 		g.peers.ConfirmCancellation(ctx, g.leaderName(), id, open.Version, open.Value) ||
 		g.leaderObservedRevision(ctx, open.Version)
 	if confirmed {
-		g.finalStates.put(id, protocol.JobAborted) // later leaders cannot change it
+		g.finalStates.put(id, protocol.JobCancelled) // later leaders cannot change it
 	}
 	return confirmed
 }
--- a/internal/coordination/gateway/final_states_test.go
+++ b/internal/coordination/gateway/final_states_test.go
@@ -16,20 +16,20 @@
 	for i := range limits.FinalStateCacheSize {
 		cache.put(job(i), protocol.JobDone)
 	}
-	cache.put(job(0), protocol.JobAborted) // cached already
+	cache.put(job(0), protocol.JobCancelled) // cached already
 	if state, ok := cache.get(job(0)); !ok || state != protocol.JobDone {
 		t.Errorf("first job: got state %q, cached %v; want %q, cached", state, ok, protocol.JobDone)
 	}
 	const added = 3
 	for i := range added {
-		cache.put(job(limits.FinalStateCacheSize+i), protocol.JobAborted)
+		cache.put(job(limits.FinalStateCacheSize+i), protocol.JobCancelled)
 	}
 	for i := range limits.FinalStateCacheSize + added {
 		if _, ok := cache.get(job(i)); ok != (i >= added) {
 			t.Fatalf("job %d: cached %v, want %v", i, ok, i >= added)
 		}
 	}
-	if state, _ := cache.get(job(limits.FinalStateCacheSize)); state != protocol.JobAborted {
-		t.Errorf("job added after the cache was full: got state %q, want %q", state, protocol.JobAborted)
+	if state, _ := cache.get(job(limits.FinalStateCacheSize)); state != protocol.JobCancelled {
+		t.Errorf("job added after the cache was full: got state %q, want %q", state, protocol.JobCancelled)
 	}
 }
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -102,10 +102,10 @@
 			http.StatusOK, protocol.JobPending,
 		},
 		{"poll", get("/v2/runs/job-1"), http.StatusOK, protocol.JobPending},
-		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
-		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted},
-		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted},
-		{"submission of a cancelled job", submit(jobSpec("job-1", nil)), http.StatusOK, protocol.JobAborted},
+		{"cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobCancelled},
+		{"repeated cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobCancelled},
+		{"poll of a cancelled job", get("/v2/runs/job-1"), http.StatusOK, protocol.JobCancelled},
+		{"submission of a cancelled job", submit(jobSpec("job-1", nil)), http.StatusOK, protocol.JobCancelled},
 	}
 }
 
@@ -115,7 +115,7 @@
 	f.t.Helper()
 	f.expectRetryLater("open job in an outage", get("/v2/runs/job-4"))
 	// A cancellation that this controller has confirmed is cached as a final state.
-	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.JobAborted)
+	f.expect("cancelled job in an outage", get("/v2/runs/job-1"), http.StatusOK, protocol.JobCancelled)
 	f.expect("done job in an outage", get("/v2/runs/job-2"), http.StatusOK, protocol.JobDone)
 	// The response comes at once, so that the user has time left to retry.
 	startedAt := time.Now()
@@ -159,9 +159,9 @@
 				storage.LeaderHeartbeat{Term: 1, Sequence: 1, ObservedRevision: open.Version - 1})
 			checkCancelledJob(f, http.StatusServiceUnavailable, "")
 			c.confirm(f, lease, open.Version)
-			checkCancelledJob(f, http.StatusOK, protocol.JobAborted)
+			checkCancelledJob(f, http.StatusOK, protocol.JobCancelled)
 			f.state.SetUnavailable(true)
-			checkCancelledJob(f, http.StatusOK, protocol.JobAborted) // from the cache
+			checkCancelledJob(f, http.StatusOK, protocol.JobCancelled) // from the cache
 		})
 	}
 }
@@ -285,7 +285,7 @@
 	f.storeRecord(storage.OpenJobKey("job-1"), storage.OpenJob{Spec: stored})
 	repeated := jobSpec("job-1", withField("Rigkinds", append([]string{"g8"}, stored.MachineTypes...)))
 	f.expect("repeated submission", submit(repeated), http.StatusOK, protocol.JobPending)
-	f.expect("cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobAborted)
+	f.expect("cancellation", post("/v2/runs/job-1/cancel", nil), http.StatusOK, protocol.JobCancelled)
 
 	open, _ := f.state.Get(storage.OpenJobKey("job-1"))
 	var record storage.OpenJob
--- a/internal/coordination/gateway/health.go
+++ b/internal/coordination/gateway/health.go
@@ -13,7 +13,7 @@
 // also stays 200 while this controller cannot reach the other controllers either, because it cannot tell
 // the two cases apart then.
 func (g *Gateway) healthStatus() int {
-	if g.store.FailingFor() < limits.IsolatedAfter {
+	if g.store.FailingFor() < limits.IsolationThreshold {
 		g.isolated.Store(false)
 		return http.StatusOK
 	}
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -149,7 +149,7 @@
 		Addr: cloudAddress, MaxConns: 100, Handle: handleCloudRequest, Log: log,
 	}))
 
-	sockets := transport.NewSocketBudget(f.socketShares.Total, f.socketShares.Headroom)
+	sockets := transport.NewSocketBudget(f.socketShares.MaxConns, f.socketShares.InboundHeadroom)
 	store := storage.New(stateAddress, f.settings.Deployment.State)
 	f.dispatcher = leader.NewDispatcher(leader.DispatcherOptions{
 		Settings: f.settings,
@@ -172,8 +172,8 @@
 	g.Start(f.ctx)
 	serve(f.t, transport.NewServer(transport.ServerOptions{
 		Addr:            f.address,
-		MaxConns:        f.socketShares.Inbound,
-		MaxMachineConns: f.socketShares.MachineConns,
+		MaxConns:        f.socketShares.MaxInboundConns,
+		MaxMachineConns: f.socketShares.MaxMachineConns,
 		Sockets:         sockets,
 		Handle:          g.Handle,
 		Log:             log,
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -55,7 +55,7 @@
 	if answer.status == http.StatusServiceUnavailable {
 		failingFor := g.store.FailingFor()
 		retryAfter = limits.RetryAfterSeconds(failingFor)
-		if failingFor > limits.IsolatedAfter {
+		if failingFor > limits.IsolationThreshold {
 			// Possibly only this controller cannot reach the state service. If it cannot reach the other
 			// controllers either, its health check still passes (see healthStatus). Closing the
 			// connection lets the user's next try reach another controller.
--- a/internal/coordination/placement/rank.go
+++ b/internal/coordination/placement/rank.go
@@ -1,13 +1,13 @@
 package placement
 
-// Candidate is a machine that passed the filters, with its scores.
+// Candidate is a machine that passed the filters, together with its scores.
 type Candidate[T any] struct {
 	Target T
 	Scores Scores
 }
 
-// Best returns the index of the candidate with the highest weighted sum of rescaled scores, or -1
-// if there is no candidate. Of equals the first in the order of compare wins.
+// Best returns the index of the candidate with the highest weighted sum of rescaled scores, or -1 if there
+// are no candidates. Among candidates with equal sums it returns the first in the order of compare.
 func Best[T any](candidates []Candidate[T], compare func(a, b T) int) int {
 	if len(candidates) == 0 {
 		return -1
@@ -22,7 +22,7 @@
 	}
 	best, bestSum := -1, 0.0
 	for i := range candidates {
-		sum := candidates[i].Scores.weigh(&lowest, &highest)
+		sum := candidates[i].Scores.weightedSum(&lowest, &highest)
 		if best < 0 || sum > bestSum ||
 			(sum == bestSum && compare(candidates[i].Target, candidates[best].Target) < 0) {
 			best, bestSum = i, sum
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -66,7 +66,7 @@
 		switch {
 		case a.committed:
 			// committedResources includes its demand already; see commitGangs.
-		case a.job.gang != nil || !capacity.Fits(committed.Plus(a.job.demand)):
+		case a.job.gang != nil || !capacity.Covers(committed.Plus(a.job.demand)):
 			continue // its resources are not confirmed to be free yet
 		default:
 			committed = committed.Plus(a.job.demand)
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -13,7 +13,7 @@
 
 // collectCandidates returns the machines that pass the filters for a task of the job, with their scores.
 // The result is valid until the next call.
-func (p *placer) collectCandidates(j *job, preempting bool) *placement.Groups[*machine] {
+func (p *placer) collectCandidates(j *job, preempting bool) *placement.ScoreGroups[*machine] {
 	groups := &p.pass.groups
 	groups.Clear()
 	for _, m := range p.pass.eligibleMachines(preempting) {
@@ -31,14 +31,14 @@
 // decided so far, or is nil.
 func (p *placer) filterAndScore(j *job, m *machine, preempting bool, planned *plannedView) (c candidate, ok bool) {
 	free := planned.freeResources(m) // on the full view
-	overcommitted := !free.Fits(j.demand)
+	overcommitted := !free.Covers(j.demand)
 	if overcommitted && !preempting {
 		return c, false
 	}
 	if m.isReservedForOthers(j) || !j.mayUse(m) || planned.taskCount(m) >= limits.MaxTasksPerMachine {
 		return c, false
 	}
-	if overcommitted && !freeWithPreemption(j, m, planned).Fits(j.demand) {
+	if overcommitted && !freeWithPreemption(j, m, planned).Covers(j.demand) {
 		return c, false
 	}
 	c.Target = m
@@ -106,7 +106,7 @@
 
 // mayUse reports whether the job's next task could run on the machine if nothing else ran there.
 func (j *job) mayUse(m *machine) bool {
-	return j.mayUsePool(m.pool()) && m.capacity().Fits(j.demand) && !j.excludesMachine(m)
+	return j.mayUsePool(m.pool()) && m.capacity().Covers(j.demand) && !j.excludesMachine(m)
 }
 
 // mayUsePool reports whether the job's next task may run on machines of the pool: its spec allows them,
@@ -155,5 +155,5 @@
 // they have failed on JobFaultMachines machines the job itself is presumed faulty, and no machine is
 // excluded.
 func (j *job) excludesMachine(m *machine) bool {
-	return j.failedMachines[m.name] && len(j.failedMachines) < limits.JobFaultMachines
+	return j.failedMachines[m.name] && len(j.failedMachines) < limits.FaultyJobMachines
 }
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -134,7 +134,7 @@
 		if m.registration != registered || !t.isSchedulable(m) {
 			return false
 		}
-		if !m.capacity().Fits(m.committedResources().Plus(d)) {
+		if !m.capacity().Covers(m.committedResources().Plus(d)) {
 			return false
 		}
 	}
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -5,7 +5,7 @@
 // isFaulty reports whether a machine should get no more tasks, because several tasks in a row have failed
 // on it and not all of them belong to jobs that fail on other machines too.
 func (m *machine) isFaulty() bool {
-	return m.consecutiveFailures >= limits.FaultyFailures && len(m.failedJobs) > 0
+	return m.consecutiveFailures >= limits.FaultyMachineFailures && len(m.failedJobs) > 0
 }
 
 // isSlow reports whether tasks run far longer on this machine than tasks of the same jobs on others.
@@ -24,7 +24,7 @@
 // failed on JobFaultMachines machines.
 func (i *machineInventory) recordFailure(j *job, m *machine) {
 	j.failedMachines[m.name] = true
-	if len(j.failedMachines) >= limits.JobFaultMachines {
+	if len(j.failedMachines) >= limits.FaultyJobMachines {
 		// The job has failed on several machines without a success in between. It is retried with an
 		// exponential backoff, and its failures count against no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -80,7 +80,7 @@
 // that the worker still waits for this one. It repeats the commands of the first.
 func (s *Scheduler) answerOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
 	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
-	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatAnswerTimeout
+	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatReplyTimeout
 	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelReplyUntil) {
 		s.rejectHeartbeat(e)
 		return
--- a/internal/coordination/scheduler/job_class.go
+++ b/internal/coordination/scheduler/job_class.go
@@ -17,14 +17,14 @@
 // recordFetchTime updates fetchSeconds with the time that a task waited for its image.
 func (c *jobClass) recordFetchTime(seconds float64) {
 	c.fetchSamples++
-	weight := max(1/float64(c.fetchSamples), limits.RunTimeLearningRate)
+	weight := max(1/float64(c.fetchSamples), limits.MinAverageWeight)
 	c.fetchSeconds += weight * (seconds - c.fetchSeconds)
 }
 
 // recordRunTimeRatio updates runTimeRatio with a task's run time divided by the submitter's estimate.
 func (c *jobClass) recordRunTimeRatio(ratio float64) {
 	c.runSamples++
-	weight := max(1/float64(c.runSamples), limits.RunTimeLearningRate)
+	weight := max(1/float64(c.runSamples), limits.MinAverageWeight)
 	c.runTimeRatio += weight * (ratio - c.runTimeRatio)
 }
 
@@ -35,7 +35,7 @@
 func (j *job) estimatedRunSeconds() float64 {
 	prior := j.spec.EstimateS * j.class.runTimeRatio
 	open := float64(len(j.assignments) + limits.EstimatePriorTasks)
-	return max((j.runTimeSum+prior*open)/(float64(j.runTimeCount)+open), limits.MinRunTime)
+	return max((j.runTimeSum+prior*open)/(float64(j.runTimeCount)+open), limits.MinRunTimeS)
 }
 
 // expectedOccupancySeconds returns how long one task is expected to occupy its machine: the wait for
--- a/internal/coordination/scheduler/machine_removal_test.go
+++ b/internal/coordination/scheduler/machine_removal_test.go
@@ -88,7 +88,7 @@
 func TestReturnOfReachableMachines(t *testing.T) {
 	counts := reachabilityCounts{reported: 40}
 	fault := func(m *machine) {
-		m.consecutiveFailures, m.failedJobs["job-1"] = limits.FaultyFailures, true
+		m.consecutiveFailures, m.failedJobs["job-1"] = limits.FaultyMachineFailures, true
 	}
 	slow := func(m *machine) { m.runTimeRatioCount, m.runTimeRatioSum = limits.SlowMachineTasks, 1e6 }
 	assign := func(m *machine, j *job, state assignmentState) {
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -42,8 +42,8 @@
 	unplaceable      map[placementRequest]bool // requests for which no machine was found in this pass
 	unplaceableGangs map[gangRequest]bool
 
-	groups                placement.Groups[*machine] // reused between calls of collectCandidates
-	reservationCandidates []*machine                 // reused between calls of reserveForJob
+	groups                placement.ScoreGroups[*machine] // reused between calls of collectCandidates
+	reservationCandidates []*machine                      // reused between calls of reserveForJob
 }
 
 // placementRequest holds the properties of a job that determine which machines its tasks may use, if the
@@ -68,7 +68,7 @@
 		pass: placementPass{
 			unplaceable:      map[placementRequest]bool{},
 			unplaceableGangs: map[gangRequest]bool{},
-			groups:           placement.NewGroups(compareNames),
+			groups:           placement.NewScoreGroups(compareNames),
 		},
 		nextPreemptionSearchAt: map[placementRequest]time.Duration{},
 	}
@@ -119,12 +119,12 @@
 			continue
 		}
 		pass.machines = append(pass.machines, m)
-		if free := m.freeResources(); free.Fits(pass.minDemand) {
+		if free := m.freeResources(); free.Covers(pass.minDemand) {
 			pass.withFreeResources = append(pass.withFreeResources, m)
 			pass.maxFreeResources = pass.maxFreeResources.Max(free)
 		}
 	}
-	pass.reservationsLeft = (len(pass.machines) + limits.ReservedMachinesRatio - 1) / limits.ReservedMachinesRatio
+	pass.reservationsLeft = (len(pass.machines) + limits.MachinesPerReservation - 1) / limits.MachinesPerReservation
 }
 
 // placementSearch is the search for machines for the tasks of one job in a pass.
@@ -168,7 +168,7 @@
 // request that may preempt. Otherwise it compares the demand with an upper bound, so the search may still
 // find no machine.
 func (p *placer) mayFit(j *job, preempting bool) bool {
-	return preempting || p.pass.maxFreeResources.Fits(j.demand)
+	return preempting || p.pass.maxFreeResources.Covers(j.demand)
 }
 
 // searchFailed records that a search found no machine for a task, so that equal searches are skipped in
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -48,7 +48,7 @@
 func (b *probeLimiter) refill(now time.Duration) {
 	rate := b.rate
 	if now < b.slowUntil {
-		rate *= limits.ProbeSlowdown
+		rate *= limits.ProbeSlowdownRatio
 	}
 	b.tokens = min(b.tokens+rate*(now-b.refilledAt).Seconds(), rate)
 	b.refilledAt = now
@@ -107,7 +107,7 @@
 // recordOutcome slows down probes after one that could not be sent or was answered late, as this controller
 // is then short of CPU time or sockets. A probe without an answer says nothing about the controller.
 func (p *machineProber) recordOutcome(e ProbeDone) {
-	answeredLate := e.Heartbeat != nil && e.Elapsed > limits.SlowHeartbeatWait
+	answeredLate := e.Heartbeat != nil && e.Elapsed > limits.SlowHeartbeatThreshold
 	if e.NotSent || answeredLate {
 		p.limiter.slowUntil = p.now + limits.ProbeInterval
 	}
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -67,7 +67,7 @@
 		share float64 // expected share of the full probe rate
 	}{
 		{"answered at once", time.Millisecond, 1},
-		{"answered late", time.Second, limits.ProbeSlowdown},
+		{"answered late", time.Second, limits.ProbeSlowdownRatio},
 		{"not answered", 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/coordination/scheduler/reachability_test.go
+++ b/internal/coordination/scheduler/reachability_test.go
@@ -24,10 +24,10 @@
 	}{
 		{"has never reported directly", false, []heartbeat{
 			{0, true, true}, {time.Second, true, false}, {time.Second, true, false},
-			{limits.RelayRetryAfter, true, true}, {time.Second, true, false},
+			{limits.RelayDuration, true, true}, {time.Second, true, false},
 		}},
 		{"has reported directly before", false, []heartbeat{
-			{0, false, false}, {time.Second, true, false}, {limits.RelayRetryAfter + time.Second, true, true},
+			{0, false, false}, {time.Second, true, false}, {limits.RelayDuration + time.Second, true, true},
 		}},
 		{"has missed a probe", true, []heartbeat{{0, true, false}}},
 		{"reports directly again", false, []heartbeat{
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -98,7 +98,7 @@
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
 		s.logWarn("task failed", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt, keyMachine, m.name)
 		s.inventory.recordFailure(j, m)
-	case protocol.ReasonPeers, protocol.ReasonIncomplete:
+	case protocol.ReasonPeerLost, protocol.ReasonGangIncomplete:
 		// Another task of the gang is gone or did not arrive in time. This is a failure of neither the
 		// machine nor the job.
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -7,7 +7,7 @@
 )
 
 // preemptionOption is a task that may be preempted, or all tasks of a gang on one machine.
-type preemptionOption = placement.Option[*assignment]
+type preemptionOption = placement.PreemptionOption[*assignment]
 
 // chooseVictims returns the cheapest set of tasks whose preemption on the best machine frees enough
 // resources for a task of the job. It is Select and Terminate (Algorithm 5 of the paper). It returns no
--- a/internal/protocol/parse.go
+++ b/internal/protocol/parse.go
@@ -8,10 +8,11 @@
 	"quillshunt/internal/limits"
 )
 
-// ErrInvalid is wrapped by all errors about a malformed submission.
+// ErrInvalid is wrapped by all errors about malformed submissions.
 var ErrInvalid = errors.New("invalid")
 
-// ParseSpec decodes and checks a submission. Errors wrap ErrInvalid and name the field at fault.
+// ParseSpec decodes and validates a submission. Errors wrap ErrInvalid. If a field is invalid, the error
+// names it.
 func ParseSpec(body []byte) (*Spec, error) {
 	var fields map[string]any
 	if err := Decode(body, &fields); err != nil {
@@ -21,7 +22,7 @@
 		return nil, fmt.Errorf("%w: not a map", ErrInvalid)
 	}
 	r := &fieldReader{fields: fields}
-	spec := r.spec()
+	spec := r.readSpec()
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -37,15 +38,15 @@
 	return spec, nil
 }
 
-// fieldReader reads typed fields of a decoded map. It keeps the first error; what is faulty or
-// missing reads as zero.
+// fieldReader reads typed fields from a decoded map. It records the first error. Invalid and missing
+// fields are read as zero values.
 type fieldReader struct {
 	fields map[string]any
 	err    error
 }
 
-// spec reads a submission. The names are those of the wire; see the tags of Spec.
-func (r *fieldReader) spec() *Spec {
+// readSpec reads a submission. The field names are those on the wire; see the tags of Spec.
+func (r *fieldReader) readSpec() *Spec {
 	return &Spec{
 		ID:           r.text("NameId", required),
 		Class:        r.text("Docket", required),
@@ -56,11 +57,11 @@
 		CPUs:         r.amount("Vcpus", required),
 		Accelerators: r.amount("Accelerators", required),
 		MemoryGB:     r.amount("RamGb", required),
-		MachineTypes: r.names("Rigkinds"),
+		MachineTypes: r.nameList("Rigkinds"),
 		Zone:         r.text("Yard", optional),
-		SameZone:     r.flag("Together"),
-		SpreadZones:  r.flag("Scatter"),
-		Spot:         r.flag("Lendable"),
+		SameZone:     r.boolean("Together"),
+		SpreadZones:  r.boolean("Scatter"),
+		Spot:         r.boolean("Lendable"),
 		Image:        r.text("Bundle", required),
 		ImageGB:      r.amount("SizeGb", required),
 		EstimateS:    r.amount("ReckonS", required),
@@ -70,7 +71,7 @@
 	}
 }
 
-// presence says whether a field may be missing. Null and omitted are the same.
+// presence says whether a field may be missing. A null field counts as missing.
 type presence bool
 
 const (
@@ -78,69 +79,70 @@
 	optional presence = false
 )
 
-func (r *fieldReader) fail(name, why string) {
+func (r *fieldReader) recordError(name, reason string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%w: %s: %s", ErrInvalid, name, why)
+		r.err = fmt.Errorf("%w: %s: %s", ErrInvalid, name, reason)
 	}
 }
 
-// get returns a field's value, and false if it is missing.
-func (r *fieldReader) get(name string, p presence) (any, bool) {
+// value returns the value of a field, or false if the field is missing. A missing required field is an
+// error.
+func (r *fieldReader) value(name string, p presence) (any, bool) {
 	v := r.fields[name]
 	if v == nil && p == required {
-		r.fail(name, "missing")
+		r.recordError(name, "missing")
 	}
 	return v, v != nil
 }
 
 func (r *fieldReader) text(name string, p presence) string {
-	v, ok := r.get(name, p)
+	v, ok := r.value(name, p)
 	if !ok {
 		return ""
 	}
 	s, ok := v.(string)
 	if !ok {
-		r.fail(name, "must be text")
+		r.recordError(name, "must be text")
 		return ""
 	}
 	if !validName(s) {
-		r.fail(name, "empty or too long")
+		r.recordError(name, "empty or too long")
 		return ""
 	}
 	return s
 }
 
-func (r *fieldReader) flag(name string) bool {
-	v, ok := r.get(name, required)
+func (r *fieldReader) boolean(name string) bool {
+	v, ok := r.value(name, required)
 	if !ok {
 		return false
 	}
 	b, ok := v.(bool)
 	if !ok {
-		r.fail(name, "must be true or false")
+		r.recordError(name, "must be true or false")
 	}
 	return b
 }
 
-// amount reads a number that is not negative. Whole numbers may be encoded as integers.
+// amount reads a non-negative number. Whole numbers may be encoded as integers.
 func (r *fieldReader) amount(name string, p presence) float64 {
-	v, ok := r.get(name, p)
+	v, ok := r.value(name, p)
 	if !ok {
 		return 0
 	}
-	x, ok := toFloat(v)
+	x, ok := toFloat64(v)
 	if !ok {
-		r.fail(name, "must be a number")
+		r.recordError(name, "must be a number")
 		return 0
 	}
 	if math.IsNaN(x) || x < 0 || x > limits.MaxAmount {
-		r.fail(name, "out of range")
+		r.recordError(name, "out of range")
 		return 0
 	}
 	return x
 }
 
-func toFloat(v any) (float64, bool) {
+func toFloat64(v any) (float64, bool) {
 	switch n := v.(type) {
 	case float64:
 		return n, true
@@ -152,44 +154,44 @@
 	return 0, false
 }
 
-// count reads a whole number from 1 to most.
-func (r *fieldReader) count(name string, most uint64) int {
-	v, ok := r.get(name, required)
+// count reads a required whole number from 1 to maxCount.
+func (r *fieldReader) count(name string, maxCount uint64) int {
+	v, ok := r.value(name, required)
 	if !ok {
 		return 0
 	}
 	n, ok := v.(uint64)
 	if !ok {
-		r.fail(name, "must be a whole number")
+		r.recordError(name, "must be a whole number")
 		return 0
 	}
-	if n < 1 || n > most {
-		r.fail(name, "out of range")
+	if n < 1 || n > maxCount {
+		r.recordError(name, "out of range")
 		return 0
 	}
 	return int(n)
 }
 
-// names reads an optional list of names of machine types.
-func (r *fieldReader) names(name string) []string {
-	v, ok := r.get(name, optional)
+// nameList reads an optional list of machine type names.
+func (r *fieldReader) nameList(name string) []string {
+	v, ok := r.value(name, optional)
 	if !ok {
 		return nil
 	}
 	list, ok := v.([]any)
 	if !ok {
-		r.fail(name, "must be a list of names")
+		r.recordError(name, "must be a list of names")
 		return nil
 	}
 	if len(list) > limits.MaxMachineTypes {
-		r.fail(name, "too long")
+		r.recordError(name, "too long")
 		return nil
 	}
 	names := make([]string, 0, len(list))
 	for _, e := range list {
 		s, ok := e.(string)
 		if !ok || !validName(s) {
-			r.fail(name, "must be a list of names")
+			r.recordError(name, "must be a list of names")
 			return nil
 		}
 		names = append(names, s)
--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -15,10 +15,10 @@
 // Wait waits for the next delay. It returns false as soon as the context is done.
 func (b *Backoff) Wait(ctx context.Context) bool {
 	if b.delay == 0 {
-		b.delay = limits.RetryMin
+		b.delay = limits.RetryBackoffMin
 	}
 	pause := b.delay/2 + rand.N(b.delay)
-	b.delay = min(b.delay*2, limits.RetryMax)
+	b.delay = min(b.delay*2, limits.RetryBackoffMax)
 	return Sleep(ctx, pause)
 }
 
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -35,10 +35,10 @@
 // New returns a Store for the controllers' own work. Its share of the rate limits is not divided among
 // the controllers, because nearly all of this work is the leader's.
 func New(address string, serviceLimits config.StateLimits) *Store {
-	client := transport.NewClient(address, limits.StateIdle, limits.MaxUpstreamBytes)
+	client := transport.NewClient(address, limits.MaxIdleStateConns, limits.MaxUpstreamBytes)
 	return &Store{
 		client:         client.WithDialTimeout(limits.LeaseRenewTimeout),
-		watchClient:    transport.NewClient(address, limits.WatchIdle, limits.MaxUpstreamBytes),
+		watchClient:    transport.NewClient(address, limits.MaxIdleWatchConns, limits.MaxUpstreamBytes),
 		requestLimiter: newLimiter(serviceLimits.RPS, limits.ControllerReadShare, 1),
 		writeLimiter:   newLimiter(serviceLimits.WriteRPS, limits.ControllerWriteShare, serviceLimits.TxnOps),
 		serviceLimits:  serviceLimits,
@@ -61,7 +61,7 @@
 	users := *s
 	users.requestLimiter = newLimiter(s.serviceLimits.RPS, limits.UserReadShare, 1)
 	users.writeLimiter = newLimiter(s.serviceLimits.WriteRPS, limits.UserWriteShare, s.serviceLimits.TxnOps)
-	users.maxRateWait = limits.UserRateWait
+	users.maxRateWait = limits.UserRateLimitWait
 	return &users
 }
 
