--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -22,25 +22,25 @@
 		{machines: 48, jobs: 30},
 		{machines: 270, jobs: 100},
 		{machines: 1090, jobs: 300},
-		{machines: 1090, jobs: 300, overdue: 100},
+		{machines: 1090, jobs: 300, starved: 100},
 		{machines: 1820, jobs: 500, preempting: 200},
 		{machines: 4000, jobs: 500},
 		{machines: 4000, jobs: 500, gangs: 300},
 	} {
-		b.Run(setup.String(), func(b *testing.B) { benchReport(b, setup) })
+		b.Run(setup.String(), func(b *testing.B) { benchHeartbeat(b, setup) })
 	}
 }
 
 // benchmarkSetup is a fleet and what waits for it.
-type benchmarkSetup struct{ machines, jobs, overdue, preempting, gangs int }
+type benchmarkSetup struct{ machines, jobs, starved, preempting, gangs int }
 
 // String names the setup; figures are compared by this name with those of earlier versions.
 func (s benchmarkSetup) String() string {
 	return fmt.Sprintf("machines=%d/jobs=%d/behind=%d/pressing=%d/gangs=%d",
-		s.machines, s.jobs, s.overdue, s.preempting, s.gangs)
+		s.machines, s.jobs, s.starved, s.preempting, s.gangs)
 }
 
-func benchReport(b *testing.B, setup benchmarkSetup) {
+func benchHeartbeat(b *testing.B, setup benchmarkSetup) {
 	f := newBenchmarkFleet(b, setup)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -78,7 +78,7 @@
 		State:   config.State{ValueKB: 4, TxnOps: 8},
 		Options: options,
 	}, 0)
-	s.Step(machineTypesOf(benchmarkCPUs), 0)
+	s.Step(benchmarkMachineTypes(benchmarkCPUs), 0)
 	loadRegistryPage(s, "h", answeredRental("s", setup.machines, paddedMachineName), 0)
 	s.Step(StateLoaded{}, 0)
 	f := &benchmarkFleet{b: b, scheduler: s, version: 1000, tasks: make([][]protocol.TaskStatus, setup.machines)}
@@ -87,7 +87,7 @@
 }
 
 // machineTypesOf returns the one machine type of the benchmarks, with some CPUs.
-func machineTypesOf(cpus float64) MachineTypesFetched {
+func benchmarkMachineTypes(cpus float64) MachineTypesFetched {
 	return MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
 		Name: "s", CPUs: cpus, MemoryGB: 128, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"},
 	}}}
@@ -103,18 +103,18 @@
 		})
 	}
 	for i := range setup.preempting {
-		f.submit(setup.jobs+setup.overdue+i, 0, protocol.Spec{
+		f.submit(setup.jobs+setup.starved+i, 0, protocol.Spec{
 			Class: "pressing", Team: "red", Shape: "sweep", Priority: "standard",
 			Tasks: 100, CPUs: benchmarkCPUs, DeadlineS: 14,
 		})
 	}
-	for i := range setup.overdue {
+	for i := range setup.starved {
 		f.submit(setup.jobs+i, 200*time.Second, protocol.Spec{
 			Class: "large", Team: "red", Shape: "sweep", Priority: "low", Tasks: 100, CPUs: benchmarkCPUs,
 		})
 	}
 	for i := range setup.gangs { // each asks for something else
-		f.submit(setup.jobs+setup.overdue+setup.preempting+i, 0, protocol.Spec{
+		f.submit(setup.jobs+setup.starved+setup.preempting+i, 0, protocol.Spec{
 			Class: "gang", Team: "red", Shape: protocol.ShapeGang, SameZone: true, Priority: "standard",
 			Tasks: 4 + i%9, CPUs: 2 + float64(i)/100,
 		})
@@ -143,7 +143,7 @@
 // heartbeat returns the next heartbeat of a machine.
 func (f *benchmarkFleet) heartbeat(m int) *protocol.Heartbeat {
 	f.sequence++
-	return heartbeatOf(m, f.sequence, f.tasks[m])
+	return benchmarkHeartbeat(m, f.sequence, f.tasks[m])
 }
 
 // step plays an event and carries out its effects.
@@ -151,13 +151,13 @@
 	for _, effect := range f.scheduler.Step(event, f.now) {
 		switch effect := effect.(type) {
 		case HeartbeatReply:
-			f.carryOut(int(effect.ReplyTo.(machineResponder)), effect.Commands)
+			f.executeCommands(int(effect.ReplyTo.(machineResponder)), effect.Commands)
 		case SendDirectCommands:
 			var m int
 			if _, err := fmt.Sscanf(effect.Machine, "m-%d", &m); err != nil {
 				f.b.Fatal(err)
 			}
-			f.carryOut(m, effect.Commands)
+			f.executeCommands(m, effect.Commands)
 			f.step(DirectCommandsDone{ID: effect.ID, Machine: effect.Machine, Heartbeat: f.heartbeat(m)})
 		case WriteRecords:
 			f.version++
@@ -167,15 +167,15 @@
 }
 
 // carryOut carries out commands on a machine.
-func (f *benchmarkFleet) carryOut(m int, commands []protocol.Command) {
+func (f *benchmarkFleet) executeCommands(m int, commands []protocol.Command) {
 	for _, command := range commands {
 		switch command.Verb {
 		case protocol.CommandStart:
 			f.tasks[m] = append(f.tasks[m],
 				protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.TaskRunning})
 		case protocol.CommandForget:
-			isMeant := func(task protocol.TaskStatus) bool { return task.Attempt == command.Attempt }
-			if i := slices.IndexFunc(f.tasks[m], isMeant); i >= 0 {
+			hasAttempt := func(task protocol.TaskStatus) bool { return task.Attempt == command.Attempt }
+			if i := slices.IndexFunc(f.tasks[m], hasAttempt); i >= 0 {
 				f.tasks[m] = slices.Delete(f.tasks[m], i, i+1)
 			}
 		}
@@ -183,7 +183,7 @@
 }
 
 // heartbeatOf returns a heartbeat of a machine.
-func heartbeatOf(m int, sequence uint64, tasks []protocol.TaskStatus) *protocol.Heartbeat {
+func benchmarkHeartbeat(m int, sequence uint64, tasks []protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Machine: paddedMachineName(m), Address: "x:1", MachineType: "s", Zone: "a",
 		Incarnation: 1, Sequence: sequence, FencingToken: 1, Tasks: tasks,
@@ -199,9 +199,9 @@
 			placed := 0
 			for b.Loop() {
 				b.StopTimer()
-				s := reportedMachines(machines, machines-1)
+				s := newSchedulerWithReports(machines, machines-1)
 				last := HeartbeatReceived{
-					Heartbeat: heartbeatOf(machines-1, 1, nil), ReplyTo: machineResponder(0), Entitled: true,
+					Heartbeat: benchmarkHeartbeat(machines-1, 1, nil), ReplyTo: machineResponder(0), Entitled: true,
 				}
 				b.StartTimer()
 				s.Step(last, 0)
@@ -220,7 +220,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{250, 500, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			s := newBusyFleet(machines)
+			s := newSchedulerOnFullFleet(machines)
 			for b.Loop() {
 				s.planCapacity()
 			}
@@ -231,7 +231,7 @@
 
 // reportedMachines is a new leader with a backlog of many times an empty fleet that has heard of
 // some of its machines.
-func reportedMachines(machines, reported int) *Scheduler {
+func newSchedulerWithReports(machines, reported int) *Scheduler {
 	options := config.DefaultOptions()
 	options.Fleet.MaxMachines = machines
 	s := New(Config{
@@ -241,7 +241,7 @@
 		State:   config.State{ValueKB: 8, TxnOps: 8},
 		Options: options,
 	}, 0)
-	s.Step(machineTypesOf(8), 0)
+	s.Step(benchmarkMachineTypes(8), 0)
 	loadRegistryPage(s, "h", answeredRental("s", machines, paddedMachineName), 0)
 	for i := range machines / 7 {
 		spec := protocol.Spec{
@@ -252,14 +252,14 @@
 	}
 	s.Step(StateLoaded{}, 0)
 	for m := range reported {
-		s.Step(HeartbeatReceived{Heartbeat: heartbeatOf(m, 1, nil), ReplyTo: machineResponder(m), Entitled: true}, 0)
+		s.Step(HeartbeatReceived{Heartbeat: benchmarkHeartbeat(m, 1, nil), ReplyTo: machineResponder(m), Entitled: true}, 0)
 	}
 	return s
 }
 
 // newBusyFleet is a leader with all machines in use and a backlog left.
-func newBusyFleet(machines int) *Scheduler {
-	s := reportedMachines(machines, machines)
+func newSchedulerOnFullFleet(machines int) *Scheduler {
+	s := newSchedulerWithReports(machines, machines)
 	s.Step(Tick{Entitled: true}, time.Second)
 	return s
 }
@@ -267,7 +267,7 @@
 // TestReportAllocations guards the leader's cost of the commonest event, a heartbeat that brings
 // nothing new, on a fleet with a backlog. Allocations repeat exactly, times don't; the bound is what
 // it takes now, with a few to spare.
-func TestReportAllocations(t *testing.T) {
+func TestHeartbeatAllocations(t *testing.T) {
 	const machines, maxAllocations = 50, 14
 	f := newSchedulerFixture(t, machines)
 	for m := range machines {
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -15,14 +15,14 @@
 // what is to be rented.
 type capacityPlan struct {
 	*capacityPlanner
-	offers         []*capacity
-	machines       int                     // that are known or asked for
+	offers         []*capacityOffer
+	machineCount   int                     // that are known or asked for
 	machinesInZone map[string]int          // without those that are being deleted
 	toRent         map[machinePool]float64 // a fraction if a part of a machine is enough
 
-	callsLeft       int                 // rental requests that the cloud accepts before the next plan
-	pendingRequests map[machinePool]int // not answered yet
-	requestsPerPool int                 // that may wait for their answers
+	requestsLeft       int                 // rental requests that the cloud accepts before the next plan
+	pendingRequests    map[machinePool]int // not answered yet
+	maxRequestsPerPool int                 // that may wait for their answers
 }
 
 // newPlan returns a plan with the capacity of all machines and of rentals that are under way.
@@ -31,41 +31,41 @@
 		capacityPlanner: p,
 		machinesInZone:  map[string]int{},
 		toRent:          map[machinePool]float64{},
-		callsLeft:       max(1, int(p.cfg.CloudRPS*limits.PlanInterval.Seconds())),
+		requestsLeft:    max(1, int(p.cfg.CloudRPS*limits.PlanInterval.Seconds())),
 		pendingRequests: map[machinePool]int{},
 	}
 	plan.addMachines()
 	plan.addPendingRentals()
 	// What is left of a pool is not known, and each refusal costs a call of the cloud's rate: pools of
 	// similar price share the calls.
-	plan.requestsPerPool = max(limits.MinPoolRequests, plan.callsLeft/max(p.countCheapPools(), 1))
+	plan.maxRequestsPerPool = max(limits.MinPoolRequests, plan.requestsLeft/max(p.countCheapPools(), 1))
 	return plan
 }
 
 // addMachines adds the capacity of the machines that are known.
 func (p *capacityPlan) addMachines() {
 	for _, m := range p.inventory.all() {
-		p.machines++
+		p.machineCount++
 		m.neededByPlan, m.neededByGang = false, false
 		if !m.deleting {
 			p.machinesInZone[m.zone]++
 		}
-		if offer := p.capacityOf(m); offer != nil {
+		if offer := p.offerOf(m); offer != nil {
 			p.offers = append(p.offers, offer)
 		}
 	}
 }
 
 // capacityOf returns the capacity of a machine, or nil if it must not be planned with.
-func (p *capacityPlan) capacityOf(m *machine) *capacity {
+func (p *capacityPlan) offerOf(m *machine) *capacityOffer {
 	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() {
 		return nil
 	}
-	readyInS, ok := p.readyIn(m)
+	readyInS, ok := p.secondsUntilReady(m)
 	if !ok {
 		return nil
 	}
-	offer := &capacity{machine: m, pool: m.pool(), machineType: m.machineType, readyInS: readyInS}
+	offer := &capacityOffer{machine: m, pool: m.pool(), machineType: m.machineType, readyInS: readyInS}
 	for _, a := range m.assignments {
 		offer.addAssignment(a, p.now)
 	}
@@ -74,7 +74,7 @@
 
 // readyIn returns in how many seconds a machine is expected to start tasks, and false if it may be
 // gone or never come up.
-func (p *capacityPlan) readyIn(m *machine) (seconds float64, ok bool) {
+func (p *capacityPlan) secondsUntilReady(m *machine) (seconds float64, ok bool) {
 	if m.hasReported {
 		return 0, !p.isLongUnreachable(m)
 	}
@@ -102,15 +102,15 @@
 			continue
 		}
 		pool := r.pool()
-		p.machines += r.record.Count
-		p.callsLeft--
+		p.machineCount += r.record.Count
+		p.requestsLeft--
 		p.pendingRequests[pool]++
 		t := p.catalog.find(pool.typeName)
 		if t == nil {
 			continue
 		}
 		for range r.record.Count {
-			p.offers = append(p.offers, newRentedCapacity(pool, t))
+			p.offers = append(p.offers, newRentalOffer(pool, t))
 		}
 	}
 }
@@ -134,7 +134,7 @@
 // roundUp rounds up how many machines of a pool are to be rented: a gang needs all of its machines,
 // and a job that has waited for long for a part of one would otherwise wait until other machines are
 // free.
-func (p *capacityPlan) roundUp(pool machinePool) {
+func (p *capacityPlan) rentWholeMachines(pool machinePool) {
 	p.toRent[pool] = math.Ceil(p.toRent[pool] - limits.Epsilon)
 }
 
@@ -146,8 +146,8 @@
 // mayRent reports whether more machines of a pool may be asked for in this plan. A pool that has
 // refused lately is tried with one request.
 func (p *capacityPlan) mayRent(pool machinePool) bool {
-	requests := p.requestsPerPool
-	if p.rentals.refusedLately(pool) {
+	requests := p.maxRequestsPerPool
+	if p.rentals.lastAnswerIncomplete(pool) {
 		requests = 1
 	}
 	limit := max(requests-p.pendingRequests[pool], 0) * p.rentals.maxPerRental()
@@ -169,12 +169,12 @@
 // small part of a machine is not enough to rent it, unless there is no machine at all.
 func (p *capacityPlan) machinesToRent(pool machinePool) int {
 	count := int(math.Floor(p.toRent[pool] + 1 - limits.MinRentalFraction))
-	if count == 0 && p.machines == 0 {
+	if count == 0 && p.machineCount == 0 {
 		count = 1
 	}
-	allowed := p.maxMachines() - p.machines
+	allowed := p.maxMachines() - p.machineCount
 	if count > allowed {
-		p.logLimit(p.machines, count)
+		p.logMachineLimit(p.machineCount, count)
 	}
 	return min(count, allowed)
 }
@@ -184,10 +184,10 @@
 func (p *capacityPlan) rent() {
 	for _, pool := range p.poolsByPrice() {
 		count := p.machinesToRent(pool)
-		for count > 0 && p.callsLeft > 0 {
+		for count > 0 && p.requestsLeft > 0 {
 			requested := min(count, p.rentals.maxPerRental())
-			p.machines += requested
-			p.callsLeft--
+			p.machineCount += requested
+			p.requestsLeft--
 			p.rentals.rent(pool, requested)
 			count -= requested
 		}
--- a/internal/coordination/scheduler/capacity_plan_test.go
+++ b/internal/coordination/scheduler/capacity_plan_test.go
@@ -9,7 +9,7 @@
 
 // TestGangWithoutCapacity: once a gang has waited for long, machines are planned for all its tasks or
 // for none.
-func TestGangWithoutCapacity(t *testing.T) {
+func TestGangPlannedAllOrNothing(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		tasks         int
@@ -21,7 +21,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newSchedulerFixture(t, 2)
 			for _, spot := range []bool{true, false} { // nothing can be rented
-				f.scheduler.rentals.pool(machinePool{"s8", "a", spot}).notBefore = never
+				f.scheduler.rentals.poolState(machinePool{"s8", "a", spot}).backoffUntil = never
 			}
 			f.sendHeartbeat(0) // the other machine has not reported, so nothing is placed
 			f.submitGang("job-1", c.tasks, 8)
@@ -44,7 +44,7 @@
 
 // TestAllocateTasks: a machine is allocated to the tasks that can start on it in time, and the fraction
 // of a task that is left is carried to the next machine.
-func TestAllocateTasks(t *testing.T) {
+func TestAllocateTasksOnOffer(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.submitJob("job-1", "red", "standard", 100, 2, 0) // tasks of 2 CPUs and 10 s
 	j := f.scheduler.jobs.find("job-1")
@@ -68,13 +68,13 @@
 		{"as many as fit", 0, 0, 0, 1, 4, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			offer := &capacity{
-				machineType:    f.scheduler.catalog.find("s8"),
-				readyInS:       c.readyInS,
-				usedCPUs:       c.usedCPUs,
-				busyCPUSeconds: 10 * c.usedCPUs,
+			offer := &capacityOffer{
+				machineType:         f.scheduler.catalog.find("s8"),
+				readyInS:            c.readyInS,
+				usedCPUs:            c.usedCPUs,
+				remainingCPUSeconds: 10 * c.usedCPUs,
 			}
-			jp := &jobPlan{job: j, tasksLeft: 100, taskSeconds: 10, zones: j.newZonePlan()}
+			jp := &jobPlan{job: j, tasksLeft: 100, taskOccupancyS: 10, zones: j.newZonePlan()}
 			carry := c.carry
 			if tasks := offer.allocateTasks(jp, c.withinS, &carry); tasks != c.tasks || carry != c.remainingCarry {
 				t.Errorf("%d tasks and carry %v, want %d and %v", tasks, carry, c.tasks, c.remainingCarry)
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -16,8 +16,8 @@
 	catalog   *typeCatalog
 	rentals   *rentalTable
 
-	nextPlanAt      time.Duration
-	nextLimitNoteAt time.Duration // when to log again that the fleet is at its limit
+	nextPlanAt     time.Duration
+	nextLimitLogAt time.Duration // when to log again that the fleet is at its limit
 }
 
 // newCapacityPlanner returns a planner that has made no plan yet.
@@ -36,10 +36,10 @@
 }
 
 // planNow makes the next plan due at once.
-func (p *capacityPlanner) planNow() { p.nextPlanAt = 0 }
+func (p *capacityPlanner) requestPlan() { p.nextPlanAt = 0 }
 
 // startIfDue reports whether a plan is due, and notes when the next one is.
-func (p *capacityPlanner) startIfDue() bool {
+func (p *capacityPlanner) scheduleNextIfDue() bool {
 	if p.now < p.nextPlanAt || p.catalog.isEmpty() {
 		return false
 	}
@@ -56,11 +56,11 @@
 }
 
 // logLimit logs from time to time that the plan needs more machines than may be rented.
-func (p *capacityPlanner) logLimit(machines, needed int) {
-	if p.now < p.nextLimitNoteAt {
+func (p *capacityPlanner) logMachineLimit(machines, needed int) {
+	if p.now < p.nextLimitLogAt {
 		return
 	}
-	p.nextLimitNoteAt = p.now + limits.SummaryInterval
+	p.nextLimitLogAt = p.now + limits.SummaryInterval
 	p.logWarn("fleet at its limit", keyMachines, machines, "needed", needed)
 }
 
--- a/internal/coordination/scheduler/capacity_planner_test.go
+++ b/internal/coordination/scheduler/capacity_planner_test.go
@@ -31,7 +31,7 @@
 }
 
 // pendingMachines is how many machines have been asked for without an answer yet.
-func (f *schedulerFixture) pendingMachines() int {
+func (f *schedulerFixture) requestedMachines() int {
 	machines := 0
 	for _, r := range f.scheduler.rentals.all() {
 		if r.isPending() {
@@ -42,15 +42,15 @@
 }
 
 // plan makes the next plan at once and returns how many machines are asked for.
-func (f *schedulerFixture) plan() int {
-	f.scheduler.planner.planNow()
+func (f *schedulerFixture) planAndCountRequested() int {
+	f.scheduler.planner.requestPlan()
 	f.step(Tick{Entitled: true})
-	return f.pendingMachines()
+	return f.requestedMachines()
 }
 
 // TestCheapestPool: machines are rented where they cost least for as long as that pool gives them,
 // and the rest at once elsewhere.
-func TestCheapestPool(t *testing.T) {
+func TestCheapestPoolFirst(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
 		Name: "s8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 2, SpotPrice: 1, BootS: 5, Zones: []string{"a"},
@@ -80,43 +80,43 @@
 
 // TestPlanByStarts: machines are rented for all tasks that can't start before a new machine would
 // be up, however much a busy fleet could work off later; what starts before needs none.
-func TestPlanByStarts(t *testing.T) {
+func TestMachinesForTasksThatStartTooLate(t *testing.T) {
 	f := newSchedulerFixture(t, 10)
 	f.scheduler.cfg.CloudRPS = 100
 	for i := range 10 {
 		f.sendHeartbeat(i)
 	}
 	f.submitJob("job-1", "red", "high", 10, 8, 0)
-	f.startAll() // each machine is full, and its task has just begun
+	f.confirmStartsAsRunning() // each machine is full, and its task has just begun
 	f.submitJob("job-2", "blue", "high", 8, 8, 20)
 	// Of ten tasks of 10 s that have just begun, nothing is known but their mean: a quarter or so
 	// ends in the 5.5 s that a machine takes to boot.
-	if n := f.plan(); n < 5 || n > 7 {
+	if n := f.planAndCountRequested(); n < 5 || n > 7 {
 		t.Errorf("%d machines rented for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
 	}
 	// What has waited for as long as a machine takes to boot does not wait as long again.
 	f.step(JobChanged{
 		JobID: "job-3", Version: 500, SinceSubmission: 20 * time.Second, Record: waitingJob("job-3", "blue", 4, false),
 	})
-	if n := f.plan(); n < 9 || n > 11 {
+	if n := f.planAndCountRequested(); n < 9 || n > 11 {
 		t.Errorf("%d machines rented with 4 more tasks that have waited long, want 9 to 11", n)
 	}
 }
 
 // TestPlanOnIdleFleet: machines that are idle are used before others are rented.
-func TestPlanOnIdleFleet(t *testing.T) {
+func TestIdleMachinesUsedBeforeRenting(t *testing.T) {
 	f := newSchedulerFixture(t, 10)
 	for i := range 10 {
 		f.sendHeartbeat(i)
 	}
 	f.submitJob("job-2", "blue", "high", 8, 8, 20)
-	if n := f.plan(); n != 0 {
+	if n := f.planAndCountRequested(); n != 0 {
 		t.Errorf("%d machines rented for 8 tasks beside an idle fleet", n)
 	}
 }
 
 // startAll answers the direct commands of the last event: all their tasks run.
-func (f *schedulerFixture) startAll() {
+func (f *schedulerFixture) confirmStartsAsRunning() {
 	for _, sent := range f.directCommands() {
 		heartbeat := &protocol.Heartbeat{Machine: sent.Machine, Incarnation: 1, Sequence: 100, FencingToken: 3}
 		for _, command := range sent.Commands {
--- a/internal/coordination/scheduler/runnable.go
+++ b/internal/coordination/scheduler/feasibility.go
@@ -11,12 +11,12 @@
 // CanEverRun reports whether a job could ever run: a task fits on a machine of some allowed type,
 // and its team's limit allows the task; of a gang, all tasks together.
 func CanEverRun(spec *protocol.Spec, types []protocol.MachineType, cpusMax, gpusMax float64) bool {
-	together := 1.0
+	simultaneousTasks := 1.0
 	if spec.Gang() {
-		together = float64(spec.Tasks)
+		simultaneousTasks = float64(spec.Tasks)
 	}
 	return fitsSomeType(spec, types) &&
-		together*spec.CPUs <= cpusMax+limits.Epsilon && together*spec.Accelerators <= gpusMax+limits.Epsilon
+		simultaneousTasks*spec.CPUs <= cpusMax+limits.Epsilon && simultaneousTasks*spec.Accelerators <= gpusMax+limits.Epsilon
 }
 
 // fitsSomeType reports whether a machine of some allowed type can run a task of the job.
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -10,7 +10,7 @@
 	s.registry.writePages()
 	s.returnUnusableMachines()
 	s.prober.probeDueMachines()
-	if s.knowsFleet() && s.planner.startIfDue() {
+	if s.canPlanCapacity() && s.planner.scheduleNextIfDue() {
 		s.planCapacity()
 	}
 	s.requestDeletions()
@@ -18,7 +18,7 @@
 
 // knowsFleet reports whether enough of the fleet has reported to plan with it: the machines had the
 // time for that.
-func (s *Scheduler) knowsFleet() bool {
+func (s *Scheduler) canPlanCapacity() bool {
 	return s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleAfter()
 }
 
--- a/internal/coordination/scheduler/gang_plan.go
+++ b/internal/coordination/scheduler/gang_plan.go
@@ -31,12 +31,12 @@
 // planSnapshot is a copy of the parts of a plan that planning a gang changes.
 type planSnapshot struct {
 	toRent      map[machinePool]float64
-	offerStates []capacityState
+	offerStates []offerState
 }
 
 // snapshot returns the state of the plan to which rollBack can return.
 func (p *capacityPlan) snapshot() planSnapshot {
-	offers := make([]capacityState, len(p.offers))
+	offers := make([]offerState, len(p.offers))
 	for i, offer := range p.offers {
 		offers[i] = offer.state()
 	}
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -79,7 +79,7 @@
 	}{{0, true}, {limits.GangCapacityTimeout + time.Second, false}} {
 		f = newGangFixture(t, 1)
 		for _, spot := range []bool{true, false} {
-			f.scheduler.rentals.pool(machinePool{"s8", "a", spot}).notBefore = never
+			f.scheduler.rentals.poolState(machinePool{"s8", "a", spot}).backoffUntil = never
 		}
 		f.version++
 		f.step(JobChanged{
--- a/internal/coordination/scheduler/job_plan.go
+++ b/internal/coordination/scheduler/job_plan.go
@@ -9,15 +9,15 @@
 
 // jobPlan is what is left to plan of one job.
 type jobPlan struct {
-	job         *job
-	tasksLeft   int
-	taskSeconds float64 // that a task is expected to use its resources
-	maxWaitS    float64 // seconds within which tasks should start on capacity that is there
-	zones       *zonePlan
+	job            *job
+	tasksLeft      int
+	taskOccupancyS float64 // that a task is expected to use its resources
+	maxWaitS       float64 // seconds within which tasks should start on capacity that is there
+	zones          *zonePlan
 }
 
 // planned notes that some tasks are planned in a zone.
-func (jp *jobPlan) planned(zone string, tasks int) {
+func (jp *jobPlan) addPlannedTasks(zone string, tasks int) {
 	jp.tasksLeft -= tasks
 	jp.zones.addTasks(zone, tasks)
 }
@@ -30,11 +30,11 @@
 		return 0
 	}
 	jp := jobPlan{
-		job:         j,
-		tasksLeft:   tasks,
-		taskSeconds: j.expectedOccupancySeconds(),
-		maxWaitS:    p.maxWaitS(j),
-		zones:       j.newZonePlan(),
+		job:            j,
+		tasksLeft:      tasks,
+		taskOccupancyS: j.expectedOccupancySeconds(),
+		maxWaitS:       p.maxWaitS(j),
+		zones:          j.newZonePlan(),
 	}
 	if j.gang != nil && j.spec.SameZone && !p.chooseGangZone(&jp) {
 		return jp.tasksLeft
@@ -58,13 +58,13 @@
 // starts before a new machine can be up needs none. What has waited as long already can't wait as
 // long again, or a queue that is always as long would never be worked off.
 func (p *capacityPlan) maxWaitS(j *job) float64 {
-	wait := max(p.maxPlannedWait(j), p.catalog.minBootS(j))
+	wait := max(p.maxPlannedWaitS(j), p.catalog.minBootS(j))
 	return max(wait-(p.now-j.submittedAt).Seconds(), 0)
 }
 
 // maxPlannedWait is how many seconds a job's tasks are planned to wait for capacity: a share of the
 // time that they have.
-func (p *capacityPlan) maxPlannedWait(j *job) float64 {
+func (p *capacityPlan) maxPlannedWaitS(j *job) float64 {
 	fleet := &p.cfg.Options.Fleet
 	wait := time.Duration(fleet.MaxPlannedWait).Seconds()
 	if slack, late := p.queue.slack(j); !late && slack != never {
@@ -94,12 +94,12 @@
 
 // keepForGang makes sure that a machine with tasks of a gang is there: it is not drained, or it is
 // rented as a whole.
-func (p *capacityPlan) keepForGang(offer *capacity) {
+func (p *capacityPlan) keepForGang(offer *capacityOffer) {
 	if offer.machine != nil {
 		offer.machine.neededByGang = true
 		return
 	}
-	p.roundUp(offer.pool)
+	p.rentWholeMachines(offer.pool)
 }
 
 // planOnNewMachines adds machines to rent for the tasks that are left, as long as there are pools to
@@ -124,7 +124,7 @@
 // many tasks that is.
 func (p *capacityPlan) planNewMachine(jp *jobPlan, pool machinePool, t *protocol.MachineType) int {
 	j := jp.job
-	offer := newRentedCapacity(pool, t)
+	offer := newRentalOffer(pool, t)
 	tasks := offer.allocateTasks(jp, 0, new(float64))
 	if tasks == 0 {
 		return 0
@@ -133,7 +133,7 @@
 	tasksPerMachine := typeResources(t).TasksThatFit(j.demand)
 	p.toRent[pool] += float64(tasks) / float64(tasksPerMachine)
 	if j.gang != nil || p.now > max(j.submittedAt, j.lastAssignedAt)+limits.FractionalRentalDelay {
-		p.roundUp(pool)
+		p.rentWholeMachines(pool)
 	}
 	if tasks < tasksPerMachine {
 		p.offers = append(p.offers, offer) // the jobs behind may use the rest of this machine
--- a/internal/coordination/scheduler/thousands_test.go
+++ b/internal/coordination/scheduler/large_fleet_test.go
@@ -110,7 +110,7 @@
 func (f *largeFleet) reportAll(s *Scheduler) {
 	for i := range f.machines {
 		f.now += time.Millisecond
-		heartbeat := heartbeatOf(i, uint64(f.now), nil)
+		heartbeat := benchmarkHeartbeat(i, uint64(f.now), nil)
 		heartbeat.FencingToken = s.cfg.Term
 		f.step(s, HeartbeatReceived{
 			Heartbeat: heartbeat, ReplyTo: machineResponder(i), Entitled: true, SameConnection: true,
@@ -148,7 +148,7 @@
 // TestFourThousandMachines: more than four thousand machines come up within seconds and are
 // registered in small values and transactions, by far fewer operations than machines; a new leader
 // loads them, gets heartbeats of all, and places gangs and an array on them.
-func TestFourThousandMachines(t *testing.T) {
+func TestFailoverWithFourThousandMachines(t *testing.T) {
 	const machines, gangs, tasksPerGang = 4200, 200, 8
 	f := newLargeFleet(t, machines)
 	f.storeRentals()
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -15,13 +15,13 @@
 // TestLastingOverload: with more urgent, small work than the machines can do, all day, each of the
 // largest jobs begins within four minutes, and of each class and team, and of the largest jobs, at
 // least half of the work is done.
-func TestLastingOverload(t *testing.T) {
+func TestSustainedOverload(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			f := newOverloadedFleet(seed)
-			f.playDay()
-			f.checkLargeJobsBegin(t)
-			f.checkServedShares(t)
+			f.simulate()
+			f.checkLargeJobsStart(t)
+			f.checkCompletedShares(t)
 		})
 	}
 }
@@ -29,8 +29,8 @@
 const (
 	overloadMachines = 24
 	overloadCPUs     = 8 // of each machine
-	overloadDay      = 900 * time.Second
-	overloadStep     = 500 * time.Millisecond
+	overloadDuration = 900 * time.Second
+	overloadTick     = 500 * time.Millisecond
 )
 
 // overloadedFleet is a fleet that gets more work than it can do. Its workers are played; all their
@@ -42,10 +42,10 @@
 	machines  []string
 	tasks     [][]overloadTask // on each machine
 
-	specs       map[string]protocol.Spec
-	submittedAt map[string]time.Duration
-	begunAt     map[string]time.Duration
-	doneTasks   map[string]int
+	specs          map[string]protocol.Spec
+	submittedAt    map[string]time.Duration
+	startedAt      map[string]time.Duration
+	completedTasks map[string]int
 
 	sequence uint64 // of the newest heartbeat
 	version  uint64 // of the newest record
@@ -54,17 +54,17 @@
 // overloadTask is a task on a machine and when it will be done.
 type overloadTask struct {
 	protocol.TaskStatus
-	ends time.Duration
+	endsAt time.Duration
 }
 
 func newOverloadedFleet(seed uint64) *overloadedFleet {
 	f := &overloadedFleet{
-		random:      rand.New(rand.NewPCG(seed, 5)),
-		tasks:       make([][]overloadTask, overloadMachines),
-		specs:       map[string]protocol.Spec{},
-		submittedAt: map[string]time.Duration{},
-		begunAt:     map[string]time.Duration{},
-		doneTasks:   map[string]int{},
+		random:         rand.New(rand.NewPCG(seed, 5)),
+		tasks:          make([][]overloadTask, overloadMachines),
+		specs:          map[string]protocol.Spec{},
+		submittedAt:    map[string]time.Duration{},
+		startedAt:      map[string]time.Duration{},
+		completedTasks: map[string]int{},
 	}
 	f.scheduler = New(Config{
 		Term:    1,
@@ -89,12 +89,12 @@
 }
 
 // playDay submits jobs and plays the workers for a day.
-func (f *overloadedFleet) playDay() {
-	for ; f.now < overloadDay; f.now += overloadStep {
+func (f *overloadedFleet) simulate() {
+	for ; f.now < overloadDuration; f.now += overloadTick {
 		f.submitJobs()
 		for m := range f.tasks {
-			f.endTasks(m)
-			if (int(f.now/overloadStep)+m)%4 == 0 {
+			f.completeDueTasks(m)
+			if (int(f.now/overloadTick)+m)%4 == 0 {
 				f.step(HeartbeatReceived{
 					Heartbeat: f.heartbeat(m), ReplyTo: machineResponder(m), Entitled: true, SameConnection: true,
 				})
@@ -130,13 +130,13 @@
 }
 
 // endTasks ends the tasks of a machine whose time has come.
-func (f *overloadedFleet) endTasks(m int) {
+func (f *overloadedFleet) completeDueTasks(m int) {
 	for i := range f.tasks[m] {
 		task := &f.tasks[m][i]
-		if task.State == protocol.TaskRunning && f.now >= task.ends {
+		if task.State == protocol.TaskRunning && f.now >= task.endsAt {
 			task.State, task.Reason = protocol.TaskEnded, protocol.ReasonDone
 			id, _, _ := protocol.ParseTaskName(task.Task)
-			f.doneTasks[id]++
+			f.completedTasks[id]++
 		}
 	}
 }
@@ -146,10 +146,10 @@
 	for _, effect := range f.scheduler.Step(event, f.now) {
 		switch effect := effect.(type) {
 		case HeartbeatReply:
-			f.carryOut(int(effect.ReplyTo.(machineResponder)), effect.Commands)
+			f.executeCommands(int(effect.ReplyTo.(machineResponder)), effect.Commands)
 		case SendDirectCommands:
 			m := slices.Index(f.machines, effect.Machine)
-			f.carryOut(m, effect.Commands)
+			f.executeCommands(m, effect.Commands)
 			f.step(DirectCommandsDone{ID: effect.ID, Machine: effect.Machine, Heartbeat: f.heartbeat(m)})
 		case WriteRecords:
 			f.version++
@@ -159,18 +159,18 @@
 }
 
 // carryOut carries out commands on a machine.
-func (f *overloadedFleet) carryOut(m int, commands []protocol.Command) {
+func (f *overloadedFleet) executeCommands(m int, commands []protocol.Command) {
 	for _, command := range commands {
-		isMeant := func(task overloadTask) bool { return task.Attempt == command.Attempt }
+		hasAttempt := func(task overloadTask) bool { return task.Attempt == command.Attempt }
 		switch command.Verb {
 		case protocol.CommandStop:
 			for i := range f.tasks[m] {
-				if isMeant(f.tasks[m][i]) {
+				if hasAttempt(f.tasks[m][i]) {
 					f.tasks[m][i].State, f.tasks[m][i].Reason = protocol.TaskEnded, protocol.ReasonStopped
 				}
 			}
 		case protocol.CommandForget:
-			f.tasks[m] = slices.DeleteFunc(f.tasks[m], isMeant)
+			f.tasks[m] = slices.DeleteFunc(f.tasks[m], hasAttempt)
 		case protocol.CommandStart:
 			f.start(m, command)
 		}
@@ -179,8 +179,8 @@
 
 func (f *overloadedFleet) start(m int, command protocol.Command) {
 	id, _, _ := protocol.ParseTaskName(command.Task)
-	if _, begun := f.begunAt[id]; !begun {
-		f.begunAt[id] = f.now
+	if _, started := f.startedAt[id]; !started {
+		f.startedAt[id] = f.now
 	}
 	runTime := f.specs[id].EstimateS * (0.7 + 0.6*f.random.Float64())
 	f.tasks[m] = append(f.tasks[m], overloadTask{
@@ -202,28 +202,28 @@
 }
 
 // checkLargeJobsBegin checks that each large job begins within four minutes.
-func (f *overloadedFleet) checkLargeJobsBegin(t *testing.T) {
+func (f *overloadedFleet) checkLargeJobsStart(t *testing.T) {
 	t.Helper()
 	for id, spec := range f.specs {
-		if spec.Class != "large" || overloadDay-f.submittedAt[id] <= 4*time.Minute {
+		if spec.Class != "large" || overloadDuration-f.submittedAt[id] <= 4*time.Minute {
 			continue
 		}
-		begunAt, begun := f.begunAt[id]
-		if wait := begunAt - f.submittedAt[id]; !begun || wait > 4*time.Minute {
-			t.Errorf("%s with %d tasks began after %v (%v)", id, spec.Tasks, wait, begun)
+		startedAt, started := f.startedAt[id]
+		if wait := startedAt - f.submittedAt[id]; !started || wait > 4*time.Minute {
+			t.Errorf("%s with %d tasks began after %v (%v)", id, spec.Tasks, wait, started)
 		}
 	}
 }
 
 // checkServedShares checks that of the work of each class and team, and of the largest jobs, at
 // least half is done. Jobs of the last minutes don't count.
-func (f *overloadedFleet) checkServedShares(t *testing.T) {
+func (f *overloadedFleet) checkCompletedShares(t *testing.T) {
 	t.Helper()
 	type share struct{ done, due float64 }
-	served := map[string]*share{}
+	shares := map[string]*share{}
 	largest := f.largestSize()
 	for id, spec := range f.specs {
-		if overloadDay-f.submittedAt[id] < 8*time.Minute {
+		if overloadDuration-f.submittedAt[id] < 8*time.Minute {
 			continue
 		}
 		kinds := []string{"class " + spec.Class, "team " + spec.Team}
@@ -231,20 +231,20 @@
 			kinds = append(kinds, "largest")
 		}
 		for _, kind := range kinds {
-			if served[kind] == nil {
-				served[kind] = &share{}
+			if shares[kind] == nil {
+				shares[kind] = &share{}
 			}
-			served[kind].due += float64(spec.Tasks)
-			served[kind].done += float64(f.doneTasks[id])
+			shares[kind].due += float64(spec.Tasks)
+			shares[kind].done += float64(f.completedTasks[id])
 		}
 	}
-	for kind, share := range served {
+	for kind, share := range shares {
 		if share.done < share.due/2 {
 			t.Errorf("%s: %v of %v tasks done", kind, share.done, share.due)
 		}
 	}
-	if len(served) < 5 {
-		t.Errorf("only %v were looked at", served)
+	if len(shares) < 5 {
+		t.Errorf("only %v were looked at", shares)
 	}
 }
 
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -15,7 +15,7 @@
 func (p *capacityPlan) cheapestPool(
 	j *job, zoneAllowed func(zone string) bool,
 ) (machinePool, *protocol.MachineType) {
-	search := poolSearch{cost: math.Inf(1), busyCost: math.Inf(1), lowestCost: math.Inf(1)}
+	search := poolSearch{cost: math.Inf(1), deferredCost: math.Inf(1), lowestCost: math.Inf(1)}
 	for _, t := range p.catalog.all() {
 		tasksPerMachine := typeResources(t).TasksThatFit(j.demand)
 		if tasksPerMachine == 0 {
@@ -32,8 +32,8 @@
 			}
 		}
 	}
-	if search.machineType == nil || search.cost > limits.SimilarPriceRatio*search.busyCost ||
-		p.waitsForCheaperPool(j, search.cost, search.lowestCost) {
+	if search.machineType == nil || search.cost > limits.SimilarPriceRatio*search.deferredCost ||
+		p.shouldWaitForCheaperPool(j, search.cost, search.lowestCost) {
 		return machinePool{}, nil
 	}
 	return search.pool, search.machineType
@@ -41,11 +41,11 @@
 
 // poolSearch is the search for the cheapest pool. Costs are those of a task.
 type poolSearch struct {
-	pool        machinePool           // the cheapest that is available
-	machineType *protocol.MachineType // of that pool; nil if there is none
-	cost        float64               // of that pool
-	busyCost    float64               // of the cheapest busy pool
-	lowestCost  float64               // of the cheapest pool, whether it is available or not
+	pool         machinePool           // the cheapest that is available
+	machineType  *protocol.MachineType // of that pool; nil if there is none
+	cost         float64               // of that pool
+	deferredCost float64               // of the cheapest busy pool
+	lowestCost   float64               // of the cheapest pool, whether it is available or not
 }
 
 // consider adds a pool to the search.
@@ -54,8 +54,8 @@
 ) {
 	s.lowestCost = min(s.lowestCost, cost)
 	switch {
-	case availability == poolBusy:
-		s.busyCost = min(s.busyCost, cost)
+	case availability == poolDeferred:
+		s.deferredCost = min(s.deferredCost, cost)
 	case availability == poolAvailable && cost < s.cost:
 		s.pool, s.machineType, s.cost = pool, t, cost
 	}
@@ -65,23 +65,23 @@
 type poolAvailability uint8
 
 const (
-	poolAvailable poolAvailability = iota
-	poolBusy                       // asked for enough in this plan, or in a zone that is not allowed
-	poolRefused                    // has refused machines lately
+	poolAvailable     poolAvailability = iota
+	poolDeferred                       // asked for enough in this plan, or in a zone that is not allowed
+	poolLacksCapacity                  // has refused machines lately
 )
 
 // availability returns whether a pool may be asked for machines for a job.
 func (p *capacityPlan) availability(pool machinePool, zoneAllowed func(zone string) bool) poolAvailability {
 	if p.rentals.isBackedOff(pool) {
-		return poolRefused
+		return poolLacksCapacity
 	}
 	if p.mayRent(pool) && zoneAllowed(pool.zone) {
 		return poolAvailable
 	}
-	if p.rentals.refusedLately(pool) {
-		return poolRefused
+	if p.rentals.lastAnswerIncomplete(pool) {
+		return poolLacksCapacity
 	}
-	return poolBusy
+	return poolDeferred
 }
 
 // zoneSpreadFactor makes machines spread over zones where all else is equal.
@@ -91,7 +91,7 @@
 
 // waitsForCheaperPool reports whether a job is not urgent enough for a pool that costs far more than
 // another, which has nothing now.
-func (p *capacityPlan) waitsForCheaperPool(j *job, cost, cheapest float64) bool {
+func (p *capacityPlan) shouldWaitForCheaperPool(j *job, cost, cheapest float64) bool {
 	fleet := &p.cfg.Options.Fleet
 	if cost <= fleet.ExpensivePoolRatio*cheapest {
 		return false
--- a/internal/coordination/scheduler/pools.go
+++ b/internal/coordination/scheduler/pools.go
@@ -14,12 +14,12 @@
 
 // poolState is how long a pool that has refused machines is left alone.
 type poolState struct {
-	notBefore time.Duration
-	backoff   time.Duration // 0 if its last answer was complete
+	backoffUntil time.Duration
+	backoff      time.Duration // 0 if its last answer was complete
 }
 
 // pool returns the state of a pool.
-func (t *rentalTable) pool(pool machinePool) *poolState {
+func (t *rentalTable) poolState(pool machinePool) *poolState {
 	state := t.pools[pool]
 	if state == nil {
 		state = &poolState{}
@@ -31,9 +31,9 @@
 // backOff makes a pool that has fewer machines than were asked for wait before it is asked again,
 // longer each time.
 func (t *rentalTable) backOff(pool machinePool) {
-	state := t.pool(pool)
+	state := t.poolState(pool)
 	state.backoff = min(max(2*state.backoff, limits.CapacityBackoffMin), limits.CapacityBackoffMax)
-	state.notBefore = t.now + state.backoff
+	state.backoffUntil = t.now + state.backoff
 }
 
 // resetBackoff notes that a pool has given all machines that it was asked for.
@@ -46,11 +46,11 @@
 // isBackedOff reports whether a pool must not be asked for machines yet.
 func (t *rentalTable) isBackedOff(pool machinePool) bool {
 	state := t.pools[pool]
-	return state != nil && t.now < state.notBefore
+	return state != nil && t.now < state.backoffUntil
 }
 
 // refusedLately reports whether the last answer of a pool had fewer machines than were asked for.
-func (t *rentalTable) refusedLately(pool machinePool) bool {
+func (t *rentalTable) lastAnswerIncomplete(pool machinePool) bool {
 	state := t.pools[pool]
 	return state != nil && state.backoff > 0
 }
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -177,7 +177,7 @@
 	if m.rental == "" {
 		s.rentals.adopt(m)
 	}
-	if m.registration == unregistered && s.rentals.accountsFor(m) {
+	if m.registration == unregistered && s.rentals.hasDurableRecordOf(m) {
 		s.registry.add(m)
 	}
 }
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	// Once the write of the last rental's record completes, its machines are registered too.
-	unwritten.writing = true
+	unwritten.writeInFlight = true
 	f.scheduler.pendingWrites[9999] = rentalWrite{rental: unwritten.name, answered: true}
 	f.now += limits.RegistryWriteInterval
 	f.step(WriteCompleted{ID: 9999, OK: true, Version: uint64(101 + len(writes))})
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -29,7 +29,7 @@
 	state         rentalState
 	requestedAt   time.Duration
 	dirty         bool // the record in memory is newer than the written one
-	writing       bool
+	writeInFlight bool
 	answerDurable bool // the written record names the machines
 }
 
@@ -56,11 +56,11 @@
 // lately. It keeps the durable record of each rental in line with what is known.
 type rentalTable struct {
 	*environment
-	inventory   *machineInventory
-	byName      map[string]*rental
-	pools       map[machinePool]*poolState
-	sequence    uint64 // of the names of this term's rentals
-	maxMachines int    // of one rental, so that its record fits
+	inventory      *machineInventory
+	byName         map[string]*rental
+	pools          map[machinePool]*poolState
+	rentalSequence uint64 // of the names of this term's rentals
+	maxMachines    int    // of one rental, so that its record fits
 }
 
 // newRentalTable returns a table without rentals.
@@ -118,9 +118,9 @@
 // rent starts a rental of up to maxMachines machines: its name is durable before the request leaves,
 // so that a successor can ask for the answer.
 func (t *rentalTable) rent(pool machinePool, count int) {
-	t.sequence++
+	t.rentalSequence++
 	r := &rental{
-		name:        fmt.Sprintf("h-%d-%d", t.cfg.Term, t.sequence),
+		name:        fmt.Sprintf("h-%d-%d", t.cfg.Term, t.rentalSequence),
 		state:       rentalWriting,
 		requestedAt: t.now,
 		record: storage.Rental{
@@ -163,13 +163,13 @@
 
 // accountsFor reports whether the written record of a rental names the machine. A successor ignores
 // what else is recorded of a machine that no rental accounts for.
-func (t *rentalTable) accountsFor(m *machine) bool {
+func (t *rentalTable) hasDurableRecordOf(m *machine) bool {
 	r := t.byName[m.rental]
 	return r != nil && r.answerDurable
 }
 
 // answered adds the machines that the cloud has given to the rental and the inventory.
-func (t *rentalTable) answered(r *rental, machines []string) {
+func (t *rentalTable) recordAnswer(r *rental, machines []string) {
 	t.logInfo("rented", keyRental, r.name, keyMachines, len(machines))
 	r.state, r.dirty = rentalAnswered, true
 	r.record.Answered = true
@@ -190,7 +190,7 @@
 }
 
 // refused removes a rental for which the cloud has no machines.
-func (t *rentalTable) refused(r *rental) {
+func (t *rentalTable) handleNoCapacity(r *rental) {
 	pool := r.pool()
 	t.backOff(pool)
 	t.logInfo("no capacity", keyRental, r.name, keyType, pool.typeName, keyZone, pool.zone, keySpot, pool.spot)
@@ -209,7 +209,7 @@
 // are gone.
 func (t *rentalTable) reconcile(r *rental) {
 	switch {
-	case r.writing || r.version == 0:
+	case r.writeInFlight || r.version == 0:
 		// The answer to the write comes back here.
 	case r.state == rentalAnswered && len(r.record.Machines) == 0:
 		t.removeRecord(r)
@@ -227,11 +227,11 @@
 
 // writeRecord writes a rental's record; one write of a record is under way at a time.
 func (t *rentalTable) writeRecord(r *rental) {
-	if r.writing {
+	if r.writeInFlight {
 		r.dirty = true
 		return
 	}
-	r.writing, r.dirty = true, false
+	r.writeInFlight, r.dirty = true, false
 	key := storage.RentalKey(r.name)
 	t.write(
 		rentalWrite{rental: r.name, answered: r.record.Answered},
@@ -242,8 +242,8 @@
 
 // recordWritten notes the outcome of writeRecord. It returns the machines that the record names
 // durably from now on.
-func (t *rentalTable) recordWritten(r *rental, write rentalWrite, ok bool, version uint64) (named []string) {
-	r.writing = false
+func (t *rentalTable) recordWritten(r *rental, write rentalWrite, ok bool, version uint64) (newlyDurable []string) {
+	r.writeInFlight = false
 	if !ok {
 		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
 		t.logWarn("rental record refused", keyRental, r.name)
@@ -258,7 +258,7 @@
 }
 
 // proceed continues with a rental whose record is written.
-func (t *rentalTable) proceed(r *rental) {
+func (t *rentalTable) continueAfterWrite(r *rental) {
 	if r.state == rentalWriting {
 		r.state = rentalRequested
 		t.emit(RentMachines{Request: r.request()})
@@ -298,7 +298,7 @@
 		}
 	}
 	if ok {
-		s.rentals.proceed(r)
+		s.rentals.continueAfterWrite(r)
 	}
 }
 
@@ -310,8 +310,8 @@
 	}
 	switch {
 	case e.NoCapacity:
-		s.rentals.refused(r)
-		s.planner.planNow()
+		s.rentals.handleNoCapacity(r)
+		s.planner.requestPlan()
 		return
 	case !e.OK:
 		s.emit(RentMachines{Request: r.request()})
@@ -319,11 +319,11 @@
 	}
 	if len(e.Machines) < r.record.Count {
 		s.rentals.backOff(r.pool())
-		s.planner.planNow() // the rest is asked for elsewhere at once
+		s.planner.requestPlan() // the rest is asked for elsewhere at once
 	} else {
 		s.rentals.resetBackoff(r.pool())
 	}
-	s.rentals.answered(r, e.Machines)
+	s.rentals.recordAnswer(r, e.Machines)
 	s.placement.requestPass()
 	s.rentals.reconcile(r)
 }
--- a/internal/coordination/scheduler/rentals_test.go
+++ b/internal/coordination/scheduler/rentals_test.go
@@ -15,27 +15,27 @@
 	expected := limits.CapacityBackoffMin
 	for range 20 {
 		rentals.backOff(pool)
-		if got := rentals.pool(pool).notBefore - env.now; got != expected {
+		if got := rentals.poolState(pool).backoffUntil - env.now; got != expected {
 			t.Fatalf("left alone for %v, not %v", got, expected)
 		}
-		if !rentals.isBackedOff(pool) || !rentals.refusedLately(pool) {
+		if !rentals.isBackedOff(pool) || !rentals.lastAnswerIncomplete(pool) {
 			t.Fatal("asked again at once")
 		}
 		env.now += expected
-		if rentals.isBackedOff(pool) || !rentals.refusedLately(pool) {
+		if rentals.isBackedOff(pool) || !rentals.lastAnswerIncomplete(pool) {
 			t.Fatalf("not asked again after %v", expected)
 		}
 		expected = min(2*expected, limits.CapacityBackoffMax)
 	}
 	rentals.resetBackoff(pool)
-	if rentals.refusedLately(pool) || rentals.isBackedOff(other) || rentals.refusedLately(other) {
+	if rentals.lastAnswerIncomplete(pool) || rentals.isBackedOff(other) || rentals.lastAnswerIncomplete(other) {
 		t.Error("backed off without a refusal")
 	}
 }
 
 // TestRentalRecord: the name of a rental is durable before the request leaves, one write of its record is
 // in flight at a time, and the record is removed once the last machine is gone.
-func TestRentalRecord(t *testing.T) {
+func TestRentalRecordLifecycle(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	rentals := f.scheduler.rentals
 	f.tick()
--- a/internal/coordination/scheduler/zone_plan.go
+++ b/internal/coordination/scheduler/zone_plan.go
@@ -6,9 +6,9 @@
 // tasks are planned together, while those of an array are assigned one by one, and where the next may
 // go follows from the assignments.
 type zonePlan struct {
-	onlyZone   string // the zone of a gang that must be in one; "" while it is not chosen
-	maxPerZone int
-	counts     map[string]int // tasks in each zone, assigned or planned; nil for other jobs than gangs
+	onlyZone    string // the zone of a gang that must be in one; "" while it is not chosen
+	maxPerZone  int
+	tasksByZone map[string]int // tasks in each zone, assigned or planned; nil for other jobs than gangs
 }
 
 // newZonePlan returns a plan that counts the tasks that are assigned.
@@ -17,12 +17,12 @@
 	if j.gang == nil {
 		return z
 	}
-	z.counts = map[string]int{}
+	z.tasksByZone = map[string]int{}
 	for _, a := range j.assignments {
 		if j.spec.SameZone {
 			z.onlyZone = a.machine.zone
 		}
-		z.counts[a.machine.zone]++
+		z.tasksByZone[a.machine.zone]++
 	}
 	if j.spec.SpreadZones {
 		z.maxPerZone = j.maxTasksPerZone()
@@ -35,12 +35,12 @@
 	if z.onlyZone != "" && z.onlyZone != zone {
 		return 0
 	}
-	return max(z.maxPerZone-z.counts[zone], 0)
+	return max(z.maxPerZone-z.tasksByZone[zone], 0)
 }
 
 // addTasks notes tasks that are planned in a zone.
 func (z *zonePlan) addTasks(zone string, tasks int) {
-	if z.counts != nil {
-		z.counts[zone] += tasks
+	if z.tasksByZone != nil {
+		z.tasksByZone[zone] += tasks
 	}
 }
