--- a/internal/coordination/scheduler/capacity_offer.go
+++ b/internal/coordination/scheduler/capacity_offer.go
@@ -7,23 +7,24 @@
 	"quillshunt/internal/protocol"
 )
 
-// capacity is what a machine can run over time: one that is up or boots, or one that is rented or to
-// be rented.
+// capacityOffer is the capacity of one machine in a plan, and how much of it is allocated. The machine is
+// up or boots, is requested from the cloud, or is to be rented.
 type capacityOffer struct {
-	machine             *machine // nil for a rental
+	machine             *machine // nil if the cloud has not rented it out yet
 	pool                machinePool
 	machineType         *protocol.MachineType
 	readyInS            float64 // seconds until it can start a task
-	usedCPUs            float64 // CPUs in use or allocated, also to tasks that start one after the other
-	remainingCPUSeconds float64 // CPU seconds that these still take
+	usedCPUs            float64 // of assigned and planned tasks; more than the machine has if some run one after another
+	remainingCPUSeconds float64 // CPU seconds that these tasks still need
 }
 
-// newRentedCapacity returns the capacity of a machine that is rented now.
+// newRentalOffer returns the capacity of a machine that is to be rented or is part of a pending rental.
 func newRentalOffer(pool machinePool, t *protocol.MachineType) *capacityOffer {
 	return &capacityOffer{pool: pool, machineType: t, readyInS: estimatedBootS(t)}
 }
 
-// addAssignment counts what an assignment of the machine uses.
+// addAssignment counts the CPUs of a task that is assigned to the machine, and the time that it is expected
+// to need them still.
 func (c *capacityOffer) addAssignment(a *assignment, now time.Duration) {
 	remainingS := a.job.expectedOccupancySeconds()
 	if a.state == stateRunning {
@@ -34,7 +35,7 @@
 	c.remainingCPUSeconds += remainingS * a.job.demand.CPUs
 }
 
-// allows reports whether tasks of a job may be placed there.
+// allows reports whether a task of the job fits on the machine and may be placed on it.
 func (c *capacityOffer) allows(j *job) bool {
 	if c.machine != nil && (j.excludesMachine(c.machine) || (c.machine.reservedForGangs && !j.mayUseGangReservation)) {
 		return false
@@ -42,10 +43,10 @@
 	return typeResources(c.machineType).Fits(j.demand) && j.mayUsePool(c.pool)
 }
 
-// allocateTasks allocates the capacity to tasks of a job and returns how many: those that can start
-// within some seconds, or as soon as it is ready. A part of what is in use will be free by then, as
-// tasks end one after the other. The carry is the fraction of a task that other machines had left, and
-// then what is left with this one.
+// allocateTasks allocates capacity to those tasks of a job that can start within startWithinS seconds, or
+// as soon as the machine is ready, and returns their number. The estimate of how many can start has a
+// fraction. On entry carry is the fraction that previous machines left over; on return it is what is left
+// over now, at most 1.
 func (c *capacityOffer) allocateTasks(jp *jobPlan, startWithinS float64, carry *float64) int {
 	j := jp.job
 	tasksPerMachine := typeResources(c.machineType).TasksThatFit(j.demand)
@@ -68,8 +69,9 @@
 	return tasks
 }
 
-// startableTasks is how many tasks of a job can start within some seconds, at most as many as fit; a
-// fraction where running tasks are expected to end by then.
+// startableTasks estimates how many tasks of a job can start within startWithinS seconds, at most
+// tasksPerMachine. It assumes that earlier tasks free their CPUs at a constant rate over twice their mean
+// remaining time, so the result may have a fraction.
 func (c *capacityOffer) startableTasks(j *job, tasksPerMachine int, startWithinS float64) float64 {
 	free := typeResources(c.machineType).CPUs - c.usedCPUs
 	if wait := startWithinS - c.readyInS; wait > 0 && c.remainingCPUSeconds > 0 {
@@ -78,7 +80,8 @@
 	return min(max(free/c.cpusPerTask(j, tasksPerMachine), 0), float64(tasksPerMachine))
 }
 
-// cpusPerTask is how many CPUs a task counts for on a machine that a number of them fit on.
+// cpusPerTask returns the CPUs that are allocated to a task. A task that requests none, but accelerators
+// or memory, gets an equal share of the machine's CPUs.
 func (c *capacityOffer) cpusPerTask(j *job, tasksPerMachine int) float64 {
 	if j.demand.CPUs > 0 {
 		return j.demand.CPUs
@@ -86,13 +89,13 @@
 	return typeResources(c.machineType).CPUs / float64(tasksPerMachine)
 }
 
-// capacityState is what planning a job changes of a capacity.
+// offerState is the part of an offer that planning a job changes.
 type offerState struct {
 	usedCPUs, remainingCPUSeconds float64
 	neededByPlan, neededByGang    bool
 }
 
-// state returns what restore needs to undo the planning of a job.
+// state returns the state to which restore can return after a job was planned.
 func (c *capacityOffer) state() offerState {
 	state := offerState{usedCPUs: c.usedCPUs, remainingCPUSeconds: c.remainingCPUSeconds}
 	if c.machine != nil {
@@ -101,7 +104,7 @@
 	return state
 }
 
-// restore returns the capacity to an earlier state.
+// restore returns the offer to an earlier state.
 func (c *capacityOffer) restore(state offerState) {
 	c.usedCPUs, c.remainingCPUSeconds = state.usedCPUs, state.remainingCPUSeconds
 	if c.machine != nil {
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -11,21 +11,22 @@
 	"quillshunt/internal/protocol"
 )
 
-// capacityPlan is one run of the planner: the capacity that is there, what of it the jobs will use, and
-// what is to be rented.
+// capacityPlan is one run of the planner: it allocates the capacity of the machines to the jobs in queue
+// order and determines which machines to rent.
 type capacityPlan struct {
 	*capacityPlanner
 	offers         []*capacityOffer
-	machineCount   int                     // that are known or asked for
-	machinesInZone map[string]int          // without those that are being deleted
-	toRent         map[machinePool]float64 // a fraction if a part of a machine is enough
+	machineCount   int                     // known and requested machines, including those that are being deleted
+	machinesInZone map[string]int          // known machines and those to rent, without those that are being deleted
+	toRent         map[machinePool]float64 // number of machines to rent; has a fraction if a part of a machine suffices
 
-	requestsLeft       int                 // rental requests that the cloud accepts before the next plan
-	pendingRequests    map[machinePool]int // not answered yet
-	maxRequestsPerPool int                 // that may wait for their answers
+	requestsLeft       int                 // rental requests that the cloud's rate limit allows before the next plan
+	pendingRequests    map[machinePool]int // rental requests without an answer
+	maxRequestsPerPool int                 // limit on the requests of one pool that have no answer
 }
 
-// newPlan returns a plan with the capacity of all machines and of rentals that are under way.
+// newPlan returns a plan with the capacity of all usable machines and of pending rentals, none of it
+// allocated to waiting tasks yet.
 func (p *capacityPlanner) newPlan() *capacityPlan {
 	plan := &capacityPlan{
 		capacityPlanner: p,
@@ -36,13 +37,13 @@
 	}
 	plan.addMachines()
 	plan.addPendingRentals()
-	// What is left of a pool is not known, and each refusal costs a call of the cloud's rate: pools of
-	// similar price share the calls.
+	// It is unknown how many machines a pool has left, and a refused request counts against the cloud's
+	// rate limit like any other. The requests are therefore divided among the pools of similar price.
 	plan.maxRequestsPerPool = max(limits.MinPoolRequests, plan.requestsLeft/max(p.countCheapPools(), 1))
 	return plan
 }
 
-// addMachines adds the capacity of the machines that are known.
+// addMachines adds the capacity of the machines in the inventory.
 func (p *capacityPlan) addMachines() {
 	for _, m := range p.inventory.all() {
 		p.machineCount++
@@ -56,7 +57,7 @@
 	}
 }
 
-// capacityOf returns the capacity of a machine, or nil if it must not be planned with.
+// offerOf returns the capacity of a machine, or nil if no tasks should be planned on it.
 func (p *capacityPlan) offerOf(m *machine) *capacityOffer {
 	if m.machineType == nil || m.deleting || m.spotNotice || m.isFaulty() {
 		return nil
@@ -72,8 +73,8 @@
 	return offer
 }
 
-// readyIn returns in how many seconds a machine is expected to start tasks, and false if it may be
-// gone or never come up.
+// secondsUntilReady returns in how many seconds a machine is expected to start tasks. It returns false if
+// the machine has been unreachable for too long, or may never finish booting.
 func (p *capacityPlan) secondsUntilReady(m *machine) (seconds float64, ok bool) {
 	if m.hasReported {
 		return 0, !p.isLongUnreachable(m)
@@ -88,14 +89,14 @@
 	return limits.OverdueBootS, true
 }
 
-// isLongUnreachable reports whether a machine has been unreachable or unverified for so long that it
-// is not planned with.
+// isLongUnreachable reports whether a machine has been unreachable or unverified for so long that no
+// tasks should be planned on it.
 func (p *capacityPlan) isLongUnreachable(m *machine) bool {
 	grace := 2 * p.staleAfter()
 	return p.now > m.lastHeartbeatAt+grace || (!m.verified && p.now > m.unverifiedSince+grace)
 }
 
-// addPendingRentals adds the capacity of rentals that are under way, and counts their requests.
+// addPendingRentals adds the capacity of rentals that the cloud has not answered, and counts their requests.
 func (p *capacityPlan) addPendingRentals() {
 	for _, r := range p.rentals.all() {
 		if !r.isPending() {
@@ -115,7 +116,7 @@
 	}
 }
 
-// planJobs plans the jobs in the order of the queue.
+// planJobs plans the jobs in queue order. Jobs that are backing off after failures are skipped.
 func (p *capacityPlan) planJobs() {
 	for _, j := range p.queue.order() {
 		switch {
@@ -128,23 +129,24 @@
 	}
 }
 
-// estimatedBootS is how many seconds a machine of a type is expected to take until it is up.
+// estimatedBootS returns how many seconds a machine of the type is expected to need to boot.
 func estimatedBootS(t *protocol.MachineType) float64 { return t.BootS * limits.BootEstimateFactor }
 
-// roundUp rounds up how many machines of a pool are to be rented: a gang needs all of its machines,
-// and a job that has waited for long for a part of one would otherwise wait until other machines are
-// free.
+// rentWholeMachines rounds up the number of machines to rent from a pool. A fraction may be too small to
+// rent a machine (see machinesToRent), but a gang needs all its machines, and a job that has waited for
+// long should not have to wait for other machines to become free.
 func (p *capacityPlan) rentWholeMachines(pool machinePool) {
 	p.toRent[pool] = math.Ceil(p.toRent[pool] - limits.Epsilon)
 }
 
-// rentAtLeast makes a number of machines of a pool be rented; what is rented for jobs counts.
+// rentAtLeast raises the number of machines to rent from a pool to at least the given one. Machines that
+// are already to be rented for jobs count towards it.
 func (p *capacityPlan) rentAtLeast(pool machinePool, machines float64) {
 	p.toRent[pool] = max(p.toRent[pool], machines)
 }
 
-// mayRent reports whether more machines of a pool may be asked for in this plan. A pool that has
-// refused lately is tried with one request.
+// mayRent reports whether this plan may request more machines from a pool. A pool whose last answer was
+// incomplete may have only one request without an answer.
 func (p *capacityPlan) mayRent(pool machinePool) bool {
 	requests := p.maxRequestsPerPool
 	if p.rentals.lastAnswerIncomplete(pool) {
@@ -154,7 +156,7 @@
 	return p.toRent[pool] < float64(limit)
 }
 
-// poolsByPrice returns the pools to rent from, the cheapest first.
+// poolsByPrice returns the pools to rent from, sorted by price per CPU, the cheapest first.
 func (p *capacityPlan) poolsByPrice() []machinePool {
 	return slices.SortedFunc(maps.Keys(p.toRent), func(a, b machinePool) int {
 		return cmp.Or(
@@ -165,8 +167,8 @@
 	})
 }
 
-// machinesToRent is how many machines of a pool are to be rented within the limit of the fleet. A
-// small part of a machine is not enough to rent it, unless there is no machine at all.
+// machinesToRent returns how many machines to rent from a pool without exceeding maxMachines. A fraction
+// below MinRentalFraction is dropped, unless there is no machine at all.
 func (p *capacityPlan) machinesToRent(pool machinePool) int {
 	count := int(math.Floor(p.toRent[pool] + 1 - limits.MinRentalFraction))
 	if count == 0 && p.machineCount == 0 {
@@ -179,8 +181,8 @@
 	return min(count, allowed)
 }
 
-// rent rents the missing machines, from the cheapest pools first, as the cloud may not accept requests
-// for all.
+// rent starts the rentals of the plan. The cheapest pools come first, because the limits on requests and
+// machines may not allow all rentals.
 func (p *capacityPlan) rent() {
 	for _, pool := range p.poolsByPrice() {
 		count := p.machinesToRent(pool)
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -7,7 +7,7 @@
 	"quillshunt/internal/limits"
 )
 
-// capacityPlanner decides which machines are rented, and which are drained and returned.
+// capacityPlanner decides which machines are rented and which are drained.
 type capacityPlanner struct {
 	*environment
 	jobs      *jobTable
@@ -17,10 +17,10 @@
 	rentals   *rentalTable
 
 	nextPlanAt     time.Duration
-	nextLimitLogAt time.Duration // when to log again that the fleet is at its limit
+	nextLimitLogAt time.Duration // earliest time of the next log entry of logMachineLimit
 }
 
-// newCapacityPlanner returns a planner that has made no plan yet.
+// newCapacityPlanner returns a planner whose first plan is due at once.
 func newCapacityPlanner(
 	env *environment, jobs *jobTable, queue *jobQueue,
 	inventory *machineInventory, catalog *typeCatalog, rentals *rentalTable,
@@ -35,10 +35,11 @@
 	}
 }
 
-// planNow makes the next plan due at once.
+// requestPlan makes a plan due at the next tick.
 func (p *capacityPlanner) requestPlan() { p.nextPlanAt = 0 }
 
-// startIfDue reports whether a plan is due, and notes when the next one is.
+// scheduleNextIfDue reports whether a plan is due. If so, it schedules the next one after PlanInterval. No
+// plan is due before the machine types are known.
 func (p *capacityPlanner) scheduleNextIfDue() bool {
 	if p.now < p.nextPlanAt || p.catalog.isEmpty() {
 		return false
@@ -47,7 +48,7 @@
 	return true
 }
 
-// maxMachines is how many machines may be rented at once.
+// maxMachines returns the operators' limit on the number of machines, which applies to the whole fleet.
 func (p *capacityPlanner) maxMachines() int {
 	if n := p.cfg.Options.Fleet.MaxMachines; n > 0 {
 		return n
@@ -55,23 +56,24 @@
 	return math.MaxInt32
 }
 
-// logLimit logs from time to time that the plan needs more machines than may be rented.
+// logMachineLimit logs, at most once every SummaryInterval, that the plan needs more machines than
+// maxMachines allows.
 func (p *capacityPlanner) logMachineLimit(machines, needed int) {
 	if p.now < p.nextLimitLogAt {
 		return
 	}
 	p.nextLimitLogAt = p.now + limits.SummaryInterval
-	p.logWarn("fleet at its limit", keyMachines, machines, "needed", needed)
+	p.logWarn("machine limit reached; not all planned machines are rented", keyMachines, machines, "to_rent", needed)
 }
 
-// planCapacity compares the backlog with what the fleet can work off in time, rents what is missing
-// and returns what is idle.
+// planCapacity makes and executes a capacity plan: it rents machines for the waiting tasks that the
+// existing ones cannot start in time, selects the machines to drain and returns idle ones.
 func (s *Scheduler) planCapacity() {
 	plan := s.planner.newPlan()
 	plan.planJobs()
 	s.reserveForGangs(plan)
 	if s.gangReservations.hasDemand() {
-		s.placement.requestPass() // the jobs that may use the machines reserved for gangs have changed
+		s.placement.requestPass() // the set of reserved machines may have changed
 	}
 	plan.rent()
 	s.planner.updateDraining()
--- a/internal/coordination/scheduler/pools.go
+++ b/internal/coordination/scheduler/pools.go
@@ -6,19 +6,20 @@
 	"quillshunt/internal/limits"
 )
 
-// machinePool is where machines are rented from: a type in a zone, as spot instances or not.
+// machinePool identifies a pool that machines are rented from: a machine type in a zone, as spot instances
+// or on demand.
 type machinePool struct {
 	typeName, zone string
 	spot           bool
 }
 
-// poolState is how long a pool that has refused machines is left alone.
+// poolState is the backoff of a pool that had fewer machines than were requested.
 type poolState struct {
-	backoffUntil time.Duration
-	backoff      time.Duration // 0 if its last answer was complete
+	backoffUntil time.Duration // no machines are requested before this time
+	backoff      time.Duration // length of the last backoff; 0 if the last answer was complete
 }
 
-// pool returns the state of a pool.
+// poolState returns the state of a pool, and creates it if there is none.
 func (t *rentalTable) poolState(pool machinePool) *poolState {
 	state := t.pools[pool]
 	if state == nil {
@@ -28,28 +29,29 @@
 	return state
 }
 
-// backOff makes a pool that has fewer machines than were asked for wait before it is asked again,
-// longer each time.
+// backOff defers further requests to a pool that had fewer machines than were requested. The delay doubles
+// each time, up to CapacityBackoffMax.
 func (t *rentalTable) backOff(pool machinePool) {
 	state := t.poolState(pool)
 	state.backoff = min(max(2*state.backoff, limits.CapacityBackoffMin), limits.CapacityBackoffMax)
 	state.backoffUntil = t.now + state.backoff
 }
 
-// resetBackoff notes that a pool has given all machines that it was asked for.
+// resetBackoff records that a pool had all machines that were requested.
 func (t *rentalTable) resetBackoff(pool machinePool) {
 	if state := t.pools[pool]; state != nil {
 		state.backoff = 0
 	}
 }
 
-// isBackedOff reports whether a pool must not be asked for machines yet.
+// isBackedOff reports whether no machines may be requested from a pool yet.
 func (t *rentalTable) isBackedOff(pool machinePool) bool {
 	state := t.pools[pool]
 	return state != nil && t.now < state.backoffUntil
 }
 
-// refusedLately reports whether the last answer of a pool had fewer machines than were asked for.
+// lastAnswerIncomplete reports whether a pool had fewer machines than were requested when the cloud last
+// answered a request to it.
 func (t *rentalTable) lastAnswerIncomplete(pool machinePool) bool {
 	state := t.pools[pool]
 	return state != nil && state.backoff > 0
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -10,38 +10,39 @@
 	"quillshunt/internal/storage"
 )
 
-// rentalState is how far a rental request has come.
+// rentalState is the progress of a rental.
 type rentalState uint8
 
 const (
-	rentalWriting   rentalState = iota // its record is written for the first time
-	rentalRequested                    // the cloud is asked, again and again until it answers
-	rentalAnswered                     // the cloud has answered
-	rentalRemoving                     // its record is removed
+	rentalWriting   rentalState = iota // the first write of the record is not confirmed yet
+	rentalRequested                    // the request is sent to the cloud and retried until it is answered
+	rentalAnswered                     // the cloud has answered, or no request is needed
+	rentalRemoving                     // the removal of the record is not confirmed yet
 )
 
-// rental is a request to the cloud for machines of one pool, with its durable record. It exists as
-// long as one of its machines does.
+// rental is a request to the cloud for machines of one pool, with its record in the state service. It
+// is removed once the cloud has refused it or the last of its machines is deleted.
 type rental struct {
 	name          string
 	record        storage.Rental
-	version       uint64 // of the record; 0 before the first write is confirmed
+	version       uint64 // version of the written record; 0 before the first write is confirmed
 	state         rentalState
 	requestedAt   time.Duration
-	dirty         bool // the record in memory is newer than the written one
-	writeInFlight bool
-	answerDurable bool // the written record names the machines
+	dirty         bool // the record in memory differs from the written one
+	writeInFlight bool // a write of the record is in flight
+	answerDurable bool // the written record contains the machines that the cloud has given
 }
 
-// isPending reports whether the cloud has not answered yet.
+// isPending reports whether the cloud has not answered the request yet.
 func (r *rental) isPending() bool { return r.state == rentalWriting || r.state == rentalRequested }
 
-// pool returns the pool of machines that the rental is made to.
+// pool returns the pool that the machines are rented from.
 func (r *rental) pool() machinePool {
 	return machinePool{r.record.MachineType, r.record.Zone, r.record.Spot}
 }
 
-// request returns what the cloud is asked for. The answer to a repeated request is the same.
+// request returns the request to the cloud. It is idempotent by its name: the cloud gives the same answer
+// to a repeated request.
 func (r *rental) request() protocol.RentalRequest {
 	return protocol.RentalRequest{
 		Name:        r.name,
@@ -52,15 +53,15 @@
 	}
 }
 
-// rentalTable holds the rentals of this and earlier terms, and which pools have refused machines
-// lately. It keeps the durable record of each rental in line with what is known.
+// rentalTable holds the rentals of this and earlier terms, and the backoff of pools that lack capacity.
+// It writes the changes of each rental to its record in the state service.
 type rentalTable struct {
 	*environment
 	inventory      *machineInventory
 	byName         map[string]*rental
 	pools          map[machinePool]*poolState
-	rentalSequence uint64 // of the names of this term's rentals
-	maxMachines    int    // of one rental, so that its record fits
+	rentalSequence uint64 // number of the last rental of this term; part of its name
+	maxMachines    int    // limit on the machines of one rental, so that its record fits the value limit
 }
 
 // newRentalTable returns a table without rentals.
@@ -74,13 +75,13 @@
 	}
 }
 
-// find returns the rental of a name, or nil.
+// find returns the rental with the given name, or nil.
 func (t *rentalTable) find(name string) *rental { return t.byName[name] }
 
 // count returns the number of rentals.
 func (t *rentalTable) count() int { return len(t.byName) }
 
-// maxPerRental returns how many machines one rental may be for.
+// maxPerRental returns the largest number of machines in one rental.
 func (t *rentalTable) maxPerRental() int { return t.maxMachines }
 
 // all returns the rentals, sorted by name.
@@ -93,8 +94,9 @@
 	return rentals
 }
 
-// load adds a rental of an earlier term and its machines. If the cloud's answer is not known it is
-// asked again: it gives the same answer, or the machines for the first time.
+// load adds a rental of an earlier term and its machines. If the record does not contain the cloud's
+// answer, the request is sent again. The cloud repeats its answer, or rents the machines now if the
+// earlier leader never sent the request.
 func (t *rentalTable) load(e RentalLoaded) {
 	r := &rental{
 		name:          e.Name,
@@ -115,8 +117,8 @@
 	}
 }
 
-// rent starts a rental of up to maxMachines machines: its name is durable before the request leaves,
-// so that a successor can ask for the answer.
+// rent starts a rental of count machines, but at most maxPerRental. The record is written before the
+// request is sent, so that the next leader can repeat the request and learn which machines were rented.
 func (t *rentalTable) rent(pool machinePool, count int) {
 	t.rentalSequence++
 	r := &rental{
@@ -131,16 +133,16 @@
 		},
 	}
 	t.byName[r.name] = r
-	t.logInfo("renting", keyRental, r.name, keyType, pool.typeName, keyZone, pool.zone, keySpot, pool.spot,
-		"count", r.record.Count)
+	t.logInfo("rental started", keyRental, r.name, keyType, pool.typeName, keyZone, pool.zone, keySpot, pool.spot,
+		keyMachines, r.record.Count)
 	t.writeRecord(r)
 }
 
-// adopt makes a record for a machine that no rental accounts for.
+// adopt starts an answered rental for a machine that belongs to none, so that a record contains it.
 func (t *rentalTable) adopt(m *machine) {
 	name := "found-" + m.name
 	if t.byName[name] != nil {
-		return // its last record is just being removed; the next heartbeat tries again
+		return // the removal of an earlier record of this name is in flight; the next heartbeat retries
 	}
 	t.logWarn("machine without rental adopted",
 		keyMachine, m.name, keyType, m.typeName, keyZone, m.zone, keySpot, m.spot)
@@ -161,16 +163,16 @@
 	t.writeRecord(r)
 }
 
-// accountsFor reports whether the written record of a rental names the machine. A successor ignores
-// what else is recorded of a machine that no rental accounts for.
+// hasDurableRecordOf reports whether the written record of a rental contains the machine. The next leader
+// ignores the registration of a machine that no rental's record contains.
 func (t *rentalTable) hasDurableRecordOf(m *machine) bool {
 	r := t.byName[m.rental]
 	return r != nil && r.answerDurable
 }
 
-// answered adds the machines that the cloud has given to the rental and the inventory.
+// recordAnswer adds the machines in the cloud's answer to the rental and to the inventory.
 func (t *rentalTable) recordAnswer(r *rental, machines []string) {
-	t.logInfo("rented", keyRental, r.name, keyMachines, len(machines))
+	t.logInfo("rental answered", keyRental, r.name, keyMachines, len(machines))
 	r.state, r.dirty = rentalAnswered, true
 	r.record.Answered = true
 	for _, name := range machines {
@@ -189,15 +191,16 @@
 	}
 }
 
-// refused removes a rental for which the cloud has no machines.
+// handleNoCapacity removes a rental for which the cloud has no machines, and backs off its pool.
 func (t *rentalTable) handleNoCapacity(r *rental) {
 	pool := r.pool()
 	t.backOff(pool)
-	t.logInfo("no capacity", keyRental, r.name, keyType, pool.typeName, keyZone, pool.zone, keySpot, pool.spot)
+	t.logInfo("rental refused", keyRental, r.name, keyType, pool.typeName, keyZone, pool.zone, keySpot, pool.spot,
+		keyReason, "no capacity")
 	t.removeRecord(r)
 }
 
-// removeMachine removes a machine that is gone from the record of its rental.
+// removeMachine removes a deleted machine from its rental; reconcile writes the change.
 func (t *rentalTable) removeMachine(m *machine) {
 	if r := t.byName[m.rental]; r != nil {
 		r.record.Machines = slices.DeleteFunc(r.record.Machines, func(name string) bool { return name == m.name })
@@ -205,12 +208,12 @@
 	}
 }
 
-// reconcile brings a rental's record in line with what is known: it is removed once all its machines
-// are gone.
+// reconcile writes the changes of a rental to its record, or removes the record once all machines of the
+// rental are deleted.
 func (t *rentalTable) reconcile(r *rental) {
 	switch {
 	case r.writeInFlight || r.version == 0:
-		// The answer to the write comes back here.
+		// rentalWritten calls reconcile again once the write has succeeded.
 	case r.state == rentalAnswered && len(r.record.Machines) == 0:
 		t.removeRecord(r)
 	case r.dirty && r.state != rentalRemoving:
@@ -218,14 +221,15 @@
 	}
 }
 
-// reconcileAll does so for all rentals.
+// reconcileAll calls reconcile for all rentals.
 func (t *rentalTable) reconcileAll() {
 	for _, r := range t.all() {
 		t.reconcile(r)
 	}
 }
 
-// writeRecord writes a rental's record; one write of a record is under way at a time.
+// writeRecord writes a rental's record. While a write of the record is in flight it only marks the record
+// as dirty.
 func (t *rentalTable) writeRecord(r *rental) {
 	if r.writeInFlight {
 		r.dirty = true
@@ -240,13 +244,14 @@
 	)
 }
 
-// recordWritten notes the outcome of writeRecord. It returns the machines that the record names
-// durably from now on.
+// recordWritten handles the outcome of writeRecord. It returns the machines that the written record
+// contains for the first time.
 func (t *rentalTable) recordWritten(r *rental, write rentalWrite, ok bool, version uint64) (newlyDurable []string) {
 	r.writeInFlight = false
 	if !ok {
-		// Only we write rentals, so this cannot be; without a record the machines get no tasks.
-		t.logWarn("rental record refused", keyRental, r.name)
+		// Only the leader writes rentals, so a conflict is not expected. If one occurs, the machines get
+		// no tasks, because no written record contains them.
+		t.logWarn("write of rental record rejected", keyRental, r.name)
 		return nil
 	}
 	r.version = version
@@ -257,7 +262,8 @@
 	return nil
 }
 
-// proceed continues with a rental whose record is written.
+// continueAfterWrite sends the request of a new rental once its record is written, and writes changes that
+// were made during the write.
 func (t *rentalTable) continueAfterWrite(r *rental) {
 	if r.state == rentalWriting {
 		r.state = rentalRequested
@@ -266,7 +272,7 @@
 	t.reconcile(r)
 }
 
-// removeRecord removes a rental's record, and with that the rental.
+// removeRecord starts the removal of a rental's record. removalWritten then removes the rental itself.
 func (t *rentalTable) removeRecord(r *rental) {
 	r.state = rentalRemoving
 	key := storage.RentalKey(r.name)
@@ -277,7 +283,8 @@
 	)
 }
 
-// removalWritten forgets a rental whose record is removed. Otherwise the removal is tried again.
+// removalWritten handles the outcome of removeRecord: it removes the rental, or makes reconcile retry the
+// removal if it has failed.
 func (t *rentalTable) removalWritten(write rentalRemoval, ok bool) {
 	if ok {
 		delete(t.byName, write.rental)
@@ -286,7 +293,7 @@
 	}
 }
 
-// rentalWritten handles the outcome of the write of a rental's record.
+// rentalWritten handles the outcome of a write of a rental's record.
 func (s *Scheduler) rentalWritten(write rentalWrite, ok bool, version uint64) {
 	r := s.rentals.find(write.rental)
 	if r == nil {
@@ -294,7 +301,7 @@
 	}
 	for _, name := range s.rentals.recordWritten(r, write, ok, version) {
 		if m := s.inventory.find(name); m != nil && m.hasReported {
-			s.registerMachine(m) // it was up before its rental's record was written
+			s.registerMachine(m) // reported before the record was written, so it could not be registered then
 		}
 	}
 	if ok {
@@ -302,7 +309,7 @@
 	}
 }
 
-// rentalDone handles the cloud's answer to a rental request.
+// rentalDone handles the outcome of RentMachines. A request without a clear answer is sent again.
 func (s *Scheduler) rentalDone(e RentalDone) {
 	r := s.rentals.find(e.Name)
 	if r == nil || r.state != rentalRequested {
@@ -319,7 +326,7 @@
 	}
 	if len(e.Machines) < r.record.Count {
 		s.rentals.backOff(r.pool())
-		s.planner.requestPlan() // the rest is asked for elsewhere at once
+		s.planner.requestPlan() // the missing machines are requested from other pools at once
 	} else {
 		s.rentals.resetBackoff(r.pool())
 	}
