--- a/internal/coordination/scheduler/feasibility.go
+++ b/internal/coordination/scheduler/feasibility.go
@@ -8,8 +8,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// CanEverRun reports whether a job could ever run: a task fits on a machine of some allowed type,
-// and its team's limit allows the task; of a gang, all tasks together.
+// CanEverRun reports whether a job could run if no other job used machines: a task fits on some machine type
+// that is allowed and offered in its zone, and the team's limit allows one task, or all tasks of a gang at the
+// same time.
 func CanEverRun(spec *protocol.Spec, types []protocol.MachineType, cpusMax, gpusMax float64) bool {
 	simultaneousTasks := 1.0
 	if spec.Gang() {
@@ -19,7 +20,7 @@
 		simultaneousTasks*spec.CPUs <= cpusMax+limits.Epsilon && simultaneousTasks*spec.Accelerators <= gpusMax+limits.Epsilon
 }
 
-// fitsSomeType reports whether a machine of some allowed type can run a task of the job.
+// fitsSomeType reports whether a task of the job fits on a machine type that is allowed and offered in its zone.
 func fitsSomeType(spec *protocol.Spec, types []protocol.MachineType) bool {
 	demand := taskDemand(spec)
 	for i := range types {
@@ -32,12 +33,12 @@
 	return false
 }
 
-// typeAllowed reports whether a job may use machines of a type.
+// typeAllowed reports whether a job may use machines of a type. A job that names no types may use all.
 func typeAllowed(spec *protocol.Spec, typeName string) bool {
 	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, typeName)
 }
 
-// taskDemand returns what a task of a job needs.
+// taskDemand returns the resources that each task of a job requests.
 func taskDemand(spec *protocol.Spec) resource.Vector {
 	return resource.Vector{CPUs: spec.CPUs, Accelerators: spec.Accelerators, MemoryGB: spec.MemoryGB}
 }
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -2,7 +2,8 @@
 
 import "quillshunt/internal/limits"
 
-// manageFleet keeps the fleet in step with the work. It is called with every tick.
+// manageFleet does the periodic work on the fleet: it reads machine types and the machine list, probes and
+// returns machines, and plans capacity. It is called at every tick.
 func (s *Scheduler) manageFleet() {
 	s.catalog.fetchIfDue()
 	s.cloudList.readIfDue()
@@ -16,14 +17,14 @@
 	s.requestDeletions()
 }
 
-// knowsFleet reports whether enough of the fleet has reported to plan with it: the machines had the
-// time for that.
+// canPlanCapacity reports whether capacity may be planned: recovery has ended, or the machines have had
+// enough time in this term to report.
 func (s *Scheduler) canPlanCapacity() bool {
 	return s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleAfter()
 }
 
-// requestDeletions asks the cloud to delete machines that are to be returned, as many as fit into one
-// request.
+// requestDeletions requests the deletion of machines that are to be returned, as many as one request to the
+// cloud may contain.
 func (s *Scheduler) requestDeletions() {
 	var names []string
 	for _, m := range s.inventory.all() {
--- a/internal/coordination/scheduler/job_plan.go
+++ b/internal/coordination/scheduler/job_plan.go
@@ -7,23 +7,24 @@
 	"quillshunt/internal/protocol"
 )
 
-// jobPlan is what is left to plan of one job.
+// jobPlan is the part of a job that is not planned yet.
 type jobPlan struct {
 	job            *job
 	tasksLeft      int
-	taskOccupancyS float64 // that a task is expected to use its resources
-	maxWaitS       float64 // seconds within which tasks should start on capacity that is there
+	taskOccupancyS float64 // seconds for which a task is expected to occupy its resources
+	maxWaitS       float64 // tasks should start on existing machines within this time
 	zones          *zonePlan
 }
 
-// planned notes that some tasks are planned in a zone.
+// addPlannedTasks records that tasks are planned in a zone.
 func (jp *jobPlan) addPlannedTasks(zone string, tasks int) {
 	jp.tasksLeft -= tasks
 	jp.zones.addTasks(zone, tasks)
 }
 
-// planJob allocates capacity that can start them in time to a job's waiting tasks, and adds machines
-// to rent for the others. It returns how many tasks found neither.
+// planJob allocates existing and pending machines to those of a job's waiting tasks that can start on them
+// in time, and adds machines to rent for the others. It returns for how many tasks there is neither. A gang
+// that its team's limit does not allow as a whole is not planned.
 func (p *capacityPlan) planJob(j *job) (unplanned int) {
 	tasks := j.tasksWithinTeamLimit()
 	if tasks <= 0 || tasks < j.gangTasksToPlace() {
@@ -44,8 +45,8 @@
 	return jp.tasksLeft
 }
 
-// tasksWithinTeamLimit is how many of the waiting tasks the team's limit lets start now; the others
-// need no machine yet.
+// tasksWithinTeamLimit returns how many of the job's waiting tasks its team's CPU limit allows to start now.
+// The others need no machine yet.
 func (j *job) tasksWithinTeamLimit() int {
 	tasks := j.waitingTasks()
 	if j.demand.CPUs > 0 {
@@ -54,16 +55,17 @@
 	return tasks
 }
 
-// maxWaitS is within how many seconds tasks of a job should start on capacity that is there. What
-// starts before a new machine can be up needs none. What has waited as long already can't wait as
-// long again, or a queue that is always as long would never be worked off.
+// maxWaitS returns within how many seconds tasks of a job should start on existing machines. For a new job
+// it is at least the boot time, because a new machine would not start the tasks earlier. It decreases with
+// the age of the job: otherwise no machines would be rented for a queue of constant length, however long its
+// jobs had waited.
 func (p *capacityPlan) maxWaitS(j *job) float64 {
 	wait := max(p.maxPlannedWaitS(j), p.catalog.minBootS(j))
 	return max(wait-(p.now-j.submittedAt).Seconds(), 0)
 }
 
-// maxPlannedWait is how many seconds a job's tasks are planned to wait for capacity: a share of the
-// time that they have.
+// maxPlannedWaitS returns how many seconds a job's tasks may be planned to wait for existing machines:
+// MaxPlannedWait, or a share of the job's slack if that is less.
 func (p *capacityPlan) maxPlannedWaitS(j *job) float64 {
 	fleet := &p.cfg.Options.Fleet
 	wait := time.Duration(fleet.MaxPlannedWait).Seconds()
@@ -73,8 +75,8 @@
 	return wait
 }
 
-// planOnOffers allocates the capacity that is there. The fraction of a task that one machine has left
-// is carried to the next.
+// planOnOffers allocates the capacity of existing and pending machines to the tasks of a job. The fraction
+// of a task that one machine leaves over is added to the next one.
 func (p *capacityPlan) planOnOffers(jp *jobPlan) {
 	j := jp.job
 	carry := 0.0
@@ -92,8 +94,8 @@
 	}
 }
 
-// keepForGang makes sure that a machine with tasks of a gang is there: it is not drained, or it is
-// rented as a whole.
+// keepForGang ensures that the machine of an offer will be available to a gang: an existing machine is not
+// drained, and one to be rented is rented even if only a part of it is needed.
 func (p *capacityPlan) keepForGang(offer *capacityOffer) {
 	if offer.machine != nil {
 		offer.machine.neededByGang = true
@@ -102,8 +104,8 @@
 	p.rentWholeMachines(offer.pool)
 }
 
-// planOnNewMachines adds machines to rent for the tasks that are left, as long as there are pools to
-// rent from.
+// planOnNewMachines adds machines to rent for the remaining tasks, as long as a pool is available and
+// maxMachines is not exceeded.
 func (p *capacityPlan) planOnNewMachines(jp *jobPlan) {
 	zoneAllowed := func(zone string) bool { return jp.zones.remaining(zone) > 0 }
 	var pool machinePool
@@ -120,8 +122,8 @@
 	}
 }
 
-// planNewMachine adds a machine to rent, or the part of one that the tasks left need, and returns how
-// many tasks that is.
+// planNewMachine adds a machine to rent, or the fraction of one that the remaining tasks need, and returns
+// the number of tasks that are planned on it.
 func (p *capacityPlan) planNewMachine(jp *jobPlan, pool machinePool, t *protocol.MachineType) int {
 	j := jp.job
 	offer := newRentalOffer(pool, t)
@@ -136,7 +138,7 @@
 		p.rentWholeMachines(pool)
 	}
 	if tasks < tasksPerMachine {
-		p.offers = append(p.offers, offer) // the jobs behind may use the rest of this machine
+		p.offers = append(p.offers, offer) // later jobs may use the rest of this machine
 	}
 	return tasks
 }
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -8,10 +8,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// cheapestPool returns the pool in which a machine for a job costs least for each task that fits on it,
-// among those that are not known to be empty, and its machine type; nil if nothing should be rented
-// for the job now. A pool that may not be asked for more in this plan is left for a more expensive one
-// only at a similar price; otherwise it is asked again with the next plan.
+// cheapestPool returns the available pool with the lowest cost per task of a job, and its machine type. The
+// type is nil if no machine should be rented for the job now. If a cheaper pool is deferred in this plan, a
+// more expensive one replaces it only at a similar price; otherwise the job waits for the next plan.
 func (p *capacityPlan) cheapestPool(
 	j *job, zoneAllowed func(zone string) bool,
 ) (machinePool, *protocol.MachineType) {
@@ -39,13 +38,13 @@
 	return search.pool, search.machineType
 }
 
-// poolSearch is the search for the cheapest pool. Costs are those of a task.
+// poolSearch is the state of the search for the cheapest pool. Costs are per task.
 type poolSearch struct {
-	pool         machinePool           // the cheapest that is available
-	machineType  *protocol.MachineType // of that pool; nil if there is none
-	cost         float64               // of that pool
-	deferredCost float64               // of the cheapest busy pool
-	lowestCost   float64               // of the cheapest pool, whether it is available or not
+	pool         machinePool           // the cheapest available pool
+	machineType  *protocol.MachineType // type of that pool; nil if no pool is available
+	cost         float64               // cost in that pool
+	deferredCost float64               // cost in the cheapest deferred pool
+	lowestCost   float64               // cost in the cheapest pool, available or not
 }
 
 // consider adds a pool to the search.
@@ -61,16 +60,17 @@
 	}
 }
 
-// poolAvailability is whether a pool may be asked for machines in this plan.
+// poolAvailability tells whether machines may be requested from a pool in this plan.
 type poolAvailability uint8
 
 const (
 	poolAvailable     poolAvailability = iota
-	poolDeferred                       // asked for enough in this plan, or in a zone that is not allowed
-	poolLacksCapacity                  // has refused machines lately
+	poolDeferred                       // has reached its limit on requests, or is in a zone that is not allowed
+	poolLacksCapacity                  // had fewer machines than were last requested, and may not be tried again yet
 )
 
-// availability returns whether a pool may be asked for machines for a job.
+// availability returns whether machines may be requested from a pool for a job whose tasks may run in the
+// zones that zoneAllowed accepts.
 func (p *capacityPlan) availability(pool machinePool, zoneAllowed func(zone string) bool) poolAvailability {
 	if p.rentals.isBackedOff(pool) {
 		return poolLacksCapacity
@@ -84,13 +84,14 @@
 	return poolDeferred
 }
 
-// zoneSpreadFactor makes machines spread over zones where all else is equal.
+// zoneSpreadFactor returns a factor for the cost of pools in a zone. It grows slightly with the number of
+// machines there, so that machines are spread over zones of equal price.
 func (p *capacityPlan) zoneSpreadFactor(zone string) float64 {
 	return 1 + limits.ZoneSpreadPenalty*float64(p.machinesInZone[zone])
 }
 
-// waitsForCheaperPool reports whether a job is not urgent enough for a pool that costs far more than
-// another, which has nothing now.
+// shouldWaitForCheaperPool reports whether a job should wait because its only available pools cost far more
+// than the cheapest one. Jobs with little slack do not wait.
 func (p *capacityPlan) shouldWaitForCheaperPool(j *job, cost, cheapest float64) bool {
 	fleet := &p.cfg.Options.Fleet
 	if cost <= fleet.ExpensivePoolRatio*cheapest {
@@ -100,7 +101,7 @@
 	return late || slack > time.Duration(fleet.ExpensivePoolSlack)
 }
 
-// countCheapPools is how many pools cost about as little as the cheapest.
+// countCheapPools returns the number of pools with a price similar to that of the cheapest, which is included.
 func (p *capacityPlanner) countCheapPools() int {
 	var costs []float64
 	cheapest := math.Inf(1)
@@ -122,7 +123,7 @@
 	return count
 }
 
-// pricePerCPU is what a CPU of a pool costs an hour.
+// pricePerCPU returns the price of a pool per CPU and hour.
 func (p *capacityPlanner) pricePerCPU(pool machinePool) float64 {
 	t := p.catalog.find(pool.typeName)
 	return priceOf(t, pool.spot) / max(t.CPUs, 1)
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -8,9 +8,10 @@
 	"quillshunt/internal/limits"
 )
 
-// updateDraining picks machines that are not needed to be drained and returned, the most expensive
-// and emptiest first: the work would keep all of them if it were spread thin. It is decided anew with
-// every plan, so a burst of work brings them back at once.
+// updateDraining selects surplus machines to be drained, the most expensive and least used first. A drained
+// machine gets no new tasks, so that it becomes idle and can be returned; otherwise a small load that is
+// spread over all machines would keep all of them. The selection is repeated with every plan, so that
+// drained machines get tasks again as soon as the load rises.
 func (p *capacityPlanner) updateDraining() {
 	candidates := p.drainCandidates()
 	surplus := p.surplusCPUs(candidates)
@@ -24,8 +25,9 @@
 	}
 }
 
-// drainCandidates returns the machines that may be drained. What a gang waits for can't be made up for
-// by other machines.
+// drainCandidates returns the machines that may be drained, and clears the previous selection. Machines that
+// a gang needs are no candidates, because surplus capacity elsewhere cannot replace them: a gang needs all
+// its machines at once.
 func (p *capacityPlanner) drainCandidates() []*machine {
 	var candidates []*machine
 	for _, m := range p.inventory.all() {
@@ -37,8 +39,8 @@
 	return candidates
 }
 
-// surplusCPUs is how many CPUs of some machines are not needed for what runs and waits, with some
-// headroom.
+// surplusCPUs returns how many CPUs of the given machines exceed the demand of assigned and waiting tasks
+// plus headroom.
 func (p *capacityPlanner) surplusCPUs(machines []*machine) float64 {
 	var total, used, waiting float64
 	for _, m := range machines {
@@ -53,7 +55,8 @@
 	return total - (used+waiting)*(1+p.cfg.Options.Fleet.Headroom)
 }
 
-// compareForDraining orders machines by price, the highest first, then by how much of them is in use.
+// compareForDraining sorts machines by price per CPU, the highest first, then by the share of their CPUs in
+// use, the lowest first.
 func compareForDraining(a, b *machine) int {
 	if priceA, priceB := a.pricePerCPU(), b.pricePerCPU(); priceA != priceB {
 		return cmp.Compare(priceB, priceA)
@@ -61,8 +64,8 @@
 	return cmp.Compare(a.allocated.CPUs/max(a.capacity().CPUs, 1), b.allocated.CPUs/max(b.capacity().CPUs, 1))
 }
 
-// returnIdleMachines returns machines that have been without work for long enough and that the plan
-// does not need.
+// returnIdleMachines returns machines that have been idle for longer than idleTimeout and that the plan does
+// not need. A machine is kept until its results are durable, and for at least MinChargedTime.
 func (s *Scheduler) returnIdleMachines() {
 	if !s.recovery.hasEnded() {
 		return
@@ -76,7 +79,7 @@
 			continue
 		}
 		if s.isStale(m) {
-			continue // unreachable, not idle: when an isolated leader hears its machines again, they are still good
+			continue // unreachable, maybe only because this leader is isolated; then it can be used again later
 		}
 		if s.now > m.idleSince+s.idleTimeout(m) && s.now > m.createdAt+limits.MinChargedTime {
 			s.returnMachine(m, "idle")
@@ -84,7 +87,7 @@
 	}
 }
 
-// idleTimeout is how long a machine may be idle before it is returned.
+// idleTimeout returns how long a machine may be idle before it is returned.
 func (s *Scheduler) idleTimeout(m *machine) time.Duration {
 	if m.draining {
 		return limits.DrainedIdleTimeout
--- a/internal/coordination/scheduler/zone_plan.go
+++ b/internal/coordination/scheduler/zone_plan.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// zonePlan is how many more tasks of a job may be planned in each zone. Only gangs need it: their
-// tasks are planned together, while those of an array are assigned one by one, and where the next may
-// go follows from the assignments.
+// zonePlan limits how many tasks of a gang may be planned in each zone. All tasks of a gang are planned
+// before any is assigned, so the planned tasks must be counted. Independent tasks are assigned one at a time,
+// and existing assignments decide which zones the next may use; a zonePlan does not limit them.
 type zonePlan struct {
-	onlyZone    string // the zone of a gang that must be in one; "" while it is not chosen
+	onlyZone    string // zone of a gang that must be in one zone; "" until it is chosen, and for other jobs
 	maxPerZone  int
-	tasksByZone map[string]int // tasks in each zone, assigned or planned; nil for other jobs than gangs
+	tasksByZone map[string]int // assigned and planned tasks in each zone; nil for independent tasks
 }
 
-// newZonePlan returns a plan that counts the tasks that are assigned.
+// newZonePlan returns a zone plan that counts the assigned tasks of the job.
 func (j *job) newZonePlan() *zonePlan {
 	z := &zonePlan{maxPerZone: math.MaxInt}
 	if j.gang == nil {
@@ -30,7 +30,7 @@
 	return z
 }
 
-// remaining is how many more tasks may be planned in a zone.
+// remaining returns how many more tasks may be planned in a zone.
 func (z *zonePlan) remaining(zone string) int {
 	if z.onlyZone != "" && z.onlyZone != zone {
 		return 0
@@ -38,7 +38,7 @@
 	return max(z.maxPerZone-z.tasksByZone[zone], 0)
 }
 
-// addTasks notes tasks that are planned in a zone.
+// addTasks counts tasks that are planned in a zone.
 func (z *zonePlan) addTasks(zone string, tasks int) {
 	if z.tasksByZone != nil {
 		z.tasksByZone[zone] += tasks
