--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -11,12 +11,13 @@
 	"quillshunt/internal/storage"
 )
 
-// BenchmarkReport is the leader's cost of a heartbeat on a full fleet with a backlog: each heartbeat
-// ends one task and a new one is placed, at several sizes, also with large jobs that are overdue and
-// find no free resources, with jobs that would preempt others but may not, and with gangs that wait.
-// Run it for a few thousand heartbeats: the jobs that would preempt do so for some seconds only. It
-// should hardly depend on fleet or backlog. Compare versions as a ratio in one run; the time itself
-// says nothing.
+// BenchmarkReport measures the leader's time per heartbeat on a full fleet with a backlog. Each heartbeat
+// completes one task, and a new one is placed. The setups differ in the sizes of fleet and backlog; some add
+// large starved jobs for which no machine has room, jobs that search for tasks to preempt but may preempt none,
+// or waiting gangs. The time should hardly depend on the sizes.
+//
+// Run it for a few thousand heartbeats, because the jobs that search for tasks to preempt do so for some seconds
+// only. Absolute times depend on the machine: compare two versions by the ratio of their times in one session.
 func BenchmarkReport(b *testing.B) {
 	for _, setup := range []benchmarkSetup{
 		{machines: 48, jobs: 30},
@@ -31,10 +32,11 @@
 	}
 }
 
-// benchmarkSetup is a fleet and what waits for it.
+// benchmarkSetup is the number of machines of the fleet, and of jobs of each kind that wait for it.
 type benchmarkSetup struct{ machines, jobs, starved, preempting, gangs int }
 
-// String names the setup; figures are compared by this name with those of earlier versions.
+// String returns the name of the setup. It must stay the same so that results can be compared with those of
+// earlier versions.
 func (s benchmarkSetup) String() string {
 	return fmt.Sprintf("machines=%d/jobs=%d/behind=%d/pressing=%d/gangs=%d",
 		s.machines, s.jobs, s.starved, s.preempting, s.gangs)
@@ -56,16 +58,16 @@
 	}
 }
 
-const benchmarkCPUs = 16 // of each machine
+const benchmarkCPUs = 16 // CPUs of each machine
 
-// benchmarkFleet is a fleet with a backlog. Its workers are played; all their messages arrive.
+// benchmarkFleet is a scheduler with a backlog and simulated workers. No messages are lost.
 type benchmarkFleet struct {
 	b         *testing.B
 	scheduler *Scheduler
 	now       time.Duration
-	tasks     [][]protocol.TaskStatus // on each machine
-	sequence  uint64                  // of the newest heartbeat
-	version   uint64                  // of the newest record
+	tasks     [][]protocol.TaskStatus // tasks on each machine
+	sequence  uint64                  // of the last heartbeat
+	version   uint64                  // of the last record
 }
 
 func newBenchmarkFleet(b *testing.B, setup benchmarkSetup) *benchmarkFleet {
@@ -86,15 +88,15 @@
 	return f
 }
 
-// machineTypesOf returns the one machine type of the benchmarks, with some CPUs.
+// benchmarkMachineTypes returns the only machine type of the benchmarks, with the given number of CPUs.
 func benchmarkMachineTypes(cpus float64) MachineTypesFetched {
 	return MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
 		Name: "s", CPUs: cpus, MemoryGB: 128, FetchGBPerS: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"a"},
 	}}}
 }
 
-// submitBacklog submits what waits for the fleet. The numbers of overdue jobs come before those of
-// preempting ones, which are submitted first.
+// submitBacklog submits the jobs of a setup. Starved jobs have lower numbers than preempting ones, although
+// those are submitted first.
 func (f *benchmarkFleet) submitBacklog(setup benchmarkSetup) {
 	for i := range setup.jobs {
 		f.submit(i, 0, protocol.Spec{
@@ -113,7 +115,7 @@
 			Class: "large", Team: "red", Shape: "sweep", Priority: "low", Tasks: 100, CPUs: benchmarkCPUs,
 		})
 	}
-	for i := range setup.gangs { // each asks for something else
+	for i := range setup.gangs { // no two request the same resources, so that no search is shared
 		f.submit(setup.jobs+setup.starved+setup.preempting+i, 0, protocol.Spec{
 			Class: "gang", Team: "red", Shape: protocol.ShapeGang, SameZone: true, Priority: "standard",
 			Tasks: 4 + i%9, CPUs: 2 + float64(i)/100,
@@ -121,7 +123,7 @@
 	}
 }
 
-// submit submits a job of a number.
+// submit opens job-number, which was submitted the given time before now.
 func (f *benchmarkFleet) submit(number int, age time.Duration, spec protocol.Spec) {
 	spec.ID = fmt.Sprintf("job-%d", number)
 	spec.MemoryGB, spec.Image, spec.EstimateS = 1, "i", 10
@@ -130,7 +132,7 @@
 	}, 0)
 }
 
-// endOneTask ends the first task that runs on a machine.
+// endOneTask completes the first running task of a machine.
 func (f *benchmarkFleet) endOneTask(m int) {
 	for i := range f.tasks[m] {
 		if task := &f.tasks[m][i]; task.State == protocol.TaskRunning {
@@ -146,7 +148,7 @@
 	return benchmarkHeartbeat(m, f.sequence, f.tasks[m])
 }
 
-// step plays an event and carries out its effects.
+// step processes an event and executes its effects.
 func (f *benchmarkFleet) step(event Event) {
 	for _, effect := range f.scheduler.Step(event, f.now) {
 		switch effect := effect.(type) {
@@ -166,7 +168,7 @@
 	}
 }
 
-// carryOut carries out commands on a machine.
+// executeCommands executes commands on a machine.
 func (f *benchmarkFleet) executeCommands(m int, commands []protocol.Command) {
 	for _, command := range commands {
 		switch command.Verb {
@@ -182,7 +184,7 @@
 	}
 }
 
-// heartbeatOf returns a heartbeat of a machine.
+// benchmarkHeartbeat returns a heartbeat of a machine.
 func benchmarkHeartbeat(m int, sequence uint64, tasks []protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Machine: paddedMachineName(m), Address: "x:1", MachineType: "s", Zone: "a",
@@ -190,9 +192,9 @@
 	}
 }
 
-// BenchmarkTakeOver is the pass in which a new leader that has just heard of all machines fills an
-// empty fleet from a backlog of many times its size, for each task placed: it should hardly depend
-// on the size.
+// BenchmarkTakeOver measures the scheduling pass after a failover in which all machines are empty and have just
+// reported, with a backlog of many times their capacity. The time per placed task should hardly depend on the
+// number of machines.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, machines := range []int{250, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -214,9 +216,9 @@
 	}
 }
 
-// BenchmarkPlan is the plan of the fleet, made once a second, with a full fleet and a backlog that
-// grows with it. It must look at each machine and each job; its cost should not grow as their
-// product.
+// BenchmarkPlan measures the capacity plan, which is made once a second, with a full fleet and a backlog
+// proportional to it. The plan must visit each machine and each job, but its time should not be proportional to
+// the product of their numbers.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{250, 500, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -229,8 +231,8 @@
 	}
 }
 
-// reportedMachines is a new leader with a backlog of many times an empty fleet that has heard of
-// some of its machines.
+// newSchedulerWithReports returns the scheduler of a new term with empty machines and a backlog of many times
+// their capacity. The first reported machines have sent a heartbeat.
 func newSchedulerWithReports(machines, reported int) *Scheduler {
 	options := config.DefaultOptions()
 	options.Fleet.MaxMachines = machines
@@ -257,16 +259,16 @@
 	return s
 }
 
-// newBusyFleet is a leader with all machines in use and a backlog left.
+// newSchedulerOnFullFleet returns a scheduler with a full fleet and a remaining backlog.
 func newSchedulerOnFullFleet(machines int) *Scheduler {
 	s := newSchedulerWithReports(machines, machines)
 	s.Step(Tick{Entitled: true}, time.Second)
 	return s
 }
 
-// TestReportAllocations guards the leader's cost of the commonest event, a heartbeat that brings
-// nothing new, on a fleet with a backlog. Allocations repeat exactly, times don't; the bound is what
-// it takes now, with a few to spare.
+// TestHeartbeatAllocations limits the leader's memory allocations for the most frequent event, a heartbeat
+// without changes, on a full fleet with a backlog. Unlike times, the number of allocations is reproducible. The
+// limit leaves room for a few more than are needed now.
 func TestHeartbeatAllocations(t *testing.T) {
 	const machines, maxAllocations = 50, 14
 	f := newSchedulerFixture(t, machines)
@@ -277,7 +279,7 @@
 		f.submitJob(fmt.Sprintf("job-%d", i), "red", "standard", 1000, 2, 0)
 	}
 	tasks := make([][]protocol.TaskStatus, machines)
-	for range 3 { // the fleet is filled
+	for range 3 { // fills the fleet
 		for m := range machines {
 			for _, command := range f.sendHeartbeat(m, tasks[m]...) {
 				if command.Verb == protocol.CommandStart {
@@ -294,7 +296,7 @@
 		next++
 	})
 	if got > maxAllocations {
-		t.Errorf("%v allocations a heartbeat, want at most %d", got, maxAllocations)
+		t.Errorf("%v allocations per heartbeat, want at most %d", got, maxAllocations)
 	}
-	t.Logf("%v allocations", got)
+	t.Logf("%v allocations per heartbeat", got)
 }
--- a/internal/coordination/scheduler/capacity_plan_test.go
+++ b/internal/coordination/scheduler/capacity_plan_test.go
@@ -7,27 +7,27 @@
 	"quillshunt/internal/limits"
 )
 
-// TestGangWithoutCapacity: once a gang has waited for long, machines are planned for all its tasks or
-// for none.
+// TestGangPlannedAllOrNothing checks that once a gang has waited for GangCapacityTimeout, capacity is planned
+// for all its tasks, or the plan stays as it was.
 func TestGangPlannedAllOrNothing(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		tasks         int
 		lacksCapacity bool
 	}{
-		{"fits on the fleet", 2, false},
-		{"too large", 3, true},
+		{"gang fits on the fleet", 2, false},
+		{"gang exceeds the fleet", 3, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newSchedulerFixture(t, 2)
 			for _, spot := range []bool{true, false} { // nothing can be rented
 				f.scheduler.rentals.poolState(machinePool{"s8", "a", spot}).backoffUntil = never
 			}
-			f.sendHeartbeat(0) // the other machine has not reported, so nothing is placed
+			f.sendHeartbeat(0) // machine 1 has not reported, so recovery has not ended and nothing is placed
 			f.submitGang("job-1", c.tasks, 8)
 			f.now += limits.GangCapacityTimeout
 			f.sendHeartbeat(0)
-			f.scheduler.inventory.find(f.machine(1)).createdAt = f.now // it boots
+			f.scheduler.inventory.find(f.machine(1)).createdAt = f.now // still within its boot time
 			plan := f.scheduler.planner.newPlan()
 			before := plan.snapshot()
 			j := f.scheduler.jobs.find("job-1")
@@ -42,15 +42,15 @@
 	}
 }
 
-// TestAllocateTasks: a machine is allocated to the tasks that can start on it in time, and the fraction
-// of a task that is left is carried to the next machine.
+// TestAllocateTasksOnOffer checks how many tasks that can start in time are planned on a machine, and which
+// fraction of a task is carried over to the next machine.
 func TestAllocateTasksOnOffer(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.submitJob("job-1", "red", "standard", 100, 2, 0) // tasks of 2 CPUs and 10 s
 	j := f.scheduler.jobs.find("job-1")
 	for _, c := range []struct {
 		name           string
-		usedCPUs       float64 // by tasks of 10 s that have just begun
+		usedCPUs       float64 // by tasks of 10 s that have just started
 		readyInS       float64
 		withinS        float64
 		carry          float64
@@ -60,12 +60,12 @@
 		{"free", 0, 0, 0, 0, 4, 0},
 		{"booting", 0, 5, 0, 0, 4, 0},
 		{"half used", 4, 0, 0, 0, 2, 0},
-		{"used, long wait", 8, 0, 20, 0, 4, 0},
-		{"used, short wait", 8, 0, 5, 0, 1, 0},
-		{"used, boots for as long", 8, 5, 5, 0, 0, 0},
-		{"a fraction is left", 7, 0, 0, 0, 0, 0.5},
-		{"a fraction is carried", 7, 0, 0, 0.5, 1, 0},
-		{"as many as fit", 0, 0, 0, 1, 4, 1},
+		{"full, tasks end within the wait", 8, 0, 20, 0, 4, 0},
+		{"full, some tasks end within the wait", 8, 0, 5, 0, 1, 0},
+		{"full, boots during the whole wait", 8, 5, 5, 0, 0, 0},
+		{"fraction of a task left over", 7, 0, 0, 0, 0, 0.5},
+		{"fraction carried over makes a whole task", 7, 0, 0, 0.5, 1, 0},
+		{"no more tasks than fit on the machine", 0, 0, 0, 1, 4, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			offer := &capacityOffer{
@@ -77,13 +77,13 @@
 			jp := &jobPlan{job: j, tasksLeft: 100, taskOccupancyS: 10, zones: j.newZonePlan()}
 			carry := c.carry
 			if tasks := offer.allocateTasks(jp, c.withinS, &carry); tasks != c.tasks || carry != c.remainingCarry {
-				t.Errorf("%d tasks and carry %v, want %d and %v", tasks, carry, c.tasks, c.remainingCarry)
+				t.Errorf("%d tasks planned and carry of %v, want %d and %v", tasks, carry, c.tasks, c.remainingCarry)
 			}
 			if want := c.usedCPUs + float64(2*c.tasks); offer.usedCPUs != want {
 				t.Errorf("%v CPUs used, want %v", offer.usedCPUs, want)
 			}
 			if left := 100 - c.tasks; jp.tasksLeft != left {
-				t.Errorf("%d tasks left, want %d", jp.tasksLeft, left)
+				t.Errorf("%d tasks left to plan, want %d", jp.tasksLeft, left)
 			}
 		})
 	}
--- a/internal/coordination/scheduler/capacity_planner_test.go
+++ b/internal/coordination/scheduler/capacity_planner_test.go
@@ -8,7 +8,7 @@
 	"quillshunt/internal/storage"
 )
 
-// waitingJob is a job of tasks of 8 CPUs and 10 s each.
+// waitingJob returns an array job whose tasks need 8 CPUs, which is a whole machine of the fixture, for 10 s.
 func waitingJob(id, team string, tasks int, spot bool) storage.OpenJob {
 	return storage.OpenJob{Spec: protocol.Spec{
 		ID: id, Class: "c", Team: team, Shape: protocol.ShapeArray, Priority: "high", Tasks: tasks,
@@ -16,7 +16,7 @@
 	}}
 }
 
-// pendingRequests is how many rental requests for spot instances and for others have no answer yet.
+// pendingRequests counts the rental requests without an answer, for spot instances and on demand.
 func (f *schedulerFixture) pendingRequests() (spot, onDemand int) {
 	for _, r := range f.scheduler.rentals.all() {
 		switch {
@@ -30,7 +30,7 @@
 	return spot, onDemand
 }
 
-// pendingMachines is how many machines have been asked for without an answer yet.
+// requestedMachines returns the number of machines in rental requests without an answer.
 func (f *schedulerFixture) requestedMachines() int {
 	machines := 0
 	for _, r := range f.scheduler.rentals.all() {
@@ -41,15 +41,15 @@
 	return machines
 }
 
-// plan makes the next plan at once and returns how many machines are asked for.
+// planAndCountRequested makes a plan at once and returns the number of machines in requests without an answer.
 func (f *schedulerFixture) planAndCountRequested() int {
 	f.scheduler.planner.requestPlan()
 	f.step(Tick{Entitled: true})
 	return f.requestedMachines()
 }
 
-// TestCheapestPool: machines are rented where they cost least for as long as that pool gives them,
-// and the rest at once elsewhere.
+// TestCheapestPoolFirst checks that machines are requested only from the cheapest pool until it has no more, and
+// then from the next cheapest at once, with at most one request to the first to try it again.
 func TestCheapestPoolFirst(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
@@ -67,19 +67,19 @@
 		}
 	}
 	if spot, onDemand := untilRequested(); spot != 4 || onDemand != 0 {
-		t.Fatalf("%d requests to the cheap pool and %d to the expensive one, want 4 and none", spot, onDemand)
+		t.Fatalf("%d requests to the cheap pool and %d to the expensive one, want 4 and 0", spot, onDemand)
 	}
 	for _, r := range f.scheduler.rentals.all() {
 		r.state = rentalRequested
 		f.step(RentalDone{Name: r.name, NoCapacity: true})
 	}
 	if spot, onDemand := untilRequested(); spot > 1 || onDemand == 0 {
-		t.Errorf("%d requests to the pool that refused and %d to the other", spot, onDemand)
+		t.Errorf("%d requests to the pool that refused and %d to the other, want at most 1 and some", spot, onDemand)
 	}
 }
 
-// TestPlanByStarts: machines are rented for all tasks that can't start before a new machine would
-// be up, however much a busy fleet could work off later; what starts before needs none.
+// TestMachinesForTasksThatStartTooLate checks that machines are rented for the tasks that cannot start on the
+// existing fleet before a new machine would be up, even if the fleet could run them later, and only for those.
 func TestMachinesForTasksThatStartTooLate(t *testing.T) {
 	f := newSchedulerFixture(t, 10)
 	f.scheduler.cfg.CloudRPS = 100
@@ -87,23 +87,23 @@
 		f.sendHeartbeat(i)
 	}
 	f.submitJob("job-1", "red", "high", 10, 8, 0)
-	f.confirmStartsAsRunning() // each machine is full, and its task has just begun
+	f.confirmStartsAsRunning() // each machine is full with a task that has just started
 	f.submitJob("job-2", "blue", "high", 8, 8, 20)
-	// Of ten tasks of 10 s that have just begun, nothing is known but their mean: a quarter or so
-	// ends in the 5.5 s that a machine takes to boot.
+	// Ten tasks with an estimate of 10 s have just started. The planner expects about a quarter of them to end
+	// in the 5.5 s that a machine takes to boot, as it assumes that they end evenly over the next 20 s.
 	if n := f.planAndCountRequested(); n < 5 || n > 7 {
-		t.Errorf("%d machines rented for 8 tasks beside a fleet that has just begun, want 5 to 7", n)
+		t.Errorf("%d machines requested for 8 tasks while the fleet is full, want 5 to 7", n)
 	}
-	// What has waited for as long as a machine takes to boot does not wait as long again.
+	// Tasks that have waited for the boot time of a machine are not planned to wait for that long again.
 	f.step(JobChanged{
 		JobID: "job-3", Version: 500, SinceSubmission: 20 * time.Second, Record: waitingJob("job-3", "blue", 4, false),
 	})
 	if n := f.planAndCountRequested(); n < 9 || n > 11 {
-		t.Errorf("%d machines rented with 4 more tasks that have waited long, want 9 to 11", n)
+		t.Errorf("%d machines requested after 4 more tasks have waited for 20 s, want 9 to 11", n)
 	}
 }
 
-// TestPlanOnIdleFleet: machines that are idle are used before others are rented.
+// TestIdleMachinesUsedBeforeRenting checks that no machine is rented for tasks that fit on idle ones.
 func TestIdleMachinesUsedBeforeRenting(t *testing.T) {
 	f := newSchedulerFixture(t, 10)
 	for i := range 10 {
@@ -111,11 +111,12 @@
 	}
 	f.submitJob("job-2", "blue", "high", 8, 8, 20)
 	if n := f.planAndCountRequested(); n != 0 {
-		t.Errorf("%d machines rented for 8 tasks beside an idle fleet", n)
+		t.Errorf("%d machines requested for 8 tasks although 10 machines are idle, want 0", n)
 	}
 }
 
-// startAll answers the direct commands of the last event: all their tasks run.
+// confirmStartsAsRunning answers the direct commands of the last event with heartbeats in which all tasks that
+// they start are running.
 func (f *schedulerFixture) confirmStartsAsRunning() {
 	for _, sent := range f.directCommands() {
 		heartbeat := &protocol.Heartbeat{Machine: sent.Machine, Incarnation: 1, Sequence: 100, FencingToken: 3}
--- a/internal/coordination/scheduler/large_fleet_test.go
+++ b/internal/coordination/scheduler/large_fleet_test.go
@@ -13,7 +13,8 @@
 	"quillshunt/internal/storage"
 )
 
-// largeFleet is a fleet of thousands of machines, and the records that the leaders leave each other.
+// largeFleet is a fleet of thousands of machines and the records in the state service, which successive leaders
+// share.
 type largeFleet struct {
 	t        *testing.T
 	settings Config
@@ -41,7 +42,7 @@
 	}
 }
 
-// startTerm returns the scheduler of a new leader that has fetched the machine types.
+// startTerm returns the scheduler of a new term, which has fetched the machine types but loaded no records.
 func (f *largeFleet) startTerm(term uint64, startedAt time.Duration) *Scheduler {
 	settings := f.settings
 	settings.Term = term
@@ -52,12 +53,12 @@
 	return s
 }
 
-// step gives a leader an event and carries out its writes.
+// step processes an event and executes the writes among its effects.
 func (f *largeFleet) step(s *Scheduler, event Event) {
 	f.store.execute(s, s.Step(event, f.now), f.now)
 }
 
-// tick lets some seconds pass, with an event in each.
+// tick processes one Tick per second for the given number of seconds.
 func (f *largeFleet) tick(s *Scheduler, seconds int) {
 	for range seconds {
 		f.now += time.Second
@@ -65,7 +66,7 @@
 	}
 }
 
-// storeRentals writes the rentals of all machines, as an earlier leader did.
+// storeRentals writes the rentals of all machines to the state service, as an earlier leader would.
 func (f *largeFleet) storeRentals() {
 	const perRental = 50
 	for first := 0; first < f.machines; first += perRental {
@@ -77,7 +78,7 @@
 	}
 }
 
-// loadState gives a new leader the rentals and the registered machines.
+// loadState loads the stored rentals and registry pages into the scheduler of a new term.
 func (f *largeFleet) loadState(s *Scheduler) {
 	f.t.Helper()
 	keys := slices.Sorted(maps.Keys(f.store.records))
@@ -98,15 +99,15 @@
 	f.step(s, StateLoaded{})
 }
 
-// decode reads a stored record.
+// decode decodes the stored record of a key.
 func (f *largeFleet) decode(key string, record any) {
 	f.t.Helper()
 	if err := protocol.Decode(f.store.records[key].value, record); err != nil {
-		f.t.Fatalf("%s: %v", key, err)
+		f.t.Fatalf("decoding the record of key %s: %v", key, err)
 	}
 }
 
-// reportAll sends a heartbeat of every machine, one each millisecond.
+// reportAll sends a heartbeat of every machine, one per millisecond.
 func (f *largeFleet) reportAll(s *Scheduler) {
 	for i := range f.machines {
 		f.now += time.Millisecond
@@ -121,7 +122,8 @@
 	}
 }
 
-// countRegistered returns how many machines are registered, in records that fit the value limit.
+// countRegistered returns the number of machines on the stored registry pages, and checks that each page fits
+// the value limit.
 func (f *largeFleet) countRegistered() int {
 	f.t.Helper()
 	registered := 0
@@ -132,22 +134,22 @@
 		var page storage.RegistryPage
 		f.decode(key, &page)
 		if !storage.FitsValueLimit(page, f.settings.State.ValueKB) {
-			f.t.Fatalf("%s: size %d", key, storage.EncodedSize(page))
+			f.t.Fatalf("registry page %s of %d bytes exceeds the value limit", key, storage.EncodedSize(page))
 		}
 		registered += len(page.Machines)
 	}
 	return registered
 }
 
-// submit gives a leader a job.
+// submit opens a job. Team, priority, memory, image and estimate are the same for all jobs.
 func (f *largeFleet) submit(s *Scheduler, version uint64, spec protocol.Spec) {
 	spec.Team, spec.Priority, spec.MemoryGB, spec.Image, spec.EstimateS = "red", "standard", 1, "i", 100
 	f.step(s, JobChanged{JobID: spec.ID, Version: version, Record: storage.OpenJob{Spec: spec}})
 }
 
-// TestFourThousandMachines: more than four thousand machines come up within seconds and are
-// registered in small values and transactions, by far fewer operations than machines; a new leader
-// loads them, gets heartbeats of all, and places gangs and an array on them.
+// TestFailoverWithFourThousandMachines checks that thousands of machines that report within seconds are registered
+// with small values and transactions, and with far fewer operations than machines. The next leader loads them,
+// receives heartbeats of all, and must fill the fleet with gangs and the tasks of an array.
 func TestFailoverWithFourThousandMachines(t *testing.T) {
 	const machines, gangs, tasksPerGang = 4200, 200, 8
 	f := newLargeFleet(t, machines)
@@ -155,12 +157,12 @@
 	first := f.startTerm(3, 0)
 	f.loadState(first)
 	f.reportAll(first)
-	f.tick(first, 3) // what is left is written
+	f.tick(first, 3) // the remaining registry pages are written
 	if limit := machines / 10; f.store.operations > limit {
-		t.Errorf("%d operations for %d machines, at most %d expected", f.store.operations, machines, limit)
+		t.Errorf("%d write operations to register %d machines, want at most %d", f.store.operations, machines, limit)
 	}
 	if registered := f.countRegistered(); registered != machines {
-		t.Fatalf("%d of %d machines registered", registered, machines)
+		t.Fatalf("%d machines registered, want %d", registered, machines)
 	}
 
 	second := f.startTerm(4, f.now)
@@ -176,15 +178,15 @@
 	f.loadState(second)
 	f.reportAll(second)
 	if !second.recovery.hasEnded() {
-		t.Fatal("not recovered although all machines have reported")
+		t.Fatal("recovery has not ended although all machines have reported")
 	}
 	assigned := len(second.jobs.find("job-9999").assignments)
 	if expected := machines - gangs*tasksPerGang; assigned != expected {
-		t.Errorf("%d tasks of the array placed beside the gangs, want %d", assigned, expected)
+		t.Errorf("%d tasks of the array placed on machines without gang tasks, want %d", assigned, expected)
 	}
 	for i := range gangs {
 		if placed := len(second.jobs.find(fmt.Sprintf("job-%d", i)).assignments); placed != tasksPerGang {
-			t.Fatalf("gang %d: %d of %d placed", i, placed, tasksPerGang)
+			t.Fatalf("%d tasks of gang %d placed, want %d", placed, i, tasksPerGang)
 		}
 	}
 }
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -12,9 +12,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestLastingOverload: with more urgent, small work than the machines can do, all day, each of the
-// largest jobs begins within four minutes, and of each class and team, and of the largest jobs, at
-// least half of the work is done.
+// TestSustainedOverload checks that no job starves while small urgent jobs alone need more CPUs than the fleet
+// has, for the whole simulated time. Each large job must start within four minutes, and at least half of the
+// tasks of each class, of each team and of the largest jobs must be completed.
 func TestSustainedOverload(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -28,30 +28,30 @@
 
 const (
 	overloadMachines = 24
-	overloadCPUs     = 8 // of each machine
+	overloadCPUs     = 8 // CPUs of each machine
 	overloadDuration = 900 * time.Second
 	overloadTick     = 500 * time.Millisecond
 )
 
-// overloadedFleet is a fleet that gets more work than it can do. Its workers are played; all their
-// messages arrive.
+// overloadedFleet is a scheduler with simulated workers that receives more work than they can do. No messages
+// are lost.
 type overloadedFleet struct {
 	random    *rand.Rand
 	scheduler *Scheduler
 	now       time.Duration
 	machines  []string
-	tasks     [][]overloadTask // on each machine
+	tasks     [][]overloadTask // tasks on each machine
 
 	specs          map[string]protocol.Spec
 	submittedAt    map[string]time.Duration
 	startedAt      map[string]time.Duration
 	completedTasks map[string]int
 
-	sequence uint64 // of the newest heartbeat
-	version  uint64 // of the newest record
+	sequence uint64 // of the last heartbeat
+	version  uint64 // of the last record
 }
 
-// overloadTask is a task on a machine and when it will be done.
+// overloadTask is a task on a machine with the time at which it completes.
 type overloadTask struct {
 	protocol.TaskStatus
 	endsAt time.Duration
@@ -88,7 +88,7 @@
 	return f
 }
 
-// playDay submits jobs and plays the workers for a day.
+// simulate submits jobs and simulates the workers for overloadDuration.
 func (f *overloadedFleet) simulate() {
 	for ; f.now < overloadDuration; f.now += overloadTick {
 		f.submitJobs()
@@ -104,8 +104,8 @@
 	}
 }
 
-// submitJobs submits the jobs of this moment. Small urgent work alone asks for a third more than
-// there is; it is that of both teams.
+// submitJobs submits the jobs of this tick: small urgent jobs of both teams at random times, which alone need about
+// 1.3 times the CPUs of the fleet, and a large job of one team every minute.
 func (f *overloadedFleet) submitJobs() {
 	r := f.random
 	if r.Float64() < 0.5*float64(overloadMachines*overloadCPUs)*1.3/(12*4*10) {
@@ -129,7 +129,7 @@
 	f.step(JobChanged{JobID: spec.ID, Version: f.version, Record: storage.OpenJob{Spec: spec}})
 }
 
-// endTasks ends the tasks of a machine whose time has come.
+// completeDueTasks completes the running tasks of a machine that have reached their end time.
 func (f *overloadedFleet) completeDueTasks(m int) {
 	for i := range f.tasks[m] {
 		task := &f.tasks[m][i]
@@ -141,7 +141,7 @@
 	}
 }
 
-// step plays an event and carries out its effects.
+// step processes an event and executes its effects.
 func (f *overloadedFleet) step(event Event) {
 	for _, effect := range f.scheduler.Step(event, f.now) {
 		switch effect := effect.(type) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// carryOut carries out commands on a machine.
+// executeCommands executes commands on a machine.
 func (f *overloadedFleet) executeCommands(m int, commands []protocol.Command) {
 	for _, command := range commands {
 		hasAttempt := func(task overloadTask) bool { return task.Attempt == command.Attempt }
@@ -201,7 +201,8 @@
 	return heartbeat
 }
 
-// checkLargeJobsBegin checks that each large job begins within four minutes.
+// checkLargeJobsStart checks that each large job started within four minutes, except those that were submitted in
+// the last four minutes.
 func (f *overloadedFleet) checkLargeJobsStart(t *testing.T) {
 	t.Helper()
 	for id, spec := range f.specs {
@@ -210,13 +211,13 @@
 		}
 		startedAt, started := f.startedAt[id]
 		if wait := startedAt - f.submittedAt[id]; !started || wait > 4*time.Minute {
-			t.Errorf("%s with %d tasks began after %v (%v)", id, spec.Tasks, wait, started)
+			t.Errorf("%s with %d tasks: started %v, after %v; want a start within 4m", id, spec.Tasks, started, wait)
 		}
 	}
 }
 
-// checkServedShares checks that of the work of each class and team, and of the largest jobs, at
-// least half is done. Jobs of the last minutes don't count.
+// checkCompletedShares checks that at least half of the tasks of each class, of each team and of the largest jobs
+// are completed. Jobs that were submitted in the last eight minutes do not count.
 func (f *overloadedFleet) checkCompletedShares(t *testing.T) {
 	t.Helper()
 	type share struct{ done, due float64 }
@@ -240,16 +241,16 @@
 	}
 	for kind, share := range shares {
 		if share.done < share.due/2 {
-			t.Errorf("%s: %v of %v tasks done", kind, share.done, share.due)
+			t.Errorf("%s: %v of %v tasks completed, want at least half", kind, share.done, share.due)
 		}
 	}
 	if len(shares) < 5 {
-		t.Errorf("only %v were looked at", shares)
+		t.Errorf("%d groups of jobs checked, want at least 5", len(shares))
 	}
 }
 
-// largestSize is the number of tasks from which on a job is one of the largest: a third of the large
-// jobs.
+// largestSize returns the number of tasks from which on a large job counts as one of the largest, which is a third
+// of the large jobs.
 func (f *overloadedFleet) largestSize() int {
 	var sizes []int
 	for _, spec := range f.specs {
