--- a/internal/coordination/scheduler/capacity_offer.go
+++ b/internal/coordination/scheduler/capacity_offer.go
@@ -43,10 +43,10 @@
 	return typeResources(c.machineType).Fits(j.demand) && j.mayUsePool(c.pool)
 }
 
-// allocateTasks allocates capacity to those tasks of a job that can start within startWithinS seconds, or
-// as soon as the machine is ready, and returns their number. The estimate of how many can start has a
-// fraction. On entry carry is the fraction that previous machines left over; on return it is what is left
-// over now, at most 1.
+// allocateTasks allocates capacity to tasks of a job, as many as can start within startWithinS seconds or as
+// soon as the machine is ready, and returns their number. The estimate of that number may contain a fraction
+// of a task, which is carried from machine to machine: carry is added to the estimate, and is then set to
+// what is left over, at most 1.
 func (c *capacityOffer) allocateTasks(jp *jobPlan, startWithinS float64, carry *float64) int {
 	j := jp.job
 	tasksPerMachine := typeResources(c.machineType).TasksThatFit(j.demand)
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -48,7 +48,8 @@
 	return true
 }
 
-// maxMachines returns the operators' limit on the number of machines, which applies to the whole fleet.
+// maxMachines returns the largest allowed number of machines in the fleet: the option max_machines if it is
+// set, or else a number that is never reached.
 func (p *capacityPlanner) maxMachines() int {
 	if n := p.cfg.Options.Fleet.MaxMachines; n > 0 {
 		return n
