--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,43 +14,45 @@
 	"quillshunt/internal/limits"
 )
 
-// Handler handles a request on the server's loop. It must not block; the answer may come later from
-// any goroutine.
+// Handler handles a request on the server's event loop. It must not block. The response may be sent
+// later, from any goroutine.
 type Handler func(req *Message, rsp *Responder)
 
 // ServerOptions configure a Server.
 type ServerOptions struct {
-	Addr        string        // to listen on
-	MaxConns    int           // connections at once
-	MaxMachines int           // of these, connections of machines; 0: all
-	MachineIdle time.Duration // closes an idle machine's connection, if less than ConnIdleTimeout; 0: no own limit
-	Sockets     *SocketBudget // which connections count against; nil: none
-	Handle      Handler
-	Log         *slog.Logger
+	Addr               string        // the address to listen on
+	MaxConns           int           // maximum number of open connections
+	MaxMachineConns    int           // maximum number of these from machines; 0: no separate limit
+	MachineIdleTimeout time.Duration // idle timeout for machines, at most ConnIdleTimeout; 0: ConnIdleTimeout
+	Sockets            *SocketBudget // the budget that connections count against; nil: none
+	Handle             Handler
+	Log                *slog.Logger
 }
 
-// Server serves HTTP on one address by an event loop of gnet.
+// Server serves HTTP on one address with a gnet event loop.
 //
-// gnet ends its loop when accept fails, so Run starts it again, and the number of connections is
-// kept below the socket limit, so that accept does not fail for want of sockets. A request on a
-// connection is handled only after the answer before is written, which bounds what a slow reader
-// can hold to one answer.
+// gnet ends its event loop when accept fails. Run therefore restarts the loop, and MaxConns and the socket
+// budget keep the process below its socket limit, so that accept does not fail for lack of sockets.
+//
+// The server handles one request of a connection at a time. If the client sends the next request before
+// the last response is written to the socket, the connection is closed. A client that reads slowly thus
+// takes up the memory of one response at most.
 type Server struct {
 	options ServerOptions
 
-	mu           sync.Mutex                // held by whoever serves a connection; guards what follows
-	conns        map[gnet.Conn]*serverConn // of the loop
-	machineConns int                       // how many connections are of machines
+	mu           sync.Mutex // held while an event or a request is handled; guards the fields below
+	conns        map[gnet.Conn]*serverConn
+	machineConns int // connections from machines, among conns and those of ServeConn
 }
 
-// NewServer returns a server that does not listen yet.
+// NewServer returns a server; Run makes it listen.
 func NewServer(options ServerOptions) *Server { return &Server{options: options} }
 
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.options.Addr }
 
-// ServeConn serves one connection until it ends, without the event loop: for networks in memory.
-// The handler is called by one goroutine at a time, as on the loop.
+// ServeConn serves one connection until it is closed. It works without the event loop and is meant for
+// in-memory networks. As on the event loop, only one goroutine at a time runs the handler.
 func (s *Server) ServeConn(conn net.Conn) {
 	defer conn.Close()
 	c := &serverConn{decoder: NewRequestDecoder(limits.MaxBodyBytes)}
@@ -76,32 +78,33 @@
 			c.decoder.Feed(buf[:n])
 			continue
 		}
-		answer, closing := s.handleAndWait(c, req)
-		if _, err := conn.Write(answer); err != nil || closing {
+		response, closing := s.handleAndAwaitResponse(c, req)
+		if _, err := conn.Write(response); err != nil || closing {
 			return
 		}
 	}
 }
 
-// handleAndWait hands a request to the handler and waits for the answer. It reports whether the
-// connection ends with it.
-func (s *Server) handleAndWait(c *serverConn, req *Message) (answer []byte, closing bool) {
-	answered := make(chan struct{})
-	r := &Responder{conn: c, wake: func() { close(answered) }, server: s}
+// handleAndAwaitResponse passes a request to the handler and waits for the response. It reports whether
+// the connection is to be closed after the response.
+func (s *Server) handleAndAwaitResponse(c *serverConn, req *Message) (response []byte, closing bool) {
+	responded := make(chan struct{})
+	r := &Responder{conn: c, wake: func() { close(responded) }, server: s}
 	s.mu.Lock()
-	c.closeAfter = req.Close
+	c.closeAfterResponse = req.Close
 	s.options.Handle(req, r)
 	s.mu.Unlock()
-	<-answered
+	<-responded
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	answer, closing = c.answer, c.closeAfter
-	c.answer, c.answerReady = nil, false
-	return answer, closing
+	response, closing = c.response, c.closeAfterResponse
+	c.response, c.responseReady = nil, false
+	return response, closing
 }
 
-// Run serves until the context ends, and then returns nil. It returns an error if the address can't
-// be listened on, again and again.
+// Run serves until the context is done, and then returns nil. It restarts the event loop when that
+// ends. It returns an error if the loop has ended right after its start more than
+// limits.MaxServerLoopFailures times in a row, for example because the address is in use.
 func (s *Server) Run(ctx context.Context) error {
 	failures := 0
 	for {
@@ -116,9 +119,9 @@
 			failures = 0
 		}
 		if failures > limits.MaxServerLoopFailures {
-			return fmt.Errorf("listen on %s: %w", s.options.Addr, err)
+			return fmt.Errorf("run server loop on %s, failed %d times in a row: %w", s.options.Addr, failures, err)
 		}
-		s.options.Log.Warn("server loop ended, starting again", "addr", s.options.Addr, "err", err)
+		s.options.Log.Warn("server loop ended; restarting", "addr", s.options.Addr, "err", err)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -127,20 +130,20 @@
 	}
 }
 
-// runLoop runs gnet's loop once.
+// runLoop runs gnet's event loop until it ends.
 func (s *Server) runLoop(ctx context.Context) error {
 	if err := s.checkAddressFree(ctx); err != nil {
 		return err
 	}
 	s.resetConns()
-	// With a listener of its own the loop accepts connections itself; else that is a second loop,
-	// which wakes the first for each.
+	// WithReusePort gives the event loop its own listener, on which it accepts connections itself. Without
+	// it, gnet accepts connections in a second loop, which wakes the event loop for each.
 	return gnet.Run(&eventHandler{server: s, ctx: ctx}, "tcp://"+s.options.Addr,
 		gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true), gnet.WithTicker(true),
 		gnet.WithReadBufferCap(limits.ReadBufferBytes), gnet.WithLogger(gnetLogger{s.options.Log}))
 }
 
-// resetConns forgets the connections of a loop that ended.
+// resetConns discards the records of the connections of an event loop that has ended.
 func (s *Server) resetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +153,8 @@
 	s.conns, s.machineConns = make(map[gnet.Conn]*serverConn), 0
 }
 
-// checkAddressFree fails if another process listens on the address: a listener of the loop's kind
-// would share it.
+// checkAddressFree returns an error if another process listens on the address. The event loop would not
+// fail then: with SO_REUSEPORT it would share the address with that process.
 func (s *Server) checkAddressFree(ctx context.Context) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", s.options.Addr)
@@ -161,15 +164,16 @@
 	return listener.Close()
 }
 
-// closeIdle closes connections that are idle or whose request does not end. The caller holds mu.
-func (s *Server) closeIdle() {
+// closeTimedOutConns closes connections that have been idle too long, and those on which a request takes
+// too long to arrive. The caller holds mu.
+func (s *Server) closeTimedOutConns() {
 	now := time.Now()
 	for conn, c := range s.conns {
 		limit := limits.ConnIdleTimeout
-		if c.fromMachine && s.options.MachineIdle > 0 {
-			limit = min(limit, s.options.MachineIdle)
+		if c.fromMachine && s.options.MachineIdleTimeout > 0 {
+			limit = min(limit, s.options.MachineIdleTimeout)
 		}
-		if c.draining || (!c.handling && c.decoder.Started()) {
+		if c.discardingInput || (!c.requestInProgress && c.decoder.HasPartialMessage()) {
 			limit = limits.RequestReadTimeout
 		}
 		if now.Sub(c.lastActive) > limit {
@@ -179,22 +183,23 @@
 	}
 }
 
-// handleBytes handles new bytes of a connection (in is nil when the loop was woken): first an answer
-// that is ready, then the next request. It runs on the loop; the caller holds mu.
+// handleBytes passes newly arrived bytes to the decoder and the next complete request, if no other is in
+// progress, to the handler. It returns the response to the current request if it is ready. in is empty
+// after a wake-up of the connection. It runs on the event loop, and the caller holds mu.
 func (s *Server) handleBytes(conn gnet.Conn, c *serverConn, in []byte) ([]byte, gnet.Action) {
-	if c.draining {
+	if c.discardingInput {
 		return nil, gnet.None
 	}
 	if len(in) > 0 {
-		if !c.decoder.Started() {
+		if !c.decoder.HasPartialMessage() {
 			c.lastActive = time.Now()
 		}
 		c.decoder.Feed(in)
-		if c.handling && c.decoder.Buffered() > limits.MaxHeadBytes+limits.MaxBodyBytes {
+		if c.requestInProgress && c.decoder.Buffered() > limits.MaxHeadBytes+limits.MaxBodyBytes {
 			return nil, gnet.Close
 		}
 	}
-	if !c.handling {
+	if !c.requestInProgress {
 		req, err := c.decoder.Next()
 		if err != nil {
 			return c.rejectMalformed(err)
@@ -204,15 +209,15 @@
 		}
 		s.handle(conn, c, req)
 	}
-	return c.takeAnswer()
+	return c.takeResponse()
 }
 
-// handle calls the handler with a request. Its answer may be ready already when it returns.
+// handle passes a request to the handler. The response may be ready when it returns.
 func (s *Server) handle(conn gnet.Conn, c *serverConn, req *Message) {
-	c.handling = true
+	c.requestInProgress = true
 	r := &Responder{conn: c, wake: func() { _ = conn.Wake(nil) }, server: s, inline: true}
 	c.mu.Lock()
-	c.closeAfter = req.Close
+	c.closeAfterResponse = req.Close
 	c.mu.Unlock()
 	s.options.Handle(req, r)
 	c.mu.Lock()
