--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// submit opens job-number, which was submitted the given time before now.
+// submit opens the job with the given number. Its age is the time since its submission.
 func (f *benchmarkFleet) submit(number int, age time.Duration, spec protocol.Spec) {
 	spec.ID = fmt.Sprintf("job-%d", number)
 	spec.MemoryGB, spec.Image, spec.EstimateS = 1, "i", 10
@@ -254,7 +254,9 @@
 	}
 	s.Step(StateLoaded{}, 0)
 	for m := range reported {
-		s.Step(HeartbeatReceived{Heartbeat: benchmarkHeartbeat(m, 1, nil), ReplyTo: machineResponder(m), Entitled: true}, 0)
+		s.Step(HeartbeatReceived{
+			Heartbeat: benchmarkHeartbeat(m, 1, nil), ReplyTo: machineResponder(m), Entitled: true,
+		}, 0)
 	}
 	return s
 }
--- a/internal/coordination/scheduler/capacity_offer.go
+++ b/internal/coordination/scheduler/capacity_offer.go
@@ -14,7 +14,7 @@
 	pool                machinePool
 	machineType         *protocol.MachineType
 	readyInS            float64 // seconds until it can start a task
-	usedCPUs            float64 // of assigned and planned tasks; more than the machine has if some run one after another
+	usedCPUs            float64 // of assigned and planned tasks; may exceed the machine, as tasks can run in turn
 	remainingCPUSeconds float64 // CPU seconds that these tasks still need
 }
 
--- a/internal/coordination/scheduler/feasibility.go
+++ b/internal/coordination/scheduler/feasibility.go
@@ -17,7 +17,8 @@
 		simultaneousTasks = float64(spec.Tasks)
 	}
 	return fitsSomeType(spec, types) &&
-		simultaneousTasks*spec.CPUs <= cpusMax+limits.Epsilon && simultaneousTasks*spec.Accelerators <= gpusMax+limits.Epsilon
+		simultaneousTasks*spec.CPUs <= cpusMax+limits.Epsilon &&
+		simultaneousTasks*spec.Accelerators <= gpusMax+limits.Epsilon
 }
 
 // fitsSomeType reports whether a task of the job fits on a machine type that is allowed and offered in its zone.
--- a/internal/coordination/scheduler/job_plan.go
+++ b/internal/coordination/scheduler/job_plan.go
@@ -23,8 +23,8 @@
 }
 
 // planJob allocates existing and pending machines to those of a job's waiting tasks that can start on them
-// in time, and adds machines to rent for the others. It returns for how many tasks there is neither. A gang
-// that its team's limit does not allow as a whole is not planned.
+// in time, and adds machines to rent for the others. It returns the number of tasks for which it found no
+// capacity. A gang that its team's limit does not allow as a whole is not planned.
 func (p *capacityPlan) planJob(j *job) (unplanned int) {
 	tasks := j.tasksWithinTeamLimit()
 	if tasks <= 0 || tasks < j.gangTasksToPlace() {
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -12,9 +12,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestSustainedOverload checks that no job starves while small urgent jobs alone need more CPUs than the fleet
-// has, for the whole simulated time. Each large job must start within four minutes, and at least half of the
-// tasks of each class, of each team and of the largest jobs must be completed.
+// TestSustainedOverload checks that no job starves although small urgent jobs alone need more CPUs than the fleet
+// has, all the time. Each large job must start within four minutes, and at least half of the tasks of each class,
+// of each team and of the largest jobs must be completed.
 func TestSustainedOverload(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -249,8 +249,7 @@
 	}
 }
 
-// largestSize returns the number of tasks from which on a large job counts as one of the largest, which is a third
-// of the large jobs.
+// largestSize returns the smallest number of tasks of a job among the largest third of the large jobs.
 func (f *overloadedFleet) largestSize() int {
 	var sizes []int
 	for _, spec := range f.specs {
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -66,7 +66,7 @@
 const (
 	poolAvailable     poolAvailability = iota
 	poolDeferred                       // has reached its limit on requests, or is in a zone that is not allowed
-	poolLacksCapacity                  // had fewer machines than were last requested, and may not be tried again yet
+	poolLacksCapacity                  // the last answer was incomplete, and no further request is allowed yet
 )
 
 // availability returns whether machines may be requested from a pool for a job whose tasks may run in the
@@ -90,8 +90,8 @@
 	return 1 + limits.ZoneSpreadPenalty*float64(p.machinesInZone[zone])
 }
 
-// shouldWaitForCheaperPool reports whether a job should wait because its only available pools cost far more
-// than the cheapest one. Jobs with little slack do not wait.
+// shouldWaitForCheaperPool reports whether a job should wait until a cheaper pool is available, because the
+// available one costs far more than the cheapest. Jobs with little slack do not wait.
 func (p *capacityPlan) shouldWaitForCheaperPool(j *job, cost, cheapest float64) bool {
 	fleet := &p.cfg.Options.Fleet
 	if cost <= fleet.ExpensivePoolRatio*cheapest {
@@ -101,7 +101,8 @@
 	return late || slack > time.Duration(fleet.ExpensivePoolSlack)
 }
 
-// countCheapPools returns the number of pools with a price similar to that of the cheapest, which is included.
+// countCheapPools returns the number of pools whose price is similar to that of the cheapest pool, including
+// the cheapest.
 func (p *capacityPlanner) countCheapPools() int {
 	var costs []float64
 	cheapest := math.Inf(1)
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -8,10 +8,10 @@
 	"quillshunt/internal/limits"
 )
 
-// updateDraining selects surplus machines to be drained, the most expensive and least used first. A drained
-// machine gets no new tasks, so that it becomes idle and can be returned; otherwise a small load that is
-// spread over all machines would keep all of them. The selection is repeated with every plan, so that
-// drained machines get tasks again as soon as the load rises.
+// updateDraining selects surplus machines to drain, the most expensive and least used first. A draining
+// machine gets no new tasks, so that it becomes idle and can be returned. Without draining, a small load that
+// is spread over all machines would keep all of them in use. The selection is repeated with every plan, so
+// that machines get tasks again as soon as the load rises.
 func (p *capacityPlanner) updateDraining() {
 	candidates := p.drainCandidates()
 	surplus := p.surplusCPUs(candidates)
