--- a/internal/coordination/scheduler/simulation_cloud_test.go
+++ b/internal/coordination/scheduler/simulation_cloud_test.go
@@ -13,20 +13,20 @@
 // rentMachines answers a rental request: with no capacity, with new machines, or with the same
 // machines as before if it is a repetition.
 func (s *simulation) rentMachines(controller *simulatedController, request protocol.RentalRequest) {
-	s.after(s.between(50*time.Millisecond, 2*time.Second), func() {
-		names, known := s.rentals[request.Name]
-		if !known {
-			if s.chance(0.2) {
+	s.afterFunc(s.randomDuration(50*time.Millisecond, 2*time.Second), func() {
+		names, alreadyRented := s.rentedMachines[request.Name]
+		if !alreadyRented {
+			if s.withProbability(0.2) {
 				s.step(controller, RentalDone{Name: request.Name, NoCapacity: true})
 				return
 			}
 			for range min(request.Count, maxMachinesPerRental) {
 				names = append(names, s.addMachine(request).Name)
 			}
-			s.rentals[request.Name] = names
+			s.rentedMachines[request.Name] = names
 		}
-		if s.chance(0.1) && !s.faultFree { // the answer is lost; the request is repeated
-			s.after(time.Second, func() { s.rentMachines(controller, request) })
+		if s.withProbability(0.1) && !s.faultFree { // the answer is lost; the request is repeated
+			s.afterFunc(time.Second, func() { s.rentMachines(controller, request) })
 			return
 		}
 		s.step(controller, RentalDone{Name: request.Name, Machines: names, OK: true})
@@ -45,28 +45,28 @@
 			Zone:        request.Zone,
 			Spot:        request.Spot,
 		},
-		bootedAt:        s.now + s.between(time.Second, 15*time.Second),
+		bootedAt:        s.now + s.randomDuration(time.Second, 15*time.Second),
 		heartbeatSentAt: -1,
 		incarnation:     1,
 	}
 	machine.leaseStartedAt, machine.nextHeartbeatAt = machine.bootedAt, machine.bootedAt
-	machine.dead = s.chance(0.05) // it never comes up
-	machine.faulty = s.chance(0.08)
+	machine.down = s.withProbability(0.05) // it never comes up
+	machine.faulty = s.withProbability(0.08)
 	s.machines[name] = machine
 	return machine
 }
 
 // deleteMachines deletes machines. The answer may be lost, and the request with it.
 func (s *simulation) deleteMachines(controller *simulatedController, names []string) {
-	s.after(s.between(50*time.Millisecond, time.Second), func() {
-		answered := !s.chance(0.2)
-		deleted := answered || s.chance(0.5)
+	s.afterFunc(s.randomDuration(50*time.Millisecond, time.Second), func() {
+		confirmed := !s.withProbability(0.2)
+		deleted := confirmed || s.withProbability(0.5)
 		for _, name := range names {
 			if machine := s.machines[name]; deleted && machine != nil {
 				machine.remove()
 			}
 		}
-		s.step(controller, DeletionDone{Machines: names, OK: answered})
+		s.step(controller, DeletionDone{Machines: names, OK: confirmed})
 	})
 }
 
@@ -86,13 +86,13 @@
 		}
 		listed = append(listed, entry)
 	}
-	s.after(s.between(time.Second, 6*time.Second), func() {
+	s.afterFunc(s.randomDuration(time.Second, 6*time.Second), func() {
 		s.step(controller, MachinesListed{Machines: listed, OK: true})
 	})
 }
 
 func (s *simulation) fetchMachineTypes(controller *simulatedController) {
-	s.after(100*time.Millisecond, func() {
+	s.afterFunc(100*time.Millisecond, func() {
 		s.step(controller, MachineTypesFetched{Types: s.types, OK: true})
 	})
 }
--- a/internal/coordination/scheduler/simulation_controller_test.go
+++ b/internal/coordination/scheduler/simulation_controller_test.go
@@ -16,18 +16,18 @@
 	scheduler     *Scheduler
 	startedAt     time.Duration
 	entitledUntil time.Duration // its lease as leader ends
-	dead          bool
+	stopped       bool
 	stopsAt       time.Duration // it runs on until then without knowing that its lease is over
 }
 
 // neverEnds is a time after the end of every simulated day.
-const neverEnds = 10 * time.Hour
+const farFuture = 10 * time.Hour
 
-func (s *simulation) settings() Config {
+func (s *simulation) schedulerConfig() Config {
 	return Config{
 		Term:    s.term,
 		Teams:   s.teams,
-		Workers: s.workers,
+		Workers: s.workerTimes,
 		State:   config.State{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8},
 		ListLag: 3 * time.Second,
 		Options: config.DefaultOptions(),
@@ -38,22 +38,22 @@
 // for a while without knowing.
 func (s *simulation) electLeader() {
 	for _, controller := range s.leaders {
-		if controller.dead {
+		if controller.stopped {
 			continue
 		}
 		controller.entitledUntil = min(controller.entitledUntil, s.now)
-		controller.stopsAt = min(controller.stopsAt, s.now+s.between(0, 8*time.Second))
-		if s.chance(0.6) {
-			controller.dead = true
+		controller.stopsAt = min(controller.stopsAt, s.now+s.randomDuration(0, 8*time.Second))
+		if s.withProbability(0.6) {
+			controller.stopped = true
 		}
 	}
 	s.term++
 	controller := &simulatedController{
 		term:          s.term,
-		scheduler:     New(s.settings(), 0),
+		scheduler:     New(s.schedulerConfig(), 0),
 		startedAt:     s.now,
-		entitledUntil: neverEnds,
-		stopsAt:       neverEnds,
+		entitledUntil: farFuture,
+		stopsAt:       farFuture,
 	}
 	s.leaders = append(s.leaders, controller)
 	s.loadState(controller)
@@ -61,21 +61,21 @@
 
 // loadState gives a new leader all that earlier ones wrote down.
 func (s *simulation) loadState(controller *simulatedController) {
-	for _, key := range s.sortedKeys(storage.PrefixOpenJob) {
+	for _, key := range s.sortedKeysWithPrefix(storage.PrefixOpenJob) {
 		s.stepJobChanged(controller, key)
 	}
-	for _, key := range s.sortedKeys(storage.PrefixFinishedTasks) {
+	for _, key := range s.sortedKeysWithPrefix(storage.PrefixFinishedTasks) {
 		id, _, _ := storage.ParseFinishedTasksKey(key)
 		event := FinishedTasksLoaded{JobID: id, Version: s.records[key].version}
 		s.must(protocol.Decode(s.records[key].value, &event.Record))
 		s.step(controller, event)
 	}
-	for _, key := range s.sortedKeys(storage.PrefixRental) {
+	for _, key := range s.sortedKeysWithPrefix(storage.PrefixRental) {
 		event := RentalLoaded{Name: strings.TrimPrefix(key, storage.PrefixRental), Version: s.records[key].version}
 		s.must(protocol.Decode(s.records[key].value, &event.Record))
 		s.step(controller, event)
 	}
-	for _, key := range s.sortedKeys(storage.PrefixRegistryPage) {
+	for _, key := range s.sortedKeysWithPrefix(storage.PrefixRegistryPage) {
 		name := strings.TrimPrefix(key, storage.PrefixRegistryPage)
 		event := RegistryPageLoaded{Name: name, Version: s.records[key].version}
 		s.must(protocol.Decode(s.records[key].value, &event.Record))
@@ -98,38 +98,38 @@
 
 // step gives an event to a controller's scheduler and carries out the effects.
 func (s *simulation) step(controller *simulatedController, event Event) {
-	if controller.dead {
+	if controller.stopped {
 		return
 	}
 	for _, effect := range controller.scheduler.Step(event, s.now-controller.startedAt) {
-		s.perform(controller, effect)
+		s.executeEffect(controller, effect)
 	}
 }
 
 // entitled reports whether a controller may still act as the leader.
-func (s *simulation) entitled(controller *simulatedController) bool {
+func (s *simulation) isEntitled(controller *simulatedController) bool {
 	return s.now < controller.entitledUntil
 }
 
 // tickLeaders gives all controllers that lead, or believe so, their regular event.
 func (s *simulation) tickLeaders() {
 	for _, controller := range s.leaders {
-		if !controller.dead && s.now >= controller.stopsAt {
-			controller.dead = true
+		if !controller.stopped && s.now >= controller.stopsAt {
+			controller.stopped = true
 		}
-		s.step(controller, Tick{Entitled: s.entitled(controller)})
+		s.step(controller, Tick{Entitled: s.isEntitled(controller)})
 	}
 }
 
 // perform carries out an effect of a controller's scheduler.
-func (s *simulation) perform(controller *simulatedController, effect Effect) {
+func (s *simulation) executeEffect(controller *simulatedController, effect Effect) {
 	if s.trace {
 		fmt.Printf("%v term %d: %T %+v\n", s.now, controller.term, effect, effect)
 	}
 	switch effect := effect.(type) {
 	case HeartbeatReply:
 		reply := effect.ReplyTo.(responderFunc)
-		if !effect.Accepted || !s.entitled(controller) {
+		if !effect.Accepted || !s.isEntitled(controller) {
 			reply(nil)
 			return
 		}
@@ -137,9 +137,11 @@
 	case SendDirectCommands:
 		s.sendDirectCommands(controller, effect)
 	case ProbeMachine:
-		s.probe(controller, effect.Machine)
+		s.probeMachine(controller, effect.Machine)
 	case WriteRecords:
-		s.after(s.between(5*time.Millisecond, 300*time.Millisecond), func() { s.executeWrite(controller, effect) })
+		s.afterFunc(s.randomDuration(5*time.Millisecond, 300*time.Millisecond), func() {
+			s.executeWrite(controller, effect)
+		})
 	case RentMachines:
 		s.rentMachines(controller, effect.Request)
 	case DeleteMachines:
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -14,59 +14,63 @@
 // start and complete together, notice the loss of one, and save together or not at all.
 
 // simulatedGang is one attempt of a gang.
-type simulatedGang struct {
-	spec        protocol.Spec
-	started     bool
-	completesAt time.Duration
-	lostTaskAt  time.Duration // when it lost a task while it ran; 0: never
-	firstStopAt time.Duration
-	noticeDelay time.Duration   // how long its tasks take to notice a loss
-	gathered    map[string]bool // names of its tasks that have waited for the others on some machine
+type simulatedGangAttempt struct {
+	spec               protocol.Spec
+	started            bool
+	completesAt        time.Duration
+	taskLostAt         time.Duration // when it lost a task while it ran; 0: never
+	firstStopAt        time.Duration
+	peerDetectionDelay time.Duration   // how long its tasks take to notice a loss
+	gatheredTasks      map[string]bool // names of its tasks that have waited for the others on some machine
 }
 
 // gangEvents counts what happened to gangs, to show that the generated days covered it.
-type gangEvents struct{ started, lost, incomplete, replaced, saved, unsaved, completed int }
+type gangEventCounts struct{ started, taskLost, gatherTimedOut, taskReplaced, saved, stoppedUnsaved, completed int }
 
-func (e *gangEvents) check(t *testing.T) {
+func (e *gangEventCounts) checkCoverage(t *testing.T) {
 	t.Logf("gangs: %+v", *e)
-	const least = 5
-	if min(e.started, e.lost, e.replaced, e.saved, e.unsaved, e.completed) < least {
+	const minCount = 5
+	if min(e.started, e.taskLost, e.taskReplaced, e.saved, e.stoppedUnsaved, e.completed) < minCount {
 		t.Errorf("some of these events hardly happened: %+v", *e)
 	}
 }
 
 // gangOf returns the gang attempt that a task belongs to, or nil if its job is no gang.
-func (s *simulation) gangOf(task *simulatedTask) *simulatedGang {
+func (s *simulation) gangAttemptOf(task *simulatedTask) *simulatedGangAttempt {
 	id, _, _ := protocol.ParseTaskName(task.name)
 	spec := s.jobs[id].spec
 	if !spec.Gang() {
 		return nil
 	}
 	key := fmt.Sprintf("%s#%x", id, task.attempt)
-	gang := s.gangs[key]
+	gang := s.gangAttempts[key]
 	if gang == nil {
-		gang = &simulatedGang{spec: spec, noticeDelay: s.between(0, s.peerTimeout()), gathered: map[string]bool{}}
-		s.gangs[key] = gang
+		gang = &simulatedGangAttempt{
+			spec:               spec,
+			peerDetectionDelay: s.randomDuration(0, s.gangPeerDetection()),
+			gatheredTasks:      map[string]bool{},
+		}
+		s.gangAttempts[key] = gang
 	}
 	return gang
 }
 
 // peerTimeout is the longest time in which a gang's tasks notice that one is gone.
-func (s *simulation) peerTimeout() time.Duration {
-	return limits.Seconds(*s.workers.GangPeerS)
+func (s *simulation) gangPeerDetection() time.Duration {
+	return limits.Seconds(*s.workerTimes.GangPeerS)
 }
 
 // placedTasks returns the tasks of each attempt that are on their machines.
-func (s *simulation) gangMembers() map[*simulatedGang][]placedTask {
-	members := map[*simulatedGang][]placedTask{}
+func (s *simulation) executingTasksByGang() map[*simulatedGangAttempt][]executingTask {
+	members := map[*simulatedGangAttempt][]executingTask{}
 	for _, name := range s.machineNames() {
 		machine := s.machines[name]
 		if machine.removed {
 			continue
 		}
 		for _, task := range machine.tasks {
-			if gang := s.gangOf(task); gang != nil && task.onMachine() {
-				members[gang] = append(members[gang], placedTask{machine, task})
+			if gang := s.gangAttemptOf(task); gang != nil && task.isExecuting() {
+				members[gang] = append(members[gang], executingTask{machine, task})
 			}
 		}
 	}
@@ -74,36 +78,36 @@
 }
 
 // gather makes a gang's task that has its image wait for the others.
-func (s *simulation) gather(machine *simulatedMachine, task *simulatedTask) {
-	s.beginTask(machine, task)
-	if gang := s.gangOf(task); gang.gathered[task.name] {
-		s.seen.replaced++
+func (s *simulation) startGathering(machine *simulatedMachine, task *simulatedTask) {
+	s.startTask(machine, task)
+	if gang := s.gangAttemptOf(task); gang.gatheredTasks[task.name] {
+		s.gangEvents.taskReplaced++
 	} else {
-		gang.gathered[task.name] = true
+		gang.gatheredTasks[task.name] = true
 	}
 	id, index, _ := protocol.ParseTaskName(task.name)
 	task.state = protocol.TaskGathering
-	task.gatherDeadline = s.now + limits.Seconds(*s.workers.GangWaitS)
-	if s.jobs[id].done[index] {
+	task.gatherDeadline = s.now + limits.Seconds(*s.workerTimes.GangWaitS)
+	if s.jobs[id].completedTasks[index] {
 		s.endTask(machine, task, protocol.ReasonDone)
 	}
 }
 
 // runGangs advances all gangs to the current time.
-func (s *simulation) runGangs() {
-	members := s.gangMembers()
-	keys := make([]string, 0, len(s.gangs))
-	for key := range s.gangs {
+func (s *simulation) advanceGangs() {
+	members := s.executingTasksByGang()
+	keys := make([]string, 0, len(s.gangAttempts))
+	for key := range s.gangAttempts {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
 	for _, key := range keys {
-		s.runGang(s.gangs[key], members[s.gangs[key]])
+		s.advanceGang(s.gangAttempts[key], members[s.gangAttempts[key]])
 	}
 }
 
 // runGang advances one attempt of a gang. Tasks on a machine that hangs count as gone.
-func (s *simulation) runGang(gang *simulatedGang, members []placedTask) {
+func (s *simulation) advanceGang(gang *simulatedGangAttempt, members []executingTask) {
 	responsive := members[:0:0]
 	for _, m := range members {
 		if s.now >= m.machine.hungUntil {
@@ -113,38 +117,38 @@
 	switch {
 	case gang.started && len(members) == 0: // over
 	case !gang.started:
-		s.gatherGang(gang, responsive)
-	case gang.lostTaskAt != 0:
-		if s.now >= gang.lostTaskAt+gang.noticeDelay {
+		s.advanceGatheringGang(gang, responsive)
+	case gang.taskLostAt != 0:
+		if s.now >= gang.taskLostAt+gang.peerDetectionDelay {
 			s.endTasks(responsive, protocol.ReasonPeers)
 		}
 	case len(responsive) < gang.spec.Tasks && gang.firstStopAt == 0:
-		gang.lostTaskAt = s.now
-		s.seen.lost++
+		gang.taskLostAt = s.now
+		s.gangEvents.taskLost++
 	case gang.firstStopAt != 0:
-		s.stopGang(gang, responsive)
+		s.advanceStoppingGang(gang, responsive)
 	case s.now >= gang.completesAt:
 		s.completeGang(responsive)
 	}
 }
 
 // endTasks ends all of some tasks for the same reason.
-func (s *simulation) endTasks(members []placedTask, reason protocol.EndReason) {
+func (s *simulation) endTasks(members []executingTask, reason protocol.EndReason) {
 	for _, m := range members {
 		s.endTask(m.machine, m.task, reason)
 	}
 }
 
 // gatherGang starts a gang that is complete, and ends tasks that have waited too long.
-func (s *simulation) gatherGang(gang *simulatedGang, members []placedTask) {
+func (s *simulation) advanceGatheringGang(gang *simulatedGangAttempt, members []executingTask) {
 	if len(members) == gang.spec.Tasks {
-		s.seen.started++
-		gang.started, gang.completesAt = true, s.now+s.between(2*time.Second, 12*time.Second)
+		s.gangEvents.started++
+		gang.started, gang.completesAt = true, s.now+s.randomDuration(2*time.Second, 12*time.Second)
 		for _, m := range members {
 			m.task.state = protocol.TaskRunning
-			m.machine.reportBy(s.now + statusChangeDelay)
+			m.machine.sendHeartbeatBy(s.now + statusReportDelay)
 			id, _, _ := protocol.ParseTaskName(m.task.name)
-			if m.machine.faulty || s.alwaysFailing[id] {
+			if m.machine.faulty || s.alwaysFailingJobs[id] {
 				s.endTask(m.machine, m.task, protocol.ReasonError)
 			}
 		}
@@ -153,31 +157,31 @@
 	for _, m := range members {
 		if s.now >= m.task.gatherDeadline {
 			s.endTask(m.machine, m.task, protocol.ReasonIncomplete)
-			s.seen.incomplete++
+			s.gangEvents.gatherTimedOut++
 		}
 	}
 }
 
 // completeGang ends a gang whose work is done: all its tasks complete at the same time.
-func (s *simulation) completeGang(members []placedTask) {
-	s.seen.completed++
+func (s *simulation) completeGang(members []executingTask) {
+	s.gangEvents.completed++
 	for _, m := range members {
 		id, index, _ := protocol.ParseTaskName(m.task.name)
-		s.jobs[id].done[index] = true
+		s.jobs[id].completedTasks[index] = true
 	}
 	s.endTasks(members, protocol.ReasonDone)
 }
 
 // stopGangTask tells a task of a gang to stop.
 func (s *simulation) stopGangTask(machine *simulatedMachine, task *simulatedTask, grace float64) {
-	gang := s.gangOf(task)
+	gang := s.gangAttemptOf(task)
 	if task.state != protocol.TaskRunning || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
-		if !task.toldToStop || grace == 0 || task.state != protocol.TaskRunning {
+		if !task.stopRequested || grace == 0 || task.state != protocol.TaskRunning {
 			s.endTask(machine, task, protocol.ReasonStopped)
 		}
 		return
 	}
-	task.toldToStop = true
+	task.stopRequested = true
 	if gang.firstStopAt == 0 {
 		gang.firstStopAt = s.now
 	}
@@ -185,20 +189,20 @@
 
 // stopGang ends a gang that was told to stop. Its work is saved if all tasks were told in time;
 // otherwise its tasks give up once they have noticed that some are missing.
-func (s *simulation) stopGang(gang *simulatedGang, members []placedTask) {
-	toldToStop := 0
+func (s *simulation) advanceStoppingGang(gang *simulatedGangAttempt, members []executingTask) {
+	stopRequests := 0
 	for _, m := range members {
-		if m.task.toldToStop {
-			toldToStop++
+		if m.task.stopRequested {
+			stopRequests++
 		}
 	}
-	save := limits.Seconds(gang.spec.SaveS)
+	saveTime := limits.Seconds(gang.spec.SaveS)
 	switch {
-	case toldToStop == gang.spec.Tasks && s.now >= gang.firstStopAt+save:
+	case stopRequests == gang.spec.Tasks && s.now >= gang.firstStopAt+saveTime:
 		s.endTasks(members, protocol.ReasonStopped)
-		s.seen.saved++
-	case s.now >= gang.firstStopAt+s.peerTimeout()+save:
+		s.gangEvents.saved++
+	case s.now >= gang.firstStopAt+s.gangPeerDetection()+saveTime:
 		s.endTasks(members, protocol.ReasonPeers)
-		s.seen.unsaved++
+		s.gangEvents.stoppedUnsaved++
 	}
 }
--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -17,8 +17,8 @@
 	switch {
 	case job == nil:
 		s.t.Fatalf("invented: %s", id)
-	case final.State == protocol.JobDone && len(job.done) < job.spec.Tasks:
-		s.t.Fatalf("not_done: %s with %d of %d", id, len(job.done), job.spec.Tasks)
+	case final.State == protocol.JobDone && len(job.completedTasks) < job.spec.Tasks:
+		s.t.Fatalf("not_done: %s with %d of %d", id, len(job.completedTasks), job.spec.Tasks)
 	case final.State == protocol.JobAborted && job.cancelledAt == 0:
 		s.t.Fatalf("went_back: %s cancelled by nobody", id)
 	case final.State == protocol.JobDone && job.cancelledAt != 0:
@@ -27,66 +27,66 @@
 }
 
 // checkStart checks the rules for a task that has just started.
-func (s *simulation) checkStart(machine *simulatedMachine, task *simulatedTask) {
+func (s *simulation) checkStartedTask(machine *simulatedMachine, task *simulatedTask) {
 	job := s.jobOf(task)
-	where := s.describe(machine, task)
+	description := s.describeTask(machine, task)
 	spec := &job.spec
 	if !spec.Spot && machine.Spot {
-		s.t.Fatalf("wrong_place: spot: %s", where)
+		s.t.Fatalf("wrong_place: spot: %s", description)
 	}
 	if spec.Zone != "" && spec.Zone != machine.Zone {
-		s.t.Fatalf("wrong_place: zone: %s", where)
+		s.t.Fatalf("wrong_place: zone: %s", description)
 	}
 	if len(spec.MachineTypes) > 0 && spec.MachineTypes[0] != machine.MachineType {
-		s.t.Fatalf("wrong_place: type: %s", where)
+		s.t.Fatalf("wrong_place: type: %s", description)
 	}
-	s.checkRunsOnce(task, where)
-	s.checkQuotas(where)
-	tasksInZone := s.tasksInZone(job)
-	if spec.SameZone && len(tasksInZone) > 1 {
-		s.t.Fatalf("wrong_place: same zone: %s", where)
+	s.checkNoOtherAttempt(task, description)
+	s.checkTeamLimits(description)
+	tasksByZone := s.tasksByZone(job)
+	if spec.SameZone && len(tasksByZone) > 1 {
+		s.t.Fatalf("wrong_place: same zone: %s", description)
 	}
-	if spec.SpreadZones && tasksInZone[machine.Zone] > (spec.Tasks+1)/2 {
-		s.t.Fatalf("wrong_place: spread over zones: %s", where)
+	if spec.SpreadZones && tasksByZone[machine.Zone] > (spec.Tasks+1)/2 {
+		s.t.Fatalf("wrong_place: spread over zones: %s", description)
 	}
-	s.checkCancelled(job, where)
+	s.checkCancelDeadline(job, description)
 }
 
 // placedTask is a task that is on its machine.
-type placedTask struct {
+type executingTask struct {
 	machine *simulatedMachine
 	task    *simulatedTask
 }
 
 // placedTasks returns all tasks that are on their machines.
-func (s *simulation) placedTasks() []placedTask {
-	var placed []placedTask
+func (s *simulation) executingTasks() []executingTask {
+	var executing []executingTask
 	for _, name := range s.machineNames() {
 		machine := s.machines[name]
 		if machine.removed {
 			continue
 		}
 		for _, task := range machine.tasks {
-			if task.onMachine() {
-				placed = append(placed, placedTask{machine, task})
+			if task.isExecuting() {
+				executing = append(executing, executingTask{machine, task})
 			}
 		}
 	}
-	return placed
+	return executing
 }
 
-func (s *simulation) checkRunsOnce(task *simulatedTask, where string) {
-	for _, p := range s.placedTasks() {
+func (s *simulation) checkNoOtherAttempt(task *simulatedTask, startedTask string) {
+	for _, p := range s.executingTasks() {
 		if p.task.name == task.name && p.task != task {
-			s.t.Fatalf("ran_twice: %s, and on %s attempt %x", where, p.machine.Name, p.task.attempt)
+			s.t.Fatalf("ran_twice: %s, and on %s attempt %x", startedTask, p.machine.Name, p.task.attempt)
 		}
 	}
 }
 
-func (s *simulation) checkQuotas(where string) {
+func (s *simulation) checkTeamLimits(startedTask string) {
 	var running []string
 	used := map[string]float64{}
-	for _, p := range s.placedTasks() {
+	for _, p := range s.executingTasks() {
 		spec := &s.jobOf(p.task).spec
 		used[spec.Team] += spec.CPUs
 		description := fmt.Sprintf("%s:%s#%x*%v", p.machine.Name, p.task.name, p.task.attempt, spec.CPUs)
@@ -94,15 +94,15 @@
 	}
 	for _, team := range s.teams {
 		if used[team.Name] > team.CPUsMax+1e-9 {
-			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], where, running)
+			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], startedTask, running)
 		}
 	}
 }
 
 // tasksInZone counts the tasks of a job that are on machines, by zone.
-func (s *simulation) tasksInZone(job *simulatedJob) map[string]int {
+func (s *simulation) tasksByZone(job *simulatedJob) map[string]int {
 	counts := map[string]int{}
-	for _, p := range s.placedTasks() {
+	for _, p := range s.executingTasks() {
 		if s.jobOf(p.task) == job {
 			counts[p.machine.Zone]++
 		}
@@ -111,16 +111,16 @@
 }
 
 // checkAllCancelled checks that no task of a cancelled job is on a machine for too long.
-func (s *simulation) checkAllCancelled(machine *simulatedMachine) {
+func (s *simulation) checkCancelledTasks(machine *simulatedMachine) {
 	for _, task := range machine.tasks {
-		if task.onMachine() {
-			s.checkCancelled(s.jobOf(task), s.describe(machine, task))
+		if task.isExecuting() {
+			s.checkCancelDeadline(s.jobOf(task), s.describeTask(machine, task))
 		}
 	}
 }
 
-func (s *simulation) checkCancelled(job *simulatedJob, where string) {
-	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workers.CancelS) {
-		s.t.Fatalf("ran_cancelled: %s", where)
+func (s *simulation) checkCancelDeadline(job *simulatedJob, description string) {
+	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workerTimes.CancelS) {
+		s.t.Fatalf("ran_cancelled: %s", description)
 	}
 }
--- a/internal/coordination/scheduler/simulation_days_test.go
+++ b/internal/coordination/scheduler/simulation_scenario_test.go
@@ -31,13 +31,13 @@
 // TestRules plays days with faults of every kind and checks the protocol's rules. Each day ends
 // without faults, and then all work must get done.
 func TestRules(t *testing.T) {
-	seen := &gangEvents{}
+	events := &gangEventCounts{}
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.Uint64().Draw(t, "seed"))
-		s.seen = seen
-		playRandomDay(s)
+		s.gangEvents = events
+		runRandomScenario(s)
 	})
-	seen.check(t)
+	events.checkCoverage(t)
 }
 
 // TestReplay plays one day and prints all effects of the scheduler, to investigate a failure:
@@ -53,45 +53,45 @@
 	}
 	s := newSimulation(t, seed)
 	s.trace = true
-	playRandomDay(s)
+	runRandomScenario(s)
 }
 
 // Lengths of the two parts of a day.
 const (
-	faultyPart    = 150 * time.Second // in which jobs come and faults happen
-	faultFreePart = 600 * time.Second // in which all jobs that are left must get done, at most
+	faultPhase        = 150 * time.Second // in which jobs come and faults happen
+	maxFaultFreePhase = 600 * time.Second // in which all jobs that are left must get done, at most
 )
 
 // playRandomDay plays a day with random jobs, cancellations, faults and changes of leaders, and then
 // one without faults until all jobs are over.
-func playRandomDay(s *simulation) {
+func runRandomScenario(s *simulation) {
 	s.electLeader()
-	for s.now < faultyPart {
+	for s.now < faultPhase {
 		switch {
-		case s.chance(0.02):
+		case s.withProbability(0.02):
 			s.submitRandomJob()
-		case s.chance(0.003):
+		case s.withProbability(0.003):
 			s.cancelRandomJob()
-		case s.chance(0.006):
+		case s.withProbability(0.006):
 			s.injectFault()
-		case s.chance(0.002):
-			s.electLeaders()
+		case s.withProbability(0.002):
+			s.electLeadersInQuickSuccession()
 		}
 		s.advance()
 	}
 	s.endFaults()
-	end := s.now + faultFreePart
-	for s.now < end && len(s.sortedKeys(storage.PrefixOpenJob)) > 0 {
+	deadline := s.now + maxFaultFreePhase
+	for s.now < deadline && len(s.sortedKeysWithPrefix(storage.PrefixOpenJob)) > 0 {
 		s.advance()
 	}
-	if left := s.sortedKeys(storage.PrefixOpenJob); len(left) > 0 {
-		id := strings.TrimPrefix(left[0], storage.PrefixOpenJob)
-		s.t.Fatalf("not finished although the faults ended: %v\n%s", left, s.explain(id))
+	if unfinished := s.sortedKeysWithPrefix(storage.PrefixOpenJob); len(unfinished) > 0 {
+		id := strings.TrimPrefix(unfinished[0], storage.PrefixOpenJob)
+		s.t.Fatalf("not finished although the faults ended: %v\n%s", unfinished, s.explainUnfinishedJob(id))
 	}
 }
 
 // electLeaders makes leaders follow each other within a fraction of a second.
-func (s *simulation) electLeaders() {
+func (s *simulation) electLeadersInQuickSuccession() {
 	for range 1 + s.random.IntN(3) {
 		s.electLeader()
 		for range s.random.IntN(8) {
@@ -107,8 +107,8 @@
 		machine.partitionedUntil, machine.unreachableUntil = 0, 0
 		machine.hungUntil = min(machine.hungUntil, s.now+time.Second)
 	}
-	for _, key := range s.sortedKeys(storage.PrefixOpenJob) {
-		if s.alwaysFailing[strings.TrimPrefix(key, storage.PrefixOpenJob)] {
+	for _, key := range s.sortedKeysWithPrefix(storage.PrefixOpenJob) {
+		if s.alwaysFailingJobs[strings.TrimPrefix(key, storage.PrefixOpenJob)] {
 			s.cancelJob(key)
 		}
 	}
@@ -116,9 +116,9 @@
 
 // simulatedJob is what is true of a job, whatever the leaders know.
 type simulatedJob struct {
-	spec        protocol.Spec
-	done        map[int]bool
-	cancelledAt time.Duration // when the user got the confirmation; 0: never
+	spec           protocol.Spec
+	completedTasks map[int]bool
+	cancelledAt    time.Duration // when the user got the confirmation; 0: never
 }
 
 // jobOf returns the job of a task.
@@ -142,9 +142,9 @@
 		CPUs:        float64(1 + s.random.IntN(4)),
 		MemoryGB:    1,
 		Zone:        pick("", "", "", "a"),
-		SameZone:    s.chance(0.2),
-		SpreadZones: s.chance(0.2),
-		Spot:        s.chance(0.6),
+		SameZone:    s.withProbability(0.2),
+		SpreadZones: s.withProbability(0.2),
+		Spot:        s.withProbability(0.6),
 		Image:       pick("i", "k"),
 		ImageGB:     1,
 		EstimateS:   6,
@@ -155,28 +155,28 @@
 	if spec.SpreadZones {
 		spec.Zone = "" // in one zone, half of the tasks could never be placed
 	}
-	if s.chance(0.2) {
+	if s.withProbability(0.2) {
 		spec.MachineTypes = []string{"b8"}
 	}
-	if s.chance(0.3) {
+	if s.withProbability(0.3) {
 		spec.CheckpointS, spec.SaveS = 2, 1
 	}
-	if s.chance(0.4) {
+	if s.withProbability(0.4) {
 		spec.DeadlineS = 20
 	}
-	if s.chance(0.3) {
+	if s.withProbability(0.3) {
 		spec.Shape = protocol.ShapeGang
 		spec.Tasks = 1 + s.random.IntN(min(5, int(20/spec.CPUs))) // together within the lower of the teams' limits
 	}
-	s.jobs[id] = &simulatedJob{spec: spec, done: map[int]bool{}}
-	s.putJob(storage.OpenJobKey(id), storage.OpenJob{Spec: spec})
-	if s.chance(0.08) {
-		s.alwaysFailing[id] = true
+	s.jobs[id] = &simulatedJob{spec: spec, completedTasks: map[int]bool{}}
+	s.writeJob(storage.OpenJobKey(id), storage.OpenJob{Spec: spec})
+	if s.withProbability(0.08) {
+		s.alwaysFailingJobs[id] = true
 	}
 }
 
 func (s *simulation) cancelRandomJob() {
-	keys := s.sortedKeys(storage.PrefixOpenJob)
+	keys := s.sortedKeysWithPrefix(storage.PrefixOpenJob)
 	if len(keys) == 0 {
 		return
 	}
@@ -191,7 +191,7 @@
 	}
 	job.Cancelled, job.CancelledAtMs = true, s.now.Milliseconds()
 	s.jobs[strings.TrimPrefix(key, storage.PrefixOpenJob)].cancelledAt = s.now
-	s.putJob(key, job)
+	s.writeJob(key, job)
 }
 
 // injectFault makes one machine, a zone or a part of the fleet fail.
@@ -200,13 +200,13 @@
 	if len(names) == 0 {
 		return
 	}
-	affected := s.machinesToFail(names)
+	affected := s.pickAffectedMachines(names)
 	kind := s.random.IntN(6)
-	until := func(longest time.Duration) time.Duration { return s.now + s.between(time.Second, longest) }
-	hungUntil := until(40 * time.Second)
-	partitionedUntil := until(30 * time.Second)
-	reclaimedAt := until(15 * time.Second)
-	unreachableUntil := until(60 * time.Second)
+	randomEnd := func(longest time.Duration) time.Duration { return s.now + s.randomDuration(time.Second, longest) }
+	hungUntil := randomEnd(40 * time.Second)
+	partitionedUntil := randomEnd(30 * time.Second)
+	spotReclaimAt := randomEnd(15 * time.Second)
+	unreachableUntil := randomEnd(60 * time.Second)
 	for _, machine := range affected {
 		switch kind {
 		case 0:
@@ -214,11 +214,11 @@
 		case 1:
 			machine.partitionedUntil = partitionedUntil
 		case 2: // it dies, but stays listed
-			machine.dead, machine.bootedAt = true, neverEnds
+			machine.down, machine.bootedAt = true, farFuture
 			machine.tasks = nil
 		case 3:
 			if machine.Spot {
-				machine.reclaimedAt = reclaimedAt
+				machine.spotReclaimAt = spotReclaimAt
 			}
 		case 4:
 			machine.remove()
@@ -226,36 +226,36 @@
 			machine.unreachableUntil = unreachableUntil
 		}
 	}
-	if len(affected) > 1 && s.chance(0.3) { // the leader fails at the same time
+	if len(affected) > 1 && s.withProbability(0.3) { // the leader fails at the same time
 		s.electLeader()
 	}
 }
 
 // machinesToFail chooses which machines a fault affects.
-func (s *simulation) machinesToFail(names []string) []*simulatedMachine {
-	one := s.machines[names[s.random.IntN(len(names))]]
+func (s *simulation) pickAffectedMachines(names []string) []*simulatedMachine {
+	picked := s.machines[names[s.random.IntN(len(names))]]
 	var affected []*simulatedMachine
 	switch s.random.IntN(8) {
 	case 0: // a zone
 		for _, name := range names {
-			if s.machines[name].Zone == one.Zone {
+			if s.machines[name].Zone == picked.Zone {
 				affected = append(affected, s.machines[name])
 			}
 		}
 		return affected
 	case 1: // a fifth of the fleet
 		for _, name := range names {
-			if s.chance(0.2) {
+			if s.withProbability(0.2) {
 				affected = append(affected, s.machines[name])
 			}
 		}
 		return affected
 	}
-	return []*simulatedMachine{one}
+	return []*simulatedMachine{picked}
 }
 
 // explain describes the state that bears on why a job is not finished.
-func (s *simulation) explain(id string) string {
+func (s *simulation) explainUnfinishedJob(id string) string {
 	scheduler := s.leaders[len(s.leaders)-1].scheduler
 	text := fmt.Sprintf("spec %+v\n", s.jobs[id].spec)
 	if j := scheduler.jobs.byID[id]; j != nil {
--- a/internal/coordination/scheduler/simulation_store_test.go
+++ b/internal/coordination/scheduler/simulation_store_test.go
@@ -10,7 +10,7 @@
 )
 
 // prefixFinalJob is the prefix of the keys of final records.
-var prefixFinalJob = storage.FinalJobKey("")
+var finalJobPrefix = storage.FinalJobKey("")
 
 type storedRecord struct {
 	version uint64
@@ -18,7 +18,7 @@
 }
 
 // sortedKeys returns the keys with a prefix.
-func (s *simulation) sortedKeys(prefix string) []string {
+func (s *simulation) sortedKeysWithPrefix(prefix string) []string {
 	var keys []string
 	for key := range s.records {
 		if strings.HasPrefix(key, prefix) {
@@ -31,15 +31,15 @@
 
 // putJob writes a job's record as the controller that serves the user's request does. The leader
 // learns of it by its watch.
-func (s *simulation) putJob(key string, record any) {
+func (s *simulation) writeJob(key string, record any) {
 	s.revision++
 	s.records[key] = storedRecord{s.revision, protocol.Encode(record)}
 	for _, controller := range s.leaders {
-		if controller.dead {
+		if controller.stopped {
 			continue
 		}
-		s.after(s.between(time.Millisecond, 500*time.Millisecond), func() {
-			if _, ok := s.records[key]; ok && !controller.dead {
+		s.afterFunc(s.randomDuration(time.Millisecond, 500*time.Millisecond), func() {
+			if _, ok := s.records[key]; ok && !controller.stopped {
 				s.stepJobChanged(controller, key)
 			}
 		})
@@ -49,7 +49,7 @@
 // executeWrite carries out a transaction if its conditions and the one on the leader key hold.
 func (s *simulation) executeWrite(controller *simulatedController, write WriteRecords) {
 	if controller.term != s.term {
-		controller.dead = true // the condition on the leader key fails: its term is over
+		controller.stopped = true // the condition on the leader key fails: its term is over
 		return
 	}
 	for _, condition := range write.Conditions {
@@ -65,12 +65,12 @@
 			continue
 		}
 		s.records[operation.Put] = storedRecord{s.revision, operation.Value}
-		if id, ok := strings.CutPrefix(operation.Put, prefixFinalJob); ok {
+		if id, ok := strings.CutPrefix(operation.Put, finalJobPrefix); ok {
 			s.checkFinalRecord(id, operation.Value)
 		}
 	}
 	version := s.revision
-	s.after(5*time.Millisecond, func() {
+	s.afterFunc(5*time.Millisecond, func() {
 		s.step(controller, WriteCompleted{ID: write.ID, OK: true, Version: version})
 	})
 }
--- a/internal/coordination/scheduler/simulation_test.go
+++ b/internal/coordination/scheduler/simulation_test.go
@@ -17,50 +17,50 @@
 	random *rand.Rand
 	now    time.Duration
 
-	faultFree       bool // no more faults
-	trace           bool // print all effects
-	records         map[string]storedRecord
-	revision        uint64
-	term            uint64
-	leaders         []*simulatedController // of all terms, the newest last
-	machines        map[string]*simulatedMachine
-	machineSequence int
-	rentals         map[string][]string // machines that were given for each request
-	types           []protocol.MachineType
-	teams           []config.Team
-	workers         config.Workers
-	jobs            map[string]*simulatedJob
-	jobSequence     int
-	deliveries      []delivery      // in the order in which they were asked for
-	alwaysFailing   map[string]bool // jobs whose tasks fail on every machine
-	gangs           map[string]*simulatedGang
-	seen            *gangEvents // shared by all days of a test
+	faultFree         bool // no more faults
+	trace             bool // print all effects
+	records           map[string]storedRecord
+	revision          uint64
+	term              uint64
+	leaders           []*simulatedController // of all terms, the newest last
+	machines          map[string]*simulatedMachine
+	machineSequence   int
+	rentedMachines    map[string][]string // machines that were given for each request
+	types             []protocol.MachineType
+	teams             []config.Team
+	workerTimes       config.Workers
+	jobs              map[string]*simulatedJob
+	jobSequence       int
+	scheduledCalls    []scheduledCall // in the order in which they were asked for
+	alwaysFailingJobs map[string]bool // jobs whose tasks fail on every machine
+	gangAttempts      map[string]*simulatedGangAttempt
+	gangEvents        *gangEventCounts // shared by all days of a test
 }
 
 // chance reports whether something happens that has this probability.
-func (s *simulation) chance(p float64) bool { return s.random.Float64() < p }
+func (s *simulation) withProbability(p float64) bool { return s.random.Float64() < p }
 
 // between returns a random duration; both bounds are included.
-func (s *simulation) between(shortest, longest time.Duration) time.Duration {
+func (s *simulation) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(s.random.Int64N(int64(longest-shortest)+1))
 }
 
 func newSimulation(t interface{ Fatalf(string, ...any) }, seed uint64) *simulation {
 	return &simulation{
-		t:             t,
-		random:        rand.New(rand.NewPCG(seed, 7)),
-		records:       map[string]storedRecord{},
-		machines:      map[string]*simulatedMachine{},
-		rentals:       map[string][]string{},
-		jobs:          map[string]*simulatedJob{},
-		alwaysFailing: map[string]bool{},
-		gangs:         map[string]*simulatedGang{},
-		seen:          &gangEvents{},
+		t:                 t,
+		random:            rand.New(rand.NewPCG(seed, 7)),
+		records:           map[string]storedRecord{},
+		machines:          map[string]*simulatedMachine{},
+		rentedMachines:    map[string][]string{},
+		jobs:              map[string]*simulatedJob{},
+		alwaysFailingJobs: map[string]bool{},
+		gangAttempts:      map[string]*simulatedGangAttempt{},
+		gangEvents:        &gangEventCounts{},
 		teams: []config.Team{
 			{Name: "red", CPUs: 12, CPUsMax: 32},
 			{Name: "blue", CPUs: 12, CPUsMax: 20},
 		},
-		workers: config.Workers{
+		workerTimes: config.Workers{
 			ReportS: 2, LeaseS: 14, CancelS: 34, GangWaitS: seconds(20), GangPeerS: seconds(4),
 		},
 		types: []protocol.MachineType{{
@@ -90,15 +90,15 @@
 // advance moves all parts of the simulation on by a step of time.
 func (s *simulation) advance() {
 	s.now += simulationStep
-	s.runDeliveries()
+	s.runDueCalls()
 	for _, name := range s.machineNames() {
 		machine := s.machines[name]
-		s.runMachine(machine)
+		s.advanceMachine(machine)
 		if s.now%time.Second == 0 {
-			s.checkAllCancelled(machine)
+			s.checkCancelledTasks(machine)
 		}
 	}
-	s.runGangs()
+	s.advanceGangs()
 	if s.now%tickInterval == 0 {
 		s.tickLeaders()
 	}
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -12,16 +12,16 @@
 
 // Delays of a simulated worker.
 const (
-	statusChangeDelay = 500 * time.Millisecond // until a change of its tasks is reported
-	replyTimeout      = 4 * time.Second        // until it gives up waiting for the reply to a heartbeat
-	heartbeatRetry    = time.Second            // until the next heartbeat after one that failed
+	statusReportDelay     = 500 * time.Millisecond // until a change of its tasks is reported
+	heartbeatReplyTimeout = 4 * time.Second        // until it gives up waiting for the reply to a heartbeat
+	heartbeatRetryDelay   = time.Second            // until the next heartbeat after one that failed
 )
 
 // simulatedMachine is a machine of the cloud and the worker on it.
 type simulatedMachine struct {
 	protocol.Machine
 	bootedAt         time.Duration
-	dead             bool // runs nothing, but stays listed
+	down             bool // runs nothing, but stays listed
 	removed          bool // the cloud does not have it any more
 	faulty           bool // every task fails on it
 	hungUntil        time.Duration
@@ -34,7 +34,7 @@
 	leaseStartedAt   time.Duration
 	heartbeatSentAt  time.Duration // of the heartbeat in flight; -1: none
 	nextHeartbeatAt  time.Duration
-	reclaimedAt      time.Duration // when a spot notice takes effect; 0: there is none
+	spotReclaimAt    time.Duration // when a spot notice takes effect; 0: there is none
 	tasks            []*simulatedTask
 }
 
@@ -44,7 +44,7 @@
 }
 
 // reportBy makes the next heartbeat go out at a time, if it would not go out sooner.
-func (m *simulatedMachine) reportBy(at time.Duration) {
+func (m *simulatedMachine) sendHeartbeatBy(at time.Duration) {
 	m.nextHeartbeatAt = min(m.nextHeartbeatAt, at)
 }
 
@@ -63,20 +63,20 @@
 
 // simulatedTask is an attempt of a task that a worker knows.
 type simulatedTask struct {
-	name      string
-	attempt   uint64
-	state     protocol.TaskState
-	reason    protocol.EndReason
-	fetchedAt time.Duration
-	endsAt    time.Duration
-	savedAt   time.Duration
+	name        string
+	attempt     uint64
+	state       protocol.TaskState
+	reason      protocol.EndReason
+	fetchEndsAt time.Duration
+	endsAt      time.Duration
+	saveEndsAt  time.Duration
 
 	gatherDeadline time.Duration // of a gang's task: when it gives up waiting for the others
-	toldToStop     bool          // of a gang's task: it will save with the others
+	stopRequested  bool          // of a gang's task: it will save with the others
 }
 
 // onMachine reports whether the task uses resources of its machine.
-func (t *simulatedTask) onMachine() bool {
+func (t *simulatedTask) isExecuting() bool {
 	return t.state == protocol.TaskRunning || t.state == protocol.TaskSaving || t.state == protocol.TaskGathering
 }
 
@@ -99,7 +99,7 @@
 }
 
 // heartbeat returns the worker's next heartbeat.
-func (s *simulation) heartbeat(machine *simulatedMachine) *protocol.Heartbeat {
+func (s *simulation) newHeartbeat(machine *simulatedMachine) *protocol.Heartbeat {
 	machine.sequence++
 	heartbeat := &protocol.Heartbeat{
 		Machine:      machine.Name,
@@ -111,9 +111,9 @@
 		Sequence:     machine.sequence,
 		FencingToken: machine.fencingToken,
 	}
-	if machine.reclaimedAt != 0 {
-		left := (machine.reclaimedAt - s.now).Seconds()
-		heartbeat.SpotNoticeS = &left
+	if machine.spotReclaimAt != 0 {
+		remainingS := (machine.spotReclaimAt - s.now).Seconds()
+		heartbeat.SpotNoticeS = &remainingS
 	}
 	for _, task := range machine.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
@@ -124,8 +124,8 @@
 }
 
 // expireLease starts a new incarnation of the worker if its lease has expired.
-func (s *simulation) expireLease(machine *simulatedMachine) {
-	if s.now > machine.leaseStartedAt+limits.Seconds(s.workers.LeaseS) {
+func (s *simulation) restartIfLeaseExpired(machine *simulatedMachine) {
+	if s.now > machine.leaseStartedAt+limits.Seconds(s.workerTimes.LeaseS) {
 		machine.tasks = nil
 		machine.incarnation++
 		machine.leaseStartedAt = s.now
@@ -134,24 +134,24 @@
 }
 
 // runMachine advances a worker to the current time.
-func (s *simulation) runMachine(machine *simulatedMachine) {
-	if machine.removed || machine.dead || s.now < machine.bootedAt {
+func (s *simulation) advanceMachine(machine *simulatedMachine) {
+	if machine.removed || machine.down || s.now < machine.bootedAt {
 		return
 	}
-	if machine.reclaimedAt != 0 && s.now >= machine.reclaimedAt {
+	if machine.spotReclaimAt != 0 && s.now >= machine.spotReclaimAt {
 		machine.remove()
 		return
 	}
-	s.expireLease(machine) // a machine that hung goes on within its lease or not at all (docs/questions.md)
+	s.restartIfLeaseExpired(machine) // a machine that hung goes on within its lease or not at all (docs/questions.md)
 	if s.now < machine.hungUntil {
 		return
 	}
 	for _, task := range machine.tasks {
-		s.runTask(machine, task)
+		s.advanceTask(machine, task)
 	}
-	if machine.heartbeatSentAt >= 0 && s.now >= machine.heartbeatSentAt+replyTimeout {
+	if machine.heartbeatSentAt >= 0 && s.now >= machine.heartbeatSentAt+heartbeatReplyTimeout {
 		machine.heartbeatSentAt = -1
-		machine.nextHeartbeatAt = s.now + heartbeatRetry
+		machine.nextHeartbeatAt = s.now + heartbeatRetryDelay
 	}
 	if machine.heartbeatSentAt < 0 && s.now >= machine.nextHeartbeatAt {
 		s.sendHeartbeat(machine)
@@ -159,56 +159,56 @@
 }
 
 // runTask advances a task to the current time. Running gangs are advanced by runGangs.
-func (s *simulation) runTask(machine *simulatedMachine, task *simulatedTask) {
+func (s *simulation) advanceTask(machine *simulatedMachine, task *simulatedTask) {
 	switch task.state {
 	case protocol.TaskFetching:
-		if s.now < task.fetchedAt {
+		if s.now < task.fetchEndsAt {
 			return
 		}
-		if s.gangOf(task) != nil {
-			s.gather(machine, task)
+		if s.gangAttemptOf(task) != nil {
+			s.startGathering(machine, task)
 			return
 		}
-		s.beginTask(machine, task)
+		s.startTask(machine, task)
 	case protocol.TaskRunning:
-		if s.now >= task.endsAt && s.gangOf(task) == nil {
+		if s.now >= task.endsAt && s.gangAttemptOf(task) == nil {
 			s.completeTask(machine, task)
 		}
 	case protocol.TaskSaving:
-		if s.now >= task.savedAt {
+		if s.now >= task.saveEndsAt {
 			s.endTask(machine, task, protocol.ReasonStopped)
 		}
 	}
 }
 
 // beginTask starts a task on its machine.
-func (s *simulation) beginTask(machine *simulatedMachine, task *simulatedTask) {
+func (s *simulation) startTask(machine *simulatedMachine, task *simulatedTask) {
 	task.state = protocol.TaskRunning
 	if task.endsAt == 0 {
-		task.endsAt = s.now + s.between(2*time.Second, 12*time.Second)
+		task.endsAt = s.now + s.randomDuration(2*time.Second, 12*time.Second)
 	}
-	machine.reportBy(s.now + statusChangeDelay)
-	s.checkStart(machine, task)
+	machine.sendHeartbeatBy(s.now + statusReportDelay)
+	s.checkStartedTask(machine, task)
 }
 
 // completeTask ends an independent task that has run for its time.
 func (s *simulation) completeTask(machine *simulatedMachine, task *simulatedTask) {
 	id, index, _ := protocol.ParseTaskName(task.name)
-	if machine.faulty || s.alwaysFailing[id] {
+	if machine.faulty || s.alwaysFailingJobs[id] {
 		s.endTask(machine, task, protocol.ReasonError)
 		return
 	}
-	s.jobs[id].done[index] = true
+	s.jobs[id].completedTasks[index] = true
 	s.endTask(machine, task, protocol.ReasonDone)
 }
 
 func (s *simulation) endTask(machine *simulatedMachine, task *simulatedTask, reason protocol.EndReason) {
 	task.state, task.reason = protocol.TaskEnded, reason
-	machine.reportBy(s.now + statusChangeDelay)
+	machine.sendHeartbeatBy(s.now + statusReportDelay)
 }
 
 // acceptReply handles the reply to a heartbeat. It reports whether the worker's lease was renewed.
-func (s *simulation) acceptReply(
+func (s *simulation) handleHeartbeatReply(
 	machine *simulatedMachine, heartbeat *protocol.Heartbeat, sentAt time.Duration, reply *protocol.HeartbeatReply,
 ) bool {
 	if machine.removed || s.now < machine.hungUntil || machine.heartbeatSentAt != sentAt {
@@ -217,35 +217,35 @@
 	if heartbeat.Incarnation != machine.incarnation {
 		return false
 	}
-	s.expireLease(machine)
+	s.restartIfLeaseExpired(machine)
 	if heartbeat.Incarnation != machine.incarnation {
 		return false
 	}
 	machine.heartbeatSentAt = -1
 	if reply == nil || reply.FencingToken < machine.fencingToken {
-		machine.reportBy(s.now + heartbeatRetry)
+		machine.sendHeartbeatBy(s.now + heartbeatRetryDelay)
 		return false
 	}
 	if reply.FencingToken > machine.fencingToken {
 		machine.fencingToken = reply.FencingToken
-		machine.reportBy(s.now + statusChangeDelay)
+		machine.sendHeartbeatBy(s.now + statusReportDelay)
 	}
 	machine.leaseStartedAt = sentAt
 	if len(reply.Commands) > 0 {
-		s.execute(machine, reply.Commands)
-		machine.reportBy(s.now + statusChangeDelay)
+		s.executeCommands(machine, reply.Commands)
+		machine.sendHeartbeatBy(s.now + statusReportDelay)
 	}
 	return true
 }
 
 // execute carries out a leader's commands.
-func (s *simulation) execute(machine *simulatedMachine, commands []protocol.Command) {
+func (s *simulation) executeCommands(machine *simulatedMachine, commands []protocol.Command) {
 	for _, command := range commands {
 		task, otherAttempt := machine.findTask(command)
 		switch command.Verb {
 		case protocol.CommandStart:
 			if task == nil {
-				s.acceptTask(machine, command, otherAttempt)
+				s.addTask(machine, command, otherAttempt)
 			}
 		case protocol.CommandStop:
 			if task != nil && task.state != protocol.TaskEnded {
@@ -261,18 +261,18 @@
 }
 
 // acceptTask adds a task that was commanded to start, or lists it as refused.
-func (s *simulation) acceptTask(machine *simulatedMachine, command protocol.Command, otherAttempt bool) {
-	used := 0.0
+func (s *simulation) addTask(machine *simulatedMachine, command protocol.Command, otherAttempt bool) {
+	usedCPUs := 0.0
 	for _, other := range machine.tasks {
 		if other.state != protocol.TaskEnded {
-			used += s.jobOf(other).spec.CPUs
+			usedCPUs += s.jobOf(other).spec.CPUs
 		}
 	}
 	task := &simulatedTask{
-		name:      command.Task,
-		attempt:   command.Attempt,
-		state:     protocol.TaskFetching,
-		fetchedAt: s.now + s.between(0, 3*time.Second),
+		name:        command.Task,
+		attempt:     command.Attempt,
+		state:       protocol.TaskFetching,
+		fetchEndsAt: s.now + s.randomDuration(0, 3*time.Second),
 	}
 	machine.tasks = append(machine.tasks, task)
 	id, index, _ := protocol.ParseTaskName(command.Task)
@@ -280,16 +280,16 @@
 	switch {
 	case otherAttempt:
 		task.state, task.reason = protocol.TaskEnded, protocol.ReasonBusy
-	case used+job.spec.CPUs > s.cpusOf(machine)+1e-9:
+	case usedCPUs+job.spec.CPUs > s.cpusOf(machine)+1e-9:
 		task.state, task.reason = protocol.TaskEnded, protocol.ReasonNoRoom
-	case job.done[index]:
-		task.endsAt = task.fetchedAt // the worker has kept the result
+	case job.completedTasks[index]:
+		task.endsAt = task.fetchEndsAt // the worker has kept the result
 	}
 }
 
 // stopTask stops a task, which saves before if it can.
 func (s *simulation) stopTask(machine *simulatedMachine, task *simulatedTask, graceS *float64) {
-	if s.gangOf(task) != nil {
+	if s.gangAttemptOf(task) != nil {
 		s.stopGangTask(machine, task, *graceS)
 		return
 	}
@@ -297,13 +297,13 @@
 	canSave := task.state == protocol.TaskRunning && spec.CheckpointS > 0 && graceS != nil && *graceS >= spec.SaveS
 	switch {
 	case canSave:
-		task.state, task.savedAt = protocol.TaskSaving, s.now+limits.Seconds(spec.SaveS)
+		task.state, task.saveEndsAt = protocol.TaskSaving, s.now+limits.Seconds(spec.SaveS)
 	case task.state != protocol.TaskSaving || *graceS == 0:
 		task.state, task.reason = protocol.TaskEnded, protocol.ReasonStopped
 	}
 }
 
 // describe names a task, its machine and the time in messages.
-func (s *simulation) describe(machine *simulatedMachine, task *simulatedTask) string {
+func (s *simulation) describeTask(machine *simulatedMachine, task *simulatedTask) string {
 	return fmt.Sprintf("at %v: %s attempt %x on %s", s.now, task.name, task.attempt, machine.Name)
 }
