--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -75,15 +75,15 @@
 	return executing
 }
 
-func (s *simulation) checkNoOtherAttempt(task *simulatedTask, startedTask string) {
+func (s *simulation) checkNoOtherAttempt(task *simulatedTask, description string) {
 	for _, p := range s.executingTasks() {
 		if p.task.name == task.name && p.task != task {
-			s.t.Fatalf("ran_twice: %s, and on %s attempt %x", startedTask, p.machine.Name, p.task.attempt)
+			s.t.Fatalf("ran_twice: %s, and on %s attempt %x", description, p.machine.Name, p.task.attempt)
 		}
 	}
 }
 
-func (s *simulation) checkTeamLimits(startedTask string) {
+func (s *simulation) checkTeamLimits(startedDescription string) {
 	var running []string
 	used := map[string]float64{}
 	for _, p := range s.executingTasks() {
@@ -94,7 +94,7 @@
 	}
 	for _, team := range s.teams {
 		if used[team.Name] > team.CPUsMax+1e-9 {
-			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], startedTask, running)
+			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], startedDescription, running)
 		}
 	}
 }
