--- a/internal/coordination/scheduler/simulation_cloud_test.go
+++ b/internal/coordination/scheduler/simulation_cloud_test.go
@@ -7,11 +7,11 @@
 	"quillshunt/internal/protocol"
 )
 
-// maxMachinesPerRental is how many machines the simulated cloud gives for one request.
+// maxMachinesPerRental is the most machines that the simulated cloud rents out for one request.
 const maxMachinesPerRental = 4
 
-// rentMachines answers a rental request: with no capacity, with new machines, or with the same
-// machines as before if it is a repetition.
+// rentMachines executes a rental request after a random delay. The cloud has no capacity or rents out
+// new machines. A repetition of a request that it has fulfilled returns the same machines again.
 func (s *simulation) rentMachines(controller *simulatedController, request protocol.RentalRequest) {
 	s.afterFunc(s.randomDuration(50*time.Millisecond, 2*time.Second), func() {
 		names, alreadyRented := s.rentedMachines[request.Name]
@@ -25,7 +25,7 @@
 			}
 			s.rentedMachines[request.Name] = names
 		}
-		if s.withProbability(0.1) && !s.faultFree { // the answer is lost; the request is repeated
+		if s.withProbability(0.1) && !s.faultFree { // the response is lost and the request repeated
 			s.afterFunc(time.Second, func() { s.rentMachines(controller, request) })
 			return
 		}
@@ -33,7 +33,8 @@
 	})
 }
 
-// addMachine makes a machine, which boots from now on.
+// addMachine creates a machine that begins to boot now. Some machines never come up, and on some all
+// tasks fail.
 func (s *simulation) addMachine(request protocol.RentalRequest) *simulatedMachine {
 	s.machineSequence++
 	name := fmt.Sprintf("m-%06d", s.machineSequence)
@@ -50,13 +51,14 @@
 		incarnation:     1,
 	}
 	machine.leaseStartedAt, machine.nextHeartbeatAt = machine.bootedAt, machine.bootedAt
-	machine.down = s.withProbability(0.05) // it never comes up
+	machine.down = s.withProbability(0.05) // never comes up
 	machine.faulty = s.withProbability(0.08)
 	s.machines[name] = machine
 	return machine
 }
 
-// deleteMachines deletes machines. The answer may be lost, and the request with it.
+// deleteMachines executes a deletion request after a random delay. If the deletion is not confirmed,
+// either the request or only the response was lost.
 func (s *simulation) deleteMachines(controller *simulatedController, names []string) {
 	s.afterFunc(s.randomDuration(50*time.Millisecond, time.Second), func() {
 		confirmed := !s.withProbability(0.2)
@@ -70,7 +72,8 @@
 	})
 }
 
-// listMachines answers with the machines of the time of the request, perhaps much later.
+// listMachines returns the machines that exist at the time of the request. The response arrives up to
+// 6 seconds later, when the list may be outdated.
 func (s *simulation) listMachines(controller *simulatedController) {
 	var listed []protocol.Machine
 	for _, name := range s.machineNames() {
@@ -91,6 +94,7 @@
 	})
 }
 
+// fetchMachineTypes returns the machine types. This request never fails.
 func (s *simulation) fetchMachineTypes(controller *simulatedController) {
 	s.afterFunc(100*time.Millisecond, func() {
 		s.step(controller, MachineTypesFetched{Types: s.types, OK: true})
--- a/internal/coordination/scheduler/simulation_controller_test.go
+++ b/internal/coordination/scheduler/simulation_controller_test.go
@@ -10,19 +10,21 @@
 	"quillshunt/internal/storage"
 )
 
-// simulatedController is a controller in a term in which it leads.
+// simulatedController is the controller that leads in one term. It may keep running after its lease as
+// the leader has ended.
 type simulatedController struct {
 	term          uint64
 	scheduler     *Scheduler
 	startedAt     time.Duration
-	entitledUntil time.Duration // its lease as leader ends
+	entitledUntil time.Duration // end of its lease as the leader
 	stopped       bool
-	stopsAt       time.Duration // it runs on until then without knowing that its lease is over
+	stopsAt       time.Duration // when it learns that its lease has ended, and stops
 }
 
-// neverEnds is a time after the end of every simulated day.
+// farFuture is later than the end of every scenario.
 const farFuture = 10 * time.Hour
 
+// schedulerConfig returns the configuration of the scheduler in the current term.
 func (s *simulation) schedulerConfig() Config {
 	return Config{
 		Term:    s.term,
@@ -34,8 +36,8 @@
 	}
 }
 
-// electLeader starts a new term. The lease of the leader before has expired, but that one may run on
-// for a while without knowing.
+// electLeader starts a new term. The leases of all earlier leaders end. Each of these leaders stops now,
+// or keeps running for up to 8 seconds until it learns that its lease has ended.
 func (s *simulation) electLeader() {
 	for _, controller := range s.leaders {
 		if controller.stopped {
@@ -59,7 +61,7 @@
 	s.loadState(controller)
 }
 
-// loadState gives a new leader all that earlier ones wrote down.
+// loadState passes all records of earlier terms to the scheduler of a new leader.
 func (s *simulation) loadState(controller *simulatedController) {
 	for _, key := range s.sortedKeysWithPrefix(storage.PrefixOpenJob) {
 		s.stepJobChanged(controller, key)
@@ -84,7 +86,7 @@
 	s.step(controller, StateLoaded{})
 }
 
-// stepJobChanged tells a controller of a job's record.
+// stepJobChanged passes the current record of a job to a controller's scheduler.
 func (s *simulation) stepJobChanged(controller *simulatedController, key string) {
 	var job storage.OpenJob
 	s.must(protocol.Decode(s.records[key].value, &job))
@@ -96,7 +98,8 @@
 	s.step(controller, event)
 }
 
-// step gives an event to a controller's scheduler and carries out the effects.
+// step passes an event to a controller's scheduler and executes the resulting effects. It does nothing if
+// the controller has stopped.
 func (s *simulation) step(controller *simulatedController, event Event) {
 	if controller.stopped {
 		return
@@ -106,12 +109,13 @@
 	}
 }
 
-// entitled reports whether a controller may still act as the leader.
+// isEntitled reports whether a controller's lease as the leader is still valid.
 func (s *simulation) isEntitled(controller *simulatedController) bool {
 	return s.now < controller.entitledUntil
 }
 
-// tickLeaders gives all controllers that lead, or believe so, their regular event.
+// tickLeaders sends a Tick to the leader and to earlier leaders that are still running. It stops earlier
+// leaders that now learn that their lease has ended.
 func (s *simulation) tickLeaders() {
 	for _, controller := range s.leaders {
 		if !controller.stopped && s.now >= controller.stopsAt {
@@ -121,7 +125,7 @@
 	}
 }
 
-// perform carries out an effect of a controller's scheduler.
+// executeEffect executes an effect of a controller's scheduler.
 func (s *simulation) executeEffect(controller *simulatedController, effect Effect) {
 	if s.trace {
 		fmt.Printf("%v term %d: %T %+v\n", s.now, controller.term, effect, effect)
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -10,32 +10,34 @@
 	"quillshunt/internal/protocol"
 )
 
-// The simulated workers run gangs as the protocol says: the tasks of one attempt find each other,
-// start and complete together, notice the loss of one, and save together or not at all.
+// The simulated workers run gangs as the protocol specifies. The tasks of one attempt wait for each
+// other, run and complete together, and detect the loss of a task. When they are stopped, either all of
+// them save their work or none does.
 
-// simulatedGang is one attempt of a gang.
+// simulatedGangAttempt is one attempt of a gang, on all its machines.
 type simulatedGangAttempt struct {
 	spec               protocol.Spec
 	started            bool
 	completesAt        time.Duration
-	taskLostAt         time.Duration // when it lost a task while it ran; 0: never
+	taskLostAt         time.Duration // when a task was lost while the gang ran; 0: never
 	firstStopAt        time.Duration
-	peerDetectionDelay time.Duration   // how long its tasks take to notice a loss
-	gatheredTasks      map[string]bool // names of its tasks that have waited for the others on some machine
+	peerDetectionDelay time.Duration   // from the loss of a task until the others detect it
+	gatheredTasks      map[string]bool // names of the tasks that have gathered at least once
 }
 
-// gangEvents counts what happened to gangs, to show that the generated days covered it.
+// gangEventCounts counts events of gangs in all scenarios of a test, to check that they were covered.
 type gangEventCounts struct{ started, taskLost, gatherTimedOut, taskReplaced, saved, stoppedUnsaved, completed int }
 
+// checkCoverage fails the test if one of the events, other than a timeout of gathering, was too rare.
 func (e *gangEventCounts) checkCoverage(t *testing.T) {
-	t.Logf("gangs: %+v", *e)
+	t.Logf("gang events: %+v", *e)
 	const minCount = 5
 	if min(e.started, e.taskLost, e.taskReplaced, e.saved, e.stoppedUnsaved, e.completed) < minCount {
-		t.Errorf("some of these events hardly happened: %+v", *e)
+		t.Errorf("too few gang events of some kind: %+v; want at least %d", *e, minCount)
 	}
 }
 
-// gangOf returns the gang attempt that a task belongs to, or nil if its job is no gang.
+// gangAttemptOf returns the gang attempt that a task belongs to, or nil if its job is not a gang.
 func (s *simulation) gangAttemptOf(task *simulatedTask) *simulatedGangAttempt {
 	id, _, _ := protocol.ParseTaskName(task.name)
 	spec := s.jobs[id].spec
@@ -55,12 +57,12 @@
 	return gang
 }
 
-// peerTimeout is the longest time in which a gang's tasks notice that one is gone.
+// gangPeerDetection returns the longest time until the tasks of a gang detect the loss of one of them.
 func (s *simulation) gangPeerDetection() time.Duration {
 	return limits.Seconds(*s.workerTimes.GangPeerS)
 }
 
-// placedTasks returns the tasks of each attempt that are on their machines.
+// executingTasksByGang returns the executing tasks of each gang attempt.
 func (s *simulation) executingTasksByGang() map[*simulatedGangAttempt][]executingTask {
 	members := map[*simulatedGangAttempt][]executingTask{}
 	for _, name := range s.machineNames() {
@@ -77,7 +79,8 @@
 	return members
 }
 
-// gather makes a gang's task that has its image wait for the others.
+// startGathering makes a gang task whose image is fetched wait for the other tasks. A task that completed
+// in an earlier attempt ends at once with its kept result.
 func (s *simulation) startGathering(machine *simulatedMachine, task *simulatedTask) {
 	s.startTask(machine, task)
 	if gang := s.gangAttemptOf(task); gang.gatheredTasks[task.name] {
@@ -93,7 +96,7 @@
 	}
 }
 
-// runGangs advances all gangs to the current time.
+// advanceGangs advances all gang attempts to the current time.
 func (s *simulation) advanceGangs() {
 	members := s.executingTasksByGang()
 	keys := make([]string, 0, len(s.gangAttempts))
@@ -106,7 +109,7 @@
 	}
 }
 
-// runGang advances one attempt of a gang. Tasks on a machine that hangs count as gone.
+// advanceGang advances one gang attempt to the current time. Tasks on a hung machine count as lost.
 func (s *simulation) advanceGang(gang *simulatedGangAttempt, members []executingTask) {
 	responsive := members[:0:0]
 	for _, m := range members {
@@ -115,7 +118,7 @@
 		}
 	}
 	switch {
-	case gang.started && len(members) == 0: // over
+	case gang.started && len(members) == 0: // all tasks have ended
 	case !gang.started:
 		s.advanceGatheringGang(gang, responsive)
 	case gang.taskLostAt != 0:
@@ -132,14 +135,15 @@
 	}
 }
 
-// endTasks ends all of some tasks for the same reason.
+// endTasks ends tasks with the same reason.
 func (s *simulation) endTasks(members []executingTask, reason protocol.EndReason) {
 	for _, m := range members {
 		s.endTask(m.machine, m.task, reason)
 	}
 }
 
-// gatherGang starts a gang that is complete, and ends tasks that have waited too long.
+// advanceGatheringGang starts the gang if all its tasks are waiting. Otherwise it ends the tasks whose
+// time to gather is over.
 func (s *simulation) advanceGatheringGang(gang *simulatedGangAttempt, members []executingTask) {
 	if len(members) == gang.spec.Tasks {
 		s.gangEvents.started++
@@ -162,7 +166,7 @@
 	}
 }
 
-// completeGang ends a gang whose work is done: all its tasks complete at the same time.
+// completeGang completes all tasks of a gang at the same time.
 func (s *simulation) completeGang(members []executingTask) {
 	s.gangEvents.completed++
 	for _, m := range members {
@@ -172,7 +176,9 @@
 	s.endTasks(members, protocol.ReasonDone)
 }
 
-// stopGangTask tells a task of a gang to stop.
+// stopGangTask executes a stop command for a gang task. A running task that can save within the
+// grace period continues, and advanceStoppingGang ends it with the other tasks. Any other task ends at
+// once. A repeated stop that leaves too little time to save changes nothing unless its grace period is 0.
 func (s *simulation) stopGangTask(machine *simulatedMachine, task *simulatedTask, grace float64) {
 	gang := s.gangAttemptOf(task)
 	if task.state != protocol.TaskRunning || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
@@ -187,8 +193,8 @@
 	}
 }
 
-// stopGang ends a gang that was told to stop. Its work is saved if all tasks were told in time;
-// otherwise its tasks give up once they have noticed that some are missing.
+// advanceStoppingGang ends a gang of which a task has received a stop command. The work is saved if all
+// tasks receive one in time. Otherwise all tasks end unsaved when they detect that some do not save.
 func (s *simulation) advanceStoppingGang(gang *simulatedGangAttempt, members []executingTask) {
 	stopRequests := 0
 	for _, m := range members {
--- a/internal/coordination/scheduler/simulation_network_test.go
+++ b/internal/coordination/scheduler/simulation_network_test.go
@@ -6,22 +6,22 @@
 	"quillshunt/internal/protocol"
 )
 
-// directCommandTimeout is how long the sender of direct commands waits for their result.
+// directCommandTimeout is how long a controller waits for the result of direct commands.
 const directCommandTimeout = 2 * time.Second
 
-// delivery is something that happens at a later time.
+// scheduledCall is a function that is called at a later time.
 type scheduledCall struct {
 	at   time.Duration
 	call func()
 }
 
-// after calls a function when some time has passed.
+// afterFunc schedules a call of a function after a delay.
 func (s *simulation) afterFunc(delay time.Duration, call func()) {
 	s.scheduledCalls = append(s.scheduledCalls, scheduledCall{s.now + delay, call})
 }
 
-// runDeliveries makes all deliveries that are due, in order of time; those of the same time in the
-// order in which they were asked for.
+// runDueCalls makes all calls that are due, in order of time. Calls of the same time are made in the
+// order in which they were scheduled.
 func (s *simulation) runDueCalls() {
 	for {
 		earliest := -1
@@ -40,11 +40,12 @@
 	}
 }
 
-// transit returns how long a message to or from a machine takes, and false if it is lost.
+// messageDelay returns a random delay for a message to or from a machine, and false if it is lost.
 func (s *simulation) messageDelay(machine *simulatedMachine) (time.Duration, bool) {
 	if s.now < machine.partitionedUntil {
 		if s.withProbability(0.5) {
-			return machine.partitionedUntil - s.now + s.randomDuration(0, time.Second), true // delivered late
+			// The message is delivered after the partition.
+			return machine.partitionedUntil - s.now + s.randomDuration(0, time.Second), true
 		}
 		return 0, false
 	}
@@ -57,8 +58,8 @@
 	return s.randomDuration(time.Millisecond, 30*time.Millisecond), true
 }
 
-// sendHeartbeat sends a worker's heartbeat to whoever leads when it arrives, or to an older leader
-// that still believes it leads. Now and then a copy arrives as well.
+// sendHeartbeat sends a worker's heartbeat to the leader at the time of its arrival, or to an earlier
+// leader that is still running. Sometimes a duplicate arrives too.
 func (s *simulation) sendHeartbeat(machine *simulatedMachine) {
 	heartbeat := s.newHeartbeat(machine)
 	sentAt := s.now
@@ -90,8 +91,8 @@
 	})
 }
 
-// deliverCopy delivers a copy of a heartbeat by any route, some time from before the original to well
-// over a lease later.
+// deliverDuplicateHeartbeat delivers a copy of a heartbeat, directly or relayed, up to 40 seconds later.
+// It may arrive before the original, or after the worker's lease of 14 seconds has expired.
 func (s *simulation) deliverDuplicateHeartbeat(heartbeat *protocol.Heartbeat) {
 	s.afterFunc(s.randomDuration(0, 40*time.Second), func() {
 		leader := s.pickReachableLeader()
@@ -107,7 +108,8 @@
 	})
 }
 
-// deliverReply delivers the reply to a heartbeat.
+// deliverReply delivers the reply to a heartbeat unless it is lost. If the reply renews the worker's
+// lease, the next heartbeat uses the same connection.
 func (s *simulation) deliverReply(
 	machine *simulatedMachine, leader *simulatedController,
 	heartbeat *protocol.Heartbeat, sentAt time.Duration, reply *protocol.HeartbeatReply,
@@ -123,7 +125,8 @@
 	})
 }
 
-// reachableLeader returns a controller that a heartbeat may reach, or nil.
+// pickReachableLeader picks a controller that is still running, more likely a newer one, or returns nil
+// if there is none.
 func (s *simulation) pickReachableLeader() *simulatedController {
 	var picked *simulatedController
 	for _, controller := range s.leaders {
@@ -134,7 +137,8 @@
 	return picked
 }
 
-// sendDirectCommands delivers direct commands, perhaps very late. The sender's call times out.
+// sendDirectCommands sends direct commands to a worker. The controller gets one outcome: the result, or
+// a timeout, after which the commands may still arrive.
 func (s *simulation) sendDirectCommands(controller *simulatedController, request SendDirectCommands) {
 	finished := false
 	finish := func(result DirectCommandsDone) {
@@ -157,6 +161,8 @@
 	s.afterFunc(delay, func() { s.deliverDirectCommands(machine, controller.term, request, finish) })
 }
 
+// deliverDirectCommands executes direct commands on a worker, after its hang if it has one, and returns
+// the result. The worker rejects commands of an earlier term or for another incarnation.
 func (s *simulation) deliverDirectCommands(
 	machine *simulatedMachine, term uint64, request SendDirectCommands, finish func(DirectCommandsDone),
 ) {
@@ -181,7 +187,8 @@
 	}
 }
 
-// probe asks a worker for its heartbeat on behalf of a controller.
+// probeMachine requests a heartbeat from a worker on behalf of a controller. The controller gets no
+// outcome if the worker can't be reached, responds too late or has seen a later term.
 func (s *simulation) probeMachine(controller *simulatedController, name string) {
 	machine := s.machines[name]
 	if machine == nil || machine.removed || s.now < machine.bootedAt || s.now < machine.hungUntil {
--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -8,57 +8,58 @@
 	"quillshunt/internal/storage"
 )
 
-// checkFinalRecord checks that a job is reported done only when all of its tasks are, and cancelled
-// only if its user asked for that.
+// checkFinalRecord checks the final record of a job. A job may be recorded as done only if all its tasks
+// have completed and it was not cancelled, and as cancelled only if a user cancelled it.
 func (s *simulation) checkFinalRecord(id string, data protocol.Raw) {
 	var final storage.FinalJob
 	s.must(protocol.Decode(data, &final))
 	job := s.jobs[id]
 	switch {
 	case job == nil:
-		s.t.Fatalf("invented: %s", id)
+		s.t.Fatalf("invented: final record of job %s, which was never submitted", id)
 	case final.State == protocol.JobDone && len(job.completedTasks) < job.spec.Tasks:
-		s.t.Fatalf("not_done: %s with %d of %d", id, len(job.completedTasks), job.spec.Tasks)
+		s.t.Fatalf("not_done: job %s is recorded as done, but only %d of %d tasks have completed",
+			id, len(job.completedTasks), job.spec.Tasks)
 	case final.State == protocol.JobAborted && job.cancelledAt == 0:
-		s.t.Fatalf("went_back: %s cancelled by nobody", id)
+		s.t.Fatalf("went_back: job %s is recorded as cancelled, but no user cancelled it", id)
 	case final.State == protocol.JobDone && job.cancelledAt != 0:
-		s.t.Fatalf("went_back: %s done after it was cancelled", id)
+		s.t.Fatalf("went_back: job %s is recorded as done after its cancellation was confirmed", id)
 	}
 }
 
-// checkStart checks the rules for a task that has just started.
+// checkStartedTask checks the rules for a task that has just started on a machine.
 func (s *simulation) checkStartedTask(machine *simulatedMachine, task *simulatedTask) {
 	job := s.jobOf(task)
 	description := s.describeTask(machine, task)
 	spec := &job.spec
 	if !spec.Spot && machine.Spot {
-		s.t.Fatalf("wrong_place: spot: %s", description)
+		s.t.Fatalf("wrong_place: job does not allow spot machines: %s", description)
 	}
 	if spec.Zone != "" && spec.Zone != machine.Zone {
-		s.t.Fatalf("wrong_place: zone: %s", description)
+		s.t.Fatalf("wrong_place: job requires another zone: %s", description)
 	}
 	if len(spec.MachineTypes) > 0 && spec.MachineTypes[0] != machine.MachineType {
-		s.t.Fatalf("wrong_place: type: %s", description)
+		s.t.Fatalf("wrong_place: job requires another machine type: %s", description)
 	}
 	s.checkNoOtherAttempt(task, description)
 	s.checkTeamLimits(description)
 	tasksByZone := s.tasksByZone(job)
 	if spec.SameZone && len(tasksByZone) > 1 {
-		s.t.Fatalf("wrong_place: same zone: %s", description)
+		s.t.Fatalf("wrong_place: tasks of the job must execute in one zone: %s", description)
 	}
 	if spec.SpreadZones && tasksByZone[machine.Zone] > (spec.Tasks+1)/2 {
-		s.t.Fatalf("wrong_place: spread over zones: %s", description)
+		s.t.Fatalf("wrong_place: more than half of the job's tasks execute in one zone: %s", description)
 	}
 	s.checkCancelDeadline(job, description)
 }
 
-// placedTask is a task that is on its machine.
+// executingTask is a task that executes, and its machine; see simulatedTask.isExecuting.
 type executingTask struct {
 	machine *simulatedMachine
 	task    *simulatedTask
 }
 
-// placedTasks returns all tasks that are on their machines.
+// executingTasks returns all executing tasks, in the order of the machine names.
 func (s *simulation) executingTasks() []executingTask {
 	var executing []executingTask
 	for _, name := range s.machineNames() {
@@ -75,31 +76,36 @@
 	return executing
 }
 
+// checkNoOtherAttempt checks that no other attempt of a task executes.
 func (s *simulation) checkNoOtherAttempt(task *simulatedTask, description string) {
 	for _, p := range s.executingTasks() {
 		if p.task.name == task.name && p.task != task {
-			s.t.Fatalf("ran_twice: %s, and on %s attempt %x", description, p.machine.Name, p.task.attempt)
+			s.t.Fatalf("ran_twice: %s; machine %s already executes attempt %x",
+				description, p.machine.Name, p.task.attempt)
 		}
 	}
 }
 
+// checkTeamLimits checks that the executing tasks of each team are within the limit of the team.
 func (s *simulation) checkTeamLimits(startedDescription string) {
 	var running []string
 	used := map[string]float64{}
 	for _, p := range s.executingTasks() {
 		spec := &s.jobOf(p.task).spec
 		used[spec.Team] += spec.CPUs
-		description := fmt.Sprintf("%s:%s#%x*%v", p.machine.Name, p.task.name, p.task.attempt, spec.CPUs)
+		description := fmt.Sprintf("%s: task %s attempt %x with %v CPUs",
+			p.machine.Name, p.task.name, p.task.attempt, spec.CPUs)
 		running = append(running, description)
 	}
 	for _, team := range s.teams {
 		if used[team.Name] > team.CPUsMax+1e-9 {
-			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], startedDescription, running)
+			s.t.Fatalf("quota: team %s uses %v CPUs, limit %v: %s; executing tasks: %v",
+				team.Name, used[team.Name], team.CPUsMax, startedDescription, running)
 		}
 	}
 }
 
-// tasksInZone counts the tasks of a job that are on machines, by zone.
+// tasksByZone returns the number of executing tasks of a job in each zone.
 func (s *simulation) tasksByZone(job *simulatedJob) map[string]int {
 	counts := map[string]int{}
 	for _, p := range s.executingTasks() {
@@ -110,7 +116,8 @@
 	return counts
 }
 
-// checkAllCancelled checks that no task of a cancelled job is on a machine for too long.
+// checkCancelledTasks checks that a machine executes no task for too long after the cancellation of its
+// job.
 func (s *simulation) checkCancelledTasks(machine *simulatedMachine) {
 	for _, task := range machine.tasks {
 		if task.isExecuting() {
@@ -119,8 +126,10 @@
 	}
 }
 
+// checkCancelDeadline checks that a job with an executing task was not cancelled, or that the time limit
+// for its tasks to end is not over yet.
 func (s *simulation) checkCancelDeadline(job *simulatedJob, description string) {
 	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workerTimes.CancelS) {
-		s.t.Fatalf("ran_cancelled: %s", description)
+		s.t.Fatalf("ran_cancelled: task still executes after the time limit for cancelled tasks: %s", description)
 	}
 }
--- a/internal/coordination/scheduler/simulation_scenario_test.go
+++ b/internal/coordination/scheduler/simulation_scenario_test.go
@@ -15,9 +15,9 @@
 	"quillshunt/internal/storage"
 )
 
-// TestMain fixes the seed, so that a run has the same verdict every time. Longer runs with other
-// seeds are made by hand: QUILLSHUNT_RANDOM=1 go test ./internal/coordination/scheduler
-// -rapid.checks=2000
+// TestMain sets the seed of rapid to a fixed value, so that the tests check the same cases in every run.
+// To check more cases with random seeds, run
+// QUILLSHUNT_RANDOM=1 go test ./internal/coordination/scheduler -rapid.checks=2000
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if os.Getenv("QUILLSHUNT_RANDOM") == "" {
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// TestRules plays days with faults of every kind and checks the protocol's rules. Each day ends
-// without faults, and then all work must get done.
+// TestRules simulates random scenarios with faults of all kinds and checks the protocol rules. Each
+// scenario ends with a phase without new faults, in which all jobs must finish.
 func TestRules(t *testing.T) {
 	events := &gangEventCounts{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,8 +40,9 @@
 	events.checkCoverage(t)
 }
 
-// TestReplay plays one day and prints all effects of the scheduler, to investigate a failure:
-// QUILLSHUNT_SEED=0x7ec8 go test ./internal/coordination/scheduler -run TestReplay
+// TestReplay simulates the scenario of one seed and prints all effects of the schedulers, to investigate
+// a failure of TestRules:
+// QUILLSHUNT_SEED=0x7ec8 go test ./internal/coordination/scheduler -run TestReplay -v
 func TestReplay(t *testing.T) {
 	text := os.Getenv("QUILLSHUNT_SEED")
 	if text == "" {
@@ -49,21 +50,21 @@
 	}
 	seed, err := strconv.ParseUint(text, 0, 64)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("QUILLSHUNT_SEED: %v", err)
 	}
 	s := newSimulation(t, seed)
 	s.trace = true
 	runRandomScenario(s)
 }
 
-// Lengths of the two parts of a day.
+// Durations of the two phases of a scenario.
 const (
-	faultPhase        = 150 * time.Second // in which jobs come and faults happen
-	maxFaultFreePhase = 600 * time.Second // in which all jobs that are left must get done, at most
+	faultPhase        = 150 * time.Second // jobs are submitted and faults injected
+	maxFaultFreePhase = 600 * time.Second // upper bound; all open jobs must finish in this time
 )
 
-// playRandomDay plays a day with random jobs, cancellations, faults and changes of leaders, and then
-// one without faults until all jobs are over.
+// runRandomScenario simulates a phase with random jobs, cancellations, faults and changes of the leader,
+// and then a phase without new faults that lasts until no job is open.
 func runRandomScenario(s *simulation) {
 	s.electLeader()
 	for s.now < faultPhase {
@@ -86,11 +87,13 @@
 	}
 	if unfinished := s.sortedKeysWithPrefix(storage.PrefixOpenJob); len(unfinished) > 0 {
 		id := strings.TrimPrefix(unfinished[0], storage.PrefixOpenJob)
-		s.t.Fatalf("not finished although the faults ended: %v\n%s", unfinished, s.explainUnfinishedJob(id))
+		s.t.Fatalf("jobs still open at the end of the phase without faults: %v\n%s",
+			unfinished, s.explainUnfinishedJob(id))
 	}
 }
 
-// electLeaders makes leaders follow each other within a fraction of a second.
+// electLeadersInQuickSuccession elects up to three leaders, each less than half a second after the one
+// before.
 func (s *simulation) electLeadersInQuickSuccession() {
 	for range 1 + s.random.IntN(3) {
 		s.electLeader()
@@ -100,7 +103,8 @@
 	}
 }
 
-// endFaults ends all faults of the network and cancels the jobs that can't get done.
+// endFaults ends all network faults, ends hangs within a second, and cancels the jobs that can't finish
+// because their tasks always fail.
 func (s *simulation) endFaults() {
 	s.faultFree = true
 	for _, machine := range s.machines {
@@ -114,20 +118,20 @@
 	}
 }
 
-// simulatedJob is what is true of a job, whatever the leaders know.
+// simulatedJob is the actual state of a job, which the leaders may not know yet.
 type simulatedJob struct {
 	spec           protocol.Spec
 	completedTasks map[int]bool
-	cancelledAt    time.Duration // when the user got the confirmation; 0: never
+	cancelledAt    time.Duration // when the cancellation was confirmed to the user; 0: never
 }
 
-// jobOf returns the job of a task.
+// jobOf returns the job that a task belongs to.
 func (s *simulation) jobOf(task *simulatedTask) *simulatedJob {
 	id, _, _ := protocol.ParseTaskName(task.name)
 	return s.jobs[id]
 }
 
-// submitRandomJob writes the record of a new job.
+// submitRandomJob writes the record of a new job with random properties.
 func (s *simulation) submitRandomJob() {
 	s.jobSequence++
 	id := fmt.Sprintf("job-%06d", s.jobSequence)
@@ -153,7 +157,7 @@
 		spec.SpreadZones = false
 	}
 	if spec.SpreadZones {
-		spec.Zone = "" // in one zone, half of the tasks could never be placed
+		spec.Zone = "" // with a fixed zone, half of the tasks could never be placed
 	}
 	if s.withProbability(0.2) {
 		spec.MachineTypes = []string{"b8"}
@@ -166,7 +170,7 @@
 	}
 	if s.withProbability(0.3) {
 		spec.Shape = protocol.ShapeGang
-		spec.Tasks = 1 + s.random.IntN(min(5, int(20/spec.CPUs))) // together within the lower of the teams' limits
+		spec.Tasks = 1 + s.random.IntN(min(5, int(20/spec.CPUs))) // the gang fits in the lower team limit, 20 CPUs
 	}
 	s.jobs[id] = &simulatedJob{spec: spec, completedTasks: map[int]bool{}}
 	s.writeJob(storage.OpenJobKey(id), storage.OpenJob{Spec: spec})
@@ -175,6 +179,7 @@
 	}
 }
 
+// cancelRandomJob cancels a random open job, if there is one.
 func (s *simulation) cancelRandomJob() {
 	keys := s.sortedKeysWithPrefix(storage.PrefixOpenJob)
 	if len(keys) == 0 {
@@ -183,6 +188,7 @@
 	s.cancelJob(keys[s.random.IntN(len(keys))])
 }
 
+// cancelJob records the cancellation of an open job, unless it is cancelled already.
 func (s *simulation) cancelJob(key string) {
 	var job storage.OpenJob
 	s.must(protocol.Decode(s.records[key].value, &job))
@@ -194,7 +200,8 @@
 	s.writeJob(key, job)
 }
 
-// injectFault makes one machine, a zone or a part of the fleet fail.
+// injectFault injects a random fault of one kind into a machine, a zone or a part of the fleet. If it
+// affects several machines, the leader may fail at the same time.
 func (s *simulation) injectFault() {
 	names := s.machineNames()
 	if len(names) == 0 {
@@ -213,7 +220,7 @@
 			machine.hungUntil = hungUntil
 		case 1:
 			machine.partitionedUntil = partitionedUntil
-		case 2: // it dies, but stays listed
+		case 2: // goes down but stays listed by the cloud
 			machine.down, machine.bootedAt = true, farFuture
 			machine.tasks = nil
 		case 3:
@@ -231,19 +238,20 @@
 	}
 }
 
-// machinesToFail chooses which machines a fault affects.
+// pickAffectedMachines picks the machines that a fault affects: a random machine, its
+// whole zone, or each machine of the fleet with a probability of 20%.
 func (s *simulation) pickAffectedMachines(names []string) []*simulatedMachine {
 	picked := s.machines[names[s.random.IntN(len(names))]]
 	var affected []*simulatedMachine
 	switch s.random.IntN(8) {
-	case 0: // a zone
+	case 0: // all machines of a zone
 		for _, name := range names {
 			if s.machines[name].Zone == picked.Zone {
 				affected = append(affected, s.machines[name])
 			}
 		}
 		return affected
-	case 1: // a fifth of the fleet
+	case 1: // each machine with a probability of 20%
 		for _, name := range names {
 			if s.withProbability(0.2) {
 				affected = append(affected, s.machines[name])
@@ -254,16 +262,18 @@
 	return []*simulatedMachine{picked}
 }
 
-// explain describes the state that bears on why a job is not finished.
+// explainUnfinishedJob describes what the newest leader knows about a job that has not finished, and
+// about the teams and machines.
 func (s *simulation) explainUnfinishedJob(id string) string {
 	scheduler := s.leaders[len(s.leaders)-1].scheduler
-	text := fmt.Sprintf("spec %+v\n", s.jobs[id].spec)
+	text := fmt.Sprintf("job %+v\n", s.jobs[id].spec)
 	if j := scheduler.jobs.byID[id]; j != nil {
-		text += fmt.Sprintf("waiting %d done %d retry at %v now %v failed on %v cancelled %v closing %v recovered %v\n",
+		text += fmt.Sprintf(
+			"waiting %d done %d retry at %v now %v failed on %v cancelled %v closing %v recovery ended %v\n",
 			j.waitingTasks(), j.doneCount, j.retryAt, scheduler.now, j.failedMachines,
 			j.cancelled, j.closing, scheduler.recovery.hasEnded())
 		for _, a := range j.sortedAssignments() {
-			text += fmt.Sprintf("task %d on %s state %d direct command %d unconfirmed %v stopping %v\n",
+			text += fmt.Sprintf("task %d on machine %s state %d direct command %d start unconfirmed %v stopping %v\n",
 				a.index, a.machine.name, a.state, a.directID, a.startUnconfirmed, a.stopping)
 		}
 	}
@@ -271,7 +281,7 @@
 		text += fmt.Sprintf("team %s allocated %+v\n", team.Name, scheduler.jobs.teams[team.Name].allocated)
 	}
 	for _, m := range scheduler.inventory.all() {
-		text += fmt.Sprintf("%s %s %s spot %v reported %v fenced %v ",
+		text += fmt.Sprintf("machine %s type %s zone %s spot %v reported %v fenced %v ",
 			m.name, m.typeName, m.zone, m.spot, m.hasReported, m.fenced)
 		text += fmt.Sprintf("registration %d schedulable %v deleting %v faulty %v ",
 			m.registration, scheduler.isSchedulable(m), m.deleting, m.isFaulty())
--- a/internal/coordination/scheduler/simulation_store_test.go
+++ b/internal/coordination/scheduler/simulation_store_test.go
@@ -9,15 +9,16 @@
 	"quillshunt/internal/storage"
 )
 
-// prefixFinalJob is the prefix of the keys of final records.
+// finalJobPrefix is the prefix of the keys of final job records.
 var finalJobPrefix = storage.FinalJobKey("")
 
+// storedRecord is the value of a key and the revision at which it was written.
 type storedRecord struct {
 	version uint64
 	value   protocol.Raw
 }
 
-// sortedKeys returns the keys with a prefix.
+// sortedKeysWithPrefix returns the keys that begin with a prefix, in ascending order.
 func (s *simulation) sortedKeysWithPrefix(prefix string) []string {
 	var keys []string
 	for key := range s.records {
@@ -29,8 +30,8 @@
 	return keys
 }
 
-// putJob writes a job's record as the controller that serves the user's request does. The leader
-// learns of it by its watch.
+// writeJob writes the record of a job, as the controller that handles the user's request does. The leader
+// receives the record later, through its watch.
 func (s *simulation) writeJob(key string, record any) {
 	s.revision++
 	s.records[key] = storedRecord{s.revision, protocol.Encode(record)}
@@ -46,10 +47,11 @@
 	}
 }
 
-// executeWrite carries out a transaction if its conditions and the one on the leader key hold.
+// executeWrite executes a transaction if the leader key is still that of the controller's term and all
+// conditions of the transaction hold.
 func (s *simulation) executeWrite(controller *simulatedController, write WriteRecords) {
 	if controller.term != s.term {
-		controller.stopped = true // the condition on the leader key fails: its term is over
+		controller.stopped = true // the condition on the leader key fails, which ends the term
 		return
 	}
 	for _, condition := range write.Conditions {
--- a/internal/coordination/scheduler/simulation_test.go
+++ b/internal/coordination/scheduler/simulation_test.go
@@ -8,39 +8,39 @@
 	"quillshunt/internal/protocol"
 )
 
-// simulation is a small model of everything around the scheduler: workers, the cloud, the state
-// service, and a network that loses, delays and repeats messages. It checks the protocol's rules as
-// they can be observed from outside. All of it is driven by one source of random numbers, so a seed
-// stands for one course of events: the order of the draws must not change.
+// simulation models everything around the scheduler: workers, the cloud, the state service, and a
+// network that loses, delays and duplicates messages. It checks the protocol rules whose violation is
+// visible outside the scheduler. All random values come from one generator, so a seed determines the
+// whole run. A change of the number or order of the draws changes the run of every seed.
 type simulation struct {
 	t      interface{ Fatalf(string, ...any) }
 	random *rand.Rand
 	now    time.Duration
 
-	faultFree         bool // no more faults
-	trace             bool // print all effects
+	faultFree         bool // network faults have ended
+	trace             bool // print all effects of the schedulers
 	records           map[string]storedRecord
-	revision          uint64
-	term              uint64
-	leaders           []*simulatedController // of all terms, the newest last
+	revision          uint64                 // of the state service, after the newest write
+	term              uint64                 // of the newest leader
+	leaders           []*simulatedController // one for each term, the newest last
 	machines          map[string]*simulatedMachine
 	machineSequence   int
-	rentedMachines    map[string][]string // machines that were given for each request
+	rentedMachines    map[string][]string // names of the machines rented by each request
 	types             []protocol.MachineType
 	teams             []config.Team
 	workerTimes       config.Workers
 	jobs              map[string]*simulatedJob
 	jobSequence       int
-	scheduledCalls    []scheduledCall // in the order in which they were asked for
-	alwaysFailingJobs map[string]bool // jobs whose tasks fail on every machine
-	gangAttempts      map[string]*simulatedGangAttempt
-	gangEvents        *gangEventCounts // shared by all days of a test
+	scheduledCalls    []scheduledCall                  // in the order in which they were scheduled
+	alwaysFailingJobs map[string]bool                  // IDs of jobs whose tasks fail on every machine
+	gangAttempts      map[string]*simulatedGangAttempt // by job ID and attempt
+	gangEvents        *gangEventCounts                 // shared by all scenarios of a test
 }
 
-// chance reports whether something happens that has this probability.
+// withProbability returns true with probability p.
 func (s *simulation) withProbability(p float64) bool { return s.random.Float64() < p }
 
-// between returns a random duration; both bounds are included.
+// randomDuration returns a random duration from shortest to longest, both included.
 func (s *simulation) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(s.random.Int64N(int64(longest-shortest)+1))
 }
@@ -73,21 +73,22 @@
 	}
 }
 
-// seconds returns an optional setting.
+// seconds returns a pointer to v, for optional settings.
 func seconds(v float64) *float64 { return &v }
 
+// must fails the test if err is not nil.
 func (s *simulation) must(err error) {
 	if err != nil {
-		s.t.Fatalf("%v", err)
+		s.t.Fatalf("unexpected error: %v", err)
 	}
 }
 
 const (
 	simulationStep = 50 * time.Millisecond
-	tickInterval   = 500 * time.Millisecond // of a leader's regular events
+	tickInterval   = 500 * time.Millisecond // between two Tick events of a leader
 )
 
-// advance moves all parts of the simulation on by a step of time.
+// advance advances the simulated time and all parts of the simulation by one step.
 func (s *simulation) advance() {
 	s.now += simulationStep
 	s.runDueCalls()
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -10,46 +10,46 @@
 	"quillshunt/internal/protocol"
 )
 
-// Delays of a simulated worker.
+// Times of a simulated worker.
 const (
-	statusReportDelay     = 500 * time.Millisecond // until a change of its tasks is reported
-	heartbeatReplyTimeout = 4 * time.Second        // until it gives up waiting for the reply to a heartbeat
-	heartbeatRetryDelay   = time.Second            // until the next heartbeat after one that failed
+	statusReportDelay     = 500 * time.Millisecond // from a change of its tasks until the next heartbeat, at most
+	heartbeatReplyTimeout = 4 * time.Second        // from a heartbeat until it stops waiting for the reply
+	heartbeatRetryDelay   = time.Second            // from a failed heartbeat until the next one
 )
 
-// simulatedMachine is a machine of the cloud and the worker on it.
+// simulatedMachine is a rented machine and the worker on it.
 type simulatedMachine struct {
 	protocol.Machine
 	bootedAt         time.Duration
-	down             bool // runs nothing, but stays listed
-	removed          bool // the cloud does not have it any more
-	faulty           bool // every task fails on it
+	down             bool // runs nothing, but the cloud still lists it
+	removed          bool // no longer exists in the cloud
+	faulty           bool // all tasks fail on it
 	hungUntil        time.Duration
 	partitionedUntil time.Duration
-	unreachableUntil time.Duration        // its heartbeats arrive, replies and commands don't reach it
-	connectedTo      *simulatedController // accepted its last heartbeat; the next one uses the same connection
+	unreachableUntil time.Duration        // its heartbeats arrive, but no replies, direct commands or probes reach it
+	connectedTo      *simulatedController // leader whose connection the next heartbeat reuses; nil: none
 	incarnation      uint64
 	sequence         uint64
 	fencingToken     uint64
 	leaseStartedAt   time.Duration
 	heartbeatSentAt  time.Duration // of the heartbeat in flight; -1: none
 	nextHeartbeatAt  time.Duration
-	spotReclaimAt    time.Duration // when a spot notice takes effect; 0: there is none
+	spotReclaimAt    time.Duration // when the cloud reclaims the machine after a spot notice; 0: no notice
 	tasks            []*simulatedTask
 }
 
-// remove takes the machine and all that runs on it out of the cloud.
+// remove removes the machine, which ends all its tasks.
 func (m *simulatedMachine) remove() {
 	m.removed, m.tasks = true, nil
 }
 
-// reportBy makes the next heartbeat go out at a time, if it would not go out sooner.
+// sendHeartbeatBy moves the next heartbeat forward to a time, unless it is due earlier.
 func (m *simulatedMachine) sendHeartbeatBy(at time.Duration) {
 	m.nextHeartbeatAt = min(m.nextHeartbeatAt, at)
 }
 
-// findTask returns the task that a command names, or nil, and whether another attempt of it has not
-// ended.
+// findTask returns the task attempt that a command names, or nil if the worker does not list it, and
+// whether the worker lists another attempt of the task that has not ended.
 func (m *simulatedMachine) findTask(command protocol.Command) (found *simulatedTask, otherAttempt bool) {
 	for _, task := range m.tasks {
 		if task.name == command.Task && task.attempt == command.Attempt {
@@ -61,7 +61,7 @@
 	return found, otherAttempt
 }
 
-// simulatedTask is an attempt of a task that a worker knows.
+// simulatedTask is an attempt of a task that a worker lists.
 type simulatedTask struct {
 	name        string
 	attempt     uint64
@@ -71,15 +71,16 @@
 	endsAt      time.Duration
 	saveEndsAt  time.Duration
 
-	gatherDeadline time.Duration // of a gang's task: when it gives up waiting for the others
-	stopRequested  bool          // of a gang's task: it will save with the others
+	gatherDeadline time.Duration // gang task: when it stops waiting for the other tasks
+	stopRequested  bool          // gang task: it continues until it is saved with the other tasks
 }
 
-// onMachine reports whether the task uses resources of its machine.
+// isExecuting reports whether the task has its image and has not ended. It gathers, runs or saves.
 func (t *simulatedTask) isExecuting() bool {
 	return t.state == protocol.TaskRunning || t.state == protocol.TaskSaving || t.state == protocol.TaskGathering
 }
 
+// machineNames returns the names of all machines, also of removed ones, in ascending order.
 func (s *simulation) machineNames() []string {
 	var names []string
 	for name := range s.machines {
@@ -89,6 +90,7 @@
 	return names
 }
 
+// cpusOf returns the number of CPUs of a machine.
 func (s *simulation) cpusOf(machine *simulatedMachine) float64 {
 	for _, machineType := range s.types {
 		if machineType.Name == machine.MachineType {
@@ -98,7 +100,7 @@
 	return 0
 }
 
-// heartbeat returns the worker's next heartbeat.
+// newHeartbeat returns a heartbeat with the worker's current state and the next sequence number.
 func (s *simulation) newHeartbeat(machine *simulatedMachine) *protocol.Heartbeat {
 	machine.sequence++
 	heartbeat := &protocol.Heartbeat{
@@ -123,7 +125,8 @@
 	return heartbeat
 }
 
-// expireLease starts a new incarnation of the worker if its lease has expired.
+// restartIfLeaseExpired ends all tasks of a worker whose lease has expired, and starts a new incarnation
+// of the worker.
 func (s *simulation) restartIfLeaseExpired(machine *simulatedMachine) {
 	if s.now > machine.leaseStartedAt+limits.Seconds(s.workerTimes.LeaseS) {
 		machine.tasks = nil
@@ -133,7 +136,7 @@
 	}
 }
 
-// runMachine advances a worker to the current time.
+// advanceMachine advances a machine and its worker to the current time.
 func (s *simulation) advanceMachine(machine *simulatedMachine) {
 	if machine.removed || machine.down || s.now < machine.bootedAt {
 		return
@@ -142,7 +145,8 @@
 		machine.remove()
 		return
 	}
-	s.restartIfLeaseExpired(machine) // a machine that hung goes on within its lease or not at all (docs/questions.md)
+	// After a hang, the tasks continue only if the lease is still valid (docs/questions.md).
+	s.restartIfLeaseExpired(machine)
 	if s.now < machine.hungUntil {
 		return
 	}
@@ -158,7 +162,8 @@
 	}
 }
 
-// runTask advances a task to the current time. Running gangs are advanced by runGangs.
+// advanceTask advances a task to the current time. Gang tasks that have their images are advanced by
+// advanceGangs.
 func (s *simulation) advanceTask(machine *simulatedMachine, task *simulatedTask) {
 	switch task.state {
 	case protocol.TaskFetching:
@@ -181,7 +186,7 @@
 	}
 }
 
-// beginTask starts a task on its machine.
+// startTask starts a task whose image has been fetched.
 func (s *simulation) startTask(machine *simulatedMachine, task *simulatedTask) {
 	task.state = protocol.TaskRunning
 	if task.endsAt == 0 {
@@ -191,7 +196,8 @@
 	s.checkStartedTask(machine, task)
 }
 
-// completeTask ends an independent task that has run for its time.
+// completeTask ends a task, other than a gang task, that has run to its end. It fails if its machine is
+// faulty or its job always fails.
 func (s *simulation) completeTask(machine *simulatedMachine, task *simulatedTask) {
 	id, index, _ := protocol.ParseTaskName(task.name)
 	if machine.faulty || s.alwaysFailingJobs[id] {
@@ -202,12 +208,14 @@
 	s.endTask(machine, task, protocol.ReasonDone)
 }
 
+// endTask ends a task for a reason, which the next heartbeat reports.
 func (s *simulation) endTask(machine *simulatedMachine, task *simulatedTask, reason protocol.EndReason) {
 	task.state, task.reason = protocol.TaskEnded, reason
 	machine.sendHeartbeatBy(s.now + statusReportDelay)
 }
 
-// acceptReply handles the reply to a heartbeat. It reports whether the worker's lease was renewed.
+// handleHeartbeatReply handles the reply to a heartbeat; a nil reply means that the controller rejected
+// the heartbeat. It reports whether the worker's lease was renewed.
 func (s *simulation) handleHeartbeatReply(
 	machine *simulatedMachine, heartbeat *protocol.Heartbeat, sentAt time.Duration, reply *protocol.HeartbeatReply,
 ) bool {
@@ -238,7 +246,7 @@
 	return true
 }
 
-// execute carries out a leader's commands.
+// executeCommands executes the commands of a leader on a worker.
 func (s *simulation) executeCommands(machine *simulatedMachine, commands []protocol.Command) {
 	for _, command := range commands {
 		task, otherAttempt := machine.findTask(command)
@@ -260,7 +268,8 @@
 	}
 }
 
-// acceptTask adds a task that was commanded to start, or lists it as refused.
+// addTask executes a start command. If the worker has no room for the task or another attempt of it has
+// not ended, the worker lists the new attempt as ended, with the reason.
 func (s *simulation) addTask(machine *simulatedMachine, command protocol.Command, otherAttempt bool) {
 	usedCPUs := 0.0
 	for _, other := range machine.tasks {
@@ -283,11 +292,12 @@
 	case usedCPUs+job.spec.CPUs > s.cpusOf(machine)+1e-9:
 		task.state, task.reason = protocol.TaskEnded, protocol.ReasonNoRoom
 	case job.completedTasks[index]:
-		task.endsAt = task.fetchEndsAt // the worker has kept the result
+		task.endsAt = task.fetchEndsAt // the result of an earlier attempt is reported; the task does not run again
 	}
 }
 
-// stopTask stops a task, which saves before if it can.
+// stopTask executes a stop command. A running task saves its work first if it can save within the grace
+// period. A task that is saving already ends at once only if the grace period is 0.
 func (s *simulation) stopTask(machine *simulatedMachine, task *simulatedTask, graceS *float64) {
 	if s.gangAttemptOf(task) != nil {
 		s.stopGangTask(machine, task, *graceS)
@@ -303,7 +313,7 @@
 	}
 }
 
-// describe names a task, its machine and the time in messages.
+// describeTask returns the time, a task attempt and its machine for messages.
 func (s *simulation) describeTask(machine *simulatedMachine, task *simulatedTask) string {
-	return fmt.Sprintf("at %v: %s attempt %x on %s", s.now, task.name, task.attempt, machine.Name)
+	return fmt.Sprintf("at %v: task %s attempt %x on machine %s", s.now, task.name, task.attempt, machine.Name)
 }
