--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -25,10 +25,12 @@
 	gatheredTasks      map[string]bool // names of the tasks that have gathered at least once
 }
 
-// gangEventCounts counts events of gangs in all scenarios of a test, to check that they were covered.
+// gangEventCounts counts the events of gangs in all scenarios of a test. TestRules checks that its
+// scenarios cover them.
 type gangEventCounts struct{ started, taskLost, gatherTimedOut, taskReplaced, saved, stoppedUnsaved, completed int }
 
-// checkCoverage fails the test if one of the events, other than a timeout of gathering, was too rare.
+// checkCoverage fails the test if one of the events, other than a timeout of gathering, occurred fewer than
+// minCount times.
 func (e *gangEventCounts) checkCoverage(t *testing.T) {
 	t.Logf("gang events: %+v", *e)
 	const minCount = 5
@@ -80,7 +82,7 @@
 }
 
 // startGathering makes a gang task whose image is fetched wait for the other tasks. A task that completed
-// in an earlier attempt ends at once with its kept result.
+// in an earlier attempt ends at once as completed.
 func (s *simulation) startGathering(machine *simulatedMachine, task *simulatedTask) {
 	s.startTask(machine, task)
 	if gang := s.gangAttemptOf(task); gang.gatheredTasks[task.name] {
@@ -135,7 +137,7 @@
 	}
 }
 
-// endTasks ends tasks with the same reason.
+// endTasks ends several tasks for the same reason.
 func (s *simulation) endTasks(members []executingTask, reason protocol.EndReason) {
 	for _, m := range members {
 		s.endTask(m.machine, m.task, reason)
--- a/internal/coordination/scheduler/simulation_network_test.go
+++ b/internal/coordination/scheduler/simulation_network_test.go
@@ -137,8 +137,8 @@
 	return picked
 }
 
-// sendDirectCommands sends direct commands to a worker. The controller gets one outcome: the result, or
-// a timeout, after which the commands may still arrive.
+// sendDirectCommands sends direct commands to a worker. The controller gets exactly one outcome: that the
+// commands were not sent, their result, or a timeout, after which they may still be executed.
 func (s *simulation) sendDirectCommands(controller *simulatedController, request SendDirectCommands) {
 	finished := false
 	finish := func(result DirectCommandsDone) {
@@ -161,8 +161,9 @@
 	s.afterFunc(delay, func() { s.deliverDirectCommands(machine, controller.term, request, finish) })
 }
 
-// deliverDirectCommands executes direct commands on a worker, after its hang if it has one, and returns
-// the result. The worker rejects commands of an earlier term or for another incarnation.
+// deliverDirectCommands executes direct commands on a worker and returns the result. If the machine
+// hangs, they wait until the hang ends. The worker rejects commands of an earlier term or for another
+// incarnation.
 func (s *simulation) deliverDirectCommands(
 	machine *simulatedMachine, term uint64, request SendDirectCommands, finish func(DirectCommandsDone),
 ) {
--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -53,7 +53,7 @@
 	s.checkCancelDeadline(job, description)
 }
 
-// executingTask is a task that executes, and its machine; see simulatedTask.isExecuting.
+// executingTask is an executing task and its machine; see simulatedTask.isExecuting.
 type executingTask struct {
 	machine *simulatedMachine
 	task    *simulatedTask
@@ -126,8 +126,8 @@
 	}
 }
 
-// checkCancelDeadline checks that a job with an executing task was not cancelled, or that the time limit
-// for its tasks to end is not over yet.
+// checkCancelDeadline fails the test if a job was cancelled longer ago than its tasks may take to end. It
+// is called while a task of the job executes.
 func (s *simulation) checkCancelDeadline(job *simulatedJob, description string) {
 	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workerTimes.CancelS) {
 		s.t.Fatalf("ran_cancelled: task still executes after the time limit for cancelled tasks: %s", description)
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -32,7 +32,7 @@
 	sequence         uint64
 	fencingToken     uint64
 	leaseStartedAt   time.Duration
-	heartbeatSentAt  time.Duration // of the heartbeat in flight; -1: none
+	heartbeatSentAt  time.Duration // when the heartbeat in flight was sent; -1: none in flight
 	nextHeartbeatAt  time.Duration
 	spotReclaimAt    time.Duration // when the cloud reclaims the machine after a spot notice; 0: no notice
 	tasks            []*simulatedTask
@@ -75,7 +75,8 @@
 	stopRequested  bool          // gang task: it continues until it is saved with the other tasks
 }
 
-// isExecuting reports whether the task has its image and has not ended. It gathers, runs or saves.
+// isExecuting reports whether the task is gathering, running or saving. The rules are checked for these
+// tasks, not for tasks that are still fetching their images.
 func (t *simulatedTask) isExecuting() bool {
 	return t.state == protocol.TaskRunning || t.state == protocol.TaskSaving || t.state == protocol.TaskGathering
 }
@@ -313,7 +314,7 @@
 	}
 }
 
-// describeTask returns the time, a task attempt and its machine for messages.
+// describeTask returns the current time, the task, the attempt and the machine as text for messages.
 func (s *simulation) describeTask(machine *simulatedMachine, task *simulatedTask) string {
 	return fmt.Sprintf("at %v: task %s attempt %x on machine %s", s.now, task.name, task.attempt, machine.Name)
 }
