--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -197,7 +197,7 @@
 	s.checkStartedTask(machine, task)
 }
 
-// completeTask ends a task, other than a gang task, that has run to its end. It fails if its machine is
+// completeTask ends a task, other than a gang task, after its run time. The task fails if its machine is
 // faulty or its job always fails.
 func (s *simulation) completeTask(machine *simulatedMachine, task *simulatedTask) {
 	id, index, _ := protocol.ParseTaskName(task.name)
