--- a/internal/coordination/scheduler/simulation_cloud_test.go
+++ b/internal/coordination/scheduler/simulation_cloud_test.go
@@ -7,33 +7,34 @@
 	"quillshunt/internal/protocol"
 )
 
-// maxMachinesPerRental is how many machines the simulated cloud gives for one request.
+// maxMachinesPerRental is the most machines that the simulated cloud rents out for one request.
 const maxMachinesPerRental = 4
 
-// rentMachines answers a rental request: with no capacity, with new machines, or with the same
-// machines as before if it is a repetition.
+// rentMachines executes a rental request after a random delay. The cloud has no capacity or rents out
+// new machines. A repetition of a request that it has fulfilled returns the same machines again.
 func (s *simulation) rentMachines(controller *simulatedController, request protocol.RentalRequest) {
-	s.after(s.between(50*time.Millisecond, 2*time.Second), func() {
-		names, known := s.rentals[request.Name]
-		if !known {
-			if s.chance(0.2) {
+	s.afterFunc(s.randomDuration(50*time.Millisecond, 2*time.Second), func() {
+		names, alreadyRented := s.rentedMachines[request.Name]
+		if !alreadyRented {
+			if s.withProbability(0.2) {
 				s.step(controller, RentalDone{Name: request.Name, NoCapacity: true})
 				return
 			}
 			for range min(request.Count, maxMachinesPerRental) {
 				names = append(names, s.addMachine(request).Name)
 			}
-			s.rentals[request.Name] = names
+			s.rentedMachines[request.Name] = names
 		}
-		if s.chance(0.1) && !s.faultFree { // the answer is lost; the request is repeated
-			s.after(time.Second, func() { s.rentMachines(controller, request) })
+		if s.withProbability(0.1) && !s.faultFree { // the response is lost and the request repeated
+			s.afterFunc(time.Second, func() { s.rentMachines(controller, request) })
 			return
 		}
 		s.step(controller, RentalDone{Name: request.Name, Machines: names, OK: true})
 	})
 }
 
-// addMachine makes a machine, which boots from now on.
+// addMachine creates a machine that begins to boot now. Some machines never come up, and on some all
+// tasks fail.
 func (s *simulation) addMachine(request protocol.RentalRequest) *simulatedMachine {
 	s.machineSequence++
 	name := fmt.Sprintf("m-%06d", s.machineSequence)
@@ -45,32 +46,34 @@
 			Zone:        request.Zone,
 			Spot:        request.Spot,
 		},
-		bootedAt:        s.now + s.between(time.Second, 15*time.Second),
+		bootedAt:        s.now + s.randomDuration(time.Second, 15*time.Second),
 		heartbeatSentAt: -1,
 		incarnation:     1,
 	}
 	machine.leaseStartedAt, machine.nextHeartbeatAt = machine.bootedAt, machine.bootedAt
-	machine.dead = s.chance(0.05) // it never comes up
-	machine.faulty = s.chance(0.08)
+	machine.down = s.withProbability(0.05) // never comes up
+	machine.faulty = s.withProbability(0.08)
 	s.machines[name] = machine
 	return machine
 }
 
-// deleteMachines deletes machines. The answer may be lost, and the request with it.
+// deleteMachines executes a deletion request after a random delay. If the deletion is not confirmed,
+// either the request or only the response was lost.
 func (s *simulation) deleteMachines(controller *simulatedController, names []string) {
-	s.after(s.between(50*time.Millisecond, time.Second), func() {
-		answered := !s.chance(0.2)
-		deleted := answered || s.chance(0.5)
+	s.afterFunc(s.randomDuration(50*time.Millisecond, time.Second), func() {
+		confirmed := !s.withProbability(0.2)
+		deleted := confirmed || s.withProbability(0.5)
 		for _, name := range names {
 			if machine := s.machines[name]; deleted && machine != nil {
 				machine.remove()
 			}
 		}
-		s.step(controller, DeletionDone{Machines: names, OK: answered})
+		s.step(controller, DeletionDone{Machines: names, OK: confirmed})
 	})
 }
 
-// listMachines answers with the machines of the time of the request, perhaps much later.
+// listMachines returns the machines that exist at the time of the request. The response arrives up to
+// 6 seconds later, when the list may be outdated.
 func (s *simulation) listMachines(controller *simulatedController) {
 	var listed []protocol.Machine
 	for _, name := range s.machineNames() {
@@ -86,13 +89,14 @@
 		}
 		listed = append(listed, entry)
 	}
-	s.after(s.between(time.Second, 6*time.Second), func() {
+	s.afterFunc(s.randomDuration(time.Second, 6*time.Second), func() {
 		s.step(controller, MachinesListed{Machines: listed, OK: true})
 	})
 }
 
+// fetchMachineTypes returns the machine types. This request never fails.
 func (s *simulation) fetchMachineTypes(controller *simulatedController) {
-	s.after(100*time.Millisecond, func() {
+	s.afterFunc(100*time.Millisecond, func() {
 		s.step(controller, MachineTypesFetched{Types: s.types, OK: true})
 	})
 }
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -10,100 +10,109 @@
 	"quillshunt/internal/protocol"
 )
 
-// The simulated workers run gangs as the protocol says: the tasks of one attempt find each other,
-// start and complete together, notice the loss of one, and save together or not at all.
-
-// simulatedGang is one attempt of a gang.
-type simulatedGang struct {
-	spec        protocol.Spec
-	started     bool
-	completesAt time.Duration
-	lostTaskAt  time.Duration // when it lost a task while it ran; 0: never
-	firstStopAt time.Duration
-	noticeDelay time.Duration   // how long its tasks take to notice a loss
-	gathered    map[string]bool // names of its tasks that have waited for the others on some machine
+// The simulated workers run gangs as the protocol specifies. The tasks of one attempt wait for each
+// other, run and complete together, and detect the loss of a task. When they are stopped, either all of
+// them save their work or none does.
+
+// simulatedGangAttempt is one attempt of a gang, on all its machines.
+type simulatedGangAttempt struct {
+	spec               protocol.Spec
+	started            bool
+	completesAt        time.Duration
+	taskLostAt         time.Duration // when a task was lost while the gang ran; 0: never
+	firstStopAt        time.Duration
+	peerDetectionDelay time.Duration   // from the loss of a task until the others detect it
+	gatheredTasks      map[string]bool // names of the tasks that have gathered at least once
 }
 
-// gangEvents counts what happened to gangs, to show that the generated days covered it.
-type gangEvents struct{ started, lost, incomplete, replaced, saved, unsaved, completed int }
+// gangEventCounts counts the events of gangs in all scenarios of a test. TestRules checks that its
+// scenarios cover them.
+type gangEventCounts struct{ started, taskLost, gatherTimedOut, taskReplaced, saved, stoppedUnsaved, completed int }
 
-func (e *gangEvents) check(t *testing.T) {
-	t.Logf("gangs: %+v", *e)
-	const least = 5
-	if min(e.started, e.lost, e.replaced, e.saved, e.unsaved, e.completed) < least {
-		t.Errorf("some of these events hardly happened: %+v", *e)
+// checkCoverage fails the test if one of the events, other than a timeout of gathering, occurred fewer than
+// minCount times.
+func (e *gangEventCounts) checkCoverage(t *testing.T) {
+	t.Logf("gang events: %+v", *e)
+	const minCount = 5
+	if min(e.started, e.taskLost, e.taskReplaced, e.saved, e.stoppedUnsaved, e.completed) < minCount {
+		t.Errorf("too few gang events of some kind: %+v; want at least %d", *e, minCount)
 	}
 }
 
-// gangOf returns the gang attempt that a task belongs to, or nil if its job is no gang.
-func (s *simulation) gangOf(task *simulatedTask) *simulatedGang {
+// gangAttemptOf returns the gang attempt that a task belongs to, or nil if its job is not a gang.
+func (s *simulation) gangAttemptOf(task *simulatedTask) *simulatedGangAttempt {
 	id, _, _ := protocol.ParseTaskName(task.name)
 	spec := s.jobs[id].spec
 	if !spec.IsGang() {
 		return nil
 	}
 	key := fmt.Sprintf("%s#%x", id, task.attempt)
-	gang := s.gangs[key]
+	gang := s.gangAttempts[key]
 	if gang == nil {
-		gang = &simulatedGang{spec: spec, noticeDelay: s.between(0, s.peerTimeout()), gathered: map[string]bool{}}
-		s.gangs[key] = gang
+		gang = &simulatedGangAttempt{
+			spec:               spec,
+			peerDetectionDelay: s.randomDuration(0, s.gangPeerDetection()),
+			gatheredTasks:      map[string]bool{},
+		}
+		s.gangAttempts[key] = gang
 	}
 	return gang
 }
 
-// peerTimeout is the longest time in which a gang's tasks notice that one is gone.
-func (s *simulation) peerTimeout() time.Duration {
-	return limits.Seconds(*s.workers.GangPeerDetectionS)
+// gangPeerDetection returns the longest time until the tasks of a gang detect the loss of one of them.
+func (s *simulation) gangPeerDetection() time.Duration {
+	return limits.Seconds(*s.workerTimes.GangPeerDetectionS)
 }
 
-// placedTasks returns the tasks of each attempt that are on their machines.
-func (s *simulation) gangMembers() map[*simulatedGang][]placedTask {
-	members := map[*simulatedGang][]placedTask{}
+// executingTasksByGang returns the executing tasks of each gang attempt.
+func (s *simulation) executingTasksByGang() map[*simulatedGangAttempt][]executingTask {
+	members := map[*simulatedGangAttempt][]executingTask{}
 	for _, name := range s.machineNames() {
 		machine := s.machines[name]
 		if machine.removed {
 			continue
 		}
 		for _, task := range machine.tasks {
-			if gang := s.gangOf(task); gang != nil && task.onMachine() {
-				members[gang] = append(members[gang], placedTask{machine, task})
+			if gang := s.gangAttemptOf(task); gang != nil && task.isExecuting() {
+				members[gang] = append(members[gang], executingTask{machine, task})
 			}
 		}
 	}
 	return members
 }
 
-// gather makes a gang's task that has its image wait for the others.
-func (s *simulation) gather(machine *simulatedMachine, task *simulatedTask) {
-	s.beginTask(machine, task)
-	if gang := s.gangOf(task); gang.gathered[task.name] {
-		s.seen.replaced++
+// startGathering makes a gang task whose image is fetched wait for the other tasks. A task that completed
+// in an earlier attempt ends at once as completed.
+func (s *simulation) startGathering(machine *simulatedMachine, task *simulatedTask) {
+	s.startTask(machine, task)
+	if gang := s.gangAttemptOf(task); gang.gatheredTasks[task.name] {
+		s.gangEvents.taskReplaced++
 	} else {
-		gang.gathered[task.name] = true
+		gang.gatheredTasks[task.name] = true
 	}
 	id, index, _ := protocol.ParseTaskName(task.name)
 	task.state = protocol.TaskGathering
-	task.gatherDeadline = s.now + limits.Seconds(*s.workers.GangWaitTimeoutS)
-	if s.jobs[id].done[index] {
+	task.gatherDeadline = s.now + limits.Seconds(*s.workerTimes.GangWaitTimeoutS)
+	if s.jobs[id].completedTasks[index] {
 		s.endTask(machine, task, protocol.ReasonDone)
 	}
 }
 
-// runGangs advances all gangs to the current time.
-func (s *simulation) runGangs() {
-	members := s.gangMembers()
-	keys := make([]string, 0, len(s.gangs))
-	for key := range s.gangs {
+// advanceGangs advances all gang attempts to the current time.
+func (s *simulation) advanceGangs() {
+	members := s.executingTasksByGang()
+	keys := make([]string, 0, len(s.gangAttempts))
+	for key := range s.gangAttempts {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
 	for _, key := range keys {
-		s.runGang(s.gangs[key], members[s.gangs[key]])
+		s.advanceGang(s.gangAttempts[key], members[s.gangAttempts[key]])
 	}
 }
 
-// runGang advances one attempt of a gang. Tasks on a machine that hangs count as gone.
-func (s *simulation) runGang(gang *simulatedGang, members []placedTask) {
+// advanceGang advances one gang attempt to the current time. Tasks on a hung machine count as lost.
+func (s *simulation) advanceGang(gang *simulatedGangAttempt, members []executingTask) {
 	responsive := members[:0:0]
 	for _, m := range members {
 		if s.now >= m.machine.hungUntil {
@@ -111,40 +120,41 @@
 		}
 	}
 	switch {
-	case gang.started && len(members) == 0: // over
+	case gang.started && len(members) == 0: // all tasks have ended
 	case !gang.started:
-		s.gatherGang(gang, responsive)
-	case gang.lostTaskAt != 0:
-		if s.now >= gang.lostTaskAt+gang.noticeDelay {
+		s.advanceGatheringGang(gang, responsive)
+	case gang.taskLostAt != 0:
+		if s.now >= gang.taskLostAt+gang.peerDetectionDelay {
 			s.endTasks(responsive, protocol.ReasonPeerLost)
 		}
 	case len(responsive) < gang.spec.Tasks && gang.firstStopAt == 0:
-		gang.lostTaskAt = s.now
-		s.seen.lost++
+		gang.taskLostAt = s.now
+		s.gangEvents.taskLost++
 	case gang.firstStopAt != 0:
-		s.stopGang(gang, responsive)
+		s.advanceStoppingGang(gang, responsive)
 	case s.now >= gang.completesAt:
 		s.completeGang(responsive)
 	}
 }
 
-// endTasks ends all of some tasks for the same reason.
-func (s *simulation) endTasks(members []placedTask, reason protocol.EndReason) {
+// endTasks ends several tasks for the same reason.
+func (s *simulation) endTasks(members []executingTask, reason protocol.EndReason) {
 	for _, m := range members {
 		s.endTask(m.machine, m.task, reason)
 	}
 }
 
-// gatherGang starts a gang that is complete, and ends tasks that have waited too long.
-func (s *simulation) gatherGang(gang *simulatedGang, members []placedTask) {
+// advanceGatheringGang starts the gang if all its tasks are waiting. Otherwise it ends the tasks whose
+// time to gather is over.
+func (s *simulation) advanceGatheringGang(gang *simulatedGangAttempt, members []executingTask) {
 	if len(members) == gang.spec.Tasks {
-		s.seen.started++
-		gang.started, gang.completesAt = true, s.now+s.between(2*time.Second, 12*time.Second)
+		s.gangEvents.started++
+		gang.started, gang.completesAt = true, s.now+s.randomDuration(2*time.Second, 12*time.Second)
 		for _, m := range members {
 			m.task.state = protocol.TaskRunning
-			m.machine.reportBy(s.now + statusChangeDelay)
+			m.machine.sendHeartbeatBy(s.now + statusReportDelay)
 			id, _, _ := protocol.ParseTaskName(m.task.name)
-			if m.machine.faulty || s.alwaysFailing[id] {
+			if m.machine.faulty || s.alwaysFailingJobs[id] {
 				s.endTask(m.machine, m.task, protocol.ReasonError)
 			}
 		}
@@ -153,52 +163,54 @@
 	for _, m := range members {
 		if s.now >= m.task.gatherDeadline {
 			s.endTask(m.machine, m.task, protocol.ReasonGangIncomplete)
-			s.seen.incomplete++
+			s.gangEvents.gatherTimedOut++
 		}
 	}
 }
 
-// completeGang ends a gang whose work is done: all its tasks complete at the same time.
-func (s *simulation) completeGang(members []placedTask) {
-	s.seen.completed++
+// completeGang completes all tasks of a gang at the same time.
+func (s *simulation) completeGang(members []executingTask) {
+	s.gangEvents.completed++
 	for _, m := range members {
 		id, index, _ := protocol.ParseTaskName(m.task.name)
-		s.jobs[id].done[index] = true
+		s.jobs[id].completedTasks[index] = true
 	}
 	s.endTasks(members, protocol.ReasonDone)
 }
 
-// stopGangTask tells a task of a gang to stop.
+// stopGangTask executes a stop command for a gang task. A running task that can save within the
+// grace period continues, and advanceStoppingGang ends it with the other tasks. Any other task ends at
+// once. A repeated stop that leaves too little time to save changes nothing unless its grace period is 0.
 func (s *simulation) stopGangTask(machine *simulatedMachine, task *simulatedTask, grace float64) {
-	gang := s.gangOf(task)
+	gang := s.gangAttemptOf(task)
 	if task.state != protocol.TaskRunning || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
-		if !task.toldToStop || grace == 0 || task.state != protocol.TaskRunning {
+		if !task.stopRequested || grace == 0 || task.state != protocol.TaskRunning {
 			s.endTask(machine, task, protocol.ReasonStopped)
 		}
 		return
 	}
-	task.toldToStop = true
+	task.stopRequested = true
 	if gang.firstStopAt == 0 {
 		gang.firstStopAt = s.now
 	}
 }
 
-// stopGang ends a gang that was told to stop. Its work is saved if all tasks were told in time;
-// otherwise its tasks give up once they have noticed that some are missing.
-func (s *simulation) stopGang(gang *simulatedGang, members []placedTask) {
-	toldToStop := 0
+// advanceStoppingGang ends a gang of which a task has received a stop command. The work is saved if all
+// tasks receive one in time. Otherwise all tasks end unsaved when they detect that some do not save.
+func (s *simulation) advanceStoppingGang(gang *simulatedGangAttempt, members []executingTask) {
+	stopRequests := 0
 	for _, m := range members {
-		if m.task.toldToStop {
-			toldToStop++
+		if m.task.stopRequested {
+			stopRequests++
 		}
 	}
-	save := limits.Seconds(gang.spec.SaveS)
+	saveTime := limits.Seconds(gang.spec.SaveS)
 	switch {
-	case toldToStop == gang.spec.Tasks && s.now >= gang.firstStopAt+save:
+	case stopRequests == gang.spec.Tasks && s.now >= gang.firstStopAt+saveTime:
 		s.endTasks(members, protocol.ReasonStopped)
-		s.seen.saved++
-	case s.now >= gang.firstStopAt+s.peerTimeout()+save:
+		s.gangEvents.saved++
+	case s.now >= gang.firstStopAt+s.gangPeerDetection()+saveTime:
 		s.endTasks(members, protocol.ReasonPeerLost)
-		s.seen.unsaved++
+		s.gangEvents.stoppedUnsaved++
 	}
 }
--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -8,101 +8,107 @@
 	"quillshunt/internal/storage"
 )
 
-// checkFinalRecord checks that a job is reported done only when all of its tasks are, and cancelled
-// only if its user asked for that.
+// checkFinalRecord checks the final record of a job. A job may be recorded as done only if all its tasks
+// have completed and it was not cancelled, and as cancelled only if a user cancelled it.
 func (s *simulation) checkFinalRecord(id string, data protocol.Raw) {
 	var final storage.FinalJob
 	s.must(protocol.Decode(data, &final))
 	job := s.jobs[id]
 	switch {
 	case job == nil:
-		s.t.Fatalf("invented: %s", id)
-	case final.State == protocol.JobDone && len(job.done) < job.spec.Tasks:
-		s.t.Fatalf("not_done: %s with %d of %d", id, len(job.done), job.spec.Tasks)
+		s.t.Fatalf("invented: final record of job %s, which was never submitted", id)
+	case final.State == protocol.JobDone && len(job.completedTasks) < job.spec.Tasks:
+		s.t.Fatalf("not_done: job %s is recorded as done, but only %d of %d tasks have completed",
+			id, len(job.completedTasks), job.spec.Tasks)
 	case final.State == protocol.JobCancelled && job.cancelledAt == 0:
-		s.t.Fatalf("went_back: %s cancelled by nobody", id)
+		s.t.Fatalf("went_back: job %s is recorded as cancelled, but no user cancelled it", id)
 	case final.State == protocol.JobDone && job.cancelledAt != 0:
-		s.t.Fatalf("went_back: %s done after it was cancelled", id)
+		s.t.Fatalf("went_back: job %s is recorded as done after its cancellation was confirmed", id)
 	}
 }
 
-// checkStart checks the rules for a task that has just started.
-func (s *simulation) checkStart(machine *simulatedMachine, task *simulatedTask) {
+// checkStartedTask checks the rules for a task that has just started on a machine.
+func (s *simulation) checkStartedTask(machine *simulatedMachine, task *simulatedTask) {
 	job := s.jobOf(task)
-	where := s.describe(machine, task)
+	description := s.describeTask(machine, task)
 	spec := &job.spec
 	if !spec.Spot && machine.Spot {
-		s.t.Fatalf("wrong_place: spot: %s", where)
+		s.t.Fatalf("wrong_place: job does not allow spot machines: %s", description)
 	}
 	if spec.Zone != "" && spec.Zone != machine.Zone {
-		s.t.Fatalf("wrong_place: zone: %s", where)
+		s.t.Fatalf("wrong_place: job requires another zone: %s", description)
 	}
 	if len(spec.MachineTypes) > 0 && spec.MachineTypes[0] != machine.MachineType {
-		s.t.Fatalf("wrong_place: type: %s", where)
+		s.t.Fatalf("wrong_place: job requires another machine type: %s", description)
 	}
-	s.checkRunsOnce(task, where)
-	s.checkQuotas(where)
-	tasksInZone := s.tasksInZone(job)
-	if spec.SameZone && len(tasksInZone) > 1 {
-		s.t.Fatalf("wrong_place: same zone: %s", where)
+	s.checkNoOtherAttempt(task, description)
+	s.checkTeamLimits(description)
+	tasksByZone := s.tasksByZone(job)
+	if spec.SameZone && len(tasksByZone) > 1 {
+		s.t.Fatalf("wrong_place: tasks of the job must execute in one zone: %s", description)
 	}
-	if spec.SpreadZones && tasksInZone[machine.Zone] > (spec.Tasks+1)/2 {
-		s.t.Fatalf("wrong_place: spread over zones: %s", where)
+	if spec.SpreadZones && tasksByZone[machine.Zone] > (spec.Tasks+1)/2 {
+		s.t.Fatalf("wrong_place: more than half of the job's tasks execute in one zone: %s", description)
 	}
-	s.checkCancelled(job, where)
+	s.checkCancelDeadline(job, description)
 }
 
-// placedTask is a task that is on its machine.
-type placedTask struct {
+// executingTask is an executing task and its machine; see simulatedTask.isExecuting.
+type executingTask struct {
 	machine *simulatedMachine
 	task    *simulatedTask
 }
 
-// placedTasks returns all tasks that are on their machines.
-func (s *simulation) placedTasks() []placedTask {
-	var placed []placedTask
+// executingTasks returns all executing tasks, in the order of the machine names.
+func (s *simulation) executingTasks() []executingTask {
+	var executing []executingTask
 	for _, name := range s.machineNames() {
 		machine := s.machines[name]
 		if machine.removed {
 			continue
 		}
 		for _, task := range machine.tasks {
-			if task.onMachine() {
-				placed = append(placed, placedTask{machine, task})
+			if task.isExecuting() {
+				executing = append(executing, executingTask{machine, task})
 			}
 		}
 	}
-	return placed
+	return executing
 }
 
-func (s *simulation) checkRunsOnce(task *simulatedTask, where string) {
-	for _, p := range s.placedTasks() {
+// checkNoOtherAttempt checks that no other attempt of a task executes.
+func (s *simulation) checkNoOtherAttempt(task *simulatedTask, description string) {
+	for _, p := range s.executingTasks() {
 		if p.task.name == task.name && p.task != task {
-			s.t.Fatalf("ran_twice: %s, and on %s attempt %x", where, p.machine.Name, p.task.attempt)
+			s.t.Fatalf("ran_twice: %s; machine %s already executes attempt %x",
+				description, p.machine.Name, p.task.attempt)
 		}
 	}
 }
 
-func (s *simulation) checkQuotas(where string) {
+// checkTeamLimits checks that the executing tasks of each team are within the limit of the team.
+func (s *simulation) checkTeamLimits(startedDescription string) {
 	var running []string
 	used := map[string]float64{}
-	for _, p := range s.placedTasks() {
+	for _, p := range s.executingTasks() {
 		spec := &s.jobOf(p.task).spec
 		used[spec.Team] += spec.CPUs
-		description := fmt.Sprintf("%s:%s#%x*%v", p.machine.Name, p.task.name, p.task.attempt, spec.CPUs)
+		description := fmt.Sprintf("%s: task %s attempt %x with %v CPUs",
+			p.machine.Name, p.task.name, p.task.attempt, spec.CPUs)
 		running = append(running, description)
 	}
 	for _, team := range s.teams {
 		if used[team.Name] > team.MaxCPUs+1e-9 {
-			s.t.Fatalf("quota: %s uses %v: %s; running: %v", team.Name, used[team.Name], where, running)
+			s.t.Fatalf("quota: team %s uses %v CPUs, limit %v: %s; executing tasks: %v",
+				team.Name, used[team.Name], team.MaxCPUs, startedDescription, running)
 		}
 	}
 }
 
-// tasksInZone counts the tasks of a job that are on machines, by zone.
-func (s *simulation) tasksInZone(job *simulatedJob) map[string]int {
+// tasksByZone returns the number of executing tasks of a job in each zone.
+func (s *simulation) tasksByZone(job *simulatedJob) map[string]int {
 	counts := map[string]int{}
-	for _, p := range s.placedTasks() {
+	for _, p := range s.executingTasks() {
 		if s.jobOf(p.task) == job {
 			counts[p.machine.Zone]++
 		}
@@ -110,17 +116,20 @@
 	return counts
 }
 
-// checkAllCancelled checks that no task of a cancelled job is on a machine for too long.
-func (s *simulation) checkAllCancelled(machine *simulatedMachine) {
+// checkCancelledTasks checks that a machine executes no task for too long after the cancellation of its
+// job.
+func (s *simulation) checkCancelledTasks(machine *simulatedMachine) {
 	for _, task := range machine.tasks {
-		if task.onMachine() {
-			s.checkCancelled(s.jobOf(task), s.describe(machine, task))
+		if task.isExecuting() {
+			s.checkCancelDeadline(s.jobOf(task), s.describeTask(machine, task))
 		}
 	}
 }
 
-func (s *simulation) checkCancelled(job *simulatedJob, where string) {
-	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workers.CancelWithinS) {
-		s.t.Fatalf("ran_cancelled: %s", where)
+// checkCancelDeadline fails the test if a job was cancelled longer ago than its tasks may take to end. It
+// is called while a task of the job executes.
+func (s *simulation) checkCancelDeadline(job *simulatedJob, description string) {
+	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workerTimes.CancelWithinS) {
+		s.t.Fatalf("ran_cancelled: task still executes after the time limit for cancelled tasks: %s", description)
 	}
 }
--- a/internal/coordination/scheduler/simulation_store_test.go
+++ b/internal/coordination/scheduler/simulation_store_test.go
@@ -9,16 +9,17 @@
 	"quillshunt/internal/storage"
 )
 
-// prefixFinalJob is the prefix of the keys of final records.
-var prefixFinalJob = storage.FinalJobKey("")
+// finalJobPrefix is the prefix of the keys of final job records.
+var finalJobPrefix = storage.FinalJobKey("")
 
+// storedRecord is the value of a key and the revision at which it was written.
 type storedRecord struct {
 	version uint64
 	value   protocol.Raw
 }
 
-// sortedKeys returns the keys with a prefix.
-func (s *simulation) sortedKeys(prefix string) []string {
+// sortedKeysWithPrefix returns the keys that begin with a prefix, in ascending order.
+func (s *simulation) sortedKeysWithPrefix(prefix string) []string {
 	var keys []string
 	for key := range s.records {
 		if strings.HasPrefix(key, prefix) {
@@ -29,27 +30,28 @@
 	return keys
 }
 
-// putJob writes a job's record as the controller that serves the user's request does. The leader
-// learns of it by its watch.
-func (s *simulation) putJob(key string, record any) {
+// writeJob writes the record of a job, as the controller that handles the user's request does. The leader
+// receives the record later, through its watch.
+func (s *simulation) writeJob(key string, record any) {
 	s.revision++
 	s.records[key] = storedRecord{s.revision, protocol.Encode(record)}
 	for _, controller := range s.leaders {
-		if controller.dead {
+		if controller.stopped {
 			continue
 		}
-		s.after(s.between(time.Millisecond, 500*time.Millisecond), func() {
-			if _, ok := s.records[key]; ok && !controller.dead {
+		s.afterFunc(s.randomDuration(time.Millisecond, 500*time.Millisecond), func() {
+			if _, ok := s.records[key]; ok && !controller.stopped {
 				s.stepJobChanged(controller, key)
 			}
 		})
 	}
 }
 
-// executeWrite carries out a transaction if its conditions and the one on the leader key hold.
+// executeWrite executes a transaction if the leader key is still that of the controller's term and all
+// conditions of the transaction hold.
 func (s *simulation) executeWrite(controller *simulatedController, write WriteRecords) {
 	if controller.term != s.term {
-		controller.dead = true // the condition on the leader key fails: its term is over
+		controller.stopped = true // the condition on the leader key fails, which ends the term
 		return
 	}
 	for _, condition := range write.Conditions {
@@ -65,12 +67,12 @@
 			continue
 		}
 		s.records[operation.Put] = storedRecord{s.revision, operation.Value}
-		if id, ok := strings.CutPrefix(operation.Put, prefixFinalJob); ok {
+		if id, ok := strings.CutPrefix(operation.Put, finalJobPrefix); ok {
 			s.checkFinalRecord(id, operation.Value)
 		}
 	}
 	version := s.revision
-	s.after(5*time.Millisecond, func() {
+	s.afterFunc(5*time.Millisecond, func() {
 		s.step(controller, WriteCompleted{ID: write.ID, OK: true, Version: version})
 	})
 }
