--- a/cmd/quillshunt/client.go
+++ b/cmd/quillshunt/client.go
@@ -19,36 +19,36 @@
 // line.
 type client struct{ address string }
 
-// addFlags adds the flag for the controller's address to a command.
-func (c *client) addFlags(cmd *cobra.Command) {
+// addAddressFlag adds the flag for the controller's address to a command.
+func (c *client) addAddressFlag(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&c.address, "addr", "127.0.0.1:8080", "address of a controller")
 }
 
-// call sends a request and writes the answer to out.
-func (c *client) call(ctx context.Context, out io.Writer, method, target string, body []byte) error {
+// sendRequest sends a request and writes the answer to out.
+func (c *client) sendRequest(ctx context.Context, out io.Writer, method, target string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*limits.SubmitTimeout)
 	defer cancel()
-	answer, err := transport.NewClient(c.address, 1, limits.MaxBodyBytes).Do(ctx, method, target, body)
+	response, err := transport.NewClient(c.address, 1, limits.MaxBodyBytes).Do(ctx, method, target, body)
 	if err != nil {
 		return err
 	}
-	return printAnswer(out, answer)
+	return printResponse(out, response)
 }
 
-// printAnswer writes the body of an answer as JSON. An answer with a status of failure is an error.
-func printAnswer(out io.Writer, answer *transport.Message) error {
+// printResponse writes the body of an answer as JSON. An answer with a status of failure is an error.
+func printResponse(out io.Writer, response *transport.Message) error {
 	var fields map[string]any
-	if len(answer.Body) > 0 {
-		if err := protocol.Decode(answer.Body, &fields); err != nil {
-			return fmt.Errorf("answer %d: %w", answer.Status, err)
+	if len(response.Body) > 0 {
+		if err := protocol.Decode(response.Body, &fields); err != nil {
+			return fmt.Errorf("answer %d: %w", response.Status, err)
 		}
 	}
-	if answer.Status < http.StatusOK || answer.Status >= http.StatusMultipleChoices {
+	if response.Status < http.StatusOK || response.Status >= http.StatusMultipleChoices {
 		reason, _ := fields["error"].(string)
-		if answer.RetryAfter > 0 {
-			reason += fmt.Sprintf(" (come back in %s)", time.Duration(answer.RetryAfter)*time.Second)
+		if response.RetryAfter > 0 {
+			reason += fmt.Sprintf(" (come back in %s)", time.Duration(response.RetryAfter)*time.Second)
 		}
-		return fmt.Errorf("status %d: %s", answer.Status, reason)
+		return fmt.Errorf("status %d: %s", response.Status, reason)
 	}
 	text, err := json.Marshal(fields)
 	if err != nil {
--- a/cmd/quillshunt/commands_test.go
+++ b/cmd/quillshunt/commands_test.go
@@ -9,8 +9,8 @@
 	"quillshunt/internal/transport"
 )
 
-// TestPrintAnswer: scripts read what is printed, and the error that tells why nothing is.
-func TestPrintAnswer(t *testing.T) {
+// TestPrintResponse: scripts read what is printed, and the error that tells why nothing is.
+func TestPrintResponse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer transport.Message
@@ -41,7 +41,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out strings.Builder
-			err := printAnswer(&out, &c.answer)
+			err := printResponse(&out, &c.answer)
 			if got := errorText(err); got != c.err || out.String() != c.output {
 				t.Errorf("printed %q, error %q", out.String(), got)
 			}
--- a/cmd/quillshunt/jobs.go
+++ b/cmd/quillshunt/jobs.go
@@ -24,26 +24,26 @@
 			if err != nil {
 				return err
 			}
-			return c.call(cmd.Context(), cmd.OutOrStdout(), http.MethodPost, jobsPath, protocol.Encode(job))
+			return c.sendRequest(cmd.Context(), cmd.OutOrStdout(), http.MethodPost, jobsPath, protocol.Encode(job))
 		},
 	}
-	c.addFlags(cmd)
+	c.addAddressFlag(cmd)
 	return cmd
 }
 
 // newShowCommand returns the command that shows the state of a job.
 func newShowCommand() *cobra.Command {
-	return newJobCommand("show ID", "Show the state of a run", http.MethodGet, "")
+	return newJobRequestCommand("show ID", "Show the state of a run", http.MethodGet, "")
 }
 
 // newCancelCommand returns the command that cancels a job.
 func newCancelCommand() *cobra.Command {
-	return newJobCommand("cancel ID", "Cancel a run", http.MethodPost, "/cancel")
+	return newJobRequestCommand("cancel ID", "Cancel a run", http.MethodPost, "/cancel")
 }
 
-// newJobCommand returns a command that sends a request for one job, by its id. The suffix is the
+// newJobRequestCommand returns a command that sends a request for one job, by its id. The suffix is the
 // part of the path after the id.
-func newJobCommand(use, short, method, suffix string) *cobra.Command {
+func newJobRequestCommand(use, short, method, suffix string) *cobra.Command {
 	var c client
 	cmd := &cobra.Command{
 		Use:   use,
@@ -54,9 +54,9 @@
 			if !protocol.ValidJobID(id) {
 				return fmt.Errorf("%q is not the id of a run, like job-000412", id)
 			}
-			return c.call(cmd.Context(), cmd.OutOrStdout(), method, jobsPath+"/"+id+suffix, nil)
+			return c.sendRequest(cmd.Context(), cmd.OutOrStdout(), method, jobsPath+"/"+id+suffix, nil)
 		},
 	}
-	c.addFlags(cmd)
+	c.addAddressFlag(cmd)
 	return cmd
 }
--- a/cmd/quillshunt/serve.go
+++ b/cmd/quillshunt/serve.go
@@ -17,7 +17,7 @@
 // serve runs a controller until a server of it fails for good or the context ends.
 func serve(ctx context.Context, settings *config.Settings, options config.Options, log *slog.Logger) error {
 	log = log.With("node", settings.NodeName)
-	limitResources(settings)
+	setRuntimeLimits(settings)
 	c, err := controller.New(settings, options, nil, log)
 	if err != nil {
 		return err
@@ -29,8 +29,8 @@
 	return c.Run(ctx)
 }
 
-// limitResources makes the runtime keep within the memory and the processor share of the settings.
-func limitResources(settings *config.Settings) {
+// setRuntimeLimits makes the runtime keep within the memory and the processor share of the settings.
+func setRuntimeLimits(settings *config.Settings) {
 	debug.SetMemoryLimit(limits.HeapLimit(settings.Facts.Machine.MemoryMB))
 	debug.SetGCPercent(limits.GCPercent)
 	runtime.GOMAXPROCS(limits.MaxProcs)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -55,15 +55,15 @@
 	}
 	controllers := map[string]string{}
 	for i := range controllerCount {
-		controllers[nodeName(i)] = addrs.clients(i)
+		controllers[nodeName(i)] = addrs.clientAddr(i)
 	}
 	state := standin.NewStateService()
 	group, ctx := errgroup.WithContext(ctx)
 	cloud := standin.NewCloud(ctx, standin.CloudOptions{
-		Types: machineTypes, State: state, Controllers: controllers, Log: log,
+		MachineTypes: machineTypes, State: state, Controllers: controllers, Log: log,
 	})
-	group.Go(func() error { return state.Server(addrs.state(), log).Run(ctx) })
-	group.Go(func() error { return cloud.Server(addrs.cloud()).Run(ctx) })
-	fmt.Printf("state service on %s, cloud on %s, settings in %s\n", addrs.state(), addrs.cloud(), directory)
+	group.Go(func() error { return state.Server(addrs.stateAddr(), log).Run(ctx) })
+	group.Go(func() error { return cloud.Server(addrs.cloudAddr()).Run(ctx) })
+	fmt.Printf("state service on %s, cloud on %s, settings in %s\n", addrs.stateAddr(), addrs.cloudAddr(), directory)
 	return group.Wait()
 }
--- a/cmd/standin/settings.go
+++ b/cmd/standin/settings.go
@@ -17,12 +17,14 @@
 // addresses are the loopback addresses of all parts, counted from a first port.
 type addresses struct{ firstPort int }
 
-func (a addresses) at(offset int) string { return fmt.Sprintf("127.0.0.1:%d", a.firstPort+offset) }
+func (a addresses) atOffset(offset int) string {
+	return fmt.Sprintf("127.0.0.1:%d", a.firstPort+offset)
+}
 
-func (a addresses) state() string                 { return a.at(0) }
-func (a addresses) cloud() string                 { return a.at(1) }
-func (a addresses) clients(controller int) string { return a.at(10 + controller) }
-func (a addresses) peers(controller int) string   { return a.at(20 + controller) }
+func (a addresses) stateAddr() string                { return a.atOffset(0) }
+func (a addresses) cloudAddr() string                { return a.atOffset(1) }
+func (a addresses) clientAddr(controller int) string { return a.atOffset(10 + controller) }
+func (a addresses) peerAddr(controller int) string   { return a.atOffset(20 + controller) }
 
 func nodeName(controller int) string { return fmt.Sprintf("controller-%d", controller) }
 
@@ -32,7 +34,7 @@
 		return err
 	}
 	for i := range controllerCount {
-		encoded, err := json.MarshalIndent(settingsOf(i, addrs), "", "  ")
+		encoded, err := json.MarshalIndent(controllerSettings(i, addrs), "", "  ")
 		if err != nil {
 			return err
 		}
@@ -44,27 +46,27 @@
 	return nil
 }
 
-// settingsOf returns the settings of one controller.
-func settingsOf(controller int, addrs addresses) config.Settings {
+// controllerSettings returns the settings of one controller.
+func controllerSettings(controller int, addrs addresses) config.Settings {
 	settings := config.Settings{
 		NodeName:     nodeName(controller),
 		Zone:         zone,
-		ClientListen: addrs.clients(controller),
-		PeerBind:     addrs.peers(controller),
-		External:     config.External{Cloud: addrs.cloud(), State: addrs.state()},
-		Facts:        deploymentFacts(),
+		ClientListen: addrs.clientAddr(controller),
+		PeerBind:     addrs.peerAddr(controller),
+		External:     config.External{Cloud: addrs.cloudAddr(), State: addrs.stateAddr()},
+		Facts:        demoDeployment(),
 	}
 	for other := range controllerCount {
 		if other != controller {
-			member := config.Member{NodeName: nodeName(other), Zone: zone, Address: addrs.peers(other)}
+			member := config.Member{NodeName: nodeName(other), Zone: zone, Address: addrs.peerAddr(other)}
 			settings.Members = append(settings.Members, member)
 		}
 	}
 	return settings
 }
 
-// deploymentFacts describe a small deployment with gangs.
-func deploymentFacts() config.Facts {
+// demoDeployment describe a small deployment with gangs.
+func demoDeployment() config.Facts {
 	gangWaitS, gangPeerS := 40.0, 6.0
 	return config.Facts{
 		InitialSize: controllerCount,
--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -123,7 +123,7 @@
 		go standin.ServeListener(c.network.Listen("state-"+name+":1"), c.state.ServerFor(name, "", c.log))
 	}
 	c.cloud = standin.NewCloud(ctx, standin.CloudOptions{
-		Types: []protocol.MachineType{{
+		MachineTypes: []protocol.MachineType{{
 			Name: "c8", CPUs: capacity, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1,
 			Price: 1, SpotPrice: 0.4, BootS: 4, Zones: c.zones,
 		}},
--- a/internal/coordination/controller/scenarios_failover_test.go
+++ b/internal/coordination/controller/scenarios_failover_test.go
@@ -18,7 +18,7 @@
 			leader, before := c.waitForLeader(), c.currentTerm()
 			delayed := c.busyMachines(2)
 			c.setWorkerLinks(delayed, standin.Delay, standin.Delay)
-			c.cloud.SetRepeatedHeartbeats(func(machine string) (time.Duration, bool) {
+			c.cloud.SetDuplicateHeartbeats(func(machine string) (time.Duration, bool) {
 				return 20 * time.Second, slices.Contains(delayed, machine)
 			})
 			time.Sleep(3 * time.Second)
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -159,7 +159,7 @@
 		name: "old heartbeats of gangs arrive after newer ones, with leaders that change",
 		run: func(c *cluster) {
 			c.warmUp(2, nil)
-			c.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
+			c.cloud.SetDuplicateHeartbeats(func(string) (time.Duration, bool) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return time.Duration(2000+c.random.IntN(30000)) * time.Millisecond, c.random.Float64() < 0.4
@@ -171,7 +171,7 @@
 				time.Sleep(4 * time.Second)
 				c.restartController(c.waitForLeader(), 500*time.Millisecond)
 			}
-			c.cloud.SetRepeatedHeartbeats(nil)
+			c.cloud.SetDuplicateHeartbeats(nil)
 		},
 	},
 	{
--- a/internal/coordination/controller/scenarios_worker_test.go
+++ b/internal/coordination/controller/scenarios_worker_test.go
@@ -15,7 +15,7 @@
 		run: func(c *cluster) {
 			c.warmUp(4, nil)
 			heartbeats := 0
-			c.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
+			c.cloud.SetDuplicateHeartbeats(func(string) (time.Duration, bool) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				heartbeats++
@@ -32,7 +32,7 @@
 				}
 				time.Sleep(5 * time.Second)
 			}
-			c.cloud.SetRepeatedHeartbeats(nil)
+			c.cloud.SetDuplicateHeartbeats(nil)
 			c.mu.Lock()
 			c.expect(heartbeats > 50, "repeated heartbeats")
 			c.mu.Unlock()
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -19,10 +19,10 @@
 // CloudOptions configure a Cloud. Those after Log are for tests; their zero values are right for the
 // quick start.
 type CloudOptions struct {
-	Types       []protocol.MachineType
-	State       *StateService     // where workers read what a task needs
-	Controllers map[string]string // addresses by node name
-	Log         *slog.Logger
+	MachineTypes []protocol.MachineType
+	State        *StateService     // where workers read what a task needs
+	Controllers  map[string]string // addresses by node name
+	Log          *slog.Logger
 
 	// Network connects workers and controllers; nil: TCP.
 	Network *Network
@@ -47,9 +47,9 @@
 	workers         map[string]*worker  // by machine name
 	rentals         map[string][]string // machine names by rental request
 
-	results         sync.Mutex      // guards what follows
-	doneTasks       map[string]bool // tasks that completed anywhere: their results are kept
-	repeatHeartbeat func(machine string) (time.Duration, bool)
+	resultsMu      sync.Mutex      // guards what follows
+	doneTasks      map[string]bool // tasks that completed anywhere: their results are kept
+	duplicateDelay func(machine string) (time.Duration, bool)
 
 	gangs *gangRegistry
 }
@@ -130,26 +130,28 @@
 	return c.workers[name]
 }
 
-// rent rents machines. A repeated request gets the same machines.
-func (c *Cloud) rent(request protocol.RentalRequest) []string {
+// rentMachines rents machines. A repeated request gets the same machines.
+func (c *Cloud) rentMachines(request protocol.RentalRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if names, known := c.rentals[request.Name]; known {
+	if names, found := c.rentals[request.Name]; found {
 		return names
 	}
 	names := []string{}
-	at := slices.IndexFunc(c.options.Types, func(t protocol.MachineType) bool { return t.Name == request.MachineType })
+	at := slices.IndexFunc(c.options.MachineTypes, func(t protocol.MachineType) bool {
+		return t.Name == request.MachineType
+	})
 	if at >= 0 {
 		for range request.Count {
-			names = append(names, c.boot(&c.options.Types[at], request))
+			names = append(names, c.bootMachine(&c.options.MachineTypes[at], request))
 		}
 	}
 	c.rentals[request.Name] = names
 	return names
 }
 
-// boot starts a machine and returns its name. The caller holds mu.
-func (c *Cloud) boot(machineType *protocol.MachineType, request protocol.RentalRequest) string {
+// bootMachine starts a machine and returns its name. The caller holds mu.
+func (c *Cloud) bootMachine(machineType *protocol.MachineType, request protocol.RentalRequest) string {
 	c.machineSequence++
 	ctx, cancel := context.WithCancel(c.ctx)
 	w := &worker{
@@ -188,35 +190,35 @@
 
 // TaskDone reports whether a task completed.
 func (c *Cloud) TaskDone(task string) bool {
-	c.results.Lock()
-	defer c.results.Unlock()
+	c.resultsMu.Lock()
+	defer c.resultsMu.Unlock()
 	return c.doneTasks[task]
 }
 
 // markDone keeps the result of a task.
 func (c *Cloud) markDone(task string) {
-	c.results.Lock()
-	defer c.results.Unlock()
+	c.resultsMu.Lock()
+	defer c.resultsMu.Unlock()
 	c.doneTasks[task] = true
 }
 
-// SetRepeatedHeartbeats sets which machines' heartbeats arrive again: repeat is asked for each and
+// SetDuplicateHeartbeats sets which machines' heartbeats arrive again: repeat is asked for each and
 // returns how much later. Nil repeats none.
-func (c *Cloud) SetRepeatedHeartbeats(repeat func(machine string) (time.Duration, bool)) {
-	c.results.Lock()
-	defer c.results.Unlock()
-	c.repeatHeartbeat = repeat
-}
-
-// heartbeatRepetition returns how much later a machine's next heartbeat arrives again, if it does.
-func (c *Cloud) heartbeatRepetition(machine string) (time.Duration, bool) {
-	c.results.Lock()
-	repeat := c.repeatHeartbeat
-	c.results.Unlock()
-	if repeat == nil {
+func (c *Cloud) SetDuplicateHeartbeats(delay func(machine string) (time.Duration, bool)) {
+	c.resultsMu.Lock()
+	defer c.resultsMu.Unlock()
+	c.duplicateDelay = delay
+}
+
+// heartbeatDuplicateDelay returns how much later a machine's next heartbeat arrives again, if it does.
+func (c *Cloud) heartbeatDuplicateDelay(machine string) (time.Duration, bool) {
+	c.resultsMu.Lock()
+	delay := c.duplicateDelay
+	c.resultsMu.Unlock()
+	if delay == nil {
 		return 0, false
 	}
-	return repeat(machine)
+	return delay(machine)
 }
 
 // jobSpec returns what workers know of a job.
@@ -235,11 +237,11 @@
 func (c *Cloud) gangTimes() gangTimes {
 	if times := c.options.WorkerTimes; times.Gangs() {
 		return gangTimes{
-			giveUpAfter: limits.Seconds(*times.GangWaitS),
-			noticeAfter: limits.Seconds(*times.GangPeerS),
+			waitTimeout:   limits.Seconds(*times.GangWaitS),
+			peerDetection: limits.Seconds(*times.GangPeerS),
 		}
 	}
-	return gangTimes{giveUpAfter: gangWaitTimeout, noticeAfter: gangPeerTimeout}
+	return gangTimes{waitTimeout: gangWaitTimeout, peerDetection: gangPeerDetection}
 }
 
 // dialer returns how a host opens connections; nil: by TCP.
--- a/internal/standin/cloud_http.go
+++ b/internal/standin/cloud_http.go
@@ -26,7 +26,7 @@
 	}
 	switch {
 	case req.Path == "/machine_types":
-		rsp.Respond(http.StatusOK, protocol.Encode(protocol.MachineTypeList{Types: c.options.Types}), 0)
+		rsp.Respond(http.StatusOK, protocol.Encode(protocol.MachineTypeList{Types: c.options.MachineTypes}), 0)
 	case req.Path == "/rentals" && req.Method == http.MethodPost:
 		c.handleRental(req.Body, rsp)
 	case req.Path == "/rentals/delete":
@@ -49,7 +49,7 @@
 		rsp.Respond(http.StatusBadRequest, nil, 0)
 		return
 	}
-	rsp.Respond(http.StatusOK, protocol.Encode(protocol.RentalReply{Machines: c.rent(request)}), 0)
+	rsp.Respond(http.StatusOK, protocol.Encode(protocol.RentalReply{Machines: c.rentMachines(request)}), 0)
 }
 
 func (c *Cloud) handleDeletion(body []byte, rsp *transport.Responder) {
--- a/internal/standin/connection.go
+++ b/internal/standin/connection.go
@@ -60,7 +60,7 @@
 // Read waits for data that has arrived, the end of the connection, or the deadline.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
-		link, changed := c.network.link(c.remote, c.local)
+		link, changed := c.network.linkState(c.remote, c.local)
 		n, retryAt, err := c.tryRead(b, link)
 		if n > 0 || err != nil {
 			return n, err
@@ -137,7 +137,7 @@
 
 // send queues a packet at the other end. Once a link has dropped one, later ones are dropped too.
 func (c *conn) send(data []byte) {
-	link, _ := c.network.link(c.local, c.remote)
+	link, _ := c.network.linkState(c.local, c.remote)
 	c.mu.Lock()
 	c.packetLost = c.packetLost || link == Drop
 	lost := c.packetLost
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -27,8 +27,8 @@
 
 // gangTimes are the times that tasks of gangs keep.
 type gangTimes struct {
-	giveUpAfter time.Duration // how long a task waits for the others
-	noticeAfter time.Duration // how long the others take to notice that one is gone or was told to stop
+	waitTimeout   time.Duration // how long a task waits for the others
+	peerDetection time.Duration // how long the others take to notice that one is gone or was told to stop
 }
 
 // gangMember is a task that is on its machine.
@@ -54,8 +54,8 @@
 	}
 }
 
-// attempt returns an attempt of a gang, a new one for the first of its tasks.
-func (r *gangRegistry) attempt(spec protocol.Spec, attempt uint64, times gangTimes) *gangAttempt {
+// getOrCreateAttempt returns an attempt of a gang, a new one for the first of its tasks.
+func (r *gangRegistry) getOrCreateAttempt(spec protocol.Spec, attempt uint64, times gangTimes) *gangAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := fmt.Sprintf("%s#%d", spec.ID, attempt)
@@ -89,18 +89,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.members, task)
-	g.update()
+	g.updateState()
 }
 
 // stop tells a task to stop. It returns false if the task ends at once.
-func (g *gangAttempt) stop(task string, grace float64) (saves bool) {
+func (g *gangAttempt) stop(task string, graceS float64) (saves bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.update()
+	g.updateState()
 	m := g.members[task]
-	if m == nil || g.startedAt.IsZero() || g.spec.CheckpointS == 0 || grace < g.spec.SaveS {
+	if m == nil || g.startedAt.IsZero() || g.spec.CheckpointS == 0 || graceS < g.spec.SaveS {
 		delete(g.members, task)
-		g.update()
+		g.updateState()
 		return false
 	}
 	m.stopping = true
@@ -110,16 +110,16 @@
 	return true
 }
 
-// observe returns the status of a task now. A task that has ended leaves the gang.
-func (g *gangAttempt) observe(task string) protocol.TaskStatus {
+// poll returns the status of a task now. A task that has ended leaves the gang.
+func (g *gangAttempt) poll(task string) protocol.TaskStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.update()
-	shown := g.taskStatus(g.members[task])
-	if shown.State == protocol.TaskEnded {
+	g.updateState()
+	status := g.taskStatus(g.members[task])
+	if status.State == protocol.TaskEnded {
 		delete(g.members, task)
 	}
-	return shown
+	return status
 }
 
 // taskStatus returns the status of a member, nil for one that has left. The caller holds mu.
@@ -131,16 +131,16 @@
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
 	case g.completed:
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonDone}
-	case g.startedAt.IsZero() && now.After(m.joinedAt.Add(g.times.giveUpAfter)):
+	case g.startedAt.IsZero() && now.After(m.joinedAt.Add(g.times.waitTimeout)):
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonIncomplete}
 	case g.startedAt.IsZero():
 		return protocol.TaskStatus{State: protocol.TaskGathering}
-	case !g.memberLostAt.IsZero() && now.After(g.memberLostAt.Add(g.times.noticeAfter)):
+	case !g.memberLostAt.IsZero() && now.After(g.memberLostAt.Add(g.times.peerDetection)):
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
 	case !g.firstStopAt.IsZero() && g.allStopping() && now.After(g.firstStopAt.Add(save)):
 		g.registry.saveProgress(g.spec.ID, g.progress(g.firstStopAt))
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonStopped, Saved: true}
-	case !g.firstStopAt.IsZero() && now.After(g.firstStopAt.Add(g.times.noticeAfter+save)):
+	case !g.firstStopAt.IsZero() && now.After(g.firstStopAt.Add(g.times.peerDetection+save)):
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeers}
 	}
 	return protocol.TaskStatus{State: protocol.TaskRunning}
@@ -161,8 +161,8 @@
 	return g.savedProgress + until.Sub(g.startedAt)
 }
 
-// update starts a gang that is complete, and notes its end or the loss of a task. The caller holds mu.
-func (g *gangAttempt) update() {
+// updateState starts a gang that is complete, and notes its end or the loss of a task. The caller holds mu.
+func (g *gangAttempt) updateState() {
 	now := time.Now()
 	switch {
 	case g.startedAt.IsZero():
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -31,8 +31,8 @@
 
 var errConnectionRefused = errors.New("connection refused")
 
-// direction names a link by the hosts at its ends.
-type direction struct{ from, to string }
+// linkKey names a link by the hosts at its ends.
+type linkKey struct{ from, to string }
 
 // Network is a network in memory whose links can be cut one by one and in one direction. Addresses
 // are host:port. It is safe for concurrent use.
@@ -41,7 +41,7 @@
 	latency      time.Duration
 	extraLatency map[string]time.Duration // of packets from or to a host
 	listeners    map[string]*listener     // by address
-	links        map[direction]LinkState  // those that are not open
+	links        map[linkKey]LinkState    // those that are not open
 	conns        map[*conn]bool
 	changed      chan struct{} // closed when the state of a link changes next
 }
@@ -52,7 +52,7 @@
 		latency:      latency,
 		extraLatency: map[string]time.Duration{},
 		listeners:    map[string]*listener{},
-		links:        map[direction]LinkState{},
+		links:        map[linkKey]LinkState{},
 		conns:        map[*conn]bool{},
 		changed:      make(chan struct{}),
 	}
@@ -63,12 +63,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if state == Open {
-		delete(n.links, direction{from, to})
+		delete(n.links, linkKey{from, to})
 	} else {
-		n.links[direction{from, to}] = state
+		n.links[linkKey{from, to}] = state
 	}
 	if state == Refuse {
-		n.resetBetween(from, to)
+		n.resetConnsBetween(from, to)
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -80,8 +80,8 @@
 	n.SetLink(b, a, state)
 }
 
-// resetBetween resets the connections between two hosts. The caller holds mu.
-func (n *Network) resetBetween(a, b string) {
+// resetConnsBetween resets the connections between two hosts. The caller holds mu.
+func (n *Network) resetConnsBetween(a, b string) {
 	for c := range n.conns {
 		if (c.local == a && c.remote == b) || (c.local == b && c.remote == a) {
 			c.reset()
@@ -89,11 +89,11 @@
 	}
 }
 
-// link returns the state of a link, and a channel that closes when the state of any changes.
-func (n *Network) link(from, to string) (LinkState, <-chan struct{}) {
+// linkState returns the state of a link, and a channel that closes when the state of any changes.
+func (n *Network) linkState(from, to string) (LinkState, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.links[direction{from, to}], n.changed
+	return n.links[linkKey{from, to}], n.changed
 }
 
 // SetLatency sets how long packets take from now on.
@@ -160,23 +160,23 @@
 // Dialer returns a dialer that connects from a host.
 func (n *Network) Dialer(from string) transport.Dialer {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
-		if err := n.waitForLink(ctx, from, hostOf(addr)); err != nil {
+		if err := n.waitForLinks(ctx, from, hostOf(addr)); err != nil {
 			return nil, err
 		}
 		return n.connect(from, addr)
 	}
 }
 
-// waitForLink waits until both links between two hosts are open. It fails if one of them refuses
+// waitForLinks waits until both links between two hosts are open. It fails if one of them refuses
 // connections.
-func (n *Network) waitForLink(ctx context.Context, from, to string) error {
+func (n *Network) waitForLinks(ctx context.Context, from, to string) error {
 	for {
-		forth, changed := n.link(from, to)
-		back, _ := n.link(to, from)
-		if forth == Refuse || back == Refuse {
+		outbound, changed := n.linkState(from, to)
+		inbound, _ := n.linkState(to, from)
+		if outbound == Refuse || inbound == Refuse {
 			return errConnectionRefused
 		}
-		if forth == Open && back == Open {
+		if outbound == Open && inbound == Open {
 			return nil
 		}
 		select {
--- a/internal/standin/state_faults.go
+++ b/internal/standin/state_faults.go
@@ -24,14 +24,14 @@
 func (s *StateService) OversizedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.oversized
+	return s.oversizedTransactions
 }
 
 // SetUnavailable begins or ends an outage. After one, all leases have their full time again.
 func (s *StateService) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	s.unavailable = unavailable
 	for id, l := range s.leases {
 		l.expiresAt = time.Now().Add(l.duration)
@@ -91,28 +91,28 @@
 		if s.limits.ValueBytes == 0 || op.Delete != "" || protocol.Decode(op.Value, &value) != nil {
 			continue
 		}
-		if storage.EncodedSize(withTextKeys(value)) > s.limits.ValueBytes {
+		if storage.EncodedSize(withStringKeys(value)) > s.limits.ValueBytes {
 			return false
 		}
 	}
 	return true
 }
 
-// withTextKeys gives maps text keys, as they have in JSON, in which sizes are counted.
-func withTextKeys(value any) any {
+// withStringKeys gives maps text keys, as they have in JSON, in which sizes are counted.
+func withStringKeys(value any) any {
 	switch value := value.(type) {
 	case map[any]any:
 		out := make(map[string]any, len(value))
 		for key, element := range value {
 			if name, ok := key.(string); ok {
-				out[name] = withTextKeys(element)
+				out[name] = withStringKeys(element)
 			}
 		}
 		return out
 	case []any:
 		out := make([]any, len(value))
 		for i, element := range value {
-			out[i] = withTextKeys(element)
+			out[i] = withStringKeys(element)
 		}
 		return out
 	}
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -136,13 +136,13 @@
 	timeout := time.NewTimer(time.Duration(queryNumber(query, "HoldMs")) * time.Millisecond)
 	defer timeout.Stop()
 	for {
-		reply, next := s.Changes(prefix, since)
+		reply, changed := s.Changes(prefix, since)
 		if len(reply.Changes) > 0 && s.serves(caller) {
 			rsp.Respond(http.StatusOK, protocol.Encode(reply), 0)
 			return
 		}
 		select {
-		case <-next:
+		case <-changed:
 		case <-timeout.C:
 			if !s.serves(caller) {
 				reply = protocol.WatchReply{Revision: since, Changes: []protocol.Change{}}
--- a/internal/standin/state_service.go
+++ b/internal/standin/state_service.go
@@ -23,11 +23,11 @@
 	watchers    map[chan struct{}]bool // each closed at the next change
 
 	// Faults that tests inject; see state_faults.go.
-	unavailable      bool
-	rejectedCallers  map[string]bool
-	delayTransaction func() (time.Duration, bool)
-	limits           StateLimits
-	oversized        int // transactions that were over the limits
+	unavailable           bool
+	rejectedCallers       map[string]bool
+	delayTransaction      func() (time.Duration, bool)
+	limits                StateLimits
+	oversizedTransactions int // transactions that were over the limits
 }
 
 // lease is a lease that keys can be attached to.
@@ -50,7 +50,7 @@
 func (s *StateService) Get(key string) (protocol.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	pair, ok := s.keys[key]
 	return pair, ok
 }
@@ -60,9 +60,9 @@
 func (s *StateService) CompareAndSwap(t protocol.Transaction) (status int, reply protocol.TransactionReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	if !s.withinLimits(&t) {
-		s.oversized++
+		s.oversizedTransactions++
 		return http.StatusBadRequest, protocol.TransactionReply{}
 	}
 	for _, op := range t.Operations {
@@ -105,7 +105,7 @@
 func (s *StateService) List(prefix, since string, limit int) protocol.KeyPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	page := protocol.KeyPage{Revision: s.revision, Items: []protocol.KeyValue{}}
 	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
 		if !strings.HasPrefix(key, prefix) || key <= since {
@@ -125,16 +125,16 @@
 func (s *StateService) Changes(prefix string, since uint64) (protocol.WatchReply, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	reply := protocol.WatchReply{Revision: s.revision, Changes: []protocol.Change{}}
 	for _, change := range s.changes {
 		if change.Version > since && strings.HasPrefix(change.Put+change.Delete, prefix) {
 			reply.Changes = append(reply.Changes, change)
 		}
 	}
-	next := make(chan struct{})
-	s.watchers[next] = true
-	return reply, next
+	changed := make(chan struct{})
+	s.watchers[changed] = true
+	return reply, changed
 }
 
 // notifyWatchers wakes all watchers. The caller holds mu.
@@ -149,7 +149,7 @@
 func (s *StateService) CreateLease(duration time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	s.lastLeaseID++
 	s.leases[s.lastLeaseID] = lease{duration: duration, expiresAt: time.Now().Add(duration)}
 	return s.lastLeaseID
@@ -159,7 +159,7 @@
 func (s *StateService) RenewLease(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	l, ok := s.leases[id]
 	if ok {
 		l.expiresAt = time.Now().Add(l.duration)
@@ -177,8 +177,8 @@
 	}
 }
 
-// expire ends the leases that were not renewed in time; none expires in an outage. The caller holds mu.
-func (s *StateService) expire() {
+// expireLeases ends the leases that were not renewed in time; none expires in an outage. The caller holds mu.
+func (s *StateService) expireLeases() {
 	if s.unavailable {
 		return
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -20,11 +20,11 @@
 const (
 	heartbeatInterval = time.Second
 	leaseDuration     = 10 * time.Second
-	answerTimeout     = 4 * time.Second
+	responseTimeout   = 4 * time.Second
 	retryInterval     = time.Second
 
-	gangWaitTimeout = 40 * time.Second
-	gangPeerTimeout = 6 * time.Second
+	gangWaitTimeout   = 40 * time.Second
+	gangPeerDetection = 6 * time.Second
 )
 
 // workerMaxConns bounds the connections for direct commands, workerPort is their port on a Network.
@@ -61,7 +61,7 @@
 		w.cloud.options.Log.Error("worker", "err", err)
 		return
 	}
-	if !w.begin(ctx, addr) {
+	if !w.startFirstIncarnation(ctx, addr) {
 		return
 	}
 	controllers := newControllerList(w.cloud, w.machine.Name)
@@ -74,8 +74,8 @@
 	}
 }
 
-// begin begins the first incarnation, unless the machine is gone already.
-func (w *worker) begin(ctx context.Context, addr string) bool {
+// startFirstIncarnation begins the first incarnation, unless the machine is gone already.
+func (w *worker) startFirstIncarnation(ctx context.Context, addr string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if ctx.Err() != nil {
@@ -93,21 +93,22 @@
 	w.mu.Lock()
 	heartbeat := w.heartbeat()
 	w.mu.Unlock()
-	answer := w.sendHeartbeat(ctx, controllers.client(), heartbeat)
+	response := w.sendHeartbeat(ctx, controllers.currentClient(), heartbeat)
 	if !w.waitWhileHung(ctx) {
 		return 0, false
 	}
 	switch {
-	case answer.status == http.StatusOK:
-		if time.Since(sent) < answerTimeout {
-			w.applyReply(heartbeat.Incarnation, answer.reply, sent)
+	case response.status == http.StatusOK:
+		if time.Since(sent) < responseTimeout {
+			w.applyReply(heartbeat.Incarnation, response.reply, sent)
 		}
 		return limits.Seconds(w.cloud.options.WorkerTimes.ReportS), true
-	case answer.status == http.StatusMisdirectedRequest && answer.leader != "" && answer.leader != controllers.name():
-		controllers.follow(answer.leader)
+	case response.status == http.StatusMisdirectedRequest &&
+		response.leader != "" && response.leader != controllers.currentName():
+		controllers.switchTo(response.leader)
 		return retryInterval / 10, true
 	}
-	controllers.next()
+	controllers.useNext()
 	return retryInterval, true
 }
 
@@ -115,7 +116,7 @@
 type controllerList struct {
 	names   []string
 	clients map[string]*transport.Client
-	at      int
+	index   int
 }
 
 func newControllerList(c *Cloud, host string) *controllerList {
@@ -129,15 +130,15 @@
 	return list
 }
 
-func (l *controllerList) name() string              { return l.names[l.at] }
-func (l *controllerList) client() *transport.Client { return l.clients[l.name()] }
-func (l *controllerList) next()                     { l.at = (l.at + 1) % len(l.names) }
+func (l *controllerList) currentName() string              { return l.names[l.index] }
+func (l *controllerList) currentClient() *transport.Client { return l.clients[l.currentName()] }
+func (l *controllerList) useNext()                         { l.index = (l.index + 1) % len(l.names) }
 
-// follow goes to the leader, if it is known, and closes the connection that is left.
-func (l *controllerList) follow(leader string) {
-	l.client().Close()
+// switchTo goes to the leader, if it is known, and closes the connection that is left.
+func (l *controllerList) switchTo(leader string) {
+	l.currentClient().Close()
 	if at := slices.Index(l.names, leader); at >= 0 {
-		l.at = at
+		l.index = at
 	}
 }
 
@@ -175,7 +176,7 @@
 		w.mu.Lock()
 		hung := w.hungFor()
 		if hung <= 0 {
-			w.endExpiredIncarnation()
+			w.restartIfLeaseExpired()
 			w.mu.Unlock()
 			return ctx.Err() == nil
 		}
@@ -194,8 +195,8 @@
 	return time.Since(w.leaseStart) > limits.Seconds(w.cloud.options.WorkerTimes.LeaseS)
 }
 
-// endExpiredIncarnation begins the next incarnation if the lease is over. The caller holds mu.
-func (w *worker) endExpiredIncarnation() {
+// restartIfLeaseExpired begins the next incarnation if the lease is over. The caller holds mu.
+func (w *worker) restartIfLeaseExpired() {
 	if w.incarnation > 0 && w.leaseExpired() {
 		w.killAll()
 		w.incarnation++
@@ -203,8 +204,8 @@
 	}
 }
 
-// heartbeatAnswer is what a controller answered to a heartbeat.
-type heartbeatAnswer struct {
+// heartbeatResponse is what a controller answered to a heartbeat.
+type heartbeatResponse struct {
 	status int                     // 0: no answer
 	leader string                  // to send heartbeats to instead
 	reply  protocol.HeartbeatReply // if the status is 200
@@ -213,37 +214,37 @@
 // sendHeartbeat sends a heartbeat and reads the answer.
 func (w *worker) sendHeartbeat(
 	ctx context.Context, client *transport.Client, heartbeat protocol.Heartbeat,
-) heartbeatAnswer {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+) heartbeatResponse {
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	body := protocol.Encode(heartbeat)
-	if after, ok := w.cloud.heartbeatRepetition(w.machine.Name); ok {
-		time.AfterFunc(after, func() { w.repeatHeartbeat(body) })
+	if delay, ok := w.cloud.heartbeatDuplicateDelay(w.machine.Name); ok {
+		time.AfterFunc(delay, func() { w.sendDuplicateHeartbeat(body) })
 	}
-	m, err := client.Do(ctx, http.MethodPost, "/v1/report", body)
+	httpResponse, err := client.Do(ctx, http.MethodPost, "/v1/report", body)
 	if err != nil {
-		return heartbeatAnswer{}
+		return heartbeatResponse{}
 	}
-	answer := heartbeatAnswer{status: m.Status}
-	switch m.Status {
+	response := heartbeatResponse{status: httpResponse.Status}
+	switch httpResponse.Status {
 	case http.StatusOK:
-		if protocol.Decode(m.Body, &answer.reply) != nil {
-			return heartbeatAnswer{}
+		if protocol.Decode(httpResponse.Body, &response.reply) != nil {
+			return heartbeatResponse{}
 		}
 	case http.StatusMisdirectedRequest:
 		var redirect protocol.Redirect
-		if protocol.Decode(m.Body, &redirect) == nil {
-			answer.leader = redirect.Leader
+		if protocol.Decode(httpResponse.Body, &redirect) == nil {
+			response.leader = redirect.Leader
 		}
 	}
-	return answer
+	return response
 }
 
-// repeatHeartbeat sends a heartbeat again, to every controller; nobody waits for the answers.
-func (w *worker) repeatHeartbeat(body []byte) {
+// sendDuplicateHeartbeat sends a heartbeat again, to every controller; nobody waits for the answers.
+func (w *worker) sendDuplicateHeartbeat(body []byte) {
 	for _, addr := range w.cloud.options.Controllers {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 			defer cancel()
 			client := transport.NewClient(addr, 0, limits.MaxBodyBytes).WithDialer(w.cloud.dialer("copies"))
 			_, _ = client.Do(ctx, http.MethodPost, "/v1/report", body)
@@ -260,7 +261,7 @@
 		return
 	}
 	w.fencingToken, w.leaseStart = reply.FencingToken, sent
-	w.execute(reply.Commands)
+	w.executeCommands(reply.Commands)
 }
 
 // handle answers a direct command, once the machine does not hang any more.
@@ -271,31 +272,31 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.endExpiredIncarnation()
+	w.restartIfLeaseExpired()
 	switch {
 	case w.incarnation == 0: // gone
 		rsp.Respond(http.StatusNotFound, nil, 0)
 	case req.Path == "/status" && req.Method == http.MethodGet:
 		rsp.Respond(http.StatusOK, protocol.Encode(w.heartbeat()), 0)
 	case req.Path == "/do" && req.Method == http.MethodPost:
-		status, body := w.executeDirectly(req.Body)
+		status, body := w.executeDirectCommands(req.Body)
 		rsp.Respond(status, body, 0)
 	default:
 		rsp.Respond(http.StatusNotFound, nil, 0)
 	}
 }
 
-// executeDirectly executes direct commands and returns the answer. The caller holds mu.
-func (w *worker) executeDirectly(body []byte) (status int, answer []byte) {
-	var direct protocol.DirectCommands
-	if err := protocol.Decode(body, &direct); err != nil || direct.Incarnation == 0 {
+// executeDirectCommands executes direct commands and returns the answer. The caller holds mu.
+func (w *worker) executeDirectCommands(body []byte) (status int, response []byte) {
+	var request protocol.DirectCommands
+	if err := protocol.Decode(body, &request); err != nil || request.Incarnation == 0 {
 		return http.StatusBadRequest, nil
 	}
-	if direct.FencingToken < w.fencingToken || direct.Incarnation != w.incarnation {
+	if request.FencingToken < w.fencingToken || request.Incarnation != w.incarnation {
 		return http.StatusConflict, protocol.Encode(w.heartbeat())
 	}
-	w.fencingToken = direct.FencingToken
-	w.execute(direct.Commands)
+	w.fencingToken = request.FencingToken
+	w.executeCommands(request.Commands)
 	return http.StatusOK, protocol.Encode(w.heartbeat())
 }
 
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -41,8 +41,8 @@
 	return heartbeat
 }
 
-// execute executes commands in order. The caller holds mu.
-func (w *worker) execute(commands []protocol.Command) {
+// executeCommands executes commands in order. The caller holds mu.
+func (w *worker) executeCommands(commands []protocol.Command) {
 	for _, command := range commands {
 		key := taskKey(command.Task, command.Attempt)
 		t := w.tasks[key]
@@ -87,7 +87,7 @@
 	t.Reason = ""
 	if spec.Gang() {
 		t.State = protocol.TaskGathering
-		t.gang = w.cloud.gangs.attempt(spec, command.Attempt, w.cloud.gangTimes())
+		t.gang = w.cloud.gangs.getOrCreateAttempt(spec, command.Attempt, w.cloud.gangTimes())
 		t.gang.join(command.Task, func() bool { return w.hungFor() > 0 })
 	} else {
 		t.State = protocol.TaskRunning
@@ -99,7 +99,7 @@
 
 // updateFromGang brings a task in line with its gang. The caller holds mu.
 func (w *worker) updateFromGang(t *task) {
-	status := t.gang.observe(t.Task)
+	status := t.gang.poll(t.Task)
 	t.State, t.Reason, t.Saved = status.State, status.Reason, status.Saved
 	if t.State == protocol.TaskEnded {
 		w.notifyTaskChange(t.Task, false)
