--- a/cmd/quillshunt/check.go
+++ b/cmd/quillshunt/check.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/config"
 )
 
-// newCheckCommand returns the command that checks a settings file and operators' options.
+// newCheckCommand returns the command that validates a settings file and an options file.
 func newCheckCommand() *cobra.Command {
 	var optionsPath string
 	check := &cobra.Command{
@@ -24,8 +24,8 @@
 	return check
 }
 
-// checkFiles reads both files. It writes warnings to errOut and the result to out; the error says
-// what is wrong.
+// checkFiles loads and validates both files; optionsPath may be empty. It writes warnings to errOut and,
+// if both files are valid, one line about the settings to out.
 func checkFiles(out, errOut io.Writer, settingsPath, optionsPath string) error {
 	settings, err := config.Load(settingsPath)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return err
 }
 
-// printWarnings writes the warnings about a file, one a line.
+// printWarnings writes the warnings about a file, one per line.
 func printWarnings(out io.Writer, path string, warnings []string) error {
 	for _, warning := range warnings {
 		if _, err := fmt.Fprintf(out, "%s: warning: %s\n", path, warning); err != nil {
--- a/cmd/quillshunt/client.go
+++ b/cmd/quillshunt/client.go
@@ -15,16 +15,16 @@
 	"quillshunt/internal/transport"
 )
 
-// client sends users' requests to a controller. Bodies are CBOR on the wire and JSON on the command
-// line.
+// client sends user requests to a controller. It encodes request bodies as CBOR and prints response
+// bodies as JSON.
 type client struct{ address string }
 
-// addAddressFlag adds the flag for the controller's address to a command.
+// addAddressFlag defines the flag --addr, the address of the controller, on a command.
 func (c *client) addAddressFlag(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&c.address, "addr", "127.0.0.1:8080", "address of a controller")
 }
 
-// sendRequest sends a request and writes the answer to out.
+// sendRequest sends a request and writes the response body to out. See printResponse for the errors.
 func (c *client) sendRequest(ctx context.Context, out io.Writer, method, target string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*limits.SubmitTimeout)
 	defer cancel()
@@ -35,12 +35,14 @@
 	return printResponse(out, response)
 }
 
-// printResponse writes the body of an answer as JSON. An answer with a status of failure is an error.
+// printResponse writes the body of a response as one line of JSON. If the status is not 2xx it writes
+// nothing and returns an error with the status, the reason given by the controller and, if the
+// controller sent one, the time after which to retry.
 func printResponse(out io.Writer, response *transport.Message) error {
 	var fields map[string]any
 	if len(response.Body) > 0 {
 		if err := protocol.Decode(response.Body, &fields); err != nil {
-			return fmt.Errorf("answer %d: %w", response.Status, err)
+			return fmt.Errorf("decode response with status %d: %w", response.Status, err)
 		}
 	}
 	if response.Status < http.StatusOK || response.Status >= http.StatusMultipleChoices {
--- a/cmd/quillshunt/commands_test.go
+++ b/cmd/quillshunt/commands_test.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/transport"
 )
 
-// TestPrintResponse: scripts read what is printed, and the error that tells why nothing is.
+// TestPrintResponse checks the output and the error texts of user requests, which scripts match.
 func TestPrintResponse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -25,46 +25,48 @@
 			output: `{"NameId":"job-1","Standing":"pending"}` + "\n",
 		},
 		{
-			name:   "refused for good",
+			name:   "rejected permanently",
 			answer: transport.Message{Status: 422, Body: protocol.Encode(map[string]string{"error": "unknown team"})},
 			err:    "status 422: unknown team",
 		},
 		{
-			name: "refused for now",
+			name: "rejected temporarily",
 			answer: transport.Message{
 				Status: 503, Body: protocol.Encode(map[string]string{"error": "not now"}), RetryAfter: 3,
 			},
 			err: "status 503: not now (come back in 3s)",
 		},
-		{name: "redirected", answer: transport.Message{Status: 300}, err: "status 300: "},
+		{name: "status just above 2xx", answer: transport.Message{Status: 300}, err: "status 300: "},
 		{name: "no body", answer: transport.Message{Status: 200}, output: "null\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out strings.Builder
 			err := printResponse(&out, &c.answer)
 			if got := errorText(err); got != c.err || out.String() != c.output {
-				t.Errorf("printed %q, error %q", out.String(), got)
+				t.Errorf("printed %q, error %q; want %q, error %q", out.String(), got, c.output, c.err)
 			}
 		})
 	}
 }
 
-// TestReadJob: whole numbers stay integers, as the protocol distinguishes them from others.
+// TestReadJob checks that whole numbers are read as integers and others as floating-point numbers, because
+// the protocol distinguishes the two, and that the error for a malformed file names the file.
 func TestReadJob(t *testing.T) {
 	job, err := readJob(strings.NewReader(`{"NameId": "job-1", "Pieces": 2, "Vcpus": 0.5}`), "-")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if job["NameId"] != "job-1" || job["Pieces"] != int64(2) || job["Vcpus"] != 0.5 {
-		t.Errorf("read %v", job)
+		t.Errorf("wrong fields or number types: %#v", job)
 	}
 	_, err = readJob(strings.NewReader(`[]`), "-")
 	if got := errorText(err); !strings.HasPrefix(got, "-: not a JSON object: ") {
-		t.Errorf("error %q", got)
+		t.Errorf("error %q, want it to name the input and to say that it is not a JSON object", got)
 	}
 }
 
-// TestPrintStatus pins the columns that operators' scripts read.
+// TestPrintStatus checks the exact output of the status command, which operators' scripts parse, and its
+// errors.
 func TestPrintStatus(t *testing.T) {
 	status := &peerpb.StatusReply{
 		Leader: "controller-0", Term: 7, Entitled: true, Recovered: true, Explanation: []string{"no free machine"},
@@ -94,10 +96,10 @@
 				"m-1      c4    a     spot      4     1.5   2      up\n" +
 				"m-2      c4    b     ordinary  4     0     0      booting\n",
 		},
-		{name: "a job", status: status, job: "job-1", output: leader + "\njob-1\n  no free machine\n"},
+		{name: "explanation of one job", status: status, job: "job-1", output: leader + "\njob-1\n  no free machine\n"},
 		{name: "no leader", status: &peerpb.StatusReply{}, err: "no leader is known"},
 		{
-			name: "leader out of reach", status: &peerpb.StatusReply{Leader: "controller-1"},
+			name: "leader unreachable", status: &peerpb.StatusReply{Leader: "controller-1"},
 			err: "leader controller-1 does not answer",
 		},
 	} {
@@ -105,12 +107,13 @@
 			var out strings.Builder
 			err := printStatus(&out, c.status, c.job)
 			if got := errorText(err); got != c.err || out.String() != c.output {
-				t.Errorf("error %q, printed:\n%s", got, out.String())
+				t.Errorf("error %q, want %q; printed:\n%s\nwant:\n%s", got, c.err, out.String(), c.output)
 			}
 		})
 	}
 }
 
+// errorText returns the text of an error, or "" for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/cmd/quillshunt/job_file.go
+++ b/cmd/quillshunt/job_file.go
@@ -7,7 +7,8 @@
 	"os"
 )
 
-// readJob reads the description of a job, a JSON object, from a file or with "-" from stdin.
+// readJob reads the description of a job, a JSON object, from the file at path, or from stdin if path is
+// "-".
 func readJob(stdin io.Reader, path string) (map[string]any, error) {
 	input := stdin
 	if path != "-" {
@@ -28,8 +29,9 @@
 	return job, nil
 }
 
-// convertNumbers turns the JSON numbers of an object into integers where they are whole, else into
-// floating-point numbers: the protocol distinguishes the two.
+// convertNumbers replaces each json.Number in an object by an int64 if it is a whole number, and by a
+// float64 otherwise, because the protocol distinguishes integers from floating-point numbers. It does not
+// descend into nested objects.
 func convertNumbers(object map[string]any) {
 	for key, value := range object {
 		number, ok := value.(json.Number)
--- a/cmd/quillshunt/jobs.go
+++ b/cmd/quillshunt/jobs.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// jobsPath is the path of the users' interface for jobs.
+// jobsPath is the HTTP path of jobs in the user API.
 const jobsPath = "/v2/runs"
 
 // newSubmitCommand returns the command that submits a job.
@@ -31,7 +31,7 @@
 	return cmd
 }
 
-// newShowCommand returns the command that shows the state of a job.
+// newShowCommand returns the command that prints the state of a job.
 func newShowCommand() *cobra.Command {
 	return newJobRequestCommand("show ID", "Show the state of a run", http.MethodGet, "")
 }
@@ -41,8 +41,8 @@
 	return newJobRequestCommand("cancel ID", "Cancel a run", http.MethodPost, "/cancel")
 }
 
-// newJobRequestCommand returns a command that sends a request for one job, by its id. The suffix is the
-// part of the path after the id.
+// newJobRequestCommand returns a command that sends a request about one job, whose ID is the argument. The
+// suffix is the part of the path after the ID.
 func newJobRequestCommand(use, short, method, suffix string) *cobra.Command {
 	var c client
 	cmd := &cobra.Command{
--- a/cmd/quillshunt/logger.go
+++ b/cmd/quillshunt/logger.go
@@ -6,7 +6,8 @@
 	"os"
 )
 
-// newLogger returns a logger that writes to standard error from the level on that LOG_LEVEL names.
+// newLogger returns a logger that writes to standard error. The environment variable LOG_LEVEL sets the
+// minimum level; the default is info.
 func newLogger() (*slog.Logger, error) {
 	var level slog.Level
 	switch name := os.Getenv("LOG_LEVEL"); name {
--- a/cmd/quillshunt/main.go
+++ b/cmd/quillshunt/main.go
@@ -1,5 +1,5 @@
-// Command quillshunt is a cluster scheduler: it runs users' jobs on machines that it rents. See
-// README.md.
+// Command quillshunt is a cluster scheduler that runs users' jobs on machines rented from a cloud. It
+// runs a controller, and has subcommands for users and operators. See README.md.
 package main
 
 import (
--- a/cmd/quillshunt/root.go
+++ b/cmd/quillshunt/root.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/config"
 )
 
-// newRootCommand returns the program's command: without a subcommand it runs a controller.
+// newRootCommand returns the root command. Without a subcommand it runs a controller.
 func newRootCommand() *cobra.Command {
 	var settingsPath, optionsPath string
 	root := &cobra.Command{
@@ -40,7 +40,7 @@
 	return root
 }
 
-// runController reads the settings and the options, and serves with them.
+// runController loads the settings and the options and runs a controller with them.
 func runController(ctx context.Context, settingsPath, optionsPath string) error {
 	log, err := newLogger()
 	if err != nil {
@@ -55,7 +55,7 @@
 		return err
 	}
 	for _, warning := range warnings {
-		log.Warn("options", "node", settings.NodeName, "reason", warning)
+		log.Warn("options file uses an old option name", "node", settings.NodeName, "reason", warning)
 	}
 	return serve(ctx, settings, options, log)
 }
--- a/cmd/quillshunt/serve.go
+++ b/cmd/quillshunt/serve.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"runtime/debug"
 
-	// The program is linked against the system's C library, which package net brings in by its resolver.
+	// The resolver of package net uses cgo, which links the program against the system's C library.
 	_ "net"
 
 	"quillshunt/internal/config"
@@ -14,7 +14,7 @@
 	"quillshunt/internal/limits"
 )
 
-// serve runs a controller until a server of it fails for good or the context ends.
+// serve runs a controller until one of its servers fails permanently or the context is cancelled.
 func serve(ctx context.Context, settings *config.Settings, options config.Options, log *slog.Logger) error {
 	log = log.With("node", settings.NodeName)
 	setRuntimeLimits(settings)
@@ -23,13 +23,14 @@
 		return err
 	}
 	for _, warning := range settings.Warnings() {
-		log.Warn("settings", "reason", warning)
+		log.Warn("settings give the controller few resources", "reason", warning)
 	}
-	log.Info("starting", "version", version, "listen", settings.ClientListen, "peers", len(settings.Members))
+	log.Info("controller starting", "version", version, "listen", settings.ClientListen, "peers", len(settings.Members))
 	return c.Run(ctx)
 }
 
-// setRuntimeLimits makes the runtime keep within the memory and the processor share of the settings.
+// setRuntimeLimits sets the Go runtime's memory limit, garbage collection target and number of threads so
+// that the process stays within the machine limits of the settings.
 func setRuntimeLimits(settings *config.Settings) {
 	debug.SetMemoryLimit(limits.HeapLimit(settings.Facts.Machine.MemoryMB))
 	debug.SetGCPercent(limits.GCPercent)
--- a/cmd/quillshunt/status.go
+++ b/cmd/quillshunt/status.go
@@ -14,11 +14,11 @@
 	"quillshunt/internal/limits"
 )
 
-// errNoLeader means that the controller knows of no leader.
+// errNoLeader means that the controller that was asked knows no leader.
 var errNoLeader = errors.New("no leader is known")
 
-// newStatusCommand returns the command that shows the state of the service, which it reads through
-// the operators' interface between controllers.
+// newStatusCommand returns the command that prints the state of the leader. It requests the state by gRPC
+// from any controller, at the address that also serves the other controllers.
 func newStatusCommand() *cobra.Command {
 	var address string
 	cmd := &cobra.Command{
@@ -44,8 +44,8 @@
 	return cmd
 }
 
-// printStatus writes the state of the leader, and then why a job waits or, without one, all teams
-// and machines.
+// printStatus writes the state of the leader, followed by the reasons why the given job waits or, if job
+// is empty, by tables of all teams and machines.
 func printStatus(out io.Writer, status *peerpb.StatusReply, job string) error {
 	switch {
 	case status.GetLeader() == "":
@@ -65,7 +65,7 @@
 	return w.Flush()
 }
 
-// printExplanation writes why a job waits.
+// printExplanation writes the reasons why a job waits, one per line.
 func printExplanation(w io.Writer, job string, reasons []string) {
 	fmt.Fprintf(w, "\n%s\n", job)
 	for _, reason := range reasons {
@@ -73,7 +73,7 @@
 	}
 }
 
-// printTeams writes a table of the teams.
+// printTeams writes a table of teams with their quotas and usage.
 func printTeams(w io.Writer, teams []*peerpb.Team) {
 	fmt.Fprintln(w, "\nteam\tcpus\tguaranteed\tmost\tjobs\ttasks on machines\twaiting")
 	for _, t := range teams {
@@ -83,7 +83,7 @@
 	}
 }
 
-// printMachines writes a table of the machines.
+// printMachines writes a table of machines with their usage and state.
 func printMachines(w io.Writer, machines []*peerpb.Machine) {
 	fmt.Fprintln(w, "\nmachine\ttype\tzone\tkind\tcpus\tused\ttasks\tstate")
 	for _, m := range machines {
--- a/cmd/quillshunt/version.go
+++ b/cmd/quillshunt/version.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the release; see CHANGELOG.md.
+// version is the version of this release, listed in CHANGELOG.md.
 const version = "0.2.0"
 
 // newVersionCommand returns the command that prints the version.
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin plays the services that quillshunt depends on, on the loopback, so that it can be
-// tried without any of them: a state service, and a cloud whose machines only wait. It writes the
+// Command standin runs fakes of the services that quillshunt depends on, so that quillshunt can be tried
+// without the real ones: a state service, and a cloud whose machines do not execute tasks but only wait
+// for their estimated run time. Both listen on the loopback interface. The command also writes the
 // settings files of the controllers.
 package main
 
@@ -16,7 +17,7 @@
 	"quillshunt/internal/standin"
 )
 
-// machineTypes are what the cloud rents.
+// machineTypes are the machine types that the fake cloud offers.
 var machineTypes = []protocol.MachineType{{
 	Name: "c4", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPerS: 1,
 	Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{zone},
@@ -47,7 +48,8 @@
 	return cmd
 }
 
-// run serves until the program is killed or a server fails.
+// run writes the settings files, and runs the servers until one of them fails or the context is
+// cancelled.
 func run(ctx context.Context, directory string, addrs addresses) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	if err := writeSettings(directory, addrs); err != nil {
--- a/cmd/standin/settings.go
+++ b/cmd/standin/settings.go
@@ -14,7 +14,7 @@
 	zone            = "a"
 )
 
-// addresses are the loopback addresses of all parts, counted from a first port.
+// addresses assigns loopback addresses to the fakes and the controllers, at fixed offsets from a first port.
 type addresses struct{ firstPort int }
 
 func (a addresses) atOffset(offset int) string {
@@ -28,7 +28,7 @@
 
 func nodeName(controller int) string { return fmt.Sprintf("controller-%d", controller) }
 
-// writeSettings writes a settings file for each controller.
+// writeSettings writes a settings file for each controller into a directory, which it creates if needed.
 func writeSettings(directory string, addrs addresses) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return err
@@ -65,7 +65,8 @@
 	return settings
 }
 
-// demoDeployment describe a small deployment with gangs.
+// demoDeployment returns the settings that all controllers share, for a small deployment that supports
+// gangs.
 func demoDeployment() config.Facts {
 	gangWaitS, gangPeerS := 40.0, 6.0
 	return config.Facts{
