--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -93,7 +93,7 @@
 }
 
 // stop tells a task to stop. It returns false if the task ends at once.
-func (g *gangAttempt) stop(task string, graceS float64) (saves bool) {
+func (g *gangAttempt) stop(task string, graceS float64) (saving bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.updateState()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -174,7 +174,7 @@
 func (w *worker) waitWhileHung(ctx context.Context) bool {
 	for {
 		w.mu.Lock()
-		hung := w.hungFor()
+		hung := w.remainingHang()
 		if hung <= 0 {
 			w.restartIfLeaseExpired()
 			w.mu.Unlock()
@@ -187,8 +187,8 @@
 	}
 }
 
-// hungFor returns for how long the machine goes on hanging; 0 or less: it does not hang.
-func (w *worker) hungFor() time.Duration { return time.Until(time.Unix(0, w.hungUntil.Load())) }
+// remainingHang returns for how long the machine goes on hanging; 0 or less: it does not hang.
+func (w *worker) remainingHang() time.Duration { return time.Until(time.Unix(0, w.hungUntil.Load())) }
 
 // leaseExpired reports whether the lease is over. The caller holds mu.
 func (w *worker) leaseExpired() bool {
@@ -266,7 +266,7 @@
 
 // handle answers a direct command, once the machine does not hang any more.
 func (w *worker) handle(req *transport.Message, rsp *transport.Responder) {
-	if hung := w.hungFor(); hung > 0 {
+	if hung := w.remainingHang(); hung > 0 {
 		time.AfterFunc(hung, func() { w.handle(req, rsp) })
 		return
 	}
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -13,8 +13,8 @@
 // task is a task on a worker, also one that has ended and was not forgotten.
 type task struct {
 	protocol.TaskStatus
-	doneAt time.Time
-	gang   *gangAttempt // nil if its job's tasks are independent
+	completesAt time.Time
+	gang        *gangAttempt // nil if its job's tasks are independent
 }
 
 func taskKey(name string, attempt uint64) string { return fmt.Sprintf("%s#%d", name, attempt) }
@@ -33,7 +33,7 @@
 		switch {
 		case t.gang != nil && t.State != protocol.TaskEnded:
 			w.updateFromGang(t)
-		case t.State == protocol.TaskRunning && time.Now().After(t.doneAt):
+		case t.State == protocol.TaskRunning && time.Now().After(t.completesAt):
 			w.endTask(t, protocol.ReasonDone)
 		}
 		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
@@ -88,10 +88,10 @@
 	if spec.Gang() {
 		t.State = protocol.TaskGathering
 		t.gang = w.cloud.gangs.getOrCreateAttempt(spec, command.Attempt, w.cloud.gangTimes())
-		t.gang.join(command.Task, func() bool { return w.hungFor() > 0 })
+		t.gang.join(command.Task, func() bool { return w.remainingHang() > 0 })
 	} else {
 		t.State = protocol.TaskRunning
-		t.doneAt = time.Now().Add(limits.Seconds(spec.EstimateS))
+		t.completesAt = time.Now().Add(limits.Seconds(spec.EstimateS))
 	}
 	w.notifyTaskChange(command.Task, true)
 	return t
