--- a/cmd/quillshunt/jobs.go
+++ b/cmd/quillshunt/jobs.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// jobsPath is the HTTP path of jobs in the user API.
+// jobsPath is the HTTP path of jobs, which the user API calls runs.
 const jobsPath = "/v2/runs"
 
 // newSubmitCommand returns the command that submits a job.
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -16,45 +16,49 @@
 	"quillshunt/internal/transport"
 )
 
-// CloudOptions configure a Cloud. Those after Log are for tests; their zero values are right for the
-// quick start.
+// CloudOptions configure a Cloud. The fields after Log are for tests; the quick start leaves them at their
+// zero values.
 type CloudOptions struct {
 	MachineTypes []protocol.MachineType
-	State        *StateService     // where workers read what a task needs
-	Controllers  map[string]string // addresses by node name
+	State        *StateService     // from which workers read job records, unless JobSpec is set
+	Controllers  map[string]string // addresses for heartbeats, by node name
 	Log          *slog.Logger
 
-	// Network connects workers and controllers; nil: TCP.
+	// Network connects workers and controllers. Nil selects TCP.
 	Network *Network
-	// WorkerTimes are the times that workers keep; zero: those of the quick start.
+	// WorkerTimes are the heartbeat interval, lease duration and gang timeouts of the workers. The zero
+	// value selects the defaults of this package.
 	WorkerTimes config.Workers
-	// JobSpec returns what a worker knows of a job; nil: it reads the state service.
+	// JobSpec returns the specification of a job, and false if there is no such job. Nil makes the workers
+	// read it from State.
 	JobSpec func(job string) (protocol.Spec, bool)
-	// OnTaskChange is called when a task begins to run on a machine, or is gone from it.
+	// OnTaskChange is called when a machine starts a task (runs is true), and when the task ends there or is
+	// killed.
 	OnTaskChange func(machine, task string, runs bool)
-	// InjectFault returns a status to answer a request with instead of executing it; 0: none.
+	// InjectFault is called for each request to the cloud. If it returns a status other than 0, the cloud
+	// responds with that status and does not execute the request.
 	InjectFault func(req *transport.Message) (status int)
 }
 
-// Cloud is a stand-in of the cloud whose machines are workers in this process. It is safe for
-// concurrent use.
+// Cloud is a fake of the cloud from which machines are rented. Its machines are workers in this process. It is
+// safe for concurrent use.
 type Cloud struct {
 	options CloudOptions
-	ctx     context.Context // machines end with it
+	ctx     context.Context // stops all machines when it is cancelled
 
 	mu              sync.Mutex
 	machineSequence int
 	workers         map[string]*worker  // by machine name
-	rentals         map[string][]string // machine names by rental request
+	rentals         map[string][]string // machine names, by name of the rental request
 
-	resultsMu      sync.Mutex      // guards what follows
-	doneTasks      map[string]bool // tasks that completed anywhere: their results are kept
+	resultsMu      sync.Mutex      // guards the two fields below
+	doneTasks      map[string]bool // tasks that completed on any machine
 	duplicateDelay func(machine string) (time.Duration, bool)
 
 	gangs *gangRegistry
 }
 
-// NewCloud returns a cloud without machines. The machines that are rented end with the context.
+// NewCloud returns a cloud without machines. Its machines stop when the context is cancelled.
 func NewCloud(ctx context.Context, options CloudOptions) *Cloud {
 	if options.WorkerTimes == (config.Workers{}) {
 		options.WorkerTimes = config.Workers{ReportS: heartbeatInterval.Seconds(), LeaseS: leaseDuration.Seconds()}
@@ -70,14 +74,14 @@
 	return c
 }
 
-// Machines returns the names of all machines, in the order of their creation.
+// Machines returns the names of all machines, in order of creation.
 func (c *Cloud) Machines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.workers))
 }
 
-// Zone returns where a machine is, or "" if there is no such machine.
+// Zone returns the zone of a machine, or "" if there is no such machine.
 func (c *Cloud) Zone(name string) string {
 	if w := c.worker(name); w != nil {
 		return w.machine.Zone
@@ -85,8 +89,8 @@
 	return ""
 }
 
-// LeaseExpired reports whether a machine is gone or its lease is over, also if it hangs and has not
-// noticed.
+// LeaseExpired reports whether the lease of a machine has expired or the machine does not exist. The lease of
+// a machine that hangs counts as expired even though the worker has not ended its tasks yet.
 func (c *Cloud) LeaseExpired(name string) bool {
 	w := c.worker(name)
 	if w == nil {
@@ -97,14 +101,15 @@
 	return w.leaseExpired()
 }
 
-// Hang stops a machine for a while; then it goes on with what it had.
+// Hang makes a machine unresponsive for a duration: it sends no heartbeats and answers no requests.
+// Afterwards it continues with its tasks, unless its lease has expired meanwhile.
 func (c *Cloud) Hang(name string, duration time.Duration) {
 	if w := c.worker(name); w != nil {
 		w.hungUntil.Store(time.Now().Add(duration).UnixNano())
 	}
 }
 
-// Kill ends a machine with everything on it.
+// Kill removes a machine, its tasks and, on a Network, its connections.
 func (c *Cloud) Kill(name string) {
 	c.mu.Lock()
 	w := c.workers[name]
@@ -120,7 +125,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killAll()
-	w.incarnation = 0 // whatever still reaches it finds nobody
+	w.incarnation = 0 // direct commands that still arrive are answered with 404
 }
 
 // worker returns the worker of a machine, or nil.
@@ -130,7 +135,9 @@
 	return c.workers[name]
 }
 
-// rentMachines rents machines. A repeated request gets the same machines.
+// rentMachines starts the machines of a rental request and returns their names. A request with a name that
+// was used before starts no machines; it returns those of the earlier request. The result is empty if the
+// machine type is unknown.
 func (c *Cloud) rentMachines(request protocol.RentalRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +157,7 @@
 	return names
 }
 
-// bootMachine starts a machine and returns its name. The caller holds mu.
+// bootMachine creates a machine, starts booting it, and returns its name. The caller holds mu.
 func (c *Cloud) bootMachine(machineType *protocol.MachineType, request protocol.RentalRequest) string {
 	c.machineSequence++
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -169,7 +176,7 @@
 	return w.machine.Name
 }
 
-// listMachines returns the machines whose names come after since, in order.
+// listMachines returns the machines whose names sort after since, in that order.
 func (c *Cloud) listMachines(since string) protocol.MachineList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,29 +195,31 @@
 	return list
 }
 
-// TaskDone reports whether a task completed.
+// TaskDone reports whether a task has completed on any machine.
 func (c *Cloud) TaskDone(task string) bool {
 	c.resultsMu.Lock()
 	defer c.resultsMu.Unlock()
 	return c.doneTasks[task]
 }
 
-// markDone keeps the result of a task.
+// markDone records that a task has completed.
 func (c *Cloud) markDone(task string) {
 	c.resultsMu.Lock()
 	defer c.resultsMu.Unlock()
 	c.doneTasks[task] = true
 }
 
-// SetDuplicateHeartbeats sets which machines' heartbeats arrive again: repeat is asked for each and
-// returns how much later. Nil repeats none.
+// SetDuplicateHeartbeats makes controllers receive heartbeats again. For each heartbeat of a machine, delay
+// returns how much later a duplicate is sent to all controllers, or false to send none. A nil delay sends no
+// duplicates.
 func (c *Cloud) SetDuplicateHeartbeats(delay func(machine string) (time.Duration, bool)) {
 	c.resultsMu.Lock()
 	defer c.resultsMu.Unlock()
 	c.duplicateDelay = delay
 }
 
-// heartbeatDuplicateDelay returns how much later a machine's next heartbeat arrives again, if it does.
+// heartbeatDuplicateDelay returns how much later a duplicate of a machine's next heartbeat is sent, or false to
+// send none.
 func (c *Cloud) heartbeatDuplicateDelay(machine string) (time.Duration, bool) {
 	c.resultsMu.Lock()
 	delay := c.duplicateDelay
@@ -221,7 +230,7 @@
 	return delay(machine)
 }
 
-// jobSpec returns what workers know of a job.
+// jobSpec returns the specification of a job, and false if there is no such job.
 func (c *Cloud) jobSpec(job string) (protocol.Spec, bool) {
 	if c.options.JobSpec != nil {
 		return c.options.JobSpec(job)
@@ -234,6 +243,7 @@
 	return record.Spec, true
 }
 
+// gangTimes returns the timeouts of gangs: those of WorkerTimes, or the defaults if it has none.
 func (c *Cloud) gangTimes() gangTimes {
 	if times := c.options.WorkerTimes; times.Gangs() {
 		return gangTimes{
@@ -244,7 +254,7 @@
 	return gangTimes{waitTimeout: gangWaitTimeout, peerDetection: gangPeerDetection}
 }
 
-// dialer returns how a host opens connections; nil: by TCP.
+// dialer returns the dialer for connections from a host, or nil for TCP.
 func (c *Cloud) dialer(host string) transport.Dialer {
 	if c.options.Network == nil {
 		return nil
--- a/internal/standin/cloud_http.go
+++ b/internal/standin/cloud_http.go
@@ -10,7 +10,7 @@
 
 const cloudMaxConns = 100
 
-// Server returns a server of the cloud's interface on an address.
+// Server returns an HTTP server of the cloud API on an address.
 func (c *Cloud) Server(addr string) *transport.Server {
 	return transport.NewServer(transport.ServerOptions{
 		Addr: addr, MaxConns: cloudMaxConns, Handle: c.handle, Log: c.options.Log,
@@ -20,7 +20,7 @@
 func (c *Cloud) handle(req *transport.Message, rsp *transport.Responder) {
 	if c.options.InjectFault != nil {
 		if status := c.options.InjectFault(req); status != 0 {
-			rsp.Respond(status, protocol.Encode(map[string]string{"error": "trouble"}), 0)
+			rsp.Respond(status, protocol.Encode(map[string]string{"error": "injected fault"}), 0)
 			return
 		}
 	}
--- a/internal/standin/connection.go
+++ b/internal/standin/connection.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// packet is what one write sends.
+// packet is the data of one Write, or the notice that the sender has closed its end.
 type packet struct {
 	deliverAt time.Time
-	data      []byte // nil: the sender has closed
+	data      []byte // nil: the sender has closed its end
 }
 
-// conn is one end of a connection; it implements net.Conn. What is sent to it lies in its queue until
-// its time has come and the link is open.
+// conn is one end of a connection. It implements net.Conn. Packets sent to this end stay in its queue until
+// their delivery time has come and the link from the other end is open.
 type conn struct {
 	network       *Network
 	local, remote string
 	peer          *conn
-	wakeUp        chan struct{} // holds a token when something has changed
+	wakeUp        chan struct{} // capacity 1; receives a token when the state of this end changes
 
 	mu         sync.Mutex
 	queue      []packet
-	unread     []byte // of the packet that was delivered last
+	unread     []byte // rest of the last delivered packet
 	peerClosed bool
 	closed     bool
 	wasReset   bool
-	packetLost bool // one to the other side; what comes after it is of no use there
+	packetLost bool // a packet was dropped; later ones are useless after the gap and are dropped too
 	deadline   time.Time
 }
 
@@ -41,7 +41,7 @@
 	return client, server
 }
 
-// notify wakes a reader that waits.
+// notify wakes a waiting Read, or makes the next wait return at once.
 func (c *conn) notify() {
 	select {
 	case c.wakeUp <- struct{}{}:
@@ -49,7 +49,7 @@
 	}
 }
 
-// reset breaks the connection at this end.
+// reset makes all further writes at this end fail, and reads once the last delivered packet has been read.
 func (c *conn) reset() {
 	c.mu.Lock()
 	c.wasReset = true
@@ -57,7 +57,7 @@
 	c.notify()
 }
 
-// Read waits for data that has arrived, the end of the connection, or the deadline.
+// Read waits until data has arrived, the connection has ended, or the deadline has passed.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		link, changed := c.network.linkState(c.remote, c.local)
@@ -69,8 +69,8 @@
 	}
 }
 
-// tryRead reads what is there now. If there is nothing, it returns when to look again even if nothing
-// changes; the zero time: never.
+// tryRead reads data that has arrived, without blocking. If there is none, it returns the time at which to
+// try again even if this end is not notified and no link changes, or the zero time if there is no such time.
 func (c *conn) tryRead(b []byte, link LinkState) (n int, retryAt time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +100,8 @@
 	}
 }
 
-// readError returns why nothing more can be read, if so. The caller holds mu.
+// readError returns the error of a read for which no delivered data is left, or nil if more data may arrive.
+// The caller holds mu.
 func (c *conn) readError(now time.Time) error {
 	switch {
 	case c.closed:
@@ -120,7 +121,8 @@
 	return !c.deadline.IsZero() && !now.Before(c.deadline)
 }
 
-// wait waits until this end is notified, a link changes, or a time has come, if there is one.
+// wait blocks until this end is notified, a link changes, or the given time has come. The zero time sets no
+// time limit.
 func (c *conn) wait(until time.Time, linkChanged <-chan struct{}) {
 	var timeout <-chan time.Time
 	if !until.IsZero() {
@@ -135,7 +137,8 @@
 	}
 }
 
-// send queues a packet at the other end. Once a link has dropped one, later ones are dropped too.
+// send adds a packet to the queue of the other end. It discards the packet if the link drops packets now or
+// has dropped an earlier packet of this connection.
 func (c *conn) send(data []byte) {
 	link, _ := c.network.linkState(c.local, c.remote)
 	c.mu.Lock()
@@ -170,7 +173,7 @@
 	return len(b), nil
 }
 
-// Close closes this end; the other one reads what was sent before.
+// Close closes this end. The other end can still read the data sent before.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	alreadyClosed := c.closed
@@ -185,7 +188,7 @@
 	return nil
 }
 
-// SetDeadline sets the deadline of reads and writes.
+// SetDeadline sets the deadline for reads and writes.
 func (c *conn) SetDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	c.deadline = deadline
@@ -194,10 +197,11 @@
 	return nil
 }
 
-// SetReadDeadline sets the deadline of reads, and of writes, which never wait.
+// SetReadDeadline sets the deadline for reads. It applies to writes too, which does not matter because they
+// never block.
 func (c *conn) SetReadDeadline(deadline time.Time) error { return c.SetDeadline(deadline) }
 
-// SetWriteDeadline does nothing, as writes never wait.
+// SetWriteDeadline does nothing, because writes never block.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
 // LocalAddr returns the host of this end.
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,4 +1,5 @@
-// Package standin holds small stand-ins of the services that quillshunt depends on, written from
-// the published protocol: the state service, the cloud, its workers, and a network in memory whose
-// links can fail. The tests use them, and so does the quick start of the README.
+// Package standin implements small fakes of the services that quillshunt depends on: the state service, and
+// the cloud with its workers. They follow the published protocol and can inject faults. The package also has
+// an in-memory network whose links can fail. The tests use it, and the fakes also serve the quick start of
+// the README.
 package standin
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -9,41 +9,41 @@
 	"quillshunt/internal/protocol"
 )
 
-// gangAttempt is one attempt of a job whose tasks run at the same time or not at all. Its tasks are on
-// different workers and find each other by the attempt number.
+// gangAttempt is one attempt to run a gang: a job whose tasks run at the same time or not at all. The tasks
+// are on different workers and find each other by the attempt number.
 type gangAttempt struct {
 	spec     protocol.Spec
 	times    gangTimes
 	registry *gangRegistry
 
 	mu            sync.Mutex
-	members       map[string]*gangMember // tasks that are on their machines, by name
-	savedProgress time.Duration          // progress of earlier attempts
-	startedAt     time.Time
-	memberLostAt  time.Time // when a task was gone while the gang ran
-	firstStopAt   time.Time
+	members       map[string]*gangMember // tasks that are on a worker and have not ended, by name
+	savedProgress time.Duration          // run time that the checkpoint of earlier attempts covers
+	startedAt     time.Time              // when all tasks had joined
+	memberLostAt  time.Time              // when a task left or its machine hung while the gang was running
+	firstStopAt   time.Time              // when the first task received a stop command with time to save
 	completed     bool
 }
 
-// gangTimes are the times that tasks of gangs keep.
+// gangTimes are the timeouts of gang tasks.
 type gangTimes struct {
-	waitTimeout   time.Duration // how long a task waits for the others
-	peerDetection time.Duration // how long the others take to notice that one is gone or was told to stop
+	waitTimeout   time.Duration // how long a task waits for the others to join
+	peerDetection time.Duration // how long the others take to detect that a task is lost or stopping
 }
 
-// gangMember is a task that is on its machine.
+// gangMember is a task of a gang that is on a worker and has not ended.
 type gangMember struct {
 	joinedAt time.Time
-	stopping bool        // was told to stop, with time to save
+	stopping bool        // received a stop command and is saving a checkpoint
 	isHung   func() bool // reports whether its machine hangs
 }
 
-// gangRegistry is what the workers of a cloud know of gangs.
+// gangRegistry holds the state of all gangs, which the workers of a cloud share.
 type gangRegistry struct {
 	mu            sync.Mutex
-	attempts      map[string]*gangAttempt
-	savedProgress map[string]time.Duration // saved, by job
-	markDone      func(task string)
+	attempts      map[string]*gangAttempt  // by job and attempt number
+	savedProgress map[string]time.Duration // run time that the latest checkpoint covers, by job
+	markDone      func(task string)        // records that a task has completed
 }
 
 func newGangRegistry(markDone func(task string)) *gangRegistry {
@@ -54,7 +54,7 @@
 	}
 }
 
-// getOrCreateAttempt returns an attempt of a gang, a new one for the first of its tasks.
+// getOrCreateAttempt returns an attempt of a gang. It creates the attempt when its first task asks for it.
 func (r *gangRegistry) getOrCreateAttempt(spec protocol.Spec, attempt uint64, times gangTimes) *gangAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,21 +70,21 @@
 	return g
 }
 
-// saveProgress keeps a job's progress for later attempts.
+// saveProgress records the run time that a checkpoint covers, from which later attempts continue.
 func (r *gangRegistry) saveProgress(job string, progress time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.savedProgress[job] = max(r.savedProgress[job], progress)
 }
 
-// join adds a task that has its image.
+// join adds a task that is ready to start. The function isHung reports whether its machine hangs.
 func (g *gangAttempt) join(task string, isHung func() bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members[task] = &gangMember{joinedAt: time.Now(), isHung: isHung}
 }
 
-// leave takes out a task that was killed or is gone with its machine.
+// leave removes a task whose machine was killed or lost its lease.
 func (g *gangAttempt) leave(task string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,7 +92,9 @@
 	g.updateState()
 }
 
-// stop tells a task to stop. It returns false if the task ends at once.
+// stop executes a stop command with a grace period in seconds. It reports whether the task keeps running to
+// save a checkpoint. Otherwise the task ends at once: the gang has not started, the job has no checkpoints,
+// or the grace period is too short to save one.
 func (g *gangAttempt) stop(task string, graceS float64) (saving bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -110,7 +112,7 @@
 	return true
 }
 
-// poll returns the status of a task now. A task that has ended leaves the gang.
+// poll updates the gang and returns the status of a task. It removes the task from the gang if it has ended.
 func (g *gangAttempt) poll(task string) protocol.TaskStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,7 +124,8 @@
 	return status
 }
 
-// taskStatus returns the status of a member, nil for one that has left. The caller holds mu.
+// taskStatus returns the status of a member; m is nil if the task has left the gang. If all remaining tasks
+// have had time to save a checkpoint after a stop, it also saves the progress. The caller holds mu.
 func (g *gangAttempt) taskStatus(m *gangMember) protocol.TaskStatus {
 	now := time.Now()
 	save := limits.Seconds(g.spec.SaveS)
@@ -146,7 +149,7 @@
 	return protocol.TaskStatus{State: protocol.TaskRunning}
 }
 
-// allStopping reports whether all tasks that are left were told to stop. The caller holds mu.
+// allStopping reports whether all remaining tasks have received a stop command. The caller holds mu.
 func (g *gangAttempt) allStopping() bool {
 	for _, m := range g.members {
 		if !m.stopping {
@@ -156,12 +159,14 @@
 	return true
 }
 
-// progress returns how far the gang had come at a time. The caller holds mu.
+// progress returns the run time of the job up to a time, including what earlier attempts saved. The caller
+// holds mu.
 func (g *gangAttempt) progress(until time.Time) time.Duration {
 	return g.savedProgress + until.Sub(g.startedAt)
 }
 
-// updateState starts a gang that is complete, and notes its end or the loss of a task. The caller holds mu.
+// updateState starts the gang once all tasks have joined, and records the loss of a task or the completion
+// of the job. After a loss, the progress up to the last periodic checkpoint is kept. The caller holds mu.
 func (g *gangAttempt) updateState() {
 	now := time.Now()
 	switch {
@@ -183,7 +188,7 @@
 	}
 }
 
-// hasHungMember reports whether a machine of the gang hangs. The caller holds mu.
+// hasHungMember reports whether the machine of any member hangs. The caller holds mu.
 func (g *gangAttempt) hasHungMember() bool {
 	for _, m := range g.members {
 		if m.isHung() {
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -11,42 +11,42 @@
 	"quillshunt/internal/transport"
 )
 
-// LinkState is what a network does with packets from one host to another.
+// LinkState says how a network treats packets from one host to another.
 type LinkState uint8
 
 const (
-	// Open delivers.
+	// Open delivers packets.
 	Open LinkState = iota
-	// Refuse refuses connections and resets open ones.
+	// Refuse refuses new connections and resets open ones.
 	Refuse
-	// Delay keeps packets and delivers them in order once the link is open again, also those of
-	// connections given up meanwhile. A connection attempt hangs.
+	// Delay holds packets back and delivers them in order once the link is open again, including those of
+	// connections that the sender has closed meanwhile. Connection attempts block.
 	Delay
-	// Drop loses packets for good.
+	// Drop discards packets that are sent while the link is in this state. Connection attempts block.
 	Drop
 )
 
-// acceptBacklog is how many connections wait to be accepted at most.
+// acceptBacklog is the maximum number of connections of a listener that wait to be accepted.
 const acceptBacklog = 64
 
 var errConnectionRefused = errors.New("connection refused")
 
-// linkKey names a link by the hosts at its ends.
+// linkKey identifies the link from one host to another.
 type linkKey struct{ from, to string }
 
-// Network is a network in memory whose links can be cut one by one and in one direction. Addresses
-// are host:port. It is safe for concurrent use.
+// Network is an in-memory network that connects hosts. The state of each link can be set separately for each
+// direction. Addresses have the form host:port. It is safe for concurrent use.
 type Network struct {
 	mu           sync.Mutex
 	latency      time.Duration
-	extraLatency map[string]time.Duration // of packets from or to a host
+	extraLatency map[string]time.Duration // for packets from or to a host
 	listeners    map[string]*listener     // by address
-	links        map[linkKey]LinkState    // those that are not open
-	conns        map[*conn]bool
-	changed      chan struct{} // closed when the state of a link changes next
+	links        map[linkKey]LinkState    // only those that are not open
+	conns        map[*conn]bool           // both ends of the open connections
+	changed      chan struct{}            // closed at the next change of the state of any link
 }
 
-// NewNetwork returns a network whose links are all open.
+// NewNetwork returns a network on which all links are open and packets take the given time.
 func NewNetwork(latency time.Duration) *Network {
 	return &Network{
 		latency:      latency,
@@ -58,7 +58,8 @@
 	}
 }
 
-// SetLink sets the state of the link from one host to another.
+// SetLink sets the state of the link from one host to another. The opposite direction stays as it is, but
+// Refuse resets all connections between the two hosts, as each of them uses both directions.
 func (n *Network) SetLink(from, to string, state LinkState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,13 +75,13 @@
 	n.changed = make(chan struct{})
 }
 
-// SetLinkBothWays sets the state of both links between two hosts.
+// SetLinkBothWays sets the state of the links between two hosts in both directions.
 func (n *Network) SetLinkBothWays(a, b string, state LinkState) {
 	n.SetLink(a, b, state)
 	n.SetLink(b, a, state)
 }
 
-// resetConnsBetween resets the connections between two hosts. The caller holds mu.
+// resetConnsBetween resets all connections between two hosts. The caller holds mu.
 func (n *Network) resetConnsBetween(a, b string) {
 	for c := range n.conns {
 		if (c.local == a && c.remote == b) || (c.local == b && c.remote == a) {
@@ -89,35 +90,35 @@
 	}
 }
 
-// linkState returns the state of a link, and a channel that closes when the state of any changes.
+// linkState returns the state of a link, and a channel that is closed when the state of any link changes.
 func (n *Network) linkState(from, to string) (LinkState, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[linkKey{from, to}], n.changed
 }
 
-// SetLatency sets how long packets take from now on.
+// SetLatency sets the latency of packets that are sent from now on.
 func (n *Network) SetLatency(latency time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.latency = latency
 }
 
-// SetExtraLatency sets how much longer packets from or to a host take from now on.
+// SetExtraLatency sets the latency that is added to packets from or to a host that are sent from now on.
 func (n *Network) SetExtraLatency(host string, latency time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.extraLatency[host] = latency
 }
 
-// arrivalTime returns when a packet that is sent now arrives over an open link.
+// arrivalTime returns when a packet that is sent now arrives if the link is open.
 func (n *Network) arrivalTime(from, to string) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Now().Add(n.latency + n.extraLatency[from] + n.extraLatency[to])
 }
 
-// Listen accepts connections to an address.
+// Listen returns a listener for connections to an address.
 func (n *Network) Listen(addr string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -126,14 +127,14 @@
 	return l
 }
 
-// StopListening accepts no more connections to an address; those that are open go on.
+// StopListening closes the listener of an address. Open connections stay open.
 func (n *Network) StopListening(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closeListener(addr)
 }
 
-// closeListener closes the listener of an address, if there is one. The caller holds mu.
+// closeListener closes and removes the listener of an address, if there is one. The caller holds mu.
 func (n *Network) closeListener(addr string) {
 	if l := n.listeners[addr]; l != nil {
 		l.close()
@@ -141,7 +142,7 @@
 	}
 }
 
-// RemoveHost removes a host with its listeners and connections.
+// RemoveHost closes the listeners of a host and resets its connections.
 func (n *Network) RemoveHost(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// Dialer returns a dialer that connects from a host.
+// Dialer returns a dialer for connections from a host.
 func (n *Network) Dialer(from string) transport.Dialer {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		if err := n.waitForLinks(ctx, from, hostOf(addr)); err != nil {
@@ -167,8 +168,8 @@
 	}
 }
 
-// waitForLinks waits until both links between two hosts are open. It fails if one of them refuses
-// connections.
+// waitForLinks waits until the links between two hosts are open in both directions. It returns
+// errConnectionRefused if one of them is in state Refuse, and the context's error if the context ends first.
 func (n *Network) waitForLinks(ctx context.Context, from, to string) error {
 	for {
 		outbound, changed := n.linkState(from, to)
@@ -187,7 +188,8 @@
 	}
 }
 
-// connect opens a connection from a host to an address.
+// connect opens a connection from a host to an address. It returns errConnectionRefused if there is no
+// listener or its backlog is full.
 func (n *Network) connect(from, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -205,14 +207,14 @@
 	return client, nil
 }
 
-// removeConn forgets a connection that is closed.
+// removeConn removes one end of a connection after it was closed.
 func (n *Network) removeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
 }
 
-// ServeListener serves a listener's connections until it is closed.
+// ServeListener serves the connections of a listener until the listener is closed.
 func ServeListener(l net.Listener, s *transport.Server) {
 	for {
 		c, err := l.Accept()
@@ -223,13 +225,14 @@
 	}
 }
 
-// hostOf returns the host of an address.
+// hostOf returns the host part of an address.
 func hostOf(addr string) string {
 	host, _, _ := strings.Cut(addr, ":")
 	return host
 }
 
-// address is the address of a listener or of a connection's end.
+// address is the address of a listener (host:port) or of one end of a connection (host). It implements
+// net.Addr.
 type address string
 
 func (a address) Network() string { return "memory" }
--- a/internal/standin/state_faults.go
+++ b/internal/standin/state_faults.go
@@ -7,27 +7,28 @@
 	"quillshunt/internal/storage"
 )
 
-// StateLimits are limits of the state service. Zero means none.
+// StateLimits are the size limits of the state service. Zero means no limit.
 type StateLimits struct {
-	ValueBytes int // of a value, in JSON
-	TxnOps     int // changes of a transaction
+	ValueBytes int // maximum size of a value, encoded as JSON
+	TxnOps     int // maximum number of operations of a transaction
 }
 
-// SetLimits sets the limits from now on; what is stored stays as it is.
+// SetLimits sets the limits for later transactions. Stored values are kept even if they exceed a limit.
 func (s *StateService) SetLimits(limits StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = limits
 }
 
-// OversizedTransactions returns how many transactions were rejected for their size.
+// OversizedTransactions returns how many transactions were rejected because they exceeded a limit.
 func (s *StateService) OversizedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.oversizedTransactions
 }
 
-// SetUnavailable begins or ends an outage. After one, all leases have their full time again.
+// SetUnavailable starts or ends an outage, during which the servers reject the requests of all callers. No
+// lease expires during an outage, and all leases get their full duration again when it ends.
 func (s *StateService) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,14 +41,15 @@
 	s.notifyWatchers()
 }
 
-// Unavailable reports whether there is an outage.
+// Unavailable reports whether an outage is in progress.
 func (s *StateService) Unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unavailable
 }
 
-// SetRejectedCaller rejects one caller alone, or serves it again.
+// SetRejectedCaller makes the service reject all requests of one caller, or execute them again. See
+// ServerFor.
 func (s *StateService) SetRejectedCaller(caller string, rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,22 +57,23 @@
 	s.notifyWatchers()
 }
 
-// serves reports whether a caller's requests are executed now.
+// serves reports whether requests of a caller are executed at present: there is no outage and the caller is
+// not rejected.
 func (s *StateService) serves(caller string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.unavailable && !s.rejectedCallers[caller]
 }
 
-// SetDelayedTransactions sets which transactions get no answer in time and are executed later: delay
-// is asked for each. Nil delays none.
+// SetDelayedTransactions delays transactions so that the caller times out before they are executed. For each
+// transaction, delay returns how long to delay it, or false to execute it at once. A nil delay delays none.
 func (s *StateService) SetDelayedTransactions(delay func() (time.Duration, bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delayTransaction = delay
 }
 
-// transactionDelay returns how much later the next transaction is executed, if it is delayed.
+// transactionDelay returns how long to delay the next transaction, or false to execute it at once.
 func (s *StateService) transactionDelay() (time.Duration, bool) {
 	s.mu.Lock()
 	delay := s.delayTransaction
@@ -81,7 +84,8 @@
 	return delay()
 }
 
-// withinLimits reports whether a transaction keeps to the limits. The caller holds mu.
+// withinLimits reports whether a transaction is within the limits. A value that cannot be decoded is not
+// measured. The caller holds mu.
 func (s *StateService) withinLimits(t *protocol.Transaction) bool {
 	if s.limits.TxnOps > 0 && len(t.Operations) > s.limits.TxnOps {
 		return false
@@ -98,7 +102,8 @@
 	return true
 }
 
-// withStringKeys gives maps text keys, as they have in JSON, in which sizes are counted.
+// withStringKeys returns a decoded CBOR value with string keys in all maps, so that it can be encoded as JSON
+// to measure its size. It drops entries with other keys.
 func withStringKeys(value any) any {
 	switch value := value.(type) {
 	case map[any]any:
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -14,8 +14,8 @@
 
 const (
 	stateMaxConns      = 1000
-	maxListedKeys      = 1000 // of the protocol: keys in one page
-	minLeaseMs         = 100  // of the protocol
+	maxListedKeys      = 1000 // maximum number of keys in a page, given by the protocol
+	minLeaseMs         = 100  // shortest lease that the protocol allows
 	pathKeys           = "/kv"
 	pathKey            = "/kv/"
 	pathTransaction    = "/txn"
@@ -25,12 +25,12 @@
 	leaseRenewalSuffix = "/touch"
 )
 
-// Server returns a server of the state service on an address.
+// Server returns an HTTP server of the state service on an address, for any caller.
 func (s *StateService) Server(addr string, log *slog.Logger) *transport.Server {
 	return s.ServerFor("", addr, log)
 }
 
-// ServerFor returns a server for one caller, so that this caller alone can be rejected.
+// ServerFor returns an HTTP server for one caller, so that SetRejectedCaller can reject it separately.
 func (s *StateService) ServerFor(caller, addr string, log *slog.Logger) *transport.Server {
 	return transport.NewServer(transport.ServerOptions{
 		Addr: addr, MaxConns: stateMaxConns, Log: log,
@@ -38,7 +38,8 @@
 	})
 }
 
-// handle answers one request of a caller.
+// handle responds to one request of a caller. If the caller is rejected it responds with 503, except to a
+// watch, for which handleWatch checks the rejection.
 func (s *StateService) handle(caller string, req *transport.Message, rsp *transport.Responder) {
 	if !s.serves(caller) && !strings.HasPrefix(req.Path, pathWatch) {
 		rsp.Respond(http.StatusServiceUnavailable, nil, 0)
@@ -95,7 +96,7 @@
 	if delay, delayed := s.transactionDelay(); delayed {
 		time.AfterFunc(delay, func() {
 			s.CompareAndSwap(t)
-			rsp.Respond(http.StatusServiceUnavailable, nil, 0) // the caller has given up long ago
+			rsp.Respond(http.StatusServiceUnavailable, nil, 0) // the caller has timed out by now
 		})
 		return
 	}
@@ -113,7 +114,7 @@
 	rsp.Respond(http.StatusOK, protocol.Encode(protocol.LeaseReply{Lease: id}), 0)
 }
 
-// handleLease renews or revokes a lease; rest is the path after pathLease.
+// handleLease renews or revokes the lease whose ID is in rest, the part of the path after pathLease.
 func (s *StateService) handleLease(method, rest string, rsp *transport.Responder) {
 	id, err := strconv.ParseUint(strings.TrimSuffix(rest, leaseRenewalSuffix), 10, 64)
 	if err != nil {
@@ -129,8 +130,9 @@
 	rsp.Respond(http.StatusOK, nil, 0)
 }
 
-// handleWatch answers once keys have changed after a revision, or when the time is over. A caller
-// that is not served learns of no change.
+// handleWatch responds when a key with the prefix has changed after the revision, or when the time limit of
+// the request has passed. A caller whose requests are rejected gets a response without changes, after the
+// time limit.
 func (s *StateService) handleWatch(caller string, query url.Values, rsp *transport.Responder) {
 	prefix, since := query.Get("Starts"), queryNumber(query, "Since")
 	timeout := time.NewTimer(time.Duration(queryNumber(query, "HoldMs")) * time.Millisecond)
@@ -153,7 +155,7 @@
 	}
 }
 
-// queryNumber returns a number of the query, or 0 if it is missing or malformed.
+// queryNumber returns the value of a numeric query parameter, or 0 if it is missing or malformed.
 func queryNumber(query url.Values, name string) uint64 {
 	n, _ := strconv.ParseUint(query.Get(name), 10, 64)
 	return n
--- a/internal/standin/state_service.go
+++ b/internal/standin/state_service.go
@@ -11,32 +11,32 @@
 	"quillshunt/internal/protocol"
 )
 
-// StateService is a stand-in of the state service: keys with versions, leases and watches. It is safe
-// for concurrent use.
+// StateService is an in-memory fake of the state service: a key-value store with versions, transactions, leases
+// and watches. It is safe for concurrent use.
 type StateService struct {
 	mu          sync.Mutex
 	keys        map[string]protocol.KeyValue
-	revision    uint64 // counts every change
-	changes     []protocol.Change
+	revision    uint64            // incremented by each transaction with operations and each lease removal with keys
+	changes     []protocol.Change // all changes, in the order of their revisions
 	leases      map[uint64]lease
 	lastLeaseID uint64
-	watchers    map[chan struct{}]bool // each closed at the next change
+	watchers    map[chan struct{}]bool // each closed and removed at the next change
 
-	// Faults that tests inject; see state_faults.go.
+	// Faults injected by tests; see state_faults.go.
 	unavailable           bool
 	rejectedCallers       map[string]bool
 	delayTransaction      func() (time.Duration, bool)
 	limits                StateLimits
-	oversizedTransactions int // transactions that were over the limits
+	oversizedTransactions int // number of transactions that exceeded the limits
 }
 
-// lease is a lease that keys can be attached to.
+// lease is the state of one lease. The keys attached to it are deleted when it expires or is revoked.
 type lease struct {
 	duration  time.Duration
 	expiresAt time.Time
 }
 
-// NewStateService returns a state service without keys.
+// NewStateService returns a state service that stores no keys.
 func NewStateService() *StateService {
 	return &StateService{
 		keys:            map[string]protocol.KeyValue{},
@@ -46,7 +46,7 @@
 	}
 }
 
-// Get reads a key. It returns false if the key does not exist.
+// Get returns a key with its value, or false if the key does not exist.
 func (s *StateService) Get(key string) (protocol.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,8 +55,9 @@
 	return pair, ok
 }
 
-// CompareAndSwap executes a transaction. It returns the status that the protocol has for it: 200, 409
-// if a condition failed, or 400 if it is over the limits or a lease has expired.
+// CompareAndSwap executes a transaction. It returns the HTTP status that the protocol specifies: 200 if the
+// transaction was executed, 409 if a condition failed, or 400 if it exceeds the limits or a lease does not
+// exist.
 func (s *StateService) CompareAndSwap(t protocol.Transaction) (status int, reply protocol.TransactionReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +87,7 @@
 	return http.StatusOK, reply
 }
 
-// apply makes all changes of a transaction, with one revision. The caller holds mu.
+// apply executes the operations of a transaction; all changes get the same revision. The caller holds mu.
 func (s *StateService) apply(operations []protocol.Operation) {
 	s.revision++
 	for _, op := range operations {
@@ -101,7 +102,7 @@
 	s.notifyWatchers()
 }
 
-// List returns up to limit keys with a prefix that come after since, in order.
+// List returns the first keys, at most limit, that have the prefix and sort after since, in that order.
 func (s *StateService) List(prefix, since string, limit int) protocol.KeyPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,8 +121,8 @@
 	return page
 }
 
-// Changes returns the changes of keys with a prefix after a revision, and a channel that closes at
-// the next change.
+// Changes returns the changes after a revision of keys with a prefix. The channel is closed at the next change
+// of any key, and when the service starts or stops rejecting requests.
 func (s *StateService) Changes(prefix string, since uint64) (protocol.WatchReply, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +138,7 @@
 	return reply, changed
 }
 
-// notifyWatchers wakes all watchers. The caller holds mu.
+// notifyWatchers closes the channels of all watchers. The caller holds mu.
 func (s *StateService) notifyWatchers() {
 	for watcher := range s.watchers {
 		close(watcher)
@@ -145,7 +146,7 @@
 	clear(s.watchers)
 }
 
-// CreateLease makes a lease and returns its ID.
+// CreateLease creates a lease and returns its ID.
 func (s *StateService) CreateLease(duration time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +156,7 @@
 	return s.lastLeaseID
 }
 
-// RenewLease gives a lease its full time again. It returns false if the lease does not exist.
+// RenewLease restarts the duration of a lease. It returns false if the lease does not exist.
 func (s *StateService) RenewLease(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,7 @@
 	return ok
 }
 
-// RevokeLease ends a lease at once.
+// RevokeLease removes a lease and the keys attached to it.
 func (s *StateService) RevokeLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +178,8 @@
 	}
 }
 
-// expireLeases ends the leases that were not renewed in time; none expires in an outage. The caller holds mu.
+// expireLeases removes the leases that were not renewed in time, except during an outage. As there is no timer,
+// each call of the service calls it first. The caller holds mu.
 func (s *StateService) expireLeases() {
 	if s.unavailable {
 		return
@@ -189,7 +191,8 @@
 	}
 }
 
-// removeLease removes a lease with the keys attached to it. The caller holds mu.
+// removeLease removes a lease and the keys attached to it. All these deletions get the same revision. The caller
+// holds mu.
 func (s *StateService) removeLease(id uint64) {
 	delete(s.leases, id)
 	var attached []string
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,7 +16,7 @@
 	"quillshunt/internal/transport"
 )
 
-// The times that stand-in workers keep, unless a test sets others.
+// Times of the workers. CloudOptions.WorkerTimes can replace all except responseTimeout and retryInterval.
 const (
 	heartbeatInterval = time.Second
 	leaseDuration     = 10 * time.Second
@@ -27,14 +27,13 @@
 	gangPeerDetection = 6 * time.Second
 )
 
-// workerMaxConns bounds the connections for direct commands, workerPort is their port on a Network.
 const (
-	workerMaxConns = 20
-	workerPort     = ":9000"
+	workerMaxConns = 20      // inbound connections for direct commands and probes
+	workerPort     = ":9000" // port for them on a Network
 )
 
-// worker is a machine of the stand-in cloud. Its tasks only wait for the run time that their owner
-// estimated.
+// worker is a machine of the fake cloud and the worker process on it. Its tasks only wait for the run time that
+// the job's specification estimates.
 type worker struct {
 	cloud       *Cloud
 	machineType *protocol.MachineType
@@ -43,22 +42,22 @@
 
 	mu           sync.Mutex
 	machine      protocol.Machine
-	incarnation  uint64 // 0: not up, or gone
-	sequence     uint64
-	fencingToken uint64           // the highest seen
-	leaseStart   time.Time        // when the last heartbeat was sent that was answered
-	hungUntil    atomic.Int64     // in Unix nanoseconds; also read by other workers of a gang
-	tasks        map[string]*task // by name and attempt
+	incarnation  uint64           // 0: booting or killed
+	sequence     uint64           // of the last heartbeat
+	fencingToken uint64           // the highest token received
+	leaseStart   time.Time        // when the last accepted reply's heartbeat was sent, or the incarnation started
+	hungUntil    atomic.Int64     // in Unix nanoseconds; gangs read it without mu
+	tasks        map[string]*task // see taskKey
 }
 
-// run boots the machine and sends heartbeats until the context ends.
+// run boots the machine and sends heartbeats until the context is cancelled.
 func (w *worker) run(ctx context.Context) {
 	if !storage.Sleep(ctx, limits.Seconds(w.machineType.BootS)) {
 		return
 	}
 	addr, err := w.listen(ctx)
 	if err != nil {
-		w.cloud.options.Log.Error("worker", "err", err)
+		w.cloud.options.Log.Error("worker failed to listen", "machine", w.machine.Name, "err", err)
 		return
 	}
 	if !w.startFirstIncarnation(ctx, addr) {
@@ -74,7 +73,8 @@
 	}
 }
 
-// startFirstIncarnation begins the first incarnation, unless the machine is gone already.
+// startFirstIncarnation marks the machine as running in its first incarnation. It returns false if the machine
+// was killed while it booted.
 func (w *worker) startFirstIncarnation(ctx context.Context, addr string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,8 +86,9 @@
 	return true
 }
 
-// exchangeHeartbeat sends a heartbeat and acts on the answer. It returns the pause until the next one,
-// and whether the machine is still there.
+// exchangeHeartbeat sends a heartbeat and processes the response, unless it arrives too late. If the controller
+// does not accept the heartbeat, the worker switches to the leader named in the response, or else to the next
+// controller. It returns the pause before the next heartbeat, and false if the machine was killed.
 func (w *worker) exchangeHeartbeat(ctx context.Context, controllers *controllerList) (pause time.Duration, alive bool) {
 	sent := time.Now()
 	w.mu.Lock()
@@ -112,11 +113,11 @@
 	return retryInterval, true
 }
 
-// controllerList is the controllers that a worker knows, of which it uses one at a time.
+// controllerList holds the controllers that a worker knows. The worker uses one of them at a time.
 type controllerList struct {
 	names   []string
-	clients map[string]*transport.Client
-	index   int
+	clients map[string]*transport.Client // by controller name
+	index   int                          // of the controller in use, in names
 }
 
 func newControllerList(c *Cloud, host string) *controllerList {
@@ -134,7 +135,7 @@
 func (l *controllerList) currentClient() *transport.Client { return l.clients[l.currentName()] }
 func (l *controllerList) useNext()                         { l.index = (l.index + 1) % len(l.names) }
 
-// switchTo goes to the leader, if it is known, and closes the connection that is left.
+// switchTo closes the connection to the current controller and switches to the leader, if the worker knows it.
 func (l *controllerList) switchTo(leader string) {
 	l.currentClient().Close()
 	if at := slices.Index(l.names, leader); at >= 0 {
@@ -148,7 +149,7 @@
 	}
 }
 
-// listen serves direct commands and returns the address.
+// listen starts the server for direct commands and probes, and returns its address.
 func (w *worker) listen(ctx context.Context) (string, error) {
 	options := transport.ServerOptions{MaxConns: workerMaxConns, Handle: w.handle, Log: w.cloud.options.Log}
 	if network := w.cloud.options.Network; network != nil {
@@ -163,14 +164,14 @@
 	options.Addr = addr
 	go func() {
 		if err := transport.NewServer(options).Run(ctx); err != nil {
-			w.cloud.options.Log.Error("worker", "machine", w.machine.Name, "err", err)
+			w.cloud.options.Log.Error("server of worker failed", "machine", w.machine.Name, "err", err)
 		}
 	}()
 	return addr, nil
 }
 
-// waitWhileHung waits while the machine hangs, and then looks at its lease before all else. It returns
-// false once the machine is gone.
+// waitWhileHung blocks while the machine hangs. It then checks the lease before the worker does anything else.
+// It returns false if the machine was killed.
 func (w *worker) waitWhileHung(ctx context.Context) bool {
 	for {
 		w.mu.Lock()
@@ -187,15 +188,16 @@
 	}
 }
 
-// remainingHang returns for how long the machine goes on hanging; 0 or less: it does not hang.
+// remainingHang returns for how much longer the machine hangs; it does not hang if the result is 0 or less.
 func (w *worker) remainingHang() time.Duration { return time.Until(time.Unix(0, w.hungUntil.Load())) }
 
-// leaseExpired reports whether the lease is over. The caller holds mu.
+// leaseExpired reports whether the worker's lease has expired. The caller holds mu.
 func (w *worker) leaseExpired() bool {
 	return time.Since(w.leaseStart) > limits.Seconds(w.cloud.options.WorkerTimes.LeaseS)
 }
 
-// restartIfLeaseExpired begins the next incarnation if the lease is over. The caller holds mu.
+// restartIfLeaseExpired kills all tasks and starts the next incarnation if the lease has expired. The caller
+// holds mu.
 func (w *worker) restartIfLeaseExpired() {
 	if w.incarnation > 0 && w.leaseExpired() {
 		w.killAll()
@@ -204,14 +206,14 @@
 	}
 }
 
-// heartbeatResponse is what a controller answered to a heartbeat.
+// heartbeatResponse is a controller's response to a heartbeat.
 type heartbeatResponse struct {
-	status int                     // 0: no answer
-	leader string                  // to send heartbeats to instead
-	reply  protocol.HeartbeatReply // if the status is 200
+	status int                     // 0: no valid response
+	leader string                  // for status 421: the leader, or "" if the controller knows none
+	reply  protocol.HeartbeatReply // for status 200
 }
 
-// sendHeartbeat sends a heartbeat and reads the answer.
+// sendHeartbeat sends a heartbeat and decodes the response. If a duplicate is due, it schedules that too.
 func (w *worker) sendHeartbeat(
 	ctx context.Context, client *transport.Client, heartbeat protocol.Heartbeat,
 ) heartbeatResponse {
@@ -240,7 +242,7 @@
 	return response
 }
 
-// sendDuplicateHeartbeat sends a heartbeat again, to every controller; nobody waits for the answers.
+// sendDuplicateHeartbeat sends a copy of an earlier heartbeat to every controller and ignores the responses.
 func (w *worker) sendDuplicateHeartbeat(body []byte) {
 	for _, addr := range w.cloud.options.Controllers {
 		go func() {
@@ -252,8 +254,8 @@
 	}
 }
 
-// applyReply executes the commands of an answer, unless its fencing token is old or the incarnation
-// has changed.
+// applyReply renews the lease from the time when the heartbeat was sent, and executes the commands of the reply.
+// It ignores the reply if a higher fencing token was received or a new incarnation has started meanwhile.
 func (w *worker) applyReply(incarnation uint64, reply protocol.HeartbeatReply, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -264,7 +266,7 @@
 	w.executeCommands(reply.Commands)
 }
 
-// handle answers a direct command, once the machine does not hang any more.
+// handle responds to a probe or to direct commands. While the machine hangs, it postpones the response.
 func (w *worker) handle(req *transport.Message, rsp *transport.Responder) {
 	if hung := w.remainingHang(); hung > 0 {
 		time.AfterFunc(hung, func() { w.handle(req, rsp) })
@@ -274,7 +276,7 @@
 	defer w.mu.Unlock()
 	w.restartIfLeaseExpired()
 	switch {
-	case w.incarnation == 0: // gone
+	case w.incarnation == 0: // killed
 		rsp.Respond(http.StatusNotFound, nil, 0)
 	case req.Path == "/status" && req.Method == http.MethodGet:
 		rsp.Respond(http.StatusOK, protocol.Encode(w.heartbeat()), 0)
@@ -286,7 +288,8 @@
 	}
 }
 
-// executeDirectCommands executes direct commands and returns the answer. The caller holds mu.
+// executeDirectCommands executes direct commands and returns the response. It executes none if a higher fencing
+// token was received or they are for another incarnation. The caller holds mu.
 func (w *worker) executeDirectCommands(body []byte) (status int, response []byte) {
 	var request protocol.DirectCommands
 	if err := protocol.Decode(body, &request); err != nil || request.Incarnation == 0 {
@@ -300,7 +303,7 @@
 	return http.StatusOK, protocol.Encode(w.heartbeat())
 }
 
-// freeAddress finds a free port on the loopback.
+// freeAddress returns an address with a free TCP port on the loopback interface.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -10,16 +10,17 @@
 	"quillshunt/internal/protocol"
 )
 
-// task is a task on a worker, also one that has ended and was not forgotten.
+// task is an attempt of a task on a worker. An ended one is kept until a command to forget it.
 type task struct {
 	protocol.TaskStatus
-	completesAt time.Time
-	gang        *gangAttempt // nil if its job's tasks are independent
+	completesAt time.Time    // if running and not of a gang
+	gang        *gangAttempt // nil if the job is not a gang
 }
 
+// taskKey returns the key of an attempt in worker.tasks.
 func taskKey(name string, attempt uint64) string { return fmt.Sprintf("%s#%d", name, attempt) }
 
-// heartbeat makes a heartbeat of the tasks as they are now. The caller holds mu.
+// heartbeat updates the tasks to the current time and returns the next heartbeat. The caller holds mu.
 func (w *worker) heartbeat() protocol.Heartbeat {
 	w.sequence++
 	heartbeat := protocol.Heartbeat{
@@ -41,7 +42,8 @@
 	return heartbeat
 }
 
-// executeCommands executes commands in order. The caller holds mu.
+// executeCommands executes commands in order. It ignores commands that do not apply to the state of their task.
+// The caller holds mu.
 func (w *worker) executeCommands(commands []protocol.Command) {
 	for _, command := range commands {
 		key := taskKey(command.Task, command.Attempt)
@@ -51,7 +53,7 @@
 			w.tasks[key] = w.startTask(command)
 		case command.Verb == protocol.CommandStop && t != nil && t.State != protocol.TaskEnded:
 			if t.gang != nil && command.GraceS != nil && t.gang.stop(t.Task, *command.GraceS) {
-				continue // it saves
+				continue // it ends after saving a checkpoint
 			}
 			w.endTask(t, protocol.ReasonStopped)
 		case command.Verb == protocol.CommandForget && t != nil && t.State == protocol.TaskEnded:
@@ -60,7 +62,7 @@
 	}
 }
 
-// startTask starts a task, or returns it ended with the reason why it was refused. The caller holds mu.
+// startTask starts a task. If it cannot, it returns a task that has ended, with the reason. The caller holds mu.
 func (w *worker) startTask(command protocol.Command) *task {
 	t := &task{TaskStatus: protocol.TaskStatus{
 		Task: command.Task, Attempt: command.Attempt,
@@ -97,7 +99,7 @@
 	return t
 }
 
-// updateFromGang brings a task in line with its gang. The caller holds mu.
+// updateFromGang updates the status of a task from its gang. The caller holds mu.
 func (w *worker) updateFromGang(t *task) {
 	status := t.gang.poll(t.Task)
 	t.State, t.Reason, t.Saved = status.State, status.Reason, status.Saved
@@ -106,7 +108,7 @@
 	}
 }
 
-// endTask ends a running task. The caller holds mu.
+// endTask ends a task that has not ended yet, for the given reason. The caller holds mu.
 func (w *worker) endTask(t *task, reason protocol.EndReason) {
 	t.State, t.Reason = protocol.TaskEnded, reason
 	if reason == protocol.ReasonDone {
@@ -115,7 +117,7 @@
 	w.notifyTaskChange(t.Task, false)
 }
 
-// killAll ends and forgets all tasks. The caller holds mu.
+// killAll kills all tasks and removes them. The caller holds mu.
 func (w *worker) killAll() {
 	for _, t := range w.tasks {
 		if t.State == protocol.TaskRunning || t.State == protocol.TaskGathering {
@@ -128,6 +130,7 @@
 	w.tasks = map[string]*task{}
 }
 
+// notifyTaskChange calls OnTaskChange, if it is set.
 func (w *worker) notifyTaskChange(task string, runs bool) {
 	if w.cloud.options.OnTaskChange != nil {
 		w.cloud.options.OnTaskChange(w.machine.Name, task, runs)
