--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -19,9 +19,10 @@
 	"quillshunt/internal/storage"
 )
 
-// cluster is the whole service in one process and in virtual time: real controllers, and stand-ins
-// of everything around them, over a network in memory. It checks the rules of the protocol by the
-// answers that users get and by the tasks that machines run.
+// cluster runs the whole service in one process and in virtual time. An in-memory network connects real
+// controllers to stand-ins for the state service, the cloud and the workers. The tests send requests as
+// users do. The rules of the protocol are checked against the responses that the users get and the tasks
+// that run on machines.
 type cluster struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -30,49 +31,51 @@
 	network   *standin.Network
 	state     *standin.StateService
 	cloud     *standin.Cloud
-	processes map[string]*process // controllers that run, by node name
-	nodeNames []string            // of all controllers
+	processes map[string]*process // running controllers, by node name
+	nodeNames []string            // of all controllers, running or not
 	log       *slog.Logger
-	zones     []string // of the controllers, in their order
+	zones     []string // zone of each controller, in the order of nodeNames; machines use the same zones
 
 	mu            sync.Mutex
-	violations    []string          // of the rules
+	violations    []string          // messages about rules that were broken
 	jobs          map[string]*job   // by ID
-	runningTasks  map[string]string // machine by task
-	taskStarts    int
-	submissions   int
-	deletionsFail bool           // the cloud deletes no machines
-	users         sync.WaitGroup // requests of users under way; not guarded by mu
+	runningTasks  map[string]string // name of the machine that runs the task, by task name
+	taskStarts    int               // number of task starts seen on machines
+	submissions   int               // number of jobs created so far; also numbers the job IDs
+	deletionsFail bool              // the cloud rejects requests to delete machines
+	userRequests  sync.WaitGroup    // goroutines that make user requests; not guarded by mu
 }
 
-// process is the process of a controller that runs.
+// process is a running controller process.
 type process struct {
-	cancel     context.CancelFunc
-	done       sync.WaitGroup
-	controller *Controller
+	cancel         context.CancelFunc
+	peerServerDone sync.WaitGroup
+	controller     *Controller
 }
 
 const (
-	reportS  = 2.0
-	leaseS   = 16.0
-	cancelS  = 40.0
-	capacity = 8.0 // CPUs of a machine
+	heartbeatIntervalS = 2.0
+	workerLeaseS       = 16.0
+	cancelWithinS      = 40.0
+	machineCPUs        = 8.0
 )
 
 var (
-	gangWaitS = 20.0
-	gangPeerS = 5.0
-	workers   = config.Workers{
-		ReportS: reportS, LeaseS: leaseS, CancelS: cancelS, GangWaitS: &gangWaitS, GangPeerS: &gangPeerS,
+	gangWaitTimeoutS   = 20.0
+	gangPeerDetectionS = 5.0
+	workerTimes        = config.Workers{
+		ReportS: heartbeatIntervalS, LeaseS: workerLeaseS, CancelS: cancelWithinS,
+		GangWaitS: &gangWaitTimeoutS, GangPeerS: &gangPeerDetectionS,
 	}
 )
 
+// stateLimits are the current limits of the state service and the lower ones that are announced.
 var (
-	nextValueKB = 2.0
-	nextTxnOps  = 4
-	stateLimits = config.State{
+	announcedValueKB = 2.0
+	announcedTxnOps  = 4
+	stateLimits      = config.State{
 		RPS: 300, WriteRPS: 60, ValueKB: 4, TxnOps: 8,
-		Next: &config.NextState{ValueKB: &nextValueKB, TxnOps: &nextTxnOps},
+		Next: &config.NextState{ValueKB: &announcedValueKB, TxnOps: &announcedTxnOps},
 	}
 )
 
@@ -81,8 +84,8 @@
 	{Name: "blue", CPUs: 16, CPUsMax: 48},
 }
 
-// runScenario starts a cluster in a bubble of virtual time, runs a scenario in it, and fails the test
-// for every rule that was broken.
+// runScenario starts a cluster in a synctest bubble, which has virtual time, and runs a scenario in it.
+// The test fails with one error for each rule violation.
 func runScenario(t *testing.T, seed uint64, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -90,17 +93,17 @@
 		for _, name := range c.nodeNames {
 			c.startController(name)
 		}
-		go c.checkContinuously()
+		go c.checkRulesPeriodically()
 		scenario(c)
-		c.users.Wait()
+		c.userRequests.Wait()
 		c.reportViolations()
 		cancel()
 		c.shutDown()
 	})
 }
 
-// newCluster starts the stand-ins of the services around the controllers. The context ends whatever
-// runs in the cluster.
+// newCluster returns a cluster in which the stand-ins of the state service and the cloud run, but no
+// controller yet. Everything in the cluster runs until the context ends.
 func newCluster(ctx context.Context, t *testing.T, seed uint64) *cluster {
 	c := &cluster{
 		t:            t,
@@ -124,18 +127,18 @@
 	}
 	c.cloud = standin.NewCloud(ctx, standin.CloudOptions{
 		MachineTypes: []protocol.MachineType{{
-			Name: "c8", CPUs: capacity, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1,
+			Name: "c8", CPUs: machineCPUs, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1,
 			Price: 1, SpotPrice: 0.4, BootS: 4, Zones: c.zones,
 		}},
-		State: c.state, Controllers: controllers, Log: c.log, Network: c.network, WorkerTimes: workers,
-		JobSpec: c.jobSpec, OnTaskChange: c.observeTask, InjectFault: c.cloudFault,
+		State: c.state, Controllers: controllers, Log: c.log, Network: c.network, WorkerTimes: workerTimes,
+		JobSpec: c.jobSpec, OnTaskChange: c.onTaskChange, InjectFault: c.cloudFault,
 	})
 	go standin.ServeListener(c.network.Listen("cloud:1"), c.cloud.Server(""))
 	return c
 }
 
-// shutDown ends all processes and removes all hosts, and waits until nothing waits for an answer
-// any more.
+// shutDown kills all controllers and machines and removes all hosts from the network. It then waits
+// until pending requests have timed out.
 func (c *cluster) shutDown() {
 	for _, name := range c.nodeNames {
 		c.killController(name)
@@ -150,7 +153,7 @@
 	time.Sleep(2 * time.Minute)
 }
 
-// logOutput returns where the logs go: QUILLSHUNT_LOG=1 prints them.
+// logOutput returns the destination of the logs: standard error if QUILLSHUNT_LOG is set, else none.
 func logOutput() io.Writer {
 	if os.Getenv("QUILLSHUNT_LOG") != "" {
 		return os.Stderr
@@ -158,10 +161,10 @@
 	return io.Discard
 }
 
-// now returns the time since the start of the cluster.
-func (c *cluster) now() time.Duration { return time.Since(c.startedAt) }
+// elapsed returns the time since the start of the cluster.
+func (c *cluster) elapsed() time.Duration { return time.Since(c.startedAt) }
 
-// settingsOf returns the settings of a controller.
+// settingsOf returns the settings of the named controller.
 func (c *cluster) settingsOf(name string) *config.Settings {
 	settings := &config.Settings{
 		NodeName: name,
@@ -170,7 +173,7 @@
 		Facts: config.Facts{
 			Zones:   c.zones,
 			Teams:   teams,
-			Workers: workers,
+			Workers: workerTimes,
 			State:   stateLimits.Lowest(),
 			Cloud:   config.Cloud{RPS: 5, ListLagS: 2},
 			Machine: config.MachineLimits{CoreShare: 0.2, MemoryMB: 100, MaxSockets: 500},
@@ -186,7 +189,7 @@
 	return settings
 }
 
-// startController starts a controller's process, unless it runs.
+// startController starts the named controller's process if it is not running.
 func (c *cluster) startController(name string) {
 	if c.processes[name] != nil {
 		return
@@ -204,11 +207,12 @@
 	controller.start(ctx)
 	go standin.ServeListener(c.network.Listen(name+":8080"), controller.clientServer)
 	peerListener := c.network.Listen(name + ":8081")
-	p.done.Go(func() { _ = controller.peerServer.Serve(ctx, peerListener) })
+	p.peerServerDone.Go(func() { _ = controller.peerServer.Serve(ctx, peerListener) })
 }
 
-// killController ends a controller's process as if it were killed: nothing that it does from now on
-// reaches anybody.
+// killController ends a controller's process as kill -9 would: its host is removed from the network
+// first, so nothing that the process still does has an effect outside it. It does nothing if the
+// controller is not running.
 func (c *cluster) killController(name string) {
 	p := c.processes[name]
 	if p == nil {
@@ -216,33 +220,34 @@
 	}
 	c.network.RemoveHost(name)
 	p.cancel()
-	p.done.Wait()
+	p.peerServerDone.Wait()
 	p.controller.peers.Close()
 	c.mu.Lock()
 	delete(c.processes, name)
 	c.mu.Unlock()
-	c.log.Info("killed", "node", name)
+	c.log.Info("controller killed", "node", name)
 }
 
-// restartController kills a controller and starts it again after a while.
-func (c *cluster) restartController(name string, after time.Duration) {
+// restartController kills a controller and starts it again after the downtime.
+func (c *cluster) restartController(name string, downtime time.Duration) {
 	c.killController(name)
-	time.Sleep(after)
+	time.Sleep(downtime)
 	c.startController(name)
 }
 
-// entitled reports whether a controller runs and is entitled to act as the leader.
-func (c *cluster) entitled(name string) bool {
+// isEntitled reports whether a controller is running and currently entitled to act as the leader.
+func (c *cluster) isEntitled(name string) bool {
 	p := c.processes[name]
 	return p != nil && p.controller.dispatcher.Entitled()
 }
 
-// waitForLeader waits until exactly one controller is entitled, and returns its name.
+// waitForLeader waits until exactly one controller is entitled to act as the leader, and returns its
+// name. After a minute it fails the test and returns the first controller's name.
 func (c *cluster) waitForLeader() string {
 	for range 600 {
 		var leaders []string
 		for _, name := range c.nodeNames {
-			if c.entitled(name) {
+			if c.isEntitled(name) {
 				leaders = append(leaders, name)
 			}
 		}
@@ -251,12 +256,12 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Error("no controller leads for a minute")
+	c.t.Error("no single controller was entitled to lead within a minute")
 	return c.nodeNames[0]
 }
 
-// otherThan returns the first controller that is not among those named.
-func (c *cluster) otherThan(excluded ...string) string {
+// otherController returns the name of the first controller that is not excluded, or "" if all are.
+func (c *cluster) otherController(excluded ...string) string {
 	for _, name := range c.nodeNames {
 		if !slices.Contains(excluded, name) {
 			return name
@@ -265,24 +270,26 @@
 	return ""
 }
 
-// currentTerm returns the highest term so far.
+// currentTerm returns the number of the latest term, as stored in the state service.
 func (c *cluster) currentTerm() uint64 {
 	key, _ := c.state.Get(storage.KeyTerm)
 	var record storage.TermRecord
 	if key.Version != 0 && protocol.Decode(key.Value, &record) != nil {
-		c.t.Fatal("the term record cannot be decoded")
+		c.t.Fatal("cannot decode the term record of the state service")
 	}
 	return record.Term
 }
 
-// waitForTermAfter waits until there is a leader of a later term, and returns its name.
-func (c *cluster) waitForTermAfter(term uint64) string {
+// waitForLeaderAfterTerm waits until a term later than the given one has begun and has a leader, and
+// returns the leader's name. If no later term begins within a minute, it fails the test and returns the
+// first controller's name.
+func (c *cluster) waitForLeaderAfterTerm(term uint64) string {
 	for range 600 {
 		if c.currentTerm() > term {
 			return c.waitForLeader()
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Error("no later term within a minute")
+	c.t.Errorf("no term after term %d within a minute", term)
 	return c.nodeNames[0]
 }
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -10,17 +10,18 @@
 	"quillshunt/internal/storage"
 )
 
-// gangOfFour makes a job a gang of four tasks in one zone, which fill two machines.
+// gangOfFour modifies a spec to a gang of four tasks in one zone, which fill two machines.
 func gangOfFour(spec *protocol.Spec) {
 	spec.Shape, spec.SameZone = protocol.ShapeGang, true
 	spec.Tasks, spec.CPUs = 4, 4
 	spec.EstimateS, spec.CheckpointS, spec.SaveS = 30, 10, 2
 }
 
-// waitForTasks waits until a number of a job's tasks run, and reports whether they do.
-func (c *cluster) waitForTasks(j *job, tasks int) bool {
+// waitForTasks waits until exactly count tasks of a job run. It returns false if this takes longer than
+// 40 s.
+func (c *cluster) waitForTasks(j *job, count int) bool {
 	for range 400 {
-		if c.tasksOnMachines(j) == tasks {
+		if c.runningTaskCount(j) == count {
 			return true
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -28,9 +29,9 @@
 	return false
 }
 
-// storeLegacyJob writes a job's record as an earlier version has stored it, perhaps larger than a
-// value may be now.
-func (c *cluster) storeLegacyJob(change func(*protocol.Spec)) *job {
+// storeLegacyJob writes the record of an accepted job to the state service directly, as an earlier version
+// of the controller would have left it. The record may be larger than the current value limit.
+func (c *cluster) storeLegacyJob(modifySpec func(*protocol.Spec)) *job {
 	c.mu.Lock()
 	c.submissions++
 	j := &job{acceptedAt: time.Now(), spec: protocol.Spec{
@@ -46,7 +47,7 @@
 		Image:     "i",
 		EstimateS: 15,
 	}}
-	change(&j.spec)
+	modifySpec(&j.spec)
 	c.jobs[j.spec.ID] = j
 	c.mu.Unlock()
 	record := protocol.Encode(storage.OpenJob{Spec: j.spec, SubmittedAtMs: time.Now().UnixMilli()})
@@ -56,33 +57,33 @@
 	return j
 }
 
-// gangScenarios are faults while gangs start, run or stop: a change of leaders in each state of a
-// gang, lost and unreachable machines, late commands.
+// gangScenarios inject faults while gangs start, run or stop: a change of the leader in each state of a
+// gang, lost and unreachable machines, and late commands.
 var gangScenarios = []scenario{
 	{
-		name: "a leader ends while a gang gathers, as one machine is unreachable",
+		name: "the leader cannot reach one machine, and is killed while gangs gather",
 		run: func(c *cluster) {
-			c.warmUp(4, longTasks)
-			leader, before := c.waitForLeader(), c.currentTerm()
+			c.startJobs(4, longTasks)
+			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			unreachable := c.cloud.Machines()[0]
 			c.network.SetLink(leader, unreachable, standin.Delay)
 			c.network.SetLink(unreachable, leader, standin.Delay)
 			gangs := []*job{c.submit(gangOfFour), c.submit(gangOfFour), c.submit(gangOfFour)}
 			time.Sleep(3 * time.Second)
 			c.killController(leader)
-			c.waitForTermAfter(before)
+			c.waitForLeaderAfterTerm(oldTerm)
 			c.network.SetLink(leader, unreachable, standin.Open)
 			c.network.SetLink(unreachable, leader, standin.Open)
 			for _, g := range gangs {
-				c.expect(c.waitForTasks(g, 4), "a gang that runs under the new leader")
+				c.expect(c.waitForTasks(g, 4), "gang %s runs under the new leader", g.spec.ID)
 			}
 			c.startController(leader)
 		},
 	},
 	{
-		name: "a leader ends while a gang is being preempted for urgent work",
+		name: "the leader is killed while a gang is preempted for a job of higher priority",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			gangs := []*job{}
 			for range 4 {
 				gangs = append(gangs, c.submit(func(spec *protocol.Spec) {
@@ -90,42 +91,42 @@
 					spec.Team, spec.Priority, spec.EstimateS = "red", "low", 60
 				}))
 			}
-			c.expect(c.waitForTasks(gangs[0], 4), "a gang that runs")
-			leader, before := c.waitForLeader(), c.currentTerm()
+			c.expect(c.waitForTasks(gangs[0], 4), "the first gang runs")
+			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			c.submit(func(spec *protocol.Spec) {
 				spec.Team, spec.Priority = "red", "production"
 				spec.Tasks, spec.CPUs, spec.EstimateS, spec.DeadlineS = 4, 8, 15, 17
 			})
 			time.Sleep(500 * time.Millisecond)
 			c.killController(leader)
-			c.waitForTermAfter(before)
+			c.waitForLeaderAfterTerm(oldTerm)
 			c.startController(leader)
 			time.Sleep(30 * time.Second)
 		},
 	},
 	{
-		name: "a gang's machine is unreachable for longer than its lease, and the leader changes meanwhile",
+		name: "a gang's machine is unreachable for longer than its lease, and the leader restarts meanwhile",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			g := c.submit(gangOfFour)
-			c.expect(c.waitForTasks(g, 4), "a gang that runs")
-			lost := c.machinesOf(g)[:1]
-			c.setWorkerLinks(lost, standin.Delay, standin.Delay)
+			c.expect(c.waitForTasks(g, 4), "the gang runs")
+			unreachable := c.machinesOf(g)[:1]
+			c.setWorkerLinks(unreachable, standin.Delay, standin.Delay)
 			time.Sleep(2 * time.Second)
-			before := c.currentTerm()
+			oldTerm := c.currentTerm()
 			c.restartController(c.waitForLeader(), 3*time.Second)
-			c.waitForTermAfter(before)
-			time.Sleep(limits.Seconds(leaseS + 4))
-			c.setWorkerLinks(lost, standin.Open, standin.Open)
+			c.waitForLeaderAfterTerm(oldTerm)
+			time.Sleep(limits.Seconds(workerLeaseS + 4))
+			c.setWorkerLinks(unreachable, standin.Open, standin.Open)
 		},
 	},
 	{
-		name: "machines with gangs hang, die, and are replaced, again and again",
+		name: "gangs lose machines repeatedly: one is killed, the next hangs",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			for i := range 6 {
 				g := c.submit(gangOfFour)
-				c.expect(c.waitForTasks(g, 4), "a gang that runs")
+				c.expect(c.waitForTasks(g, 4), "the gang runs")
 				machines := c.machinesOf(g)
 				if i%2 == 0 {
 					c.cloud.Kill(machines[0])
@@ -137,28 +138,28 @@
 		},
 	},
 	{
-		name: "starts of a gang are delayed, the gang is cancelled, and the starts arrive",
+		name: "start commands of a gang are delayed, and arrive after the gang was cancelled",
 		run: func(c *cluster) {
-			c.warmUp(4, longTasks)
+			c.startJobs(4, longTasks)
 			all := c.cloud.Machines()
 			for _, machine := range all[:len(all)/2] {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Delay)
 			}
 			g := c.submit(gangOfFour)
 			time.Sleep(2 * time.Second)
-			c.expect(c.cancel(g), "a cancellation")
+			c.expect(c.cancel(g), "the cancellation succeeds")
 			time.Sleep(4 * time.Second)
 			for _, machine := range all {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Open)
 			}
-			time.Sleep(limits.Seconds(cancelS))
-			c.expect(c.tasksOnMachines(g) == 0, "no task of the gang")
+			time.Sleep(limits.Seconds(cancelWithinS))
+			c.expect(c.runningTaskCount(g) == 0, "no task of the cancelled gang runs")
 		},
 	},
 	{
-		name: "old heartbeats of gangs arrive after newer ones, with leaders that change",
+		name: "old heartbeats of machines with gangs arrive after newer ones, while leaders change",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			c.cloud.SetDuplicateHeartbeats(func(string) (time.Duration, bool) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
@@ -166,7 +167,7 @@
 			})
 			for range 4 {
 				g := c.submit(gangOfFour)
-				c.expect(c.waitForTasks(g, 4), "a gang that runs")
+				c.expect(c.waitForTasks(g, 4), "the gang runs")
 				c.cloud.Kill(c.machinesOf(g)[0])
 				time.Sleep(4 * time.Second)
 				c.restartController(c.waitForLeader(), 500*time.Millisecond)
@@ -175,47 +176,47 @@
 		},
 	},
 	{
-		name: "two gangs each need the capacity that the other may have, and the team's limit is enough for one",
+		name: "two gangs compete for the same machines, and the team's limit is enough for one of them",
 		run: func(c *cluster) {
-			c.warmUp(1, nil)
+			c.startJobs(1, nil)
 			large := func(spec *protocol.Spec) {
 				gangOfFour(spec)
 				spec.Team, spec.Tasks, spec.EstimateS = "red", 5, 10
 			}
-			a, b := c.submit(large), c.submit(large) // 20 CPUs each, of 32
-			c.expect(c.waitForTasks(a, 5) || c.waitForTasks(b, 5), "one of them runs")
+			a, b := c.submit(large), c.submit(large) // 20 CPUs each; the team's limit is 32
+			c.expect(c.waitForTasks(a, 5) || c.waitForTasks(b, 5), "one of the two gangs runs")
 			time.Sleep(60 * time.Second)
 		},
 	},
 	{
-		name: "the limits of the state service fall while leaders change; a larger stored record can be cancelled",
+		name: "the state service lowers its limits while leaders change; a job with a larger record is cancelled",
 		run: func(c *cluster) {
-			c.warmUp(4, nil)
+			c.startJobs(4, nil)
 			large := c.storeLegacyJob(func(spec *protocol.Spec) {
 				for range 100 {
 					spec.MachineTypes = append(spec.MachineTypes, "another-type-with-a-long-name")
 				}
 				spec.MachineTypes[0], spec.EstimateS = "c8", 200
 			})
-			c.expect(c.waitForTasks(large, large.spec.Tasks), "the large job runs")
-			c.state.SetLimits(standin.StateLimits{ValueBytes: int(nextValueKB * 1024), TxnOps: nextTxnOps})
+			c.expect(c.waitForTasks(large, large.spec.Tasks), "the job with the large record runs")
+			c.state.SetLimits(standin.StateLimits{ValueBytes: int(announcedValueKB * 1024), TxnOps: announcedTxnOps})
 			c.generateLoad(40*time.Second, 3*time.Second, gangOfFour)
 			for range 3 {
 				c.restartController(c.waitForLeader(), time.Second)
 				time.Sleep(8 * time.Second)
 			}
-			c.expect(c.cancel(large), "a cancellation")
+			c.expect(c.cancel(large), "the cancellation of the job with the large record succeeds")
 			time.Sleep(20 * time.Second)
 			c.expect(c.state.OversizedTransactions() == 0,
-				"no transaction over the limits: %d", c.state.OversizedTransactions())
+				"no transaction exceeds the limits: %d did", c.state.OversizedTransactions())
 		},
 	},
 	{
-		name: "the state service is down while gangs run, lose a machine and start again",
+		name: "a gang loses a machine during an outage of the state service",
 		run: func(c *cluster) {
-			c.warmUp(2, nil)
+			c.startJobs(2, nil)
 			g := c.submit(gangOfFour)
-			c.expect(c.waitForTasks(g, 4), "a gang that runs")
+			c.expect(c.waitForTasks(g, 4), "the gang runs")
 			c.state.SetUnavailable(true)
 			c.cloud.Kill(c.machinesOf(g)[0])
 			time.Sleep(25 * time.Second)
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -95,7 +95,7 @@
 	for user := range burstUsers {
 		burst.users.Go(func() {
 			client := transport.NewClient(f.address, 1, limits.MaxBodyBytes)
-			defer client.Close()
+			defer client.CloseIdleConnections()
 			for i := 0; ctx.Err() == nil && i < requestsPerUser; i++ {
 				f.submitInBurst(burst, client, firstBurstJob+user*requestsPerUser+i)
 			}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -137,7 +137,7 @@
 
 // switchTo closes the connection to the current controller and switches to the leader, if the worker knows it.
 func (l *controllerList) switchTo(leader string) {
-	l.currentClient().Close()
+	l.currentClient().CloseIdleConnections()
 	if at := slices.Index(l.names, leader); at >= 0 {
 		l.index = at
 	}
@@ -145,7 +145,7 @@
 
 func (l *controllerList) close() {
 	for _, client := range l.clients {
-		client.Close()
+		client.CloseIdleConnections()
 	}
 }
 
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -11,9 +11,9 @@
 	"quillshunt/internal/limits"
 )
 
-// TestAnswerBeforeDeadline: an answer that was there before the deadline is taken, although the
-// process came to read it only after that.
-func TestAnswerBeforeDeadline(t *testing.T) {
+// TestResponseReadAfterDeadline checks that the client returns a response that has arrived but was not
+// read before the deadline, because the process got too little CPU time.
+func TestResponseReadAfterDeadline(t *testing.T) {
 	server := startServer(t, ServerOptions{
 		MaxConns: 10,
 		Handle:   func(_ *Message, rsp *Responder) { rsp.Respond(http.StatusOK, []byte("held"), 0) },
@@ -27,17 +27,17 @@
 	}
 	defer conn.close()
 	timeout := os.ErrDeadlineExceeded
-	if m, err := conn.answerAfterDeadline(timeout); m != nil || !errors.Is(err, timeout) {
-		t.Fatalf("nothing was asked: %v, %v", m, err)
+	if m, err := conn.receiveAfterDeadline(timeout); m != nil || !errors.Is(err, timeout) {
+		t.Fatalf("before a request was sent: got %v, error %v; want the timeout error", m, err)
 	}
 	if _, err := conn.conn.Write(AppendRequest(nil, "GET", "/", server.Addr(), nil)); err != nil {
 		t.Fatal(err)
 	}
 	for ctx.Err() == nil {
-		m, err := conn.answerAfterDeadline(timeout)
+		m, err := conn.receiveAfterDeadline(timeout)
 		if m != nil {
 			if string(m.Body) != "held" || !m.Close {
-				t.Errorf("answer %q, connection ends: %v", m.Body, m.Close)
+				t.Errorf("body %q, Close %v; want body \"held\" and Close", m.Body, m.Close)
 			}
 			return
 		}
@@ -46,18 +46,18 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the answer was not seen")
+	t.Fatal("the response was not returned")
 }
 
-// TestLargeRequest: a request that the socket does not take at once is sent whole, and the
-// connection can be used again.
-func TestLargeRequest(t *testing.T) {
+// TestRequestLargerThanSocketBuffer checks that a request is sent completely when the socket does not
+// take it in one write, and that the connection can be used again.
+func TestRequestLargerThanSocketBuffer(t *testing.T) {
 	server := startServer(t, ServerOptions{
 		MaxConns: 10,
 		Handle:   func(req *Message, rsp *Responder) { rsp.Respond(http.StatusOK, req.Body, 0) },
 	})
 	c := NewClient(server.Addr(), 1, limits.MaxBodyBytes)
-	defer c.Close()
+	defer c.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	body := make([]byte, limits.MaxBodyBytes)
@@ -67,7 +67,7 @@
 	for range 20 {
 		m, err := c.Do(ctx, "POST", "/", body)
 		if err != nil || string(m.Body) != string(body) {
-			t.Fatalf("%v, %d bytes of %d", err, len(m.Body), len(body))
+			t.Fatalf("error %v, or a wrong body: %d bytes, want %d", err, len(m.Body), len(body))
 		}
 	}
 }
--- a/internal/transport/decoder_test.go
+++ b/internal/transport/decoder_test.go
@@ -11,8 +11,9 @@
 	"quillshunt/internal/limits"
 )
 
-// parseAll feeds a stream in pieces and returns what comes out.
-func parseAll(response bool, pieces [][]byte) ([]Message, error) {
+// decodeAll feeds a stream to a decoder in pieces, and returns the messages decoded before the stream ends
+// or the first error. An incomplete message at the end of the stream is ignored.
+func decodeAll(response bool, pieces [][]byte) ([]Message, error) {
 	d := NewRequestDecoder(limits.MaxBodyBytes)
 	if response {
 		d = NewResponseDecoder(limits.MaxBodyBytes)
@@ -32,13 +33,14 @@
 		}
 	}
 	if response {
-		if m, err := d.EOF(); err == nil {
+		if m, err := d.HandleEOF(); err == nil {
 			out = append(out, *m)
 		}
 	}
 	return out, nil
 }
 
+// splitRandomly splits b into pieces of random sizes.
 func splitRandomly(t *rapid.T, b []byte) [][]byte {
 	var out [][]byte
 	for len(b) > 0 {
@@ -49,7 +51,8 @@
 	return out
 }
 
-func sameMessages(a, b []Message) bool {
+// equalMessages reports whether two lists contain equal messages in the same order.
+func equalMessages(a, b []Message) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -63,6 +66,8 @@
 	return true
 }
 
+// chunkedMessage returns a message with a body in chunks of random sizes, of which some have extensions,
+// leading zeros or sizes in upper case, and with a trailer.
 func chunkedMessage(t *rapid.T, head string, body []byte) []byte {
 	out := []byte(head + "Transfer-Encoding: chunked\r\n\r\n")
 	for len(body) > 0 {
@@ -88,9 +93,9 @@
 	return append(out, "0\r\nTrailer: x\r\n\r\n"...)
 }
 
-// TestSplitsParseAlike: any split of the same bytes gives the same messages, whether they are well
-// formed or not.
-func TestSplitsParseAlike(t *testing.T) {
+// TestDecodingIsIndependentOfSplits checks that a stream decodes to the same messages however it is split
+// into reads, and that a malformed stream fails in each case.
+func TestDecodingIsIndependentOfSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		response := rapid.Bool().Draw(t, "response")
 		var stream []byte
@@ -114,32 +119,34 @@
 			i := rapid.IntRange(0, len(stream)-1).Draw(t, "where")
 			stream[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		}
-		whole, wholeErr := parseAll(response, [][]byte{append([]byte(nil), stream...)})
-		parts, partsErr := parseAll(response, splitRandomly(t, stream))
-		if (wholeErr == nil) != (partsErr == nil) || !sameMessages(whole, parts) {
-			t.Fatalf("whole: %v %v\nparts: %v %v", whole, wholeErr, parts, partsErr)
+		whole, wholeErr := decodeAll(response, [][]byte{append([]byte(nil), stream...)})
+		parts, partsErr := decodeAll(response, splitRandomly(t, stream))
+		if (wholeErr == nil) != (partsErr == nil) || !equalMessages(whole, parts) {
+			t.Fatalf("in one piece: %v, error %v\nsplit: %v, error %v", whole, wholeErr, parts, partsErr)
 		}
 	})
 }
 
-func TestRoundTrip(t *testing.T) {
+// TestEncodeDecodeRoundTrip checks that encoded requests and responses decode to the same messages.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
 		target := "/kv/" + rapid.StringMatching(`[a-z0-9/._-]{1,40}`).Draw(t, "key")
-		got, err := parseAll(false, [][]byte{AppendRequest(nil, "POST", target, "h", body)})
+		got, err := decodeAll(false, [][]byte{AppendRequest(nil, "POST", target, "h", body)})
 		request := Message{Method: "POST", Path: target, Body: body}
-		if err != nil || !sameMessages(got, []Message{request}) {
-			t.Fatalf("request: %v %v", got, err)
+		if err != nil || !equalMessages(got, []Message{request}) {
+			t.Fatalf("request: got %v, error %v", got, err)
 		}
-		got, err = parseAll(true, [][]byte{AppendResponse(nil, 503, body, 7, true)})
+		got, err = decodeAll(true, [][]byte{AppendResponse(nil, 503, body, 7, true)})
 		response := Message{Status: 503, RetryAfter: 7, Close: true, Body: body}
-		if err != nil || !sameMessages(got, []Message{response}) {
-			t.Fatalf("response: %v %v", got, err)
+		if err != nil || !equalMessages(got, []Message{response}) {
+			t.Fatalf("response: got %v, error %v", got, err)
 		}
 	})
 }
 
-// TestMalformedMessages: what could be read in two ways, or has no end, is an error.
+// TestMalformedMessages checks that messages that are ambiguous, malformed or larger than the limits are
+// rejected.
 func TestMalformedMessages(t *testing.T) {
 	const (
 		postHead    = "POST / HTTP/1.1\r\n"
@@ -151,38 +158,40 @@
 		input string
 		want  error
 	}{
-		"conflicting lengths":  {lengthHead + "Content-Length: 2\r\n\r\nab", ErrMalformed},
-		"length and chunked":   {lengthHead + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
-		"list of lengths":      {postHead + "Content-Length: 1, 1\r\n\r\na", ErrMalformed},
-		"signed length":        {postHead + "Content-Length: +1\r\n\r\na", ErrMalformed},
-		"other coding":         {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
-		"chunked in 1.0":       {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
-		"space before colon":   {"GET / HTTP/1.1\r\nContent-Length : 1\r\n\r\n", ErrMalformed},
-		"folded header":        {"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", ErrMalformed},
-		"bare newline":         {"GET / HTTP/1.1\nA: b\r\n\r\n", ErrMalformed},
-		"nul in value":         {"GET / HTTP/1.1\r\nA: \x00\r\n\r\n", ErrMalformed},
-		"version":              {"GET / HTTP/2.0\r\n\r\n", ErrMalformed},
-		"absolute target":      {"GET http://a/ HTTP/1.1\r\n\r\n", ErrMalformed},
-		"no target":            {"GET HTTP/1.1\r\n\r\n", ErrMalformed},
-		"chunk size":           {chunkedHead + "xyz\r\n", ErrMalformed},
-		"chunk end":            {chunkedHead + "1\r\nabc", ErrMalformed},
-		"huge chunk":           {chunkedHead + "fffffff\r\n", ErrTooLarge},
-		"body over the limit":  {"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", ErrTooLarge},
-		"head without end":     {"GET /" + long, ErrTooLarge},
-		"too many headers":     {postHead + strings.Repeat("A: b\r\n", limits.MaxHeaders+1) + "\r\n", ErrTooLarge},
-		"trailer without end":  {chunkedHead + "0\r\n" + long, ErrTooLarge},
-		"endless size line":    {chunkedHead + strings.Repeat("0", limits.MaxChunkLine+1), ErrMalformed},
-		"length beyond digits": {postHead + "Content-Length: 99999999999\r\n\r\n", ErrMalformed},
+		"conflicting lengths":    {lengthHead + "Content-Length: 2\r\n\r\nab", ErrMalformed},
+		"length and chunked":     {lengthHead + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
+		"list of lengths":        {postHead + "Content-Length: 1, 1\r\n\r\na", ErrMalformed},
+		"signed length":          {postHead + "Content-Length: +1\r\n\r\na", ErrMalformed},
+		"other coding":           {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
+		"chunked in 1.0":         {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrMalformed},
+		"space before colon":     {"GET / HTTP/1.1\r\nContent-Length : 1\r\n\r\n", ErrMalformed},
+		"folded header":          {"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", ErrMalformed},
+		"bare newline":           {"GET / HTTP/1.1\nA: b\r\n\r\n", ErrMalformed},
+		"NUL in value":           {"GET / HTTP/1.1\r\nA: \x00\r\n\r\n", ErrMalformed},
+		"unsupported version":    {"GET / HTTP/2.0\r\n\r\n", ErrMalformed},
+		"absolute target":        {"GET http://a/ HTTP/1.1\r\n\r\n", ErrMalformed},
+		"no target":              {"GET HTTP/1.1\r\n\r\n", ErrMalformed},
+		"invalid chunk size":     {chunkedHead + "xyz\r\n", ErrMalformed},
+		"chunk without CRLF":     {chunkedHead + "1\r\nabc", ErrMalformed},
+		"huge chunk":             {chunkedHead + "fffffff\r\n", ErrTooLarge},
+		"body over the limit":    {"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", ErrTooLarge},
+		"head without end":       {"GET /" + long, ErrTooLarge},
+		"too many headers":       {postHead + strings.Repeat("A: b\r\n", limits.MaxHeaders+1) + "\r\n", ErrTooLarge},
+		"trailer without end":    {chunkedHead + "0\r\n" + long, ErrTooLarge},
+		"endless chunk size":     {chunkedHead + strings.Repeat("0", limits.MaxChunkLine+1), ErrMalformed},
+		"too many length digits": {postHead + "Content-Length: 99999999999\r\n\r\n", ErrMalformed},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if _, err := parseAll(false, [][]byte{[]byte(test.input)}); !errors.Is(err, test.want) {
+			if _, err := decodeAll(false, [][]byte{[]byte(test.input)}); !errors.Is(err, test.want) {
 				t.Errorf("got %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
+// FuzzDecoder checks that any stream decodes to the same messages whether it arrives at once or in pieces
+// of up to 16 bytes.
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		"3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"), uint8(3))
@@ -190,16 +199,16 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"), uint8(1))
 	f.Fuzz(func(t *testing.T, b []byte, step uint8) {
 		for _, response := range []bool{false, true} {
-			whole, wholeErr := parseAll(response, [][]byte{append([]byte(nil), b...)})
+			whole, wholeErr := decodeAll(response, [][]byte{append([]byte(nil), b...)})
 			var pieces [][]byte
 			for rest := b; len(rest) > 0; {
 				n := min(int(step%16)+1, len(rest))
 				pieces = append(pieces, append([]byte(nil), rest[:n]...))
 				rest = rest[n:]
 			}
-			parts, partsErr := parseAll(response, pieces)
-			if (wholeErr == nil) != (partsErr == nil) || !sameMessages(whole, parts) {
-				t.Fatalf("whole %v %v, parts %v %v", whole, wholeErr, parts, partsErr)
+			parts, partsErr := decodeAll(response, pieces)
+			if (wholeErr == nil) != (partsErr == nil) || !equalMessages(whole, parts) {
+				t.Fatalf("in one piece: %v, error %v; split: %v, error %v", whole, wholeErr, parts, partsErr)
 			}
 		}
 	})
