--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Kill removes a machine, its tasks and, on a Network, its connections.
+// Kill removes a machine and kills its tasks. On a Network it also removes the machine's host.
 func (c *Cloud) Kill(name string) {
 	c.mu.Lock()
 	w := c.workers[name]
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -170,8 +170,8 @@
 	return addr, nil
 }
 
-// waitWhileHung blocks while the machine hangs. It then checks the lease before the worker does anything else.
-// It returns false if the machine was killed.
+// waitWhileHung blocks while the machine hangs. It then starts a new incarnation if the lease has expired
+// meanwhile, before the worker can act on its old tasks. It returns false if the machine was killed.
 func (w *worker) waitWhileHung(ctx context.Context) bool {
 	for {
 		w.mu.Lock()
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -10,7 +10,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// task is an attempt of a task on a worker. An ended one is kept until a command to forget it.
+// task is one attempt to run a task on a worker. After it has ended, it is kept until a forget command.
 type task struct {
 	protocol.TaskStatus
 	completesAt time.Time    // if running and not of a gang
