--- a/cmd/standin/settings.go
+++ b/cmd/standin/settings.go
@@ -14,25 +14,27 @@
 	zone            = "a"
 )
 
-// addresses are the loopback addresses of all parts, counted from a first port.
+// addresses assigns loopback addresses to the fakes and the controllers, at fixed offsets from a first port.
 type addresses struct{ firstPort int }
 
-func (a addresses) at(offset int) string { return fmt.Sprintf("127.0.0.1:%d", a.firstPort+offset) }
+func (a addresses) atOffset(offset int) string {
+	return fmt.Sprintf("127.0.0.1:%d", a.firstPort+offset)
+}
 
-func (a addresses) state() string                 { return a.at(0) }
-func (a addresses) cloud() string                 { return a.at(1) }
-func (a addresses) clients(controller int) string { return a.at(10 + controller) }
-func (a addresses) peers(controller int) string   { return a.at(20 + controller) }
+func (a addresses) stateAddr() string                { return a.atOffset(0) }
+func (a addresses) cloudAddr() string                { return a.atOffset(1) }
+func (a addresses) clientAddr(controller int) string { return a.atOffset(10 + controller) }
+func (a addresses) peerAddr(controller int) string   { return a.atOffset(20 + controller) }
 
 func nodeName(controller int) string { return fmt.Sprintf("controller-%d", controller) }
 
-// writeSettings writes a settings file for each controller.
+// writeSettings writes a settings file for each controller into a directory, which it creates if needed.
 func writeSettings(directory string, addrs addresses) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return err
 	}
 	for i := range controllerCount {
-		encoded, err := json.MarshalIndent(settingsOf(i, addrs), "", "  ")
+		encoded, err := json.MarshalIndent(controllerSettings(i, addrs), "", "  ")
 		if err != nil {
 			return err
 		}
@@ -44,27 +46,28 @@
 	return nil
 }
 
-// settingsOf returns the settings of one controller.
-func settingsOf(controller int, addrs addresses) config.Settings {
+// controllerSettings returns the settings of one controller.
+func controllerSettings(controller int, addrs addresses) config.Settings {
 	settings := config.Settings{
 		NodeName:     nodeName(controller),
 		Zone:         zone,
-		ClientListen: addrs.clients(controller),
-		PeerBind:     addrs.peers(controller),
-		External:     config.External{Cloud: addrs.cloud(), State: addrs.state()},
-		Deployment:   deploymentFacts(),
+		ClientListen: addrs.clientAddr(controller),
+		PeerBind:     addrs.peerAddr(controller),
+		External:     config.External{Cloud: addrs.cloudAddr(), State: addrs.stateAddr()},
+		Deployment:   demoDeployment(),
 	}
 	for other := range controllerCount {
 		if other != controller {
-			member := config.Member{NodeName: nodeName(other), Zone: zone, Address: addrs.peers(other)}
+			member := config.Member{NodeName: nodeName(other), Zone: zone, Address: addrs.peerAddr(other)}
 			settings.Members = append(settings.Members, member)
 		}
 	}
 	return settings
 }
 
-// deploymentFacts describe a small deployment with gangs.
-func deploymentFacts() config.Deployment {
+// demoDeployment returns the settings that all controllers share, for a small deployment that supports
+// gangs.
+func demoDeployment() config.Deployment {
 	gangWaitS, gangPeerS := 40.0, 6.0
 	return config.Deployment{
 		InitialSize: controllerCount,
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -160,7 +160,7 @@
 		name: "old heartbeats of machines with gangs arrive after newer ones, while leaders change",
 		run: func(c *cluster) {
 			c.startJobs(2, nil)
-			c.cloud.SetRepeatedHeartbeats(func(string) (time.Duration, bool) {
+			c.cloud.SetDuplicateHeartbeats(func(string) (time.Duration, bool) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return time.Duration(2000+c.random.IntN(30000)) * time.Millisecond, c.random.Float64() < 0.4
@@ -172,7 +172,7 @@
 				time.Sleep(4 * time.Second)
 				c.restartController(c.waitForLeader(), 500*time.Millisecond)
 			}
-			c.cloud.SetRepeatedHeartbeats(nil)
+			c.cloud.SetDuplicateHeartbeats(nil)
 		},
 	},
 	{
--- a/internal/standin/cloud_http.go
+++ b/internal/standin/cloud_http.go
@@ -10,7 +10,7 @@
 
 const cloudMaxConns = 100
 
-// Server returns a server of the cloud's interface on an address.
+// Server returns an HTTP server of the cloud API on an address.
 func (c *Cloud) Server(addr string) *transport.Server {
 	return transport.NewServer(transport.ServerOptions{
 		Addr: addr, MaxConns: cloudMaxConns, Handle: c.handle, Log: c.options.Log,
@@ -20,13 +20,13 @@
 func (c *Cloud) handle(req *transport.Message, rsp *transport.Responder) {
 	if c.options.InjectFault != nil {
 		if status := c.options.InjectFault(req); status != 0 {
-			rsp.Respond(status, protocol.Encode(map[string]string{"error": "trouble"}), 0)
+			rsp.Respond(status, protocol.Encode(map[string]string{"error": "injected fault"}), 0)
 			return
 		}
 	}
 	switch {
 	case req.Path == "/machine_types":
-		rsp.Respond(http.StatusOK, protocol.Encode(protocol.MachineTypeList{Types: c.options.Types}), 0)
+		rsp.Respond(http.StatusOK, protocol.Encode(protocol.MachineTypeList{Types: c.options.MachineTypes}), 0)
 	case req.Path == "/rentals" && req.Method == http.MethodPost:
 		c.handleRental(req.Body, rsp)
 	case req.Path == "/rentals/delete":
@@ -49,7 +49,7 @@
 		rsp.Respond(http.StatusBadRequest, nil, 0)
 		return
 	}
-	rsp.Respond(http.StatusOK, protocol.Encode(protocol.RentalReply{Machines: c.rent(request)}), 0)
+	rsp.Respond(http.StatusOK, protocol.Encode(protocol.RentalReply{Machines: c.rentMachines(request)}), 0)
 }
 
 func (c *Cloud) handleDeletion(body []byte, rsp *transport.Responder) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,25 +16,24 @@
 	"quillshunt/internal/transport"
 )
 
-// The times that stand-in workers keep, unless a test sets others.
+// Times of the workers. CloudOptions.WorkerTimes can replace all except responseTimeout and retryInterval.
 const (
 	heartbeatInterval = time.Second
 	leaseDuration     = 10 * time.Second
-	answerTimeout     = 4 * time.Second
+	responseTimeout   = 4 * time.Second
 	retryInterval     = time.Second
 
-	gangWaitTimeout = 40 * time.Second
-	gangPeerTimeout = 6 * time.Second
+	gangWaitTimeout   = 40 * time.Second
+	gangPeerDetection = 6 * time.Second
 )
 
-// workerMaxConns bounds the connections for direct commands, workerPort is their port on a Network.
 const (
-	workerMaxConns = 20
-	workerPort     = ":9000"
+	workerMaxConns = 20      // inbound connections for direct commands and probes
+	workerPort     = ":9000" // port for them on a Network
 )
 
-// worker is a machine of the stand-in cloud. Its tasks only wait for the run time that their owner
-// estimated.
+// worker is a machine of the fake cloud and the worker process on it. Its tasks only wait for the run time that
+// the job's specification estimates.
 type worker struct {
 	cloud       *Cloud
 	machineType *protocol.MachineType
@@ -43,25 +42,25 @@
 
 	mu           sync.Mutex
 	machine      protocol.Machine
-	incarnation  uint64 // 0: not up, or gone
-	sequence     uint64
-	fencingToken uint64           // the highest seen
-	leaseStart   time.Time        // when the last heartbeat was sent that was answered
-	hungUntil    atomic.Int64     // in Unix nanoseconds; also read by other workers of a gang
-	tasks        map[string]*task // by name and attempt
+	incarnation  uint64           // 0: booting or killed
+	sequence     uint64           // of the last heartbeat
+	fencingToken uint64           // the highest token received
+	leaseStart   time.Time        // when the last accepted reply's heartbeat was sent, or the incarnation started
+	hungUntil    atomic.Int64     // in Unix nanoseconds; gangs read it without mu
+	tasks        map[string]*task // see taskKey
 }
 
-// run boots the machine and sends heartbeats until the context ends.
+// run boots the machine and sends heartbeats until the context is cancelled.
 func (w *worker) run(ctx context.Context) {
 	if !storage.Sleep(ctx, limits.Seconds(w.machineType.BootS)) {
 		return
 	}
 	addr, err := w.listen(ctx)
 	if err != nil {
-		w.cloud.options.Log.Error("worker", "err", err)
+		w.cloud.options.Log.Error("worker failed to listen", "machine", w.machine.Name, "err", err)
 		return
 	}
-	if !w.begin(ctx, addr) {
+	if !w.startFirstIncarnation(ctx, addr) {
 		return
 	}
 	controllers := newControllerList(w.cloud, w.machine.Name)
@@ -74,8 +73,9 @@
 	}
 }
 
-// begin begins the first incarnation, unless the machine is gone already.
-func (w *worker) begin(ctx context.Context, addr string) bool {
+// startFirstIncarnation marks the machine as running in its first incarnation. It returns false if the machine
+// was killed while it booted.
+func (w *worker) startFirstIncarnation(ctx context.Context, addr string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if ctx.Err() != nil {
@@ -86,36 +86,38 @@
 	return true
 }
 
-// exchangeHeartbeat sends a heartbeat and acts on the answer. It returns the pause until the next one,
-// and whether the machine is still there.
+// exchangeHeartbeat sends a heartbeat and processes the response, unless it arrives too late. If the controller
+// does not accept the heartbeat, the worker switches to the leader named in the response, or else to the next
+// controller. It returns the pause before the next heartbeat, and false if the machine was killed.
 func (w *worker) exchangeHeartbeat(ctx context.Context, controllers *controllerList) (pause time.Duration, alive bool) {
 	sent := time.Now()
 	w.mu.Lock()
 	heartbeat := w.heartbeat()
 	w.mu.Unlock()
-	answer := w.sendHeartbeat(ctx, controllers.client(), heartbeat)
+	response := w.sendHeartbeat(ctx, controllers.currentClient(), heartbeat)
 	if !w.waitWhileHung(ctx) {
 		return 0, false
 	}
 	switch {
-	case answer.status == http.StatusOK:
-		if time.Since(sent) < answerTimeout {
-			w.applyReply(heartbeat.Incarnation, answer.reply, sent)
+	case response.status == http.StatusOK:
+		if time.Since(sent) < responseTimeout {
+			w.applyReply(heartbeat.Incarnation, response.reply, sent)
 		}
 		return limits.Seconds(w.cloud.options.WorkerTimes.HeartbeatIntervalS), true
-	case answer.status == http.StatusMisdirectedRequest && answer.leader != "" && answer.leader != controllers.name():
-		controllers.follow(answer.leader)
+	case response.status == http.StatusMisdirectedRequest &&
+		response.leader != "" && response.leader != controllers.currentName():
+		controllers.switchTo(response.leader)
 		return retryInterval / 10, true
 	}
-	controllers.next()
+	controllers.useNext()
 	return retryInterval, true
 }
 
-// controllerList is the controllers that a worker knows, of which it uses one at a time.
+// controllerList holds the controllers that a worker knows. The worker uses one of them at a time.
 type controllerList struct {
 	names   []string
-	clients map[string]*transport.Client
-	at      int
+	clients map[string]*transport.Client // by controller name
+	index   int                          // of the controller in use, in names
 }
 
 func newControllerList(c *Cloud, host string) *controllerList {
@@ -129,15 +131,15 @@
 	return list
 }
 
-func (l *controllerList) name() string              { return l.names[l.at] }
-func (l *controllerList) client() *transport.Client { return l.clients[l.name()] }
-func (l *controllerList) next()                     { l.at = (l.at + 1) % len(l.names) }
+func (l *controllerList) currentName() string              { return l.names[l.index] }
+func (l *controllerList) currentClient() *transport.Client { return l.clients[l.currentName()] }
+func (l *controllerList) useNext()                         { l.index = (l.index + 1) % len(l.names) }
 
-// follow goes to the leader, if it is known, and closes the connection that is left.
-func (l *controllerList) follow(leader string) {
-	l.client().CloseIdleConnections()
+// switchTo closes the connection to the current controller and switches to the leader, if the worker knows it.
+func (l *controllerList) switchTo(leader string) {
+	l.currentClient().CloseIdleConnections()
 	if at := slices.Index(l.names, leader); at >= 0 {
-		l.at = at
+		l.index = at
 	}
 }
 
@@ -147,7 +149,7 @@
 	}
 }
 
-// listen serves direct commands and returns the address.
+// listen starts the server for direct commands and probes, and returns its address.
 func (w *worker) listen(ctx context.Context) (string, error) {
 	options := transport.ServerOptions{MaxConns: workerMaxConns, Handle: w.handle, Log: w.cloud.options.Log}
 	if network := w.cloud.options.Network; network != nil {
@@ -162,20 +164,20 @@
 	options.Addr = addr
 	go func() {
 		if err := transport.NewServer(options).Run(ctx); err != nil {
-			w.cloud.options.Log.Error("worker", "machine", w.machine.Name, "err", err)
+			w.cloud.options.Log.Error("server of worker failed", "machine", w.machine.Name, "err", err)
 		}
 	}()
 	return addr, nil
 }
 
-// waitWhileHung waits while the machine hangs, and then looks at its lease before all else. It returns
-// false once the machine is gone.
+// waitWhileHung blocks while the machine hangs. It then starts a new incarnation if the lease has expired
+// meanwhile, before the worker can act on its old tasks. It returns false if the machine was killed.
 func (w *worker) waitWhileHung(ctx context.Context) bool {
 	for {
 		w.mu.Lock()
-		hung := w.hungFor()
+		hung := w.remainingHang()
 		if hung <= 0 {
-			w.endExpiredIncarnation()
+			w.restartIfLeaseExpired()
 			w.mu.Unlock()
 			return ctx.Err() == nil
 		}
@@ -186,16 +188,17 @@
 	}
 }
 
-// hungFor returns for how long the machine goes on hanging; 0 or less: it does not hang.
-func (w *worker) hungFor() time.Duration { return time.Until(time.Unix(0, w.hungUntil.Load())) }
+// remainingHang returns for how much longer the machine hangs; it does not hang if the result is 0 or less.
+func (w *worker) remainingHang() time.Duration { return time.Until(time.Unix(0, w.hungUntil.Load())) }
 
-// leaseExpired reports whether the lease is over. The caller holds mu.
+// leaseExpired reports whether the worker's lease has expired. The caller holds mu.
 func (w *worker) leaseExpired() bool {
 	return time.Since(w.leaseStart) > limits.Seconds(w.cloud.options.WorkerTimes.LeaseS)
 }
 
-// endExpiredIncarnation begins the next incarnation if the lease is over. The caller holds mu.
-func (w *worker) endExpiredIncarnation() {
+// restartIfLeaseExpired kills all tasks and starts the next incarnation if the lease has expired. The caller
+// holds mu.
+func (w *worker) restartIfLeaseExpired() {
 	if w.incarnation > 0 && w.leaseExpired() {
 		w.killAll()
 		w.incarnation++
@@ -203,47 +206,47 @@
 	}
 }
 
-// heartbeatAnswer is what a controller answered to a heartbeat.
-type heartbeatAnswer struct {
-	status int                     // 0: no answer
-	leader string                  // to send heartbeats to instead
-	reply  protocol.HeartbeatReply // if the status is 200
+// heartbeatResponse is a controller's response to a heartbeat.
+type heartbeatResponse struct {
+	status int                     // 0: no valid response
+	leader string                  // for status 421: the leader, or "" if the controller knows none
+	reply  protocol.HeartbeatReply // for status 200
 }
 
-// sendHeartbeat sends a heartbeat and reads the answer.
+// sendHeartbeat sends a heartbeat and decodes the response. If a duplicate is due, it schedules that too.
 func (w *worker) sendHeartbeat(
 	ctx context.Context, client *transport.Client, heartbeat protocol.Heartbeat,
-) heartbeatAnswer {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+) heartbeatResponse {
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	body := protocol.Encode(heartbeat)
-	if after, ok := w.cloud.heartbeatRepetition(w.machine.Name); ok {
-		time.AfterFunc(after, func() { w.repeatHeartbeat(body) })
+	if delay, ok := w.cloud.heartbeatDuplicateDelay(w.machine.Name); ok {
+		time.AfterFunc(delay, func() { w.sendDuplicateHeartbeat(body) })
 	}
-	m, err := client.Do(ctx, http.MethodPost, "/v1/report", body)
+	httpResponse, err := client.Do(ctx, http.MethodPost, "/v1/report", body)
 	if err != nil {
-		return heartbeatAnswer{}
+		return heartbeatResponse{}
 	}
-	answer := heartbeatAnswer{status: m.Status}
-	switch m.Status {
+	response := heartbeatResponse{status: httpResponse.Status}
+	switch httpResponse.Status {
 	case http.StatusOK:
-		if protocol.Decode(m.Body, &answer.reply) != nil {
-			return heartbeatAnswer{}
+		if protocol.Decode(httpResponse.Body, &response.reply) != nil {
+			return heartbeatResponse{}
 		}
 	case http.StatusMisdirectedRequest:
 		var redirect protocol.Redirect
-		if protocol.Decode(m.Body, &redirect) == nil {
-			answer.leader = redirect.Leader
+		if protocol.Decode(httpResponse.Body, &redirect) == nil {
+			response.leader = redirect.Leader
 		}
 	}
-	return answer
+	return response
 }
 
-// repeatHeartbeat sends a heartbeat again, to every controller; nobody waits for the answers.
-func (w *worker) repeatHeartbeat(body []byte) {
+// sendDuplicateHeartbeat sends a copy of an earlier heartbeat to every controller and ignores the responses.
+func (w *worker) sendDuplicateHeartbeat(body []byte) {
 	for _, addr := range w.cloud.options.Controllers {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 			defer cancel()
 			client := transport.NewClient(addr, 0, limits.MaxBodyBytes).WithDialer(w.cloud.dialer("copies"))
 			_, _ = client.Do(ctx, http.MethodPost, "/v1/report", body)
@@ -251,8 +254,8 @@
 	}
 }
 
-// applyReply executes the commands of an answer, unless its fencing token is old or the incarnation
-// has changed.
+// applyReply renews the lease from the time when the heartbeat was sent, and executes the commands of the reply.
+// It ignores the reply if a higher fencing token was received or a new incarnation has started meanwhile.
 func (w *worker) applyReply(incarnation uint64, reply protocol.HeartbeatReply, sent time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -260,46 +263,47 @@
 		return
 	}
 	w.fencingToken, w.leaseStart = reply.FencingToken, sent
-	w.execute(reply.Commands)
+	w.executeCommands(reply.Commands)
 }
 
-// handle answers a direct command, once the machine does not hang any more.
+// handle responds to a probe or to direct commands. While the machine hangs, it postpones the response.
 func (w *worker) handle(req *transport.Message, rsp *transport.Responder) {
-	if hung := w.hungFor(); hung > 0 {
+	if hung := w.remainingHang(); hung > 0 {
 		time.AfterFunc(hung, func() { w.handle(req, rsp) })
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.endExpiredIncarnation()
+	w.restartIfLeaseExpired()
 	switch {
-	case w.incarnation == 0: // gone
+	case w.incarnation == 0: // killed
 		rsp.Respond(http.StatusNotFound, nil, 0)
 	case req.Path == "/status" && req.Method == http.MethodGet:
 		rsp.Respond(http.StatusOK, protocol.Encode(w.heartbeat()), 0)
 	case req.Path == "/do" && req.Method == http.MethodPost:
-		status, body := w.executeDirectly(req.Body)
+		status, body := w.executeDirectCommands(req.Body)
 		rsp.Respond(status, body, 0)
 	default:
 		rsp.Respond(http.StatusNotFound, nil, 0)
 	}
 }
 
-// executeDirectly executes direct commands and returns the answer. The caller holds mu.
-func (w *worker) executeDirectly(body []byte) (status int, answer []byte) {
-	var direct protocol.DirectCommands
-	if err := protocol.Decode(body, &direct); err != nil || direct.Incarnation == 0 {
+// executeDirectCommands executes direct commands and returns the response. It executes none if a higher fencing
+// token was received or they are for another incarnation. The caller holds mu.
+func (w *worker) executeDirectCommands(body []byte) (status int, response []byte) {
+	var request protocol.DirectCommands
+	if err := protocol.Decode(body, &request); err != nil || request.Incarnation == 0 {
 		return http.StatusBadRequest, nil
 	}
-	if direct.FencingToken < w.fencingToken || direct.Incarnation != w.incarnation {
+	if request.FencingToken < w.fencingToken || request.Incarnation != w.incarnation {
 		return http.StatusConflict, protocol.Encode(w.heartbeat())
 	}
-	w.fencingToken = direct.FencingToken
-	w.execute(direct.Commands)
+	w.fencingToken = request.FencingToken
+	w.executeCommands(request.Commands)
 	return http.StatusOK, protocol.Encode(w.heartbeat())
 }
 
-// freeAddress finds a free port on the loopback.
+// freeAddress returns an address with a free TCP port on the loopback interface.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -10,16 +10,17 @@
 	"quillshunt/internal/protocol"
 )
 
-// task is a task on a worker, also one that has ended and was not forgotten.
+// task is one attempt to run a task on a worker. After it has ended, it is kept until a forget command.
 type task struct {
 	protocol.TaskStatus
-	doneAt time.Time
-	gang   *gangAttempt // nil if its job's tasks are independent
+	completesAt time.Time    // if running and not of a gang
+	gang        *gangAttempt // nil if the job is not a gang
 }
 
+// taskKey returns the key of an attempt in worker.tasks.
 func taskKey(name string, attempt uint64) string { return fmt.Sprintf("%s#%d", name, attempt) }
 
-// heartbeat makes a heartbeat of the tasks as they are now. The caller holds mu.
+// heartbeat updates the tasks to the current time and returns the next heartbeat. The caller holds mu.
 func (w *worker) heartbeat() protocol.Heartbeat {
 	w.sequence++
 	heartbeat := protocol.Heartbeat{
@@ -33,7 +34,7 @@
 		switch {
 		case t.gang != nil && t.State != protocol.TaskEnded:
 			w.updateFromGang(t)
-		case t.State == protocol.TaskRunning && time.Now().After(t.doneAt):
+		case t.State == protocol.TaskRunning && time.Now().After(t.completesAt):
 			w.endTask(t, protocol.ReasonDone)
 		}
 		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
@@ -41,8 +42,9 @@
 	return heartbeat
 }
 
-// execute executes commands in order. The caller holds mu.
-func (w *worker) execute(commands []protocol.Command) {
+// executeCommands executes commands in order. It ignores commands that do not apply to the state of their task.
+// The caller holds mu.
+func (w *worker) executeCommands(commands []protocol.Command) {
 	for _, command := range commands {
 		key := taskKey(command.Task, command.Attempt)
 		t := w.tasks[key]
@@ -51,7 +53,7 @@
 			w.tasks[key] = w.startTask(command)
 		case command.Verb == protocol.CommandStop && t != nil && t.State != protocol.TaskEnded:
 			if t.gang != nil && command.GraceS != nil && t.gang.stop(t.Task, *command.GraceS) {
-				continue // it saves
+				continue // it ends after saving a checkpoint
 			}
 			w.endTask(t, protocol.ReasonStopped)
 		case command.Verb == protocol.CommandForget && t != nil && t.State == protocol.TaskEnded:
@@ -60,7 +62,7 @@
 	}
 }
 
-// startTask starts a task, or returns it ended with the reason why it was refused. The caller holds mu.
+// startTask starts a task. If it cannot, it returns a task that has ended, with the reason. The caller holds mu.
 func (w *worker) startTask(command protocol.Command) *task {
 	t := &task{TaskStatus: protocol.TaskStatus{
 		Task: command.Task, Attempt: command.Attempt,
@@ -87,26 +89,26 @@
 	t.Reason = ""
 	if spec.IsGang() {
 		t.State = protocol.TaskGathering
-		t.gang = w.cloud.gangs.attempt(spec, command.Attempt, w.cloud.gangTimes())
-		t.gang.join(command.Task, func() bool { return w.hungFor() > 0 })
+		t.gang = w.cloud.gangs.getOrCreateAttempt(spec, command.Attempt, w.cloud.gangTimes())
+		t.gang.join(command.Task, func() bool { return w.remainingHang() > 0 })
 	} else {
 		t.State = protocol.TaskRunning
-		t.doneAt = time.Now().Add(limits.Seconds(spec.EstimateS))
+		t.completesAt = time.Now().Add(limits.Seconds(spec.EstimateS))
 	}
 	w.notifyTaskChange(command.Task, true)
 	return t
 }
 
-// updateFromGang brings a task in line with its gang. The caller holds mu.
+// updateFromGang updates the status of a task from its gang. The caller holds mu.
 func (w *worker) updateFromGang(t *task) {
-	status := t.gang.observe(t.Task)
+	status := t.gang.poll(t.Task)
 	t.State, t.Reason, t.Saved = status.State, status.Reason, status.Saved
 	if t.State == protocol.TaskEnded {
 		w.notifyTaskChange(t.Task, false)
 	}
 }
 
-// endTask ends a running task. The caller holds mu.
+// endTask ends a task that has not ended yet, for the given reason. The caller holds mu.
 func (w *worker) endTask(t *task, reason protocol.EndReason) {
 	t.State, t.Reason = protocol.TaskEnded, reason
 	if reason == protocol.ReasonDone {
@@ -115,7 +117,7 @@
 	w.notifyTaskChange(t.Task, false)
 }
 
-// killAll ends and forgets all tasks. The caller holds mu.
+// killAll kills all tasks and removes them. The caller holds mu.
 func (w *worker) killAll() {
 	for _, t := range w.tasks {
 		if t.State == protocol.TaskRunning || t.State == protocol.TaskGathering {
@@ -128,6 +130,7 @@
 	w.tasks = map[string]*task{}
 }
 
+// notifyTaskChange calls OnTaskChange, if it is set.
 func (w *worker) notifyTaskChange(task string, runs bool) {
 	if w.cloud.options.OnTaskChange != nil {
 		w.cloud.options.OnTaskChange(w.machine.Name, task, runs)
