--- a/internal/coordination/leader/cloud_client.go
+++ b/internal/coordination/leader/cloud_client.go
@@ -125,16 +125,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.CloudTimeout)
 	defer cancel()
-	answer, err := c.client.Do(ctx, method, target, body)
+	response, err := c.client.Do(ctx, method, target, body)
 	if err != nil {
 		return nil, err
 	}
-	if answer.Status != http.StatusOK {
+	if response.Status != http.StatusOK {
 		return nil, &statusError{
-			service: "cloud", operation: operation, status: answer.Status, reason: errorReason(answer.Body),
+			service: "cloud", operation: operation, status: response.Status, reason: errorReason(response.Body),
 		}
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
 // errorReason returns the reason in the body of an error reply, or "" if there is none.
--- a/internal/coordination/leader/direct_commands.go
+++ b/internal/coordination/leader/direct_commands.go
@@ -54,18 +54,18 @@
 func sendDirectCommands(
 	ctx context.Context, worker *transport.Client, commands protocol.DirectCommands,
 ) (*protocol.Heartbeat, error) {
-	answer, err := worker.Do(ctx, http.MethodPost, "/do", protocol.Encode(commands))
+	response, err := worker.Do(ctx, http.MethodPost, "/do", protocol.Encode(commands))
 	if err != nil {
 		return nil, err
 	}
-	if answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
-		return nil, &statusError{service: "worker", operation: "send commands", status: answer.Status}
+	if response.Status != http.StatusOK && response.Status != http.StatusConflict {
+		return nil, &statusError{service: "worker", operation: "send commands", status: response.Status}
 	}
 	var heartbeat protocol.Heartbeat
-	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
+	if err := protocol.Decode(response.Body, &heartbeat); err != nil {
 		return nil, fmt.Errorf("worker: send commands: decode reply: %w", err)
 	}
-	if answer.Status == http.StatusConflict {
+	if response.Status == http.StatusConflict {
 		return nil, &commandsRejectedError{&heartbeat}
 	}
 	return &heartbeat, nil
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -12,7 +12,7 @@
 func (t *termActor) executeEffect(ctx context.Context, effect scheduler.Effect) {
 	switch effect := effect.(type) {
 	case scheduler.HeartbeatReply:
-		t.answerHeartbeat(effect)
+		t.replyToHeartbeat(effect)
 	case scheduler.WriteRecords:
 		t.writes.add(effect)
 	case scheduler.SendDirectCommands:
@@ -36,9 +36,9 @@
 	}
 }
 
-// answerHeartbeat replies to a worker's heartbeat. It renews the worker's lease only if the leadership
+// replyToHeartbeat replies to a worker's heartbeat. It renews the worker's lease only if the leadership
 // is still valid.
-func (t *termActor) answerHeartbeat(reply scheduler.HeartbeatReply) {
+func (t *termActor) replyToHeartbeat(reply scheduler.HeartbeatReply) {
 	switch {
 	case reply.Redirect:
 		reply.ReplyTo.Redirect(protocol.Redirect{Leader: t.dispatcher.settings.NodeName})
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -57,15 +57,15 @@
 // fencing token, and returns the heartbeat in the second reply. The heartbeat is not nil if the error
 // is nil.
 func (t *termActor) probeWorker(ctx context.Context, worker *transport.Client) (*protocol.Heartbeat, error) {
-	answer, err := worker.Do(ctx, http.MethodGet, "/status", nil)
+	response, err := worker.Do(ctx, http.MethodGet, "/status", nil)
 	if err != nil {
 		return nil, err
 	}
-	if answer.Status != http.StatusOK {
-		return nil, &statusError{service: "worker", operation: "get status", status: answer.Status}
+	if response.Status != http.StatusOK {
+		return nil, &statusError{service: "worker", operation: "get status", status: response.Status}
 	}
 	var heartbeat protocol.Heartbeat
-	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
+	if err := protocol.Decode(response.Body, &heartbeat); err != nil {
 		return nil, fmt.Errorf("worker: get status: decode reply: %w", err)
 	}
 	if !t.leadership.Entitled() {
