--- a/internal/coordination/election/campaign.go
+++ b/internal/coordination/election/campaign.go
@@ -14,7 +14,7 @@
 // candidacy is one attempt to become the leader.
 type candidacy struct {
 	leader     storage.LeaderRecord // the value to write to the leader key
-	leaseID    uint64               // of the lease that the leader key is attached to
+	leaseID    uint64               // of the leader lease, to which the leader key is attached
 	conditions []protocol.Condition
 }
 
@@ -29,7 +29,7 @@
 	sentAt := time.Now()
 	leaseID, err := e.options.Store.CreateLease(ctx, e.options.LeaseDuration)
 	if err != nil {
-		return fmt.Errorf("create the lease of the leader key: %w", err)
+		return fmt.Errorf("create the leader lease: %w", err)
 	}
 	c := candidacy{
 		leader:     storage.LeaderRecord{Node: e.options.Node, Term: last.Term + 1, ProcessNonce: e.voter.nonce},
@@ -91,10 +91,10 @@
 }
 
 // readOutcome reads the leader key after a campaign transaction that was not confirmed. If the key
-// holds the record of this candidacy, it returns the version of the key; otherwise the error is
-// campaignErr. The transaction may still be applied after that. A later attempt then finds the name
-// of this controller in the leader key. If another controller has won by then, the conditions of
-// the transaction fail instead.
+// holds the record of this candidacy, it returns the version of the key; otherwise it returns an
+// error that wraps campaignErr. The transaction may still be applied after that, unless another
+// controller has won meanwhile: its conditions then fail. If it is applied, the next call of
+// followOrCampaign finds the name of this controller in the leader key and campaigns again.
 func (e *Elector) readOutcome(ctx context.Context, c candidacy, campaignErr error) (version uint64, err error) {
 	key, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	if err != nil {
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -5,15 +5,16 @@
 //
 // The protocol has five parts:
 //
-//   - Lease. The leader key in the state service is attached to a lease that the leader renews. A
-//     controller may write the key if it is absent, or if it holds the controller's own name, because
-//     only one process per name runs at a time. Withdrawal and Handover below are the only other
-//     cases. Every write of a term has the condition that the leader key is unchanged, so a leader
-//     that was replaced can write nothing.
-//   - Votes. The lease must outlast an outage of the state service, so it is long. With the lease
-//     alone, an unreachable leader would stay the leader for all that time. A leader is therefore
-//     entitled only while it holds both the lease and a short quorum lease, which it renews by
-//     collecting votes from a majority of the controllers. A single controller needs no votes.
+//   - Leader lease. The leader key in the state service is attached to a lease that the leader
+//     renews. A controller may write the key if it is absent, or if it holds the controller's own
+//     name, because only one process per name runs at a time. Withdrawal and Handover below are the
+//     only other cases. Every write of a term has the condition that the leader key is unchanged, so
+//     a leader that was replaced can write nothing.
+//   - Votes. The leader lease must outlast an outage of the state service, so it is long. With this
+//     lease alone, an unreachable leader would stay the leader for all that time. A leader is
+//     therefore entitled only while it holds both the leader lease and a short quorum lease, which it
+//     renews by collecting votes from a majority of the controllers. A single controller needs no
+//     votes.
 //   - Heartbeat record. Without the votes of a majority, the leader extends the quorum lease by
 //     writing its heartbeat record to the state service instead.
 //   - Withdrawal. A follower that receives no vote requests suspects the leader. If the heartbeat
@@ -27,7 +28,7 @@
 //
 // A restarted process does not know which votes the previous process on its node granted or
 // withdrew. It therefore waits for the longest possible vote to expire before it withdraws its own.
-// It grants votes only to a leader that has learned the nonce of this process and has written a
+// It grants votes only to a leader that has received the nonce of this process and has written a
 // heartbeat record since. docs/design/leadership.md has the proof.
 package election
 
@@ -57,15 +58,16 @@
 type Peers interface {
 	// Size returns the number of other controllers, which is constant.
 	Size() int
-	// RequestVotes asks all other controllers to vote for the leader whose heartbeat record has
-	// that key version. The nonces, by node, identify the processes that the caller expects on the
-	// nodes. The result has no entry for a controller that does not reply in time.
+	// RequestVotes asks all other controllers to vote for the leader whose heartbeat record has the
+	// given version. The nonces, by node name, identify the processes that the caller expects on the
+	// nodes. The result, also by node name, has no entry for a controller that does not reply in
+	// time.
 	RequestVotes(ctx context.Context, heartbeatVersion uint64, nonces map[string]uint64) map[string]Vote
 	// FindConnected returns the name of another controller that can reach the state service, or ""
 	// if there is none.
 	FindConnected(ctx context.Context) string
-	// OfferLeadership tells a controller that the leader has resigned and that its term is over.
-	// The key version is that of the leader key in this term.
+	// OfferLeadership notifies a controller that the leader of the given term has resigned and that
+	// the term is over. keyVersion is the version of the leader key in that term.
 	OfferLeadership(ctx context.Context, node string, term, keyVersion uint64) error
 }
 
@@ -74,9 +76,9 @@
 	Node          string // the controller's own name
 	Store         Store
 	Peers         Peers                                    // nil for a single controller, which needs no votes
-	LeaseDuration time.Duration                            // of the lease that the leader key is attached to
+	LeaseDuration time.Duration                            // of the leader lease
 	VoteLease     time.Duration                            // how long a vote is valid; 0 if leadership needs no votes
-	RunTerm       func(ctx context.Context, l *Leadership) // runs a term; returns soon after ctx ends
+	RunTerm       func(ctx context.Context, l *Leadership) // runs a term; must return soon after ctx ends
 	Log           *slog.Logger
 
 	// SchedulingDelay measures how late this process runs because its CPU is busy. If nil,
@@ -127,7 +129,7 @@
 	return err == nil
 }
 
-// ReportTermLost tells the elector that a term is over: a write failed because another controller
+// ReportTermLost notifies the elector that a term is over: a write failed because another controller
 // has replaced the leader, or a worker has seen a later term. It does not block.
 func (e *Elector) ReportTermLost(term uint64) {
 	select {
@@ -137,9 +139,9 @@
 }
 
 // AcceptOffer accepts the leadership offered by a leader that has resigned and does nothing more in
-// its term. This process may then campaign at once instead of waiting for the lease to expire. The
-// condition on the version of the leader key ensures that the campaign replaces only that term.
-// AcceptOffer does not block. A newer offer replaces an older one.
+// its term. This process may then campaign at once instead of waiting for the leader lease to
+// expire. The condition on the version of the leader key ensures that the campaign replaces only
+// that term. AcceptOffer does not block. A newer offer replaces an older one.
 func (e *Elector) AcceptOffer(term, keyVersion uint64) {
 	e.options.Log.Info("leadership offer received", "term", term)
 	select {
@@ -152,8 +154,8 @@
 	}
 }
 
-// Vote replies to a vote request from the leader whose heartbeat record has that key version. The
-// nonce identifies the process that the leader expects here.
+// Vote replies to a vote request from the leader whose heartbeat record has the given version. The
+// nonce identifies the process that the leader expects on this node.
 func (e *Elector) Vote(heartbeatVersion, nonce uint64) Vote {
 	return e.voter.vote(heartbeatVersion, nonce)
 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -63,7 +63,7 @@
 	stateServiceRejects
 	noFault
 	crashRepeatedly // restarts at once, possibly during an election
-	isolatedFromAll // from the state service and the other nodes, not from its workers
+	isolatedFromAll // from the state service and the other nodes
 	isolatedFromPeers
 	faultCount
 )
@@ -175,10 +175,9 @@
 	})
 }
 
-// TestIsolatedLeader isolates the leader from the other controllers, but not from its workers. If
-// it is cut off from the state service too, it must stop being entitled, and another controller
-// must lead long before the lease expires. If not, it must stay entitled by writing heartbeat
-// records.
+// TestIsolatedLeader checks a leader that cannot reach the other controllers. If it cannot reach the
+// state service either, it must stop being entitled, and another controller must lead long before
+// the leader lease expires. If it can, it must stay entitled by writing heartbeat records.
 func TestIsolatedLeader(t *testing.T) {
 	for i := range 12 {
 		fromStateService := i%2 == 0
--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -9,17 +9,17 @@
 )
 
 // mayBeIsolated reports whether this leader may be cut off from the state service and should look
-// for a controller that is not. It returns true if no renewal of the lease has succeeded for longer
-// than limits.IsolatedAfter and the cause of the last failure is not in this process.
+// for a controller that is not. It returns true if no renewal of the leader lease has succeeded for
+// longer than limits.IsolationThreshold and the cause of the last failure is not in this process.
 func (e *Elector) mayBeIsolated(ctx context.Context, sinceRenewal time.Duration, err error) bool {
 	return e.options.Peers != nil && sinceRenewal > limits.IsolationThreshold && e.isStateServiceFault(ctx, err)
 }
 
 // isStateServiceFault reports whether a failed renewal is evidence that the state service is
 // unreachable. A timeout is no evidence while this process is scheduled late, because the reply may
-// have arrived in time but been read too late. A handover would then cost a recovery of the
-// scheduler's state, on a controller that is as busy. If this controller is cut off after all, its
-// entitlement ends for lack of votes and heartbeat records.
+// have arrived in time but been read too late. A handover would then only cause a recovery of the
+// scheduler's state on another controller, which is just as busy. If this controller is cut off
+// after all, it stops being entitled, because it gets no votes and can write no heartbeat records.
 func (e *Elector) isStateServiceFault(ctx context.Context, err error) bool {
 	if !storage.IsTimeout(err) {
 		return true
@@ -42,13 +42,13 @@
 }
 
 // handOver resigns if another controller can reach the state service, and reports whether it
-// resigned. The entitlement must end for good before the successor receives the offer. If all
-// offers are lost, a successor campaigns once the lease expires or a majority has withdrawn its
-// votes.
+// resigned. It must stop being entitled, irrevocably, before the successor receives the offer. If
+// all offers are lost, another controller campaigns once the leader lease has expired or a majority
+// has withdrawn its votes.
 func (e *Elector) handOver(ctx context.Context, l *Leadership) bool {
 	successor := e.options.Peers.FindConnected(ctx)
 	if successor == "" {
-		return false // probably an outage for all: the term continues while the lease lasts
+		return false // probably an outage for all controllers: the term continues while the leader lease is valid
 	}
 	l.resigned.Store(true)
 	e.options.Log.Warn("handing over the leadership", "term", l.Term, "successor", successor,
--- a/internal/coordination/election/handover_test.go
+++ b/internal/coordination/election/handover_test.go
@@ -10,9 +10,9 @@
 	"quillshunt/internal/limits"
 )
 
-// TestHandover checks that a leader hands over long before its lease expires if the state service
-// rejects the requests of this leader alone. It must keep the leadership while the state service
-// rejects all controllers.
+// TestHandover checks that a leader hands over long before the leader lease expires if the state
+// service rejects the requests of this leader alone. It must keep the leadership while the state
+// service is unavailable to all controllers.
 func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2, 2)
@@ -25,7 +25,7 @@
 		c.service.SetUnavailable(true)
 		time.Sleep(limits.LeaderLease / 2)
 		if first.entitledLeadership() == nil {
-			t.Fatal("lost the leadership while the state service is down for all controllers")
+			t.Fatal("lost the leadership while the state service is unavailable to all controllers")
 		}
 		c.service.SetUnavailable(false)
 		time.Sleep(5 * time.Second)
@@ -67,8 +67,8 @@
 	}
 }
 
-// successorPeers are the other controllers, one of which can reach the state service. It calls
-// onOffer for each offer.
+// successorPeers simulates other controllers, one of which can reach the state service. It calls
+// onOffer for each offer of the leadership.
 type successorPeers struct {
 	Peers
 	onOffer func()
@@ -82,7 +82,7 @@
 }
 
 // TestResignsBeforeOffer checks that the leader is no longer entitled when it offers the
-// leadership, and that a late renewal of the lease does not make it entitled again.
+// leadership, and that a late renewal of the leader lease does not make it entitled again.
 func TestResignsBeforeOffer(t *testing.T) {
 	l := NewLeadership(1, 1, time.Now().Add(time.Hour))
 	if !l.Entitled() {
--- a/internal/coordination/election/lead.go
+++ b/internal/coordination/election/lead.go
@@ -10,7 +10,7 @@
 	"quillshunt/internal/storage"
 )
 
-// lead runs a term until it is over, and meanwhile renews the lease and the quorum lease. It
+// lead runs a term until it is over, and meanwhile renews the leader lease and the quorum lease. It
 // returns after every goroutine of the term has ended.
 func (e *Elector) lead(ctx context.Context, l *Leadership, leaseID uint64) {
 	e.options.Log.Info("term started", "term", l.Term, "key_version", l.KeyVersion)
@@ -34,7 +34,7 @@
 	e.maintainLease(ctx, l, leaseID, termDone)
 }
 
-// maintainLease renews the lease until the lease expires, the term is over, or the leadership is
+// maintainLease renews the leader lease until it expires, the term is over, or the leadership is
 // handed over.
 func (e *Elector) maintainLease(ctx context.Context, l *Leadership, leaseID uint64, termDone <-chan struct{}) {
 	ticker := time.NewTicker(limits.LeaseRenewInterval)
@@ -59,7 +59,7 @@
 			case errors.Is(err, storage.ErrLeaseExpired):
 				return
 			default:
-				e.options.Log.Debug("failed to renew the lease of the leader key", "term", l.Term, "err", err)
+				e.options.Log.Debug("failed to renew the leader lease", "term", l.Term, "err", err)
 				if e.mayBeIsolated(ctx, time.Since(renewedAt), err) && e.handOver(ctx, l) {
 					return
 				}
@@ -68,9 +68,10 @@
 	}
 }
 
-// renewLease renews the lease once and extends the entitlement. After an outage, the renewal may
-// succeed long after the entitlement has ended. The lease did not expire in between, so no other
-// controller can have led, and the term continues.
+// renewLease renews the leader lease once and extends the time for which the leader is entitled by
+// it. After an outage of the state service, a renewal may succeed long after that time. The state
+// service has not let the lease expire in between, so no other controller can have led, and the term
+// continues.
 func (e *Elector) renewLease(ctx context.Context, l *Leadership, leaseID uint64) error {
 	sentAt := time.Now()
 	if err := e.options.Store.RenewLease(ctx, leaseID); err != nil {
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -9,21 +9,22 @@
 	"quillshunt/internal/storage"
 )
 
-// Leadership is one term of leadership. The elector extends its entitlement. Entitled may be called
-// by any goroutine.
+// Leadership is the leadership of this process in one term. The process is entitled to act as the
+// leader while it holds a valid leader lease and, if it needs votes, a valid quorum lease. The
+// elector extends both. Entitled may be called by any goroutine.
 type Leadership struct {
 	Term       uint64 // the fencing token; unique among terms
 	KeyVersion uint64 // of the leader key; a condition of every write of the term
 
 	startedAt        time.Time
-	leaseUntil       atomic.Int64  // end of the entitlement by the lease, in nanoseconds after startedAt
-	quorumUntil      atomic.Int64  // end of the entitlement by the quorum lease, in nanoseconds after startedAt
-	resigned         atomic.Bool   // the leadership was handed over; a late renewal does not undo this
+	leaseUntil       atomic.Int64  // until when the leader lease is valid, in nanoseconds after startedAt
+	quorumUntil      atomic.Int64  // until when the quorum lease is valid, in nanoseconds after startedAt
+	resigned         atomic.Bool   // the leadership is handed over; a late renewal does not undo this
 	observedRevision atomic.Uint64 // the term has processed all changes of open jobs up to this revision
 }
 
-// NewLeadership returns the leadership of a single controller, which needs no votes. It is entitled
-// until the given time, unless its lease is extended.
+// NewLeadership returns a leadership that depends on the leader lease alone; see requireQuorum. The
+// lease is valid until the given time unless it is extended.
 func NewLeadership(term, keyVersion uint64, until time.Time) *Leadership {
 	l := &Leadership{Term: term, KeyVersion: keyVersion, startedAt: time.Now()}
 	l.quorumUntil.Store(math.MaxInt64)
@@ -31,8 +32,8 @@
 	return l
 }
 
-// requireQuorum makes the entitlement also depend on the quorum lease, which ends at the given time
-// unless it is extended.
+// requireQuorum makes the leadership also depend on the quorum lease, which is valid until the given
+// time unless it is extended.
 func (l *Leadership) requireQuorum(until time.Time) {
 	l.quorumUntil.Store(int64(until.Sub(l.startedAt)))
 }
@@ -53,9 +54,10 @@
 	}
 }
 
-// Entitled reports whether this process is certainly the leader at this moment. The process may be
-// descheduled right afterwards. Whatever depends on the result is therefore also protected by the
-// term, by the version of the leader key, or by a name that is never reused.
+// Entitled reports whether this process is entitled to act as the leader at this moment; no other
+// controller is entitled then. The process may be descheduled right afterwards. Whatever depends on
+// the result is therefore also protected by the term, by the version of the leader key, or by a name
+// that is never reused.
 func (l *Leadership) Entitled() bool {
 	if l.resigned.Load() {
 		return false
--- a/internal/coordination/election/leadership_test.go
+++ b/internal/coordination/election/leadership_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestLeaseMargins checks that the holder of a lease stops using it before it can expire, and that
-// others wait until it has certainly expired, for the largest drift between two clocks.
+// others wait until it has certainly expired, even with the largest drift between two clocks.
 func TestLeaseMargins(t *testing.T) {
 	for _, d := range []time.Duration{limits.LeaderLeaseMin, 14 * time.Second, limits.LeaderLeaseMax} {
 		drift := time.Duration(float64(d) * limits.ClockDriftRatio)
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -19,8 +19,8 @@
 	sequence         uint64 // sequence number of the last record sent in this term
 	renewedAt        time.Time
 
-	// The nonces of the processes that replied to vote requests, by node. A process grants its vote
-	// only for a heartbeat record that was written after the leader had learned its nonce. A nonce
+	// The nonces of the processes that replied to vote requests, by node name. A process grants its
+	// vote only for a heartbeat record that was sent after the leader had received its nonce. A nonce
 	// is therefore known first, and is covered by the next heartbeat record.
 	knownNonces   map[string]uint64
 	coveredNonces map[string]uint64
@@ -88,7 +88,7 @@
 
 // writeHeartbeat writes the next heartbeat record, and extends the quorum lease if that succeeds.
 // It reports whether another controller has replaced the leader. After any other failure, the
-// caller tries again at its next tick.
+// caller tries again at the next tick of its ticker.
 func (r *quorumRenewer) writeHeartbeat(ctx context.Context) (superseded bool) {
 	nonces := maps.Clone(r.knownNonces) // the record covers only nonces known before it is sent
 	sentAt := time.Now()
--- a/internal/coordination/election/quorum_test.go
+++ b/internal/coordination/election/quorum_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestHeartbeatConditions checks that the leader writes its heartbeat record only over the last
-// version that it knows, and only while the leader key is its own. If it finds another version, it
-// takes this as the last one.
+// version that it knows, and only while the leader key is its own. If the record has another
+// version, the leader must use that version for its next write.
 func TestHeartbeatConditions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := standin.NewStateService()
--- a/internal/coordination/election/store_test.go
+++ b/internal/coordination/election/store_test.go
@@ -30,7 +30,7 @@
 	captured         []protocol.Transaction // captured campaigns, for the test to apply
 }
 
-// deliver simulates the way of a request to the state service: it waits for a random delay, and
+// deliver simulates the transmission of a request to the state service: it waits for a random delay, and
 // returns an error if the request is rejected or times out.
 func (u *unreliableStore) deliver(ctx context.Context) error {
 	u.mu.Lock()
--- a/internal/coordination/election/suspicion.go
+++ b/internal/coordination/election/suspicion.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// suspicion is the evidence of a follower that the leader is unreachable. It starts at one version
-// of the heartbeat record. It lasts while the record keeps this version and the leader requests no
-// votes.
+// suspicion records since when a follower has had reason to regard the leader as unreachable. It
+// begins at one version of the heartbeat record, and lasts while the record keeps this version and
+// the leader requests no votes.
 type suspicion struct {
 	leaderVersion      uint64    // version of the leader key being followed
 	followedAt         time.Time // when the follower first saw this version
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -16,7 +16,7 @@
 // voter keeps track of the votes that this process has granted and withdrawn. A restarted process
 // does not know the votes of the previous process on its node. It therefore waits for the longest
 // possible vote to expire before it withdraws its own, and grants votes only to a leader that has
-// learned its nonce and has written a heartbeat record since.
+// received its nonce and has written a heartbeat record since.
 type voter struct {
 	voteLease time.Duration
 	nonce     uint64 // identifies the process among all processes of the node; never 0
@@ -28,8 +28,8 @@
 	withdrawnUpTo uint64    // no votes are granted for this heartbeat version or earlier ones
 }
 
-// vote replies to a vote request from the leader whose heartbeat record has that key version. The
-// nonce identifies the process that the leader expects here.
+// vote replies to a vote request from the leader whose heartbeat record has the given version. The
+// nonce identifies the process that the leader expects on this node.
 func (v *voter) vote(heartbeatVersion, nonce uint64) Vote {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -54,8 +54,9 @@
 	return true
 }
 
-// voteRequestOverdue reports whether this process has received no vote request for SuspicionShare
-// of the vote lease. The time counts from the last request or from since, whichever is later.
+// voteRequestOverdue reports whether this process has received no vote request for longer than the
+// share limits.SuspicionShare of the vote lease. The time counts from the last request or from since,
+// whichever is later.
 func (v *voter) voteRequestOverdue(since time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/coordination/election/voter_test.go
+++ b/internal/coordination/election/voter_test.go
@@ -13,7 +13,7 @@
 	"quillshunt/internal/standin"
 )
 
-// votingPeers are four other controllers, two of which grant their votes once the leader knows
+// votingPeers simulates four other controllers, two of which grant their votes once the leader knows
 // their nonces. With the leader's own vote, this is exactly a majority.
 type votingPeers struct{ Peers }
 
