--- a/internal/coordination/leader/cloud_client.go
+++ b/internal/coordination/leader/cloud_client.go
@@ -27,8 +27,8 @@
 	callSlots chan struct{} // limits concurrent calls
 }
 
-// NewCloudClient returns a client of the cloud at an address. The cloud allows rps requests per
-// second. If dialer is nil, connections use TCP.
+// NewCloudClient returns a client of the cloud at an address. rps is the number of requests per second
+// that the cloud allows. If dialer is nil, connections use TCP.
 func NewCloudClient(address string, rps float64, dialer transport.Dialer) *CloudClient {
 	return &CloudClient{
 		client:    transport.NewClient(address, 2, limits.MaxUpstreamBytes).WithDialer(dialer),
@@ -54,9 +54,9 @@
 }
 
 // RentMachines sends a rental request and returns the names of the rented machines. The request name
-// makes the call idempotent: a repeated request rents no further machines. After an error that wraps
-// errNoCapacity or errRentalRejected the request is certainly not executed. After any other error it
-// may have been executed, or may still be.
+// makes the call idempotent: a repeated request rents no further machines. An error that wraps
+// errNoCapacity or errRentalRejected means that the request was not and will not be executed. After any
+// other error it may have been executed, or may still be.
 func (c *CloudClient) RentMachines(ctx context.Context, request protocol.RentalRequest) ([]string, error) {
 	body, err := c.call(ctx, "rent machines", http.MethodPost, "/rentals", protocol.Encode(request))
 	var unexpected *statusError
@@ -78,7 +78,7 @@
 	return reply.Machines, nil
 }
 
-// DeleteMachines ends the rental of machines. The call is idempotent.
+// DeleteMachines deletes machines, which ends their rental. The call is idempotent.
 func (c *CloudClient) DeleteMachines(ctx context.Context, machines []string) error {
 	body := protocol.Encode(protocol.DeleteRequest{Machines: machines})
 	_, err := c.call(ctx, "delete machines", http.MethodPost, "/rentals/delete", body)
@@ -111,8 +111,8 @@
 }
 
 // call sends one request and returns the body of the reply. It waits for the rate limiter and for a
-// free call slot first. Errors mention the operation; a reply with a status other than 200 is returned
-// as a statusError.
+// free call slot first. A reply with a status other than 200 is returned as a statusError. Errors name
+// the operation, except errors of the connection, which name the method and the target.
 func (c *CloudClient) call(ctx context.Context, operation, method, target string, body []byte) ([]byte, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("cloud: %s: wait for the rate limiter: %w", operation, err)
--- a/internal/coordination/leader/cloud_client_test.go
+++ b/internal/coordination/leader/cloud_client_test.go
@@ -16,8 +16,8 @@
 
 const testCloudRPS = 1000
 
-// TestRentMachinesErrors: the error tells whether a rental request has failed for good (no capacity,
-// malformed request) or has to be repeated.
+// TestRentMachinesErrors checks that the error shows whether a rental request has failed for good (no
+// capacity, malformed request) or has to be repeated.
 func TestRentMachinesErrors(t *testing.T) {
 	reason := func(text string) any { return map[string]string{"error": text} }
 	for _, c := range []struct {
@@ -58,25 +58,25 @@
 				}
 			}
 			if rented := slices.Equal(machines, []string{"m-1"}); rented != (c.err == "") {
-				t.Errorf("machines %q with error %v", machines, err)
+				t.Errorf("machines %q with error %v, want [\"m-1\"] only without an error", machines, err)
 			}
 		})
 	}
 }
 
-// TestRentMachinesMalformedReply: a reply that cannot be decoded leaves the outcome of the request
-// unknown, so that it is repeated.
+// TestRentMachinesMalformedReply checks that a reply that cannot be decoded leaves the outcome of the
+// request unknown, so that the request is repeated.
 func TestRentMachinesMalformedReply(t *testing.T) {
 	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, []int{1})), testCloudRPS, nil)
 	defer cloud.client.CloseIdleConnections()
 	_, err := cloud.RentMachines(context.Background(), protocol.RentalRequest{Name: "r-1", Count: 1})
 	if err == nil || errors.Is(err, errNoCapacity) || errors.Is(err, errRentalRejected) {
-		t.Errorf("error %v, want one that does not end the request", err)
+		t.Errorf("error %v, want one that leaves the outcome of the request unknown", err)
 	}
 }
 
-// TestListMachinesReadsAllPages: after a truncated page, the next request starts after the last name of
-// that page.
+// TestListMachinesReadsAllPages checks that after a truncated page the next request starts after the
+// last name of that page.
 func TestListMachinesReadsAllPages(t *testing.T) {
 	pages := map[string]protocol.MachineList{
 		"":    {Machines: []protocol.Machine{{Name: "m-1"}, {Name: "m 2"}}, Truncated: true},
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestListMachineTypesRejectsEmptyList: an empty list of machine types is an error.
+// TestListMachineTypesRejectsEmptyList checks that an empty list of machine types is an error.
 func TestListMachineTypesRejectsEmptyList(t *testing.T) {
 	cloud := NewCloudClient(startServer(t, alwaysRespond(http.StatusOK, protocol.MachineTypeList{})), testCloudRPS, nil)
 	defer cloud.client.CloseIdleConnections()
--- a/internal/coordination/leader/cloud_effects.go
+++ b/internal/coordination/leader/cloud_effects.go
@@ -24,7 +24,7 @@
 }
 
 // tryRental sends a rental request once. It returns false if the request must be repeated: its outcome
-// is unknown, or it was not sent because the leadership is not valid at the moment.
+// is unknown, or it was not sent because this leader is not entitled at the moment.
 func (t *termActor) tryRental(ctx context.Context, request protocol.RentalRequest) (scheduler.RentalDone, bool) {
 	if !t.leadership.Entitled() {
 		return scheduler.RentalDone{}, false
@@ -43,7 +43,7 @@
 	return scheduler.RentalDone{}, false
 }
 
-// executeDeletion asks the cloud once to delete machines. The scheduler repeats a failed deletion.
+// executeDeletion asks the cloud once to delete machines. The scheduler retries a failed deletion.
 func (t *termActor) executeDeletion(ctx context.Context, machines []string) {
 	done := scheduler.DeletionDone{Machines: machines}
 	if t.leadership.Entitled() {
--- a/internal/coordination/leader/direct_commands_test.go
+++ b/internal/coordination/leader/direct_commands_test.go
@@ -14,8 +14,8 @@
 	"quillshunt/internal/transport"
 )
 
-// TestSendDirectCommands: the result tells whether the worker executed the commands, rejected them, or
-// may have executed them.
+// TestSendDirectCommands checks that the result shows whether the worker executed the commands, rejected
+// them, or may have executed them.
 func TestSendDirectCommands(t *testing.T) {
 	after := protocol.Heartbeat{Machine: "m-1", Address: "a:1", Incarnation: 3, FencingToken: 9}
 	for _, c := range []struct {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestExecuteDirectCommands: the outcome is sent to the scheduler, and the elector is notified that the
-// term is over if the worker has seen the fencing token of a later leader.
+// TestExecuteDirectCommands checks that the outcome is sent to the scheduler, and that the elector is
+// notified of the end of the term if the worker has received the fencing token of a later leader.
 func TestExecuteDirectCommands(t *testing.T) {
 	heartbeat := func(token uint64) protocol.Heartbeat {
 		return protocol.Heartbeat{Machine: "m-1", Address: "a:1", FencingToken: token}
@@ -72,7 +72,7 @@
 		{"rejected for a later leader", startWorker(t, http.StatusConflict, heartbeat(2)), true, true, false, true},
 		{"outcome unknown", startWorker(t, http.StatusInternalServerError, nil), true, false, false, false},
 		{"not sent", unreachable, true, true, false, false},
-		{"leadership no longer valid", startWorker(t, http.StatusOK, heartbeat(1)), false, true, false, false},
+		{"leader not entitled", startWorker(t, http.StatusOK, heartbeat(1)), false, true, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			termLost := false
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -1,7 +1,7 @@
 // Package leader runs the scheduler while this controller is the leader. Each term has one actor: a
-// goroutine that owns the scheduler and receives all input as messages. The scheduler decides on
-// effects, such as writes and calls; other goroutines execute those that need I/O, so that the actor
-// never blocks on I/O.
+// goroutine that owns the scheduler and receives all input as messages. The scheduler returns effects,
+// such as writes to the state service and calls of the cloud. Other goroutines execute those that need
+// I/O, so that the actor never blocks on I/O.
 package leader
 
 import (
@@ -65,11 +65,11 @@
 func (d *Dispatcher) OnTermLost(termLost func(term uint64)) { d.onTermLost = termLost }
 
 // IsLeader reports whether this process runs a term. Another controller may have become the leader
-// without this process having noticed it; see Entitled.
+// since, without this process having detected it; see Entitled.
 func (d *Dispatcher) IsLeader() bool { return d.current.Load() != nil }
 
-// Entitled reports whether this process is certainly the leader at this moment: its leadership is
-// still valid, so that no other controller can have become the leader.
+// Entitled reports whether this process is entitled to act as the leader at this moment. No other
+// controller is entitled then.
 func (d *Dispatcher) Entitled() bool {
 	t := d.current.Load()
 	return t != nil && t.leadership.Entitled()
@@ -83,8 +83,8 @@
 	d.enqueueHeartbeat(heartbeatMessage{body: body, respond: respond, sameConnection: sameConnection})
 }
 
-// RelayedHeartbeat passes a worker's heartbeat that another controller has relayed to the actor, and
-// returns the status and body of the reply. See HandleHeartbeat for sameConnection.
+// RelayedHeartbeat passes to the actor a worker's heartbeat that another controller has relayed. It
+// returns the HTTP status and the body of the reply. See HandleHeartbeat for sameConnection.
 func (d *Dispatcher) RelayedHeartbeat(ctx context.Context, body []byte, sameConnection bool) (int, []byte) {
 	type response struct {
 		status int
@@ -120,7 +120,7 @@
 }
 
 // TaskCounts returns the numbers of done and running tasks of a job. It returns false if this process
-// does not lead, does not know the job or does not reply in time.
+// does not lead, if its scheduler does not know the job, or if the actor does not reply in time.
 func (d *Dispatcher) TaskCounts(ctx context.Context, job string) (peer.TaskCounts, bool) {
 	t := d.current.Load()
 	if t == nil {
@@ -134,10 +134,11 @@
 }
 
 // ConfirmCancellation passes the record of a cancelled job to the scheduler, before a controller
-// confirms the cancellation to the user. It reports whether the leadership was still valid after the
+// confirms the cancellation to the user. It reports whether this leader was still entitled after the
 // scheduler had processed the record. If so, no other controller was the leader then, and every later
-// leader reads the record from the state service. Waiting for the leader's own watch could take long,
-// as the state service may refuse the requests of this controller or of all controllers.
+// leader reads the record from the state service. Waiting until the leader's own watch delivers the
+// record could take long, as the state service may refuse the requests of this controller or of all
+// controllers.
 func (d *Dispatcher) ConfirmCancellation(ctx context.Context, job string, version uint64, record []byte) bool {
 	t := d.current.Load()
 	if t == nil {
@@ -171,7 +172,7 @@
 
 // RunTerm runs the actor of a term until the context ends.
 //
-// It does not wait for the goroutines that execute effects, write records and watch jobs. They may be
+// It does not wait for the goroutines that execute effects, write records and watch jobs: they may be
 // blocked in a call, and the elector does not campaign for the next term before RunTerm has returned.
 // They end with the context. Requests that they still send are fenced by the term: writes by the
 // condition on the leader key, commands by the fencing token, and rental requests by names that are
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// replyToHeartbeat replies to a worker's heartbeat. It renews the worker's lease only if the leadership
-// is still valid.
+// replyToHeartbeat sends the reply to a worker's heartbeat. It renews the worker lease only if this
+// leader is still entitled.
 func (t *termActor) replyToHeartbeat(reply scheduler.HeartbeatReply) {
 	switch {
 	case reply.Redirect:
--- a/internal/coordination/leader/errors.go
+++ b/internal/coordination/leader/errors.go
@@ -15,8 +15,8 @@
 	errNoCapacity = errors.New("no capacity")
 	// errRentalRejected means that the cloud rejected a rental request as malformed.
 	errRentalRejected = errors.New("rejected as malformed")
-	// errNotEntitled means that no commands were sent because the leadership is no longer valid.
-	errNotEntitled = errors.New("leadership is no longer valid")
+	// errNotEntitled means that no commands were sent because this leader is not entitled at the moment.
+	errNotEntitled = errors.New("this leader is not entitled at the moment")
 )
 
 // statusError is a reply of the cloud or a worker with a status that the operation does not expect.
--- a/internal/coordination/leader/heartbeat_responder.go
+++ b/internal/coordination/leader/heartbeat_responder.go
@@ -13,7 +13,7 @@
 
 var _ scheduler.HeartbeatResponder = HeartbeatResponderFunc(nil)
 
-// Accept replies with 200 and the commands for the worker, which renews the worker's lease.
+// Accept replies with 200 and the commands for the worker. This reply renews the worker lease.
 func (r HeartbeatResponderFunc) Accept(reply protocol.HeartbeatReply) {
 	r(http.StatusOK, protocol.Encode(reply))
 }
@@ -23,5 +23,5 @@
 	r(http.StatusMisdirectedRequest, protocol.Encode(redirect))
 }
 
-// Reject replies with 503, which does not renew the lease. The worker may try another controller.
+// Reject replies with 503, which does not renew the worker lease. The worker may try another controller.
 func (r HeartbeatResponderFunc) Reject() { r(http.StatusServiceUnavailable, nil) }
--- a/internal/coordination/leader/load.go
+++ b/internal/coordination/leader/load.go
@@ -110,8 +110,8 @@
 		SinceSubmission: max(sinceUnixMilli(record.SubmittedAtMs), 0),
 	}
 	if record.CancelledAtMs != 0 {
-		// CancelledAtMs is the time of another controller's clock. Each of the two clocks may be off by
-		// SkewMs, so twice that is added: SinceCancellation must not be too short.
+		// CancelledAtMs is a time of another controller's clock. Each of the two clocks may be off by
+		// MaxClockSkewMs, so twice that is added: SinceCancellation must not be too short.
 		skew := limits.Seconds(t.dispatcher.settings.Deployment.MaxClockSkewMs / 1000)
 		change.SinceCancellation = max(sinceUnixMilli(record.CancelledAtMs)+2*skew, 0)
 	}
--- a/internal/coordination/leader/machine_types.go
+++ b/internal/coordination/leader/machine_types.go
@@ -11,7 +11,8 @@
 )
 
 // refreshMachineTypes reads the machine types from the cloud, sends them to the scheduler and stores
-// them in the state service, where all controllers read them. It retries only the storing.
+// them in the state service, where all controllers read them. It retries only the write to the state
+// service.
 func (t *termActor) refreshMachineTypes(ctx context.Context) {
 	types, err := t.dispatcher.cloud.ListMachineTypes(ctx)
 	if err != nil {
--- a/internal/coordination/leader/messages.go
+++ b/internal/coordination/leader/messages.go
@@ -7,7 +7,7 @@
 	"quillshunt/internal/coordination/scheduler"
 )
 
-// message is a message in the mailbox of an actor. Its types are declared in this file.
+// message is a message in the mailbox of an actor. The types that implement it are declared below.
 type message interface{ isMessage() }
 
 // heartbeatMessage is a worker's heartbeat.
@@ -31,8 +31,8 @@
 	reply chan scheduler.TaskCounts
 }
 
-// cancellationMessage passes the record of a cancelled job to the scheduler. The reply tells whether
-// the leadership was still valid after the scheduler had processed the record.
+// cancellationMessage passes the record of a cancelled job to the scheduler. The reply is whether this
+// leader was still entitled after the scheduler had processed the record.
 type cancellationMessage struct {
 	change scheduler.JobChanged
 	reply  chan bool
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -25,7 +25,7 @@
 	}
 	if t.hasRecentSlowHeartbeat() {
 		// A queued heartbeat gives the scheduler the same information as a probe, and its reply must
-		// reach the worker before the worker's lease expires. The probe can be sent later.
+		// reach the worker before the worker lease expires. The probe can be sent later.
 		t.sendEvent(ctx, scheduler.ProbeDone{Machine: probe.Machine, NotSent: true})
 		return
 	}
@@ -46,8 +46,8 @@
 	})
 }
 
-// hasRecentSlowHeartbeat reports whether, within the last SlowHeartbeatMemory, a heartbeat was handled
-// that had waited in the mailbox for longer than SlowHeartbeatWait.
+// hasRecentSlowHeartbeat reports whether, within the last limits.ProbePause, a heartbeat was handled
+// that had waited in the mailbox for longer than limits.SlowHeartbeatThreshold.
 func (t *termActor) hasRecentSlowHeartbeat() bool {
 	slowAt := t.lastSlowHeartbeatAt.Load()
 	return slowAt != 0 && t.now()-time.Duration(slowAt) < limits.ProbePause
--- a/internal/coordination/leader/probes_test.go
+++ b/internal/coordination/leader/probes_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestProbeNotSentAfterSlowHeartbeat: shortly after a heartbeat had to wait long in the mailbox, probes
-// are reported as not sent, so that the scheduler does not take their machines for unreachable.
+// TestProbeNotSentAfterSlowHeartbeat checks that shortly after a heartbeat had to wait long in the mailbox,
+// probes are reported as not sent, so that the scheduler does not regard their machines as unreachable.
 func TestProbeNotSentAfterSlowHeartbeat(t *testing.T) {
 	actor := newTestActor(election.NewLeadership(1, 1, time.Now().Add(time.Hour)))
 	actor.startedAt = time.Now().Add(-time.Minute)
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -32,8 +32,8 @@
 
 	longestMailboxWait time.Duration // of a heartbeat, since the last summary log entry
 	// lastSlowHeartbeatAt is when the actor last handled a heartbeat that had waited in the mailbox for
-	// longer than SlowHeartbeatWait, in nanoseconds since the term began; 0 if none has. Goroutines
-	// that probe machines read it.
+	// longer than limits.SlowHeartbeatThreshold, in nanoseconds since the term began; 0 if none has.
+	// Goroutines that probe machines read it.
 	lastSlowHeartbeatAt atomic.Int64
 	lastCounters        resourceCounters // at the last summary log entry
 }
@@ -76,10 +76,11 @@
 // now returns the time since the term started. The scheduler uses it as its clock.
 func (t *termActor) now() time.Duration { return time.Since(t.startedAt) }
 
-// reportTermLost notifies the elector that there is a later leader, so that the term is over.
+// reportTermLost notifies the elector that there is a later leader, and that the term is thus over.
 func (t *termActor) reportTermLost() { t.dispatcher.onTermLost(t.leadership.Term) }
 
-// run processes messages, sends writes to the writer and ticks the scheduler until the context ends.
+// run processes messages, sends writes to the writer and passes ticks to the scheduler until the context
+// ends.
 func (t *termActor) run(ctx context.Context) {
 	tick := time.NewTicker(limits.TickInterval)
 	defer tick.Stop()
--- a/internal/coordination/leader/usage.go
+++ b/internal/coordination/leader/usage.go
@@ -15,9 +15,9 @@
 }
 
 // resourceUsage returns the resource usage of the process as arguments of the log's summary entry: the
-// number of messages in the mailbox, the longest wait of a heartbeat there, heap memory, the cores
-// used, and the operations sent to and calls refused by the state service. All but the number of
-// messages and the heap cover the time since the previous summary.
+// number of messages in the mailbox, the longest wait of a heartbeat there, the heap memory, the write
+// operations sent to the state service, the calls that it rejected, and the processor cores used. All
+// but the number of messages and the heap memory cover the time since the previous summary.
 func (t *termActor) resourceUsage() []any {
 	last := t.lastCounters
 	t.lastCounters = resourceCounters{at: time.Now()}
--- a/internal/coordination/leader/watch.go
+++ b/internal/coordination/leader/watch.go
@@ -54,8 +54,9 @@
 	t.sendEvent(ctx, event)
 }
 
-// relistOpenJobs reads all open jobs and sends them to the actor, after the state service has compacted
-// the changes since the last revision. It returns the revision at which the watch continues.
+// relistOpenJobs reads all open jobs and sends them to the actor. It is called if the state service has
+// compacted some of the changes since the last revision, so that they cannot be watched. It returns the
+// revision at which the watch continues.
 func (t *termActor) relistOpenJobs(ctx context.Context) (uint64, error) {
 	revision, events, err := t.readOpenJobs(ctx)
 	if err != nil {
--- a/internal/coordination/leader/write_queue_test.go
+++ b/internal/coordination/leader/write_queue_test.go
@@ -7,7 +7,8 @@
 	"quillshunt/internal/coordination/scheduler"
 )
 
-// TestWriteQueueOrder: regular writes come before bulk writes, and each kind is first in, first out.
+// TestWriteQueueOrder checks that regular writes come before bulk writes, and that the writes of each kind
+// keep their order.
 func TestWriteQueueOrder(t *testing.T) {
 	var queue writeQueue
 	for _, write := range []scheduler.WriteRecords{{ID: 1, Bulk: true}, {ID: 2}, {ID: 3, Bulk: true}, {ID: 4}} {
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -12,10 +12,10 @@
 
 // writer sends the writes of a term to the state service. It joins waiting writes into one transaction,
 // and makes each transaction conditional on the leader key, so that it fails once there is another
-// leader. A transaction with an unknown outcome is repeated unchanged until the outcome is known.
+// leader. A transaction with an unknown outcome is retried unchanged until the outcome is known.
 type writer struct{ actor *termActor }
 
-// run sends writes until the context ends or a write shows that there is another leader.
+// run sends writes until the context ends or a transaction fails because there is another leader.
 func (w *writer) run(ctx context.Context) {
 	var overflow *scheduler.WriteRecords // received, but did not fit into the last batch
 	for {
@@ -63,8 +63,9 @@
 }
 
 // commit writes a batch in one transaction and sends the outcomes to the scheduler. If a condition
-// fails or the transaction is rejected as malformed, it commits each write by itself, so that only the
-// writes at fault fail. It returns false if the context ends or there is another leader.
+// fails or the transaction is rejected as malformed, it commits each write in a transaction of its own,
+// so that only the writes that caused this fail. It returns false if the context ends or there is
+// another leader.
 func (w *writer) commit(ctx context.Context, batch []scheduler.WriteRecords) bool {
 	var backoff storage.Backoff
 	txn := w.buildTransaction(batch)
--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestCollectBatchWithinLimits: a batch contains the writes that wait, up to the operations and
-// conditions that the state service accepts in one transaction.
+// TestCollectBatchWithinLimits checks that a batch contains the writes that wait, up to the numbers of
+// operations and conditions that the state service accepts in one transaction.
 func TestCollectBatchWithinLimits(t *testing.T) {
 	write := func(id uint64, operations, conditions int) scheduler.WriteRecords {
 		return scheduler.WriteRecords{
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestConflictInBatchFailsOneWrite: if a condition of a batch fails, the writes are committed one by
-// one, so that only the write with that condition fails.
+// TestConflictInBatchFailsOneWrite checks that after a condition of a batch has failed, the writes are
+// committed one by one, so that only the write with that condition fails.
 func TestConflictInBatchFailsOneWrite(t *testing.T) {
 	f := newWriterFixture(t)
 	f.put("b", 100)
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestRetryOfAppliedWrite: a write that was executed although its reply was lost counts as completed
-// when its retry fails with a conflict.
+// TestRetryOfAppliedWrite checks that a write that was executed although its reply was lost counts as
+// completed when its retry fails with a conflict.
 func TestRetryOfAppliedWrite(t *testing.T) {
 	f := newWriterFixture(t)
 	version := f.put("a", 1) // the value that the write puts
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestWriterStopsAfterTermLost: once there is another leader, the writer writes nothing, reports that the
-// term is over and stops.
+// TestWriterStopsAfterTermLost checks that once there is another leader, the writer writes nothing, reports
+// that the term is over and stops.
 func TestWriterStopsAfterTermLost(t *testing.T) {
 	f := newWriterFixture(t)
 	f.put(storage.KeyLeader, 2)
