--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -20,9 +20,9 @@
 )
 
 // cluster runs the whole service in one process and in virtual time. An in-memory network connects real
-// controllers to stand-ins for the state service, the cloud and the workers. The tests send requests as
-// users do. The rules of the protocol are checked against the responses that the users get and the tasks
-// that run on machines.
+// controllers to stand-ins for the state service, the cloud and the workers. The tests send user requests.
+// The rules of the protocol are checked against the responses to these requests and the tasks that run on
+// machines.
 type cluster struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -37,11 +37,11 @@
 	zones     []string // zone of each controller, in the order of nodeNames; machines use the same zones
 
 	mu            sync.Mutex
-	violations    []string          // messages about rules that were broken
+	violations    []string          // one message for each violation of a rule
 	jobs          map[string]*job   // by ID
 	runningTasks  map[string]string // name of the machine that runs the task, by task name
 	taskStarts    int               // number of task starts seen on machines
-	submissions   int               // number of jobs created so far; also numbers the job IDs
+	submissions   int               // number of jobs created so far; part of the next job's ID
 	deletionsFail bool              // the cloud rejects requests to delete machines
 	userRequests  sync.WaitGroup    // goroutines that make user requests; not guarded by mu
 }
@@ -211,8 +211,8 @@
 }
 
 // killController ends a controller's process as kill -9 would: its host is removed from the network
-// first, so nothing that the process still does has an effect outside it. It does nothing if the
-// controller is not running.
+// first, so that nothing that the process still does has an effect on other hosts. It does nothing if
+// the controller is not running.
 func (c *cluster) killController(name string) {
 	p := c.processes[name]
 	if p == nil {
@@ -256,7 +256,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Error("no single controller was entitled to lead within a minute")
+	c.t.Error("at no time within a minute was exactly one controller entitled")
 	return c.nodeNames[0]
 }
 
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -9,7 +9,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// recordViolation records that a rule of the protocol was broken. If the rule has a name, the message
+// recordViolation records that a rule of the protocol was violated. If the rule has a name, the message
 // begins with it; the scheduler's simulation test uses the same names. The caller holds mu.
 func (c *cluster) recordViolation(format string, args ...any) {
 	c.log.Error("protocol rule violated", "violation", fmt.Sprintf(format, args...))
@@ -79,9 +79,9 @@
 	}
 }
 
-// checkRulesPeriodically checks, until the context ends, the rules that can be broken without a task
-// starting or a user getting a response: at most one controller is entitled to lead, and the tasks of a
-// cancelled job stop in time.
+// checkRulesPeriodically checks, until the context ends, the rules that can be violated while no task
+// starts and no user gets a response: at most one controller is entitled to act as the leader, and the
+// tasks of a cancelled job stop in time.
 func (c *cluster) checkRulesPeriodically() {
 	for c.ctx.Err() == nil {
 		c.mu.Lock()
@@ -122,11 +122,11 @@
 	}
 }
 
-// checkResponse checks a response about a job against the earlier ones, and records what it says. An
+// checkResponse checks a response about a job against the earlier ones, and updates the job by it. An
 // accepted job is never reported as unknown or invalid, and a final state never changes. A job is
 // reported as cancelled only if a user has cancelled it, and as done only if all its tasks have
-// completed. sentAt is when the request was sent: before a job was accepted or its cancellation
-// confirmed, a controller may have read the earlier state.
+// completed. sentAt is when the request was sent. A request that was sent before the job was accepted or
+// its cancellation confirmed may still get a response with the earlier state.
 func (c *cluster) checkResponse(j *job, status int, state protocol.JobState, sentAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,10 +134,10 @@
 	refused := status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 	switch {
 	case status == http.StatusNotFound && !j.acceptedAt.IsZero() && sentAt.After(j.acceptedAt):
-		c.recordViolation("forgotten: job %s: status %d after it was accepted", id, status)
+		c.recordViolation("forgotten: job %s: response with status %d after the job was accepted", id, status)
 		return
 	case refused && !j.acceptedAt.IsZero():
-		c.recordViolation("forgotten: job %s: a request was rejected with status %d after it was accepted", id, status)
+		c.recordViolation("forgotten: job %s: request rejected with status %d after the job was accepted", id, status)
 		return
 	case status != http.StatusOK && status != http.StatusCreated:
 		return
--- a/internal/coordination/controller/scenarios_cancellation_test.go
+++ b/internal/coordination/controller/scenarios_cancellation_test.go
@@ -112,7 +112,7 @@
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
 			all := c.cloud.Machines()
-			// Delays everything that the leader sends to machines: direct commands and heartbeat replies.
+			// This delays everything that the leader sends to machines: direct commands and heartbeat replies.
 			for _, machine := range all {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Delay)
 			}
@@ -149,7 +149,7 @@
 		},
 	},
 	{
-		name: "the leader loses the state service and its peers only; users cancel jobs before and after the failover",
+		name: "the leader cannot reach the state service or its peers; users cancel jobs before and after the failover",
 		run: func(c *cluster) {
 			c.startJobs(6, longTasks)
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
@@ -190,8 +190,8 @@
 					for c.runningTaskCount(j) == 0 {
 						time.Sleep(5 * time.Millisecond)
 					}
-					// The task runs for 3 s, and its end is reported within the next heartbeat interval of
-					// 2 s. The delays of the 20 jobs are spread over that interval.
+					// The task runs for 3 s, and its end is reported by a heartbeat within 2 s after that. The
+					// times at which the 20 jobs are cancelled are spread over these 2 s.
 					time.Sleep(3*time.Second + time.Duration(i)*100*time.Millisecond)
 					c.userRequests.Go(func() { c.cancel(j) })
 					for range 5 {
--- a/internal/coordination/controller/scenarios_failover_test.go
+++ b/internal/coordination/controller/scenarios_failover_test.go
@@ -160,8 +160,8 @@
 		name: "jobs of two or three tasks, which end far apart, lose machines while the leader changes",
 		run: func(c *cluster) {
 			c.startJobs(5, func(spec *protocol.Spec) { spec.Tasks = 2 + c.submissions%2 })
-			// One machine after the other is lost while jobs run their last tasks. Completed tasks must
-			// stay completed.
+			// Machines are lost one after the other while jobs run their last tasks. Tasks that have
+			// completed must stay completed.
 			for i := range 5 {
 				time.Sleep(5 * time.Second)
 				if machines := c.machinesOf(nil); len(machines) > 0 {
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -10,7 +10,7 @@
 	"quillshunt/internal/storage"
 )
 
-// gangOfFour modifies a spec to a gang of four tasks in one zone, which fill two machines.
+// gangOfFour changes a spec into that of a gang of four tasks in one zone, which fill two machines.
 func gangOfFour(spec *protocol.Spec) {
 	spec.Shape, spec.SameZone = protocol.ShapeGang, true
 	spec.Tasks, spec.CPUs = 4, 4
@@ -30,7 +30,8 @@
 }
 
 // storeLegacyJob writes the record of an accepted job to the state service directly, as an earlier version
-// of the controller would have left it. The record may be larger than the current value limit.
+// of the controller would have stored it. The record may be larger than the value size that the state
+// service accepts now.
 func (c *cluster) storeLegacyJob(modifySpec func(*protocol.Spec)) *job {
 	c.mu.Lock()
 	c.submissions++
--- a/internal/coordination/controller/scenarios_test.go
+++ b/internal/coordination/controller/scenarios_test.go
@@ -13,12 +13,12 @@
 	"quillshunt/internal/protocol"
 )
 
-// longTasks modifies a spec so that the job's tasks run for 150 s, which is beyond the end of most
-// scenarios.
+// longTasks changes a spec so that each task of the job runs for 150 s, which is longer than most
+// scenarios take.
 func longTasks(spec *protocol.Spec) { spec.EstimateS = 150 }
 
-// expect fails the test if a condition does not hold that the scenario depends on, for example that a
-// fault had its effect. condition is a format string that names the condition.
+// expect fails the test unless ok. It checks the conditions that a scenario depends on, for example that
+// a fault had its effect. condition is a format string that states the condition.
 func (c *cluster) expect(ok bool, condition string, args ...any) {
 	c.t.Helper()
 	if !ok {
@@ -27,8 +27,8 @@
 }
 
 // scenario is a sequence of faults that overlap with user requests and with each other. run injects the
-// faults, checks with expect that the intended situation was reached, and ends all faults. The protocol
-// rules are checked throughout the run; afterwards awaitCompletion checks that all jobs finish.
+// faults, checks with expect that they had the intended effect, and ends all faults. The protocol rules
+// are checked throughout the run; afterwards awaitCompletion checks that all jobs finish.
 type scenario struct {
 	name string
 	run  func(c *cluster)
--- a/internal/coordination/controller/scenarios_worker_test.go
+++ b/internal/coordination/controller/scenarios_worker_test.go
@@ -58,7 +58,7 @@
 			firstTerm := c.currentTerm()
 			for i := range 6 {
 				// A heartbeat and its reply take 1.6 to 4.8 s together. A worker drops replies after 4 s,
-				// and a heartbeat waits at most 3 s for the leader (limits.HeartbeatAnswerTimeout).
+				// and a heartbeat waits at most 3 s for the leader's reply (limits.HeartbeatReplyTimeout).
 				for _, machine := range c.cloud.Machines() {
 					c.network.SetExtraLatency(machine, time.Duration(800+c.random.IntN(1600))*time.Millisecond)
 				}
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -13,7 +13,8 @@
 	"quillshunt/internal/transport"
 )
 
-// job is a job as its user knows it. Each time is zero until the event has happened.
+// job is a submitted job and what the responses about it have shown. Each time is zero until its event has
+// happened.
 type job struct {
 	spec              protocol.Spec
 	acceptedAt        time.Time         // when the first successful response arrived
@@ -76,8 +77,8 @@
 	return err == nil && m.Status == http.StatusServiceUnavailable && m.RetryAfter > 0 && m.Close
 }
 
-// submit creates a job and submits it. Like a real user, it retries for up to a minute until a controller
-// accepts the job. modifySpec may change the default spec before; it may be nil.
+// submit creates a job and submits it. Like a user, it retries for up to a minute until a controller
+// accepts the job. modifySpec, unless nil, changes the default spec before the submission.
 func (c *cluster) submit(modifySpec func(*protocol.Spec)) *job {
 	c.mu.Lock()
 	c.submissions++
@@ -183,7 +184,7 @@
 }
 
 // generateLoad submits one job and polls all accepted jobs in each interval until the duration is over.
-// It returns at once; the requests are made in the background.
+// It returns at once; the requests are sent by other goroutines.
 func (c *cluster) generateLoad(duration, interval time.Duration, modifySpec func(*protocol.Spec)) {
 	c.userRequests.Go(func() {
 		for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(interval) {
@@ -272,8 +273,9 @@
 }
 
 // awaitCompletion polls until all accepted jobs are in a final state. It is called at the end of a
-// scenario, after the last fault has ended. It records a violation for each job without a final state
-// after four minutes, and for each job that meanwhile waits for more than 90 s although it could run.
+// scenario, after the last fault has ended. It records a violation for each job that has no final state
+// after four minutes, and for each job that waits for more than 90 s although its team's limit has room
+// for it.
 func (c *cluster) awaitCompletion() {
 	deadline := time.Now().Add(4 * time.Minute)
 	waitingSince := map[*job]time.Time{}
