--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -40,7 +40,7 @@
 	violations    []string          // one message for each violation of a rule
 	jobs          map[string]*job   // by ID
 	runningTasks  map[string]string // name of the machine that runs the task, by task name
-	taskStarts    int               // number of task starts seen on machines
+	taskStarts    int               // number of task starts observed on machines
 	submissions   int               // number of jobs created so far; part of the next job's ID
 	deletionsFail bool              // the cloud rejects requests to delete machines
 	userRequests  sync.WaitGroup    // goroutines that make user requests; not guarded by mu
--- a/internal/coordination/controller/scenarios_worker_test.go
+++ b/internal/coordination/controller/scenarios_worker_test.go
@@ -57,8 +57,9 @@
 			c.startJobs(6, func(spec *protocol.Spec) { spec.EstimateS = 60 })
 			firstTerm := c.currentTerm()
 			for i := range 6 {
-				// A heartbeat and its reply take 1.6 to 4.8 s together. A worker drops replies after 4 s,
-				// and a heartbeat waits at most 3 s for the leader's reply (limits.HeartbeatReplyTimeout).
+				// A heartbeat and its reply take 1.6 to 4.8 s together. A worker ignores a reply that arrives
+				// later than 4 s after the heartbeat was sent, and a heartbeat waits at most 3 s for the leader's
+				// reply (limits.HeartbeatReplyTimeout).
 				for _, machine := range c.cloud.Machines() {
 					c.network.SetExtraLatency(machine, time.Duration(800+c.random.IntN(1600))*time.Millisecond)
 				}
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -130,7 +130,8 @@
 }
 
 // ReportTermLost notifies the elector that a term is over: a write failed because another controller
-// has replaced the leader, or a worker has seen a later term. It does not block.
+// has replaced the leader, or a worker has received the fencing token of a later term. It does not
+// block.
 func (e *Elector) ReportTermLost(term uint64) {
 	select {
 	case e.lostTerms <- term:
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -212,8 +212,8 @@
 		replaced = replaced || (n != isolated && n.entitledLeadership() != nil)
 	}
 	if old.Entitled() == fromStateService || replaced != fromStateService {
-		t.Errorf("isolated from the state service: %v; old leader entitled: %v, another node entitled: %v",
-			fromStateService, old.Entitled(), replaced)
+		t.Errorf("isolated from state service: %v; old leader entitled: %v, want %v; another entitled: %v, want %v",
+			fromStateService, old.Entitled(), !fromStateService, replaced, fromStateService)
 	}
 }
 
--- a/internal/coordination/election/handover_test.go
+++ b/internal/coordination/election/handover_test.go
@@ -60,7 +60,7 @@
 				leader.store.setUnanswered(time.Now().Add(15 * time.Second))
 				time.Sleep(20 * time.Second)
 				if kept := leader.entitledLeadership() != nil; kept != busy {
-					t.Errorf("process busy: %v, leadership kept: %v", busy, kept)
+					t.Errorf("process busy: %v, leadership kept: %v; want the same", busy, kept)
 				}
 			})
 		})
@@ -98,6 +98,6 @@
 	}}
 	e := New(Options{Node: "controller-0", Peers: peers, Log: slog.New(slog.DiscardHandler)})
 	if !e.handOver(context.Background(), l) || offers != 1 {
-		t.Errorf("not handed over, or number of offers is %d, want 1", offers)
+		t.Errorf("handOver returned false, or offered the leadership %d times, want once", offers)
 	}
 }
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -80,7 +80,8 @@
 	return newProcess
 }
 
-// extendFrom extends the quorum lease after a successful renewal whose request was sent at sentAt.
+// extendFrom extends the quorum lease after a successful renewal. The lease counts from sentAt, when
+// the request of the renewal was sent.
 func (r *quorumRenewer) extendFrom(sentAt time.Time) {
 	r.leadership.extendQuorum(sentAt.Add(limits.LeaseValidFor(r.elector.voter.voteLease)))
 	r.renewedAt = sentAt
--- a/internal/coordination/election/suspicion.go
+++ b/internal/coordination/election/suspicion.go
@@ -7,7 +7,7 @@
 // the leader requests no votes.
 type suspicion struct {
 	leaderVersion      uint64    // version of the leader key being followed
-	followedAt         time.Time // when the follower first saw this version
+	followedAt         time.Time // when the follower first observed this version
 	heartbeatVersion   uint64    // version of the heartbeat record when the suspicion began
 	beganAt            time.Time // zero if the leader is not suspected
 	withdrawalRecorded bool      // the state service has the withdrawal of the vote for heartbeatVersion
--- a/internal/coordination/leader/cloud_client.go
+++ b/internal/coordination/leader/cloud_client.go
@@ -20,7 +20,7 @@
 
 // CloudClient calls the API of the cloud and keeps within its rate limit. Only the leader calls the
 // cloud, but at a failover the terms of two leaders may overlap briefly. Each client therefore uses
-// only CloudRateShare of the limit. It is safe for concurrent use.
+// only the share limits.CloudRateShare of the rate limit. It is safe for concurrent use.
 type CloudClient struct {
 	client    *transport.Client
 	limiter   *rate.Limiter
--- a/internal/coordination/leader/cloud_client_test.go
+++ b/internal/coordination/leader/cloud_client_test.go
@@ -54,11 +54,11 @@
 			}
 			for _, sentinel := range []error{errNoCapacity, errRentalRejected} {
 				if errors.Is(err, sentinel) != (c.sentinel == sentinel) {
-					t.Errorf("error %q wraps %q: want %v", err, sentinel, c.sentinel == sentinel)
+					t.Errorf("error %q: want it to wrap %q: %v", err, sentinel, c.sentinel == sentinel)
 				}
 			}
 			if rented := slices.Equal(machines, []string{"m-1"}); rented != (c.err == "") {
-				t.Errorf("machines %q with error %v, want [\"m-1\"] only without an error", machines, err)
+				t.Errorf("machines %q with error %v, want m-1 if and only if there is no error", machines, err)
 			}
 		})
 	}
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -172,11 +172,11 @@
 
 // RunTerm runs the actor of a term until the context ends.
 //
-// It does not wait for the goroutines that execute effects, write records and watch jobs: they may be
-// blocked in a call, and the elector does not campaign for the next term before RunTerm has returned.
-// They end with the context. Requests that they still send are fenced by the term: writes by the
-// condition on the leader key, commands by the fencing token, and rental requests by names that are
-// never used again.
+// It does not wait for the goroutines that execute effects, write records and watch jobs, which end with
+// the context. They may be blocked in a call, and waiting for them would delay the elector, which takes
+// part in the next election only after RunTerm has returned. Requests that they still send are fenced by
+// the term: writes by the condition on the leader key, commands by the fencing token, and rental requests
+// by names that are never used again.
 func (d *Dispatcher) RunTerm(ctx context.Context, leadership *election.Leadership) {
 	t := newTermActor(d, leadership)
 	d.current.Store(t)
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -136,7 +136,7 @@
 		return
 	}
 	if heartbeat.FencingToken > t.leadership.Term {
-		t.reportTermLost() // the worker has seen the token of a later leader
+		t.reportTermLost() // the worker has received the fencing token of a later leader
 	}
 	t.step(ctx, scheduler.HeartbeatReceived{
 		Heartbeat:      &heartbeat,
