--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -163,7 +163,7 @@
 		time.Sleep(3 * time.Second)
 		first := n.entitledLeadership()
 		if first == nil {
-			t.Fatal("no leader")
+			t.Fatal("no leader was elected")
 		}
 		n.crash()
 		n.start()
@@ -199,7 +199,7 @@
 	time.Sleep(10*time.Second + phase)
 	isolated := c.leader()
 	if isolated == nil {
-		t.Fatal("no leader")
+		t.Fatal("no leader was elected")
 	}
 	old := isolated.entitledLeadership()
 	isolated.isolate(time.Now().Add(time.Hour))
@@ -227,7 +227,7 @@
 		time.Sleep(15 * time.Second)
 		leader := c.leader()
 		if leader == nil {
-			t.Fatal("no leader")
+			t.Fatal("no leader was elected")
 		}
 		isolate := func(until time.Time) {
 			leader.isolate(until)
--- a/internal/coordination/election/suspicion.go
+++ b/internal/coordination/election/suspicion.go
@@ -13,8 +13,8 @@
 	withdrawalRecorded bool      // the state service has the withdrawal of the vote for heartbeatVersion
 }
 
-// trackLeader resets the suspicion if the version of the leader key is new. It keeps the suspicion
-// for the same version: only the watch of the leader key has ended and starts again.
+// trackLeader resets the suspicion if the version of the leader key is new. If it is the same, only
+// the watch of the leader key has ended and starts again, and the suspicion is kept.
 func (s *suspicion) trackLeader(leaderVersion uint64) {
 	if s.leaderVersion != leaderVersion {
 		*s = suspicion{leaderVersion: leaderVersion, followedAt: time.Now()}
