--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -76,8 +76,8 @@
 	}
 	scores[placement.Speed] = -1
 	if m.runTimeRatioCount >= limits.MinSpeedSamples {
-		meanSpeed := m.runTimeRatioSum / float64(m.runTimeRatioCount)
-		scores[placement.Speed] = -math.Round(meanSpeed/limits.SpeedStep) * limits.SpeedStep
+		meanRunTimeRatio := m.runTimeRatioSum / float64(m.runTimeRatioCount)
+		scores[placement.Speed] = -math.Round(meanRunTimeRatio/limits.SpeedStep) * limits.SpeedStep
 	}
 }
 
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -50,7 +50,7 @@
 	// machinesWithLostTasks are the machines that lost a task of this attempt. Their workers may
 	// know the attempt.
 	machinesWithLostTasks map[string]bool
-	abortReason           string // why this attempt must be stopped, set when a task ends; "" if it need not be
+	stopReason            string // why this attempt must be stopped, set when a task ends; "" if it need not be
 	stopStartedAt         time.Duration
 
 	lacksCapacity bool // the last capacity plan found no machines for all tasks
@@ -105,11 +105,11 @@
 func (g *gang) taskEnded(a *assignment, reason protocol.EndReason) {
 	switch {
 	case reason == protocol.ReasonGangIncomplete:
-		g.abortReason = "a task stopped waiting for the rest of the gang"
+		g.stopReason = "a task stopped waiting for the rest of the gang"
 	case reason == protocol.ReasonPeerLost && g.state < gangRunning:
 		g.state = gangRunning // the gang had started, although no heartbeat reported a running task
 	case reason == protocol.ReasonStopped && !a.stopping:
-		g.abortReason = "a task was stopped by an earlier leader"
+		g.stopReason = "a task was stopped by an earlier leader"
 	}
 }
 
@@ -155,8 +155,8 @@
 	switch {
 	case summary.mixedAttempts:
 		return gangStop, "the tasks of the gang have different attempt numbers"
-	case g.abortReason != "":
-		return gangStop, g.abortReason
+	case g.stopReason != "":
+		return gangStop, g.stopReason
 	case missing == 0:
 		return gangContinue, ""
 	case g.state == gangRunning:
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -42,9 +42,9 @@
 	if p.now < j.nextPreemptionSearchAt {
 		request.preempting = false
 	}
-	isGeneric := j.hasNoMachineRules() && len(j.assignments) == 0
-	search = gangSearch{job: j, request: request, cacheable: isGeneric}
-	if (isGeneric && p.pass.unplaceableGangs[request]) || !p.mayFit(j, request.preempting) {
+	cacheable := j.hasNoMachineRules() && len(j.assignments) == 0
+	search = gangSearch{job: j, request: request, cacheable: cacheable}
+	if (cacheable && p.pass.unplaceableGangs[request]) || !p.mayFit(j, request.preempting) {
 		return search, false
 	}
 	return search, true
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -17,7 +17,7 @@
 	for _, c := range []struct {
 		name        string
 		state       gangState
-		abortReason string
+		stopReason  string
 		assignments []*assignment // the gang has two tasks
 		recovering  bool
 		wantAction  gangAction
@@ -39,7 +39,7 @@
 		{name: "running, one lost, recovery not ended", state: gangWaiting,
 			assignments: []*assignment{sent(stateRunning, 7)}, recovering: true,
 			wantAction: gangContinue, wantState: gangRunning},
-		{name: "abort reason known", state: gangGathering, abortReason: "incomplete",
+		{name: "reason to stop known", state: gangGathering, stopReason: "incomplete",
 			assignments: []*assignment{sent(stateGathering, 7)},
 			wantAction:  gangStop, wantState: gangGathering},
 		{name: "two attempts", state: gangWaiting,
@@ -59,7 +59,7 @@
 			for i, a := range c.assignments {
 				j.assignments[i] = a
 			}
-			g := &gang{job: j, state: c.state, abortReason: c.abortReason}
+			g := &gang{job: j, state: c.state, stopReason: c.stopReason}
 			action, _ := g.nextAction(g.summarize(), !c.recovering)
 			if action != c.wantAction || g.state != c.wantState {
 				t.Errorf("action %d, state %s; want action %d, state %s", action, g.state, c.wantAction, c.wantState)
@@ -69,14 +69,14 @@
 }
 
 // TestGangTaskEnded checks how the reason for which one task ended changes the gang's state and its
-// abort reason.
+// stop reason.
 func TestGangTaskEnded(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		reason    protocol.EndReason
 		stopping  bool
 		wantState gangState
-		wantAbort bool
+		wantStop  bool
 	}{
 		{"gang not complete in time", protocol.ReasonGangIncomplete, false, gangGathering, true},
 		{"another task ended, so the gang had started", protocol.ReasonPeerLost, false, gangRunning, false},
@@ -87,9 +87,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := &gang{state: gangGathering}
 			g.taskEnded(&assignment{stopping: c.stopping}, c.reason)
-			if g.state != c.wantState || (g.abortReason != "") != c.wantAbort {
-				t.Errorf("state %s, abort reason %q; want state %s, an abort reason: %v",
-					g.state, g.abortReason, c.wantState, c.wantAbort)
+			if g.state != c.wantState || (g.stopReason != "") != c.wantStop {
+				t.Errorf("state %s, stop reason %q; want state %s, a stop reason: %v",
+					g.state, g.stopReason, c.wantState, c.wantStop)
 			}
 		})
 	}
@@ -100,11 +100,11 @@
 func TestGangReset(t *testing.T) {
 	j := &job{spec: protocol.Spec{Shape: protocol.ShapeGang, Tasks: 2}}
 	g := &gang{
-		job: j, state: gangStopping, attempt: 7, abortReason: "incomplete", awaitsCommit: true,
+		job: j, state: gangStopping, attempt: 7, stopReason: "incomplete", awaitsCommit: true,
 		machinesWithLostTasks: map[string]bool{"m-1": true},
 	}
 	g.reset()
-	if g.state != gangWaiting || g.attempt != 0 || g.abortReason != "" || len(g.machinesWithLostTasks) != 0 {
+	if g.state != gangWaiting || g.attempt != 0 || g.stopReason != "" || len(g.machinesWithLostTasks) != 0 {
 		t.Errorf("data of the last attempt left after the reset: %+v", g)
 	}
 	if g.job != j || !g.awaitsCommit {
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -85,8 +85,8 @@
 			s.placement.gangStopped(victim.job)
 		}
 	}
-	borrowed := j.team.isBorrowing()
+	wasBorrowing := j.team.isBorrowing()
 	s.assignments.assign(j, j.nextWaitingTask(), m, s.assignments.nextAttempt(), stateUnsent)
-	s.placement.taskPlaced(m, victims, borrowed != j.team.isBorrowing())
+	s.placement.taskPlaced(m, victims, wasBorrowing != j.team.isBorrowing())
 	return gangStopped
 }
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -194,14 +194,14 @@
 }
 
 // taskPlaced updates the data of the pass after a task was placed on a machine, and ends the machine's
-// reservation. borrowsMore reports that the team's use has crossed its guarantee, so that its tasks may
+// reservation. startsBorrowing reports that the team now uses more than its guarantee, so that its tasks may
 // now be preempted by other teams.
-func (p *placer) taskPlaced(m *machine, victims []*assignment, borrowsMore bool) {
+func (p *placer) taskPlaced(m *machine, victims []*assignment, startsBorrowing bool) {
 	m.reservedFor = nil
 	if len(victims) > 0 {
 		p.pass.addFreedMachine(m) // the victims may free more resources than the task needs
 	}
-	if len(victims) > 0 || borrowsMore {
+	if len(victims) > 0 || startsBorrowing {
 		p.pass.clearUnplaceable() // other requests may now find free resources or victims
 	}
 }
--- a/internal/coordination/scheduler/victims_test.go
+++ b/internal/coordination/scheduler/victims_test.go
@@ -47,10 +47,10 @@
 	f.step(DirectCommandsDone{ID: sent.ID, Machine: sent.Machine, Heartbeat: f.heartbeat(sent.Machine, running)})
 	f.submitJob("job-2", "red", "high", 1, 4, 13) // 13 s to its deadline leave 3 s of slack
 	assigned := len(f.scheduler.jobs.find("job-2").assignments)
-	remembered := len(f.scheduler.placement.nextPreemptionSearchAt)
-	if assigned != 0 || remembered == 0 {
+	recorded := len(f.scheduler.placement.nextPreemptionSearchAt)
+	if assigned != 0 || recorded == 0 {
 		t.Fatalf("%d tasks assigned although nothing may be preempted, %d failed searches recorded; want 0 and some",
-			assigned, remembered)
+			assigned, recorded)
 	}
 	// The running task may be preempted now, but the interval has not passed.
 	f.scheduler.jobs.find("job-1").priority = protocol.PriorityLow
