--- a/internal/coordination/placement/victims.go
+++ b/internal/coordination/placement/victims.go
@@ -25,7 +25,8 @@
 	return greedySet(options, shortfall)
 }
 
-// cheapestSet tries every set of options. Sets are bit masks of indexes.
+// cheapestSet returns the cheapest set that covers the shortfall, or nil if no set does. It tries every set
+// of options; a set is a bit mask of option indexes.
 func cheapestSet[T any](options []PreemptionOption[T], shortfall resource.Vector) []int {
 	leastCost, best := 0.0, 0
 	for set := 1; set < 1<<len(options); set++ {
@@ -50,8 +51,9 @@
 	return victims
 }
 
-// greedySet adds options in increasing order of their cost per covered share of the shortfall until the
-// shortfall is covered. Then it drops options that are not needed.
+// greedySet returns a set that covers the shortfall, or nil if no set does. It adds options in increasing
+// order of their cost per covered share of the shortfall until the shortfall is covered. Then it drops
+// options that are not needed.
 func greedySet[T any](options []PreemptionOption[T], shortfall resource.Vector) []int {
 	order := make([]int, len(options))
 	for i := range order {
--- a/internal/coordination/placement/weigher.go
+++ b/internal/coordination/placement/weigher.go
@@ -8,11 +8,11 @@
 // Weighers. Overcommit and PreemptionCost are those of the paper.
 const (
 	Overcommit      Weigher = iota // -1 if tasks have to be preempted, otherwise 0
-	PreemptionCost                 // negative cost of preempting what may be preempted
-	Image                          // negative time to fetch the image
+	PreemptionCost                 // negative cost of preempting all preemptible tasks; 0 if none has to be
+	Image                          // negative time to fetch the image; 0 if it is cached
 	Packing                        // negative number of CPUs that stay free
 	Price                          // negative price per CPU
-	Speed                          // negative run time of tasks on the machine, relative to other machines
+	Speed                          // negative run time of tasks on the machine, relative to that on other machines
 	GangReservation                // 1 if the machine is reserved for gangs and the task belongs to one, otherwise 0
 	weigherCount
 )
--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/limits"
 )
 
-// jobGroup identifies the jobs of one class and team that have about the same number of tasks. Progress
-// is counted for each group, so that no kind of job starves as a whole during a long overload.
+// jobGroup identifies the jobs of one class and team that have about the same number of tasks. Credit and
+// started tasks are counted for each group, so that no kind of job starves during a long overload.
 type jobGroup struct {
 	class     *jobClass
 	team      *team
@@ -21,14 +21,14 @@
 // group returns the group that the job belongs to.
 func (j *job) group() jobGroup { return jobGroup{j.class, j.team, bits.Len(uint(j.spec.Tasks))} }
 
-// groupProgress is the sum of the aging credit of a group's jobs, in tasks, and how much of it has been
-// used by tasks that have started.
+// groupProgress is the sum of the aging credit of a group's jobs, in tasks, and how much of this credit
+// started tasks have used.
 type groupProgress struct{ credit, started int }
 
 // agingCredit returns how many tasks of a job should have started by now. The queue order favors urgent
 // and small jobs and those that can meet a deadline, so during a long overload other jobs would never
 // start. Each job therefore gets credit for its first task at FirstTaskCreditAge, and for the others
-// one by one during AllTasksCreditSpan after AllTasksCreditAge, whatever else is waiting.
+// one by one during AllTasksCreditSpan after AllTasksCreditAge, whichever other jobs are waiting.
 func (q *jobQueue) agingCredit(j *job) int {
 	age := q.now - j.submittedAt
 	if age <= limits.FirstTaskCreditAge || j.cancelled || j.closed {
--- a/internal/coordination/scheduler/bitmap_test.go
+++ b/internal/coordination/scheduler/bitmap_test.go
@@ -25,13 +25,13 @@
 			}
 			taken[index] = one.has(index) || other.has(index)
 		}
-		expect := 0
-		for taken[expect] {
-			expect++
+		want := 0
+		for taken[want] {
+			want++
 		}
-		start := rapid.IntRange(0, min(expect, size-1)).Draw(t, "start")
-		if got := firstInNeither(one, other, start); got != expect {
-			t.Fatalf("lowest index in neither set from %d on is %d, expected %d", start, got, expect)
+		start := rapid.IntRange(0, min(want, size-1)).Draw(t, "start")
+		if got := firstInNeither(one, other, start); got != want {
+			t.Fatalf("lowest index in neither set from %d on is %d, want %d", start, got, want)
 		}
 		index := rapid.IntRange(0, size-1).Draw(t, "last")
 		one.add(index)
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -28,7 +28,7 @@
 // (Algorithm 2 of the paper). The full view of a machine counts all its tasks; the normal view leaves out
 // those that may be preempted for the job. A request that may preempt is filtered on the normal view, any
 // other on the full view. Scores always use the full view. planned holds what the placement of a gang has
-// decided so far, or is nil.
+// planned so far on this machine, or is nil.
 func (p *placer) filterAndScore(j *job, m *machine, preempting bool, planned *plannedView) (c candidate, ok bool) {
 	free := planned.freeResources(m) // on the full view
 	overcommitted := !free.Covers(j.demand)
@@ -104,7 +104,7 @@
 	return m.reservedFor != nil && m.reservedFor != j
 }
 
-// mayUse reports whether the job's next task could run on the machine if nothing else ran there.
+// mayUse reports whether the job's next task could run on the machine if no other task ran there.
 func (j *job) mayUse(m *machine) bool {
 	return j.mayUsePool(m.pool()) && m.capacity().Covers(j.demand) && !j.excludesMachine(m)
 }
@@ -152,8 +152,8 @@
 func (j *job) maxTasksPerZone() int { return (j.spec.Tasks + 1) / 2 }
 
 // excludesMachine reports whether the job must not use a machine because its tasks have failed there. Once
-// they have failed on JobFaultMachines machines the job itself is presumed faulty, and no machine is
-// excluded.
+// they have failed on FaultyJobMachines machines, the failures are attributed to the job itself, and no
+// machine is excluded.
 func (j *job) excludesMachine(m *machine) bool {
 	return j.failedMachines[m.name] && len(j.failedMachines) < limits.FaultyJobMachines
 }
--- a/internal/coordination/scheduler/filter_test.go
+++ b/internal/coordination/scheduler/filter_test.go
@@ -60,10 +60,12 @@
 					ok, got.Scores[placement.Overcommit], c.wantOK, c.wantOvercommit)
 			}
 			if costs := got.Scores[placement.PreemptionCost] < 0; costs != (c.wantOvercommit < 0) {
-				t.Errorf("preemption cost score %v", got.Scores[placement.PreemptionCost])
+				t.Errorf("preemption cost score %v, want it negative exactly if tasks have to be preempted",
+					got.Scores[placement.PreemptionCost])
 			}
 			if free := c.machine.freeResources().CPUs; ok && got.Scores[placement.Packing] != 4-free {
-				t.Errorf("packing score %v with %v CPUs free on the full view", got.Scores[placement.Packing], free)
+				t.Errorf("packing score %v with %v CPUs free on the full view, want %v",
+					got.Scores[placement.Packing], free, 4-free)
 			}
 		})
 	}
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -13,9 +13,9 @@
 
 const (
 	gangWaiting   gangState = iota // no task is assigned to a machine
-	gangPlaced                     // all tasks are assigned; no start command has been sent
-	gangGathering                  // start commands have been sent; no task has been reported running
-	gangRunning                    // a task has been reported running, which implies that all have started
+	gangPlaced                     // all tasks are assigned; no start command may be sent yet
+	gangGathering                  // start commands may be sent; no task has been reported running
+	gangRunning                    // all tasks have started, as the report of one task implies
 	gangStopping                   // all tasks are being stopped; once all are released, the gang waits again
 )
 
@@ -24,8 +24,8 @@
 }
 
 // gang is the gang scheduling state of a job whose tasks run at the same time or not at all. Each
-// change of one of the job's assignments marks the gang as changed (gangTable.markChanged), and
-// reconcileGangs decides for all tasks of the gang together before the next placement.
+// change of one of the job's assignments marks the gang as changed (gangTable.markChanged). Before the
+// next placement, reconcileGangs decides what to do with all tasks of the gang together.
 //
 // All tasks of a gang have the same attempt number, including one that replaces a lost task before
 // the gang runs. An assignment is therefore identified by machine, incarnation and attempt, and the
@@ -35,8 +35,8 @@
 //
 //	waiting -> placed                     beginAttempt
 //	placed -> gathering                   commit
-//	any but stopping -> gathering         applySummary: a start command has been sent
-//	any but stopping -> running           applySummary, taskEnded: the gang has run
+//	waiting, placed -> gathering          applySummary: a start command has been sent
+//	waiting, placed, gathering -> running applySummary, taskEnded: all tasks have started
 //	any -> stopping                       beginStop
 //	any -> waiting                        reset: no task is assigned
 type gang struct {
@@ -45,10 +45,10 @@
 	attempt uint64
 
 	// completionDeadline is the earliest time at which a gathering task may stop waiting for the
-	// others; 0 while no task gathers.
+	// others; 0 until a task of this attempt is reported gathering.
 	completionDeadline time.Duration
 	// machinesWithLostTasks are the machines that lost a task of this attempt. Their workers may
-	// know the attempt.
+	// have received a start command of the attempt.
 	machinesWithLostTasks map[string]bool
 	stopReason            string // why this attempt must be stopped, set when a task ends; "" if it need not be
 	stopStartedAt         time.Duration
@@ -71,7 +71,8 @@
 // keeps its number when lost tasks are replaced.
 func (g *gang) beginAttempt(attempt uint64) { g.state, g.attempt = gangPlaced, attempt }
 
-// commit allows the start commands of tasks to be sent. The resources for them are confirmed free.
+// commit allows the start commands of the tasks to be sent. The caller has confirmed that the resources for
+// them are free.
 func (g *gang) commit(tasks []*assignment) {
 	for _, a := range tasks {
 		a.committed = true
@@ -162,7 +163,7 @@
 	case g.state == gangRunning:
 		return gangAbort, "another task of the gang was lost"
 	case summary.sentStarts == 0:
-		return gangRelease, "" // no worker knows the attempt, so all tasks can be placed again
+		return gangRelease, "" // no worker has received this attempt, so all tasks can be placed again
 	}
 	return gangReplaceLost, ""
 }
@@ -220,8 +221,8 @@
 	return tasks
 }
 
-// mayKnowAttempt reports whether the worker of a machine may know the gang's current attempt. Such a
-// worker would treat a start command of this attempt as a duplicate.
+// mayKnowAttempt reports whether the worker of a machine may have received a start command of the gang's
+// current attempt before. It would treat another one as a duplicate.
 func (g *gang) mayKnowAttempt(m *machine) bool {
 	return g.machinesWithLostTasks[m.name] || g.hasEndedTaskOn(m)
 }
--- a/internal/coordination/scheduler/gang_fixture_test.go
+++ b/internal/coordination/scheduler/gang_fixture_test.go
@@ -8,7 +8,7 @@
 	"quillshunt/internal/storage"
 )
 
-// submitGang submits a gang of team red with standard priority; change may modify its specification.
+// submitGang submits a gang of team red with standard priority; change may modify its spec.
 func (f *schedulerFixture) submitGang(id string, tasks int, cpus float64, change ...func(*protocol.Spec)) {
 	f.version++
 	spec := protocol.Spec{
@@ -61,7 +61,7 @@
 }
 
 // deliverDirectCommands executes the direct commands among some effects on their machines and passes
-// the answers to the scheduler. It does the same with the direct commands that result from them.
+// the replies to the scheduler. It does the same with the direct commands that result from these.
 func (f *gangFixture) deliverDirectCommands(effects []Effect) {
 	for _, effect := range effects {
 		sent, ok := effect.(SendDirectCommands)
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -46,12 +46,12 @@
 
 // abortGang stops the remaining tasks, without saving, of a gang that lost a task while it ran. The
 // work since the last checkpoint is lost in any case. Without the abort the remaining tasks would run
-// until they notice the loss, which would delay the next attempt.
+// until they detect the loss, which would delay the next attempt.
 func (s *Scheduler) abortGang(g *gang, reason string) {
 	for _, a := range g.job.assignments {
 		a.skipSaving = true
 	}
-	s.logWarn("gang aborted", keyJob, g.job.id, keyAttempt, g.attempt, "remaining", len(g.job.assignments),
+	s.logWarn("gang aborted", keyJob, g.job.id, keyAttempt, g.attempt, "remaining_tasks", len(g.job.assignments),
 		keyReason, reason)
 	s.stopGang(g, reason)
 }
@@ -72,8 +72,8 @@
 	s.assignments.stop(a, reason)
 }
 
-// stopGangsAndCheckSaving stops all gangs that run on a machine that is to be returned. It reports
-// whether one of them may still need the machine to save its work.
+// stopGangsAndCheckSaving stops all running gangs with a task on a machine that is to be returned. It
+// reports whether one of them may still need the machine to save its work.
 func (s *Scheduler) stopGangsAndCheckSaving(m *machine) bool {
 	saving := false
 	for _, a := range m.sortedAssignments() {
@@ -88,7 +88,7 @@
 }
 
 // placeGang places all missing tasks of a gang, or none. It reports whether all tasks are assigned
-// now.
+// afterwards.
 func (s *Scheduler) placeGang(j *job) bool {
 	missing := j.waitingTasks()
 	if missing == 0 {
@@ -128,8 +128,8 @@
 	s.gangs.awaitCommit(g)
 }
 
-// replaceLostGangTasks places tasks that gangs lost while they gathered. A gang that can't get all its
-// tasks in time is stopped; it is placed again once all its tasks are released.
+// replaceLostGangTasks places tasks that gangs lost while they gathered. A gang whose lost tasks
+// cannot be placed in time is stopped; it is placed again once all its tasks are released.
 func (s *Scheduler) replaceLostGangTasks() {
 	for _, g := range s.gangs.takeReplacementRequests() {
 		if g.isFinished() || g.state != gangGathering || g.missingTasks() == 0 {
--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -10,17 +10,17 @@
 )
 
 // TestLostGangTaskReplaced checks that a task that is lost while its gang gathers is placed on another
-// machine with the same attempt number. The worker that lost it may know that attempt, and would treat
-// a new start command as a duplicate. TestGangAfterFailover checks the same for a new leader, which
-// learns the number from heartbeats.
+// machine with the same attempt number. The worker that lost it has received that attempt, and would
+// treat another start command of it as a duplicate. TestGangAfterFailover checks the same for a new
+// leader, which reads the number from heartbeats.
 func TestLostGangTaskReplaced(t *testing.T) {
 	f := newFixtureWithStartedGang(t, 3, 2)
 	lostOn, attempt := f.findTask("job-1/0")
 	other, _ := f.findTask("job-1/1")
 	f.setTaskStates("job-1", protocol.TaskGathering)
 	f.reportAll()
-	// ReasonNoRoom doesn't count as a failure of the machine, so the scheduler would prefer it again: it
-	// has the image.
+	// ReasonNoRoom does not count as a failure of the machine, and the machine has the image cached, so the
+	// scheduler would prefer it again.
 	f.endTask(lostOn, "job-1/0", protocol.ReasonNoRoom)
 	f.reportAll()
 	replacedOn, newAttempt := f.findTask("job-1/0")
@@ -253,8 +253,8 @@
 
 // TestGangAttemptKnownToWorker checks that a lost task is not placed on a machine that lists a task of
 // the same attempt as ended, because the worker would treat the start command as a duplicate. A new
-// leader knows this only from the list in the heartbeat. If such a start command is sent anyway, the
-// task must not stay assigned.
+// leader can only read this from the task list in the heartbeat. If such a start command is sent
+// anyway, the task must not stay assigned.
 func TestGangAttemptKnownToWorker(t *testing.T) {
 	ended := protocol.TaskStatus{Task: "job-1/0", Attempt: 7, State: protocol.TaskEnded, Reason: protocol.ReasonNoRoom}
 	waiting := protocol.TaskStatus{Task: "job-1/1", Attempt: 7, State: protocol.TaskGathering}
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -9,10 +9,11 @@
 	"quillshunt/internal/limits"
 )
 
-// Gang placement follows the paper's extension for runs that are placed and stopped as a whole
-// (section 5.1). The tasks of a gang are placed one after the other, with the same filtering, ranking
-// and choice of victims as independent tasks. Each step takes into account what the gang's earlier
-// tasks are planned to use. The placement takes effect only if every task has found a machine.
+// Gang placement follows the extension in section 5.1 of the paper (see package placement) for jobs that
+// are placed and stopped as a whole. The tasks of a gang are placed one after the other, with the same
+// filtering, ranking and choice of victims as independent tasks. Each step takes into account what the
+// gang's earlier tasks are planned to use. The placement takes effect only if it has a machine for every
+// task.
 
 // gangRequest identifies the properties that decide whether a gang can be placed, if its job has no
 // other placement constraints. It is the key under which failed searches of a pass are cached.
@@ -132,9 +133,9 @@
 // view nothing is planned.
 type plannedView struct {
 	plannedDemand  resource.Vector      // demand of the gang's tasks planned here
-	freedByVictims resource.Vector      // demand of the tasks planned to be stopped
+	freedByVictims resource.Vector      // demand of the tasks planned to be preempted
 	tasks          int                  // number of the gang's tasks planned here
-	victims        map[*assignment]bool // tasks planned to be stopped
+	victims        map[*assignment]bool // tasks planned to be preempted
 }
 
 // freeResources returns the machine's free resources after the planned changes.
@@ -153,7 +154,7 @@
 	return m.taskCount() + v.tasks
 }
 
-// isVictim reports whether a task is planned to be stopped.
+// isVictim reports whether a task is planned to be preempted.
 func (v *plannedView) isVictim(a *assignment) bool { return v != nil && v.victims[a] }
 
 // addTask adds a planned task with the given demand.
@@ -162,7 +163,7 @@
 	v.tasks++
 }
 
-// addVictim adds a task that is planned to be stopped. Tasks that are stopping already are ignored, as
+// addVictim adds a task that is planned to be preempted. Tasks that are stopping already are ignored, as
 // their resources count as free.
 func (v *plannedView) addVictim(a *assignment) {
 	if v.victims == nil {
@@ -174,8 +175,8 @@
 	}
 }
 
-// gangPlacement is a complete or incomplete plan where to run the missing tasks of a gang. It changes
-// nothing until applyGangPlacement is called.
+// gangPlacement is a plan, complete or not, of the machines for the missing tasks of a gang. It has no
+// effect until applyGangPlacement is called.
 type gangPlacement struct {
 	placer     *placer
 	job        *job
@@ -196,8 +197,8 @@
 	victims []*assignment
 }
 
-// newGangPlacement returns a placement without planned tasks. Tasks of the gang that are assigned
-// already count for their zones.
+// newGangPlacement returns a placement without planned tasks. Its tasksInZone counts the tasks of the gang
+// that are assigned already.
 func (p *placer) newGangPlacement(j *job, zone string, preempting bool) *gangPlacement {
 	g := &gangPlacement{
 		placer: p, job: j, preempting: preempting, onlyZone: zone,
@@ -211,8 +212,8 @@
 	return g
 }
 
-// cheaperThan compares two placements by the cost of preemption, then by the number of machines that
-// have to fetch the image, then by the number of machines used.
+// cheaperThan reports whether a placement is cheaper than another. It compares the cost of preemption, then
+// the number of machines that have to fetch the image, then the number of machines used.
 func (g *gangPlacement) cheaperThan(other *gangPlacement) bool {
 	return cmp.Or(
 		cmp.Compare(g.preemptionCost, other.preemptionCost),
@@ -259,8 +260,8 @@
 	return g.job.spec.SpreadZones && g.tasksInZone[zone] >= g.job.maxTasksPerZone()
 }
 
-// placeNext plans the next task on the best candidate. It returns false if there is no candidate, or
-// no tasks to preempt there.
+// placeNext plans the next task on the best candidate. It returns false if there is no candidate, or if
+// no set of victims there frees enough resources.
 func (g *gangPlacement) placeNext() bool {
 	group := g.candidates.Best()
 	if group < 0 {
--- a/internal/coordination/scheduler/gang_placement_test.go
+++ b/internal/coordination/scheduler/gang_placement_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestGangPlacedAllOrNothing checks that all tasks of a gang are placed in one pass with the same attempt
-// number, or none of them, and that a gang that doesn't fit doesn't block a smaller one behind it.
+// number, or none of them, and that a gang that does not fit does not block a smaller one behind it.
 func TestGangPlacedAllOrNothing(t *testing.T) {
 	f := newGangFixture(t, 2)
 	f.submitGang("job-1", 5, 4)
--- a/internal/coordination/scheduler/gang_plan.go
+++ b/internal/coordination/scheduler/gang_plan.go
@@ -43,7 +43,8 @@
 	return planSnapshot{toRent: maps.Clone(p.toRent), offerStates: offers}
 }
 
-// rollBack restores the plan to a snapshot, except for the count of machines by zone.
+// rollBack restores the plan to a snapshot. It does not restore machinesInZone, which only affects the choice
+// among pools.
 func (p *capacityPlan) rollBack(before planSnapshot) {
 	p.toRent = before.toRent
 	p.offers = p.offers[:len(before.offerStates)]
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -12,8 +12,8 @@
 )
 
 // gangReservations reserves machines for gangs that should start sooner than a machine boots. Without
-// reservations independent tasks would use all free resources, and a gang can't preempt work of its
-// own priority. The reserved capacity is the peak that gangs recently used or waited for at the same
+// reservations independent tasks would use all free resources, and a gang cannot preempt work of
+// its own priority. The reserved capacity is the peak that gangs recently used or waited for at the same
 // time, plus the size of the largest gang. Jobs that have waited for GangReservationYieldAge may use
 // reserved machines too.
 type gangReservations struct {
@@ -77,7 +77,7 @@
 	cpus float64
 }
 
-// recordPeak records how many CPUs the gangs of this kind use or wait for now, and discards what is
+// recordPeak records how many CPUs the gangs of this kind use or wait for now, and discards peaks that are
 // older than GangDemandWindow.
 func (d *gangDemand) recordPeak(now time.Duration, cpus float64) {
 	for len(d.peaks) > 0 && d.peaks[len(d.peaks)-1].cpus <= cpus {
@@ -97,7 +97,7 @@
 type gangShortage struct {
 	templateJob *job    // has the spec, demand and class of the newest of these gangs, but no assignments
 	zone        string  // where machines are missing; "" if any zone is suitable
-	missingCPUs float64 // CPUs of the machines to rent
+	missingCPUs float64 // CPUs that could not be reserved
 }
 
 // hasDemand reports whether there is recent demand of gangs for which machines may be reserved.
@@ -132,7 +132,7 @@
 }
 
 // updateDemand records the current demand, by kind, of gangs that need reservations. It removes kinds
-// that have had no such gang for GangDemandWindow.
+// that have had no such gang for longer than GangDemandWindow.
 func (r *gangReservations) updateDemand() {
 	cpusNow := map[gangKind]float64{}
 	for _, j := range r.jobs.oldestFirst() {
@@ -170,9 +170,10 @@
 	return false
 }
 
-// reserve reserves machines for gangs of a kind, and returns how many CPUs are missing. The reserved
-// CPUs are at most GangReservationShare of all CPUs. Further machines that the gangs need are marked
-// as needed, so that they are not returned to the cloud, but every job may use them.
+// reserve reserves machines for gangs of a kind, and returns how many CPUs are still missing; the result is
+// 0 or negative if none are. The reserved CPUs are at most GangReservationShare of all CPUs. Further
+// machines that the gangs need are marked as needed, so that they are not returned to the cloud, but every
+// job may use them.
 func (r *gangReservations) reserve(d *gangDemand) (missingCPUs float64) {
 	missingCPUs = d.cpusToReserve()
 	if d.newestJob.spec.SameZone {
@@ -228,8 +229,8 @@
 }
 
 // chooseZone returns the zone in which to reserve machines for gangs that must be in one zone: the
-// previous zone if a machine that was reserved there may still be, or else the zone with most machines
-// that may be reserved. It clears d.reservedZone, which the caller sets to the result.
+// previous zone if a machine that was reserved there may be reserved again, or else the zone with most
+// machines that may be reserved. It clears d.reservedZone, which the caller sets to the result.
 func (r *gangReservations) chooseZone(d *gangDemand) string {
 	reserved, reservable := map[string]int{}, map[string]int{}
 	previous := d.reservedZone
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestGangReservationShare checks that at most GangReservationShare of all machines are reserved, that
-// further machines are only marked as needed by the plan, and that the CPUs still missing are returned.
+// TestGangReservationShare checks that at most GangReservationShare of the CPUs of all machines are reserved,
+// that further machines are only marked as needed by the plan, and that the CPUs still missing are returned.
 func TestGangReservationShare(t *testing.T) {
 	var machines []*machine
 	for _, name := range []string{"m-0", "m-1", "m-2", "m-3"} {
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -15,7 +15,7 @@
 	changed             []*gang // to be reconciled by reconcileGangs
 	uncommitted         []*gang // whose start commands commitGangs may allow once resources are free
 	awaitingReplacement []*gang // that lost tasks before they ran, for replaceLostGangTasks
-	commitNeeded        bool    // resources may have become free since the last commitGangs
+	commitNeeded        bool    // resources may have become free, or gangs were added, since the last commit
 }
 
 // newGangTable returns an empty table.
@@ -57,8 +57,8 @@
 	}
 }
 
-// setCompletionDeadline sets the gang's deadline when its first task is reported gathering. The task may
-// have been waiting since the previous heartbeat, so staleAfter is subtracted.
+// setCompletionDeadline sets the gang's completion deadline when its first task is reported gathering. The
+// task may have been waiting since the previous heartbeat, so staleAfter is subtracted.
 func (t *gangTable) setCompletionDeadline(g *gang) {
 	if g != nil && g.completionDeadline == 0 {
 		g.completionDeadline = t.now + optionalSeconds(t.cfg.Workers.GangWaitTimeoutS) - t.staleAfter()
@@ -81,14 +81,14 @@
 }
 
 // canCompleteInTime reports whether a gang that has lost a task may place it again now, and the task
-// can fetch its image before the first waiting task gives up.
+// can fetch its image before the first gathering task stops waiting.
 func (t *gangTable) canCompleteInTime(g *gang) bool {
 	fetch := limits.Seconds(g.job.class.fetchSeconds)
 	late := g.completionDeadline != 0 && t.now+fetch > g.completionDeadline
 	return !late && t.now >= g.job.retryAt
 }
 
-// requestCommit lets the next commit check the gangs that wait for free resources.
+// requestCommit makes the next commit check the gangs that wait for free resources.
 func (t *gangTable) requestCommit() { t.commitNeeded = true }
 
 // awaitCommit adds a gang to those whose start commands wait for free resources.
@@ -101,7 +101,7 @@
 }
 
 // commit allows the start commands of each gang for whose tasks all resources are confirmed free, and
-// returns these tasks. A gang gets all its resources at once, so that two gangs can't deadlock, each
+// returns these tasks. A gang gets all its resources at once, so that two gangs cannot deadlock, each
 // with resources that the other needs. The resources of a committed task are reserved for it even
 // before its start command is sent.
 func (t *gangTable) commit() []*assignment {
@@ -142,7 +142,7 @@
 }
 
 // saveDeadline returns the time until which a stopping gang may need its machines to save its work.
-// It includes the time in which the other tasks notice that one was stopped (gang_peer_s).
+// It includes the time in which the other tasks detect that one was stopped (gang_peer_s).
 func (t *gangTable) saveDeadline(g *gang) time.Duration {
 	peers := optionalSeconds(t.cfg.Workers.GangPeerDetectionS)
 	return g.stopStartedAt + limits.Seconds(g.job.spec.SaveS) + limits.SaveMargin + peers
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -23,8 +23,8 @@
 	submittedAt      time.Duration
 	deadlines        []deadline // earliest first
 	cancelled        bool
-	cancelledAt      time.Duration // earliest time at which the user may have been told of the cancellation
-	cancelObservedAt time.Duration // when this leader learned of the cancellation
+	cancelledAt      time.Duration // earliest time at which the user may have been notified of the cancellation
+	cancelObservedAt time.Duration // when this leader observed the cancellation
 	closing          bool          // the write of its final record is in flight
 	closed           bool          // its final record is durable, or its open record was removed
 
--- a/internal/coordination/scheduler/job_class.go
+++ b/internal/coordination/scheduler/job_class.go
@@ -10,8 +10,8 @@
 	fetchSamples int
 }
 
-// newJobClass returns a class without measurements. Until there are some, estimates of submitters are
-// taken as they are.
+// newJobClass returns a class without measurements. Until there are some, the submitters' estimates are
+// used unchanged.
 func newJobClass() *jobClass { return &jobClass{runTimeRatio: 1} }
 
 // recordFetchTime updates fetchSeconds with the time that a task waited for its image.
@@ -28,10 +28,10 @@
 	c.runTimeRatio += weight * (ratio - c.runTimeRatio)
 }
 
-// estimatedRunSeconds returns the expected run time of one task of the job. It is the mean of the
-// measured run times of completed tasks and of a prior, the submitter's estimate corrected by the
-// class's ratio, which counts once for each task on a machine and EstimatePriorTasks times more.
-// Without the prior the estimate would be too low early on, as the shortest tasks complete first.
+// estimatedRunSeconds returns the expected run time of one task of the job. It is a mean in which each
+// completed task counts with its measured run time, and each assigned task, as well as EstimatePriorTasks
+// imaginary ones, with a prior: the submitter's estimate multiplied by the class's runTimeRatio. Without
+// the prior the estimate would be too low early on, as the shortest tasks complete first.
 func (j *job) estimatedRunSeconds() float64 {
 	prior := j.spec.EstimateS * j.class.runTimeRatio
 	open := float64(len(j.assignments) + limits.EstimatePriorTasks)
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -22,10 +22,10 @@
 	}
 	j.version = e.Version
 	if e.Record.Cancelled && !j.cancelled {
-		// The period within which the tasks must end (CancelS) starts when the user may first have been
-		// told of the cancellation, even if that was before a failover. If the period is already over,
-		// no earlier leader has seen the cancellation, as it would have let the workers' leases expire
-		// in time. The user cannot have been told in that case, so the period starts now.
+		// The period within which the tasks must end (CancelWithinS) starts when the user may first have
+		// been notified of the cancellation, even if that was before a failover. If the period is already
+		// over, no earlier leader has observed the cancellation, as it would have let the worker leases
+		// expire in time. The user cannot have been notified in that case, so the period starts now.
 		j.cancelled, j.cancelledAt, j.cancelObservedAt = true, s.now, s.now
 		if e.SinceCancellation < limits.Seconds(s.cfg.Workers.CancelWithinS) {
 			j.cancelledAt -= e.SinceCancellation
@@ -65,15 +65,15 @@
 }
 
 // mayCloseJob reports whether a job's final record can be written: the job is done or cancelled, none of
-// its tasks can still be on a machine, and no write of its finished tasks is in flight.
+// its tasks can still be running, and no write of its finished-task records is in flight.
 func (s *Scheduler) mayCloseJob(j *job) bool {
 	switch {
 	case j.closed, j.closing, !j.cancelled && j.doneCount < j.spec.Tasks:
 		return false
 	case len(j.assignments) > 0 && (j.gang == nil || j.cancelled):
-		return false // the tasks of a completed gang have all ended, also those not reported as ended yet
+		return false // a completed gang need not wait: all its tasks have ended, even if not all are reported yet
 	case j.cancelled && !s.recovery.hasEnded():
-		return false // its tasks on machines that have not reported yet still count against the team's limit
+		return false // machines that have sent no heartbeat yet may run its tasks, which count against the team's limit
 	}
 	return !j.hasChunkWriteInFlight() // the completion of that write calls tryCloseJob again
 }
@@ -84,7 +84,7 @@
 	j := write.job
 	j.closing = false
 	if !e.OK {
-		return // cancelled concurrently: the watch delivers the new open record, and jobChanged tries again
+		return // cancelled concurrently: the watch delivers the new open record, and jobChanged retries the write
 	}
 	s.logInfo("job closed", keyJob, j.id, "cancelled", j.cancelled, keyTasks, j.spec.Tasks)
 	s.closeJob(j)
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -64,7 +64,7 @@
 			return
 		}
 		gangStopped := s.placeTask(j, best.Target, victims)
-		if gangStopped || j.hasZoneRule() { // other machines have changed or are no longer allowed
+		if gangStopped || j.hasZoneRule() { // other machines have more free resources or are no longer allowed
 			s.placement.collectCandidates(j, preempting)
 			continue
 		}
@@ -76,7 +76,7 @@
 }
 
 // placeTask preempts the victims on a machine and assigns the next waiting task of a job to it. It
-// reports whether tasks of gangs were among the victims; their gangs' other machines change as well.
+// reports whether a gang was preempted, which frees resources on other machines too.
 func (s *Scheduler) placeTask(j *job, m *machine, victims []*assignment) (gangStopped bool) {
 	for _, victim := range victims {
 		s.stopTask(victim, "preempted for "+j.id)
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -12,7 +12,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// placer decides which machine each task goes to. For each placement request it filters and ranks the
+// placer chooses the machine for each task. For each placement request it filters and ranks the
 // machines and chooses the tasks to preempt. It also reserves machines for starved jobs. It does not
 // change assignments: placeTasks applies its decisions.
 type placer struct {
@@ -155,8 +155,8 @@
 	}
 }
 
-// isPreemptionSearchThrottled reports whether an equal search found no tasks to preempt less than
-// PreemptionSearchInterval ago.
+// isPreemptionSearchThrottled reports whether the same search, or one with an equal request, found no tasks
+// to preempt less than PreemptionSearchInterval ago.
 func (p *placer) isPreemptionSearchThrottled(search *placementSearch) bool {
 	if p.now < search.job.nextPreemptionSearchAt {
 		return true
@@ -164,9 +164,9 @@
 	return search.cacheable && p.now < p.nextPreemptionSearchAt[search.request]
 }
 
-// mayFit reports whether it is worth searching a machine for a task of the job. It is always true for a
-// request that may preempt. Otherwise it compares the demand with an upper bound, so the search may still
-// find no machine.
+// mayFit reports whether a search for a machine for a task of the job can succeed. It is always true for a
+// request that may preempt. Otherwise it compares the demand with an upper bound of the free resources, so
+// the search may still find no machine.
 func (p *placer) mayFit(j *job, preempting bool) bool {
 	return preempting || p.pass.maxFreeResources.Covers(j.demand)
 }
@@ -188,7 +188,7 @@
 	}
 }
 
-// pruneExpiredSearchIntervals deletes the entries of requests that may search for tasks to preempt again.
+// pruneExpiredSearchIntervals deletes the entries of nextPreemptionSearchAt whose time has passed.
 func (p *placer) pruneExpiredSearchIntervals() {
 	maps.DeleteFunc(p.nextPreemptionSearchAt, func(_ placementRequest, at time.Duration) bool { return at <= p.now })
 }
@@ -213,13 +213,13 @@
 	}
 }
 
-// clearUnplaceable clears the failed requests, so that they are tried again in this pass.
+// clearUnplaceable discards the recorded failed searches, so that equal requests search again in this pass.
 func (p *placementPass) clearUnplaceable() {
 	clear(p.unplaceable)
 	clear(p.unplaceableGangs)
 }
 
-// addFreedMachine records that a machine has got more free resources during the pass.
+// addFreedMachine records that a machine's free resources have increased during the pass.
 func (p *placementPass) addFreedMachine(m *machine) {
 	if _, usable := slices.BinarySearchFunc(p.machines, m, compareNames); !usable {
 		return
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -115,9 +115,10 @@
 // starvedTasks. The list was made at the last sort. The caller must not modify the slice.
 func (q *jobQueue) starvedJobs() []*job { return q.starved }
 
-// slack returns how long a job can still wait and meet the earliest deadline that it can still meet. If
-// it can meet none of its deadlines, late is true and the slack is the negated age of the job, so that
-// older jobs come first. A job without deadlines has unlimited slack.
+// slack returns how long the start of a job's tasks can still be delayed without missing a deadline: the
+// earliest one that is not missed already. If the job can meet none of its deadlines, late is true and the
+// slack is the negated age of the job, so that older jobs come first. A job without deadlines has unlimited
+// slack.
 func (q *jobQueue) slack(j *job) (slack time.Duration, late bool) {
 	estimate := limits.Seconds(j.estimatedRunSeconds())
 	for _, d := range j.deadlines {
@@ -130,7 +131,7 @@
 		}
 		left -= estimate
 		if left > -time.Duration(limits.LateToleranceShare*float64(estimate)) {
-			return left, false // the estimate may be too high, so a slightly missed deadline still counts as reachable
+			return left, false // the estimate may be too high, so a job that is slightly late counts as on time
 		}
 	}
 	if len(j.deadlines) == 0 {
--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -58,7 +58,7 @@
 	tests := []struct {
 		name   string
 		submit func(f *queueFixture)
-		expect string
+		want   string
 	}{
 		{"higher priority first", func(f *queueFixture) {
 			f.submit("low", "red", "low", 1, 20)
@@ -97,8 +97,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newQueueFixture()
 			test.submit(f)
-			if got := f.order(); got != test.expect {
-				t.Errorf("order %q, expected %q", got, test.expect)
+			if got := f.order(); got != test.want {
+				t.Errorf("order %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -161,7 +161,7 @@
 			j := f.submit("job-1", "red", "standard", 1, test.deadlineS)
 			f.env.now = test.age
 			if slack, late := f.queue.slack(j); slack != test.slack || late != test.late {
-				t.Errorf("slack %v, late %v; expected %v, %v", slack, late, test.slack, test.late)
+				t.Errorf("slack %v, late %v; want %v, %v", slack, late, test.slack, test.late)
 			}
 		})
 	}
@@ -196,10 +196,10 @@
 			f.env.now = test.age
 			f.queue.order()
 			if got := f.queue.starvedTasks(j); got != test.starved {
-				t.Errorf("%d starved tasks, expected %d", got, test.starved)
+				t.Errorf("%d starved tasks, want %d", got, test.starved)
 			}
 			if listed := slices.Contains(f.queue.starvedJobs(), j); listed != (test.starved > 0) {
-				t.Errorf("listed among the starved jobs: %v, expected %v", listed, !listed)
+				t.Errorf("listed among the starved jobs: %v, want %v", listed, !listed)
 			}
 		})
 	}
@@ -226,7 +226,7 @@
 	f.queue.jobClosed(closed)
 	f.queue.order()
 	if got := f.queue.servedShare(begun); got != 0.6 {
-		t.Errorf("served share of the group is %v, expected 0.6", got)
+		t.Errorf("served share of the group is %v, want 0.6", got)
 	}
 }
 
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -84,7 +84,7 @@
 
 // compareReservations orders machines by their suitability for a reservation: those reserved in the
 // previous pass first, then those with the most free CPUs. Without the first rule the reservations would
-// move between machines in each pass, and none would ever collect enough free resources.
+// move between machines in each pass, and no machine would stay reserved until it has enough free resources.
 func compareReservations(a, b *machine) int {
 	return cmp.Or(
 		compareBool(b.wasReserved, a.wasReserved),
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -29,7 +29,7 @@
 // scenarios cover them.
 type gangEventCounts struct{ started, taskLost, gatherTimedOut, taskReplaced, saved, stoppedUnsaved, completed int }
 
-// checkCoverage fails the test if one of the events, other than a timeout of gathering, occurred fewer than
+// checkCoverage fails the test if one of the events, other than a gather timeout, occurred fewer than
 // minCount times.
 func (e *gangEventCounts) checkCoverage(t *testing.T) {
 	t.Logf("gang events: %+v", *e)
@@ -144,8 +144,8 @@
 	}
 }
 
-// advanceGatheringGang starts the gang if all its tasks are waiting. Otherwise it ends the tasks whose
-// time to gather is over.
+// advanceGatheringGang starts the gang if all its tasks are gathering. Otherwise it ends the tasks whose
+// gather timeout has expired.
 func (s *simulation) advanceGatheringGang(gang *simulatedGangAttempt, members []executingTask) {
 	if len(members) == gang.spec.Tasks {
 		s.gangEvents.started++
@@ -180,7 +180,7 @@
 
 // stopGangTask executes a stop command for a gang task. A running task that can save within the
 // grace period continues, and advanceStoppingGang ends it with the other tasks. Any other task ends at
-// once. A repeated stop that leaves too little time to save changes nothing unless its grace period is 0.
+// once. A repeated stop command whose grace period is too short to save has no effect, unless it is 0.
 func (s *simulation) stopGangTask(machine *simulatedMachine, task *simulatedTask, grace float64) {
 	gang := s.gangAttemptOf(task)
 	if task.state != protocol.TaskRunning || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
--- a/internal/coordination/scheduler/victims.go
+++ b/internal/coordination/scheduler/victims.go
@@ -6,7 +6,7 @@
 	"quillshunt/internal/coordination/placement"
 )
 
-// preemptionOption is a task that may be preempted, or all tasks of a gang on one machine.
+// preemptionOption is a task that may be preempted, or all tasks of a preemptible gang on one machine.
 type preemptionOption = placement.PreemptionOption[*assignment]
 
 // chooseVictims returns the cheapest set of tasks whose preemption on the best machine frees enough
@@ -62,7 +62,7 @@
 // preempt unguaranteed work of another team that uses more than its guarantee. To prevent preemption
 // cycles, the first rule has an exception: a job that is not covered must not preempt guaranteed work of
 // another team, as that work could preempt it in turn, and so on without end. Tasks of underserved jobs
-// are never preempted, nor are tasks whose start has not been sent or that are already stopping.
+// are never preempted, nor are tasks whose start command has not been sent or that are already stopping.
 func (j *job) mayPreempt(a *assignment) bool {
 	if a.stopping || a.state == stateUnsent || a.job == j || a.job.underserved {
 		return false
