--- a/internal/coordination/scheduler/aging.go
+++ b/internal/coordination/scheduler/aging.go
@@ -18,7 +18,6 @@
 	sizeClass int // bit length of the number of tasks, so each size class spans a factor of two
 }
 
-// group returns the group that the job belongs to.
 func (j *job) group() jobGroup { return jobGroup{j.class, j.team, bits.Len(uint(j.spec.Tasks))} }
 
 // groupProgress is the sum of the aging credit of a group's jobs, in tasks, and how much of this credit
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -15,7 +15,7 @@
 	gangWaiting   gangState = iota // no task is assigned to a machine
 	gangPlaced                     // all tasks are assigned; no start command may be sent yet
 	gangGathering                  // start commands may be sent; no task has been reported running
-	gangRunning                    // all tasks have started, as the report of one task implies
+	gangRunning                    // all tasks have started, which the reported status of one task shows
 	gangStopping                   // all tasks are being stopped; once all are released, the gang waits again
 )
 
@@ -53,7 +53,7 @@
 	stopReason            string // why this attempt must be stopped, set when a task ends; "" if it need not be
 	stopStartedAt         time.Duration
 
-	lacksCapacity bool // the last capacity plan found no machines for all tasks
+	lacksCapacity bool // the last capacity plan excludes the gang, as it cannot get machines for all tasks
 
 	changed      bool // is in gangTable.changed, for reconcileGangs
 	awaitsCommit bool // is in gangTable.uncommitted, for commitGangs
@@ -95,7 +95,7 @@
 	g.state = max(g.state, gangGathering)
 }
 
-// taskLost records the machine of a task that has left it, if a start command had been sent.
+// taskLost records the machine that lost a task, if the task's start command had been sent.
 func (g *gang) taskLost(a *assignment) {
 	if a.state != stateUnsent {
 		g.machinesWithLostTasks[a.machine.name] = true
@@ -240,8 +240,8 @@
 	return false
 }
 
-// committedResources returns the resources of the tasks whose start commands have been sent to the
-// machine, and of gang tasks whose start commands are allowed to be sent.
+// committedResources returns the total demand of the machine's tasks whose start commands have been sent
+// or, if they belong to a gang, may be sent.
 func (m *machine) committedResources() resource.Vector {
 	var committed resource.Vector
 	for _, a := range m.assignments {
--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -175,7 +175,7 @@
 }
 
 // TestGangIncomplete checks that a gang whose tasks stop waiting for each other starts again as a whole,
-// and that this counts neither as a failure of a machine nor of the job.
+// and that this counts neither as a failure of a machine nor as a failure of the job.
 func TestGangIncomplete(t *testing.T) {
 	// The third machine could run a replacement for the task that stopped waiting, but the other task
 	// will soon stop waiting as well.
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -17,7 +17,7 @@
 	orderedAt      time.Duration
 	starved        []*job                     // jobs that get tasks before all others; see updateStarvedJobs
 	progress       map[jobGroup]groupProgress // of all jobs of this term, closed ones included
-	closedProgress map[jobGroup]groupProgress // of the jobs that were completed and closed
+	closedProgress map[jobGroup]groupProgress // of the closed jobs that were not cancelled
 }
 
 // newJobQueue returns the queue of the jobs in a table.
@@ -62,8 +62,8 @@
 // invalidate makes the next call of order sort the jobs again.
 func (q *jobQueue) invalidate() { q.ordered = nil }
 
-// jobClosed removes a closed job from the queue. The tasks of a completed job still count in the progress
-// of its group; a cancelled job does not count.
+// jobClosed removes a closed job from the queue. Its tasks still count in the progress of its group, unless
+// it was cancelled.
 func (q *jobQueue) jobClosed(j *job) {
 	if !j.cancelled {
 		progress := q.closedProgress[j.group()]
--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -168,8 +168,8 @@
 }
 
 // TestStarvedTasks checks that a job has one starved task from FirstTaskCreditAge on until its first task
-// starts. From AllTasksCreditAge on its other tasks get credit one by one, and those are starved for
-// which there is unused credit while the job's group is underserved.
+// starts. From AllTasksCreditAge on it gets credit for its other tasks one by one. While its group is
+// underserved, it has as many starved tasks as it has unused credit.
 func TestStarvedTasks(t *testing.T) {
 	half := limits.AllTasksCreditAge + limits.AllTasksCreditSpan/2
 	tests := []struct {
--- a/internal/coordination/scheduler/simulation_gang_test.go
+++ b/internal/coordination/scheduler/simulation_gang_test.go
@@ -180,7 +180,8 @@
 
 // stopGangTask executes a stop command for a gang task. A running task that can save within the
 // grace period continues, and advanceStoppingGang ends it with the other tasks. Any other task ends at
-// once. A repeated stop command whose grace period is too short to save has no effect, unless it is 0.
+// once. A repeated stop command whose grace period is too short to save has no effect, unless the grace
+// period is 0.
 func (s *simulation) stopGangTask(machine *simulatedMachine, task *simulatedTask, grace float64) {
 	gang := s.gangAttemptOf(task)
 	if task.state != protocol.TaskRunning || gang.spec.CheckpointS == 0 || grace < gang.spec.SaveS {
