--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -17,7 +17,7 @@
 	orderedAt      time.Duration
 	starved        []*job                     // jobs that get tasks before all others; see updateStarvedJobs
 	progress       map[jobGroup]groupProgress // of all jobs of this term, closed ones included
-	closedProgress map[jobGroup]groupProgress // of the jobs that were completed and closed
+	closedProgress map[jobGroup]groupProgress // of the closed jobs that were not cancelled
 }
 
 // newJobQueue returns the queue of the jobs in a table.
@@ -62,8 +62,8 @@
 // invalidate makes the next call of order sort the jobs again.
 func (q *jobQueue) invalidate() { q.ordered = nil }
 
-// jobClosed removes a closed job from the queue. The tasks of a completed job still count in the progress
-// of its group; a cancelled job does not count.
+// jobClosed removes a closed job from the queue. Its tasks still count in the progress of its group, unless
+// it was cancelled.
 func (q *jobQueue) jobClosed(j *job) {
 	if !j.cancelled {
 		progress := q.closedProgress[j.group()]
@@ -115,9 +115,10 @@
 // starvedTasks. The list was made at the last sort. The caller must not modify the slice.
 func (q *jobQueue) starvedJobs() []*job { return q.starved }
 
-// slack returns how long a job can still wait and meet the earliest deadline that it can still meet. If
-// it can meet none of its deadlines, late is true and the slack is the negated age of the job, so that
-// older jobs come first. A job without deadlines has unlimited slack.
+// slack returns how long the start of a job's tasks can still be delayed without missing a deadline: the
+// earliest one that is not missed already. If the job can meet none of its deadlines, late is true and the
+// slack is the negated age of the job, so that older jobs come first. A job without deadlines has unlimited
+// slack.
 func (q *jobQueue) slack(j *job) (slack time.Duration, late bool) {
 	estimate := limits.Seconds(j.estimatedRunSeconds())
 	for _, d := range j.deadlines {
@@ -130,7 +131,7 @@
 		}
 		left -= estimate
 		if left > -time.Duration(limits.LateToleranceShare*float64(estimate)) {
-			return left, false // the estimate may be too high, so a slightly missed deadline still counts as reachable
+			return left, false // the estimate may be too high, so a job that is slightly late counts as on time
 		}
 	}
 	if len(j.deadlines) == 0 {
