--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -149,7 +149,7 @@
 // incomplete may have only one request without an answer.
 func (p *capacityPlan) mayRent(pool machinePool) bool {
 	requests := p.maxRequestsPerPool
-	if p.rentals.lastAnswerIncomplete(pool) {
+	if p.rentals.lastReplyIncomplete(pool) {
 		requests = 1
 	}
 	limit := max(requests-p.pendingRequests[pool], 0) * p.rentals.maxPerRental()
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -225,13 +225,13 @@
 	t.Helper()
 	type share struct{ done, due float64 }
 	shares := map[string]*share{}
-	largest := f.largestSize()
+	minTasksOfLargest := f.largestThirdMinTasks()
 	for id, spec := range f.specs {
 		if overloadDuration-f.submittedAt[id] < 8*time.Minute {
 			continue
 		}
 		kinds := []string{"class " + spec.Class, "team " + spec.Team}
-		if spec.Class == "large" && spec.Tasks >= largest {
+		if spec.Class == "large" && spec.Tasks >= minTasksOfLargest {
 			kinds = append(kinds, "largest")
 		}
 		for _, kind := range kinds {
@@ -252,8 +252,8 @@
 	}
 }
 
-// largestSize returns the smallest number of tasks of a job among the largest third of the large jobs.
-func (f *overloadedFleet) largestSize() int {
+// largestThirdMinTasks returns the smallest number of tasks of a job among the largest third of the large jobs.
+func (f *overloadedFleet) largestThirdMinTasks() int {
 	var sizes []int
 	for _, spec := range f.specs {
 		if spec.Class == "large" {
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -78,7 +78,7 @@
 	if p.mayRent(pool) && zoneAllowed(pool.zone) {
 		return poolAvailable
 	}
-	if p.rentals.lastAnswerIncomplete(pool) {
+	if p.rentals.lastReplyIncomplete(pool) {
 		return poolLacksCapacity
 	}
 	return poolDeferred
--- a/internal/coordination/scheduler/pools.go
+++ b/internal/coordination/scheduler/pools.go
@@ -50,9 +50,9 @@
 	return state != nil && t.now < state.backoffUntil
 }
 
-// lastAnswerIncomplete reports whether a pool had fewer machines than were requested when the cloud last
+// lastReplyIncomplete reports whether a pool had fewer machines than were requested when the cloud last
 // answered a request to it.
-func (t *rentalTable) lastAnswerIncomplete(pool machinePool) bool {
+func (t *rentalTable) lastReplyIncomplete(pool machinePool) bool {
 	state := t.pools[pool]
 	return state != nil && state.backoff > 0
 }
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -87,7 +87,7 @@
 		f.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: rental})
 	}
 	unwritten := f.scheduler.rentals.find("h-2-3")
-	unwritten.answerDurable = false // its answer is being written
+	unwritten.replyDurable = false // its answer is being written
 	writes := f.registerAll(rentals * each)
 	if len(writes) > 8 {
 		t.Errorf("%d registry writes for %d machines, want at most 8", len(writes), rentals*each)
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -30,7 +30,7 @@
 	requestedAt   time.Duration
 	dirty         bool // the record in memory differs from the written one
 	writeInFlight bool // a write of the record is in flight
-	answerDurable bool // the written record contains the machines that the cloud has given
+	replyDurable  bool // the written record contains the machines that the cloud has given
 }
 
 // isPending reports whether the cloud has not answered the request yet.
@@ -99,12 +99,12 @@
 // earlier leader never sent the request.
 func (t *rentalTable) load(e RentalLoaded) {
 	r := &rental{
-		name:          e.Name,
-		record:        e.Record,
-		version:       e.Version,
-		requestedAt:   t.now,
-		state:         rentalRequested,
-		answerDurable: e.Record.Answered,
+		name:         e.Name,
+		record:       e.Record,
+		version:      e.Version,
+		requestedAt:  t.now,
+		state:        rentalRequested,
+		replyDurable: e.Record.Answered,
 	}
 	t.byName[r.name] = r
 	if e.Record.Answered {
@@ -167,11 +167,11 @@
 // ignores the registration of a machine that no rental's record contains.
 func (t *rentalTable) hasDurableRecordOf(m *machine) bool {
 	r := t.byName[m.rental]
-	return r != nil && r.answerDurable
+	return r != nil && r.replyDurable
 }
 
-// recordAnswer adds the machines in the cloud's answer to the rental and to the inventory.
-func (t *rentalTable) recordAnswer(r *rental, machines []string) {
+// recordReply adds the machines in the cloud's reply to the rental and to the inventory.
+func (t *rentalTable) recordReply(r *rental, machines []string) {
 	t.logInfo("rental answered", keyRental, r.name, keyMachines, len(machines))
 	r.state, r.dirty = rentalAnswered, true
 	r.record.Answered = true
@@ -255,8 +255,8 @@
 		return nil
 	}
 	r.version = version
-	if write.answered && !r.answerDurable {
-		r.answerDurable = true
+	if write.answered && !r.replyDurable {
+		r.replyDurable = true
 		return r.record.Machines
 	}
 	return nil
@@ -330,7 +330,7 @@
 	} else {
 		s.rentals.resetBackoff(r.pool())
 	}
-	s.rentals.recordAnswer(r, e.Machines)
+	s.rentals.recordReply(r, e.Machines)
 	s.placement.requestPass()
 	s.rentals.reconcile(r)
 }
--- a/internal/coordination/scheduler/rentals_test.go
+++ b/internal/coordination/scheduler/rentals_test.go
@@ -18,17 +18,17 @@
 		if got := rentals.poolState(pool).backoffUntil - env.now; got != expected {
 			t.Fatalf("backoff of %v, want %v", got, expected)
 		}
-		if !rentals.isBackedOff(pool) || !rentals.lastAnswerIncomplete(pool) {
+		if !rentals.isBackedOff(pool) || !rentals.lastReplyIncomplete(pool) {
 			t.Fatal("pool is not backed off right after it had no machines")
 		}
 		env.now += expected
-		if rentals.isBackedOff(pool) || !rentals.lastAnswerIncomplete(pool) {
+		if rentals.isBackedOff(pool) || !rentals.lastReplyIncomplete(pool) {
 			t.Fatalf("after a backoff of %v, pool is still backed off or its answer counts as complete", expected)
 		}
 		expected = min(2*expected, limits.CapacityBackoffMax)
 	}
 	rentals.resetBackoff(pool)
-	if rentals.lastAnswerIncomplete(pool) || rentals.isBackedOff(other) || rentals.lastAnswerIncomplete(other) {
+	if rentals.lastReplyIncomplete(pool) || rentals.isBackedOff(other) || rentals.lastReplyIncomplete(other) {
 		t.Error("backoff not reset, or another pool is backed off")
 	}
 }
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -17,10 +17,10 @@
 	surplus := p.surplusCPUs(candidates)
 	slices.SortStableFunc(candidates, compareForDraining)
 	for _, m := range candidates {
-		size := m.capacity().CPUs
-		if m.freeResources().CPUs > 0 && size <= surplus && p.now > m.createdAt+limits.MinDrainAge {
+		cpus := m.capacity().CPUs
+		if m.freeResources().CPUs > 0 && cpus <= surplus && p.now > m.createdAt+limits.MinDrainAge {
 			m.draining = true
-			surplus -= size
+			surplus -= cpus
 		}
 	}
 }
