--- a/internal/coordination/scheduler/capacity_offer.go
+++ b/internal/coordination/scheduler/capacity_offer.go
@@ -7,14 +7,14 @@
 	"quillshunt/internal/protocol"
 )
 
-// capacityOffer is the capacity of one machine in a plan, and how much of it is allocated. The machine is
-// up or boots, is requested from the cloud, or is to be rented.
+// capacityOffer is the capacity of one machine in a plan, and how much of it is allocated. The machine is up,
+// booting, requested from the cloud, or yet to be requested.
 type capacityOffer struct {
 	machine             *machine // nil if the cloud has not rented it out yet
 	pool                machinePool
 	machineType         *protocol.MachineType
 	readyInS            float64 // seconds until it can start a task
-	usedCPUs            float64 // of assigned and planned tasks; may exceed the machine, as tasks can run in turn
+	usedCPUs            float64 // of assigned and planned tasks; may exceed the machine's CPUs, as some tasks run later
 	remainingCPUSeconds float64 // CPU seconds that these tasks still need
 }
 
@@ -23,8 +23,8 @@
 	return &capacityOffer{pool: pool, machineType: t, readyInS: estimatedBootS(t)}
 }
 
-// addAssignment counts the CPUs of a task that is assigned to the machine, and the time that it is expected
-// to need them still.
+// addAssignment adds the CPUs of a task that is assigned to the machine, and the CPU seconds that the task is
+// expected to need from now on.
 func (c *capacityOffer) addAssignment(a *assignment, now time.Duration) {
 	remainingS := a.job.expectedOccupancySeconds()
 	if a.state == stateRunning {
@@ -46,7 +46,7 @@
 // allocateTasks allocates capacity to tasks of a job, as many as can start within startWithinS seconds or as
 // soon as the machine is ready, and returns their number. The estimate of that number may contain a fraction
 // of a task, which is carried from machine to machine: carry is added to the estimate, and is then set to
-// what is left over, at most 1.
+// the part of the estimate that was not allocated, at most 1.
 func (c *capacityOffer) allocateTasks(jp *jobPlan, startWithinS float64, carry *float64) int {
 	j := jp.job
 	tasksPerMachine := typeResources(c.machineType).TasksThatFit(j.demand)
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -16,13 +16,13 @@
 type capacityPlan struct {
 	*capacityPlanner
 	offers         []*capacityOffer
-	machineCount   int                     // known and requested machines, including those that are being deleted
-	machinesInZone map[string]int          // known machines and those to rent, without those that are being deleted
-	toRent         map[machinePool]float64 // number of machines to rent; has a fraction if a part of a machine suffices
+	machineCount   int                     // known and requested machines, including those being deleted
+	machinesInZone map[string]int          // known machines and those to rent, except those being deleted
+	toRent         map[machinePool]float64 // machines to rent; not a whole number if a part of a machine suffices
 
-	requestsLeft       int                 // rental requests that the cloud's rate limit allows before the next plan
-	pendingRequests    map[machinePool]int // rental requests without an answer
-	maxRequestsPerPool int                 // limit on the requests of one pool that have no answer
+	requestsLeft       int                 // further requests that the cloud's rate limit allows before the next plan
+	pendingRequests    map[machinePool]int // number of pending rentals
+	maxRequestsPerPool int                 // limit on the pending rentals of one pool
 }
 
 // newPlan returns a plan with the capacity of all usable machines and of pending rentals, none of it
@@ -96,7 +96,7 @@
 	return p.now > m.lastHeartbeatAt+grace || (!m.verified && p.now > m.unverifiedSince+grace)
 }
 
-// addPendingRentals adds the capacity of rentals that the cloud has not answered, and counts their requests.
+// addPendingRentals adds the capacity of pending rentals, and counts their requests.
 func (p *capacityPlan) addPendingRentals() {
 	for _, r := range p.rentals.all() {
 		if !r.isPending() {
@@ -116,7 +116,7 @@
 	}
 }
 
-// planJobs plans the jobs in queue order. Jobs that are backing off after failures are skipped.
+// planJobs plans the jobs in queue order. It skips jobs whose backoff after failures has not ended.
 func (p *capacityPlan) planJobs() {
 	for _, j := range p.queue.order() {
 		switch {
@@ -145,8 +145,8 @@
 	p.toRent[pool] = max(p.toRent[pool], machines)
 }
 
-// mayRent reports whether this plan may request more machines from a pool. A pool whose last answer was
-// incomplete may have only one request without an answer.
+// mayRent reports whether this plan may request more machines from a pool. A pool whose last reply was
+// incomplete may have only one pending rental.
 func (p *capacityPlan) mayRent(pool machinePool) bool {
 	requests := p.maxRequestsPerPool
 	if p.rentals.lastReplyIncomplete(pool) {
@@ -181,8 +181,8 @@
 	return min(count, allowed)
 }
 
-// rent starts the rentals of the plan. The cheapest pools come first, because the limits on requests and
-// machines may not allow all rentals.
+// rent starts the rentals of the plan, those from the cheapest pools first, because the limits on requests
+// and machines may not allow all of them.
 func (p *capacityPlan) rent() {
 	for _, pool := range p.poolsByPrice() {
 		count := p.machinesToRent(pool)
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// requestPlan makes a plan due at the next tick.
+// requestPlan makes the next plan due at the next tick.
 func (p *capacityPlanner) requestPlan() { p.nextPlanAt = 0 }
 
 // scheduleNextIfDue reports whether a plan is due. If so, it schedules the next one after PlanInterval. No
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -2,8 +2,8 @@
 
 import "quillshunt/internal/limits"
 
-// manageFleet does the periodic work on the fleet: it reads machine types and the machine list, probes and
-// returns machines, and plans capacity. It is called at every tick.
+// manageFleet does the periodic work on the fleet: it reads machine types and the machine list, registers,
+// probes and returns machines, and plans capacity. It is called at every tick.
 func (s *Scheduler) manageFleet() {
 	s.catalog.fetchIfDue()
 	s.cloudList.readIfDue()
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -60,13 +60,13 @@
 	}
 }
 
-// poolAvailability tells whether machines may be requested from a pool in this plan.
+// poolAvailability is whether machines may be requested from a pool in this plan, and if not, why.
 type poolAvailability uint8
 
 const (
 	poolAvailable     poolAvailability = iota
-	poolDeferred                       // has reached its limit on requests, or is in a zone that is not allowed
-	poolLacksCapacity                  // the last answer was incomplete, and no further request is allowed yet
+	poolDeferred                       // the limit on its requests is reached, or its zone is not allowed
+	poolLacksCapacity                  // the last reply was incomplete, and no further request is allowed yet
 )
 
 // availability returns whether machines may be requested from a pool for a job whose tasks may run in the
@@ -91,7 +91,8 @@
 }
 
 // shouldWaitForCheaperPool reports whether a job should wait until a cheaper pool is available, because the
-// available one costs far more than the cheapest. Jobs with little slack do not wait.
+// available one costs far more than the cheapest. Jobs with little slack do not wait, unless they can no
+// longer meet any of their deadlines.
 func (p *capacityPlan) shouldWaitForCheaperPool(j *job, cost, cheapest float64) bool {
 	fleet := &p.cfg.Options.Fleet
 	if cost <= fleet.ExpensivePoolRatio*cheapest {
--- a/internal/coordination/scheduler/pools.go
+++ b/internal/coordination/scheduler/pools.go
@@ -6,8 +6,8 @@
 	"quillshunt/internal/limits"
 )
 
-// machinePool identifies a pool that machines are rented from: a machine type in a zone, as spot instances
-// or on demand.
+// machinePool identifies a pool that machines are rented from: a machine type in a zone, as spot or
+// on-demand machines.
 type machinePool struct {
 	typeName, zone string
 	spot           bool
@@ -16,7 +16,7 @@
 // poolState is the backoff of a pool that had fewer machines than were requested.
 type poolState struct {
 	backoffUntil time.Duration // no machines are requested before this time
-	backoff      time.Duration // length of the last backoff; 0 if the last answer was complete
+	backoff      time.Duration // length of the last backoff; 0 if the last reply was complete
 }
 
 // poolState returns the state of a pool, and creates it if there is none.
@@ -51,7 +51,7 @@
 }
 
 // lastReplyIncomplete reports whether a pool had fewer machines than were requested when the cloud last
-// answered a request to it.
+// replied to a request for it.
 func (t *rentalTable) lastReplyIncomplete(pool machinePool) bool {
 	state := t.pools[pool]
 	return state != nil && state.backoff > 0
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -15,8 +15,8 @@
 
 const (
 	rentalWriting   rentalState = iota // the first write of the record is not confirmed yet
-	rentalRequested                    // the request is sent to the cloud and retried until it is answered
-	rentalAnswered                     // the cloud has answered, or no request is needed
+	rentalRequested                    // the request is sent to the cloud and retried until the cloud replies
+	rentalAnswered                     // the cloud has replied, or no request is needed (see adopt)
 	rentalRemoving                     // the removal of the record is not confirmed yet
 )
 
@@ -30,10 +30,10 @@
 	requestedAt   time.Duration
 	dirty         bool // the record in memory differs from the written one
 	writeInFlight bool // a write of the record is in flight
-	replyDurable  bool // the written record contains the machines that the cloud has given
+	replyDurable  bool // the written record contains the cloud's reply, with the names of the machines
 }
 
-// isPending reports whether the cloud has not answered the request yet.
+// isPending reports whether the cloud has not replied to the request yet.
 func (r *rental) isPending() bool { return r.state == rentalWriting || r.state == rentalRequested }
 
 // pool returns the pool that the machines are rented from.
@@ -41,8 +41,8 @@
 	return machinePool{r.record.MachineType, r.record.Zone, r.record.Spot}
 }
 
-// request returns the request to the cloud. It is idempotent by its name: the cloud gives the same answer
-// to a repeated request.
+// request returns the request to the cloud. Its name makes it idempotent: the cloud sends the same reply to
+// a repeated request.
 func (r *rental) request() protocol.RentalRequest {
 	return protocol.RentalRequest{
 		Name:        r.name,
@@ -95,8 +95,8 @@
 }
 
 // load adds a rental of an earlier term and its machines. If the record does not contain the cloud's
-// answer, the request is sent again. The cloud repeats its answer, or rents the machines now if the
-// earlier leader never sent the request.
+// reply, the request is sent again. The cloud repeats its reply, or rents the machines out now if it never
+// received the request.
 func (t *rentalTable) load(e RentalLoaded) {
 	r := &rental{
 		name:         e.Name,
@@ -118,7 +118,7 @@
 }
 
 // rent starts a rental of count machines, but at most maxPerRental. The record is written before the
-// request is sent, so that the next leader can repeat the request and learn which machines were rented.
+// request is sent, so that the next leader can repeat the request and obtain the names of the machines.
 func (t *rentalTable) rent(pool machinePool, count int) {
 	t.rentalSequence++
 	r := &rental{
@@ -138,11 +138,12 @@
 	t.writeRecord(r)
 }
 
-// adopt starts an answered rental for a machine that belongs to none, so that a record contains it.
+// adopt adds a rental in state rentalAnswered for a machine that belongs to no rental, so that a record
+// contains the machine.
 func (t *rentalTable) adopt(m *machine) {
 	name := "found-" + m.name
 	if t.byName[name] != nil {
-		return // the removal of an earlier record of this name is in flight; the next heartbeat retries
+		return // the removal of an earlier record of this name is in flight; the next heartbeat calls adopt again
 	}
 	t.logWarn("machine without rental adopted",
 		keyMachine, m.name, keyType, m.typeName, keyZone, m.zone, keySpot, m.spot)
@@ -244,8 +245,8 @@
 	)
 }
 
-// recordWritten handles the outcome of writeRecord. It returns the machines that the written record
-// contains for the first time.
+// recordWritten handles the outcome of writeRecord. If the written record is the first one with the cloud's
+// reply, it returns the names of the rental's machines.
 func (t *rentalTable) recordWritten(r *rental, write rentalWrite, ok bool, version uint64) (newlyDurable []string) {
 	r.writeInFlight = false
 	if !ok {
@@ -309,7 +310,8 @@
 	}
 }
 
-// rentalDone handles the outcome of RentMachines. A request without a clear answer is sent again.
+// rentalDone handles the outcome of RentMachines. If it is unknown whether the cloud executed the request,
+// the request is sent again.
 func (s *Scheduler) rentalDone(e RentalDone) {
 	r := s.rentals.find(e.Name)
 	if r == nil || r.state != rentalRequested {
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		if s.isStale(m) {
-			continue // unreachable, maybe only because this leader is isolated; then it can be used again later
+			continue // unreachable, perhaps only because this leader is isolated; the machine may be used again later
 		}
 		if s.now > m.idleSince+s.idleTimeout(m) && s.now > m.createdAt+limits.MinChargedTime {
 			s.returnMachine(m, "idle")
--- a/internal/coordination/scheduler/zone_plan.go
+++ b/internal/coordination/scheduler/zone_plan.go
@@ -4,7 +4,7 @@
 
 // zonePlan limits how many tasks of a gang may be planned in each zone. All tasks of a gang are planned
 // before any is assigned, so the planned tasks must be counted. Independent tasks are assigned one at a time,
-// and existing assignments decide which zones the next may use; a zonePlan does not limit them.
+// and the existing assignments determine which zones the next task may use, so a zonePlan does not limit them.
 type zonePlan struct {
 	onlyZone    string // zone of a gang that must be in one zone; "" until it is chosen, and for other jobs
 	maxPerZone  int
