--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -98,8 +98,8 @@
 	}}}
 }
 
-// submitBacklog submits the jobs of a setup. Starved jobs have lower numbers than preempting ones, although
-// those are submitted first.
+// submitBacklog submits the jobs of a setup. Starved jobs have lower numbers than preempting ones, although the
+// preempting ones are submitted first.
 func (f *benchmarkFleet) submitBacklog(setup benchmarkSetup) {
 	for i := range setup.jobs {
 		f.submit(i, 0, protocol.Spec{
@@ -126,7 +126,7 @@
 	}
 }
 
-// submit opens the job with the given number. Its age is the time since its submission.
+// submit submits the job with the given number. Its age is the time since its submission.
 func (f *benchmarkFleet) submit(number int, age time.Duration, spec protocol.Spec) {
 	spec.ID = fmt.Sprintf("job-%d", number)
 	spec.MemoryGB, spec.Image, spec.EstimateS = 1, "i", 10
@@ -273,7 +273,7 @@
 
 // TestHeartbeatAllocations limits the leader's memory allocations for the most frequent event, a heartbeat
 // without changes, on a full fleet with a backlog. Unlike times, the number of allocations is reproducible. The
-// limit leaves room for a few more than are needed now.
+// limit leaves room for a few more allocations than a heartbeat needs now.
 func TestHeartbeatAllocations(t *testing.T) {
 	const machines, maxAllocations = 50, 14
 	f := newSchedulerFixture(t, machines)
--- a/internal/coordination/scheduler/capacity_planner_test.go
+++ b/internal/coordination/scheduler/capacity_planner_test.go
@@ -16,7 +16,7 @@
 	}}
 }
 
-// pendingRequests counts the rental requests without an answer, for spot instances and on demand.
+// pendingRequests counts the pending rentals of spot machines and of on-demand machines.
 func (f *schedulerFixture) pendingRequests() (spot, onDemand int) {
 	for _, r := range f.scheduler.rentals.all() {
 		switch {
@@ -30,7 +30,7 @@
 	return spot, onDemand
 }
 
-// requestedMachines returns the number of machines in rental requests without an answer.
+// requestedMachines returns the number of machines in pending rentals.
 func (f *schedulerFixture) requestedMachines() int {
 	machines := 0
 	for _, r := range f.scheduler.rentals.all() {
@@ -41,15 +41,15 @@
 	return machines
 }
 
-// planAndCountRequested makes a plan at once and returns the number of machines in requests without an answer.
+// planAndCountRequested makes a plan at once and returns the number of machines in pending rentals.
 func (f *schedulerFixture) planAndCountRequested() int {
 	f.scheduler.planner.requestPlan()
 	f.step(Tick{Entitled: true})
 	return f.requestedMachines()
 }
 
-// TestCheapestPoolFirst checks that machines are requested only from the cheapest pool until it has no more, and
-// then from the next cheapest at once, with at most one request to the first to try it again.
+// TestCheapestPoolFirst checks that machines are requested only from the cheapest pool while it has capacity. Once
+// it has none, they are requested from the next cheapest pool at once, and the first gets at most one request.
 func TestCheapestPoolFirst(t *testing.T) {
 	f := newSchedulerFixture(t, 0)
 	f.step(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{
@@ -74,12 +74,13 @@
 		f.step(RentalDone{Name: r.name, NoCapacity: true})
 	}
 	if spot, onDemand := untilRequested(); spot > 1 || onDemand == 0 {
-		t.Errorf("%d requests to the pool that refused and %d to the other, want at most 1 and some", spot, onDemand)
+		t.Errorf("%d requests to the pool without capacity and %d to the other, want at most 1 and at least 1",
+			spot, onDemand)
 	}
 }
 
-// TestMachinesForTasksThatStartTooLate checks that machines are rented for the tasks that cannot start on the
-// existing fleet before a new machine would be up, even if the fleet could run them later, and only for those.
+// TestMachinesForTasksThatStartTooLate checks that machines are rented only for the tasks that cannot start on the
+// existing fleet before a new machine would be up, and that they are rented even if the fleet could run these later.
 func TestMachinesForTasksThatStartTooLate(t *testing.T) {
 	f := newSchedulerFixture(t, 10)
 	f.scheduler.cfg.CloudRPS = 100
@@ -115,8 +116,8 @@
 	}
 }
 
-// confirmStartsAsRunning answers the direct commands of the last event with heartbeats in which all tasks that
-// they start are running.
+// confirmStartsAsRunning replies to the direct commands of the last event with heartbeats in which all tasks
+// that the commands start are running.
 func (f *schedulerFixture) confirmStartsAsRunning() {
 	for _, sent := range f.directCommands() {
 		heartbeat := &protocol.Heartbeat{Machine: sent.Machine, Incarnation: 1, Sequence: 100, FencingToken: 3}
--- a/internal/coordination/scheduler/large_fleet_test.go
+++ b/internal/coordination/scheduler/large_fleet_test.go
@@ -13,8 +13,8 @@
 	"quillshunt/internal/storage"
 )
 
-// largeFleet is a fleet of thousands of machines and the records in the state service, which successive leaders
-// share.
+// largeFleet is a fleet of thousands of machines, with the records in the state service. Successive leaders use
+// the same machines and records.
 type largeFleet struct {
 	t        *testing.T
 	settings Config
@@ -141,15 +141,15 @@
 	return registered
 }
 
-// submit opens a job. Team, priority, memory, image and estimate are the same for all jobs.
+// submit submits a job. Team, priority, memory, image and estimate are the same for all jobs.
 func (f *largeFleet) submit(s *Scheduler, version uint64, spec protocol.Spec) {
 	spec.Team, spec.Priority, spec.MemoryGB, spec.Image, spec.EstimateS = "red", "standard", 1, "i", 100
 	f.step(s, JobChanged{JobID: spec.ID, Version: version, Record: storage.OpenJob{Spec: spec}})
 }
 
 // TestFailoverWithFourThousandMachines checks that thousands of machines that report within seconds are registered
-// with small values and transactions, and with far fewer operations than machines. The next leader loads them,
-// receives heartbeats of all, and must fill the fleet with gangs and the tasks of an array.
+// on pages that fit the value limit, with far fewer write operations than machines. The next leader loads the pages,
+// receives a heartbeat of every machine, and must fill the fleet with gangs and the tasks of an array.
 func TestFailoverWithFourThousandMachines(t *testing.T) {
 	const machines, gangs, tasksPerGang = 4200, 200, 8
 	f := newLargeFleet(t, machines)
@@ -182,7 +182,7 @@
 	}
 	assigned := len(second.jobs.find("job-9999").assignments)
 	if expected := machines - gangs*tasksPerGang; assigned != expected {
-		t.Errorf("%d tasks of the array placed on machines without gang tasks, want %d", assigned, expected)
+		t.Errorf("%d tasks of the array placed, want %d, one on each machine without gang tasks", assigned, expected)
 	}
 	for i := range gangs {
 		if placed := len(second.jobs.find(fmt.Sprintf("job-%d", i)).assignments); placed != tasksPerGang {
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -108,7 +108,8 @@
 }
 
 // submitJobs submits the jobs of this tick: small urgent jobs of both teams at random times, which alone need about
-// 1.3 times the CPUs of the fleet, and a large job of one team every minute.
+// 1.3 times the CPUs of the fleet, and a large job of one team every minute. A small job has about 12 tasks of 4 CPUs
+// that run for about 10 s.
 func (f *overloadedFleet) submitJobs() {
 	r := f.random
 	if r.Float64() < 0.5*float64(overloadMachines*overloadCPUs)*1.3/(12*4*10) {
--- a/internal/coordination/scheduler/rentals_test.go
+++ b/internal/coordination/scheduler/rentals_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestPoolBackoff checks that the backoff of a pool without machines doubles up to CapacityBackoffMax, that the
-// pool may be tried again after each backoff, and that a complete answer resets it. Other pools are unaffected.
+// pool may be tried again after each backoff, and that a complete reply resets it. Other pools are unaffected.
 func TestPoolBackoff(t *testing.T) {
 	env := newTestEnvironment()
 	rentals := newRentalTable(env, newMachineInventory(env, newTypeCatalog(env)))
@@ -23,7 +23,7 @@
 		}
 		env.now += expected
 		if rentals.isBackedOff(pool) || !rentals.lastReplyIncomplete(pool) {
-			t.Fatalf("after a backoff of %v, pool is still backed off or its answer counts as complete", expected)
+			t.Fatalf("after a backoff of %v, pool is still backed off or its last reply counts as complete", expected)
 		}
 		expected = min(2*expected, limits.CapacityBackoffMax)
 	}
@@ -52,7 +52,7 @@
 	f.step(RentalDone{Name: name, OK: true, Machines: []string{f.machine(1)}})
 	writes = effectsOf[WriteRecords](f.effects)
 	if len(writes) != 1 || rentals.find(name).isPending() {
-		t.Fatalf("answer of the cloud is not being written: %+v", f.effects)
+		t.Fatalf("want one write of the cloud's reply, got %+v", f.effects)
 	}
 	f.step(DeletionDone{Machines: []string{f.machine(1)}, OK: true})
 	if again := effectsOf[WriteRecords](f.effects); len(again) != 0 {
