--- a/internal/coordination/scheduler/simulation_cloud_test.go
+++ b/internal/coordination/scheduler/simulation_cloud_test.go
@@ -10,8 +10,8 @@
 // maxMachinesPerRental is the most machines that the simulated cloud rents out for one request.
 const maxMachinesPerRental = 4
 
-// rentMachines executes a rental request after a random delay. The cloud has no capacity or rents out
-// new machines. A repetition of a request that it has fulfilled returns the same machines again.
+// rentMachines executes a rental request after a random delay. The cloud either has no capacity or rents
+// out new machines. A duplicate of a request that it has fulfilled returns the same machines again.
 func (s *simulation) rentMachines(controller *simulatedController, request protocol.RentalRequest) {
 	s.afterFunc(s.randomDuration(50*time.Millisecond, 2*time.Second), func() {
 		names, alreadyRented := s.rentedMachines[request.Name]
@@ -25,7 +25,7 @@
 			}
 			s.rentedMachines[request.Name] = names
 		}
-		if s.withProbability(0.1) && !s.faultFree { // the response is lost and the request repeated
+		if s.withProbability(0.1) && !s.faultFree { // the reply is lost and the request retried
 			s.afterFunc(time.Second, func() { s.rentMachines(controller, request) })
 			return
 		}
@@ -33,8 +33,8 @@
 	})
 }
 
-// addMachine creates a machine that begins to boot now. Some machines never come up, and on some all
-// tasks fail.
+// addMachine creates a machine that begins to boot now. Some machines never finish booting, and on
+// some all tasks fail.
 func (s *simulation) addMachine(request protocol.RentalRequest) *simulatedMachine {
 	s.machineSequence++
 	name := fmt.Sprintf("m-%06d", s.machineSequence)
@@ -51,14 +51,14 @@
 		incarnation:     1,
 	}
 	machine.leaseStartedAt, machine.nextHeartbeatAt = machine.bootedAt, machine.bootedAt
-	machine.down = s.withProbability(0.05) // never comes up
+	machine.down = s.withProbability(0.05) // never boots
 	machine.faulty = s.withProbability(0.08)
 	s.machines[name] = machine
 	return machine
 }
 
 // deleteMachines executes a deletion request after a random delay. If the deletion is not confirmed,
-// either the request or only the response was lost.
+// either the request or only the reply was lost.
 func (s *simulation) deleteMachines(controller *simulatedController, names []string) {
 	s.afterFunc(s.randomDuration(50*time.Millisecond, time.Second), func() {
 		confirmed := !s.withProbability(0.2)
@@ -72,8 +72,8 @@
 	})
 }
 
-// listMachines returns the machines that exist at the time of the request. The response arrives up to
-// 6 seconds later, when the list may be outdated.
+// listMachines returns the machines that exist at the time of the request. The reply arrives up to 6
+// seconds later, when the list may be stale.
 func (s *simulation) listMachines(controller *simulatedController) {
 	var listed []protocol.Machine
 	for _, name := range s.machineNames() {
--- a/internal/coordination/scheduler/simulation_controller_test.go
+++ b/internal/coordination/scheduler/simulation_controller_test.go
@@ -10,15 +10,15 @@
 	"quillshunt/internal/storage"
 )
 
-// simulatedController is the controller that leads in one term. It may keep running after its lease as
-// the leader has ended.
+// simulatedController is the controller that is the leader in one term. It may keep running after its leader
+// lease has expired.
 type simulatedController struct {
 	term          uint64
 	scheduler     *Scheduler
 	startedAt     time.Duration
-	entitledUntil time.Duration // end of its lease as the leader
+	entitledUntil time.Duration // when its leader lease expires
 	stopped       bool
-	stopsAt       time.Duration // when it learns that its lease has ended, and stops
+	stopsAt       time.Duration // when it observes that its leader lease has expired, and stops
 }
 
 // farFuture is later than the end of every scenario.
@@ -36,8 +36,8 @@
 	}
 }
 
-// electLeader starts a new term. The leases of all earlier leaders end. Each of these leaders stops now,
-// or keeps running for up to 8 seconds until it learns that its lease has ended.
+// electLeader starts a new term. The leader leases of all earlier leaders expire. Each of these leaders stops
+// now, or keeps running for up to 8 seconds until it observes that its lease has expired.
 func (s *simulation) electLeader() {
 	for _, controller := range s.leaders {
 		if controller.stopped {
@@ -61,7 +61,7 @@
 	s.loadState(controller)
 }
 
-// loadState passes all records of earlier terms to the scheduler of a new leader.
+// loadState passes all records that a leader loads to the scheduler of a new leader.
 func (s *simulation) loadState(controller *simulatedController) {
 	for _, key := range s.sortedKeysWithPrefix(storage.PrefixOpenJob) {
 		s.stepJobChanged(controller, key)
@@ -109,13 +109,13 @@
 	}
 }
 
-// isEntitled reports whether a controller's lease as the leader is still valid.
+// isEntitled reports whether a controller's leader lease is still valid. Quorum leases are not simulated.
 func (s *simulation) isEntitled(controller *simulatedController) bool {
 	return s.now < controller.entitledUntil
 }
 
 // tickLeaders sends a Tick to the leader and to earlier leaders that are still running. It stops earlier
-// leaders that now learn that their lease has ended.
+// leaders that now observe that their leader lease has expired.
 func (s *simulation) tickLeaders() {
 	for _, controller := range s.leaders {
 		if !controller.stopped && s.now >= controller.stopsAt {
--- a/internal/coordination/scheduler/simulation_network_test.go
+++ b/internal/coordination/scheduler/simulation_network_test.go
@@ -58,8 +58,8 @@
 	return s.randomDuration(time.Millisecond, 30*time.Millisecond), true
 }
 
-// sendHeartbeat sends a worker's heartbeat to the leader at the time of its arrival, or to an earlier
-// leader that is still running. Sometimes a duplicate arrives too.
+// sendHeartbeat sends a worker's heartbeat. On arrival it is passed to the current leader or to an earlier one
+// that is still running. Sometimes a duplicate is delivered too.
 func (s *simulation) sendHeartbeat(machine *simulatedMachine) {
 	heartbeat := s.newHeartbeat(machine)
 	sentAt := s.now
@@ -125,8 +125,8 @@
 	})
 }
 
-// pickReachableLeader picks a controller that is still running, more likely a newer one, or returns nil
-// if there is none.
+// pickReachableLeader picks a random controller that is still running, a newer one with a higher probability,
+// or returns nil if there is none.
 func (s *simulation) pickReachableLeader() *simulatedController {
 	var picked *simulatedController
 	for _, controller := range s.leaders {
@@ -137,8 +137,8 @@
 	return picked
 }
 
-// sendDirectCommands sends direct commands to a worker. The controller gets exactly one outcome: that the
-// commands were not sent, their result, or a timeout, after which they may still be executed.
+// sendDirectCommands sends direct commands to a worker. The controller receives exactly one outcome:
+// that the commands were not executed, their result, or a timeout, after which they may still be executed.
 func (s *simulation) sendDirectCommands(controller *simulatedController, request SendDirectCommands) {
 	finished := false
 	finish := func(result DirectCommandsDone) {
@@ -161,8 +161,8 @@
 	s.afterFunc(delay, func() { s.deliverDirectCommands(machine, controller.term, request, finish) })
 }
 
-// deliverDirectCommands executes direct commands on a worker and returns the result. If the machine
-// hangs, they wait until the hang ends. The worker rejects commands of an earlier term or for another
+// deliverDirectCommands executes direct commands on a worker and passes the result to finish. If the machine
+// hangs, they are executed after the hang. The worker rejects commands of an earlier term or for another
 // incarnation.
 func (s *simulation) deliverDirectCommands(
 	machine *simulatedMachine, term uint64, request SendDirectCommands, finish func(DirectCommandsDone),
@@ -188,8 +188,8 @@
 	}
 }
 
-// probeMachine requests a heartbeat from a worker on behalf of a controller. The controller gets no
-// outcome if the worker can't be reached, responds too late or has seen a later term.
+// probeMachine requests a heartbeat from a worker on behalf of a controller. The controller receives
+// no outcome if the worker is unreachable, replies too late or has received a message of a later term.
 func (s *simulation) probeMachine(controller *simulatedController, name string) {
 	machine := s.machines[name]
 	if machine == nil || machine.removed || s.now < machine.bootedAt || s.now < machine.hungUntil {
--- a/internal/coordination/scheduler/simulation_rules_test.go
+++ b/internal/coordination/scheduler/simulation_rules_test.go
@@ -76,7 +76,7 @@
 	return executing
 }
 
-// checkNoOtherAttempt checks that no other attempt of a task executes.
+// checkNoOtherAttempt checks that no other attempt of a started task executes at the same time.
 func (s *simulation) checkNoOtherAttempt(task *simulatedTask, description string) {
 	for _, p := range s.executingTasks() {
 		if p.task.name == task.name && p.task != task {
@@ -116,8 +116,8 @@
 	return counts
 }
 
-// checkCancelledTasks checks that a machine executes no task for too long after the cancellation of its
-// job.
+// checkCancelledTasks checks that a machine does not execute a task for too long after the task's job was
+// cancelled.
 func (s *simulation) checkCancelledTasks(machine *simulatedMachine) {
 	for _, task := range machine.tasks {
 		if task.isExecuting() {
@@ -126,8 +126,8 @@
 	}
 }
 
-// checkCancelDeadline fails the test if a job was cancelled longer ago than its tasks may take to end. It
-// is called while a task of the job executes.
+// checkCancelDeadline fails the test if a job was cancelled so long ago that its tasks must have ended. It is
+// called while a task of the job executes.
 func (s *simulation) checkCancelDeadline(job *simulatedJob, description string) {
 	if job.cancelledAt != 0 && s.now > job.cancelledAt+limits.Seconds(s.workerTimes.CancelWithinS) {
 		s.t.Fatalf("ran_cancelled: task still executes after the time limit for cancelled tasks: %s", description)
--- a/internal/coordination/scheduler/simulation_scenario_test.go
+++ b/internal/coordination/scheduler/simulation_scenario_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// simulatedJob is the actual state of a job, which the leaders may not know yet.
+// simulatedJob is the actual state of a job. The schedulers may not have received it yet.
 type simulatedJob struct {
 	spec           protocol.Spec
 	completedTasks map[int]bool
@@ -238,8 +238,8 @@
 	}
 }
 
-// pickAffectedMachines picks the machines that a fault affects: a random machine, its
-// whole zone, or each machine of the fleet with a probability of 20%.
+// pickAffectedMachines picks the machines that a fault affects: a random machine, all machines of its zone, or
+// each machine of the fleet with a probability of 20%.
 func (s *simulation) pickAffectedMachines(names []string) []*simulatedMachine {
 	picked := s.machines[names[s.random.IntN(len(names))]]
 	var affected []*simulatedMachine
@@ -262,8 +262,8 @@
 	return []*simulatedMachine{picked}
 }
 
-// explainUnfinishedJob describes what the newest leader knows about a job that has not finished, and
-// about the teams and machines.
+// explainUnfinishedJob describes a job that has not finished, the teams and the machines, as recorded by the
+// newest leader's scheduler.
 func (s *simulation) explainUnfinishedJob(id string) string {
 	scheduler := s.leaders[len(s.leaders)-1].scheduler
 	text := fmt.Sprintf("job %+v\n", s.jobs[id].spec)
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -209,7 +209,7 @@
 	s.endTask(machine, task, protocol.ReasonDone)
 }
 
-// endTask ends a task for a reason, which the next heartbeat reports.
+// endTask ends a task. The next heartbeat contains the reason.
 func (s *simulation) endTask(machine *simulatedMachine, task *simulatedTask, reason protocol.EndReason) {
 	task.state, task.reason = protocol.TaskEnded, reason
 	machine.sendHeartbeatBy(s.now + statusReportDelay)
