--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -61,17 +61,17 @@
 	byName         map[string]*rental
 	pools          map[machinePool]*poolState
 	rentalSequence uint64 // number of the last rental of this term; part of its name
-	maxMachines    int    // limit on the machines of one rental, so that its record fits the value limit
+	maxRentalSize  int    // limit on the machines of one rental, so that its record fits the value limit
 }
 
 // newRentalTable returns a table without rentals.
 func newRentalTable(env *environment, inventory *machineInventory) *rentalTable {
 	return &rentalTable{
-		environment: env,
-		inventory:   inventory,
-		byName:      map[string]*rental{},
-		pools:       map[machinePool]*poolState{},
-		maxMachines: storage.MaxRentalMachines(env.cfg.State.ValueKB),
+		environment:   env,
+		inventory:     inventory,
+		byName:        map[string]*rental{},
+		pools:         map[machinePool]*poolState{},
+		maxRentalSize: storage.MaxRentalMachines(env.cfg.State.ValueKB),
 	}
 }
 
@@ -82,7 +82,7 @@
 func (t *rentalTable) count() int { return len(t.byName) }
 
 // maxPerRental returns the largest number of machines in one rental.
-func (t *rentalTable) maxPerRental() int { return t.maxMachines }
+func (t *rentalTable) maxPerRental() int { return t.maxRentalSize }
 
 // all returns the rentals, sorted by name.
 func (t *rentalTable) all() []*rental {
@@ -129,7 +129,7 @@
 			MachineType: pool.typeName,
 			Zone:        pool.zone,
 			Spot:        pool.spot,
-			Count:       min(count, t.maxMachines),
+			Count:       min(count, t.maxRentalSize),
 		},
 	}
 	t.byName[r.name] = r
