--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// benchmarkSetup is the number of machines of the fleet, and of jobs of each kind that wait for it.
+// benchmarkSetup is the number of machines of the fleet and of waiting jobs of each kind.
 type benchmarkSetup struct{ machines, jobs, starved, preempting, gangs int }
 
 // String returns the name of the setup. It must stay the same so that results can be compared with those of
@@ -118,7 +118,7 @@
 			Class: "large", Team: "red", Shape: "sweep", Priority: "low", Tasks: 100, CPUs: benchmarkCPUs,
 		})
 	}
-	for i := range setup.gangs { // no two request the same resources, so that no search is shared
+	for i := range setup.gangs { // no two request the same resources, so that no cached search result is reused
 		f.submit(setup.jobs+setup.starved+setup.preempting+i, 0, protocol.Spec{
 			Class: "gang", Team: "red", Shape: protocol.ShapeGang, SameZone: true, Priority: "standard",
 			Tasks: 4 + i%9, CPUs: 2 + float64(i)/100,
@@ -235,7 +235,7 @@
 }
 
 // newSchedulerWithReports returns the scheduler of a new term with empty machines and a backlog of many times
-// their capacity. The first reported machines have sent a heartbeat.
+// their capacity. The machines with numbers below reported have sent a heartbeat.
 func newSchedulerWithReports(machines, reported int) *Scheduler {
 	options := config.DefaultOptions()
 	options.Fleet.MaxMachines = machines
--- a/internal/coordination/scheduler/capacity_offer.go
+++ b/internal/coordination/scheduler/capacity_offer.go
@@ -95,7 +95,7 @@
 	neededByPlan, neededByGang    bool
 }
 
-// state returns the state to which restore can return after a job was planned.
+// state returns the state of the offer, so that restore can undo the planning of a job.
 func (c *capacityOffer) state() offerState {
 	state := offerState{usedCPUs: c.usedCPUs, remainingCPUSeconds: c.remainingCPUSeconds}
 	if c.machine != nil {
@@ -104,7 +104,7 @@
 	return state
 }
 
-// restore returns the offer to an earlier state.
+// restore resets the offer to an earlier state.
 func (c *capacityOffer) restore(state offerState) {
 	c.usedCPUs, c.remainingCPUSeconds = state.usedCPUs, state.remainingCPUSeconds
 	if c.machine != nil {
--- a/internal/coordination/scheduler/capacity_plan_test.go
+++ b/internal/coordination/scheduler/capacity_plan_test.go
@@ -27,7 +27,7 @@
 			f.submitGang("job-1", c.tasks, 8)
 			f.now += limits.GangCapacityTimeout
 			f.sendHeartbeat(0)
-			f.scheduler.inventory.find(f.machine(1)).createdAt = f.now // still within its boot time
+			f.scheduler.inventory.find(f.machine(1)).createdAt = f.now // so the plan counts it as booting
 			plan := f.scheduler.planner.newPlan()
 			before := plan.snapshot()
 			j := f.scheduler.jobs.find("job-1")
--- a/internal/coordination/scheduler/simulation_store_test.go
+++ b/internal/coordination/scheduler/simulation_store_test.go
@@ -30,8 +30,8 @@
 	return keys
 }
 
-// writeJob writes the record of a job, as the controller that handles the user's request does. The leader
-// receives the record later, through its watch.
+// writeJob writes the record of a job, as the controller that handles the user's request does. The leader,
+// and earlier leaders that are still running, receive the record later through their watches.
 func (s *simulation) writeJob(key string, record any) {
 	s.revision++
 	s.records[key] = storedRecord{s.revision, protocol.Encode(record)}
--- a/internal/coordination/scheduler/simulation_test.go
+++ b/internal/coordination/scheduler/simulation_test.go
@@ -11,7 +11,7 @@
 // simulation models everything around the scheduler: workers, the cloud, the state service, and a
 // network that loses, delays and duplicates messages. It checks the protocol rules whose violation is
 // visible outside the scheduler. All random values come from one generator, so that a seed reproduces a
-// run. The number and order of the draws must not change: otherwise every seed yields another run.
+// run. The number and order of the draws must not change: otherwise a known seed no longer reproduces its run.
 type simulation struct {
 	t      interface{ Fatalf(string, ...any) }
 	random *rand.Rand
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -43,7 +43,7 @@
 	m.removed, m.tasks = true, nil
 }
 
-// sendHeartbeatBy moves the next heartbeat forward to a time, unless it is due earlier.
+// sendHeartbeatBy makes the next heartbeat due at a time, unless it is due earlier already.
 func (m *simulatedMachine) sendHeartbeatBy(at time.Duration) {
 	m.nextHeartbeatAt = min(m.nextHeartbeatAt, at)
 }
