--- a/internal/coordination/scheduler/simulation_network_test.go
+++ b/internal/coordination/scheduler/simulation_network_test.go
@@ -75,7 +75,7 @@
 		return
 	}
 	s.afterFunc(delay, func() {
-		leader := s.pickReachableLeader()
+		leader := s.pickRunningLeader()
 		if leader == nil {
 			return
 		}
@@ -95,7 +95,7 @@
 // It may arrive before the original, or after the worker's lease of 14 seconds has expired.
 func (s *simulation) deliverDuplicateHeartbeat(heartbeat *protocol.Heartbeat) {
 	s.afterFunc(s.randomDuration(0, 40*time.Second), func() {
-		leader := s.pickReachableLeader()
+		leader := s.pickRunningLeader()
 		if leader == nil {
 			return
 		}
@@ -125,9 +125,9 @@
 	})
 }
 
-// pickReachableLeader picks a random controller that is still running, a newer one with a higher probability,
+// pickRunningLeader picks a random controller that is still running, a newer one with a higher probability,
 // or returns nil if there is none.
-func (s *simulation) pickReachableLeader() *simulatedController {
+func (s *simulation) pickRunningLeader() *simulatedController {
 	var picked *simulatedController
 	for _, controller := range s.leaders {
 		if !controller.stopped && (picked == nil || s.withProbability(0.7)) {
