--- a/internal/coordination/scheduler/rentals_test.go
+++ b/internal/coordination/scheduler/rentals_test.go
@@ -52,7 +52,7 @@
 	f.step(RentalDone{Name: name, OK: true, Machines: []string{f.machine(1)}})
 	writes = effectsOf[WriteRecords](f.effects)
 	if len(writes) != 1 || rentals.find(name).isPending() {
-		t.Fatalf("want one write of the cloud's reply, got %+v", f.effects)
+		t.Fatalf("want one write of the cloud's reply and no pending rental, got %+v", f.effects)
 	}
 	f.step(DeletionDone{Machines: []string{f.machine(1)}, OK: true})
 	if again := effectsOf[WriteRecords](f.effects); len(again) != 0 {
