--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// benchmarkSetup is the number of machines of the fleet, and of jobs of each kind that wait for it.
+// benchmarkSetup is the number of machines of the fleet and of waiting jobs of each kind.
 type benchmarkSetup struct{ machines, jobs, starved, preempting, gangs int }
 
 // String returns the name of the setup. It must stay the same so that results can be compared with those of
@@ -98,8 +98,8 @@
 	}}}
 }
 
-// submitBacklog submits the jobs of a setup. Starved jobs have lower numbers than preempting ones, although
-// those are submitted first.
+// submitBacklog submits the jobs of a setup. Starved jobs have lower numbers than preempting ones, although the
+// preempting ones are submitted first.
 func (f *benchmarkFleet) submitBacklog(setup benchmarkSetup) {
 	for i := range setup.jobs {
 		f.submit(i, 0, protocol.Spec{
@@ -118,7 +118,7 @@
 			Class: "large", Team: "red", Shape: "sweep", Priority: "low", Tasks: 100, CPUs: benchmarkCPUs,
 		})
 	}
-	for i := range setup.gangs { // no two request the same resources, so that no search is shared
+	for i := range setup.gangs { // no two request the same resources, so that no cached search result is reused
 		f.submit(setup.jobs+setup.starved+setup.preempting+i, 0, protocol.Spec{
 			Class: "gang", Team: "red", Shape: protocol.ShapeGang, SameZone: true, Priority: "standard",
 			Tasks: 4 + i%9, CPUs: 2 + float64(i)/100,
@@ -126,7 +126,7 @@
 	}
 }
 
-// submit opens the job with the given number. Its age is the time since its submission.
+// submit submits the job with the given number. Its age is the time since its submission.
 func (f *benchmarkFleet) submit(number int, age time.Duration, spec protocol.Spec) {
 	spec.ID = fmt.Sprintf("job-%d", number)
 	spec.MemoryGB, spec.Image, spec.EstimateS = 1, "i", 10
@@ -235,7 +235,7 @@
 }
 
 // newSchedulerWithReports returns the scheduler of a new term with empty machines and a backlog of many times
-// their capacity. The first reported machines have sent a heartbeat.
+// their capacity. The machines with numbers below reported have sent a heartbeat.
 func newSchedulerWithReports(machines, reported int) *Scheduler {
 	options := config.DefaultOptions()
 	options.Fleet.MaxMachines = machines
@@ -273,7 +273,7 @@
 
 // TestHeartbeatAllocations limits the leader's memory allocations for the most frequent event, a heartbeat
 // without changes, on a full fleet with a backlog. Unlike times, the number of allocations is reproducible. The
-// limit leaves room for a few more than are needed now.
+// limit leaves room for a few more allocations than a heartbeat needs now.
 func TestHeartbeatAllocations(t *testing.T) {
 	const machines, maxAllocations = 50, 14
 	f := newSchedulerFixture(t, machines)
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -108,7 +108,8 @@
 }
 
 // submitJobs submits the jobs of this tick: small urgent jobs of both teams at random times, which alone need about
-// 1.3 times the CPUs of the fleet, and a large job of one team every minute.
+// 1.3 times the CPUs of the fleet, and a large job of one team every minute. A small job has about 12 tasks of 4 CPUs
+// that run for about 10 s.
 func (f *overloadedFleet) submitJobs() {
 	r := f.random
 	if r.Float64() < 0.5*float64(overloadMachines*overloadCPUs)*1.3/(12*4*10) {
@@ -225,13 +226,13 @@
 	t.Helper()
 	type share struct{ done, due float64 }
 	shares := map[string]*share{}
-	largest := f.largestSize()
+	minTasksOfLargest := f.largestThirdMinTasks()
 	for id, spec := range f.specs {
 		if overloadDuration-f.submittedAt[id] < 8*time.Minute {
 			continue
 		}
 		kinds := []string{"class " + spec.Class, "team " + spec.Team}
-		if spec.Class == "large" && spec.Tasks >= largest {
+		if spec.Class == "large" && spec.Tasks >= minTasksOfLargest {
 			kinds = append(kinds, "largest")
 		}
 		for _, kind := range kinds {
@@ -252,8 +253,8 @@
 	}
 }
 
-// largestSize returns the smallest number of tasks of a job among the largest third of the large jobs.
-func (f *overloadedFleet) largestSize() int {
+// largestThirdMinTasks returns the smallest number of tasks of a job among the largest third of the large jobs.
+func (f *overloadedFleet) largestThirdMinTasks() int {
 	var sizes []int
 	for _, spec := range f.specs {
 		if spec.Class == "large" {
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -17,10 +17,10 @@
 	surplus := p.surplusCPUs(candidates)
 	slices.SortStableFunc(candidates, compareForDraining)
 	for _, m := range candidates {
-		size := m.capacity().CPUs
-		if m.freeResources().CPUs > 0 && size <= surplus && p.now > m.createdAt+limits.MinDrainAge {
+		cpus := m.capacity().CPUs
+		if m.freeResources().CPUs > 0 && cpus <= surplus && p.now > m.createdAt+limits.MinDrainAge {
 			m.draining = true
-			surplus -= size
+			surplus -= cpus
 		}
 	}
 }
@@ -79,7 +79,7 @@
 			continue
 		}
 		if s.isStale(m) {
-			continue // unreachable, maybe only because this leader is isolated; then it can be used again later
+			continue // unreachable, perhaps only because this leader is isolated; the machine may be used again later
 		}
 		if s.now > m.idleSince+s.idleTimeout(m) && s.now > m.createdAt+limits.MinChargedTime {
 			s.returnMachine(m, "idle")
--- a/internal/coordination/scheduler/simulation_worker_test.go
+++ b/internal/coordination/scheduler/simulation_worker_test.go
@@ -43,7 +43,7 @@
 	m.removed, m.tasks = true, nil
 }
 
-// sendHeartbeatBy moves the next heartbeat forward to a time, unless it is due earlier.
+// sendHeartbeatBy makes the next heartbeat due at a time, unless it is due earlier already.
 func (m *simulatedMachine) sendHeartbeatBy(at time.Duration) {
 	m.nextHeartbeatAt = min(m.nextHeartbeatAt, at)
 }
@@ -209,7 +209,7 @@
 	s.endTask(machine, task, protocol.ReasonDone)
 }
 
-// endTask ends a task for a reason, which the next heartbeat reports.
+// endTask ends a task. The next heartbeat contains the reason.
 func (s *simulation) endTask(machine *simulatedMachine, task *simulatedTask, reason protocol.EndReason) {
 	task.state, task.reason = protocol.TaskEnded, reason
 	machine.sendHeartbeatBy(s.now + statusReportDelay)
