--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -26,8 +26,8 @@
 	for {
 		// After a try without a result the record is read again. The loop ends with the context at the
 		// latest, because reading the record fails then.
-		if answer, ok := g.tryCancel(ctx, id); ok {
-			return answer
+		if response, ok := g.tryCancel(ctx, id); ok {
+			return response
 		}
 	}
 }
--- a/internal/coordination/gateway/simulated_worker_test.go
+++ b/internal/coordination/gateway/simulated_worker_test.go
@@ -33,12 +33,12 @@
 // receiveReply reads the reply to a heartbeat, executes the commands in it and returns its HTTP status.
 func (w *simulatedWorker) receiveReply(buffer []byte) (int, error) {
 	for {
-		reply, err := w.decoder.Next()
+		response, err := w.decoder.Next()
 		if err != nil {
 			return 0, err
 		}
-		if reply != nil {
-			return reply.Status, w.executeCommands(reply)
+		if response != nil {
+			return response.Status, w.executeCommands(response)
 		}
 		n, err := w.conn.Read(buffer)
 		if err != nil {
@@ -49,12 +49,12 @@
 }
 
 // executeCommands executes the start commands in the reply to a heartbeat. Others are ignored.
-func (w *simulatedWorker) executeCommands(answer *transport.Message) error {
-	if answer.Status != http.StatusOK {
+func (w *simulatedWorker) executeCommands(response *transport.Message) error {
+	if response.Status != http.StatusOK {
 		return nil
 	}
 	var reply protocol.HeartbeatReply
-	if err := protocol.Decode(answer.Body, &reply); err != nil {
+	if err := protocol.Decode(response.Body, &reply); err != nil {
 		return err
 	}
 	w.fencingToken = reply.FencingToken
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -50,9 +50,9 @@
 
 // serveUserRequest executes a user request, sends the response and returns its HTTP status.
 func (g *Gateway) serveUserRequest(route userRoute, body []byte, rsp *transport.Responder) int {
-	answer := g.executeUserAction(route, body)
+	response := g.executeUserAction(route, body)
 	retryAfter := 0
-	if answer.status == http.StatusServiceUnavailable {
+	if response.status == http.StatusServiceUnavailable {
 		failingFor := g.store.FailingFor()
 		retryAfter = limits.RetryAfterSeconds(failingFor)
 		if failingFor > limits.IsolationThreshold {
@@ -62,8 +62,8 @@
 			rsp.CloseAfterResponse()
 		}
 	}
-	rsp.Respond(answer.status, answer.body, retryAfter)
-	return answer.status
+	rsp.Respond(response.status, response.body, retryAfter)
+	return response.status
 }
 
 // executeUserAction executes the action that a user requests, within the time limit of the action.
--- a/internal/coordination/peer/client.go
+++ b/internal/coordination/peer/client.go
@@ -87,20 +87,20 @@
 func (p *Peers) RequestVotes(
 	ctx context.Context, heartbeatVersion uint64, nonces map[string]uint64,
 ) map[string]election.Vote {
-	type answer struct {
+	type nodeVote struct {
 		node string
 		vote election.Vote
 	}
-	answers := callAll(ctx, p, limits.VoteTimeout,
-		func(ctx context.Context, node string, c peerpb.PeerClient) (answer, error) {
+	replies := callAll(ctx, p, limits.VoteTimeout,
+		func(ctx context.Context, node string, c peerpb.PeerClient) (nodeVote, error) {
 			request := &peerpb.VoteRequest{HeartbeatVersion: heartbeatVersion, ProcessNonce: nonces[node]}
 			reply, err := c.Pledge(ctx, request)
 			vote := election.Vote{Granted: reply.GetGranted(), ProcessNonce: reply.GetProcessNonce()}
-			return answer{node, vote}, err
+			return nodeVote{node, vote}, err
 		})
 	votes := map[string]election.Vote{}
-	for a := range answers {
-		votes[a.node] = a.vote
+	for reply := range replies {
+		votes[reply.node] = reply.vote
 	}
 	return votes
 }
--- a/internal/storage/machine_types_test.go
+++ b/internal/storage/machine_types_test.go
@@ -31,8 +31,8 @@
 					stored.PartVersions[key] = 1
 				}
 			}
-			guard := protocol.Condition{Key: KeyLeader, Version: 1}
-			for _, txn := range store.MachineTypesTransactions(stored, types, guard) {
+			fencingCondition := protocol.Condition{Key: KeyLeader, Version: 1}
+			for _, txn := range store.MachineTypesTransactions(stored, types, fencingCondition) {
 				if len(txn.Operations) > 4 || len(txn.Conditions) != len(txn.Operations)+1 {
 					t.Fatalf("transaction with %d operations, want at most 4, and %d conditions, want one more",
 						len(txn.Operations), len(txn.Conditions))
