--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -22,15 +22,15 @@
 	Fleet      FleetOptions      `toml:"fleet"`
 }
 
-// LeadershipOptions configure the leader's lease.
+// LeadershipOptions configure the leader lease.
 type LeadershipOptions struct {
-	LeaderLease Duration `toml:"leader_lease"` // time after the last renewal until it expires
+	LeaderLease Duration `toml:"leader_lease"` // time from its last renewal until it expires
 }
 
 // PreemptionOptions configure when running tasks are stopped to free resources for other jobs.
 type PreemptionOptions struct {
 	Slack         Duration `toml:"slack"`          // only jobs with less slack than this preempt others
-	RestartWeight float64  `toml:"restart_weight"` // cost added per earlier stop, as a multiple of the cost
+	RestartWeight float64  `toml:"restart_weight"` // preemption cost per earlier stop, as a multiple of the base cost
 }
 
 // FleetOptions configure how machines are rented (scaling out) and returned (scaling in). A pool is
@@ -39,19 +39,20 @@
 	// MaxMachines limits how many machines are rented at the same time. With 0, the limit follows from
 	// the number of sockets that the controller may open.
 	MaxMachines int `toml:"max_machines"`
-	// MaxPlannedWait is the longest time that a job is planned to wait for free resources.
+	// MaxPlannedWait is the longest time that a job's tasks are planned to wait for existing machines.
+	// Machines are rented for tasks that would wait longer.
 	MaxPlannedWait Duration `toml:"max_planned_wait"`
-	// PlannedWaitSlackRatio is the part of its slack that a job is planned to wait.
+	// PlannedWaitSlackRatio limits the same wait to this part of the job's slack.
 	PlannedWaitSlackRatio float64 `toml:"planned_wait_slack_ratio"`
 	// IdleTimeout is how long a machine is idle before it is returned.
 	IdleTimeout Duration `toml:"idle_timeout"`
-	// Headroom is the share of the CPUs of running and waiting tasks that must be free before machines
-	// are drained.
+	// Headroom is how many CPUs are kept free when machines are drained, as a fraction of the CPUs of all
+	// running and waiting tasks.
 	Headroom float64 `toml:"headroom"`
-	// ExpensivePoolRatio is the price of a CPU, as a multiple of the lowest, from which a pool counts
-	// as expensive.
+	// ExpensivePoolRatio is the multiple of a task's cost in the cheapest pool above which a pool counts as
+	// expensive.
 	ExpensivePoolRatio float64 `toml:"expensive_pool_ratio"`
-	// ExpensivePoolSlack is the slack below which a job may use expensive pools.
+	// ExpensivePoolSlack is the slack up to which a job may use expensive pools.
 	ExpensivePoolSlack Duration `toml:"expensive_pool_slack"`
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -50,7 +50,8 @@
 	MaxGPUs        float64 `json:"gpus_max"`
 }
 
-// Objective is a service-level objective for the jobs of a class. Kind says what has to happen in time.
+// Objective is a service-level objective for the jobs of a class. Kind selects what must happen within the
+// allowed time.
 type Objective struct {
 	Kind             string  `json:"kind"`
 	Class            string  `json:"class"`
@@ -59,14 +60,15 @@
 	DeadlineMultiple float64 `json:"times"`    // allowed time as a multiple of the job's own deadline
 }
 
-// WorkerTimes are the intervals and timeouts that workers keep to, in seconds. A deployment without
-// the two times for gangs does not support gangs.
+// WorkerTimes are the intervals and timeouts that workers keep to, in seconds. A worker lease expires when
+// the last answered heartbeat of the worker was sent LeaseS ago; the worker then kills its tasks. A
+// deployment without the two times for gangs does not support gangs.
 type WorkerTimes struct {
-	HeartbeatIntervalS float64  `json:"report_s"`    // interval between heartbeats, within 25 %
-	LeaseS             float64  `json:"lease_s"`     // age of its last answered heartbeat when a worker kills its tasks
+	HeartbeatIntervalS float64  `json:"report_s"`    // interval between heartbeats; the actual one is within 25 % of it
+	LeaseS             float64  `json:"lease_s"`     // duration of a worker lease
 	CancelWithinS      float64  `json:"cancel_s"`    // time after a cancellation by which the job's tasks must be gone
-	GangWaitTimeoutS   *float64 `json:"gang_wait_s"` // how long a gang's task waits for the others
-	GangPeerDetectionS *float64 `json:"gang_peer_s"` // time until the others notice that one is gone or stopped
+	GangWaitTimeoutS   *float64 `json:"gang_wait_s"` // how long a task of a gang waits for the others
+	GangPeerDetectionS *float64 `json:"gang_peer_s"` // time until a gang's tasks detect that one is gone or stopped
 }
 
 // SupportsGangs reports whether the workers of the deployment can run gangs.
@@ -106,7 +108,7 @@
 	return s
 }
 
-// lowerTo lowers a limit to the announced value if there is one that is lower.
+// lowerTo lowers a limit to the announced value, if one is announced and it is lower.
 func lowerTo[T int | float64](limit, announced *T) {
 	if announced != nil {
 		*limit = min(*limit, *announced)
--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -8,8 +8,9 @@
 	"quillshunt/internal/limits"
 )
 
-// Backoff waits between retries. The delay doubles with each wait, from limits.RetryMin up to
-// limits.RetryMax, with a jitter of up to half of it either way. The zero value is ready to use.
+// Backoff waits between retries. The delay doubles with each wait, from limits.RetryBackoffMin up to
+// limits.RetryBackoffMax. Each wait is longer or shorter than the delay by a random time of up to half of
+// it. The zero value is ready to use.
 type Backoff struct{ delay time.Duration }
 
 // Wait waits for the next delay. It returns false as soon as the context is done.
--- a/internal/storage/calls_test.go
+++ b/internal/storage/calls_test.go
@@ -24,7 +24,7 @@
 }
 
 // storeCalls holds the calls of a Store by the prefix of their error texts. RevokeLease is not among them,
-// as it accepts every status that other calls do not expect.
+// because it accepts statuses that the other calls reject as unexpected.
 var storeCalls = map[string]func(context.Context, *Store) error{
 	"get a/b: ": func(ctx context.Context, s *Store) error {
 		_, err := s.Get(ctx, "a/b")
@@ -49,8 +49,8 @@
 	},
 }
 
-// TestCallErrors checks that the error of every call begins with what was being done, and wraps the error
-// that says whether the service executed the request.
+// TestCallErrors checks that the error of every call begins with the operation that failed, and wraps the
+// error that says whether the service executed the request.
 func TestCallErrors(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
@@ -61,10 +61,10 @@
 		is, not error
 	}{
 		{"rate limited", status(http.StatusTooManyRequests), ErrNotExecuted, ErrOutcomeUnknown},
-		{"rate limited, error of its own", status(http.StatusTooManyRequests), ErrRateLimited, ErrBadRequest},
+		{"rate limit error", status(http.StatusTooManyRequests), ErrRateLimited, ErrBadRequest},
 		{"unavailable", status(http.StatusServiceUnavailable), ErrNotExecuted, ErrRateLimited},
 		{"unexpected status", status(http.StatusTeapot), ErrBadRequest, ErrNotExecuted},
-		{"no response", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		{"no reply", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			ErrOutcomeUnknown, ErrNotExecuted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestTransactionErrors checks the error for each kind of response to a transaction that is not a success.
+// TestTransactionErrors checks the error for each kind of reply that does not report a success.
 func TestTransactionErrors(t *testing.T) {
 	withLease := protocol.Transaction{Operations: []protocol.Operation{{Put: "a", Value: protocol.Raw{1}, Lease: 7}}}
 	withoutLease := protocol.Transaction{Operations: []protocol.Operation{{Delete: "a"}}}
@@ -103,7 +103,7 @@
 	}{
 		{"lease expired", withLease, http.StatusBadRequest, nil, ErrLeaseExpired},
 		{"malformed", withoutLease, http.StatusBadRequest, nil, ErrBadRequest},
-		{"truncated response", withoutLease, http.StatusOK, []byte{0xa1}, ErrOutcomeUnknown},
+		{"truncated reply", withoutLease, http.StatusOK, []byte{0xa1}, ErrOutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestStore(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// An error of a Store wraps one of these errors or a *ConflictError, unless a response could not be
-// decoded or the caller's own function failed.
+// An error of a Store wraps one of these errors or a *ConflictError, unless a reply could not be decoded
+// or a function passed by the caller failed.
 var (
 	// ErrNotExecuted means that the request was not executed and never will be, so it may be repeated.
 	// Either the service rejected it (429 or 503), or it was not sent, for example because the wait for
@@ -17,26 +17,26 @@
 	// ErrRateLimited means that the service rejected the request because its own rate limit was exceeded
 	// (429). An error that wraps it also wraps ErrNotExecuted.
 	ErrRateLimited = errors.New("rate limit of the state service exceeded")
-	// ErrOutcomeUnknown means that no usable response arrived. The request may have been executed, or may
-	// still be executed later. Only reading the keys can show it.
-	ErrOutcomeUnknown = errors.New("no usable response from the state service; outcome unknown")
+	// ErrOutcomeUnknown means that no usable reply arrived. The request may have been executed, or may
+	// still be executed later. Only reading the keys can show whether it was.
+	ErrOutcomeUnknown = errors.New("no usable reply from the state service; outcome unknown")
 	// ErrLeaseExpired means that the lease no longer exists, and neither do the keys attached to it. A
 	// transaction that fails with this error was not executed.
 	ErrLeaseExpired = errors.New("lease expired or unknown")
 	// ErrCompacted means that the changes since the given revision cannot be read. The keys must be
 	// listed again.
 	ErrCompacted = errors.New("changes since the revision are no longer available")
-	// ErrBadRequest means that the service responded with a status that the call does not expect, such as
-	// 400 for a malformed or too large request. The request was not executed, and a retry would fail in
-	// the same way.
+	// ErrBadRequest means that the service replied with a status that the call does not expect, such as 400
+	// for a malformed or too large request. The request was not executed, and a retry would fail in the
+	// same way.
 	ErrBadRequest = errors.New("state service rejected the request")
 	// ErrNoMachineTypes means that no machine types are stored yet, or that they are being replaced.
 	ErrNoMachineTypes = errors.New("no complete machine types are stored")
 )
 
 // ConflictError means that a transaction was not executed because some of its conditions did not hold.
-// If an earlier attempt at the same transaction ended with ErrOutcomeUnknown, the conflict may be due
-// to that attempt having been executed; reading the keys shows it.
+// If an earlier attempt at the same transaction ended with ErrOutcomeUnknown, the service may have
+// executed that attempt, which then caused the conflict. Reading the keys shows whether it did.
 type ConflictError struct {
 	FailedKeys []string // keys of the conditions that did not hold
 }
@@ -49,7 +49,7 @@
 // Has reports whether the condition on a key did not hold.
 func (c *ConflictError) Has(key string) bool { return slices.Contains(c.FailedKeys, key) }
 
-// IsTimeout reports whether a call failed because its timeout passed without a response. The cause may
+// IsTimeout reports whether a call failed because its timeout passed without a reply. The cause may
 // be an unreachable service, or too little CPU time for this process.
 func IsTimeout(err error) bool {
 	var netErr net.Error
--- a/internal/storage/finished_tasks.go
+++ b/internal/storage/finished_tasks.go
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("%s%s/%d", PrefixFinishedTasks, id, firstTask)
 }
 
-// ParseFinishedTasksKey returns the job's ID and the first task from a key of FinishedTasksKey. For any
-// other key, ok is false.
+// ParseFinishedTasksKey returns the job's ID and the first task from a key that FinishedTasksKey returns.
+// For any other key, ok is false.
 func ParseFinishedTasksKey(key string) (id string, firstTask int, ok bool) {
 	rest, ok := strings.CutPrefix(key, PrefixFinishedTasks)
 	if !ok {
--- a/internal/storage/finished_tasks_test.go
+++ b/internal/storage/finished_tasks_test.go
@@ -61,7 +61,7 @@
 	}
 	for _, key := range []string{"open/job-7", "fin/job-7", "fin/job-7/x"} {
 		if _, _, ok := ParseFinishedTasksKey(key); ok {
-			t.Errorf("key %q was accepted as one of finished tasks", key)
+			t.Errorf("key %q was accepted as a key of finished tasks", key)
 		}
 	}
 }
--- a/internal/storage/jobs.go
+++ b/internal/storage/jobs.go
@@ -20,12 +20,12 @@
 	Spec          protocol.Spec `cbor:"Spec" json:"Spec"`
 	Cancelled     bool          `cbor:"Cancelled" json:"Cancelled"`
 	SubmittedAtMs int64         `cbor:"AtMs" json:"AtMs"`
-	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // no user has been told of the cancellation earlier
+	CancelledAtMs int64         `cbor:"CancelMs" json:"CancelMs"` // before any response that reports the cancellation
 }
 
-// TrimmedToLimit returns the record of a cancelled job without some fields if it exceeds the value
-// limit, as a record can that was stored under a higher limit. The fields only matter for starting
-// tasks, which a cancelled job no longer does. Other records are returned unchanged.
+// TrimmedToLimit returns the record of a cancelled job without some fields if the record exceeds the value
+// limit, which may have been lowered since the record was stored. The fields are only needed to start
+// tasks, and no task of a cancelled job is started. Other records are returned unchanged.
 func (o OpenJob) TrimmedToLimit(valueKB float64) OpenJob {
 	if !o.Cancelled || FitsValueLimit(o, valueKB) {
 		return o
--- a/internal/storage/leadership.go
+++ b/internal/storage/leadership.go
@@ -24,12 +24,12 @@
 }
 
 // LeaderHeartbeat is written by the winner of an election, together with its LeaderRecord. The leader
-// writes it again when a majority of the controllers does not grant its votes, and when it learns that
+// writes it again when a majority of the controllers does not grant it votes, and when it observes that
 // another controller has been restarted.
 type LeaderHeartbeat struct {
 	Term             uint64 `cbor:"Term" json:"Term"`
 	Sequence         uint64 `cbor:"Seq" json:"Seq"`
-	ObservedRevision uint64 `cbor:"Seen" json:"Seen"` // the leader has seen all changes of open jobs up to this one
+	ObservedRevision uint64 `cbor:"Seen" json:"Seen"` // the leader has observed all changes of open jobs up to it
 }
 
 // VoteWithdrawal records that a controller no longer votes for a leader whose last LeaderHeartbeat has
--- a/internal/storage/lease.go
+++ b/internal/storage/lease.go
@@ -12,9 +12,9 @@
 )
 
 // Calls for leases are not subject to the client-side rate limit: there are few of them, and a late
-// renewal would cost the leadership.
+// renewal could end the leadership.
 
-// leasePath returns the URL path of a lease. The protocol calls leases holds.
+// leasePath returns the URL path of a lease. In the protocol, leases are named holds.
 func leasePath(id uint64) string { return "/holds/" + strconv.FormatUint(id, 10) }
 
 // CreateLease creates a lease and returns its ID. Unless it is renewed, the lease expires after the
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// checkRenewalStatus returns the error for the response status of a renewal, or nil.
+// checkRenewalStatus returns the error for the status of the reply to a renewal, or nil if it succeeded.
 func checkRenewalStatus(status int) error {
 	switch status {
 	case http.StatusOK:
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -32,8 +32,8 @@
 	Parts        int                    `cbor:"Parts" json:"Parts"` // number of parts
 }
 
-// SplitMachineTypes divides machine types into parts that fit the value limit. A type that exceeds the
-// limit alone gets a part of its own.
+// SplitMachineTypes divides machine types into parts that fit the value limit. A type that alone exceeds
+// the limit gets a part of its own.
 func SplitMachineTypes(types []protocol.MachineType, valueKB float64) []MachineTypesPart {
 	var parts []MachineTypesPart
 	for _, t := range types {
--- a/internal/storage/machine_types_test.go
+++ b/internal/storage/machine_types_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestMachineTypesRoundTrip checks that any number of machine types is written in records and
-// transactions within the limits and read back in order, also where it replaces stored machine types.
-// Parts of which one is missing must not count as complete.
+// transactions within the limits and read back in order, also when it replaces stored machine types. If
+// a part is missing, the others must not count as complete.
 func TestMachineTypesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := New("127.0.0.1:1", config.StateLimits{RPS: 1, WriteRPS: 1, ValueKB: 0.5, TxnOps: 4})
@@ -54,7 +54,8 @@
 			{Name: "c", Zones: make([]string, 60)},
 		}, 0.5)
 		if _, complete := JoinMachineTypes(parts[1:]); complete || len(parts) != 3 {
-			t.Fatalf("types split into %d parts, want 3; without the first, complete is %v", len(parts), complete)
+			t.Fatalf("types split into %d parts, want 3; without the first, complete is %v, want false",
+				len(parts), complete)
 		}
 	})
 }
--- a/internal/storage/rentals.go
+++ b/internal/storage/rentals.go
@@ -9,14 +9,14 @@
 func RentalKey(name string) string { return PrefixRental + name }
 
 // Rental is the record of a request to the cloud for machines of one type in one zone. It is written
-// before the request is sent, and again, with the machines, after the response. Thus no machine is
-// paid for without a record of it.
+// before the request is sent, and again, with the machines, after the reply. Thus no machine is paid for
+// without a record of it.
 type Rental struct {
 	MachineType string   `cbor:"Rigkind" json:"Rigkind"`
 	Zone        string   `cbor:"Yard" json:"Yard"`
 	Spot        bool     `cbor:"Lendable" json:"Lendable"`
 	Count       int      `cbor:"Number" json:"Number"`
-	Answered    bool     `cbor:"Answered" json:"Answered"` // the cloud has responded to the request
+	Answered    bool     `cbor:"Answered" json:"Answered"` // the cloud has replied to the request
 	Machines    []string `cbor:"Rigs" json:"Rigs"`         // names of the machines that still exist
 }
 
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -24,7 +24,7 @@
 // of the service, it rejects calls with status 429 without executing them.
 type Store struct {
 	client         *transport.Client
-	watchClient    *transport.Client // separate, because a watch occupies its connection for long
+	watchClient    *transport.Client // separate, because a watch occupies its connection for a long time
 	requestLimiter *rate.Limiter
 	writeLimiter   *rate.Limiter
 	maxRateWait    time.Duration // longest wait for the rate limits; 0: until the context is done
@@ -56,7 +56,7 @@
 
 // ForUserRequests returns a Store that uses the same connections, but the users' share of the rate
 // limits. A call fails with ErrNotExecuted if it would have to wait for longer than
-// limits.UserRateWait, or if Unavailable returns true.
+// limits.UserRateLimitWait, or if Unavailable returns true.
 func (s *Store) ForUserRequests() *Store {
 	users := *s
 	users.requestLimiter = newLimiter(s.serviceLimits.RPS, limits.UserReadShare, 1)
@@ -86,8 +86,8 @@
 	return checkReply(reply, err)
 }
 
-// checkReply returns an error that wraps ErrNotExecuted or ErrOutcomeUnknown if the call failed, or if its
-// response says that the service did not execute it.
+// checkReply returns an error that wraps ErrNotExecuted or ErrOutcomeUnknown if the call failed, or if the
+// status of its reply means that the service did not execute it.
 func checkReply(reply *transport.Message, err error) (*transport.Message, error) {
 	switch {
 	case errors.Is(err, transport.ErrNotSent):
@@ -102,10 +102,10 @@
 	return reply, nil
 }
 
-// unexpectedStatus returns the error for a response status that the call does not expect.
+// unexpectedStatus returns the error for a reply with a status that the call does not expect.
 func unexpectedStatus(status int) error { return fmt.Errorf("%w: status %d", ErrBadRequest, status) }
 
-// decodeReply decodes the body of a response.
+// decodeReply decodes the body of a reply.
 func decodeReply[T any](reply *transport.Message) (T, error) {
 	var v T
 	err := protocol.Decode(reply.Body, &v)
--- a/internal/storage/watch.go
+++ b/internal/storage/watch.go
@@ -15,7 +15,7 @@
 
 // Watch returns the changes of keys with a prefix after a revision. If there are none yet, it waits for
 // up to limits.WatchDuration, and then returns no changes. The error wraps ErrCompacted if the changes
-// are no longer available, or too large for one response.
+// are no longer available, or too large for one reply.
 func (s *Store) Watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
 	changes, err := s.watch(ctx, prefix, since)
 	if err != nil {
@@ -24,8 +24,8 @@
 	return changes, nil
 }
 
-// watch makes the call of Watch. It does not record the outcome in the service's health, because a watch
-// stays open without a response during an outage.
+// watch makes the call for Watch. It does not record the outcome in the service's health: during an outage
+// a watch stays open without a reply, so its outcome says nothing about the service.
 func (s *Store) watch(ctx context.Context, prefix string, since uint64) (protocol.WatchReply, error) {
 	var none protocol.WatchReply
 	if err := s.waitForRateLimit(ctx, 0); err != nil {
