--- a/internal/coordination/peer/client.go
+++ b/internal/coordination/peer/client.go
@@ -42,8 +42,8 @@
 	return int(reply.GetStatus()), reply.GetBody(), nil
 }
 
-// ConfirmCancellation asks the leader to confirm that it knows of a cancellation, and reports whether it
-// does. The record is the open record of the cancelled job, and keyVersion is the version of its key.
+// ConfirmCancellation asks the leader to confirm that it has processed a cancellation, and reports whether
+// it does. The record is the open record of the cancelled job, and keyVersion is the version of its key.
 // The leader is asked directly first. If it does not confirm, all other controllers are asked in
 // parallel to forward the request to the leader. Each of these two steps takes at most
 // limits.CancelConfirmTimeout.
@@ -106,7 +106,8 @@
 }
 
 // FindConnected asks all other controllers in parallel, within limits.ConnectivityTimeout, whether they
-// can reach the state service. It returns the name of the first one that says so, or "" if none does.
+// can reach the state service. It returns the name of the first one that replies that it can, or "" if
+// there is none.
 func (p *Peers) FindConnected(ctx context.Context) string {
 	connected := callAll(ctx, p, limits.ConnectivityTimeout,
 		func(ctx context.Context, node string, c peerpb.PeerClient) (string, error) {
@@ -124,9 +125,10 @@
 	return ""
 }
 
-// OfferLeadership tells another controller that this controller's term is over, so that the other one can
-// campaign at once. It takes at most limits.ConnectivityTimeout. keyVersion is the version of the leader
-// key of the term. An error means that no reply came; the offer may have been received nevertheless.
+// OfferLeadership notifies another controller that this controller's term is over, so that the other one
+// can campaign at once. It takes at most limits.ConnectivityTimeout. keyVersion is the version of the
+// leader key of the term. An error means that no reply arrived; the offer may have been received
+// nevertheless.
 func (p *Peers) OfferLeadership(ctx context.Context, node string, term, keyVersion uint64) error {
 	_, err := callPeer(ctx, p, node, limits.ConnectivityTimeout,
 		func(ctx context.Context, c peerpb.PeerClient) (*peerpb.LeadershipOfferReply, error) {
--- a/internal/coordination/peer/dial.go
+++ b/internal/coordination/peer/dial.go
@@ -22,7 +22,7 @@
 }
 
 // NewPeers creates the connections to the other controllers. Each one is established by the first call
-// that uses it. A nil dialer stands for TCP. NewPeers returns an error if an address is malformed.
+// that uses it. If dialer is nil, TCP is used. NewPeers returns an error if an address is malformed.
 func NewPeers(members []config.Member, dialer transport.Dialer) (*Peers, error) {
 	p := &Peers{conns: map[string]*grpc.ClientConn{}}
 	for _, m := range members {
@@ -50,8 +50,8 @@
 }
 
 // newClientConn creates an unencrypted connection, which is established by the first call. The
-// passthrough scheme makes gRPC pass the address to the dialer as it is: the settings contain addresses,
-// and the dialer resolves any host name in them.
+// passthrough scheme makes gRPC pass the address to the dialer without resolving it: an IP address needs
+// no name resolution, and the dialer resolves a host name.
 func newClientConn(addr string, options ...grpc.DialOption) (*grpc.ClientConn, error) {
 	options = append(options, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	return grpc.NewClient("passthrough:///"+addr, options...)
--- a/internal/coordination/peer/server.go
+++ b/internal/coordination/peer/server.go
@@ -13,8 +13,9 @@
 	"quillshunt/internal/limits"
 )
 
-// LeaderHandler handles the requests that only the leader can answer. If this process does not lead, it
-// says so. Its methods are called concurrently.
+// LeaderHandler handles the requests that only the leader can answer. If this process does not lead,
+// RelayedHeartbeat returns status 503 and the other methods return false. The methods are called
+// concurrently.
 type LeaderHandler interface {
 	// TaskCounts returns a job's task counts. It returns false if this process does not lead or does not
 	// know the job.
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// Counts returns a job's task counts, which another controller shows to a user.
+// Counts returns a job's task counts, which another controller reports to a user.
 func (s *Server) Counts(ctx context.Context, r *peerpb.TaskCountsRequest) (*peerpb.TaskCountsReply, error) {
 	c, ok := s.leaderHandler.TaskCounts(ctx, r.GetJob())
 	return &peerpb.TaskCountsReply{Known: ok, Done: int64(c.Done), Running: int64(c.Running)}, nil
@@ -119,9 +120,9 @@
 	return &peerpb.VoteReply{Granted: v.Granted, ProcessNonce: v.ProcessNonce}, nil
 }
 
-// Confirm returns whether the leader confirms that it knows of a cancellation. If this controller cannot
-// confirm it, it forwards the request to the leader, which the caller may be unable to reach. A request
-// is forwarded at most once.
+// Confirm returns whether the leader confirms that it has processed a cancellation. If this controller
+// cannot confirm it, it forwards the request to the leader, which the caller may be unable to reach. A
+// request is forwarded at most once.
 func (s *Server) Confirm(
 	ctx context.Context, r *peerpb.ConfirmCancellationRequest,
 ) (*peerpb.ConfirmCancellationReply, error) {
