--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -10,11 +10,11 @@
 	"quillshunt/internal/storage"
 )
 
-// errCancellationUnconfirmed means that a job is cancelled according to its record, but a leader that does
-// not know this may still be entitled.
+// errCancellationUnconfirmed means that a job is cancelled according to its record, but that a leader which
+// has not processed this record may still be entitled.
 var errCancellationUnconfirmed = errors.New("cancellation stored but not confirmed by the leader yet")
 
-// cancelJob marks a job as cancelled. It tells the user that the job is aborted only once the cancellation
+// cancelJob marks a job as cancelled. It reports the job as aborted to the user only once the cancellation
 // is confirmed, see confirmCancellation.
 func (g *Gateway) cancelJob(ctx context.Context, id string) response {
 	if !protocol.ValidJobID(id) {
@@ -24,8 +24,8 @@
 		return statusResponse(http.StatusOK, status)
 	}
 	for {
-		// After a try without a result the record is read again. The loop ends with the context at the
-		// latest, because reading the record fails then.
+		// After an attempt without a result the record is read again. The loop ends with the context at
+		// the latest, because reading the record fails then.
 		if response, ok := g.tryCancel(ctx, id); ok {
 			return response
 		}
@@ -82,8 +82,8 @@
 	return response{}, false // the job was submitted between the two reads
 }
 
-// respondIfConfirmed handles the cancellation of a job whose open record says that it is cancelled. It
-// tells the user that the job is aborted if the cancellation is confirmed, and to retry otherwise.
+// respondIfConfirmed handles the cancellation of a job that is cancelled according to its open record. If
+// the cancellation is confirmed, it reports the job as aborted. Otherwise it asks the user to retry.
 func (g *Gateway) respondIfConfirmed(ctx context.Context, id string, open protocol.KeyValue) response {
 	if !g.confirmCancellation(ctx, id, open) {
 		return g.retryLaterResponse(errCancellationUnconfirmed)
@@ -92,13 +92,13 @@
 }
 
 // confirmCancellation reports whether every leader, current or future, is certain to act on a
-// cancellation that is stored in the state service, so that the user may be told of it. The leader's
-// watch of the open jobs does not ensure this: if the state service first refuses the requests of the
-// leader only and then those of all controllers, the votes of a majority keep the leader entitled, and it
-// may not see the cancellation until long after the time cancel_s, within which the job's tasks must be
-// gone. So one of these conditions must hold after the job's record was written:
-//   - The leader has replied that it knows the job's record and was entitled, that is, certain to be the
-//     leader, at that time. Then no other controller was entitled, and later leaders read the record.
+// cancellation that is stored in the state service. Only then may the cancellation be reported to the
+// user. The leader's watch of the open jobs does not ensure this: if the state service first rejects the
+// requests of the leader only and then those of all controllers, the votes of a majority keep the leader
+// entitled, and it may not observe the cancellation until long after cancel_s, the time within which the
+// job's tasks must be gone. So one of these conditions must hold after the job's record was written:
+//   - The leader has replied that it has processed the job's record and was entitled afterwards. Then no
+//     other controller was entitled at that time, and later leaders read the record.
 //   - The leader has written a heartbeat record according to which it has observed the revision of the
 //     job's record. Such a write succeeds only while no later term has begun.
 //   - There is no leader key. Then its lease has expired, so that no leader is entitled, and the next
--- a/internal/coordination/gateway/fixture_test.go
+++ b/internal/coordination/gateway/fixture_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// expectRetryLater sends a request and checks that the response tells the user when to retry.
+// expectRetryLater sends a request and checks that the response is a 503 with a Retry-After header.
 func (f *gatewayFixture) expectRetryLater(name string, request userRequest) {
 	f.t.Helper()
 	if got := f.send(request); got.status != http.StatusServiceUnavailable || got.retryAfter == 0 {
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -20,7 +20,7 @@
 type Options struct {
 	Node       string // name of this controller
 	Settings   *config.Settings
-	Store      *storage.Store // the one for users' requests, see storage.Store.ForUsers
+	Store      *storage.Store // the one for users' requests, see storage.Store.ForUserRequests
 	Dispatcher *leader.Dispatcher
 	Peers      *peer.Peers
 	LeaderName func() string // returns the name of the leading controller, or "" if none is known
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// checkResponsesInOutage checks that while the state service is unavailable, users are told when to retry,
-// except for jobs whose final state is cached. job-1 is cancelled, job-2 is done, job-4 is open.
+// checkResponsesInOutage checks that while the state service is unavailable, users are asked to retry, except
+// for jobs whose final state is cached. job-1 is cancelled, job-2 is done, job-4 is open.
 func checkResponsesInOutage(f *gatewayFixture) {
 	f.t.Helper()
 	f.expectRetryLater("open job in an outage", get("/v2/runs/job-4"))
@@ -127,11 +127,11 @@
 	}
 }
 
-// TestUnconfirmedCancellationNotReported: a job must not be reported as cancelled while a leader that does
-// not know of the cancellation may be entitled, because its tasks could still be started. This holds for
-// the responses to the cancellation, to a poll and to a repeated submission. The cancellation may be
-// reported once the leader has observed the job's record according to its heartbeat record, or there is no
-// leader.
+// TestUnconfirmedCancellationNotReported: a job must not be reported as cancelled while a leader that has
+// not observed the cancellation may be entitled, because that leader could still start the job's tasks.
+// This holds for the responses to the cancellation, to a poll and to a repeated submission. The
+// cancellation may be reported once the leader has observed the job's record according to its heartbeat
+// record, or there is no leader.
 func TestUnconfirmedCancellationNotReported(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -151,7 +151,7 @@
 			f.storeRecord(storage.KeyLeaderHeartbeat, storage.LeaderHeartbeat{Term: 1})
 
 			if got := f.send(submit(jobSpec("job-1", nil))); got.status != http.StatusCreated {
-				t.Fatalf("submission: status %d", got.status)
+				t.Fatalf("submission: got status %d, want 201", got.status)
 			}
 			checkCancelledJob(f, http.StatusServiceUnavailable, "")
 			open, _ := f.state.Get(storage.OpenJobKey("job-1"))
@@ -209,12 +209,12 @@
 			decoder := transport.NewResponseDecoder(limits.MaxBodyBytes)
 			decoder.Feed(got)
 			if m, err := decoder.Next(); err != nil || m == nil || decoder.Buffered() > 0 {
-				t.Errorf("%q: got %q, want one response", c.raw, got)
+				t.Errorf("%q: got %q, want exactly one response, then the end of the connection", c.raw, got)
 			}
 		})
 	}
 	if got := f.send(get("/healthz")); got.status != http.StatusOK {
-		t.Errorf("health check on another connection: status %d", got.status)
+		t.Errorf("health check on another connection: got status %d, want 200", got.status)
 	}
 }
 
@@ -225,7 +225,8 @@
 	for outage := time.Duration(0); outage < 5*time.Minute; outage += time.Second {
 		seconds := limits.RetryAfterSeconds(outage)
 		if seconds < max(last, 1) || seconds > 30 {
-			t.Fatalf("after an outage of %v: Retry-After %d; one second earlier: %d", outage, seconds, last)
+			t.Fatalf("after an outage of %v: Retry-After %d, want 1 to 30 and at least the %d of one second earlier",
+				outage, seconds, last)
 		}
 		last = seconds
 	}
@@ -241,9 +242,10 @@
 	f := &gatewayFixture{t: t, client: transport.NewClient(server.Addr(), 1, limits.MaxBodyBytes)}
 	if got := f.send(submit(jobSpec("job-1", nil))); got.status != http.StatusServiceUnavailable ||
 		got.retryAfter == 0 {
-		t.Fatalf("submission: status %d, Retry-After %d", got.status, got.retryAfter)
+		t.Fatalf("submission: got status %d, Retry-After %d; want status 503 with Retry-After",
+			got.status, got.retryAfter)
 	}
-	// Users are not told to retry a request that can never succeed.
+	// Users are not asked to retry a request that can never succeed.
 	for _, c := range []struct {
 		name    string
 		request userRequest
@@ -294,6 +296,7 @@
 	}
 	got := record.Spec
 	if !storage.FitsValueLimit(record, valueKB) || got.Tasks != 2 || got.CPUs != 8 || got.Team != "vision" {
-		t.Errorf("record after the cancellation: %+v", record)
+		t.Errorf("record after the cancellation: %+v; want it within %v KiB, and its tasks, CPUs and team unchanged",
+			record, valueKB)
 	}
 }
--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -50,10 +50,10 @@
 }
 
 // sameConnection reports whether the previous heartbeat on the same connection was answered with 200. As
-// the worker has sent another one on this connection, it has received that reply.
+// the worker has sent another heartbeat on this connection, it has received the reply to the previous one.
 func sameConnection(rsp *transport.Responder) bool { return rsp.PreviousStatus() == http.StatusOK }
 
-// redirectWorker tells a worker to send its heartbeats to the leader, or to any other controller if no
+// redirectWorker instructs a worker to send its heartbeats to the leader, or to any other controller if no
 // leader is given.
 func redirectWorker(rsp *transport.Responder, leader string) {
 	rsp.Respond(http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: leader}), 0)
--- a/internal/coordination/gateway/job_status.go
+++ b/internal/coordination/gateway/job_status.go
@@ -52,7 +52,7 @@
 // readJobStatus reads a job's status from the state service unless it is cached, and reports whether the
 // job exists. It reads the open record before the final one: one transaction replaces the open record
 // with the final one, so a job that exists is never missed. The error is errCancellationUnconfirmed if
-// the job is cancelled and the user cannot be told so yet.
+// the job is cancelled and this must not be reported to the user yet.
 func (g *Gateway) readJobStatus(ctx context.Context, id string) (status protocol.JobStatus, found bool, err error) {
 	if status, ok := g.cachedFinalStatus(id); ok {
 		return status, true, nil
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -31,7 +31,7 @@
 	cpusPerWorker      = 8
 	loadMemoryMB       = 147 // half the memory of deployed controllers with as many sockets
 	loadMaxSockets     = 2907
-	unreachableAddress = "127.0.0.1:1" // the address of all workers, at which nothing answers
+	unreachableAddress = "127.0.0.1:1" // the address of all workers, at which nothing listens
 )
 
 // loadFixture is a controller under load and its workers. The workers are connected to the controller's
@@ -65,7 +65,7 @@
 		readBuffer:   make([]byte, 64<<10),
 	}
 	if f.socketShares.MaxMachines < loadWorkers {
-		t.Fatalf("the sockets suffice for only %d machines", f.socketShares.MaxMachines)
+		t.Fatalf("the sockets suffice for %d machines, want %d", f.socketShares.MaxMachines, loadWorkers)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -273,23 +273,23 @@
 	return served
 }
 
-// repeatHeartbeatsUntil repeats rounds of heartbeats until done returns true. done gets the number of
-// workers that were answered with 200 in the last round.
+// repeatHeartbeatsUntil repeats rounds of heartbeats until done returns true. done receives the number of
+// heartbeats that were answered with 200 in the last round.
 func (f *loadFixture) repeatHeartbeatsUntil(term uint64, done func(served int) bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(2 * time.Minute)
 	for served := f.heartbeatRound(); !done(served); served = f.heartbeatRound() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("term %d: only %d workers answered with 200 in the last round", term, served)
+			f.t.Fatalf("term %d: timeout; %d heartbeats were answered with 200 in the last round", term, served)
 		}
 	}
 }
 
-// enoughServed reports whether enough workers were answered with 200. A few may be missing: the leader may
-// give up their machines, because nothing answers at their address.
+// enoughServed reports whether enough heartbeats were answered with 200. A few may be missing: the leader
+// may return some of their machines, because nothing listens at their address.
 func enoughServed(served int) bool { return served > loadWorkers*95/100 }
 
-// startedTaskCount returns how many tasks the workers were told to start.
+// startedTaskCount returns how many tasks the workers were instructed to start.
 func (f *loadFixture) startedTaskCount() (n int) {
 	for _, w := range f.workers {
 		n += len(w.tasks)
--- a/internal/coordination/gateway/responses.go
+++ b/internal/coordination/gateway/responses.go
@@ -32,9 +32,9 @@
 	return errorResponse(http.StatusNotFound, "no such job")
 }
 
-// retryLaterResponse logs an error and returns a response that tells the user to retry. The error itself
-// is not part of the response.
+// retryLaterResponse logs an error and returns a response that asks the user to retry. The error itself is
+// not part of the response.
 func (g *Gateway) retryLaterResponse(err error) response {
-	g.log.Debug("user request failed; user told to retry", "err", err)
+	g.log.Debug("user request failed; user asked to retry", "err", err)
 	return errorResponse(http.StatusServiceUnavailable, "not now")
 }
--- a/internal/coordination/gateway/submissions.go
+++ b/internal/coordination/gateway/submissions.go
@@ -52,8 +52,8 @@
 		return statusResponse(http.StatusCreated, protocol.JobStatus{ID: id, State: protocol.JobPending})
 	case errors.As(err, &conflict), errors.Is(err, storage.ErrOutcomeUnknown):
 		// The job existed already, or it is unknown whether this write was executed. If the job is not
-		// found now, the write may still be executed later. The user retries then, and the conditions
-		// of the transaction ensure that the job is stored only once.
+		// found now, the write may still be executed later. The user is then asked to retry, and the
+		// conditions of the transaction ensure that the job is stored only once.
 		status, found, readErr := g.readJobStatus(ctx, id)
 		if readErr != nil {
 			return g.retryLaterResponse(readErr)
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -38,7 +38,7 @@
 	})
 	end()
 
-	// After a crash of all controllers, all connections are lost and opened again to the new leader.
+	// After a crash of all controllers, the workers reconnect to the new leader.
 	f.reconnectAll()
 	burst := f.startBurst()
 	end = f.startTerm(2)
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// rejectUserRequest responds to a user request for which there is no free slot. It tells the user to
-// retry, unless the request can never succeed.
+// rejectUserRequest responds to a user request for which there is no free slot. It asks the user to retry,
+// unless the request can never succeed.
 func (g *Gateway) rejectUserRequest(route userRoute, body []byte, rsp *transport.Responder) {
 	switch {
 	case route.action != actionSubmit && !protocol.ValidJobID(route.jobID):
@@ -58,7 +58,7 @@
 		if failingFor > limits.IsolationThreshold {
 			// Possibly only this controller cannot reach the state service. If it cannot reach the other
 			// controllers either, its health check still passes (see healthStatus). Closing the
-			// connection lets the user's next try reach another controller.
+			// connection lets the user's retry reach another controller.
 			rsp.CloseAfterResponse()
 		}
 	}
