--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -21,7 +21,7 @@
 	s, err := Parse([]byte(validSettings))
 	if err != nil || s.NodeName != "node-0" || s.Deployment.Teams[0].MaxCPUs != 2 ||
 		s.Deployment.MachineLimits.MaxSockets != 900 {
-		t.Fatalf("parsed settings %+v, error %v", s, err)
+		t.Fatalf("parsed settings %+v, error %v; want the values of validSettings and no error", s, err)
 	}
 }
 
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -13,7 +13,8 @@
 	o, warnings, err := ParseOptions([]byte("[fleet]\nmax_machines = 12\nidle_timeout = \"40s\"\n"))
 	if err != nil || len(warnings) != 0 || o.Fleet.MaxMachines != 12 ||
 		time.Duration(o.Fleet.IdleTimeout) != 40*time.Second || o.Leadership != DefaultOptions().Leadership {
-		t.Fatalf("parsed options %+v, warnings %q, error %v", o, warnings, err)
+		t.Fatalf("parsed options %+v, warnings %q, error %v; want 12 machines, 40s until idle machines are returned "+
+			"and no warning", o, warnings, err)
 	}
 	for in, want := range map[string]string{
 		"[fleet]\nmax_machine = 12\n":                   "line 2: unknown key fleet.max_machine",
--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -65,7 +65,7 @@
 		readBuffer:   make([]byte, 64<<10),
 	}
 	if f.socketShares.MaxMachines < loadWorkers {
-		t.Fatalf("the sockets suffice for %d machines, want %d", f.socketShares.MaxMachines, loadWorkers)
+		t.Fatalf("the sockets suffice for %d machines, want at least %d", f.socketShares.MaxMachines, loadWorkers)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -113,7 +113,7 @@
 	}))
 	response, err := client.Do(ctx, http.MethodPost, jobsPath, body)
 	switch {
-	case err != nil: // not counted: no inbound connection is free
+	case err != nil: // not counted: the gateway may have no free inbound connection
 	case response.Status == http.StatusCreated:
 		burst.accepted.Add(1)
 	case response.Status == http.StatusServiceUnavailable && response.RetryAfter > 0:
--- a/internal/coordination/peer/client.go
+++ b/internal/coordination/peer/client.go
@@ -106,8 +106,8 @@
 }
 
 // FindConnected asks all other controllers in parallel, within limits.ConnectivityTimeout, whether they
-// can reach the state service. It returns the name of the first one that replies that it can, or "" if
-// there is none.
+// can reach the state service. It returns the name of the first one whose reply says that it can, or ""
+// if there is none.
 func (p *Peers) FindConnected(ctx context.Context) string {
 	connected := callAll(ctx, p, limits.ConnectivityTimeout,
 		func(ctx context.Context, node string, c peerpb.PeerClient) (string, error) {
--- a/internal/coordination/peer/server.go
+++ b/internal/coordination/peer/server.go
@@ -137,7 +137,8 @@
 
 // Status returns the status of the deployment as the leader sees it. A controller that does not lead
 // forwards the request to the leader; a request is forwarded at most once. In the reply, the leader is
-// empty if none is known, and the term is 0 if the leader does not reply.
+// empty if none is known or if the controller to which the request was forwarded does not lead. The term
+// is 0 if the leader does not reply.
 func (s *Server) Status(ctx context.Context, r *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
 	if reply, ok := s.leaderHandler.Inspect(ctx, r.GetJob()); ok {
 		return reply, nil
--- a/internal/storage/finished_tasks_test.go
+++ b/internal/storage/finished_tasks_test.go
@@ -57,7 +57,7 @@
 func TestFinishedTasksKey(t *testing.T) {
 	if id, firstTask, ok := ParseFinishedTasksKey(FinishedTasksKey("job-7", 4096)); !ok ||
 		id != "job-7" || firstTask != 4096 {
-		t.Fatalf("parsed as job %q, first task %d, ok %v", id, firstTask, ok)
+		t.Fatalf("parsed as job %q, first task %d, ok %v; want job-7, 4096, true", id, firstTask, ok)
 	}
 	for _, key := range []string{"open/job-7", "fin/job-7", "fin/job-7/x"} {
 		if _, _, ok := ParseFinishedTasksKey(key); ok {
--- a/internal/storage/rentals.go
+++ b/internal/storage/rentals.go
@@ -20,8 +20,8 @@
 	Machines    []string `cbor:"Rigs" json:"Rigs"`         // names of the machines that still exist
 }
 
-// MaxRentalMachines returns the largest number of machines for one rental: as many as the cloud allows
-// and as have names that fit into a record within the value limit.
+// MaxRentalMachines returns the largest number of machines for one rental. The cloud limits the number, and
+// so does the value limit, because the record of the rental holds the names of all its machines.
 func MaxRentalMachines(valueKB float64) int {
 	fitting := (int(valueKB*1024) - limits.RentalOverhead) / limits.MachineNameBytes
 	return min(max(fitting, 1), limits.MaxRentalSize)
