--- a/internal/config/options_renamed.go
+++ b/internal/config/options_renamed.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// setIfGiven returns a function that copies old to option unless old is nil, and reports whether it did.
+// setIfGiven returns a function that copies old to option, unless old is nil. The function reports whether
+// it has copied.
 func setIfGiven[T any](option, old *T) func() bool {
 	return func() bool {
 		if old == nil {
--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -114,7 +114,7 @@
 }
 
 // leaderObservedRevision reports whether the leader has observed a revision according to its heartbeat
-// record, or there is no leader key. It returns false if the state service does not answer.
+// record, or there is no leader key. It returns false if a record cannot be read.
 func (g *Gateway) leaderObservedRevision(ctx context.Context, revision uint64) bool {
 	stored, err := g.store.Get(ctx, storage.KeyLeaderHeartbeat)
 	if err != nil {
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -40,7 +40,7 @@
 	leaderName func() string
 	log        *slog.Logger
 
-	ctx context.Context // ends all work for requests; set by Start, because Handle gets no context
+	ctx context.Context // ends all work on requests; set by Start, because Handle has no context
 
 	userSlots    chan struct{}                          // semaphore for user requests in progress
 	machineTypes atomic.Pointer[[]protocol.MachineType] // nil until they have been read
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -119,7 +119,8 @@
 	case response.Status == http.StatusServiceUnavailable && response.RetryAfter > 0:
 		burst.rejected.Add(1)
 	default:
-		f.t.Errorf("submission in the burst: status %d, Retry-After %d", response.Status, response.RetryAfter)
+		f.t.Errorf("submission in the burst: status %d, Retry-After %d; want status 201, or 503 with Retry-After",
+			response.Status, response.RetryAfter)
 	}
 	burst.peakBytes.Store(max(burst.peakBytes.Load(), runtimeMemoryBytes()))
 }
