--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -38,7 +38,7 @@
 	})
 	end()
 
-	// After a crash of all controllers, all connections are lost and opened again to the new leader.
+	// After a crash of all controllers, the workers reconnect to the new leader.
 	f.reconnectAll()
 	burst := f.startBurst()
 	end = f.startTerm(2)
@@ -113,13 +113,14 @@
 	}))
 	response, err := client.Do(ctx, http.MethodPost, jobsPath, body)
 	switch {
-	case err != nil: // not counted: no inbound connection is free
+	case err != nil: // not counted: the gateway may have no free inbound connection
 	case response.Status == http.StatusCreated:
 		burst.accepted.Add(1)
 	case response.Status == http.StatusServiceUnavailable && response.RetryAfter > 0:
 		burst.rejected.Add(1)
 	default:
-		f.t.Errorf("submission in the burst: status %d, Retry-After %d", response.Status, response.RetryAfter)
+		f.t.Errorf("submission in the burst: status %d, Retry-After %d; want status 201, or 503 with Retry-After",
+			response.Status, response.RetryAfter)
 	}
 	burst.peakBytes.Store(max(burst.peakBytes.Load(), runtimeMemoryBytes()))
 }
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// rejectUserRequest responds to a user request for which there is no free slot. It tells the user to
-// retry, unless the request can never succeed.
+// rejectUserRequest responds to a user request for which there is no free slot. It asks the user to retry,
+// unless the request can never succeed.
 func (g *Gateway) rejectUserRequest(route userRoute, body []byte, rsp *transport.Responder) {
 	switch {
 	case route.action != actionSubmit && !protocol.ValidJobID(route.jobID):
@@ -50,20 +50,20 @@
 
 // serveUserRequest executes a user request, sends the response and returns its HTTP status.
 func (g *Gateway) serveUserRequest(route userRoute, body []byte, rsp *transport.Responder) int {
-	answer := g.executeUserAction(route, body)
+	response := g.executeUserAction(route, body)
 	retryAfter := 0
-	if answer.status == http.StatusServiceUnavailable {
+	if response.status == http.StatusServiceUnavailable {
 		failingFor := g.store.FailingFor()
 		retryAfter = limits.RetryAfterSeconds(failingFor)
 		if failingFor > limits.IsolationThreshold {
 			// Possibly only this controller cannot reach the state service. If it cannot reach the other
 			// controllers either, its health check still passes (see healthStatus). Closing the
-			// connection lets the user's next try reach another controller.
+			// connection lets the user's retry reach another controller.
 			rsp.CloseAfterResponse()
 		}
 	}
-	rsp.Respond(answer.status, answer.body, retryAfter)
-	return answer.status
+	rsp.Respond(response.status, response.body, retryAfter)
+	return response.status
 }
 
 // executeUserAction executes the action that a user requests, within the time limit of the action.
