--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -51,15 +51,15 @@
 	task := f.confirmDirectStarts()
 	holder := f.scheduler.jobs.find("job-1").assignments[0].machine.name
 	f.cancel("job-1", age)
-	learnedAt := f.now
-	userToldAt := f.now - age
+	observedAt := f.now
+	confirmedAt := f.now - age
 	if age >= cancelTime {
 		// A leader that knew of the cancellation would have let the worker's lease expire by now. So no
 		// leader knew of it, and it was not confirmed to the user before.
-		userToldAt = f.now
+		confirmedAt = f.now
 	}
 	var deletedAt, lastAcceptedAt time.Duration
-	for f.now < userToldAt+cancelTime {
+	for f.now < confirmedAt+cancelTime {
 		f.now += time.Second
 		for i := range 2 {
 			heartbeat := f.heartbeat(f.machine(i))
@@ -82,15 +82,15 @@
 			}
 		}
 	}
-	if lastAcceptedAt != 0 && lastAcceptedAt+lease > userToldAt+cancelTime {
-		t.Errorf("heartbeats accepted until %v after the cancellation was confirmed", lastAcceptedAt-userToldAt)
+	if lastAcceptedAt != 0 && lastAcceptedAt+lease > confirmedAt+cancelTime {
+		t.Errorf("heartbeats accepted until %v after the cancellation was confirmed", lastAcceptedAt-confirmedAt)
 	}
-	if deletedAt == 0 || deletedAt > userToldAt+30*time.Second {
-		t.Errorf("deletion requested %v after the cancellation was confirmed", deletedAt-userToldAt)
+	if deletedAt == 0 || deletedAt > confirmedAt+30*time.Second {
+		t.Errorf("deletion requested %v after the cancellation was confirmed", deletedAt-confirmedAt)
 	}
-	if deletedAt < learnedAt+limits.CancelStopGrace {
+	if deletedAt < observedAt+limits.CancelStopGrace {
 		t.Errorf("deletion requested %v after the scheduler learned of the cancellation, want at least %v",
-			deletedAt-learnedAt, limits.CancelStopGrace)
+			deletedAt-observedAt, limits.CancelStopGrace)
 	}
 }
 
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -64,9 +64,9 @@
 	})
 }
 
-// recordAnswer records that a direct command was answered or has failed. It reports whether the command was
+// recordOutcome records that a direct command was answered or has failed. It reports whether the command was
 // still pending on the machine; m is nil if the machine was deleted.
-func (d *commandDispatcher) recordAnswer(m *machine, id uint64) bool {
+func (d *commandDispatcher) recordOutcome(m *machine, id uint64) bool {
 	d.inFlight--
 	if m == nil || m.pendingDirectID != id {
 		return false
@@ -134,7 +134,7 @@
 // directCommandsDone handles the outcome of a direct command: its answer, or that there was none.
 func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
 	m := s.inventory.find(e.Machine)
-	if !s.dispatcher.recordAnswer(m, e.ID) {
+	if !s.dispatcher.recordOutcome(m, e.ID) {
 		return
 	}
 	s.reconcileDirectCommands(m, e)
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -158,33 +158,33 @@
 	f := newSchedulerFixture(t, 1)
 	earlierTerm := f.heartbeatWithSequence(0, 50, runningStatus(protocol.Command{Task: "job-1/0", Attempt: 1}))
 	earlierTerm.FencingToken = 2
-	checkCopyFromEarlierTerm(t, f, earlierTerm)
-	checkCopyBeforeOriginal(t, f)
-	checkStaleCopies(t, f, earlierTerm)
+	checkDuplicateFromEarlierTerm(t, f, earlierTerm)
+	checkDuplicateBeforeOriginal(t, f)
+	checkStaleDuplicates(t, f, earlierTerm)
 	checkLateHeartbeat(t, f)
 }
 
-// replyToCopy sends a copy of a heartbeat on another connection and returns the reply.
-func (f *schedulerFixture) replyToCopy(heartbeat *protocol.Heartbeat, relayed bool) HeartbeatReply {
+// replyToDuplicate sends a copy of a heartbeat on another connection and returns the reply.
+func (f *schedulerFixture) replyToDuplicate(heartbeat *protocol.Heartbeat, relayed bool) HeartbeatReply {
 	f.t.Helper()
 	copied := *heartbeat
 	return f.replyTo(HeartbeatReceived{Entitled: true, Relayed: relayed, Heartbeat: &copied})
 }
 
-// checkCopyFromEarlierTerm checks that a heartbeat of an earlier term does not add an unknown machine. For
+// checkDuplicateFromEarlierTerm checks that a heartbeat of an earlier term does not add an unknown machine. For
 // a known machine it is accepted, but its content is ignored.
-func checkCopyFromEarlierTerm(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
+func checkDuplicateFromEarlierTerm(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
-	gone := *earlierTerm
-	gone.Machine, gone.Tasks = "m-gone", nil
+	deleted := *earlierTerm
+	deleted.Machine, deleted.Tasks = "m-gone", nil
 	for _, relayed := range []bool{false, true} {
-		f.replyToCopy(&gone, relayed)
+		f.replyToDuplicate(&deleted, relayed)
 	}
 	if f.scheduler.inventory.find("m-gone") != nil {
 		t.Error("a heartbeat of an earlier term added an unknown machine")
 	}
 	f.submitJob("job-1", "red", "standard", 1, 1, 0)
-	if reply := f.replyToCopy(earlierTerm, false); !reply.Accepted {
+	if reply := f.replyToDuplicate(earlierTerm, false); !reply.Accepted {
 		t.Error("heartbeat of an earlier term from a known machine not accepted")
 	}
 	m := f.scheduler.inventory.find(f.machine(0))
@@ -194,10 +194,10 @@
 	}
 }
 
-// checkCopyBeforeOriginal lets a copy of a heartbeat arrive before its original, so that the worker never
+// checkDuplicateBeforeOriginal lets a copy of a heartbeat arrive before its original, so that the worker never
 // sees the reply to the copy, which contains a start. The reply to the original must repeat the start, but
 // not after the job was cancelled.
-func checkCopyBeforeOriginal(t *testing.T, f *schedulerFixture) {
+func checkDuplicateBeforeOriginal(t *testing.T, f *schedulerFixture) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
 	m.directBackoffUntil = time.Hour
@@ -205,39 +205,39 @@
 	f.sendHeartbeat(0)
 	original := f.heartbeatWithSequence(0, f.sequence)
 	m.registration = registered
-	if reply := f.replyToCopy(original, false); countVerb(reply.Commands, protocol.CommandStart) != 1 {
+	if reply := f.replyToDuplicate(original, false); countVerb(reply.Commands, protocol.CommandStart) != 1 {
 		t.Errorf("reply to the original: %+v, want one start", reply.Commands)
 	}
 	f.version++
 	cancelled := storage.OpenJob{Cancelled: true, Spec: f.scheduler.jobs.find("job-1").spec}
 	f.step(JobChanged{JobID: "job-1", Version: 100 + f.version, Record: cancelled})
-	if reply := f.replyToCopy(original, false); !reply.Accepted ||
+	if reply := f.replyToDuplicate(original, false); !reply.Accepted ||
 		countVerb(reply.Commands, protocol.CommandStart) != 0 {
 		t.Errorf("reply to the original after the cancellation: %+v, want it accepted without a start", reply)
 	}
 }
 
-// checkStaleCopies checks copies of heartbeats of the current term. A copy of the newest one is accepted
+// checkStaleDuplicates checks copies of heartbeats of the current term. A copy of the newest one is accepted
 // while the worker may still wait for the reply, and all others are rejected. None of them counts as a sign
 // of life or renews the lease.
-func checkStaleCopies(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
+func checkStaleDuplicates(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
 	f.sequence = 60
 	f.sendHeartbeat(0)
 	lastHeartbeatAt, leaseRenewedAt := m.lastHeartbeatAt, m.leaseRenewedAt
 	newest := f.heartbeatWithSequence(0, f.sequence)
-	if !f.replyToCopy(newest, false).Accepted {
+	if !f.replyToDuplicate(newest, false).Accepted {
 		t.Error("newest heartbeat, repeated at once, not accepted")
 	}
-	if f.replyToCopy(f.heartbeatWithSequence(0, 40), true).Accepted {
+	if f.replyToDuplicate(f.heartbeatWithSequence(0, 40), true).Accepted {
 		t.Error("heartbeat with an older sequence number accepted")
 	}
 	f.now += 30 * time.Second
-	if f.replyToCopy(newest, true).Accepted {
+	if f.replyToDuplicate(newest, true).Accepted {
 		t.Error("copy of the newest heartbeat accepted after its lease has expired")
 	}
-	if reply := f.replyToCopy(earlierTerm, true); reply.Accepted && len(reply.Commands) > 0 {
+	if reply := f.replyToDuplicate(earlierTerm, true); reply.Accepted && len(reply.Commands) > 0 {
 		t.Errorf("commands in the reply to a heartbeat of an earlier term: %+v", reply.Commands)
 	}
 	if m.lastHeartbeatAt != lastHeartbeatAt || m.leaseRenewedAt != leaseRenewedAt {
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -15,13 +15,13 @@
 		s.rejectHeartbeat(e)
 		return
 	case heartbeat.FencingToken < s.cfg.Term:
-		s.answerUnfencedHeartbeat(e)
+		s.replyToUnfencedHeartbeat(e)
 		return
 	}
 	m := s.inventory.getOrAdd(heartbeat.Machine, machinePool{heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot})
 	switch {
 	case m.isOutdated(heartbeat, m.heartbeatSequence):
-		s.answerOutdatedHeartbeat(e, m)
+		s.replyToOutdatedHeartbeat(e, m)
 	case !s.reachability.acceptRoute(m, e.Relayed):
 		s.redirectHeartbeat(e)
 	default:
@@ -74,11 +74,11 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
 }
 
-// answerOutdatedHeartbeat answers a delayed or duplicate heartbeat. It is normally rejected, as its task
+// replyToOutdatedHeartbeat answers a delayed or duplicate heartbeat. It is normally rejected, as its task
 // list is old and the worker no longer waits for the answer. The exception is a duplicate of the newest
 // heartbeat, answered less than HeartbeatAnswerTimeout ago: the first answer may have gone to a copy, so
 // that the worker still waits for this one. It repeats the commands of the first.
-func (s *Scheduler) answerOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
+func (s *Scheduler) replyToOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
 	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
 	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatReplyTimeout
 	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelReplyUntil) {
@@ -88,11 +88,11 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: m.commandsToRepeat()})
 }
 
-// answerUnfencedHeartbeat answers a heartbeat that carries the fencing token of an earlier term. It may
+// replyToUnfencedHeartbeat answers a heartbeat that carries the fencing token of an earlier term. It may
 // be a delayed copy from a machine that has failed or was deleted since, so its contents are ignored. The
 // answer renews the lease of a worker that receives it, which is why the lease counts as renewed. The
 // worker's next heartbeat then carries this term's token, which a delayed copy cannot.
-func (s *Scheduler) answerUnfencedHeartbeat(e HeartbeatReceived) {
+func (s *Scheduler) replyToUnfencedHeartbeat(e HeartbeatReceived) {
 	m := s.inventory.find(e.Heartbeat.Machine)
 	switch {
 	case m == nil && e.Relayed:
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -10,8 +10,8 @@
 // machineListReader reads the cloud's machine list at regular intervals, one read at a time.
 type machineListReader struct {
 	*environment
-	nextAt   time.Duration
-	inFlight bool
+	nextReadAt time.Duration
+	inFlight   bool
 }
 
 // newMachineListReader returns a reader whose first read is due at once.
@@ -20,11 +20,11 @@
 }
 
 // requestRead makes the next call of readIfDue read the list, unless a read is in flight.
-func (r *machineListReader) requestRead() { r.nextAt = 0 }
+func (r *machineListReader) requestRead() { r.nextReadAt = 0 }
 
 // readIfDue starts a read of the list if one is due and none is in flight.
 func (r *machineListReader) readIfDue() {
-	if r.now < r.nextAt || r.inFlight {
+	if r.now < r.nextReadAt || r.inFlight {
 		return
 	}
 	r.inFlight = true
@@ -34,9 +34,9 @@
 // readDone records the outcome of a read and schedules the next one, sooner if it failed.
 func (r *machineListReader) readDone(ok bool) {
 	r.inFlight = false
-	r.nextAt = r.now + limits.MachineListInterval
+	r.nextReadAt = r.now + limits.MachineListInterval
 	if !ok {
-		r.nextAt = r.now + limits.CloudRetryInterval
+		r.nextReadAt = r.now + limits.CloudRetryInterval
 	}
 }
 
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -39,14 +39,14 @@
 // likely cause. Such machines may come back sooner than replacements would boot. The count includes
 // machines that have been unreachable for less than unreachableTimeout: otherwise the first machines to
 // exceed it would be returned one by one before the common cause shows.
-func (f reachabilityCounts) hasCorrelatedUnreachable() bool {
-	return isCorrelated(f.unreachable, f.reported)
+func (c reachabilityCounts) hasCorrelatedUnreachable() bool {
+	return isCorrelated(c.unreachable, c.reported)
 }
 
 // hasCorrelatedUnreported reports whether so many machines have not reported in this term that a network
 // fault may be the cause.
-func (f reachabilityCounts) hasCorrelatedUnreported() bool {
-	return isCorrelated(f.unreported, f.unreported+f.reported)
+func (c reachabilityCounts) hasCorrelatedUnreported() bool {
+	return isCorrelated(c.unreported, c.unreported+c.reported)
 }
 
 // isCorrelated reports whether so many of all machines are affected that a common cause is likely.
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -45,21 +45,21 @@
 }
 
 // refill adds the tokens for the time since the last refill, up to the tokens of one second.
-func (b *probeLimiter) refill(now time.Duration) {
-	rate := b.rate
-	if now < b.slowUntil {
+func (l *probeLimiter) refill(now time.Duration) {
+	rate := l.rate
+	if now < l.slowUntil {
 		rate *= limits.ProbeSlowdownRatio
 	}
-	b.tokens = min(b.tokens+rate*(now-b.refilledAt).Seconds(), rate)
-	b.refilledAt = now
+	l.tokens = min(l.tokens+rate*(now-l.refilledAt).Seconds(), rate)
+	l.refilledAt = now
 }
 
 // allow reports whether a probe may be sent now, and takes a token if so.
-func (b *probeLimiter) allow() bool {
-	if b.tokens < 1 {
+func (l *probeLimiter) allow() bool {
+	if l.tokens < 1 {
 		return false
 	}
-	b.tokens--
+	l.tokens--
 	return true
 }
 
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -40,18 +40,18 @@
 
 // answer answers the probes among the effects. The test fails if a machine is probed again before every
 // machine was probed once.
-func (a *probeResponder) answer(effects []Effect, now time.Duration) {
-	a.t.Helper()
+func (r *probeResponder) answer(effects []Effect, now time.Duration) {
+	r.t.Helper()
 	for _, probe := range effectsOf[ProbeMachine](effects) {
-		a.sent++
-		if a.probed[probe.Machine]++; a.probed[probe.Machine] > 1 && len(a.probed) < a.machines {
-			a.t.Errorf("%s is probed again while others have not been probed", probe.Machine)
+		r.sent++
+		if r.probed[probe.Machine]++; r.probed[probe.Machine] > 1 && len(r.probed) < r.machines {
+			r.t.Errorf("%s is probed again while others have not been probed", probe.Machine)
 		}
 		done := ProbeDone{Machine: probe.Machine}
-		if a.elapsed > 0 {
-			done.Elapsed, done.Heartbeat = a.elapsed, &protocol.Heartbeat{} // invalid, so it is ignored
+		if r.elapsed > 0 {
+			done.Elapsed, done.Heartbeat = r.elapsed, &protocol.Heartbeat{} // invalid, so it is ignored
 		}
-		a.scheduler.Step(done, now)
+		r.scheduler.Step(done, now)
 	}
 }
 
