--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -38,16 +38,16 @@
 	machine  *machine
 	state    assignmentState
 
-	directID         uint64        // ID of the unanswered direct command that carries the start, or 0
-	startUnconfirmed bool          // a direct start got no reply; it may arrive in this incarnation and term
+	directID         uint64        // ID of the direct command that carries the start and has no outcome yet, or 0
+	startUnconfirmed bool          // a direct command with the start got no reply; the start may still arrive
 	startRepeated    bool          // the start was sent again in a heartbeat reply
-	assignedAt       time.Duration // when it was assigned; once its start was sent, the time of that
+	assignedAt       time.Duration // when it was assigned or, once its start was sent, when that was sent
 	runningSince     time.Duration // when it was first reported as running
 
 	stopping   bool   // a stop was sent or will be sent
 	stopReason string // one of the stopReason constants, or another text for the log
 	stopSent   bool   // the stop was sent at least once
-	skipSaving bool   // must be stopped without time to save its work
+	skipSaving bool   // must be stopped without time to save a checkpoint
 
 	committed bool // gang task: resources for all tasks of the gang are confirmed, so the start may be sent
 }
@@ -62,7 +62,7 @@
 	sequence       uint64 // the chunk contains the result from this sequence number on
 }
 
-// mayForget reports whether the worker may be told to forget the attempt.
+// mayForget reports whether the worker may be instructed to forget the attempt.
 func (e endedTask) mayForget() bool { return !e.startMayArrive && e.isDurable() }
 
 // isDurable reports whether the result is in the state service, or there is none that must be recorded.
--- a/internal/coordination/scheduler/assignment_table.go
+++ b/internal/coordination/scheduler/assignment_table.go
@@ -44,7 +44,7 @@
 
 // release ends an assignment, so that the task can be placed again. The caller must have evidence that
 // the task neither runs on the machine nor can start there any more: it has ended or was never started
-// and no start of this attempt is in flight, the worker's incarnation is over, or the machine is gone.
+// and no start of this attempt is in flight, the worker's incarnation has ended, or the machine is deleted.
 func (t *assignmentTable) release(a *assignment) {
 	if a.machine.assignments[a.taskName] != a {
 		return // already released together with its gang, earlier in the caller's loop
@@ -73,7 +73,7 @@
 }
 
 // withdraw removes a task from its machine. If its start was not sent yet, the task is released at
-// once; otherwise the worker is told to stop it.
+// once; otherwise the worker is instructed to stop it.
 func (t *assignmentTable) withdraw(a *assignment, reason string) {
 	if a.state == stateUnsent {
 		t.release(a)
--- a/internal/coordination/scheduler/commands.go
+++ b/internal/coordination/scheduler/commands.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		if m.registration != registered {
-			continue // the next leader would not know that tasks may be here
+			continue // the next leader would not know that this machine may hold tasks
 		}
 		switch {
 		case a.committed:
@@ -84,9 +84,10 @@
 }
 
 // needsStartRepeated reports whether to repeat a start that may have been lost. The repeated start has the
-// same attempt number, so it has no effect if the first one has arrived or arrives later. If a stop follows
-// it, the task does not run, but the worker learns of the attempt. The start of a cancelled job's task is
-// never repeated; if the task does not stop in time, returnUnusableMachines returns its machine.
+// same attempt number, so it has no effect if the first one has arrived or arrives later. If the reply also
+// contains a stop, the task does not run, but the worker lists the attempt as ended. The start of a
+// cancelled job's task is never repeated; if the task does not stop in time, returnUnusableMachines returns
+// its machine.
 func (a *assignment) needsStartRepeated() bool {
 	return a.state == stateSent && a.startUnconfirmed && !a.job.cancelled && !a.job.closed
 }
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -7,13 +7,14 @@
 	"quillshunt/internal/protocol"
 )
 
-// commandDispatcher sends commands to workers directly, without waiting for their heartbeats. It stops at
-// limits.MaxDirectCommands in flight. A worker answers within milliseconds, so that many unanswered ones
-// mean that the controller is overloaded; the other commands go out in the replies to the next heartbeats.
+// commandDispatcher sends commands to workers directly, without waiting for their heartbeats. Only urgent
+// stops and corrections are sent while limits.MaxDirectCommands are in flight. Workers reply within
+// milliseconds, so that many commands without a reply mean that the controller is overloaded. All other
+// commands are then sent in the replies to the next heartbeats.
 type commandDispatcher struct {
 	*environment
 	lastID        uint64     // last allocated ID of a direct command
-	inFlight      int        // direct commands without an answer yet
+	inFlight      int        // direct commands without an outcome yet
 	waiting       []*machine // machines that may have unsent commands
 	deferredCount int        // length of the prefix of waiting that earlier calls of sendWaiting did not reach
 	urgent        []*machine // machines that may have an unsent stop of a gang's task
@@ -64,7 +65,7 @@
 	})
 }
 
-// recordOutcome records that a direct command was answered or has failed. It reports whether the command was
+// recordOutcome records that the outcome of a direct command has arrived. It reports whether the command was
 // still pending on the machine; m is nil if the machine was deleted.
 func (d *commandDispatcher) recordOutcome(m *machine, id uint64) bool {
 	d.inFlight--
@@ -75,8 +76,9 @@
 	return true
 }
 
-// sendCorrections sends commands for tasks that should not be on a machine. If a direct command cannot be
-// sent now, the commands are dropped, and the next heartbeat of the machine produces them again.
+// sendCorrections sends the commands that reconcileTasks returned: stops of unexpected tasks and commands to
+// forget ended ones. If a direct command cannot be sent now, they are dropped, and the next heartbeat of the
+// machine produces them again.
 func (d *commandDispatcher) sendCorrections(m *machine, commands []protocol.Command) {
 	if len(commands) > 0 && d.canSendTo(m) {
 		d.send(m, commands)
@@ -86,7 +88,7 @@
 // sendUrgent sends the stops of gang tasks before all other commands and regardless of the limit on
 // commands in flight: if one task of a gang is stopped too late, the work of all its tasks is lost. A
 // machine to which no direct command can be sent now gets its stops in the reply to its next heartbeat, or
-// once its pending direct command is answered.
+// once the outcome of its pending direct command has arrived.
 func (d *commandDispatcher) sendUrgent(build func(*machine) []protocol.Command) {
 	urgent := d.urgent
 	d.urgent = nil
@@ -131,7 +133,7 @@
 	s.dispatcher.sendWaiting(s.assignments.buildDirectCommands)
 }
 
-// directCommandsDone handles the outcome of a direct command: its answer, or that there was none.
+// directCommandsDone handles the outcome of a direct command: its reply, or that there was none.
 func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
 	m := s.inventory.find(e.Machine)
 	if !s.dispatcher.recordOutcome(m, e.ID) {
@@ -158,15 +160,15 @@
 		}
 	case heartbeat == nil:
 		// The worker may still execute the commands, at any time until its incarnation or the term
-		// ends. The tasks stay assigned until the worker lists them or its incarnation ends. Meanwhile
-		// the replies to its heartbeats repeat the starts, which has no effect on a started task.
+		// ends, so the tasks stay assigned. Until the worker lists them, the replies to its heartbeats
+		// repeat the starts, which has no effect on a started task.
 		m.directBackoffUntil = s.now + limits.DirectCommandBackoff
 		m.markStartsUnconfirmed(e.ID)
 	case heartbeat.Machine != e.Machine || !heartbeat.Valid():
-		// An invalid answer shows nothing about the tasks.
+		// An invalid reply shows nothing about the tasks.
 	case m.isOutdated(heartbeat, m.taskListSequence):
-		// A newer message was processed first. It has shown the state of the tasks, unless the worker
-		// sent it before it received their starts.
+		// A newer message was processed first. Its task list shows whether the starts have arrived,
+		// unless the worker sent it before it received them.
 		m.markStartsUnconfirmed(e.ID)
 	default:
 		s.reachability.observeIncarnation(m, heartbeat)
--- a/internal/coordination/scheduler/doc.go
+++ b/internal/coordination/scheduler/doc.go
@@ -23,10 +23,10 @@
 //   - typeCatalog, machineListReader: the cloud's machine types and its list of machines
 //   - machineInventory: the known machines
 //   - machineRegistry, rentalTable: durable records of machines and rentals
-//   - commandDispatcher: commands that are sent without waiting for a heartbeat
+//   - commandDispatcher: direct commands, which are sent without waiting for a heartbeat
 //   - finishedTaskWriter: durable records of finished tasks
 //   - recoveryState: whether a new term already knows all tasks that may be running
-//   - machineProber: status requests to machines whose tasks are unknown
+//   - machineProber: probes, which request the task lists of unreported and unverified machines
 //   - jobQueue: order of the jobs, guarantees, slack and aging
 //   - placer: the scheduling pass
 //   - gangTable, gangReservations: jobs whose tasks start together, and the machines reserved for them
--- a/internal/coordination/scheduler/effects.go
+++ b/internal/coordination/scheduler/effects.go
@@ -6,14 +6,14 @@
 	"quillshunt/internal/protocol"
 )
 
-// Effect is an output of the scheduler: an action that the leader must carry out. The types in this
+// Effect is an output of the scheduler: an action that the leader must execute. The types in this
 // file implement it. The leader executes the effects of a step in order. For those that need I/O, it
 // starts the I/O in that order and reports each outcome as an event.
 type Effect interface{ effect() }
 
-// HeartbeatReply answers a HeartbeatReceived. If Redirect is set, the worker is told to send its
-// heartbeats to the leader directly. If Accepted is set and the leader's own lease is still valid, the
-// reply renews the worker's lease and carries the commands. Otherwise the heartbeat is rejected.
+// HeartbeatReply answers a HeartbeatReceived. If Redirect is set, the worker is instructed to send its
+// heartbeats to the leader directly. If Accepted is set and the leader is still entitled, the reply renews
+// the worker's lease and carries the commands. Otherwise the heartbeat is rejected.
 type HeartbeatReply struct {
 	ReplyTo  HeartbeatResponder
 	Accepted bool
@@ -44,11 +44,11 @@
 	Commands    []protocol.Command
 }
 
-// RentMachines requests machines from the cloud and retries until the cloud answers. The outcome is a
+// RentMachines requests machines from the cloud and retries until the cloud replies. The outcome is a
 // RentalDone.
 type RentMachines struct{ Request protocol.RentalRequest }
 
-// DeleteMachines returns machines to the cloud. The outcome is a DeletionDone.
+// DeleteMachines asks the cloud to delete machines. The outcome is a DeletionDone.
 type DeleteMachines struct{ Machines []string }
 
 // ListMachines reads the cloud's list of machines. The outcome is a MachinesListed.
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -20,8 +20,8 @@
 	Version         uint64 // of the record
 	Record          storage.OpenJob
 	SinceSubmission time.Duration
-	// SinceCancellation is no less than the time since the cancellation may first have been confirmed
-	// to the user; 0 if the job is not cancelled.
+	// SinceCancellation is at least the time since the earliest moment at which the cancellation can
+	// have been confirmed to the user; 0 if the job is not cancelled.
 	SinceCancellation time.Duration
 }
 
@@ -64,9 +64,9 @@
 type HeartbeatReceived struct {
 	Heartbeat      *protocol.Heartbeat
 	ReplyTo        HeartbeatResponder
-	Entitled       bool // the leader may accept it: its own lease is valid, and the worker still waits
+	Entitled       bool // the leader may accept it: it is entitled, and the worker still waits for the reply
 	Relayed        bool // forwarded by another controller
-	SameConnection bool // the previous one on this connection was answered, so the worker has that reply
+	SameConnection bool // the worker has received the reply to its previous heartbeat on this connection
 }
 
 // HeartbeatResponder answers the worker that sent a heartbeat. The scheduler only copies it from the
@@ -74,9 +74,9 @@
 type HeartbeatResponder interface {
 	// Accept renews the worker's lease and passes it the commands of the reply.
 	Accept(protocol.HeartbeatReply)
-	// Redirect tells the worker to send its heartbeats to another controller.
+	// Redirect instructs the worker to send its heartbeats to another controller.
 	Redirect(protocol.Redirect)
-	// Reject does not renew the worker's lease. The worker may try another controller.
+	// Reject answers without renewing the worker's lease. The worker may try another controller.
 	Reject()
 }
 
@@ -85,7 +85,7 @@
 	Machine   string
 	Heartbeat *protocol.Heartbeat // generated after the worker saw this term's fencing token; nil without a reply
 	Elapsed   time.Duration       // from the first request to the last reply
-	NotSent   bool                // no time or socket to send it, so a missing reply says nothing about the machine
+	NotSent   bool                // not sent for lack of time or sockets, which shows nothing about the machine
 }
 
 // DirectCommandsDone reports the outcome of a SendDirectCommands.
@@ -144,9 +144,9 @@
 	ReplyTo chan<- Snapshot
 }
 
-// Tick advances the time. The leader sends one every limits.TickInterval. Entitled means that the
-// leader's own lease is valid; otherwise the tick runs none of the periodic work that writes records,
-// rents or deletes machines.
+// Tick advances the time. The leader sends one every limits.TickInterval. If Entitled is not set, the
+// leader is not entitled, and the tick runs none of the periodic work that writes records or that rents or
+// deletes machines.
 type Tick struct{ Entitled bool }
 
 func (JobChanged) event()          {}
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -16,7 +16,7 @@
 // or other value limits of the state service used other chunk sizes. A task is done if any record says
 // so. A record that begins at the same task as a chunk of this term is replaced by that chunk, but only
 // after the records of the later chunks contain the done tasks that it covers beyond its own chunk. All
-// other records stay unchanged until the job is over.
+// other records stay unchanged until the job is closed.
 type finishedTaskWriter struct {
 	*environment
 	jobs *jobTable
@@ -42,8 +42,8 @@
 	durableSequence  uint64 // sequence up to which the record contains the changes
 	writeInFlight    bool
 	lastWriteAt      time.Duration
-	deferredSince    time.Duration // since when the chunk could have been written; 0 if nothing is due
-	expedited        bool          // write it first: a machine that still has results of it will be returned
+	deferredSince    time.Duration // since when a write of the chunk has been due; 0 if none is due
+	expedited        bool          // written first: a machine that still lists results of the chunk will be returned
 	lastCoveredChunk int           // the existing record covers done tasks up to this chunk
 }
 
@@ -87,7 +87,7 @@
 }
 
 // removeOrphanedRecords removes the records that earlier terms did not remove after their jobs were
-// over.
+// closed.
 func (w *finishedTaskWriter) removeOrphanedRecords() {
 	for _, orphan := range w.orphans {
 		w.removeRecords(orphan.jobID, []string{orphan.key})
@@ -119,7 +119,7 @@
 
 // recordCompletion marks a task as done; for a gang, all of its tasks. It returns the chunk that
 // contains the task and the sequence number up to which this chunk must be durable before the worker
-// may be told to forget the task.
+// may be instructed to forget the task.
 func (w *finishedTaskWriter) recordCompletion(j *job, index int) (chunk int, sequence uint64) {
 	if j.gang != nil {
 		for i := range j.spec.Tasks {
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -21,12 +21,12 @@
 }
 
 // recordFailure counts the failure of a task against the machine, or against the job once the job has
-// failed on JobFaultMachines machines.
+// failed on FaultyJobMachines machines.
 func (i *machineInventory) recordFailure(j *job, m *machine) {
 	j.failedMachines[m.name] = true
 	if len(j.failedMachines) >= limits.FaultyJobMachines {
 		// The job has failed on several machines without a success in between. It is retried with an
-		// exponential backoff, and its failures count against no machine.
+		// exponential back-off, and its failures count against no machine.
 		j.backoff = min(max(2*j.backoff, limits.JobBackoffMin), limits.JobBackoffMax)
 		j.retryAt = i.now + j.backoff
 		i.discardFailures(j.id)
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -5,8 +5,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// heartbeatReceived handles a worker's heartbeat. The reply carries commands if the leader is entitled to
-// act and the worker has seen this term's fencing token.
+// heartbeatReceived handles a worker's heartbeat. The reply carries commands only if the leader is entitled
+// and the worker has seen this term's fencing token.
 func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
 	heartbeat := e.Heartbeat
 	switch {
@@ -34,7 +34,7 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 }
 
-// redirectHeartbeat tells a worker whose heartbeat was relayed by another controller to send its
+// redirectHeartbeat instructs a worker whose heartbeat was relayed by another controller to send its
 // heartbeats to this controller directly.
 func (s *Scheduler) redirectHeartbeat(e HeartbeatReceived) {
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Redirect: true})
@@ -53,7 +53,7 @@
 	s.registerMachine(m)
 	s.recordSpotNotice(m, heartbeat)
 	var commands []protocol.Command
-	if heartbeat.Sequence > m.taskListSequence { // else a newer direct reply has been processed already
+	if heartbeat.Sequence > m.taskListSequence { // else a newer reply to a direct command or probe was processed
 		commands = s.reconcileTasks(m, heartbeat, 0)
 	}
 	if s.holdsCancelledTask(m, s.cancelReplyUntil) {
@@ -74,10 +74,10 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
 }
 
-// replyToOutdatedHeartbeat answers a delayed or duplicate heartbeat. It is normally rejected, as its task
-// list is old and the worker no longer waits for the answer. The exception is a duplicate of the newest
-// heartbeat, answered less than HeartbeatAnswerTimeout ago: the first answer may have gone to a copy, so
-// that the worker still waits for this one. It repeats the commands of the first.
+// replyToOutdatedHeartbeat replies to a delayed or duplicate heartbeat. It usually rejects the heartbeat,
+// because its task list is old and the worker no longer waits for the reply. The exception is a duplicate of
+// the newest heartbeat that arrives less than HeartbeatReplyTimeout after it: the first reply may have gone
+// to a duplicate, so that the worker still waits for this one. It repeats the commands of the first reply.
 func (s *Scheduler) replyToOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
 	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
 	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatReplyTimeout
@@ -88,10 +88,10 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: m.commandsToRepeat()})
 }
 
-// replyToUnfencedHeartbeat answers a heartbeat that carries the fencing token of an earlier term. It may
-// be a delayed copy from a machine that has failed or was deleted since, so its contents are ignored. The
-// answer renews the lease of a worker that receives it, which is why the lease counts as renewed. The
-// worker's next heartbeat then carries this term's token, which a delayed copy cannot.
+// replyToUnfencedHeartbeat replies to a heartbeat that carries the fencing token of an earlier term. The
+// heartbeat may be a delayed duplicate from a machine that has failed or was deleted since, so its task list
+// is ignored. The reply renews the lease of a worker that receives it, so the lease counts as renewed. The
+// worker's next heartbeat then carries this term's token, which a delayed duplicate cannot.
 func (s *Scheduler) replyToUnfencedHeartbeat(e HeartbeatReceived) {
 	m := s.inventory.find(e.Heartbeat.Machine)
 	switch {
@@ -109,8 +109,9 @@
 		return
 	}
 	if !m.fenced {
-		// If the machine is fenced, this heartbeat was sent before the worker saw this term's token. The
-		// renewal time that observeIncarnation recorded then is late enough to cover it.
+		// If the machine is fenced, the worker sent this heartbeat before it saw this term's token. A lease
+		// runs from the sending of the heartbeat, so the renewal time that observeIncarnation recorded
+		// when it marked the machine as fenced is late enough.
 		m.leaseRenewedAt = s.now
 	}
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true})
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -36,31 +36,32 @@
 
 	verified        bool          // replies are known to reach the worker; see setVerified
 	unverifiedSince time.Duration // when verified last became false
-	missedProbes    int           // probes without an answer in this term
+	missedProbes    int           // probes without a reply in this term
 	nextProbeAt     time.Duration // earliest time of the next probe
 
 	reportsDirectly bool          // has sent a heartbeat to this controller directly in this term
 	relayed         bool          // the last heartbeat was relayed by another controller
 	relayedSince    time.Duration // when heartbeats began to be relayed
-	redirected      bool          // was told once to send its heartbeats to this controller directly
+	redirected      bool          // was redirected to this controller once
 }
 
 // leaseState is the state of the worker's lease: how long the worker may keep running its tasks without
-// an answer from the leader.
+// a reply from the leader.
 type leaseState struct {
-	leaseRenewedAt   time.Duration // time of the last answer that may have renewed the lease
+	leaseRenewedAt   time.Duration // time of the last reply that may have renewed the lease
 	endedIncarnation uint64        // this incarnation and all earlier ones are known to have ended
 }
 
 // machineCommands tracks the commands that were sent to the worker and those still to be sent.
 type machineCommands struct {
-	lastCommands       []protocol.Command // commands in the answer to the newest heartbeat
+	lastCommands       []protocol.Command // commands in the reply to the newest heartbeat
 	dispatchQueued     bool               // the machine may have unsent commands and is in the dispatcher's queue
-	pendingDirectID    uint64             // ID of the direct command that is not answered yet, or 0
+	pendingDirectID    uint64             // ID of the direct command that has no outcome yet, or 0
 	directBackoffUntil time.Duration      // no direct commands are sent before this time
 }
 
-// machineLoad is the tasks on the machine, or on their way to it, and the resources that they use.
+// machineLoad is the tasks that are assigned to the machine or listed by it as ended, and the resources that
+// the assigned tasks use.
 type machineLoad struct {
 	assignments       map[string]*assignment // by task name
 	endedTasks        map[attemptKey]endedTask
@@ -80,12 +81,12 @@
 	listed       bool // has appeared in the cloud's machine list
 	missingLists int  // consecutive lists without the machine, after it had appeared
 
-	spotNotice    bool          // the cloud has announced that it will reclaim the spot instance
+	spotNotice    bool          // the cloud has announced that it will reclaim the spot machine
 	spotReclaimAt time.Duration // when the cloud reclaims it
 
 	deleting         bool // is to be deleted; this is never reversed
 	deleteReason     string
-	deletionInFlight bool          // a deletion request to the cloud is not answered yet
+	deletionInFlight bool          // a deletion request to the cloud has no outcome yet
 	nextDeletionAt   time.Duration // earliest time of the next deletion request
 }
 
@@ -100,7 +101,7 @@
 	fetchCPUSeconds     float64 // allocated while tasks fetched their images
 }
 
-// planningState is the intentions of the placement pass and of the capacity plan for the machine.
+// planningState is what the placement passes and the capacity plans have decided about the machine.
 type planningState struct {
 	reservedFor         *job // reserved by the current placement pass; see reserveForJob
 	wasReserved         bool // was reserved by the previous placement pass
@@ -141,7 +142,7 @@
 // pricePerCPU returns the machine's price per CPU and hour.
 func (m *machine) pricePerCPU() float64 { return m.price() / max(m.capacity().CPUs, 1) }
 
-// priceOf returns the price per hour of a machine type, as a spot or an on-demand instance.
+// priceOf returns the price per hour of a spot or an on-demand machine of the given type.
 func priceOf(t *protocol.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -149,8 +150,8 @@
 	return t.Price
 }
 
-// isUnreported reports whether the machine has sent heartbeats to an earlier leader, and was registered for
-// that, but has sent no task list in this term.
+// isUnreported reports whether an earlier leader has registered the machine, which it did after the machine's
+// first heartbeat, but the machine has sent no task list in this term.
 func (m *machine) isUnreported() bool { return !m.hasReported && m.registration != unregistered }
 
 // mayHoldEarlierTermTasks reports whether the machine may hold tasks of earlier terms that this leader
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -92,7 +92,7 @@
 // state, and later only while it is running.
 func (s *Scheduler) shouldAdoptListed(entry *protocol.Machine) bool {
 	if entry.AgeS < (3 * s.cfg.ListLag).Seconds() {
-		return false // it may belong to a rental of this term whose answer has not arrived yet
+		return false // it may belong to a rental of this term whose reply has not arrived yet
 	}
 	earlierLeasesOver := s.now >= s.termStartedAt+limits.LeaseExpiredAfter(s.workerLease)
 	return !earlierLeasesOver || entry.State == protocol.MachineRunning
@@ -111,7 +111,7 @@
 		return // it may be too new to appear in the list
 	}
 	// It has been listed before, so it no longer exists unless this list is outdated. A confirmed
-	// deletion makes certain that it is gone.
+	// deletion makes this certain.
 	m.missingLists++
 	if m.missingLists >= limits.MissingListsBeforeDelete && s.isStale(m) {
 		s.returnMachine(m, "no longer listed")
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -6,7 +6,7 @@
 	"quillshunt/internal/limits"
 )
 
-// reachabilityCounts counts the machines that are not being deleted, by how they reach the leader.
+// reachabilityCounts counts the machines that are not being deleted, by their reachability.
 type reachabilityCounts struct {
 	reported    int // have reported in this term
 	unreachable int // of reported: silent or unverified for longer than staleAfter
@@ -36,7 +36,7 @@
 }
 
 // hasCorrelatedUnreachable reports whether so many machines are unreachable that a network fault is the
-// likely cause. Such machines may come back sooner than replacements would boot. The count includes
+// likely cause. Such machines may be reachable again sooner than replacements would boot. The count includes
 // machines that have been unreachable for less than unreachableTimeout: otherwise the first machines to
 // exceed it would be returned one by one before the common cause shows.
 func (c reachabilityCounts) hasCorrelatedUnreachable() bool {
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -8,7 +8,7 @@
 	"quillshunt/internal/limits"
 )
 
-// machineProber requests the task lists of machines instead of waiting for their heartbeats. An answer also
+// machineProber requests the task lists of machines instead of waiting for their heartbeats. A reply also
 // shows that messages reach the machine and that its worker has seen this term's fencing token.
 type machineProber struct {
 	*environment
@@ -36,7 +36,7 @@
 	rate       float64 // probes per second, while probes are not slowed down
 	tokens     float64 // probes that may be sent now
 	refilledAt time.Duration
-	slowUntil  time.Duration // the rate is reduced by ProbeSlowdown until this time
+	slowUntil  time.Duration // the rate is multiplied by ProbeSlowdownRatio until this time
 }
 
 func newProbeLimiter(coreShare float64) probeLimiter {
@@ -105,7 +105,7 @@
 }
 
 // recordOutcome slows down probes after one that could not be sent or was answered late, as this controller
-// is then short of CPU time or sockets. A probe without an answer says nothing about the controller.
+// is then short of CPU time or sockets. A probe without a reply shows nothing about the controller.
 func (p *machineProber) recordOutcome(e ProbeDone) {
 	answeredLate := e.Heartbeat != nil && e.Elapsed > limits.SlowHeartbeatThreshold
 	if e.NotSent || answeredLate {
@@ -143,7 +143,7 @@
 	}
 	s.reachability.observeIncarnation(m, heartbeat)
 	s.reachability.setVerified(m, true)
-	// The new ID matches no assignment. As with a direct reply, the task list shows nothing about starts
-	// that were sent in other messages and may still arrive.
+	// The new ID matches no assignment. As in the reply to a direct command, the task list shows nothing
+	// about starts that were sent in other messages and may still arrive.
 	s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.allocateID()))
 }
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -68,7 +68,7 @@
 // accept it; otherwise the caller redirects the worker to this controller. The first relayed heartbeat of
 // a worker is redirected, unless the worker has reported directly in this term or has missed a probe: then
 // it probably cannot reach this controller. Later ones are accepted, except for one redirect each time
-// that RelayRetryAfter has passed.
+// that RelayDuration has passed.
 func (r *reachabilityTracker) acceptRoute(m *machine, relayed bool) bool {
 	if !relayed {
 		m.reportsDirectly, m.relayed, m.redirected = true, false, false
@@ -148,7 +148,8 @@
 
 // hasNewlyExpiredLease reports whether a worker's lease has expired and the expiry was not processed yet.
 // The lease runs from when the worker sent the last answered heartbeat, which is before its arrival here.
-// LeaseExpiredAfter that arrival, the lease has therefore expired by the worker's clock and the leader's.
+// Once LeaseExpiredAfter has passed since that arrival, the lease has expired by both the worker's clock and
+// the leader's.
 func (r *reachabilityTracker) hasNewlyExpiredLease(m *machine) bool {
 	alreadyProcessed := m.endedIncarnation >= max(m.incarnation, 1)
 	return !alreadyProcessed && r.now >= m.leaseRenewedAt+limits.LeaseExpiredAfter(r.workerLease)
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -59,7 +59,7 @@
 	case alreadyEnded && isAssigned:
 		// This attempt had already ended here when the task was assigned here once more with the same
 		// attempt number, which all tasks of a gang share. The worker ignores the new start as long as
-		// it is not told to forget the attempt.
+		// it is not instructed to forget the attempt.
 		s.assignments.release(a)
 		ended.startMayArrive = ended.startMayArrive || startMayArrive
 		return ended, true
@@ -104,7 +104,7 @@
 	case a != nil && a.attempt == status.Attempt:
 		s.updateProgress(a, status)
 	case j != nil && j.mayAdopt(index):
-		// The task runs although this leader has not started it, usually since an earlier term. Adopt it.
+		// This leader has not started the task; usually an earlier leader has. Adopt it.
 		if unsent := j.assignments[index]; unsent != nil {
 			s.assignments.release(unsent)
 		}
@@ -114,8 +114,8 @@
 				keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, keyMachine, m.name)
 		}
 	case a != nil && a.state != stateUnsent:
-		// The worker still has an older attempt, so it refuses the start of the assigned one as busy.
-		// Keep the older attempt.
+		// The worker still has an older attempt, so it refuses the start of the assigned one with
+		// ReasonAttemptExists. Keep the older attempt.
 		releasedAttempt := a.attempt
 		s.assignments.release(a)
 		s.updateProgress(s.assignments.assign(j, index, m, status.Attempt, stateSent), status)
@@ -168,8 +168,8 @@
 // command with that ID.
 //
 // The start can no longer arrive if it was part of that direct command, or of the reply to an earlier
-// heartbeat: a worker has only one heartbeat in flight and sends the next one when that exchange is
-// over.
+// heartbeat: a worker has only one heartbeat in flight and sends the next one only once it no longer waits
+// for the reply.
 func (a *assignment) startMayArriveAfter(directID uint64) bool {
 	if a.startUnconfirmed {
 		return true // a direct command with the start got no reply
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -21,10 +21,10 @@
 // hasEnded reports whether all tasks that may be running are known.
 func (r *recoveryState) hasEnded() bool { return r.ended }
 
-// markRecordsLoaded notes that all records of earlier terms are loaded.
+// markRecordsLoaded records that all records of earlier terms are loaded.
 func (r *recoveryState) markRecordsLoaded() { r.recordsLoaded = true }
 
-// updateUnreported determines whether only a few machines hold up recovery. The parameter unreported is
+// updateUnreported determines whether only a few machines delay recovery. The parameter unreported is
 // the number of machines that may run tasks of earlier terms and have not reported to this leader;
 // reported is the number of machines that have.
 func (r *recoveryState) updateUnreported(unreported, reported int) {
@@ -32,11 +32,11 @@
 	r.onlyFewUnreported = !r.ended && float64(unreported) <= max(limits.CorrelatedUnreachableMin, share)
 }
 
-// hasFewUnreported reports whether only a few machines hold up recovery, and with it all placement.
+// hasFewUnreported reports whether only a few machines delay recovery, and with it all placement.
 func (r *recoveryState) hasFewUnreported() bool { return r.onlyFewUnreported }
 
 // tryEnd ends recovery if no unknown task can be running: each machine that may run tasks of earlier
-// terms has reported with the fencing token of this term, is gone, or has an expired lease. It reports
+// terms has reported with the fencing token of this term, is deleted, or has an expired lease. It reports
 // whether this call has ended recovery.
 //
 // The reply to a heartbeat renews the worker's lease in full, even if the worker has not yet shown its
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/storage"
 )
 
-// registration is how far a machine is recorded in the state service as one that may hold tasks. A machine
-// gets no tasks before it is registered, so that the next leader knows which machines to check.
+// registration is the progress of listing a machine in the state service as one that may hold tasks. A
+// machine gets no tasks before it is registered, so that the next leader knows which machines to check.
 type registration uint8
 
 const (
@@ -21,7 +21,7 @@
 )
 
 // registryPage is a record in the state service that lists registered machines, of any number of rentals.
-// Machines that come up while a page is being written share the next write, so that registering a thousand
+// Machines that are added while a page is being written share the next write, so that registering a thousand
 // machines at once takes only some tens of writes. A page is filled up to the maximum size of a value, and
 // removed once all its machines are deleted. A deleted machine is removed from its rental's record but not
 // from the page: the next leader ignores listed machines that no rental's record contains.
@@ -146,7 +146,7 @@
 	return added
 }
 
-// remove decrements the machine count of a deleted machine's page, and removes the page if it was the last.
+// remove decrements the machine count of a deleted machine's page, and removes the page if the count is 0.
 func (r *machineRegistry) remove(m *machine) {
 	if page := m.registryPage; page != nil {
 		page.liveMachines--
@@ -182,7 +182,7 @@
 	}
 }
 
-// registryPageWritten handles the outcome of a page write: starts may go to the machines that it registered.
+// registryPageWritten handles the outcome of a page write: the machines that it registered may now get starts.
 func (s *Scheduler) registryPageWritten(write registryPageWrite, ok bool, version uint64) {
 	for _, m := range s.registry.pageWritten(write, ok, version) {
 		s.gangs.requestCommit()
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -5,7 +5,7 @@
 	"quillshunt/internal/protocol"
 )
 
-// recordSpotNotice records, from a heartbeat, that the cloud will reclaim the spot instance soon. The
+// recordSpotNotice records, from a heartbeat, that the cloud will reclaim the spot machine soon. The
 // machine gets no more tasks.
 func (s *Scheduler) recordSpotNotice(m *machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.SpotNoticeS == nil || m.spotNotice {
@@ -19,7 +19,7 @@
 }
 
 // stopTasksForSpotNotice stops tasks on a machine that the cloud is about to reclaim. Tasks with
-// checkpoints are stopped in time to save one, other tasks at once if they cannot complete before.
+// checkpoints are stopped in time to save one, other tasks at once if they cannot complete before it.
 func (s *Scheduler) stopTasksForSpotNotice(m *machine) {
 	remaining := (m.spotReclaimAt - s.now).Seconds()
 	for _, a := range m.sortedAssignments() {
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Step processes one event and returns the effects that the leader must execute, in this order. Now is
-// the time since the term began, on a monotonic clock. If it is before the time of an earlier event,
-// the earlier event's time is used instead. The same events at the same times yield the same effects.
+// Step processes one event and returns the effects that the leader must execute, in this order. The
+// parameter now is the time since the term began, on a monotonic clock. If it is before the time of an
+// earlier event, the earlier event's time is used instead. The same events at the same times yield the same
+// effects.
 func (s *Scheduler) Step(e Event, now time.Duration) []Effect {
 	s.beginStep(now)
 	s.process(e)
@@ -75,8 +76,8 @@
 	s.commitGangs()
 }
 
-// tick runs the periodic work. If the leader is not entitled to act, it only releases the tasks that
-// are certainly gone or were never sent, and prunes outdated state.
+// tick runs the periodic work. If the leader is not entitled, tick only releases the tasks of workers whose
+// lease has expired and the unsent tasks of stale machines, and prunes outdated state.
 func (s *Scheduler) tick(entitled bool) {
 	s.reachability.expireLeases()
 	s.placement.pruneExpiredSearchIntervals()
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -8,8 +8,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// confirmStart notes that the worker has received the start of the attempt. A further copy of the start
-// can be in flight only if the start was repeated.
+// confirmStart records that the worker has received the start of the attempt. Another message with the
+// start can be in flight only if the start was repeated.
 func (a *assignment) confirmStart() {
 	a.directID = 0
 	if !a.startRepeated {
@@ -47,7 +47,7 @@
 	}
 }
 
-// taskGathering notes that a task of a gang has its image and waits for the other tasks of the gang.
+// taskGathering records that a task of a gang has its image and waits for the other tasks of the gang.
 func (s *Scheduler) taskGathering(a *assignment) {
 	if a.state == stateGathering {
 		return
@@ -57,7 +57,7 @@
 	s.gangs.setCompletionDeadline(a.job.gang)
 }
 
-// taskRunning notes that a task is running, and since when.
+// taskRunning records that a task is running, and since when.
 func (s *Scheduler) taskRunning(a *assignment) {
 	if a.state == stateRunning {
 		return
@@ -99,7 +99,7 @@
 		s.logWarn("task failed", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt, keyMachine, m.name)
 		s.inventory.recordFailure(j, m)
 	case protocol.ReasonPeerLost, protocol.ReasonGangIncomplete:
-		// Another task of the gang is gone or did not arrive in time. This is a failure of neither the
+		// Another task of the gang was lost or did not join in time. This is a failure of neither the
 		// machine nor the job.
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
 		s.logInfo("gang task ended without its peers", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt,
