--- a/internal/coordination/scheduler/cancel_test.go
+++ b/internal/coordination/scheduler/cancel_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// checkCancelledTaskEndsInTime runs the check with a scheduler that learns of the cancellation when it
-// is that old.
+// checkCancelledTaskEndsInTime runs the check with a scheduler that observes the cancellation when it is
+// that old.
 func checkCancelledTaskEndsInTime(t *testing.T, age time.Duration) {
 	const cancelTime, lease = 34 * time.Second, 14 * time.Second // as in the fixture's settings
 	f := newSchedulerFixture(t, 2)
@@ -54,8 +54,8 @@
 	observedAt := f.now
 	confirmedAt := f.now - age
 	if age >= cancelTime {
-		// A leader that knew of the cancellation would have let the worker's lease expire by now. So no
-		// leader knew of it, and it was not confirmed to the user before.
+		// A leader that had observed the cancellation would have let the worker's lease expire by now. So
+		// no leader has, and the cancellation was not confirmed to the user before.
 		confirmedAt = f.now
 	}
 	var deletedAt, lastAcceptedAt time.Duration
@@ -89,7 +89,7 @@
 		t.Errorf("deletion requested %v after the cancellation was confirmed", deletedAt-confirmedAt)
 	}
 	if deletedAt < observedAt+limits.CancelStopGrace {
-		t.Errorf("deletion requested %v after the scheduler learned of the cancellation, want at least %v",
+		t.Errorf("deletion requested %v after the scheduler observed the cancellation, want at least %v",
 			deletedAt-observedAt, limits.CancelStopGrace)
 	}
 }
--- a/internal/coordination/scheduler/dispatcher_test.go
+++ b/internal/coordination/scheduler/dispatcher_test.go
@@ -77,7 +77,7 @@
 		for _, start := range direct.Commands {
 			heartbeat.Tasks = append(heartbeat.Tasks, runningStatus(start))
 		}
-		f.now -= 9 * time.Millisecond // keeps all answers within the time before these machines are stale
+		f.now -= 9 * time.Millisecond // all replies arrive before these machines are stale
 		counter.collect(f.step(DirectCommandsDone{ID: direct.ID, Machine: direct.Machine, Heartbeat: heartbeat}))
 	}
 	if len(counter.starts) != machines {
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -10,8 +10,8 @@
 	"quillshunt/internal/storage"
 )
 
-// TestResultIsForgottenOnceDurable checks that a worker is told to forget a result only after the state
-// service has confirmed the write of the chunk that contains it.
+// TestResultIsForgottenOnceDurable checks that a worker is instructed to forget a result only after the
+// state service has confirmed the write of the chunk that contains it.
 func TestResultIsForgottenOnceDurable(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.sendHeartbeat(0)
@@ -25,7 +25,7 @@
 		t.Fatalf("starts not in the order of the tasks: %+v", direct[0].Commands)
 	}
 	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 0 {
-		t.Fatalf("told to forget the result before it is written: %+v", commands)
+		t.Fatalf("instructed to forget the result before it is written: %+v", commands)
 	}
 	f.now += 5 * time.Second
 	var result *WriteRecords
@@ -38,11 +38,11 @@
 		t.Fatalf("no write of the result: %+v", f.effects)
 	}
 	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 0 {
-		t.Fatalf("told to forget the result while its write is in flight: %+v", commands)
+		t.Fatalf("instructed to forget the result while its write is in flight: %+v", commands)
 	}
 	f.step(WriteCompleted{ID: result.ID, OK: true, Version: 500})
 	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 1 {
-		t.Fatalf("not told to forget the durable result: %+v", commands)
+		t.Fatalf("not instructed to forget the durable result: %+v", commands)
 	}
 }
 
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestDirectReplyDoesNotReleaseTask checks that a start sent in a heartbeat reply is not given up when the
-// reply to a direct command or a probe does not list its task: the heartbeat reply may still be in flight.
-// Only the next heartbeat shows that the start is lost.
+// TestDirectReplyDoesNotReleaseTask checks that a task whose start was sent in a heartbeat reply is not
+// released when the reply to a direct command or a probe does not list it: the heartbeat reply may still be
+// in flight. Only the next heartbeat shows that the start is lost.
 func TestDirectReplyDoesNotReleaseTask(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	f.sendHeartbeat(0)
@@ -152,8 +152,8 @@
 }
 
 // TestDuplicateHeartbeats checks that duplicates of heartbeats are no evidence, however late they arrive:
-// they do not make a machine count as alive, do not extend its lease, and do not add a machine that is
-// gone to the inventory.
+// they do not make a machine count as reachable, do not renew its lease, and do not add a deleted machine
+// to the inventory.
 func TestDuplicateHeartbeats(t *testing.T) {
 	f := newSchedulerFixture(t, 1)
 	earlierTerm := f.heartbeatWithSequence(0, 50, runningStatus(protocol.Command{Task: "job-1/0", Attempt: 1}))
@@ -164,7 +164,7 @@
 	checkLateHeartbeat(t, f)
 }
 
-// replyToDuplicate sends a copy of a heartbeat on another connection and returns the reply.
+// replyToDuplicate sends a duplicate of a heartbeat on another connection and returns the reply.
 func (f *schedulerFixture) replyToDuplicate(heartbeat *protocol.Heartbeat, relayed bool) HeartbeatReply {
 	f.t.Helper()
 	copied := *heartbeat
@@ -172,7 +172,7 @@
 }
 
 // checkDuplicateFromEarlierTerm checks that a heartbeat of an earlier term does not add an unknown machine. For
-// a known machine it is accepted, but its content is ignored.
+// a known machine it is accepted, but its contents are ignored.
 func checkDuplicateFromEarlierTerm(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
 	deleted := *earlierTerm
@@ -189,14 +189,14 @@
 	}
 	m := f.scheduler.inventory.find(f.machine(0))
 	if m.hasReported || m.fenced || len(m.assignments) > 0 || f.scheduler.isSchedulable(m) {
-		t.Errorf("content of the heartbeat used: reported %v, fenced %v, %d assignments",
+		t.Errorf("contents of the heartbeat used: reported %v, fenced %v, %d assignments",
 			m.hasReported, m.fenced, len(m.assignments))
 	}
 }
 
-// checkDuplicateBeforeOriginal lets a copy of a heartbeat arrive before its original, so that the worker never
-// sees the reply to the copy, which contains a start. The reply to the original must repeat the start, but
-// not after the job was cancelled.
+// checkDuplicateBeforeOriginal lets a duplicate of a heartbeat arrive before its original, so that the worker
+// never receives the reply to the duplicate, which contains a start. The reply to the original must repeat
+// the start, but not after the job was cancelled.
 func checkDuplicateBeforeOriginal(t *testing.T, f *schedulerFixture) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
@@ -217,9 +217,9 @@
 	}
 }
 
-// checkStaleDuplicates checks copies of heartbeats of the current term. A copy of the newest one is accepted
-// while the worker may still wait for the reply, and all others are rejected. None of them counts as a sign
-// of life or renews the lease.
+// checkStaleDuplicates checks duplicates of heartbeats of the current term. A duplicate of the newest one is
+// accepted while the worker may still wait for the reply, and all others are rejected. None of them updates
+// the time of the last heartbeat or renews the lease.
 func checkStaleDuplicates(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
 	m := f.scheduler.inventory.find(f.machine(0))
@@ -228,20 +228,20 @@
 	lastHeartbeatAt, leaseRenewedAt := m.lastHeartbeatAt, m.leaseRenewedAt
 	newest := f.heartbeatWithSequence(0, f.sequence)
 	if !f.replyToDuplicate(newest, false).Accepted {
-		t.Error("newest heartbeat, repeated at once, not accepted")
+		t.Error("immediate duplicate of the newest heartbeat not accepted")
 	}
 	if f.replyToDuplicate(f.heartbeatWithSequence(0, 40), true).Accepted {
 		t.Error("heartbeat with an older sequence number accepted")
 	}
 	f.now += 30 * time.Second
 	if f.replyToDuplicate(newest, true).Accepted {
-		t.Error("copy of the newest heartbeat accepted after its lease has expired")
+		t.Error("duplicate of the newest heartbeat accepted after the worker's lease has expired")
 	}
 	if reply := f.replyToDuplicate(earlierTerm, true); reply.Accepted && len(reply.Commands) > 0 {
 		t.Errorf("commands in the reply to a heartbeat of an earlier term: %+v", reply.Commands)
 	}
 	if m.lastHeartbeatAt != lastHeartbeatAt || m.leaseRenewedAt != leaseRenewedAt {
-		t.Error("a copy updated the time of the last heartbeat or renewed the lease")
+		t.Error("a duplicate updated the time of the last heartbeat or renewed the lease")
 	}
 }
 
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -15,7 +15,7 @@
 // TestFinishedTasksInOtherChunkSizes checks records of finished tasks that were written with another
 // chunk size, because the value limit of the state service was larger or smaller. A task counts as done
 // if any record says so. While the records are replaced, no done task may be missing from the state
-// service at any moment. When the job is over, all records are removed, and no transaction exceeds the
+// service at any moment. When the job is closed, all records are removed, and no transaction exceeds the
 // limit on its operations.
 func TestFinishedTasksInOtherChunkSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,7 +30,7 @@
 		store := &memoryStore{records: map[string]storedRecord{storage.OpenJobKey(job): {version: 1}}, version: 10}
 		s := newSchedulerOfOneJob(state, job, tasks)
 		loadFinishedTasks(s, store, job, finished, tasks, before)
-		orphan := storage.FinishedTasks{} // of a job that is over; earlier versions left such records
+		orphan := storage.FinishedTasks{} // of a closed job; earlier versions left such records
 		orphanVersion := store.put(storage.FinishedTasksKey("job-9", 0), orphan)
 		s.Step(FinishedTasksLoaded{JobID: "job-9", Version: orphanVersion, Record: orphan}, 0)
 		now := time.Second
@@ -114,7 +114,7 @@
 		}
 	}
 	if len(j.assignments) == 0 || len(j.chunks) < 2 {
-		t.Fatalf("%d tasks assigned, %d chunks", len(j.assignments), len(j.chunks))
+		t.Fatalf("%d tasks assigned, %d chunks; want at least 1 task and 2 chunks", len(j.assignments), len(j.chunks))
 	}
 	for i := range limits.MaxTasksPerJob {
 		if j.assignments[i] == nil {
--- a/internal/coordination/scheduler/machine_list_test.go
+++ b/internal/coordination/scheduler/machine_list_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestReconcileMachineList checks that an unknown machine in the cloud's list is adopted only if it is too
-// old to belong to a rental whose answer is still in flight, and that a machine is returned once it has
+// old to belong to a rental whose reply is still in flight, and that a machine is returned once it has
 // failed or is missing from several lists in a row.
 func TestReconcileMachineList(t *testing.T) {
 	const lag = 2 * time.Second
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -119,8 +119,8 @@
 }
 
 // TestCorrelatedUnverifiedMachinesNotProbedAtOnce checks that a single unverified machine is probed at once,
-// but not many machines that become unverified together by new connections. Their next heartbeats verify
-// most of them, and those that stay unverified are probed then. Without the delay, the probes kept a
+// but not many machines that become unverified together because their workers reconnect. The next heartbeats
+// verify most of them, and those that stay unverified are probed then. Without the delay, the probes kept a
 // controller with a small share of a CPU core from answering heartbeats for minutes.
 func TestCorrelatedUnverifiedMachinesNotProbedAtOnce(t *testing.T) {
 	for _, n := range []int{1, 40} {
--- a/internal/coordination/scheduler/reachability_test.go
+++ b/internal/coordination/scheduler/reachability_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestRelayedHeartbeats checks that a worker whose heartbeats are relayed is redirected to the leader once,
-// and again after RelayRetryAfter. The first redirect is skipped if the worker has reported directly before
+// and again after RelayDuration. The first redirect is skipped if the worker has reported directly before
 // or has missed a probe.
 func TestRelayedHeartbeats(t *testing.T) {
 	type heartbeat struct {
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -75,7 +75,7 @@
 	return pages
 }
 
-// TestRegistrationsAreBatched checks that machines of several rentals that come up at once are registered
+// TestRegistrationsAreBatched checks that machines of several rentals that report together are registered
 // with few writes, each within the maximum size of a value, and that the next leader finds all of them. No
 // machine is registered before the durable record of its rental contains it, as the next leader ignores
 // registrations of machines that no rental's record contains.
@@ -87,7 +87,7 @@
 		f.step(RentalLoaded{Name: fmt.Sprintf("h-2-%d", i), Version: 7, Record: rental})
 	}
 	unwritten := f.scheduler.rentals.find("h-2-3")
-	unwritten.answerDurable = false // its answer is being written
+	unwritten.answerDurable = false // the write of the record that names its machines is in flight
 	writes := f.registerAll(rentals * each)
 	if len(writes) > 8 {
 		t.Errorf("%d registry writes for %d machines, want at most 8", len(writes), rentals*each)
--- a/internal/coordination/scheduler/snapshot_test.go
+++ b/internal/coordination/scheduler/snapshot_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestJobExplanation checks that the snapshot tells operators what a job waits for.
+// TestJobExplanation checks that the snapshot shows operators what a job waits for.
 func TestJobExplanation(t *testing.T) {
 	f := newSchedulerFixture(t, 2)
 	explain := func(id string) string {
