--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -175,10 +175,10 @@
 // a known machine it is accepted, but its contents are ignored.
 func checkDuplicateFromEarlierTerm(t *testing.T, f *schedulerFixture, earlierTerm *protocol.Heartbeat) {
 	t.Helper()
-	deleted := *earlierTerm
-	deleted.Machine, deleted.Tasks = "m-gone", nil
+	unknown := *earlierTerm
+	unknown.Machine, unknown.Tasks = "m-gone", nil
 	for _, relayed := range []bool{false, true} {
-		f.replyToDuplicate(&deleted, relayed)
+		f.replyToDuplicate(&unknown, relayed)
 	}
 	if f.scheduler.inventory.find("m-gone") != nil {
 		t.Error("a heartbeat of an earlier term added an unknown machine")
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -62,9 +62,9 @@
 func TestProbeRateLimit(t *testing.T) {
 	const machines, coreShare = 1000, 0.05
 	for _, c := range []struct {
-		name  string
-		took  time.Duration
-		share float64 // expected share of the full probe rate
+		name    string
+		elapsed time.Duration
+		share   float64 // expected share of the full probe rate
 	}{
 		{"answered at once", time.Millisecond, 1},
 		{"answered late", time.Second, limits.ProbeSlowdownRatio},
@@ -74,7 +74,7 @@
 			rate := limits.ProbeRate(coreShare)
 			s := newSchedulerAfterFailover(machines, coreShare)
 			responder := &probeResponder{
-				t: t, scheduler: s, machines: machines, elapsed: c.took, probed: map[string]int{},
+				t: t, scheduler: s, machines: machines, elapsed: c.elapsed, probed: map[string]int{},
 			}
 			now := time.Duration(0)
 			responder.answer(s.Step(StateLoaded{}, now), now)
