--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -100,7 +100,7 @@
 		t.Fatalf("after a heartbeat without the task: %d starts, %d assignments; want none", n, len(m.assignments))
 	}
 	if n := countVerb(f.sendHeartbeat(0), protocol.CommandStart); n != 1 || len(m.assignments) != 1 {
-		t.Fatalf("task not placed again: %d starts, %d assignments", n, len(m.assignments))
+		t.Fatalf("task not placed again: %d starts, %d assignments; want 1 of each", n, len(m.assignments))
 	}
 }
 
@@ -293,7 +293,7 @@
 	for _, e := range []HeartbeatReceived{{Heartbeat: heartbeat}, {Heartbeat: laterTerm, Entitled: true}} {
 		for _, reply := range effectsOf[HeartbeatReply](f.step(e)) {
 			if reply.Accepted {
-				t.Errorf("heartbeat accepted: %+v", e)
+				t.Errorf("heartbeat accepted, want it rejected: %+v", e)
 			}
 		}
 	}
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -128,7 +128,7 @@
 		}
 	}
 	if got := j.waitingTasks(); got != 0 {
-		t.Fatalf("%d tasks are still waiting", got)
+		t.Fatalf("%d tasks are still waiting, want 0", got)
 	}
 }
 
@@ -174,18 +174,18 @@
 	f.step(Tick{Entitled: true})
 	chunk := writes()
 	if len(chunk) != 1 || chunk[0].Operations[0].Put != chunkKey {
-		t.Fatalf("writes after the first task is done: %+v", chunk)
+		t.Fatalf("writes after the first task is done: %+v, want one of the chunk", chunk)
 	}
 	for index := range 10 {
 		f.scheduler.finished.recordCompletion(j, index)
 	}
 	f.step(Tick{Entitled: true})
 	if got := writes(); len(got) != 0 {
-		t.Fatalf("writes while the chunk write is in flight: %+v", got)
+		t.Fatalf("writes while the chunk write is in flight: %+v, want none", got)
 	}
 	f.step(WriteCompleted{ID: chunk[0].ID, OK: true, Version: 7})
 	final := writes()
 	if len(final) != 1 || final[0].Operations[0].Put != finalKey || final[0].Operations[2].Delete != chunkKey {
-		t.Fatalf("writes after the chunk write is completed: %+v", final)
+		t.Fatalf("writes after the chunk write is completed: %+v, want one with the final record", final)
 	}
 }
--- a/internal/coordination/scheduler/inventory_test.go
+++ b/internal/coordination/scheduler/inventory_test.go
@@ -43,7 +43,7 @@
 	}
 	inventory.remove(m)
 	if got := names(); !slices.Equal(got, []string{"m-1", "m-3"}) || inventory.find("m-2") != nil {
-		t.Errorf("machines %v after m-2 was removed", got)
+		t.Errorf("machines %v after m-2 was removed, want m-1 and m-3", got)
 	}
 	if !inventory.isDeleted("m-2") || inventory.isDeleted("m-1") {
 		t.Error("the removed machine is not the one that is recorded as deleted")
--- a/internal/coordination/scheduler/outbox_test.go
+++ b/internal/coordination/scheduler/outbox_test.go
@@ -28,12 +28,12 @@
 		t.Errorf("effects:\n%+v\nwant:\n%+v", o.effects, expected)
 	}
 	if purpose := o.takePendingWrite(1); purpose != (rentalWrite{rental: "h-1"}) {
-		t.Errorf("purpose of the first write: %+v", purpose)
+		t.Errorf("purpose of the first write: %+v, want the rentalWrite", purpose)
 	}
 	if purpose := o.takePendingWrite(1); purpose != nil {
 		t.Errorf("the first write is still pending after its completion: %+v", purpose)
 	}
 	if purpose := o.takePendingWrite(2); purpose != (finishedTasksRemoval{}) {
-		t.Errorf("purpose of the second write: %+v", purpose)
+		t.Errorf("purpose of the second write: %+v, want the finishedTasksRemoval", purpose)
 	}
 }
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -143,7 +143,7 @@
 	}
 	s.reachability.observeIncarnation(m, heartbeat)
 	s.reachability.setVerified(m, true)
-	// The new ID matches no assignment. As in the reply to a direct command, the task list shows nothing
-	// about starts that were sent in other messages and may still arrive.
+	// The task list is processed like the reply to a direct command, under a new ID that no assignment has.
+	// It shows nothing about starts that were sent in other messages and may still arrive.
 	s.dispatcher.sendCorrections(m, s.reconcileTasks(m, heartbeat, s.dispatcher.allocateID()))
 }
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -3,8 +3,9 @@
 import "quillshunt/internal/protocol"
 
 // reconcileTasks updates the assignments to a machine from a task list of its worker. It returns
-// commands to stop unexpected tasks and to forget ended ones. The list comes from a heartbeat or, if
-// directID is not 0, from the reply to the direct command with that ID.
+// commands to stop unexpected tasks and to forget ended ones. The list comes from a heartbeat if
+// directID is 0. Otherwise it comes from the reply to the direct command with that ID, or from the reply
+// to a probe; then no assignment has the ID.
 func (s *Scheduler) reconcileTasks(m *machine, heartbeat *protocol.Heartbeat, directID uint64) []protocol.Command {
 	m.taskListSequence = heartbeat.Sequence
 	var commands []protocol.Command
@@ -164,12 +165,11 @@
 }
 
 // startMayArriveAfter reports whether the start of a task may still arrive after the worker has sent a
-// task list without that task: in a heartbeat or, if directID is not 0, in the reply to the direct
-// command with that ID.
+// task list without that task. The parameter directID is that of reconcileTasks.
 //
-// The start can no longer arrive if it was part of that direct command, or of the reply to an earlier
-// heartbeat: a worker has only one heartbeat in flight and sends the next one only once it no longer waits
-// for the reply.
+// After the reply to a direct command, the starts in that command can no longer arrive. After a
+// heartbeat, the starts in replies to earlier heartbeats can no longer arrive: a worker has only one
+// heartbeat in flight and sends the next one only once it no longer waits for the reply.
 func (a *assignment) startMayArriveAfter(directID uint64) bool {
 	if a.startUnconfirmed {
 		return true // a direct command with the start got no reply
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -106,11 +106,12 @@
 	for i := range rentals * each {
 		written := i < (rentals-1)*each
 		if got := f.scheduler.inventory.find(f.machine(i)).registration == registered; got != written {
-			t.Fatalf("machine %d: registered = %v, rental's record durable = %v", i, got, written)
+			t.Fatalf("machine %d: registered = %v, rental's record durable = %v, want both equal", i, got, written)
 		}
 		m := successor.scheduler.inventory.find(f.machine(i))
 		if found := m.registration == registered && m.address != ""; found != written {
-			t.Fatalf("machine %d at the next leader: registration %v, address %q", i, m.registration, m.address)
+			t.Fatalf("machine %d at the next leader: registration %v, address %q, want registered = %v",
+				i, m.registration, m.address, written)
 		}
 	}
 	// Once the write of the last rental's record completes, its machines are registered too.
