--- a/internal/coordination/scheduler/assignment.go
+++ b/internal/coordination/scheduler/assignment.go
@@ -41,7 +41,7 @@
 	directID         uint64        // ID of the direct command that carries the start and has no outcome yet, or 0
 	startUnconfirmed bool          // a direct command with the start got no reply; the start may still arrive
 	startRepeated    bool          // the start was sent again in a heartbeat reply
-	assignedAt       time.Duration // when it was assigned or, once its start was sent, when that was sent
+	assignedAt       time.Duration // time of the assignment or, once its start was sent, of that start
 	runningSince     time.Duration // when it was first reported as running
 
 	stopping   bool   // a stop was sent or will be sent
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -97,7 +97,7 @@
 	a := m.assignments[status.Task]
 	if a != nil && a.state != stateUnsent && status.Attempt > a.attempt {
 		// The worker has a later attempt than the assigned one. Attempt numbers only increase, so the
-		// assigned attempt is over.
+		// assigned attempt has ended.
 		s.assignments.release(a)
 		a = nil
 	}
--- a/internal/coordination/scheduler/recovery.go
+++ b/internal/coordination/scheduler/recovery.go
@@ -40,7 +40,7 @@
 // whether this call has ended recovery.
 //
 // The reply to a heartbeat renews the worker's lease in full, even if the worker has not yet shown its
-// tasks to this leader. The lease therefore counts from that reply. A leader that is too busy to
+// tasks to this leader. The lease therefore runs from that reply. A leader that is too busy to
 // process the next heartbeats would otherwise end recovery while the worker's tasks still run.
 func (r *recoveryState) tryEnd() bool {
 	if !r.recordsLoaded || r.ended {
--- a/internal/coordination/scheduler/spot_notice.go
+++ b/internal/coordination/scheduler/spot_notice.go
@@ -19,7 +19,7 @@
 }
 
 // stopTasksForSpotNotice stops tasks on a machine that the cloud is about to reclaim. Tasks with
-// checkpoints are stopped in time to save one, other tasks at once if they cannot complete before it.
+// checkpoints are stopped in time to save one, other tasks at once if they cannot complete by then.
 func (s *Scheduler) stopTasksForSpotNotice(m *machine) {
 	remaining := (m.spotReclaimAt - s.now).Seconds()
 	for _, a := range m.sortedAssignments() {
