--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -9,8 +9,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// TestPlacementWaitsForUnreportedMachines checks what happens after a failover while machines do not
-// answer probes, which blocks all placement. If they are few, they are deleted soon, and placement
+// TestPlacementWaitsForUnreportedMachines checks when placement begins after a failover if some machines do
+// not answer probes, as it waits for all of them. If they are few, they are deleted soon, and placement
 // begins when their deletion is confirmed. If they are many, a network partition is the likely cause,
 // so they are not deleted and placement waits for them.
 func TestPlacementWaitsForUnreportedMachines(t *testing.T) {
