--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -63,7 +63,7 @@
 	stateServiceRejects
 	noFault
 	crashRepeatedly // restarts at once, possibly during an election
-	isolatedFromAll // from the state service and the other nodes, not from its workers
+	isolatedFromAll // from the state service and the other nodes
 	isolatedFromPeers
 	faultCount
 )
@@ -163,7 +163,7 @@
 		time.Sleep(3 * time.Second)
 		first := n.entitledLeadership()
 		if first == nil {
-			t.Fatal("no leader")
+			t.Fatal("no leader was elected")
 		}
 		n.crash()
 		n.start()
@@ -175,10 +175,9 @@
 	})
 }
 
-// TestIsolatedLeader isolates the leader from the other controllers, but not from its workers. If
-// it is cut off from the state service too, it must stop being entitled, and another controller
-// must lead long before the lease expires. If not, it must stay entitled by writing heartbeat
-// records.
+// TestIsolatedLeader checks a leader that cannot reach the other controllers. If it cannot reach the
+// state service either, it must stop being entitled, and another controller must lead long before
+// the leader lease expires. If it can, it must stay entitled by writing heartbeat records.
 func TestIsolatedLeader(t *testing.T) {
 	for i := range 12 {
 		fromStateService := i%2 == 0
@@ -200,7 +199,7 @@
 	time.Sleep(10*time.Second + phase)
 	isolated := c.leader()
 	if isolated == nil {
-		t.Fatal("no leader")
+		t.Fatal("no leader was elected")
 	}
 	old := isolated.entitledLeadership()
 	isolated.isolate(time.Now().Add(time.Hour))
@@ -213,8 +212,8 @@
 		replaced = replaced || (n != isolated && n.entitledLeadership() != nil)
 	}
 	if old.Entitled() == fromStateService || replaced != fromStateService {
-		t.Errorf("isolated from the state service: %v; old leader entitled: %v, another node entitled: %v",
-			fromStateService, old.Entitled(), replaced)
+		t.Errorf("isolated from state service: %v; old leader entitled: %v, want %v; another entitled: %v, want %v",
+			fromStateService, old.Entitled(), !fromStateService, replaced, fromStateService)
 	}
 }
 
@@ -228,7 +227,7 @@
 		time.Sleep(15 * time.Second)
 		leader := c.leader()
 		if leader == nil {
-			t.Fatal("no leader")
+			t.Fatal("no leader was elected")
 		}
 		isolate := func(until time.Time) {
 			leader.isolate(until)
--- a/internal/coordination/election/suspicion.go
+++ b/internal/coordination/election/suspicion.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// suspicion is the evidence of a follower that the leader is unreachable. It starts at one version
-// of the heartbeat record. It lasts while the record keeps this version and the leader requests no
-// votes.
+// suspicion records since when a follower has had reason to regard the leader as unreachable. It
+// begins at one version of the heartbeat record, and lasts while the record keeps this version and
+// the leader requests no votes.
 type suspicion struct {
 	leaderVersion      uint64    // version of the leader key being followed
-	followedAt         time.Time // when the follower first saw this version
+	followedAt         time.Time // when the follower first observed this version
 	heartbeatVersion   uint64    // version of the heartbeat record when the suspicion began
 	beganAt            time.Time // zero if the leader is not suspected
 	withdrawalRecorded bool      // the state service has the withdrawal of the vote for heartbeatVersion
 }
 
-// trackLeader resets the suspicion if the version of the leader key is new. It keeps the suspicion
-// for the same version: only the watch of the leader key has ended and starts again.
+// trackLeader resets the suspicion if the version of the leader key is new. If it is the same, only
+// the watch of the leader key has ended and starts again, and the suspicion is kept.
 func (s *suspicion) trackLeader(leaderVersion uint64) {
 	if s.leaderVersion != leaderVersion {
 		*s = suspicion{leaderVersion: leaderVersion, followedAt: time.Now()}
