--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -15,7 +15,7 @@
 // TestFinishedTasksInOtherChunkSizes checks records of finished tasks that were written with another
 // chunk size, because the value limit of the state service was larger or smaller. A task counts as done
 // if any record says so. While the records are replaced, no done task may be missing from the state
-// service at any moment. When the job is over, all records are removed, and no transaction exceeds the
+// service at any moment. When the job is closed, all records are removed, and no transaction exceeds the
 // limit on its operations.
 func TestFinishedTasksInOtherChunkSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,7 +30,7 @@
 		store := &memoryStore{records: map[string]storedRecord{storage.OpenJobKey(job): {version: 1}}, version: 10}
 		s := newSchedulerOfOneJob(state, job, tasks)
 		loadFinishedTasks(s, store, job, finished, tasks, before)
-		orphan := storage.FinishedTasks{} // of a job that is over; earlier versions left such records
+		orphan := storage.FinishedTasks{} // of a closed job; earlier versions left such records
 		orphanVersion := store.put(storage.FinishedTasksKey("job-9", 0), orphan)
 		s.Step(FinishedTasksLoaded{JobID: "job-9", Version: orphanVersion, Record: orphan}, 0)
 		now := time.Second
@@ -114,7 +114,7 @@
 		}
 	}
 	if len(j.assignments) == 0 || len(j.chunks) < 2 {
-		t.Fatalf("%d tasks assigned, %d chunks", len(j.assignments), len(j.chunks))
+		t.Fatalf("%d tasks assigned, %d chunks; want at least 1 task and 2 chunks", len(j.assignments), len(j.chunks))
 	}
 	for i := range limits.MaxTasksPerJob {
 		if j.assignments[i] == nil {
@@ -128,7 +128,7 @@
 		}
 	}
 	if got := j.waitingTasks(); got != 0 {
-		t.Fatalf("%d tasks are still waiting", got)
+		t.Fatalf("%d tasks are still waiting, want 0", got)
 	}
 }
 
@@ -174,18 +174,18 @@
 	f.step(Tick{Entitled: true})
 	chunk := writes()
 	if len(chunk) != 1 || chunk[0].Operations[0].Put != chunkKey {
-		t.Fatalf("writes after the first task is done: %+v", chunk)
+		t.Fatalf("writes after the first task is done: %+v, want one of the chunk", chunk)
 	}
 	for index := range 10 {
 		f.scheduler.finished.recordCompletion(j, index)
 	}
 	f.step(Tick{Entitled: true})
 	if got := writes(); len(got) != 0 {
-		t.Fatalf("writes while the chunk write is in flight: %+v", got)
+		t.Fatalf("writes while the chunk write is in flight: %+v, want none", got)
 	}
 	f.step(WriteCompleted{ID: chunk[0].ID, OK: true, Version: 7})
 	final := writes()
 	if len(final) != 1 || final[0].Operations[0].Put != finalKey || final[0].Operations[2].Delete != chunkKey {
-		t.Fatalf("writes after the chunk write is completed: %+v", final)
+		t.Fatalf("writes after the chunk write is completed: %+v, want one with the final record", final)
 	}
 }
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -5,8 +5,8 @@
 	"quillshunt/internal/protocol"
 )
 
-// heartbeatReceived handles a worker's heartbeat. The reply carries commands if the leader is entitled to
-// act and the worker has seen this term's fencing token.
+// heartbeatReceived handles a worker's heartbeat. The reply carries commands only if the leader is entitled
+// and the worker has seen this term's fencing token.
 func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
 	heartbeat := e.Heartbeat
 	switch {
@@ -15,13 +15,13 @@
 		s.rejectHeartbeat(e)
 		return
 	case heartbeat.FencingToken < s.cfg.Term:
-		s.answerUnfencedHeartbeat(e)
+		s.replyToUnfencedHeartbeat(e)
 		return
 	}
 	m := s.inventory.getOrAdd(heartbeat.Machine, machinePool{heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot})
 	switch {
 	case m.isOutdated(heartbeat, m.heartbeatSequence):
-		s.answerOutdatedHeartbeat(e, m)
+		s.replyToOutdatedHeartbeat(e, m)
 	case !s.reachability.acceptRoute(m, e.Relayed):
 		s.redirectHeartbeat(e)
 	default:
@@ -34,7 +34,7 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 }
 
-// redirectHeartbeat tells a worker whose heartbeat was relayed by another controller to send its
+// redirectHeartbeat instructs a worker whose heartbeat was relayed by another controller to send its
 // heartbeats to this controller directly.
 func (s *Scheduler) redirectHeartbeat(e HeartbeatReceived) {
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Redirect: true})
@@ -53,7 +53,7 @@
 	s.registerMachine(m)
 	s.recordSpotNotice(m, heartbeat)
 	var commands []protocol.Command
-	if heartbeat.Sequence > m.taskListSequence { // else a newer direct reply has been processed already
+	if heartbeat.Sequence > m.taskListSequence { // else a newer reply to a direct command or probe was processed
 		commands = s.reconcileTasks(m, heartbeat, 0)
 	}
 	if s.holdsCancelledTask(m, s.cancelReplyUntil) {
@@ -74,11 +74,11 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
 }
 
-// answerOutdatedHeartbeat answers a delayed or duplicate heartbeat. It is normally rejected, as its task
-// list is old and the worker no longer waits for the answer. The exception is a duplicate of the newest
-// heartbeat, answered less than HeartbeatAnswerTimeout ago: the first answer may have gone to a copy, so
-// that the worker still waits for this one. It repeats the commands of the first.
-func (s *Scheduler) answerOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
+// replyToOutdatedHeartbeat replies to a delayed or duplicate heartbeat. It usually rejects the heartbeat,
+// because its task list is old and the worker no longer waits for the reply. The exception is a duplicate of
+// the newest heartbeat that arrives less than HeartbeatReplyTimeout after it: the first reply may have gone
+// to a duplicate, so that the worker still waits for this one. It repeats the commands of the first reply.
+func (s *Scheduler) replyToOutdatedHeartbeat(e HeartbeatReceived, m *machine) {
 	isNewest := e.Heartbeat.Incarnation == m.incarnation && e.Heartbeat.Sequence == m.heartbeatSequence
 	justAnswered := s.now < m.lastHeartbeatAt+limits.HeartbeatReplyTimeout
 	if !isNewest || !justAnswered || !m.hasLiveIncarnation() || s.holdsCancelledTask(m, s.cancelReplyUntil) {
@@ -88,11 +88,11 @@
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: m.commandsToRepeat()})
 }
 
-// answerUnfencedHeartbeat answers a heartbeat that carries the fencing token of an earlier term. It may
-// be a delayed copy from a machine that has failed or was deleted since, so its contents are ignored. The
-// answer renews the lease of a worker that receives it, which is why the lease counts as renewed. The
-// worker's next heartbeat then carries this term's token, which a delayed copy cannot.
-func (s *Scheduler) answerUnfencedHeartbeat(e HeartbeatReceived) {
+// replyToUnfencedHeartbeat replies to a heartbeat that carries the fencing token of an earlier term. The
+// heartbeat may be a delayed duplicate from a machine that has failed or was deleted since, so its task list
+// is ignored. The reply renews the lease of a worker that receives it, so the lease counts as renewed. The
+// worker's next heartbeat then carries this term's token, which a delayed duplicate cannot.
+func (s *Scheduler) replyToUnfencedHeartbeat(e HeartbeatReceived) {
 	m := s.inventory.find(e.Heartbeat.Machine)
 	switch {
 	case m == nil && e.Relayed:
@@ -109,8 +109,9 @@
 		return
 	}
 	if !m.fenced {
-		// If the machine is fenced, this heartbeat was sent before the worker saw this term's token. The
-		// renewal time that observeIncarnation recorded then is late enough to cover it.
+		// If the machine is fenced, the worker sent this heartbeat before it saw this term's token. A lease
+		// runs from the sending of the heartbeat, so the renewal time that observeIncarnation recorded
+		// when it marked the machine as fenced is late enough.
 		m.leaseRenewedAt = s.now
 	}
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true})
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -40,18 +40,18 @@
 
 // answer answers the probes among the effects. The test fails if a machine is probed again before every
 // machine was probed once.
-func (a *probeResponder) answer(effects []Effect, now time.Duration) {
-	a.t.Helper()
+func (r *probeResponder) answer(effects []Effect, now time.Duration) {
+	r.t.Helper()
 	for _, probe := range effectsOf[ProbeMachine](effects) {
-		a.sent++
-		if a.probed[probe.Machine]++; a.probed[probe.Machine] > 1 && len(a.probed) < a.machines {
-			a.t.Errorf("%s is probed again while others have not been probed", probe.Machine)
+		r.sent++
+		if r.probed[probe.Machine]++; r.probed[probe.Machine] > 1 && len(r.probed) < r.machines {
+			r.t.Errorf("%s is probed again while others have not been probed", probe.Machine)
 		}
 		done := ProbeDone{Machine: probe.Machine}
-		if a.elapsed > 0 {
-			done.Elapsed, done.Heartbeat = a.elapsed, &protocol.Heartbeat{} // invalid, so it is ignored
+		if r.elapsed > 0 {
+			done.Elapsed, done.Heartbeat = r.elapsed, &protocol.Heartbeat{} // invalid, so it is ignored
 		}
-		a.scheduler.Step(done, now)
+		r.scheduler.Step(done, now)
 	}
 }
 
@@ -62,9 +62,9 @@
 func TestProbeRateLimit(t *testing.T) {
 	const machines, coreShare = 1000, 0.05
 	for _, c := range []struct {
-		name  string
-		took  time.Duration
-		share float64 // expected share of the full probe rate
+		name    string
+		elapsed time.Duration
+		share   float64 // expected share of the full probe rate
 	}{
 		{"answered at once", time.Millisecond, 1},
 		{"answered late", time.Second, limits.ProbeSlowdownRatio},
@@ -74,7 +74,7 @@
 			rate := limits.ProbeRate(coreShare)
 			s := newSchedulerAfterFailover(machines, coreShare)
 			responder := &probeResponder{
-				t: t, scheduler: s, machines: machines, elapsed: c.took, probed: map[string]int{},
+				t: t, scheduler: s, machines: machines, elapsed: c.elapsed, probed: map[string]int{},
 			}
 			now := time.Duration(0)
 			responder.answer(s.Step(StateLoaded{}, now), now)
@@ -119,8 +119,8 @@
 }
 
 // TestCorrelatedUnverifiedMachinesNotProbedAtOnce checks that a single unverified machine is probed at once,
-// but not many machines that become unverified together by new connections. Their next heartbeats verify
-// most of them, and those that stay unverified are probed then. Without the delay, the probes kept a
+// but not many machines that become unverified together because their workers reconnect. The next heartbeats
+// verify most of them, and those that stay unverified are probed then. Without the delay, the probes kept a
 // controller with a small share of a CPU core from answering heartbeats for minutes.
 func TestCorrelatedUnverifiedMachinesNotProbedAtOnce(t *testing.T) {
 	for _, n := range []int{1, 40} {
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -3,8 +3,9 @@
 import "quillshunt/internal/protocol"
 
 // reconcileTasks updates the assignments to a machine from a task list of its worker. It returns
-// commands to stop unexpected tasks and to forget ended ones. The list comes from a heartbeat or, if
-// directID is not 0, from the reply to the direct command with that ID.
+// commands to stop unexpected tasks and to forget ended ones. The list comes from a heartbeat if
+// directID is 0. Otherwise it comes from the reply to the direct command with that ID, or from the reply
+// to a probe; then no assignment has the ID.
 func (s *Scheduler) reconcileTasks(m *machine, heartbeat *protocol.Heartbeat, directID uint64) []protocol.Command {
 	m.taskListSequence = heartbeat.Sequence
 	var commands []protocol.Command
@@ -59,7 +60,7 @@
 	case alreadyEnded && isAssigned:
 		// This attempt had already ended here when the task was assigned here once more with the same
 		// attempt number, which all tasks of a gang share. The worker ignores the new start as long as
-		// it is not told to forget the attempt.
+		// it is not instructed to forget the attempt.
 		s.assignments.release(a)
 		ended.startMayArrive = ended.startMayArrive || startMayArrive
 		return ended, true
@@ -96,7 +97,7 @@
 	a := m.assignments[status.Task]
 	if a != nil && a.state != stateUnsent && status.Attempt > a.attempt {
 		// The worker has a later attempt than the assigned one. Attempt numbers only increase, so the
-		// assigned attempt is over.
+		// assigned attempt has ended.
 		s.assignments.release(a)
 		a = nil
 	}
@@ -104,7 +105,7 @@
 	case a != nil && a.attempt == status.Attempt:
 		s.updateProgress(a, status)
 	case j != nil && j.mayAdopt(index):
-		// The task runs although this leader has not started it, usually since an earlier term. Adopt it.
+		// This leader has not started the task; usually an earlier leader has. Adopt it.
 		if unsent := j.assignments[index]; unsent != nil {
 			s.assignments.release(unsent)
 		}
@@ -114,8 +115,8 @@
 				keyJob, j.id, keyTask, index, keyAttempt, status.Attempt, keyMachine, m.name)
 		}
 	case a != nil && a.state != stateUnsent:
-		// The worker still has an older attempt, so it refuses the start of the assigned one as busy.
-		// Keep the older attempt.
+		// The worker still has an older attempt, so it refuses the start of the assigned one with
+		// ReasonAttemptExists. Keep the older attempt.
 		releasedAttempt := a.attempt
 		s.assignments.release(a)
 		s.updateProgress(s.assignments.assign(j, index, m, status.Attempt, stateSent), status)
@@ -164,12 +165,11 @@
 }
 
 // startMayArriveAfter reports whether the start of a task may still arrive after the worker has sent a
-// task list without that task: in a heartbeat or, if directID is not 0, in the reply to the direct
-// command with that ID.
+// task list without that task. The parameter directID is that of reconcileTasks.
 //
-// The start can no longer arrive if it was part of that direct command, or of the reply to an earlier
-// heartbeat: a worker has only one heartbeat in flight and sends the next one when that exchange is
-// over.
+// After the reply to a direct command, the starts in that command can no longer arrive. After a
+// heartbeat, the starts in replies to earlier heartbeats can no longer arrive: a worker has only one
+// heartbeat in flight and sends the next one only once it no longer waits for the reply.
 func (a *assignment) startMayArriveAfter(directID uint64) bool {
 	if a.startUnconfirmed {
 		return true // a direct command with the start got no reply
