--- a/internal/limits/capacity.go
+++ b/internal/limits/capacity.go
@@ -21,14 +21,16 @@
 	SimilarPriceRatio = 1.5
 	// MinPoolRequests is the least value of the limit on pending rental requests for one pool.
 	MinPoolRequests = 2
-	// ZoneSpreadPenalty is the fraction by which each machine in a zone raises the price that is compared
-	// for further pools there. It is just large enough to spread machines over zones of equal price.
+	// ZoneSpreadPenalty is the fraction by which each machine in a zone raises the cost of all pools in that
+	// zone when the planner compares pools. It is just large enough to spread machines over zones of equal
+	// price.
 	ZoneSpreadPenalty = 0.001
 	// MinRentalFraction is the fraction of an additional machine that must be needed before it is rented.
 	// It does not apply while there are no machines at all.
 	MinRentalFraction = 0.3
 	// FractionalRentalDelay is how long a job waits, counted from its submission or the last time one of
-	// its tasks was assigned, until a machine is rented for it even if it needs only a small part of it.
+	// its tasks was assigned, until a machine is rented for it even if the job needs less of the machine
+	// than MinRentalFraction.
 	FractionalRentalDelay = 30 * time.Second
 
 	// BootEstimateFactor is the expected boot time of a machine in multiples of the nominal one. Actual
@@ -60,6 +62,6 @@
 	// MinDrainAge is the age from which a machine may be drained. Returning a machine before
 	// MinChargedTime saves nothing.
 	MinDrainAge = MinChargedTime / 2
-	// SummaryInterval is the time between two summaries in the leader's log.
+	// SummaryInterval is the time between two summary lines in the leader's log.
 	SummaryInterval = 10 * time.Second
 )
--- a/internal/limits/cloud.go
+++ b/internal/limits/cloud.go
@@ -14,8 +14,8 @@
 	CloudRateShare = 0.8
 	// CloudRetryInterval is the delay before a call with an unknown outcome is repeated.
 	CloudRetryInterval = 2 * time.Second
-	// CloudPageSize is the number of machines requested per page of the machine list, the maximum of the
-	// protocol.
+	// CloudPageSize is the number of machines requested per page of the machine list, the maximum that the
+	// protocol allows.
 	CloudPageSize = 500
 	// MaxRentalSize is the maximum number of machines in a rental request, set by the protocol.
 	MaxRentalSize = 50
--- a/internal/limits/connections.go
+++ b/internal/limits/connections.go
@@ -14,8 +14,8 @@
 	RequestReadTimeout = 10 * time.Second
 	// ConnSweepInterval is the time between two checks of all connections for these two timeouts.
 	ConnSweepInterval = 2 * time.Second
-	// MaxServerLoopFailures is how many times in a row a server's event loop is restarted after it ended
-	// shortly after its start. Then the server returns an error.
+	// MaxServerLoopFailures is how many times in a row a server restarts an event loop that ended shortly
+	// after its start. After one more such failure, the server returns an error.
 	MaxServerLoopFailures = 20
 	// ReadBufferBytes is the size of the buffer for one read, in bytes. Most messages fit into it.
 	ReadBufferBytes = 4096
--- a/internal/limits/gangs.go
+++ b/internal/limits/gangs.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Gang scheduling.
+// Gang scheduling. Gangs are of the same kind if the same machines are allowed for them.
 const (
 	// GangDemandWindow is how long machines stay reserved for the peak demand of gangs of one kind. It is
 	// longer than a gang runs and a machine takes to boot, but not much longer, because reserved machines
--- a/internal/limits/gateway.go
+++ b/internal/limits/gateway.go
@@ -12,15 +12,15 @@
 	// TaskCountsTimeout is the timeout for getting a job's task counts from the leader. They are for
 	// display only.
 	TaskCountsTimeout = 250 * time.Millisecond
-	// CancelConfirmTimeout is the timeout of a request to the leader to confirm that it has learned of a
-	// cancellation. The request is sent directly and then by way of the other controllers. Both together
-	// fit into SubmitTimeout.
+	// CancelConfirmTimeout is the timeout of a request to the leader to confirm that it has received a
+	// cancellation. The request is sent directly and, if the leader does not confirm, again through the
+	// other controllers. Both attempts together fit into SubmitTimeout.
 	CancelConfirmTimeout = 600 * time.Millisecond
 	// FinalStateCacheSize is the number of jobs whose final states a controller caches, so that polls of
 	// finished jobs do not cause reads from the state service.
 	FinalStateCacheSize = 4096
 
-	// RetryAfterMin is the least value of the Retry-After header in replies to users, in seconds.
+	// RetryAfterMin is the least value of the Retry-After header in responses to users, in seconds.
 	RetryAfterMin = 1
 	// RetryAfterStep is the length of a state service outage for each second that is added to Retry-After,
 	// up to RetryAfterMax seconds. An outage that has lasted long is likely to last as long again, but
--- a/internal/limits/jobs.go
+++ b/internal/limits/jobs.go
@@ -9,8 +9,9 @@
 	// MinRemainingShare is the least estimated remaining run time of a running task, as a share of its
 	// estimated run time. It applies also to a task that has run for longer than estimated.
 	MinRemainingShare = 0.1
-	// EstimatePriorTasks is the weight of the class's mean run time in a job's estimate, as a number of
-	// tasks. It is added to the number of the job's tasks that are on machines.
+	// EstimatePriorTasks is the weight, as a number of tasks, of the prior in a job's run time estimate. The
+	// number of the job's tasks that are on machines is added to it. The prior is the user's estimate,
+	// multiplied by the average ratio of run times to users' estimates in the job's class.
 	EstimatePriorTasks = 2
 	// MinAverageWeight is the least weight of a new sample in the moving averages of a job class: the ratio
 	// of run times to the users' estimates, and the image fetch times.
@@ -35,17 +36,17 @@
 	// CancelDeleteShare is the share of CancelHeartbeatWindow after which a machine that still has tasks
 	// of a cancelled job is deleted.
 	CancelDeleteShare = 0.6
-	// CancelStopGrace is how long a leader that learns late of a cancellation, as after a failover, waits
+	// CancelStopGrace is how long a leader that receives a cancellation late, such as after a failover, waits
 	// for its stop commands to take effect before it deletes machines. It waits at most until
 	// CancelDeleteLatestShare of cancel_s has passed.
 	CancelStopGrace         = 3 * time.Second
 	CancelDeleteLatestShare = 0.85
 )
 
-// CancelHeartbeatWindow returns how long after a cancellation the leader still answers heartbeats of a
-// machine that has tasks of the cancelled job. Without further replies the worker's lease expires, and
-// the tasks end within cancelWithin even if deleting the machine fails. The window is at least half of
-// cancelWithin, for worker leases that are too long for this.
+// CancelHeartbeatWindow returns how long after a cancellation the leader still replies to heartbeats of a
+// machine that has tasks of the cancelled job. Without further replies the worker lease expires, and the
+// tasks end within cancelWithin even if deleting the machine fails. If the worker lease is too long for
+// that, the window is half of cancelWithin, and the tasks may end later.
 func CancelHeartbeatWindow(cancelWithin, workerLease time.Duration) time.Duration {
 	return max(cancelWithin-LeaseExpiredAfter(workerLease), cancelWithin/2)
 }
--- a/internal/limits/leadership.go
+++ b/internal/limits/leadership.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// The leader's lease.
+// Leader lease.
 const (
-	// LeaderLease is the default duration of the leader's lease. Together with the workers' leases it has
-	// to outlast an outage of the state service. A long lease costs little: a leader that crashed is
+	// LeaderLease is the default duration of the leader lease. Together with the worker leases it has to
+	// outlast an outage of the state service. A long lease costs little: a leader that crashed is
 	// restarted and reelected under the same name long before the lease expires, and a leader that alone
 	// cannot reach the state service hands over the leadership. Only the replacement of a leader whose
 	// machine is lost for good is delayed by the length of the lease.
@@ -32,7 +32,7 @@
 	// IsolationThreshold is how long a controller's calls to the state service must have been failing before
 	// it asks the other controllers whether they can reach the service.
 	IsolationThreshold = 4 * time.Second
-	// ConnectivityTimeout is the timeout for their replies.
+	// ConnectivityTimeout is the timeout for the replies of the other controllers.
 	ConnectivityTimeout = time.Second
 	// SchedulingDelaySample is the length of the sleep with which a process measures its scheduling delay.
 	// If it wakes up more than MaxSchedulingDelay late, the process is overloaded, and a missing reply does
@@ -46,26 +46,26 @@
 
 // Votes of the quorum lease.
 const (
-	// VoteLeaseShare is the duration of a vote as a share of the workers' lease. The duration is at least
-	// VoteLeaseMin and at most VoteLeaseMax. Votes should expire early enough for a new leader to be
-	// elected before the workers' leases end that the old leader renewed last. They should last long
-	// enough that one slow reply does not end the term.
+	// VoteLeaseShare is the duration of a vote as a share of the duration of a worker lease. The duration is
+	// at least VoteLeaseMin and at most VoteLeaseMax. Votes should expire early enough that a new leader is
+	// elected before the worker leases renewed by the old leader expire. They should last long enough that
+	// one slow reply does not end the term.
 	VoteLeaseShare = 0.4
 	VoteLeaseMin   = 5 * time.Second
 	VoteLeaseMax   = 12 * time.Second
-	// VoteRenewShare is the time between two renewals of the votes, as a share of their duration. Three
-	// renewals in a row may fail.
+	// VoteRenewShare is the time between two renewals of the votes, as a share of their duration. The votes
+	// do not expire if up to three renewals in a row fail.
 	VoteRenewShare = 0.25
 	// VoteTimeout is the timeout for a round of votes. It is well below VoteRenewShare of VoteLeaseMin.
 	VoteTimeout = 800 * time.Millisecond
 	// SuspicionShare is the share of a vote's duration after which a follower that has received no vote
 	// request suspects the leader. A suspicion only starts the wait until the votes have expired.
 	SuspicionShare = 0.4
-	// SuspicionCheckInterval is the time between two checks of a follower for this.
+	// SuspicionCheckInterval is the time between two checks by which a follower detects this.
 	SuspicionCheckInterval = 250 * time.Millisecond
 )
 
-// VoteLease returns how long a controller's vote for a leader lasts, given the workers' lease.
+// VoteLease returns how long a controller's vote for a leader lasts, given the duration of a worker lease.
 func VoteLease(workerLease time.Duration) time.Duration {
 	return min(max(time.Duration(float64(workerLease)*VoteLeaseShare), VoteLeaseMin), VoteLeaseMax)
 }
--- a/internal/limits/machines.go
+++ b/internal/limits/machines.go
@@ -7,8 +7,8 @@
 	// FreshHeartbeatIntervals is the age of a machine's last heartbeat, in heartbeat intervals, up to
 	// which tasks are placed on the machine.
 	FreshHeartbeatIntervals = 2.5
-	// UnreachableLeaseShare is the share of the worker's lease after which a machine that sends no
-	// heartbeats is deleted.
+	// UnreachableLeaseShare is the share of the worker lease after which a machine that sends no heartbeats
+	// is deleted.
 	UnreachableLeaseShare = 0.75
 	// CorrelatedUnreachableShare is the share of all machines above which machines that are unreachable at
 	// the same time are assumed to have a common cause, most likely the network. They are not deleted
@@ -27,10 +27,10 @@
 
 // Recovery after a failover.
 const (
-	// RecoveryTimeout and RecoveryTimeoutIntervals (a number of heartbeat intervals) are the times after a
-	// failover after which a machine that may have tasks but has sent no heartbeat is deleted. The longer of
-	// the two applies. A confirmed deletion shows earlier than the expiry of the machine's lease that no task
-	// runs there. Workers find a new leader within a few seconds.
+	// RecoveryTimeout and RecoveryTimeoutIntervals (a number of heartbeat intervals) are how long after a
+	// failover a machine that may have tasks but has sent no heartbeat is deleted. The longer of the two
+	// applies. Workers find a new leader within a few seconds, and a confirmed deletion shows earlier than
+	// the expiry of the worker lease that no task runs on the machine.
 	RecoveryTimeout          = 6 * time.Second
 	RecoveryTimeoutIntervals = 2.5
 	// FewUnreportedShare is the share of all machines up to which the machines without a heartbeat since the
@@ -54,9 +54,9 @@
 	MinProbeRate = 40.0
 	// SlowHeartbeatThreshold is the time in the mailbox above which a heartbeat counts as slow, and the
 	// response time above which a probe does. Both are signs of an overloaded controller, where heartbeats,
-	// the lease and votes need the CPU more than probes do. After a slow heartbeat, no probe is sent for
+	// lease renewals and votes need the CPU more than probes do. After a slow heartbeat, no probe is sent for
 	// ProbePause. After a probe that was slow or was not sent, the rate limit of probes is reduced to
-	// ProbeSlowdownRatio of its value.
+	// ProbeSlowdownRatio of its value for ProbeInterval.
 	SlowHeartbeatThreshold = 250 * time.Millisecond
 	ProbePause             = time.Second
 	ProbeSlowdownRatio     = 0.25
@@ -69,8 +69,8 @@
 	// DirectCommandBackoff is how long a worker is sent commands only in replies to its heartbeats after it
 	// did not reply to a direct command.
 	DirectCommandBackoff = 10 * time.Second
-	// MaxCommands is the maximum number of commands in one reply. It keeps the reply far below
-	// MaxBodyBytes.
+	// MaxCommands is the number of commands at which no further start commands are added to a heartbeat
+	// reply or to a request with direct commands. It keeps these messages far below MaxBodyBytes.
 	MaxCommands = 300
 )
 
@@ -88,8 +88,8 @@
 	// still reports. It keeps heartbeats below MaxBodyBytes.
 	MaxTasksPerMachine = 400
 	// SpotNoticeSaveIntervals is the safety margin, in heartbeat intervals, for saving a checkpoint before
-	// the cloud reclaims a spot machine. It is added to the task's save time to decide when the task is told
-	// to stop: one interval for the command, one for a lost message, and one in reserve.
+	// the cloud reclaims a spot machine. It is added to the task's save time to decide when the stop command
+	// is sent: one interval for the command, one for a lost message, and one in reserve.
 	SpotNoticeSaveIntervals = 3
 )
 
--- a/internal/limits/placement.go
+++ b/internal/limits/placement.go
@@ -20,8 +20,9 @@
 	WeightPacking = 4.0
 	// WeightSpeed favors machines that have run tasks faster than others.
 	WeightSpeed = 1.0
-	// SpeedStep is the step to which a machine's relative run time is rounded, as a fraction of the usual
-	// run time. Healthy machines differ by a tenth, and the observed speed of a machine is not exact.
+	// SpeedStep is the step to which the speed of a machine is rounded, measured as the mean ratio of run
+	// times on the machine to the jobs' mean run times. Healthy machines differ by a tenth, and the observed
+	// speed of a machine is not exact.
 	SpeedStep = 0.05
 	// MinRunTimeSamples is the least number of completed tasks of a job before their mean run time is used
 	// to measure the speed of machines.
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -34,8 +34,9 @@
 	// job that has started gets tasks by credit only while its group is underserved, and otherwise by the
 	// usual order. Users expect half of the credit.
 	UnderservedShare = 0.65
-	// MachinesPerReservation limits reservations: one in this many machines may be reserved for jobs that
-	// have fewer tasks than their credit and lack free resources.
+	// MachinesPerReservation limits the machines that are reserved for jobs that have started fewer tasks
+	// than their credit and for which no machine has enough free resources: at most one in this many
+	// machines, rounded up, is reserved.
 	MachinesPerReservation = 6
 )
 
@@ -53,6 +54,7 @@
 	// PreemptionSearchInterval is the time after which a job that found no victims searches again. It is
 	// negligible compared with PreemptSlack.
 	PreemptionSearchInterval = 500 * time.Millisecond
-	// SaveMargin is added to the time that a task needs to save a checkpoint when it is told to stop.
+	// SaveMargin is added to the time that a task needs to save a checkpoint, to get the grace period of its
+	// stop command.
 	SaveMargin = 2 * time.Second
 )
--- a/internal/limits/sockets.go
+++ b/internal/limits/sockets.go
@@ -26,9 +26,9 @@
 	// probe of an unreachable machine holds its socket for ProbeTimeout.
 	ProbeSocketShare = 0.2
 	MaxProbes        = 512
-	// UserSlots is the maximum number of concurrent user requests. Further requests are told to retry
-	// later. Each request makes one call to the state service at a time, so UserSlotsShare limits the
-	// share of all sockets that these calls use.
+	// UserSlots is the maximum number of concurrent user requests. Further requests are rejected, and the
+	// users are asked to retry later. Each request makes one call to the state service at a time, so
+	// UserSlotsShare limits the share of all sockets that these calls use.
 	UserSlots      = 64
 	UserSlotsShare = 0.15
 	// MinMailboxSize is the least size of the scheduler's mailbox, in messages; see MailboxSize.
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -39,10 +39,10 @@
 
 // Shares of the state service's rate limits.
 const (
-	// UserReadShare and UserWriteShare are the shares of user requests, over all controllers.
+	// UserReadShare and UserWriteShare are the shares for user requests, over all controllers.
 	UserReadShare  = 0.5
 	UserWriteShare = 0.4
-	// ControllerReadShare and ControllerWriteShare are the shares of the controllers' own work, nearly all
+	// ControllerReadShare and ControllerWriteShare are the shares for the controllers' own work, nearly all
 	// of which is the leader's. The write shares add up to slightly more than 1, because users seldom need
 	// theirs while many machines boot.
 	ControllerReadShare  = 0.5
@@ -71,8 +71,8 @@
 	// up. MachineNameBytes is the size of each name, in bytes. It is larger than the names seen so far.
 	RentalOverhead   = 256
 	MachineNameBytes = 32
-	// RegistryEntryOverhead is the size of a page of registered machines without its entries, and also what
-	// each entry needs in addition to its own JSON, in bytes, rounded up.
+	// RegistryEntryOverhead is the size of a registry page without its entries, and also what each entry
+	// needs in addition to its own JSON, in bytes, rounded up.
 	RegistryEntryOverhead = 16
 )
 
--- a/internal/limits/wire.go
+++ b/internal/limits/wire.go
@@ -2,13 +2,13 @@
 
 // Limits on messages and their fields. Most of them are set by the protocol.
 const (
-	// MaxBodyBytes is the maximum size of a request body and of the body of a reply to users and workers,
+	// MaxBodyBytes is the maximum size of a request body and of the body of a response to users and workers,
 	// in bytes.
 	MaxBodyBytes = 64 << 10
 	// MaxHeadBytes is the maximum size of the request line and headers, in bytes. Requests of the protocol
 	// need a few hundred, so that this only stops senders of endless headers.
 	MaxHeadBytes = 8 << 10
-	// MaxHeaders is the maximum number of header lines, for the same reason.
+	// MaxHeaders is the maximum number of header lines. It has the same purpose.
 	MaxHeaders = 64
 	// MaxChunkLineBytes is the maximum length of the size line of a chunk, including extensions, in bytes.
 	MaxChunkLineBytes = 256
