--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -34,7 +34,7 @@
 	Machines []string `cbor:"Rigs"`
 }
 
-// DeleteRequest returns rented machines to the cloud.
+// DeleteRequest asks the cloud to delete rented machines.
 type DeleteRequest struct {
 	Machines []string `cbor:"Rigs"`
 }
@@ -57,7 +57,7 @@
 	Zone        string       `cbor:"Yard"`
 	Spot        bool         `cbor:"Lendable"`
 	State       MachineState `cbor:"Standing"`
-	AgeS        float64      `cbor:"AgeS"` // time since the rental request when the list was made
+	AgeS        float64      `cbor:"AgeS"` // time from the rental request to this list
 }
 
 // MachineList is a page of the cloud's machine list. If it is truncated, the next page starts after its
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -36,11 +36,11 @@
 //	Tally                     Sequence                            orders the heartbeats of an incarnation
 //	Baton                     FencingToken                        the leader's term
 //	Foreman                   Leader                              controller to which a worker is redirected
-//	Order, Orders             Command, Commands
+//	Orders                    Commands
 //	Path, Data, Pairs         Key, Value, KeyValue                of the state service
 //	Stamp, Ledger             Version, Revision                   of one key, of the whole store
 //	Hold, Tenure, LifeMs      Lease, DurationMs                   lease and its ID; its duration
-//	Guard, Apply              Condition, Operation                of a Transaction (compare-and-swap)
+//	Guards, Apply             Conditions, Operations              of a Transaction (compare-and-swap)
 //	Write, Remove             Put, Delete
 //	Log                       Changes                             of a watch
 package protocol
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -60,7 +60,7 @@
 	return p, ok
 }
 
-// JobState is the state of a job in replies to users.
+// JobState is the state of a job in responses to users.
 type JobState string
 
 // States of a job.
@@ -71,8 +71,8 @@
 	JobCancelled JobState = "aborted" // cancelled by the user
 )
 
-// JobStatus is the reply to users' submissions, polls and cancellations. The task counts are for display
-// and are nil if unknown.
+// JobStatus is the body of the response to a user's submission, poll or cancellation. The task counts are
+// for display and are nil if unknown.
 type JobStatus struct {
 	ID      string   `cbor:"NameId"`
 	State   JobState `cbor:"Standing"`
--- a/internal/protocol/names_test.go
+++ b/internal/protocol/names_test.go
@@ -22,7 +22,7 @@
 		"", "job-1", "job-1/", "job-1/01", "job-1/-1", "job-1/1x", "job-x/1", "job-1/1234567", "/1",
 	} {
 		if _, _, ok := ParseTaskName(s); ok {
-			t.Errorf("ParseTaskName(%q) accepted", s)
+			t.Errorf("ParseTaskName(%q) accepts a malformed name", s)
 		}
 	}
 }
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -47,7 +47,7 @@
 	Spot         bool         `cbor:"Lendable"`
 	Incarnation  uint64       `cbor:"Shift"`    // starts at 1; increases each time the worker's lease expires
 	Sequence     uint64       `cbor:"Tally"`    // increases with each heartbeat
-	FencingToken uint64       `cbor:"Baton"`    // highest token that the worker has seen
+	FencingToken uint64       `cbor:"Baton"`    // highest token that the worker has received
 	SpotNoticeS  *float64     `cbor:"WarningS"` // seconds until the cloud reclaims the machine, or nil
 	Tasks        []TaskStatus `cbor:"Pieces"`   // all tasks; ended ones until a CommandForget
 }
@@ -57,7 +57,7 @@
 	return h.Machine != "" && h.MachineType != "" && h.Zone != "" && h.Incarnation > 0
 }
 
-// CommandVerb is what a command tells a worker to do with a task.
+// CommandVerb is what a command instructs a worker to do with a task.
 type CommandVerb string
 
 // Verbs of commands.
@@ -76,21 +76,21 @@
 }
 
 // HeartbeatReply is the reply to a heartbeat. A worker ignores a reply whose fencing token is lower than
-// the highest token that it has seen.
+// the highest token that it has received.
 type HeartbeatReply struct {
 	FencingToken uint64    `cbor:"Baton"`
 	Commands     []Command `cbor:"Orders"`
 }
 
-// Redirect is the body of a reply with status 421 (Misdirected Request). It tells a worker to send its
-// heartbeats to the leader, or to any other controller if Leader is empty.
+// Redirect is the body of a response with status 421 (Misdirected Request). It instructs a worker to send
+// its heartbeats to the leader, or to any other controller if Leader is empty.
 type Redirect struct {
 	Leader string `cbor:"Foreman,omitempty"`
 }
 
 // DirectCommands is the body of a request that sends commands to a worker directly instead of in the reply
-// to its heartbeat. The worker ignores them if the fencing token is lower than the highest that it has seen
-// or the incarnation is not its current one.
+// to its heartbeat. The worker ignores them if the fencing token is lower than the highest token that it has
+// received, or if the incarnation is not its current one.
 type DirectCommands struct {
 	FencingToken uint64    `cbor:"Baton"`
 	Incarnation  uint64    `cbor:"Shift"`
