--- a/cmd/quillshunt/commands_test.go
+++ b/cmd/quillshunt/commands_test.go
@@ -12,36 +12,36 @@
 // TestPrintResponse checks the output and the error texts of user requests, which scripts match.
 func TestPrintResponse(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		answer transport.Message
-		output string
-		err    string
+		name     string
+		response transport.Message
+		output   string
+		err      string
 	}{
 		{
 			name: "accepted",
-			answer: transport.Message{
+			response: transport.Message{
 				Status: 201, Body: protocol.Encode(protocol.JobStatus{ID: "job-1", State: protocol.JobPending}),
 			},
 			output: `{"NameId":"job-1","Standing":"pending"}` + "\n",
 		},
 		{
-			name:   "rejected permanently",
-			answer: transport.Message{Status: 422, Body: protocol.Encode(map[string]string{"error": "unknown team"})},
-			err:    "status 422: unknown team",
+			name:     "rejected permanently",
+			response: transport.Message{Status: 422, Body: protocol.Encode(map[string]string{"error": "unknown team"})},
+			err:      "status 422: unknown team",
 		},
 		{
 			name: "rejected temporarily",
-			answer: transport.Message{
+			response: transport.Message{
 				Status: 503, Body: protocol.Encode(map[string]string{"error": "not now"}), RetryAfter: 3,
 			},
 			err: "status 503: not now (come back in 3s)",
 		},
-		{name: "status just above 2xx", answer: transport.Message{Status: 300}, err: "status 300: "},
-		{name: "no body", answer: transport.Message{Status: 200}, output: "null\n"},
+		{name: "status just above 2xx", response: transport.Message{Status: 300}, err: "status 300: "},
+		{name: "no body", response: transport.Message{Status: 200}, output: "null\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out strings.Builder
-			err := printResponse(&out, &c.answer)
+			err := printResponse(&out, &c.response)
 			if got := errorText(err); got != c.err || out.String() != c.output {
 				t.Errorf("printed %q, error %q; want %q, error %q", out.String(), got, c.output, c.err)
 			}
