--- a/cmd/quillshunt/jobs.go
+++ b/cmd/quillshunt/jobs.go
@@ -52,7 +52,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id := args[0]
 			if !protocol.ValidJobID(id) {
-				return fmt.Errorf("%q is not the id of a run, like job-000412", id)
+				return fmt.Errorf("%q is not a run ID; run IDs have the form job-000412", id)
 			}
 			return c.sendRequest(cmd.Context(), cmd.OutOrStdout(), method, jobsPath+"/"+id+suffix, nil)
 		},
--- a/cmd/quillshunt/serve.go
+++ b/cmd/quillshunt/serve.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"runtime/debug"
 
-	// The resolver of package net uses cgo, which links the program against the system's C library.
+	// Package net is imported for its cgo resolver, which links the program against the system's C library.
 	_ "net"
 
 	"quillshunt/internal/config"
--- a/cmd/quillshunt/status.go
+++ b/cmd/quillshunt/status.go
@@ -14,7 +14,7 @@
 	"quillshunt/internal/limits"
 )
 
-// errNoLeader means that the controller that was asked knows no leader.
+// errNoLeader means that the controller that received the status request knows no leader.
 var errNoLeader = errors.New("no leader is known")
 
 // newStatusCommand returns the command that prints the state of the leader. It requests the state by gRPC
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
 // Command standin runs fakes of the services that quillshunt depends on, so that quillshunt can be tried
-// without the real ones: a state service, and a cloud whose machines do not execute tasks but only wait
-// for their estimated run time. Both listen on the loopback interface. The command also writes the
+// without the real ones: a state service, and a cloud whose machines only wait for the estimated run time
+// of a task instead of executing it. Both listen on the loopback interface. The command also writes the
 // settings files of the controllers.
 package main
 
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -18,12 +18,11 @@
 	"coordination/resource": 1, "coordination/placement": 2,
 	"coordination/peer/peerpb": 5, "coordination/election": 5, "coordination/peer": 6, "coordination/scheduler": 6,
 	"coordination/leader": 7, "coordination/gateway": 8, "coordination/controller": 9,
-	"standin": 5, // simulated cloud, state service and workers, for tests and the quick start
+	"standin": 5, // fakes of the cloud, workers and state service, for tests and the quick start
 }
 
 // TestImportsGoDownward checks that packages import only packages of lower layers, and that the
-// scheduler imports neither the network nor random numbers: the same inputs must always give the same
-// decisions.
+// scheduler imports neither net nor math/rand/v2: the same inputs must always give the same decisions.
 func TestImportsGoDownward(t *testing.T) {
 	seen := map[string]bool{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
