--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -211,9 +211,9 @@
 	c.doneTasks[task] = true
 }
 
-// SetDuplicateHeartbeats makes controllers receive heartbeats again. For each heartbeat of a machine, delay
-// returns how much later a duplicate is sent to all controllers, or false to send none. A nil delay sends no
-// duplicates.
+// SetDuplicateHeartbeats makes workers send duplicates of their heartbeats. For each heartbeat of a machine,
+// delay returns how much later a duplicate is sent to all controllers, or false to send none. A nil delay
+// sends no duplicates.
 func (c *Cloud) SetDuplicateHeartbeats(delay func(machine string) (time.Duration, bool)) {
 	c.resultsMu.Lock()
 	defer c.resultsMu.Unlock()
--- a/internal/standin/connection.go
+++ b/internal/standin/connection.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// packet is the data of one Write, or the notice that the sender has closed its end.
+// packet is the data of one Write, or the end of the stream after the sender has closed its end.
 type packet struct {
 	deliverAt time.Time
 	data      []byte // nil: the sender has closed its end
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -10,7 +10,7 @@
 )
 
 // gangAttempt is one attempt to run a gang: a job whose tasks run at the same time or not at all. The tasks
-// are on different workers and find each other by the attempt number.
+// may be on different workers; those with the same job and attempt number belong together.
 type gangAttempt struct {
 	spec     protocol.Spec
 	times    gangTimes
@@ -54,7 +54,7 @@
 	}
 }
 
-// getOrCreateAttempt returns an attempt of a gang. It creates the attempt when its first task asks for it.
+// getOrCreateAttempt returns an attempt of a gang. It creates the attempt on the first call for it.
 func (r *gangRegistry) getOrCreateAttempt(spec protocol.Spec, attempt uint64, times gangTimes) *gangAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -46,7 +46,7 @@
 	changed      chan struct{}            // closed at the next change of the state of any link
 }
 
-// NewNetwork returns a network on which all links are open and packets take the given time.
+// NewNetwork returns a network on which all links are open and all packets have the given latency.
 func NewNetwork(latency time.Duration) *Network {
 	return &Network{
 		latency:      latency,
--- a/internal/standin/state_service.go
+++ b/internal/standin/state_service.go
@@ -87,7 +87,7 @@
 	return http.StatusOK, reply
 }
 
-// apply executes the operations of a transaction; all changes get the same revision. The caller holds mu.
+// apply executes the operations of a transaction. All changes get the same revision. The caller holds mu.
 func (s *StateService) apply(operations []protocol.Operation) {
 	s.revision++
 	for _, op := range operations {
@@ -121,8 +121,8 @@
 	return page
 }
 
-// Changes returns the changes after a revision of keys with a prefix. The channel is closed at the next change
-// of any key, and when the service starts or stops rejecting requests.
+// Changes returns the changes to keys with the prefix after the revision since. The channel is closed at the
+// next change of any key, and when the service starts or stops rejecting requests.
 func (s *StateService) Changes(prefix string, since uint64) (protocol.WatchReply, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,8 +178,8 @@
 	}
 }
 
-// expireLeases removes the leases that were not renewed in time, except during an outage. As there is no timer,
-// each call of the service calls it first. The caller holds mu.
+// expireLeases removes the leases that were not renewed in time, except during an outage. There is no timer, so
+// each method whose result depends on expired leases calls it first. The caller holds mu.
 func (s *StateService) expireLeases() {
 	if s.unavailable {
 		return
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -86,7 +86,7 @@
 	return true
 }
 
-// exchangeHeartbeat sends a heartbeat and processes the response, unless it arrives too late. If the controller
+// exchangeHeartbeat sends a heartbeat and applies the reply, unless it arrives too late. If the controller
 // does not accept the heartbeat, the worker switches to the leader named in the response, or else to the next
 // controller. It returns the pause before the next heartbeat, and false if the machine was killed.
 func (w *worker) exchangeHeartbeat(ctx context.Context, controllers *controllerList) (pause time.Duration, alive bool) {
@@ -135,7 +135,7 @@
 func (l *controllerList) currentClient() *transport.Client { return l.clients[l.currentName()] }
 func (l *controllerList) useNext()                         { l.index = (l.index + 1) % len(l.names) }
 
-// switchTo closes the connection to the current controller and switches to the leader, if the worker knows it.
+// switchTo closes the connection to the current controller and switches to the leader, if it is in the list.
 func (l *controllerList) switchTo(leader string) {
 	l.currentClient().CloseIdleConnections()
 	if at := slices.Index(l.names, leader); at >= 0 {
@@ -213,7 +213,8 @@
 	reply  protocol.HeartbeatReply // for status 200
 }
 
-// sendHeartbeat sends a heartbeat and decodes the response. If a duplicate is due, it schedules that too.
+// sendHeartbeat sends a heartbeat and decodes the response. It also schedules a duplicate of the heartbeat if
+// heartbeatDuplicateDelay returns a delay.
 func (w *worker) sendHeartbeat(
 	ctx context.Context, client *transport.Client, heartbeat protocol.Heartbeat,
 ) heartbeatResponse {
@@ -242,7 +243,7 @@
 	return response
 }
 
-// sendDuplicateHeartbeat sends a copy of an earlier heartbeat to every controller and ignores the responses.
+// sendDuplicateHeartbeat sends a duplicate of an earlier heartbeat to every controller and ignores the responses.
 func (w *worker) sendDuplicateHeartbeat(body []byte) {
 	for _, addr := range w.cloud.options.Controllers {
 		go func() {
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -13,7 +13,7 @@
 // task is one attempt to run a task on a worker. After it has ended, it is kept until a forget command.
 type task struct {
 	protocol.TaskStatus
-	completesAt time.Time    // if running and not of a gang
+	completesAt time.Time    // set when a task that is not of a gang starts
 	gang        *gangAttempt // nil if the job is not a gang
 }
 
