--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -287,7 +287,8 @@
 
 // receiveAfterDeadline returns a response that has arrived but was not read before the deadline, as
 // happens when the process gets too little CPU time. If such a response counted as a timeout, an
-// overloaded leader would give up its lease. If the response is incomplete, it returns the timeout error.
+// overloaded leader would fail to renew its leader lease although the state service has replied. If the
+// response is incomplete, it returns the timeout error.
 func (c *clientConn) receiveAfterDeadline(timeout error) (m *Message, err error) {
 	if c.raw == nil {
 		return nil, timeout
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -13,7 +13,7 @@
 // ClaimMachineSlot.
 type Responder struct {
 	conn   *serverConn
-	wake   func() // tells the event loop that the response is ready
+	wake   func() // notifies the event loop that the response is ready
 	server *Server
 	// inline is set while the handler runs on the event loop. The loop takes the response when the
 	// handler returns, so that wake is not needed. Guarded by conn.mu.
@@ -38,8 +38,8 @@
 	closeAfterResponse bool // close the connection once the response is written
 }
 
-// rejectMalformed returns the response to a request that can't be decoded. A request that is too large
-// gets status 400 as well: users would retry after any other status, although a retry can't succeed.
+// rejectMalformed returns the response to a request that cannot be decoded. A request that is too large
+// gets status 400 as well: users would retry after any other status, although a retry cannot succeed.
 func (c *serverConn) rejectMalformed(err error) ([]byte, gnet.Action) {
 	out := AppendResponse(nil, http.StatusBadRequest, nil, 0, true)
 	if errors.Is(err, ErrTooLarge) {
--- a/internal/transport/decoder.go
+++ b/internal/transport/decoder.go
@@ -29,8 +29,8 @@
 	scanned            int    // bytes of buffer already searched for the end of the head
 	phase              phase
 	message            *Message
-	remaining          int // bytes of the body or chunk that are not decoded yet
-	trailerBytes       int
+	remaining          int   // bytes of the body or chunk that are not decoded yet
+	trailerBytes       int   // length of the trailer lines decoded so far, in bytes
 	err                error // the first decoding error, which every later call of Next returns
 }
 
@@ -67,7 +67,7 @@
 	return m, nil
 }
 
-// HandleEOF tells the decoder that the stream has ended. It returns the current response if its body
+// HandleEOF notifies the decoder that the stream has ended. It returns the current response if its body
 // has no length and so ends with the stream. In any other phase the end of the stream is an error.
 func (d *Decoder) HandleEOF() (*Message, error) {
 	if d.err != nil {
@@ -98,7 +98,7 @@
 	return m
 }
 
-// next decodes phase after phase until a message is complete or more bytes are needed.
+// next decodes one phase after the other until a message is complete or more bytes are needed.
 func (d *Decoder) next() (*Message, error) {
 	for {
 		m, more, err := d.step()
--- a/internal/transport/decoder_test.go
+++ b/internal/transport/decoder_test.go
@@ -94,7 +94,7 @@
 }
 
 // TestDecodingIsIndependentOfSplits checks that a stream decodes to the same messages however it is split
-// into reads, and that a malformed stream fails in each case.
+// into reads, and that a malformed stream is rejected however it is split.
 func TestDecodingIsIndependentOfSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		response := rapid.Bool().Draw(t, "response")
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	if h.chunked && (h.contentLength >= 0 || h.minorVersion == '0') {
-		// Two servers or proxies may read a message with two lengths differently, which allows request
+		// Servers and proxies may disagree on the end of a message with two lengths, which allows request
 		// smuggling. HTTP/1.0 has no transfer codings.
 		return fmt.Errorf("%w: Transfer-Encoding with a Content-Length or in HTTP/1.0", ErrMalformed)
 	}
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -22,7 +22,7 @@
 	Query  string // only in requests: the part of the target after the question mark
 	Status int    // only in responses
 	Body   []byte
-	// Close means that the connection can't be used after this message, because the sender closes it
+	// Close means that the connection cannot be used after this message, because the sender closes it
 	// or the receiver has to.
 	Close bool
 	// RetryAfter is the value of the Retry-After header in seconds, or 0 if there is none.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -119,7 +119,7 @@
 			failures = 0
 		}
 		if failures > limits.MaxServerLoopFailures {
-			return fmt.Errorf("run server loop on %s, failed %d times in a row: %w", s.options.Addr, failures, err)
+			return fmt.Errorf("server loop on %s failed %d times in a row: %w", s.options.Addr, failures, err)
 		}
 		s.options.Log.Warn("server loop ended; restarting", "addr", s.options.Addr, "err", err)
 		select {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestServerClosesConnectionsOnStop checks that a server closes its connections and releases its address
-// when its context is cancelled.
+// TestServerClosesConnectionsOnStop checks that a server closes its connections and stops listening on its
+// address when its context is cancelled.
 func TestServerClosesConnectionsOnStop(t *testing.T) {
 	server, stop := startStoppableServer(t, ServerOptions{MaxConns: 10, Handle: respondOK})
 	conn, err := net.Dial("tcp", server.Addr())
@@ -80,7 +80,7 @@
 	}
 }
 
-// respondOK answers every request with 200.
+// respondOK responds to every request with status 200.
 func respondOK(_ *Message, rsp *Responder) { rsp.Respond(http.StatusOK, nil, 0) }
 
 // TestConnectionMemory checks that a connection keeps at most limits.MaxIdleConnBytes of the heap after
