--- a/internal/limits/capacity.go
+++ b/internal/limits/capacity.go
@@ -12,8 +12,9 @@
 	// PlannedWaitSlackRatio is the default share of a job's slack that the job is planned to wait. The
 	// rest is kept for unforeseen delays.
 	PlannedWaitSlackRatio = 0.25
-	// ExpensivePoolRatio and ExpensivePoolSlack are defaults. A pool that costs more than this multiple of
-	// the cheapest pool's price is used only for jobs with at most this slack.
+	// ExpensivePoolRatio and ExpensivePoolSlack are defaults. A pool that costs more than ExpensivePoolRatio
+	// times the price of the cheapest pool is used only for jobs that are not late and have at most
+	// ExpensivePoolSlack.
 	ExpensivePoolRatio = 2.5
 	ExpensivePoolSlack = 60 * time.Second
 	// SimilarPriceRatio is the multiple of the cheapest pool's price up to which another pool is used
--- a/internal/limits/gangs.go
+++ b/internal/limits/gangs.go
@@ -16,7 +16,7 @@
 	// jobs need the rest under sustained overload.
 	GangReservationShare = 0.5
 	// GangReservationYieldAge is how long a job waits, counted from its submission or the last time one of
-	// its tasks was assigned, until it may use machines that are reserved for gangs. It is well below the
-	// 90 s after which no job may be waiting while a machine has free resources for it.
+	// its tasks was assigned, until it may use machines that are reserved for gangs. It is well below
+	// 90 s, the longest time for which a job may wait while a machine has free resources for it.
 	GangReservationYieldAge = 45 * time.Second
 )
--- a/internal/limits/machines.go
+++ b/internal/limits/machines.go
@@ -66,8 +66,8 @@
 	// MaxDirectCommands is the maximum number of concurrent direct commands. Each one to an unreachable
 	// machine takes DirectCommandTimeout.
 	MaxDirectCommands = 64
-	// DirectCommandBackoff is how long a worker is sent commands only in replies to its heartbeats after it
-	// did not reply to a direct command.
+	// DirectCommandBackoff is the time after a direct command without a reply for which the worker gets
+	// commands only in heartbeat replies.
 	DirectCommandBackoff = 10 * time.Second
 	// MaxCommands is the number of commands at which no further start commands are added to a heartbeat
 	// reply or to a request with direct commands. It keeps these messages far below MaxBodyBytes.
@@ -81,7 +81,7 @@
 	FaultyMachineFailures = 2
 	// SlowMachineTasks and SlowMachineFactor define a slow machine: at least SlowMachineTasks of its tasks
 	// have taken, on average, more than SlowMachineFactor times as long as tasks of the same jobs elsewhere.
-	// Healthy machines differ by a tenth, but tasks of one job differ more, so that several are needed.
+	// Healthy machines differ by a tenth, but the tasks of one job differ more, so several tasks are needed.
 	SlowMachineTasks  = 4
 	SlowMachineFactor = 2.5
 	// MaxTasksPerMachine is the maximum number of tasks on a machine, including ended tasks that the worker
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -45,8 +45,8 @@
 	// PreemptSlack is the default slack below which a job may preempt other jobs' tasks. Waiting for free
 	// resources would then cost more than the work that the preempted tasks lose.
 	PreemptSlack = 6 * time.Second
-	// RestartWeight is the default factor by which earlier stops raise the cost of preempting a task: each
-	// of them adds this multiple of the cost.
+	// RestartWeight is the default factor by which earlier stops of a task raise the cost of preempting it:
+	// each stop adds this multiple of the cost.
 	RestartWeight = 4.0
 	// MaxExhaustiveVictims is the number of preemptible tasks on a machine up to which every set of victims
 	// is tried. For 2^10 sets this takes some tens of microseconds.
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -9,8 +9,8 @@
 	// WatchDuration is how long a watch stays open when there are no changes.
 	WatchDuration = 30 * time.Second
 	// WatchGrace is how long after WatchDuration the reply to a watch may arrive. A watch stays open during
-	// an outage, so that waiting for it is no sign of a fault. After WatchGrace, its connection is assumed
-	// to be dead.
+	// an outage, so a missing reply is no sign of a fault until then. After WatchGrace, the connection of the
+	// watch is assumed to be dead.
 	WatchGrace = 10 * time.Second
 	// RetryBackoffMin and RetryBackoffMax bound the delay with jitter between attempts to call the state
 	// service or the cloud, or to connect to other controllers.
@@ -31,8 +31,8 @@
 	// MaxIdleWatchConns is the maximum number of idle connections that are kept for watches. There is one
 	// watch of the leader's key and, on the leader, one of the open jobs.
 	MaxIdleWatchConns = 2
-	// UnavailableAfter is how long no call must have succeeded before user requests are rejected without a
-	// call. One call per UnavailableProbeInterval is still made, to notice the end of the outage.
+	// UnavailableAfter is how long calls must have been failing before user requests are rejected without a
+	// call. One call per UnavailableProbeInterval is still made, to detect the end of the outage.
 	UnavailableAfter         = time.Second
 	UnavailableProbeInterval = 500 * time.Millisecond
 )
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -45,7 +45,7 @@
 	incarnation  uint64           // 0: booting or killed
 	sequence     uint64           // of the last heartbeat
 	fencingToken uint64           // the highest token received
-	leaseStart   time.Time        // when the last accepted reply's heartbeat was sent, or the incarnation started
+	leaseStart   time.Time        // when the heartbeat of the last accepted reply was sent, or the incarnation started
 	hungUntil    atomic.Int64     // in Unix nanoseconds; gangs read it without mu
 	tasks        map[string]*task // see taskKey
 }
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -11,8 +11,8 @@
 	"quillshunt/internal/limits"
 )
 
-// eventHandler handles gnet's events for a server. Every event locks the server's mutex, as gnet calls
-// OnTick in a goroutine of its own.
+// eventHandler handles gnet's events for a server. OnTick and the events of connections lock the server's
+// mutex, as gnet calls OnTick in a goroutine of its own.
 type eventHandler struct {
 	gnet.BuiltinEventEngine
 	server *Server
