--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -25,7 +25,7 @@
 	}
 	if t.hasRecentSlowHeartbeat() {
 		// A queued heartbeat gives the scheduler the same information as a probe, and its reply must
-		// reach the worker before the worker's lease expires. The probe can be sent later.
+		// reach the worker before the worker lease expires. The probe can be sent later.
 		t.sendEvent(ctx, scheduler.ProbeDone{Machine: probe.Machine, NotSent: true})
 		return
 	}
@@ -46,8 +46,8 @@
 	})
 }
 
-// hasRecentSlowHeartbeat reports whether, within the last SlowHeartbeatMemory, a heartbeat was handled
-// that had waited in the mailbox for longer than SlowHeartbeatWait.
+// hasRecentSlowHeartbeat reports whether, within the last limits.ProbePause, a heartbeat was handled
+// that had waited in the mailbox for longer than limits.SlowHeartbeatThreshold.
 func (t *termActor) hasRecentSlowHeartbeat() bool {
 	slowAt := t.lastSlowHeartbeatAt.Load()
 	return slowAt != 0 && t.now()-time.Duration(slowAt) < limits.ProbePause
@@ -57,15 +57,15 @@
 // fencing token, and returns the heartbeat in the second reply. The heartbeat is not nil if the error
 // is nil.
 func (t *termActor) probeWorker(ctx context.Context, worker *transport.Client) (*protocol.Heartbeat, error) {
-	answer, err := worker.Do(ctx, http.MethodGet, "/status", nil)
+	response, err := worker.Do(ctx, http.MethodGet, "/status", nil)
 	if err != nil {
 		return nil, err
 	}
-	if answer.Status != http.StatusOK {
-		return nil, &statusError{service: "worker", operation: "get status", status: answer.Status}
+	if response.Status != http.StatusOK {
+		return nil, &statusError{service: "worker", operation: "get status", status: response.Status}
 	}
 	var heartbeat protocol.Heartbeat
-	if err := protocol.Decode(answer.Body, &heartbeat); err != nil {
+	if err := protocol.Decode(response.Body, &heartbeat); err != nil {
 		return nil, fmt.Errorf("worker: get status: decode reply: %w", err)
 	}
 	if !t.leadership.Entitled() {
