--- a/internal/limits/capacity.go
+++ b/internal/limits/capacity.go
@@ -12,8 +12,9 @@
 	// PlannedWaitSlackRatio is the default share of a job's slack that the job is planned to wait. The
 	// rest is kept for unforeseen delays.
 	PlannedWaitSlackRatio = 0.25
-	// ExpensivePoolRatio and ExpensivePoolSlack are defaults. A pool that costs more than this multiple of
-	// the cheapest pool's price is used only for jobs with at most this slack.
+	// ExpensivePoolRatio and ExpensivePoolSlack are defaults. A pool that costs more than ExpensivePoolRatio
+	// times the price of the cheapest pool is used only for jobs that are not late and have at most
+	// ExpensivePoolSlack.
 	ExpensivePoolRatio = 2.5
 	ExpensivePoolSlack = 60 * time.Second
 	// SimilarPriceRatio is the multiple of the cheapest pool's price up to which another pool is used
@@ -21,14 +22,16 @@
 	SimilarPriceRatio = 1.5
 	// MinPoolRequests is the least value of the limit on pending rental requests for one pool.
 	MinPoolRequests = 2
-	// ZoneSpreadPenalty is the fraction by which each machine in a zone raises the price that is compared
-	// for further pools there. It is just large enough to spread machines over zones of equal price.
+	// ZoneSpreadPenalty is the fraction by which each machine in a zone raises the cost of all pools in that
+	// zone when the planner compares pools. It is just large enough to spread machines over zones of equal
+	// price.
 	ZoneSpreadPenalty = 0.001
 	// MinRentalFraction is the fraction of an additional machine that must be needed before it is rented.
 	// It does not apply while there are no machines at all.
 	MinRentalFraction = 0.3
 	// FractionalRentalDelay is how long a job waits, counted from its submission or the last time one of
-	// its tasks was assigned, until a machine is rented for it even if it needs only a small part of it.
+	// its tasks was assigned, until a machine is rented for it even if the job needs less of the machine
+	// than MinRentalFraction.
 	FractionalRentalDelay = 30 * time.Second
 
 	// BootEstimateFactor is the expected boot time of a machine in multiples of the nominal one. Actual
@@ -60,6 +63,6 @@
 	// MinDrainAge is the age from which a machine may be drained. Returning a machine before
 	// MinChargedTime saves nothing.
 	MinDrainAge = MinChargedTime / 2
-	// SummaryInterval is the time between two summaries in the leader's log.
+	// SummaryInterval is the time between two summary lines in the leader's log.
 	SummaryInterval = 10 * time.Second
 )
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -9,8 +9,8 @@
 	// WatchDuration is how long a watch stays open when there are no changes.
 	WatchDuration = 30 * time.Second
 	// WatchGrace is how long after WatchDuration the reply to a watch may arrive. A watch stays open during
-	// an outage, so that waiting for it is no sign of a fault. After WatchGrace, its connection is assumed
-	// to be dead.
+	// an outage, so a missing reply is no sign of a fault until then. After WatchGrace, the connection of the
+	// watch is assumed to be dead.
 	WatchGrace = 10 * time.Second
 	// RetryBackoffMin and RetryBackoffMax bound the delay with jitter between attempts to call the state
 	// service or the cloud, or to connect to other controllers.
@@ -31,18 +31,18 @@
 	// MaxIdleWatchConns is the maximum number of idle connections that are kept for watches. There is one
 	// watch of the leader's key and, on the leader, one of the open jobs.
 	MaxIdleWatchConns = 2
-	// UnavailableAfter is how long no call must have succeeded before user requests are rejected without a
-	// call. One call per UnavailableProbeInterval is still made, to notice the end of the outage.
+	// UnavailableAfter is how long calls must have been failing before user requests are rejected without a
+	// call. One call per UnavailableProbeInterval is still made, to detect the end of the outage.
 	UnavailableAfter         = time.Second
 	UnavailableProbeInterval = 500 * time.Millisecond
 )
 
 // Shares of the state service's rate limits.
 const (
-	// UserReadShare and UserWriteShare are the shares of user requests, over all controllers.
+	// UserReadShare and UserWriteShare are the shares for user requests, over all controllers.
 	UserReadShare  = 0.5
 	UserWriteShare = 0.4
-	// ControllerReadShare and ControllerWriteShare are the shares of the controllers' own work, nearly all
+	// ControllerReadShare and ControllerWriteShare are the shares for the controllers' own work, nearly all
 	// of which is the leader's. The write shares add up to slightly more than 1, because users seldom need
 	// theirs while many machines boot.
 	ControllerReadShare  = 0.5
@@ -71,8 +71,8 @@
 	// up. MachineNameBytes is the size of each name, in bytes. It is larger than the names seen so far.
 	RentalOverhead   = 256
 	MachineNameBytes = 32
-	// RegistryEntryOverhead is the size of a page of registered machines without its entries, and also what
-	// each entry needs in addition to its own JSON, in bytes, rounded up.
+	// RegistryEntryOverhead is the size of a registry page without its entries, and also what each entry
+	// needs in addition to its own JSON, in bytes, rounded up.
 	RegistryEntryOverhead = 16
 )
 
