--- a/internal/coordination/scheduler/assignment_table.go
+++ b/internal/coordination/scheduler/assignment_table.go
@@ -49,7 +49,7 @@
 	if a.machine.assignments[a.taskName] != a {
 		return // already released together with its gang, earlier in the caller's loop
 	}
-	t.gangs.taskLost(a)
+	t.gangs.handleTaskLost(a)
 	a.job.removeAssignment(a)
 	a.machine.removeAssignment(a, t.now)
 	t.placement.requestPass()
--- a/internal/coordination/scheduler/capacity_offer.go
+++ b/internal/coordination/scheduler/capacity_offer.go
@@ -35,8 +35,8 @@
 	c.remainingCPUSeconds += remainingS * a.job.demand.CPUs
 }
 
-// allows reports whether a task of the job fits on the machine and may be placed on it.
-func (c *capacityOffer) allows(j *job) bool {
+// mayRunTask reports whether a task of the job fits on the machine and may be placed on it.
+func (c *capacityOffer) mayRunTask(j *job) bool {
 	if c.machine != nil && (j.excludesMachine(c.machine) || (c.machine.reservedForGangs && !j.mayUseGangReservation)) {
 		return false
 	}
@@ -95,8 +95,8 @@
 	neededByPlan, neededByGang    bool
 }
 
-// state returns the state of the offer, so that restore can undo the planning of a job.
-func (c *capacityOffer) state() offerState {
+// snapshot returns the state of the offer, so that restore can undo the planning of a job.
+func (c *capacityOffer) snapshot() offerState {
 	state := offerState{usedCPUs: c.usedCPUs, remainingCPUSeconds: c.remainingCPUSeconds}
 	if c.machine != nil {
 		state.neededByPlan, state.neededByGang = c.machine.neededByPlan, c.machine.neededByGang
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -118,7 +118,7 @@
 
 // planJobs plans the jobs in queue order. It skips jobs whose backoff after failures has not ended.
 func (p *capacityPlan) planJobs() {
-	for _, j := range p.queue.order() {
+	for _, j := range p.queue.jobsInOrder() {
 		switch {
 		case p.now < j.retryAt:
 		case j.gang != nil:
@@ -149,7 +149,7 @@
 // incomplete may have only one pending rental.
 func (p *capacityPlan) mayRent(pool machinePool) bool {
 	requests := p.maxRequestsPerPool
-	if p.rentals.lastReplyIncomplete(pool) {
+	if p.rentals.wasLastReplyIncomplete(pool) {
 		requests = 1
 	}
 	limit := max(requests-p.pendingRequests[pool], 0) * p.rentals.maxPerRental()
@@ -181,16 +181,16 @@
 	return min(count, allowed)
 }
 
-// rent starts the rentals of the plan, those from the cheapest pools first, because the limits on requests
+// startRentals starts the rentals of the plan, those from the cheapest pools first, because the limits on requests
 // and machines may not allow all of them.
-func (p *capacityPlan) rent() {
+func (p *capacityPlan) startRentals() {
 	for _, pool := range p.poolsByPrice() {
 		count := p.machinesToRent(pool)
 		for count > 0 && p.requestsLeft > 0 {
 			requested := min(count, p.rentals.maxPerRental())
 			p.machineCount += requested
 			p.requestsLeft--
-			p.rentals.rent(pool, requested)
+			p.rentals.startRental(pool, requested)
 			count -= requested
 		}
 	}
--- a/internal/coordination/scheduler/capacity_planner.go
+++ b/internal/coordination/scheduler/capacity_planner.go
@@ -76,7 +76,7 @@
 	if s.gangReservations.hasDemand() {
 		s.placement.requestPass() // the set of reserved machines may have changed
 	}
-	plan.rent()
+	plan.startRentals()
 	s.planner.updateDraining()
 	s.returnIdleMachines()
 }
--- a/internal/coordination/scheduler/catalog.go
+++ b/internal/coordination/scheduler/catalog.go
@@ -37,7 +37,7 @@
 func (c *typeCatalog) minBootS(j *job) float64 {
 	least := math.Inf(1)
 	for _, t := range c.sorted {
-		if typeResources(t).Covers(j.demand) && typeAllowed(&j.spec, t.Name) {
+		if typeResources(t).Covers(j.demand) && isTypeAllowed(&j.spec, t.Name) {
 			least = min(least, estimatedBootS(t))
 		}
 	}
@@ -47,7 +47,7 @@
 // requestFetch makes the next call of fetchIfDue fetch the types.
 func (c *typeCatalog) requestFetch() { c.nextFetchAt = 0 }
 
-// fetchIfDue fetches the types if a fetch is due. Unless fetched reschedules it, the next one is due after
+// fetchIfDue fetches the types if a fetch is due. Unless applyFetchedTypes reschedules it, the next one is due after
 // CloudTimeout.
 func (c *typeCatalog) fetchIfDue() {
 	if c.now < c.nextFetchAt {
@@ -57,9 +57,9 @@
 	c.emit(FetchMachineTypes{})
 }
 
-// fetched replaces the types with the fetched ones and reports true. After a failed fetch it keeps the old
+// applyFetchedTypes replaces the types with the fetched ones and reports true. After a failed fetch it keeps the old
 // types, schedules a retry after CloudRetryInterval and reports false.
-func (c *typeCatalog) fetched(e MachineTypesFetched) bool {
+func (c *typeCatalog) applyFetchedTypes(e MachineTypesFetched) bool {
 	if !e.OK {
 		c.nextFetchAt = c.now + limits.CloudRetryInterval
 		return false
@@ -77,9 +77,9 @@
 	return true
 }
 
-// machineTypesFetched handles the outcome of FetchMachineTypes.
-func (s *Scheduler) machineTypesFetched(e MachineTypesFetched) {
-	if !s.catalog.fetched(e) {
+// handleMachineTypesFetched handles the outcome of FetchMachineTypes.
+func (s *Scheduler) handleMachineTypesFetched(e MachineTypesFetched) {
+	if !s.catalog.applyFetchedTypes(e) {
 		return
 	}
 	s.inventory.updateTypes()
--- a/internal/coordination/scheduler/catalog_test.go
+++ b/internal/coordination/scheduler/catalog_test.go
@@ -32,8 +32,8 @@
 			if !catalog.isEmpty() || !fetches(0) || fetches(time.Millisecond) {
 				t.Error("types are not fetched exactly once at the start of the term")
 			}
-			catalog.fetched(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "a"}}})
-			if changed := catalog.fetched(c.outcome); changed != c.outcome.OK {
+			catalog.applyFetchedTypes(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "a"}}})
+			if changed := catalog.applyFetchedTypes(c.outcome); changed != c.outcome.OK {
 				t.Errorf("fetched = %v, want %v", changed, c.outcome.OK)
 			}
 			if len(catalog.all()) != c.types || catalog.isEmpty() {
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -23,9 +23,9 @@
 	return m.deleting && !m.deletionInFlight && now >= m.nextDeletionAt
 }
 
-// deletionDone handles the outcome of DeleteMachines. Machines whose deletion is not confirmed stay in the
+// handleDeletionDone handles the outcome of DeleteMachines. Machines whose deletion is not confirmed stay in the
 // inventory with their tasks, and the deletion is retried after CloudRetryInterval.
-func (s *Scheduler) deletionDone(e DeletionDone) {
+func (s *Scheduler) handleDeletionDone(e DeletionDone) {
 	for _, name := range e.Machines {
 		m := s.inventory.find(name)
 		switch {
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -127,14 +127,14 @@
 	}
 }
 
-// dispatch sends the unsent starts and stops directly, as far as possible.
-func (s *Scheduler) dispatch() {
+// dispatchCommands sends the unsent starts and stops directly, as far as possible.
+func (s *Scheduler) dispatchCommands() {
 	s.dispatcher.sendUrgent(s.assignments.buildDirectCommands)
 	s.dispatcher.sendWaiting(s.assignments.buildDirectCommands)
 }
 
-// directCommandsDone handles the outcome of a direct command: its reply, or that there was none.
-func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
+// handleDirectCommandsDone handles the outcome of a direct command: its reply, or that there was none.
+func (s *Scheduler) handleDirectCommandsDone(e DirectCommandsDone) {
 	m := s.inventory.find(e.Machine)
 	if !s.dispatcher.recordOutcome(m, e.ID) {
 		return
--- a/internal/coordination/scheduler/feasibility.go
+++ b/internal/coordination/scheduler/feasibility.go
@@ -27,15 +27,15 @@
 	for i := range types {
 		t := &types[i]
 		inZone := spec.Zone == "" || slices.Contains(t.Zones, spec.Zone)
-		if inZone && typeAllowed(spec, t.Name) && typeResources(t).Covers(demand) {
+		if inZone && isTypeAllowed(spec, t.Name) && typeResources(t).Covers(demand) {
 			return true
 		}
 	}
 	return false
 }
 
-// typeAllowed reports whether a job may use machines of a type. A job that names no types may use all.
-func typeAllowed(spec *protocol.Spec, typeName string) bool {
+// isTypeAllowed reports whether a job may use machines of a type. A job that names no types may use all.
+func isTypeAllowed(spec *protocol.Spec, typeName string) bool {
 	return len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, typeName)
 }
 
--- a/internal/coordination/scheduler/filter.go
+++ b/internal/coordination/scheduler/filter.go
@@ -119,7 +119,7 @@
 	if pool.spot && !j.spec.Spot {
 		return false
 	}
-	return (j.spec.Zone == "" || j.spec.Zone == pool.zone) && typeAllowed(&j.spec, pool.typeName)
+	return (j.spec.Zone == "" || j.spec.Zone == pool.zone) && isTypeAllowed(&j.spec, pool.typeName)
 }
 
 // mayUseZone reports whether the job's zone rules (SameZone, SpreadZones) allow its next task in a zone.
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -149,7 +149,7 @@
 	index int
 }
 
-func (c jobChunk) state() *finishedChunk { return &c.job.chunks[c.index] }
+func (c jobChunk) finishedChunk() *finishedChunk { return &c.job.chunks[c.index] }
 
 // writeChunks writes the chunks that are due, expedited ones first and then those whose last write is
 // longest ago. It uses only a share of the write rate of the state service. Delayed writes are safe:
@@ -170,7 +170,7 @@
 		}
 	}
 	sort.SliceStable(due, func(a, b int) bool {
-		one, other := due[a].state(), due[b].state()
+		one, other := due[a].finishedChunk(), due[b].finishedChunk()
 		if one.expedited != other.expedited {
 			return one.expedited
 		}
@@ -202,7 +202,7 @@
 }
 
 func (w *finishedTaskWriter) writeChunk(c jobChunk) {
-	chunk := c.state()
+	chunk := c.finishedChunk()
 	chunk.writeInFlight, chunk.lastWriteAt, chunk.deferredSince, chunk.expedited = true, w.now, 0, false
 	base := c.index * w.tasksPerChunk
 	key := storage.FinishedTasksKey(c.job.id, base)
@@ -214,9 +214,9 @@
 		[]protocol.Operation{{Put: key, Value: protocol.Encode(record)}})
 }
 
-// chunkWritten handles the outcome of a chunk write: on success, the tasks that were done when the
+// handleChunkWritten handles the outcome of a chunk write: on success, the tasks that were done when the
 // write was sent are durable.
-func (w *finishedTaskWriter) chunkWritten(write chunkWrite, e WriteCompleted) {
+func (w *finishedTaskWriter) handleChunkWritten(write chunkWrite, e WriteCompleted) {
 	chunk := &write.job.chunks[write.chunk]
 	chunk.writeInFlight = false
 	if e.OK {
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -36,7 +36,7 @@
 //	waiting -> placed                     beginAttempt
 //	placed -> gathering                   commit
 //	waiting, placed -> gathering          applySummary: a start command has been sent
-//	waiting, placed, gathering -> running applySummary, taskEnded: all tasks have started
+//	waiting, placed, gathering -> running applySummary, handleTaskEnded: all tasks have started
 //	any -> stopping                       beginStop
 //	any -> waiting                        reset: no task is assigned
 type gang struct {
@@ -95,15 +95,15 @@
 	g.state = max(g.state, gangGathering)
 }
 
-// taskLost records the machine that lost a task, if the task's start command had been sent.
-func (g *gang) taskLost(a *assignment) {
+// handleTaskLost records the machine that lost a task, if the task's start command had been sent.
+func (g *gang) handleTaskLost(a *assignment) {
 	if a.state != stateUnsent {
 		g.machinesWithLostTasks[a.machine.name] = true
 	}
 }
 
-// taskEnded updates the gang from the reason for which one of its tasks ended.
-func (g *gang) taskEnded(a *assignment, reason protocol.EndReason) {
+// handleTaskEnded updates the gang from the reason for which one of its tasks ended.
+func (g *gang) handleTaskEnded(a *assignment, reason protocol.EndReason) {
 	switch {
 	case reason == protocol.ReasonGangIncomplete:
 		g.stopReason = "a task stopped waiting for the rest of the gang"
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -94,7 +94,7 @@
 	if missing == 0 {
 		return true
 	}
-	if !j.withinTeamLimit() {
+	if !j.isWithinTeamLimit() {
 		return false
 	}
 	search, ok := s.placement.newGangSearch(j, missing)
@@ -103,7 +103,7 @@
 	}
 	found := s.placement.findGangPlacement(&search)
 	if found == nil {
-		s.placement.gangSearchFailed(&search)
+		s.placement.handleGangSearchFailed(&search)
 		return false
 	}
 	s.applyGangPlacement(j.gang, found)
@@ -124,7 +124,7 @@
 	for _, task := range found.tasks {
 		s.assignments.assign(g.job, g.job.nextWaitingTask(), task.machine, g.attempt, stateUnsent)
 	}
-	s.placement.gangPlaced(found)
+	s.placement.handleGangPlaced(found)
 	s.gangs.awaitCommit(g)
 }
 
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -51,8 +51,8 @@
 	return search, true
 }
 
-// gangSearchFailed records that a search did not find machines for all missing tasks of a gang.
-func (p *placer) gangSearchFailed(search *gangSearch) {
+// handleGangSearchFailed records that a search did not find machines for all missing tasks of a gang.
+func (p *placer) handleGangSearchFailed(search *gangSearch) {
 	if search.cacheable {
 		p.pass.unplaceableGangs[search.request] = true
 	}
@@ -70,7 +70,7 @@
 	var best *gangPlacement
 	for _, zone := range p.gangZones(search) {
 		found := p.findGangPlacementIn(zone, search)
-		if found != nil && (best == nil || found.cheaperThan(best)) {
+		if found != nil && (best == nil || found.isCheaperThan(best)) {
 			best = found
 		}
 	}
@@ -115,9 +115,9 @@
 	return zones
 }
 
-// gangPlaced updates the state of the pass after a gang was placed: the machines it uses are no longer
+// handleGangPlaced updates the state of the pass after a gang was placed: the machines it uses are no longer
 // reserved, its victims have freed resources, and requests that failed may succeed now.
-func (p *placer) gangPlaced(found *gangPlacement) {
+func (p *placer) handleGangPlaced(found *gangPlacement) {
 	for _, task := range found.tasks {
 		task.machine.reservedFor = nil
 	}
@@ -212,9 +212,9 @@
 	return g
 }
 
-// cheaperThan reports whether a placement is cheaper than another. It compares the cost of preemption, then
+// isCheaperThan reports whether a placement is cheaper than another. It compares the cost of preemption, then
 // the number of machines that have to fetch the image, then the number of machines used.
-func (g *gangPlacement) cheaperThan(other *gangPlacement) bool {
+func (g *gangPlacement) isCheaperThan(other *gangPlacement) bool {
 	return cmp.Or(
 		cmp.Compare(g.preemptionCost, other.preemptionCost),
 		cmp.Compare(g.imageFetches(), other.imageFetches()),
--- a/internal/coordination/scheduler/gang_plan.go
+++ b/internal/coordination/scheduler/gang_plan.go
@@ -38,7 +38,7 @@
 func (p *capacityPlan) snapshot() planSnapshot {
 	offers := make([]offerState, len(p.offers))
 	for i, offer := range p.offers {
-		offers[i] = offer.state()
+		offers[i] = offer.snapshot()
 	}
 	return planSnapshot{toRent: maps.Clone(p.toRent), offerStates: offers}
 }
@@ -105,7 +105,7 @@
 	startable := map[string]float64{}
 	for _, offer := range p.offers {
 		perMachine := typeResources(offer.machineType).TasksThatFit(jp.job.demand)
-		if perMachine > 0 && offer.allows(jp.job) {
+		if perMachine > 0 && offer.mayRunTask(jp.job) {
 			startable[offer.pool.zone] += math.Floor(offer.startableTasks(jp.job, perMachine, jp.maxWaitS))
 		}
 	}
@@ -120,7 +120,7 @@
 	}
 	zones := map[string]bool{}
 	for _, t := range p.catalog.all() {
-		if !typeResources(t).Covers(j.demand) || !typeAllowed(&j.spec, t.Name) {
+		if !typeResources(t).Covers(j.demand) || !isTypeAllowed(&j.spec, t.Name) {
 			continue
 		}
 		for _, zone := range t.Zones {
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -41,19 +41,19 @@
 	return g
 }
 
-// taskLost records in an assignment's gang, if it has one, that the task has left its machine, and marks
+// handleTaskLost records in an assignment's gang, if it has one, that the task has left its machine, and marks
 // the gang as changed.
-func (t *gangTable) taskLost(a *assignment) {
+func (t *gangTable) handleTaskLost(a *assignment) {
 	if g := a.job.gang; g != nil {
-		g.taskLost(a)
+		g.handleTaskLost(a)
 		t.markChanged(g)
 	}
 }
 
-// taskEnded updates an assignment's gang, if it has one, from the reason for which the task ended.
-func (t *gangTable) taskEnded(a *assignment, status *protocol.TaskStatus) {
+// handleTaskEnded updates an assignment's gang, if it has one, from the reason for which the task ended.
+func (t *gangTable) handleTaskEnded(a *assignment, status *protocol.TaskStatus) {
 	if g := a.job.gang; g != nil {
-		g.taskEnded(a, status.Reason)
+		g.handleTaskEnded(a, status.Reason)
 	}
 }
 
@@ -112,7 +112,7 @@
 	var committed []*assignment
 	t.uncommitted = slices.DeleteFunc(t.uncommitted, func(g *gang) bool {
 		tasks := g.uncommittedTasks()
-		if !t.resourcesConfirmed(tasks) {
+		if !t.hasConfirmedResources(tasks) {
 			return false
 		}
 		g.commit(tasks)
@@ -123,9 +123,9 @@
 	return committed
 }
 
-// resourcesConfirmed reports whether every machine of the tasks is registered, may get tasks, and has
+// hasConfirmedResources reports whether every machine of the tasks is registered, may get tasks, and has
 // enough free resources for them. A stopping task counts as using its resources until it is released.
-func (t *gangTable) resourcesConfirmed(tasks []*assignment) bool {
+func (t *gangTable) hasConfirmedResources(tasks []*assignment) bool {
 	demand := map[*machine]resource.Vector{}
 	for _, a := range tasks {
 		demand[a.machine] = demand[a.machine].Plus(a.job.demand)
--- a/internal/coordination/scheduler/gang_test.go
+++ b/internal/coordination/scheduler/gang_test.go
@@ -86,7 +86,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := &gang{state: gangGathering}
-			g.taskEnded(&assignment{stopping: c.stopping}, c.reason)
+			g.handleTaskEnded(&assignment{stopping: c.stopping}, c.reason)
 			if g.state != c.wantState || (g.stopReason != "") != c.wantStop {
 				t.Errorf("state %s, stop reason %q; want state %s, a stop reason: %v",
 					g.state, g.stopReason, c.wantState, c.wantStop)
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -5,9 +5,9 @@
 	"quillshunt/internal/protocol"
 )
 
-// heartbeatReceived handles a worker's heartbeat. The reply carries commands only if the leader is entitled
+// handleHeartbeat handles a worker's heartbeat. The reply carries commands only if the leader is entitled
 // and the worker has seen this term's fencing token.
-func (s *Scheduler) heartbeatReceived(e HeartbeatReceived) {
+func (s *Scheduler) handleHeartbeat(e HeartbeatReceived) {
 	heartbeat := e.Heartbeat
 	switch {
 	case !e.Entitled || !heartbeat.Valid() || heartbeat.FencingToken > s.cfg.Term ||
@@ -66,9 +66,9 @@
 	}
 	if !m.verified {
 		s.assignments.releaseUnsent(m)
-		s.prober.probe(m)
+		s.prober.probeIfDue(m)
 	}
-	s.decide()
+	s.updatePlacement()
 	commands = s.assignments.buildCommands(m, inHeartbeatReply, commands)
 	m.dispatchQueued, m.lastCommands = false, commands
 	s.emit(HeartbeatReply{ReplyTo: e.ReplyTo, Accepted: true, Commands: commands})
--- a/internal/coordination/scheduler/inventory_test.go
+++ b/internal/coordination/scheduler/inventory_test.go
@@ -36,7 +36,7 @@
 	if m.machineType != nil {
 		t.Errorf("machine type %+v although the catalog is empty", m.machineType)
 	}
-	catalog.fetched(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8}}})
+	catalog.applyFetchedTypes(MachineTypesFetched{OK: true, Types: []protocol.MachineType{{Name: "s8", CPUs: 8}}})
 	inventory.updateTypes()
 	if m.capacity().CPUs != 8 {
 		t.Errorf("capacity %+v after the type was added, want 8 CPUs", m.capacity())
--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -64,23 +64,23 @@
 // startedTasks returns the number of tasks that are done or assigned to machines.
 func (j *job) startedTasks() int { return j.doneCount + len(j.assignments) }
 
-// eligibleForGangReservation reports whether the job may use machines that are reserved for gangs.
+// isEligibleForGangReservation reports whether the job may use machines that are reserved for gangs.
 // Gangs always may. Other jobs may once GangReservationYieldAge has passed since their submission or
 // the last assignment of one of their tasks, so that the reservation does not starve them.
-func (j *job) eligibleForGangReservation(now time.Duration) bool {
+func (j *job) isEligibleForGangReservation(now time.Duration) bool {
 	return j.gang != nil || now > max(j.submittedAt, j.lastAssignedAt)+limits.GangReservationYieldAge
 }
 
 // demandOfTasks returns the resources that the given number of the job's tasks need together.
 func (j *job) demandOfTasks(tasks int) resource.Vector { return j.demand.Times(float64(tasks)) }
 
-// withinTeamLimit reports whether the team's limit leaves room for one more task of the job or, if the
+// isWithinTeamLimit reports whether the team's limit leaves room for one more task of the job or, if the
 // job is a gang, for all its waiting tasks.
-func (j *job) withinTeamLimit() bool {
+func (j *job) isWithinTeamLimit() bool {
 	if j.gang != nil {
-		return j.team.withinLimit(j.demandOfTasks(j.waitingTasks()))
+		return j.team.isWithinLimit(j.demandOfTasks(j.waitingTasks()))
 	}
-	return j.team.withinLimit(j.demand)
+	return j.team.isWithinLimit(j.demand)
 }
 
 // nextWaitingTask returns the lowest index of a task that is neither done nor assigned, or -1 if there
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -6,9 +6,9 @@
 	"quillshunt/internal/storage"
 )
 
-// jobChanged applies a new version of a job's open record and opens the job if it is not known yet.
+// handleJobChanged applies a new version of a job's open record and opens the job if it is not known yet.
 // Older versions are ignored.
-func (s *Scheduler) jobChanged(e JobChanged) {
+func (s *Scheduler) handleJobChanged(e JobChanged) {
 	j := s.jobs.find(e.JobID)
 	if j == nil {
 		j = s.jobs.open(e, s.finished.chunkCount(e.Record.Spec.Tasks))
@@ -53,7 +53,7 @@
 		{Put: storage.FinalJobKey(j.id), Value: protocol.Encode(storage.FinalJob{State: state})},
 		{Delete: storage.OpenJobKey(j.id)},
 	}
-	// Records beyond the limit are deleted after the final record is written; see finalJobWritten.
+	// Records beyond the limit are deleted after the final record is written; see handleFinalJobWritten.
 	keys := s.finished.recordKeys(j)
 	fitting := min(len(keys), s.cfg.State.TxnOps-len(operations))
 	for _, key := range keys[:fitting] {
@@ -78,13 +78,13 @@
 	return !j.hasChunkWriteInFlight() // the completion of that write calls tryCloseJob again
 }
 
-// finalJobWritten handles the outcome of the write of a job's final record. On success it closes the job
+// handleFinalJobWritten handles the outcome of the write of a job's final record. On success it closes the job
 // and deletes the remaining records of its finished tasks.
-func (s *Scheduler) finalJobWritten(write finalJobWrite, e WriteCompleted) {
+func (s *Scheduler) handleFinalJobWritten(write finalJobWrite, e WriteCompleted) {
 	j := write.job
 	j.closing = false
 	if !e.OK {
-		return // cancelled concurrently: the watch delivers the new open record, and jobChanged retries the write
+		return // cancelled concurrently: the watch delivers the new open record, and handleJobChanged retries the write
 	}
 	s.logInfo("job closed", keyJob, j.id, "cancelled", j.cancelled, keyTasks, j.spec.Tasks)
 	s.closeJob(j)
@@ -97,12 +97,12 @@
 	j.closed = true
 	s.assignments.withdrawAll(j, "job closed")
 	s.jobs.close(j)
-	s.queue.jobClosed(j)
+	s.queue.handleJobClosed(j)
 }
 
-// jobRemoved closes a job whose open record was deleted by another party. No controller does this, but
+// handleJobRemoved closes a job whose open record was deleted by another party. No controller does this, but
 // without an open record the job no longer exists.
-func (s *Scheduler) jobRemoved(e JobRemoved) {
+func (s *Scheduler) handleJobRemoved(e JobRemoved) {
 	if j := s.jobs.find(e.JobID); j != nil && !j.closing && e.Version > j.version {
 		s.closeJob(j)
 	}
--- a/internal/coordination/scheduler/job_plan.go
+++ b/internal/coordination/scheduler/job_plan.go
@@ -84,7 +84,7 @@
 		if jp.tasksLeft == 0 {
 			return
 		}
-		if !offer.allows(j) || jp.zones.remaining(offer.pool.zone) == 0 {
+		if !offer.mayRunTask(j) || jp.zones.remaining(offer.pool.zone) == 0 {
 			continue
 		}
 		tasks := offer.allocateTasks(jp, jp.maxWaitS, &carry)
--- a/internal/coordination/scheduler/jobs_test.go
+++ b/internal/coordination/scheduler/jobs_test.go
@@ -19,7 +19,7 @@
 	}
 	young, old := open("young", "red", time.Second), open("old", "blue", time.Minute)
 	middle := open("middle", "red", 30*time.Second)
-	if got := ids(f.jobs.oldestFirst()); got != "[old middle young]" {
+	if got := joinIDs(f.jobs.oldestFirst()); got != "[old middle young]" {
 		t.Errorf("order of submission: %s", got)
 	}
 	if open("of no team", "green", 0) != nil || f.jobs.count() != 3 {
@@ -29,7 +29,7 @@
 	if f.jobs.find("middle") != nil || open("middle", "red", 0) != nil {
 		t.Error("a closed job was not removed, or was reopened")
 	}
-	if got := ids(f.jobs.oldestFirst()); got != "[old young]" ||
+	if got := joinIDs(f.jobs.oldestFirst()); got != "[old young]" ||
 		f.jobs.find("old") != old || f.jobs.find("young") != young {
 		t.Errorf("open jobs after one was closed: %s", got)
 	}
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -31,8 +31,8 @@
 	r.emit(ListMachines{})
 }
 
-// readDone records the outcome of a read and schedules the next one, sooner if it failed.
-func (r *machineListReader) readDone(ok bool) {
+// handleReadDone records the outcome of a read and schedules the next one, sooner if it failed.
+func (r *machineListReader) handleReadDone(ok bool) {
 	r.inFlight = false
 	r.nextReadAt = r.now + limits.MachineListInterval
 	if !ok {
@@ -40,9 +40,9 @@
 	}
 }
 
-// machinesListed handles the outcome of ListMachines and reconciles the inventory with the cloud's list.
-func (s *Scheduler) machinesListed(e MachinesListed) {
-	s.cloudList.readDone(e.OK)
+// handleMachinesListed handles the outcome of ListMachines and reconciles the inventory with the cloud's list.
+func (s *Scheduler) handleMachinesListed(e MachinesListed) {
+	s.cloudList.handleReadDone(e.OK)
 	if !e.OK {
 		return
 	}
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -78,14 +78,14 @@
 func (s *Scheduler) returnReason(m *machine, counts reachabilityCounts) string {
 	switch {
 	case m.isUnreported():
-		if s.unreportedTooLong(m, counts) {
+		if s.isUnreportedTooLong(m, counts) {
 			return "no heartbeat since the failover"
 		}
 	case !m.hasReported:
-		if s.bootTimedOut(m) {
+		if s.hasBootTimedOut(m) {
 			return "never came up"
 		}
-	case s.unreachableTooLong(m, counts):
+	case s.isUnreachableTooLong(m, counts):
 		return "unreachable"
 	case m.isFaulty():
 		if !s.stopGangsAndCheckSaving(m) {
@@ -95,7 +95,7 @@
 		if !s.stopGangsAndCheckSaving(m) {
 			return "slow"
 		}
-	case m.spotNotice && len(m.assignments) == 0 && m.resultsDurable():
+	case m.spotNotice && len(m.assignments) == 0 && m.hasOnlyDurableResults():
 		return "spot notice"
 	case s.holdsCancelledTask(m, s.cancelDeletionAt):
 		return "cancelled task does not stop"
@@ -103,9 +103,9 @@
 	return ""
 }
 
-// unreportedTooLong reports whether to return a machine that sent heartbeats to an earlier leader but none
+// isUnreportedTooLong reports whether to return a machine that sent heartbeats to an earlier leader but none
 // in this term: after a timeout, or after UnreportedProbeMisses unanswered probes if few are unreported.
-func (s *Scheduler) unreportedTooLong(m *machine, counts reachabilityCounts) bool {
+func (s *Scheduler) isUnreportedTooLong(m *machine, counts reachabilityCounts) bool {
 	// No task is placed on any machine while this one may hold tasks of earlier terms. If only a few
 	// machines do not answer, losing them costs less than waiting for them.
 	if s.recovery.hasFewUnreported() && m.missedProbes >= limits.UnreportedProbeMisses {
@@ -119,8 +119,8 @@
 	return s.now > s.termStartedAt+timeout
 }
 
-// bootTimedOut reports whether a machine that has never sent a heartbeat has taken too long to boot.
-func (s *Scheduler) bootTimedOut(m *machine) bool {
+// hasBootTimedOut reports whether a machine that has never sent a heartbeat has taken too long to boot.
+func (s *Scheduler) hasBootTimedOut(m *machine) bool {
 	timeout := limits.MinBootTimeout
 	if m.machineType != nil {
 		bootTime := limits.Seconds(m.machineType.BootS)
@@ -129,9 +129,9 @@
 	return s.now > max(m.createdAt, s.termStartedAt)+timeout
 }
 
-// unreachableTooLong reports whether a machine that has reported in this term has been unreachable for so
+// isUnreachableTooLong reports whether a machine that has reported in this term has been unreachable for so
 // long that it is to be returned. If many machines are unreachable at once, they are kept for longer.
-func (s *Scheduler) unreachableTooLong(m *machine, counts reachabilityCounts) bool {
+func (s *Scheduler) isUnreachableTooLong(m *machine, counts reachabilityCounts) bool {
 	unreachableFor := s.now - s.lastReachableAt(m)
 	if unreachableFor <= s.unreachableTimeout() {
 		return false
@@ -156,8 +156,8 @@
 	return max(at, s.termStartedAt)
 }
 
-// resultsDurable reports whether the results of all ended tasks that the machine lists are stored durably.
-func (m *machine) resultsDurable() bool {
+// hasOnlyDurableResults reports whether the results of all ended tasks that the machine lists are stored durably.
+func (m *machine) hasOnlyDurableResults() bool {
 	for _, ended := range m.endedTasks {
 		if !ended.isDurable() {
 			return false
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -176,12 +176,12 @@
 		case protocol.CommandForget:
 			f.tasks[m] = slices.DeleteFunc(f.tasks[m], hasAttempt)
 		case protocol.CommandStart:
-			f.start(m, command)
+			f.startTask(m, command)
 		}
 	}
 }
 
-func (f *overloadedFleet) start(m int, command protocol.Command) {
+func (f *overloadedFleet) startTask(m int, command protocol.Command) {
 	id, _, _ := protocol.ParseTaskName(command.Task)
 	if _, started := f.startedAt[id]; !started {
 		f.startedAt[id] = f.now
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -48,10 +48,10 @@
 // placeTasksNaively runs a scheduling pass in which each request examines every machine, as in the paper
 // that package placement names.
 func (s *Scheduler) placeTasksNaively() {
-	order := s.queue.order()
+	order := s.queue.jobsInOrder()
 	s.placement.beginPass() // ends earlier reservations and sets reservationsLeft; its list of machines is not used
 	for _, j := range s.queue.starvedJobs() {
-		if starved := s.queue.starvedTasks(j); starved > 0 && j.team.withinLimit(j.demand) && s.now >= j.retryAt {
+		if starved := s.queue.starvedTasks(j); starved > 0 && j.team.isWithinLimit(j.demand) && s.now >= j.retryAt {
 			s.placeJobNaively(j, starved)
 			s.placement.reserveForJob(j)
 		}
@@ -66,7 +66,7 @@
 // placeJobNaively places up to count tasks of a job and examines all machines for each of them.
 func (s *Scheduler) placeJobNaively(j *job, count int) {
 	preempting := s.placement.mayPreemptNow(j)
-	for ; count > 0 && j.team.withinLimit(j.demand); count-- {
+	for ; count > 0 && j.team.isWithinLimit(j.demand); count-- {
 		var candidates []candidate
 		for _, m := range s.inventory.all() {
 			if m.draining || !s.isSchedulable(m) || len(m.assignments)+len(m.endedTasks) >= limits.MaxTasksPerMachine {
--- a/internal/coordination/scheduler/pending_write.go
+++ b/internal/coordination/scheduler/pending_write.go
@@ -43,20 +43,20 @@
 func (registryPageWrite) pendingWrite()    {}
 func (registryPageRemoval) pendingWrite()  {}
 
-// writeCompleted passes the outcome of a write to the part that requested it. Outcomes of removals of
+// handleWriteCompleted passes the outcome of a write to the part that requested it. Outcomes of removals of
 // finished tasks and registry pages need no further action.
-func (s *Scheduler) writeCompleted(e WriteCompleted) {
+func (s *Scheduler) handleWriteCompleted(e WriteCompleted) {
 	switch write := s.takePendingWrite(e.ID).(type) {
 	case chunkWrite:
-		s.finished.chunkWritten(write, e)
+		s.finished.handleChunkWritten(write, e)
 		s.tryCloseJob(write.job)
 	case finalJobWrite:
-		s.finalJobWritten(write, e)
+		s.handleFinalJobWritten(write, e)
 	case rentalWrite:
-		s.rentalWritten(write, e.OK, e.Version)
+		s.handleRentalWritten(write, e.OK, e.Version)
 	case rentalRemoval:
-		s.rentals.removalWritten(write, e.OK)
+		s.rentals.handleRemovalWritten(write, e.OK)
 	case registryPageWrite:
-		s.registryPageWritten(write, e.OK, e.Version)
+		s.handleRegistryPageWritten(write, e.OK, e.Version)
 	}
 }
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -29,7 +29,7 @@
 func (s *Scheduler) placeStarvedTasks() {
 	for _, j := range s.queue.starvedJobs() {
 		starved := s.queue.starvedTasks(j)
-		if starved <= 0 || !j.withinTeamLimit() || s.now < j.retryAt {
+		if starved <= 0 || !j.isWithinTeamLimit() || s.now < j.retryAt {
 			continue
 		}
 		if j.gang != nil {
@@ -52,10 +52,10 @@
 	}
 	preempting := search.request.preempting
 	candidates := s.placement.collectCandidates(j, preempting)
-	for ; count > 0 && j.team.withinLimit(j.demand); count-- {
+	for ; count > 0 && j.team.isWithinLimit(j.demand); count-- {
 		group := candidates.Best()
 		if group < 0 {
-			s.placement.searchFailed(&search)
+			s.placement.handleSearchFailed(&search)
 			return
 		}
 		best := candidates.First(group)
@@ -82,11 +82,11 @@
 		s.stopTask(victim, "preempted for "+j.id)
 		if victim.job.gang != nil {
 			gangStopped = true
-			s.placement.gangStopped(victim.job)
+			s.placement.handleGangStopped(victim.job)
 		}
 	}
 	wasBorrowing := j.team.isBorrowing()
 	s.assignments.assign(j, j.nextWaitingTask(), m, s.assignments.nextAttempt(), stateUnsent)
-	s.placement.taskPlaced(m, victims, wasBorrowing != j.team.isBorrowing())
+	s.placement.handleTaskPlaced(m, victims, wasBorrowing != j.team.isBorrowing())
 	return gangStopped
 }
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -93,8 +93,8 @@
 	p.passRequested = false
 	pass := &p.pass
 	pass.jobs = pass.jobs[:0]
-	for _, j := range p.queue.order() {
-		if j.waitingTasks() == 0 || j.cancelled || j.closed || p.now < j.retryAt || !j.withinTeamLimit() {
+	for _, j := range p.queue.jobsInOrder() {
+		if j.waitingTasks() == 0 || j.cancelled || j.closed || p.now < j.retryAt || !j.isWithinTeamLimit() {
 			continue
 		}
 		if len(pass.jobs) == 0 {
@@ -171,9 +171,9 @@
 	return preempting || p.pass.maxFreeResources.Covers(j.demand)
 }
 
-// searchFailed records that a search found no machine for a task, so that equal searches are skipped in
+// handleSearchFailed records that a search found no machine for a task, so that equal searches are skipped in
 // this pass, and equal preemption searches for PreemptionSearchInterval.
-func (p *placer) searchFailed(search *placementSearch) {
+func (p *placer) handleSearchFailed(search *placementSearch) {
 	if search.cacheable {
 		p.pass.unplaceable[search.request] = true
 	}
@@ -193,10 +193,10 @@
 	maps.DeleteFunc(p.nextPreemptionSearchAt, func(_ placementRequest, at time.Duration) bool { return at <= p.now })
 }
 
-// taskPlaced updates the data of the pass after a task was placed on a machine, and ends the machine's
+// handleTaskPlaced updates the data of the pass after a task was placed on a machine, and ends the machine's
 // reservation. startsBorrowing reports that the team now uses more than its guarantee, so that its tasks may
 // now be preempted by other teams.
-func (p *placer) taskPlaced(m *machine, victims []*assignment, startsBorrowing bool) {
+func (p *placer) handleTaskPlaced(m *machine, victims []*assignment, startsBorrowing bool) {
 	m.reservedFor = nil
 	if len(victims) > 0 {
 		p.pass.addFreedMachine(m) // the victims may free more resources than the task needs
@@ -206,8 +206,8 @@
 	}
 }
 
-// gangStopped records that the machines of a stopped gang have more free resources.
-func (p *placer) gangStopped(j *job) {
+// handleGangStopped records that the machines of a stopped gang have more free resources.
+func (p *placer) handleGangStopped(j *job) {
 	for _, a := range j.sortedAssignments() {
 		p.pass.addFreedMachine(a.machine)
 	}
--- a/internal/coordination/scheduler/pool_choice.go
+++ b/internal/coordination/scheduler/pool_choice.go
@@ -27,7 +27,7 @@
 					continue
 				}
 				cost := priceOf(t, spot) / float64(tasksPerMachine) * p.zoneSpreadFactor(zone)
-				search.consider(pool, t, cost, p.availability(pool, zoneAllowed))
+				search.addPool(pool, t, cost, p.availability(pool, zoneAllowed))
 			}
 		}
 	}
@@ -47,8 +47,8 @@
 	lowestCost   float64               // cost in the cheapest pool, available or not
 }
 
-// consider adds a pool to the search.
-func (s *poolSearch) consider(
+// addPool adds a pool to the search.
+func (s *poolSearch) addPool(
 	pool machinePool, t *protocol.MachineType, cost float64, availability poolAvailability,
 ) {
 	s.lowestCost = min(s.lowestCost, cost)
@@ -78,7 +78,7 @@
 	if p.mayRent(pool) && zoneAllowed(pool.zone) {
 		return poolAvailable
 	}
-	if p.rentals.lastReplyIncomplete(pool) {
+	if p.rentals.wasLastReplyIncomplete(pool) {
 		return poolLacksCapacity
 	}
 	return poolDeferred
--- a/internal/coordination/scheduler/pools.go
+++ b/internal/coordination/scheduler/pools.go
@@ -50,9 +50,9 @@
 	return state != nil && t.now < state.backoffUntil
 }
 
-// lastReplyIncomplete reports whether a pool had fewer machines than were requested when the cloud last
+// wasLastReplyIncomplete reports whether a pool had fewer machines than were requested when the cloud last
 // replied to a request for it.
-func (t *rentalTable) lastReplyIncomplete(pool machinePool) bool {
+func (t *rentalTable) wasLastReplyIncomplete(pool machinePool) bool {
 	state := t.pools[pool]
 	return state != nil && state.backoff > 0
 }
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -82,24 +82,25 @@
 	}
 	slices.SortStableFunc(due, func(a, b *machine) int { return cmp.Compare(a.nextProbeAt, b.nextProbeAt) })
 	for _, m := range due {
-		p.probe(m)
+		p.probeIfDue(m)
 	}
 }
 
-// probe probes a machine if a probe is due and the rate limit allows it. It skips machines that have no
+// probeIfDue probes a machine if a probe is due and the rate limit allows it. It skips machines that have no
 // address, are being deleted, or are in the verification grace period.
-func (p *machineProber) probe(m *machine) {
-	if p.inVerificationGracePeriod(m) || m.address == "" || m.deleting || p.now < m.nextProbeAt || !p.limiter.allow() {
+func (p *machineProber) probeIfDue(m *machine) {
+	if p.isInVerificationGracePeriod(m) || m.address == "" || m.deleting || p.now < m.nextProbeAt ||
+		!p.limiter.allow() {
 		return
 	}
 	m.nextProbeAt = p.now + limits.ProbeInterval
 	p.emit(ProbeMachine{Machine: m.name, Address: m.address})
 }
 
-// inVerificationGracePeriod reports whether to delay the probe of an unverified machine. If many machines
+// isInVerificationGracePeriod reports whether to delay the probe of an unverified machine. If many machines
 // are unverified at once, for example because all of them have reconnected to the leader, the next heartbeats
 // on the new connections verify most of them without a probe.
-func (p *machineProber) inVerificationGracePeriod(m *machine) bool {
+func (p *machineProber) isInVerificationGracePeriod(m *machine) bool {
 	grace := time.Duration(limits.UnverifiedGraceIntervals * float64(p.heartbeatInterval))
 	return m.hasReported && m.fenced && p.manyUnverified && p.now < m.unverifiedSince+grace
 }
@@ -119,13 +120,13 @@
 	m.missedProbes++
 	if p.recovery.hasFewUnreported() && !m.hasReported && m.missedProbes < limits.UnreportedProbeMisses {
 		m.nextProbeAt = p.now // all placement waits until the machine answers or is returned
-		p.probe(m)
+		p.probeIfDue(m)
 	}
 }
 
-// probeDone handles the outcome of a probe. The worker made the task list after it had seen this term's
+// handleProbeDone handles the outcome of a probe. The worker made the task list after it had seen this term's
 // fencing token, so no command of an earlier leader can add tasks to it. A probe renews no lease.
-func (s *Scheduler) probeDone(e ProbeDone) {
+func (s *Scheduler) handleProbeDone(e ProbeDone) {
 	s.prober.recordOutcome(e)
 	m, heartbeat := s.inventory.find(e.Machine), e.Heartbeat
 	if m == nil {
--- a/internal/coordination/scheduler/prober_test.go
+++ b/internal/coordination/scheduler/prober_test.go
@@ -38,9 +38,9 @@
 	sent      int
 }
 
-// answer answers the probes among the effects. The test fails if a machine is probed again before every
+// answerProbes answers the probes among the effects. The test fails if a machine is probed again before every
 // machine was probed once.
-func (r *probeResponder) answer(effects []Effect, now time.Duration) {
+func (r *probeResponder) answerProbes(effects []Effect, now time.Duration) {
 	r.t.Helper()
 	for _, probe := range effectsOf[ProbeMachine](effects) {
 		r.sent++
@@ -77,10 +77,10 @@
 				t: t, scheduler: s, machines: machines, elapsed: c.elapsed, probed: map[string]int{},
 			}
 			now := time.Duration(0)
-			responder.answer(s.Step(StateLoaded{}, now), now)
+			responder.answerProbes(s.Step(StateLoaded{}, now), now)
 			for len(responder.probed) < machines {
 				now += limits.TickInterval
-				responder.answer(s.Step(Tick{Entitled: true}, now), now)
+				responder.answerProbes(s.Step(Tick{Entitled: true}, now), now)
 				most := rate*limits.TickInterval.Seconds() + rate*c.share*now.Seconds()
 				if float64(responder.sent) > most+1 {
 					t.Fatalf("%d probes within %v, want at most %v", responder.sent, now, most)
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -13,7 +13,7 @@
 	jobs *jobTable
 
 	entries        []queueEntry // reused between sorts
-	ordered        []*job       // nil if the jobs must be sorted again; see order
+	ordered        []*job       // nil if the jobs must be sorted again; see jobsInOrder
 	orderedAt      time.Duration
 	starved        []*job                     // jobs that get tasks before all others; see updateStarvedJobs
 	progress       map[jobGroup]groupProgress // of all jobs of this term, closed ones included
@@ -38,10 +38,10 @@
 	work  float64       // CPU seconds that its waiting tasks need, multiplied by a weight that grows with the slack
 }
 
-// before reports whether an entry sorts before another. Higher priority comes first, then jobs that
+// sortsBefore reports whether an entry sorts before another. Higher priority comes first, then jobs that
 // their team's guarantee covers, then jobs that can still meet a deadline, then less work, less slack
 // and earlier submission. Late jobs are not compared by work.
-func (e *queueEntry) before(other *queueEntry) bool {
+func (e *queueEntry) sortsBefore(other *queueEntry) bool {
 	switch {
 	case e.job.priority != other.job.priority:
 		return e.job.priority > other.job.priority
@@ -59,12 +59,12 @@
 	return e.job.id < other.job.id
 }
 
-// invalidate makes the next call of order sort the jobs again.
+// invalidate makes the next call of jobsInOrder sort the jobs again.
 func (q *jobQueue) invalidate() { q.ordered = nil }
 
-// jobClosed removes a closed job from the queue. Its tasks still count in the progress of its group, unless
+// handleJobClosed removes a closed job from the queue. Its tasks still count in the progress of its group, unless
 // it was cancelled.
-func (q *jobQueue) jobClosed(j *job) {
+func (q *jobQueue) handleJobClosed(j *job) {
 	if !j.cancelled {
 		progress := q.closedProgress[j.group()]
 		q.closedProgress[j.group()] = groupProgress{
@@ -75,11 +75,11 @@
 	q.invalidate()
 }
 
-// order returns the open jobs in the order in which they are placed; see queueEntry.before. Jobs without
+// jobsInOrder returns the open jobs in the order in which they are placed; see queueEntry.sortsBefore. Jobs without
 // waiting tasks are included, cancelled ones are not. The caller must not modify the slice.
 //
 // The order is cached for QueueOrderTTL, as slacks change slowly. A new or closed job invalidates it.
-func (q *jobQueue) order() []*job {
+func (q *jobQueue) jobsInOrder() []*job {
 	if q.now < q.orderedAt+limits.QueueOrderTTL && q.ordered != nil {
 		return q.ordered
 	}
@@ -91,10 +91,10 @@
 			continue
 		}
 		// Updated here so that it is the same for all tasks of the job until the next sort.
-		j.mayUseGangReservation = j.eligibleForGangReservation(q.now)
+		j.mayUseGangReservation = j.isEligibleForGangReservation(q.now)
 		entries = append(entries, q.newEntry(j))
 	}
-	sort.SliceStable(entries, func(a, b int) bool { return entries[a].before(&entries[b]) })
+	sort.SliceStable(entries, func(a, b int) bool { return entries[a].sortsBefore(&entries[b]) })
 	q.entries, q.ordered = entries, q.ordered[:0]
 	for i := range entries {
 		q.ordered = append(q.ordered, entries[i].job)
--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -44,16 +44,16 @@
 	return j
 }
 
-// order returns the IDs of the jobs in queue order, separated by spaces.
-func (f *queueFixture) order() string {
+// idsInOrder returns the IDs of the jobs in queue order, separated by spaces.
+func (f *queueFixture) idsInOrder() string {
 	var ids []string
-	for _, j := range f.queue.order() {
+	for _, j := range f.queue.jobsInOrder() {
 		ids = append(ids, j.id)
 	}
 	return strings.Join(ids, " ")
 }
 
-// TestQueueOrder checks the sort keys of the queue one by one; see queueEntry.before.
+// TestQueueOrder checks the sort keys of the queue one by one; see queueEntry.sortsBefore.
 func TestQueueOrder(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -97,7 +97,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newQueueFixture()
 			test.submit(f)
-			if got := f.order(); got != test.want {
+			if got := f.idsInOrder(); got != test.want {
 				t.Errorf("order %q, want %q", got, test.want)
 			}
 		})
@@ -111,21 +111,21 @@
 	f.env.now = time.Second
 	first := f.submit("a", "blue", "standard", 5, 1000)
 	f.submit("b", "blue", "standard", 6, 1000)
-	if got := f.order(); got != "a b" {
+	if got := f.idsInOrder(); got != "a b" {
 		t.Fatalf("order %q", got)
 	}
 	first.priority = protocol.PriorityLow
 	f.env.beginStep(f.env.now + limits.QueueOrderTTL - 1)
-	if got := f.order(); got != "a b" {
+	if got := f.idsInOrder(); got != "a b" {
 		t.Errorf("order %q before the TTL has passed", got)
 	}
 	f.submit("c", "blue", "standard", 7, 1000)
-	if got := f.order(); got != "b c a" {
+	if got := f.idsInOrder(); got != "b c a" {
 		t.Errorf("order %q after a job was submitted", got)
 	}
 	first.priority = protocol.PriorityStandard
 	f.env.beginStep(f.env.now + limits.QueueOrderTTL)
-	if got := f.order(); got != "a b c" {
+	if got := f.idsInOrder(); got != "a b c" {
 		t.Errorf("order %q after the TTL has passed", got)
 	}
 }
@@ -194,7 +194,7 @@
 			j := f.submit("job-1", "red", "standard", 100, 0)
 			j.doneCount = test.done
 			f.env.now = test.age
-			f.queue.order()
+			f.queue.jobsInOrder()
 			if got := f.queue.starvedTasks(j); got != test.starved {
 				t.Errorf("%d starved tasks, want %d", got, test.starved)
 			}
@@ -216,22 +216,22 @@
 	behind := f.submit("behind", "blue", "standard", 100, 0)
 	behind.doneCount = 10
 	f.env.now = time.Hour
-	f.queue.order()
+	f.queue.jobsInOrder()
 	if got := f.queue.starvedJobs(); !slices.Equal(got, []*job{waiting, behind, begun}) {
-		t.Errorf("order of the starved jobs: %v", ids(got))
+		t.Errorf("order of the starved jobs: %v", joinIDs(got))
 	}
 	closed := f.submit("closed", "red", "standard", 100, 0)
 	closed.doneCount = 100
 	f.jobs.close(closed)
-	f.queue.jobClosed(closed)
-	f.queue.order()
+	f.queue.handleJobClosed(closed)
+	f.queue.jobsInOrder()
 	if got := f.queue.servedShare(begun); got != 0.6 {
 		t.Errorf("served share of the group is %v, want 0.6", got)
 	}
 }
 
 // ids returns the IDs of jobs, formatted as a list.
-func ids(jobs []*job) string {
+func joinIDs(jobs []*job) string {
 	var out []string
 	for _, j := range jobs {
 		out = append(out, j.id)
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -67,7 +67,7 @@
 	case alreadyEnded:
 		return ended, false
 	case isAssigned:
-		return s.taskEnded(a, status), true
+		return s.handleTaskEnded(a, status), true
 	case j == nil || status.Reason != protocol.ReasonDone || j.cancelled:
 		return endedTask{}, false
 	}
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// pageWritten records the outcome of a page write and returns the machines that it has registered.
-func (r *machineRegistry) pageWritten(write registryPageWrite, ok bool, version uint64) []*machine {
+// handlePageWritten records the outcome of a page write and returns the machines that it has registered.
+func (r *machineRegistry) handlePageWritten(write registryPageWrite, ok bool, version uint64) []*machine {
 	page := write.page
 	page.writeInFlight = false
 	if !ok {
@@ -182,9 +182,9 @@
 	}
 }
 
-// registryPageWritten handles the outcome of a page write: the machines that it registered may now get starts.
-func (s *Scheduler) registryPageWritten(write registryPageWrite, ok bool, version uint64) {
-	for _, m := range s.registry.pageWritten(write, ok, version) {
+// handleRegistryPageWritten handles the outcome of a page write: the machines that it registered may now get starts.
+func (s *Scheduler) handleRegistryPageWritten(write registryPageWrite, ok bool, version uint64) {
+	for _, m := range s.registry.handlePageWritten(write, ok, version) {
 		s.gangs.requestCommit()
 		s.dispatcher.enqueue(m)
 	}
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// rent starts a rental of count machines, but at most maxPerRental. The record is written before the
+// startRental starts a rental of count machines, but at most maxPerRental. The record is written before the
 // request is sent, so that the next leader can repeat the request and obtain the names of the machines.
-func (t *rentalTable) rent(pool machinePool, count int) {
+func (t *rentalTable) startRental(pool machinePool, count int) {
 	t.rentalSequence++
 	r := &rental{
 		name:        fmt.Sprintf("h-%d-%d", t.cfg.Term, t.rentalSequence),
@@ -214,7 +214,7 @@
 func (t *rentalTable) reconcile(r *rental) {
 	switch {
 	case r.writeInFlight || r.version == 0:
-		// rentalWritten calls reconcile again once the write has succeeded.
+		// handleRentalWritten calls reconcile again once the write has succeeded.
 	case r.state == rentalAnswered && len(r.record.Machines) == 0:
 		t.removeRecord(r)
 	case r.dirty && r.state != rentalRemoving:
@@ -245,9 +245,11 @@
 	)
 }
 
-// recordWritten handles the outcome of writeRecord. If the written record is the first one with the cloud's
+// handleRecordWritten handles the outcome of writeRecord. If the written record is the first one with the cloud's
 // reply, it returns the names of the rental's machines.
-func (t *rentalTable) recordWritten(r *rental, write rentalWrite, ok bool, version uint64) (newlyDurable []string) {
+func (t *rentalTable) handleRecordWritten(
+	r *rental, write rentalWrite, ok bool, version uint64,
+) (newlyDurable []string) {
 	r.writeInFlight = false
 	if !ok {
 		// Only the leader writes rentals, so a conflict is not expected. If one occurs, the machines get
@@ -273,7 +275,7 @@
 	t.reconcile(r)
 }
 
-// removeRecord starts the removal of a rental's record. removalWritten then removes the rental itself.
+// removeRecord starts the removal of a rental's record. handleRemovalWritten then removes the rental itself.
 func (t *rentalTable) removeRecord(r *rental) {
 	r.state = rentalRemoving
 	key := storage.RentalKey(r.name)
@@ -284,9 +286,9 @@
 	)
 }
 
-// removalWritten handles the outcome of removeRecord: it removes the rental, or makes reconcile retry the
+// handleRemovalWritten handles the outcome of removeRecord: it removes the rental, or makes reconcile retry the
 // removal if it has failed.
-func (t *rentalTable) removalWritten(write rentalRemoval, ok bool) {
+func (t *rentalTable) handleRemovalWritten(write rentalRemoval, ok bool) {
 	if ok {
 		delete(t.byName, write.rental)
 	} else if r := t.byName[write.rental]; r != nil {
@@ -294,13 +296,13 @@
 	}
 }
 
-// rentalWritten handles the outcome of a write of a rental's record.
-func (s *Scheduler) rentalWritten(write rentalWrite, ok bool, version uint64) {
+// handleRentalWritten handles the outcome of a write of a rental's record.
+func (s *Scheduler) handleRentalWritten(write rentalWrite, ok bool, version uint64) {
 	r := s.rentals.find(write.rental)
 	if r == nil {
 		return
 	}
-	for _, name := range s.rentals.recordWritten(r, write, ok, version) {
+	for _, name := range s.rentals.handleRecordWritten(r, write, ok, version) {
 		if m := s.inventory.find(name); m != nil && m.hasReported {
 			s.registerMachine(m) // reported before the record was written, so it could not be registered then
 		}
@@ -310,9 +312,9 @@
 	}
 }
 
-// rentalDone handles the outcome of RentMachines. If it is unknown whether the cloud executed the request,
+// handleRentalDone handles the outcome of RentMachines. If it is unknown whether the cloud executed the request,
 // the request is sent again.
-func (s *Scheduler) rentalDone(e RentalDone) {
+func (s *Scheduler) handleRentalDone(e RentalDone) {
 	r := s.rentals.find(e.Name)
 	if r == nil || r.state != rentalRequested {
 		return
--- a/internal/coordination/scheduler/rentals_test.go
+++ b/internal/coordination/scheduler/rentals_test.go
@@ -18,17 +18,17 @@
 		if got := rentals.poolState(pool).backoffUntil - env.now; got != expected {
 			t.Fatalf("backoff of %v, want %v", got, expected)
 		}
-		if !rentals.isBackedOff(pool) || !rentals.lastReplyIncomplete(pool) {
+		if !rentals.isBackedOff(pool) || !rentals.wasLastReplyIncomplete(pool) {
 			t.Fatal("pool is not backed off right after it had no machines")
 		}
 		env.now += expected
-		if rentals.isBackedOff(pool) || !rentals.lastReplyIncomplete(pool) {
+		if rentals.isBackedOff(pool) || !rentals.wasLastReplyIncomplete(pool) {
 			t.Fatalf("after a backoff of %v, pool is still backed off or its last reply counts as complete", expected)
 		}
 		expected = min(2*expected, limits.CapacityBackoffMax)
 	}
 	rentals.resetBackoff(pool)
-	if rentals.lastReplyIncomplete(pool) || rentals.isBackedOff(other) || rentals.lastReplyIncomplete(other) {
+	if rentals.wasLastReplyIncomplete(pool) || rentals.isBackedOff(other) || rentals.wasLastReplyIncomplete(other) {
 		t.Error("backoff not reset, or another pool is backed off")
 	}
 }
@@ -39,7 +39,7 @@
 	f := newSchedulerFixture(t, 1)
 	rentals := f.scheduler.rentals
 	f.tick()
-	rentals.rent(machinePool{"s8", "a", false}, 1)
+	rentals.startRental(machinePool{"s8", "a", false}, 1)
 	writes := effectsOf[WriteRecords](f.scheduler.effects)
 	if len(writes) != 1 || len(effectsOf[RentMachines](f.scheduler.effects)) != 0 {
 		t.Fatalf("want one write and no request before the record is durable, got %+v", f.scheduler.effects)
--- a/internal/coordination/scheduler/reservation.go
+++ b/internal/coordination/scheduler/reservation.go
@@ -12,7 +12,7 @@
 func (p *placer) reserveForJob(j *job) {
 	pass := &p.pass
 	count := min(p.queue.starvedTasks(j), pass.reservationsLeft)
-	if count <= 0 || !j.team.withinLimit(j.demand) {
+	if count <= 0 || !j.team.isWithinLimit(j.demand) {
 		return
 	}
 	candidates := pass.reservationCandidates[:0]
@@ -29,7 +29,7 @@
 // reserveForGang reserves machines for a starved gang that could not be placed. If the gang must run in
 // one zone, all of them are in one zone.
 func (p *placer) reserveForGang(j *job) {
-	if j.waitingTasks() == 0 || p.pass.reservationsLeft <= 0 || !j.withinTeamLimit() {
+	if j.waitingTasks() == 0 || p.pass.reservationsLeft <= 0 || !j.isWithinTeamLimit() {
 		return
 	}
 	machinesByZone := map[string][]*machine{}
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -74,7 +74,7 @@
 		if m.deleting || !m.hasReported || m.neededByPlan || len(m.assignments) > 0 || m.rental == "" {
 			continue
 		}
-		if !m.resultsDurable() {
+		if !m.hasOnlyDurableResults() {
 			s.finished.expediteResults(m)
 			continue
 		}
--- a/internal/coordination/scheduler/snapshot.go
+++ b/internal/coordination/scheduler/snapshot.go
@@ -139,7 +139,7 @@
 		e.add("failed on %d machines with no success between; tried again in %v",
 			len(j.failedMachines), (j.retryAt - s.now).Round(time.Second))
 	}
-	if !j.withinTeamLimit() {
+	if !j.isWithinTeamLimit() {
 		e.add("team %s uses %v of at most %v CPUs", j.spec.Team, j.team.allocated.CPUs, j.team.cfg.MaxCPUs)
 	}
 	if j.gang != nil {
@@ -171,7 +171,7 @@
 // explainQueue adds the job's position in the queue and how long it can wait without missing a
 // deadline.
 func (s *Scheduler) explainQueue(j *job, e *explanation) {
-	for ahead, other := range s.queue.order() {
+	for ahead, other := range s.queue.jobsInOrder() {
 		if other == j {
 			e.add("%d jobs are ahead in the queue", ahead)
 		}
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -8,20 +8,20 @@
 // effects.
 func (s *Scheduler) Step(e Event, now time.Duration) []Effect {
 	s.beginStep(now)
-	s.process(e)
+	s.handleEvent(e)
 	s.tryEndRecovery()
-	s.decide()
-	s.dispatch()
+	s.updatePlacement()
+	s.dispatchCommands()
 	return s.effects
 }
 
-// process passes an event to its handler.
-func (s *Scheduler) process(e Event) {
+// handleEvent passes an event to its handler.
+func (s *Scheduler) handleEvent(e Event) {
 	switch e := e.(type) {
 	case JobChanged:
-		s.jobChanged(e)
+		s.handleJobChanged(e)
 	case JobRemoved:
-		s.jobRemoved(e)
+		s.handleJobRemoved(e)
 	case FinishedTasksLoaded:
 		s.finished.load(e)
 	case RentalLoaded:
@@ -29,23 +29,23 @@
 	case RegistryPageLoaded:
 		s.registry.load(e)
 	case StateLoaded:
-		s.stateLoaded()
+		s.handleStateLoaded()
 	case HeartbeatReceived:
-		s.heartbeatReceived(e)
+		s.handleHeartbeat(e)
 	case ProbeDone:
-		s.probeDone(e)
+		s.handleProbeDone(e)
 	case DirectCommandsDone:
-		s.directCommandsDone(e)
+		s.handleDirectCommandsDone(e)
 	case WriteCompleted:
-		s.writeCompleted(e)
+		s.handleWriteCompleted(e)
 	case RentalDone:
-		s.rentalDone(e)
+		s.handleRentalDone(e)
 	case DeletionDone:
-		s.deletionDone(e)
+		s.handleDeletionDone(e)
 	case MachinesListed:
-		s.machinesListed(e)
+		s.handleMachinesListed(e)
 	case MachineTypesFetched:
-		s.machineTypesFetched(e)
+		s.handleMachineTypesFetched(e)
 	case TaskCountsRequested:
 		s.jobs.answerTaskCounts(e)
 	case SnapshotRequested:
@@ -55,9 +55,9 @@
 	}
 }
 
-// stateLoaded starts the recovery of a new term and requests the machine types and the list of
+// handleStateLoaded starts the recovery of a new term and requests the machine types and the list of
 // machines from the cloud.
-func (s *Scheduler) stateLoaded() {
+func (s *Scheduler) handleStateLoaded() {
 	s.logInfo("recovery started",
 		"jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
 	s.recovery.markRecordsLoaded()
@@ -67,9 +67,9 @@
 	s.tick(true)
 }
 
-// decide updates the gangs, places waiting tasks, and commits the gangs whose tasks all have machines,
+// updatePlacement updates the gangs, places waiting tasks, and commits the gangs whose tasks all have machines,
 // so that they can start.
-func (s *Scheduler) decide() {
+func (s *Scheduler) updatePlacement() {
 	s.reconcileGangs()
 	s.placeTasks()
 	s.reconcileGangs()
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -31,9 +31,9 @@
 	previous := a.state
 	switch status.State {
 	case protocol.TaskGathering:
-		s.taskGathering(a)
+		s.handleTaskGathering(a)
 	case protocol.TaskRunning:
-		s.taskRunning(a)
+		s.handleTaskRunning(a)
 	case protocol.TaskSaving:
 		a.state = stateSaving
 	default:
@@ -47,8 +47,8 @@
 	}
 }
 
-// taskGathering records that a task of a gang has its image and waits for the other tasks of the gang.
-func (s *Scheduler) taskGathering(a *assignment) {
+// handleTaskGathering records that a task of a gang has its image and waits for the other tasks of the gang.
+func (s *Scheduler) handleTaskGathering(a *assignment) {
 	if a.state == stateGathering {
 		return
 	}
@@ -57,8 +57,8 @@
 	s.gangs.setCompletionDeadline(a.job.gang)
 }
 
-// taskRunning records that a task is running, and since when.
-func (s *Scheduler) taskRunning(a *assignment) {
+// handleTaskRunning records that a task is running, and since when.
+func (s *Scheduler) handleTaskRunning(a *assignment) {
 	if a.state == stateRunning {
 		return
 	}
@@ -84,16 +84,16 @@
 	a.machine.cachedImages[a.job.spec.Image] = now
 }
 
-// taskEnded handles the end of an assigned task, or the worker's refusal to start it.
-func (s *Scheduler) taskEnded(a *assignment, status *protocol.TaskStatus) endedTask {
+// handleTaskEnded handles the end of an assigned task, or the worker's refusal to start it.
+func (s *Scheduler) handleTaskEnded(a *assignment, status *protocol.TaskStatus) endedTask {
 	j, m := a.job, a.machine
 	runTime := a.runTime(s.now)
 	s.assignments.release(a)
-	s.gangs.taskEnded(a, status)
+	s.gangs.handleTaskEnded(a, status)
 	ended := endedTask{startMayArrive: a.startUnconfirmed}
 	switch status.Reason {
 	case protocol.ReasonDone:
-		s.taskCompleted(a, runTime, &ended)
+		s.handleTaskCompleted(a, runTime, &ended)
 	case protocol.ReasonError:
 		m.wastedCPUSeconds += runTime * j.demand.CPUs
 		s.logWarn("task failed", keyJob, j.id, keyTask, a.index, keyAttempt, status.Attempt, keyMachine, m.name)
@@ -120,9 +120,9 @@
 	return ended
 }
 
-// taskCompleted records the result of an assigned task. It stores in ended which chunk contains the
+// handleTaskCompleted records the result of an assigned task. It stores in ended which chunk contains the
 // result, because the worker must keep the result until that chunk is durable.
-func (s *Scheduler) taskCompleted(a *assignment, runTime float64, ended *endedTask) {
+func (s *Scheduler) handleTaskCompleted(a *assignment, runTime float64, ended *endedTask) {
 	j, m := a.job, a.machine
 	m.cachedImages[j.spec.Image] = s.now
 	m.recordSuccess(runTime * j.demand.CPUs)
--- a/internal/coordination/scheduler/team.go
+++ b/internal/coordination/scheduler/team.go
@@ -14,8 +14,8 @@
 	unfinishedDemand resource.Vector // needed by all unfinished tasks of its jobs; see jobTable.updateGuarantees
 }
 
-// withinLimit reports whether the team stays within its limit if it uses the given resources in addition.
-func (t *team) withinLimit(demand resource.Vector) bool {
+// isWithinLimit reports whether the team stays within its limit if it uses the given resources in addition.
+func (t *team) isWithinLimit(demand resource.Vector) bool {
 	const eps = limits.Epsilon
 	return t.allocated.CPUs+demand.CPUs <= t.cfg.MaxCPUs+eps &&
 		t.allocated.Accelerators+demand.Accelerators <= t.cfg.MaxGPUs+eps
