--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -238,7 +238,7 @@
 // isEntitled reports whether a controller is running and currently entitled to act as the leader.
 func (c *cluster) isEntitled(name string) bool {
 	p := c.processes[name]
-	return p != nil && p.controller.dispatcher.Entitled()
+	return p != nil && p.controller.dispatcher.IsEntitled()
 }
 
 // waitForLeader waits until exactly one controller is entitled to act as the leader, and returns its
--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -112,7 +112,7 @@
 func (c *cluster) checkAtMostOneEntitled() {
 	entitled := ""
 	for name, p := range c.processes {
-		if !p.controller.dispatcher.Entitled() {
+		if !p.controller.dispatcher.IsEntitled() {
 			continue
 		}
 		if entitled != "" {
--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -122,9 +122,9 @@
 
 func (e *Elector) setLeader(name string) { e.leader.Store(&name) }
 
-// StateReachable reports whether this process can reach the state service now. It reads one key and
+// CanReachStateService reports whether this process can reach the state service now. It reads one key and
 // blocks until the read completes or times out.
-func (e *Elector) StateReachable(ctx context.Context) bool {
+func (e *Elector) CanReachStateService(ctx context.Context) bool {
 	_, err := e.options.Store.Get(ctx, storage.KeyLeader)
 	return err == nil
 }
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -214,9 +214,9 @@
 	for _, n := range c.nodes {
 		replaced = replaced || (n != isolated && n.entitledLeadership() != nil)
 	}
-	if old.Entitled() == fromStateService || replaced != fromStateService {
+	if old.IsEntitled() == fromStateService || replaced != fromStateService {
 		t.Errorf("isolated from state service: %v; old leader entitled: %v, want %v; another entitled: %v, want %v",
-			fromStateService, old.Entitled(), !fromStateService, replaced, fromStateService)
+			fromStateService, old.IsEntitled(), !fromStateService, replaced, fromStateService)
 	}
 }
 
--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -60,11 +60,11 @@
 //   - Withdraw the vote of this controller.
 //   - Wait until a majority of the controllers, this one included, has recorded its withdrawal.
 func (e *Elector) advanceReplacement(ctx context.Context, s *suspicion) bool {
-	if !e.voter.voteRequestOverdue(s.followedAt) {
+	if !e.voter.isVoteRequestOverdue(s.followedAt) {
 		s.clear()
 		return false
 	}
-	if s.suspected() && !s.olderThan(limits.LeaseExpiredAfter(e.voter.voteLease)) {
+	if s.isActive() && !s.isOlderThan(limits.LeaseExpiredAfter(e.voter.voteLease)) {
 		return false
 	}
 	key, err := e.options.Store.Get(ctx, storage.KeyLeaderHeartbeat)
@@ -78,7 +78,7 @@
 	if !e.voter.withdraw(s.heartbeatVersion) || !e.recordWithdrawal(ctx, s) {
 		return false
 	}
-	return e.majorityWithdrew(ctx, s.heartbeatVersion)
+	return e.hasMajorityWithdrawn(ctx, s.heartbeatVersion)
 }
 
 // recordWithdrawal writes to the state service that this controller has withdrawn its vote, and
@@ -95,9 +95,9 @@
 	return s.withdrawalRecorded
 }
 
-// majorityWithdrew reports whether a majority of the controllers has recorded the withdrawal of its
+// hasMajorityWithdrawn reports whether a majority of the controllers has recorded the withdrawal of its
 // votes for the given heartbeat version. It returns false if the records cannot be read.
-func (e *Elector) majorityWithdrew(ctx context.Context, heartbeatVersion uint64) bool {
+func (e *Elector) hasMajorityWithdrawn(ctx context.Context, heartbeatVersion uint64) bool {
 	withdrawals := 0
 	_, err := e.options.Store.List(ctx, storage.PrefixVoteWithdrawal, func(key protocol.KeyValue) error {
 		var w storage.VoteWithdrawal
--- a/internal/coordination/election/handover_test.go
+++ b/internal/coordination/election/handover_test.go
@@ -32,7 +32,7 @@
 		first.store.setRejected(time.Now().Add(time.Hour))
 		old := first.entitledLeadership()
 		time.Sleep(limits.LeaderLease / 2)
-		if old == nil || old.Entitled() {
+		if old == nil || old.IsEntitled() {
 			t.Fatal("the old leader was not entitled before, or is still entitled after the handover")
 		}
 		if first.entitledLeadership() != nil || second.entitledLeadership() == nil {
@@ -85,14 +85,14 @@
 // leadership, and that a late renewal of the leader lease does not make it entitled again.
 func TestResignsBeforeOffer(t *testing.T) {
 	l := NewLeadership(1, 1, time.Now().Add(time.Hour))
-	if !l.Entitled() {
+	if !l.IsEntitled() {
 		t.Fatal("not entitled before the handover")
 	}
 	offers := 0
 	peers := successorPeers{onOffer: func() {
 		offers++
 		l.extendLease(time.Now().Add(2 * time.Hour))
-		if l.Entitled() {
+		if l.IsEntitled() {
 			t.Error("still entitled when the leadership is offered")
 		}
 	}}
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -11,7 +11,7 @@
 
 // Leadership is the leadership of this process in one term. The process is entitled to act as the
 // leader while it holds a valid leader lease and, if it needs votes, a valid quorum lease. The
-// elector extends both. Entitled may be called by any goroutine.
+// elector extends both. IsEntitled may be called by any goroutine.
 type Leadership struct {
 	Term       uint64 // the fencing token; unique among terms
 	KeyVersion uint64 // of the leader key; a condition of every write of the term
@@ -54,11 +54,11 @@
 	}
 }
 
-// Entitled reports whether this process is entitled to act as the leader at this moment; no other
+// IsEntitled reports whether this process is entitled to act as the leader at this moment; no other
 // controller is entitled then. The process may be descheduled right afterwards. Whatever depends on
 // the result is therefore also protected by the term, by the version of the leader key, or by a name
 // that is never reused.
-func (l *Leadership) Entitled() bool {
+func (l *Leadership) IsEntitled() bool {
 	if l.resigned.Load() {
 		return false
 	}
--- a/internal/coordination/election/node_test.go
+++ b/internal/coordination/election/node_test.go
@@ -139,7 +139,7 @@
 func (n *node) entitledLeadership() *Leadership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leadership != nil && n.leadership.Entitled() {
+	if n.leadership != nil && n.leadership.IsEntitled() {
 		return n.leadership
 	}
 	return nil
@@ -170,14 +170,14 @@
 	n.isolatedUntil = until
 }
 
-func (n *node) isolated() bool {
+func (n *node) isIsolated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Now().Before(n.isolatedUntil)
 }
 
 // canReach reports whether calls between two nodes can succeed.
-func (n *node) canReach(other *node) bool { return !n.isolated() && !other.isolated() }
+func (n *node) canReach(other *node) bool { return !n.isIsolated() && !other.isIsolated() }
 
 // callPeer simulates a request to another node: it waits for a random delay and returns that node's
 // elector. It returns nil if the request is lost.
@@ -211,7 +211,7 @@
 		if other == n || !n.canReach(other) || n.store.withProbability(0.2) {
 			continue
 		}
-		if other.runningElector() != nil && other.runningElector().StateReachable(ctx) {
+		if other.runningElector() != nil && other.runningElector().CanReachStateService(ctx) {
 			return other.name
 		}
 	}
--- a/internal/coordination/election/quorum_test.go
+++ b/internal/coordination/election/quorum_test.go
@@ -45,13 +45,13 @@
 		r := &quorumRenewer{elector: e, leadership: l, heartbeatVersion: put(storage.KeyLeaderHeartbeat)}
 
 		unknown := put(storage.KeyLeaderHeartbeat)
-		if r.writeHeartbeat(ctx) || version() != unknown || r.heartbeatVersion != unknown || l.Entitled() {
+		if r.writeHeartbeat(ctx) || version() != unknown || r.heartbeatVersion != unknown || l.IsEntitled() {
 			t.Errorf("write over an unknown version: record has version %d, known %d, want %d; entitled: %v",
-				version(), r.heartbeatVersion, unknown, l.Entitled())
+				version(), r.heartbeatVersion, unknown, l.IsEntitled())
 		}
-		if r.writeHeartbeat(ctx) || version() == unknown || r.heartbeatVersion != version() || !l.Entitled() {
+		if r.writeHeartbeat(ctx) || version() == unknown || r.heartbeatVersion != version() || !l.IsEntitled() {
 			t.Errorf("write over a known version: record has version %d, known %d, want equal; entitled: %v",
-				version(), r.heartbeatVersion, l.Entitled())
+				version(), r.heartbeatVersion, l.IsEntitled())
 		}
 		put(storage.KeyLeader)
 		if last := version(); !r.writeHeartbeat(ctx) || version() != last {
--- a/internal/coordination/election/suspicion.go
+++ b/internal/coordination/election/suspicion.go
@@ -30,14 +30,14 @@
 	s.heartbeatVersion, s.beganAt, s.withdrawalRecorded = heartbeatVersion, time.Now(), false
 }
 
-// suspected reports whether the leader is suspected.
-func (s *suspicion) suspected() bool { return !s.beganAt.IsZero() }
+// isActive reports whether the leader is suspected.
+func (s *suspicion) isActive() bool { return !s.beganAt.IsZero() }
 
-// olderThan reports whether the suspicion began more than d ago.
-func (s *suspicion) olderThan(d time.Duration) bool { return time.Since(s.beganAt) > d }
+// isOlderThan reports whether the suspicion began more than d ago.
+func (s *suspicion) isOlderThan(d time.Duration) bool { return time.Since(s.beganAt) > d }
 
 // matchesHeartbeat reports whether the leader is suspected and the heartbeat record still has the
 // version at which the suspicion began.
 func (s *suspicion) matchesHeartbeat(heartbeatVersion uint64) bool {
-	return s.suspected() && heartbeatVersion == s.heartbeatVersion
+	return s.isActive() && heartbeatVersion == s.heartbeatVersion
 }
--- a/internal/coordination/election/voter.go
+++ b/internal/coordination/election/voter.go
@@ -54,10 +54,10 @@
 	return true
 }
 
-// voteRequestOverdue reports whether this process has received no vote request for longer than the
+// isVoteRequestOverdue reports whether this process has received no vote request for longer than the
 // share limits.SuspicionShare of the vote lease. The time counts from the last request or from since,
 // whichever is later.
-func (v *voter) voteRequestOverdue(since time.Time) bool {
+func (v *voter) isVoteRequestOverdue(since time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.requestedAt.After(since) {
--- a/internal/coordination/election/voter_test.go
+++ b/internal/coordination/election/voter_test.go
@@ -54,7 +54,7 @@
 		service.SetUnavailable(true) // no heartbeat records, only votes
 		time.Sleep(2 * limits.VoteLeaseMin)
 		l := leadership.Load()
-		if l == nil || !l.Entitled() {
+		if l == nil || !l.IsEntitled() {
 			t.Fatal("not entitled by the votes of a majority")
 		}
 		if e.voter.withdraw(1 << 60) {
@@ -64,7 +64,7 @@
 		e.voter.withdrawnUpTo = 1 << 60
 		e.voter.mu.Unlock()
 		time.Sleep(limits.LeaseExpiredAfter(limits.VoteLeaseMin))
-		if l.Entitled() {
+		if l.IsEntitled() {
 			t.Error("still entitled without the votes of a majority")
 		}
 		cancel()
--- a/internal/coordination/leader/cloud_effects.go
+++ b/internal/coordination/leader/cloud_effects.go
@@ -26,7 +26,7 @@
 // tryRental sends a rental request once. It returns false if the request must be repeated: its outcome
 // is unknown, or it was not sent because this leader is not entitled at the moment.
 func (t *termActor) tryRental(ctx context.Context, request protocol.RentalRequest) (scheduler.RentalDone, bool) {
-	if !t.leadership.Entitled() {
+	if !t.leadership.IsEntitled() {
 		return scheduler.RentalDone{}, false
 	}
 	machines, err := t.dispatcher.cloud.RentMachines(ctx, request)
@@ -46,7 +46,7 @@
 // executeDeletion asks the cloud once to delete machines. The scheduler retries a failed deletion.
 func (t *termActor) executeDeletion(ctx context.Context, machines []string) {
 	done := scheduler.DeletionDone{Machines: machines}
-	if t.leadership.Entitled() {
+	if t.leadership.IsEntitled() {
 		err := t.dispatcher.cloud.DeleteMachines(ctx, machines)
 		if err != nil {
 			t.log.Info("deletion of machines not confirmed by the cloud", "machines", len(machines), "err", err)
--- a/internal/coordination/leader/direct_commands.go
+++ b/internal/coordination/leader/direct_commands.go
@@ -18,7 +18,7 @@
 	ctx context.Context, effect scheduler.SendDirectCommands, worker *transport.Client,
 ) {
 	done := scheduler.DirectCommandsDone{ID: effect.ID, Machine: effect.Machine}
-	if !t.leadership.Entitled() {
+	if !t.leadership.IsEntitled() {
 		done.NotExecuted = true
 		t.sendEvent(ctx, done)
 		return
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -65,14 +65,14 @@
 func (d *Dispatcher) OnTermLost(termLost func(term uint64)) { d.onTermLost = termLost }
 
 // IsLeader reports whether this process runs a term. Another controller may have become the leader
-// since, without this process having detected it; see Entitled.
+// since, without this process having detected it; see IsEntitled.
 func (d *Dispatcher) IsLeader() bool { return d.current.Load() != nil }
 
-// Entitled reports whether this process is entitled to act as the leader at this moment. No other
+// IsEntitled reports whether this process is entitled to act as the leader at this moment. No other
 // controller is entitled then.
-func (d *Dispatcher) Entitled() bool {
+func (d *Dispatcher) IsEntitled() bool {
 	t := d.current.Load()
-	return t != nil && t.leadership.Entitled()
+	return t != nil && t.leadership.IsEntitled()
 }
 
 // HandleHeartbeat passes a worker's heartbeat to the actor. It never blocks: if this process does not
@@ -83,9 +83,9 @@
 	d.enqueueHeartbeat(heartbeatMessage{body: body, respond: respond, sameConnection: sameConnection})
 }
 
-// RelayedHeartbeat passes to the actor a worker's heartbeat that another controller has relayed. It
+// HandleRelayedHeartbeat passes to the actor a worker's heartbeat that another controller has relayed. It
 // returns the HTTP status and the body of the reply. See HandleHeartbeat for sameConnection.
-func (d *Dispatcher) RelayedHeartbeat(ctx context.Context, body []byte, sameConnection bool) (int, []byte) {
+func (d *Dispatcher) HandleRelayedHeartbeat(ctx context.Context, body []byte, sameConnection bool) (int, []byte) {
 	type response struct {
 		status int
 		body   []byte
@@ -129,7 +129,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limits.TaskCountsTimeout)
 	defer cancel()
 	reply := make(chan scheduler.TaskCounts, 1)
-	counts, ok := request(ctx, t, taskCountsMessage{job: job, reply: reply}, reply)
+	counts, ok := requestReply(ctx, t, taskCountsMessage{job: job, reply: reply}, reply)
 	return peer.TaskCounts{Done: counts.Done, Running: counts.Running}, ok && counts.Known
 }
 
@@ -151,19 +151,19 @@
 	ctx, cancel := context.WithTimeout(ctx, limits.CancelConfirmTimeout)
 	defer cancel()
 	reply := make(chan bool, 1)
-	entitled, ok := request(ctx, t, cancellationMessage{change: change, reply: reply}, reply)
+	entitled, ok := requestReply(ctx, t, cancellationMessage{change: change, reply: reply}, reply)
 	return ok && entitled
 }
 
-// Inspect returns the status of the current term, or false if this process does not lead. If a job is
+// Status returns the status of the current term, or false if this process does not lead. If a job is
 // named, the status explains why it waits.
-func (d *Dispatcher) Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
+func (d *Dispatcher) Status(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
 	t := d.current.Load()
 	if t == nil {
 		return nil, false
 	}
 	reply := make(chan scheduler.Snapshot, 1)
-	snapshot, ok := request(ctx, t, inspectMessage{job: job, reply: reply}, reply)
+	snapshot, ok := requestReply(ctx, t, statusMessage{job: job, reply: reply}, reply)
 	if !ok {
 		return nil, false
 	}
--- a/internal/coordination/leader/effects.go
+++ b/internal/coordination/leader/effects.go
@@ -42,7 +42,7 @@
 	switch {
 	case reply.Redirect:
 		reply.ReplyTo.Redirect(protocol.Redirect{Leader: t.dispatcher.settings.NodeName})
-	case !reply.Accepted || !t.leadership.Entitled():
+	case !reply.Accepted || !t.leadership.IsEntitled():
 		reply.ReplyTo.Reject()
 	default:
 		reply.ReplyTo.Accept(protocol.HeartbeatReply{FencingToken: t.leadership.Term, Commands: reply.Commands})
--- a/internal/coordination/leader/messages.go
+++ b/internal/coordination/leader/messages.go
@@ -38,9 +38,9 @@
 	reply  chan bool
 }
 
-// inspectMessage requests a snapshot of the scheduler. If a job is named, the snapshot explains why it
+// statusMessage requests a snapshot of the scheduler. If a job is named, the snapshot explains why it
 // waits.
-type inspectMessage struct {
+type statusMessage struct {
 	job   string
 	reply chan scheduler.Snapshot
 }
@@ -50,7 +50,7 @@
 func (observedRevisionMessage) isMessage() {}
 func (taskCountsMessage) isMessage()       {}
 func (cancellationMessage) isMessage()     {}
-func (inspectMessage) isMessage()          {}
+func (statusMessage) isMessage()           {}
 
 // send puts a message into the mailbox. It blocks while the mailbox is full, until the context ends.
 func (t *termActor) send(ctx context.Context, msg message) {
@@ -65,9 +65,9 @@
 	t.send(ctx, eventMessage{event})
 }
 
-// request sends a message to the actor and waits for the reply. It returns false if the context ends
+// requestReply sends a message to the actor and waits for the reply. It returns false if the context ends
 // first. The reply channel must be buffered, so that the actor never blocks on a late reply.
-func request[T any](ctx context.Context, t *termActor, msg message, replies <-chan T) (reply T, ok bool) {
+func requestReply[T any](ctx context.Context, t *termActor, msg message, replies <-chan T) (reply T, ok bool) {
 	select {
 	case t.mailbox <- msg:
 	case <-ctx.Done():
--- a/internal/coordination/leader/probes.go
+++ b/internal/coordination/leader/probes.go
@@ -68,7 +68,7 @@
 	if err := protocol.Decode(response.Body, &heartbeat); err != nil {
 		return nil, fmt.Errorf("worker: get status: decode reply: %w", err)
 	}
-	if !t.leadership.Entitled() {
+	if !t.leadership.IsEntitled() {
 		return nil, fmt.Errorf("worker: send commands: %w", errNotEntitled)
 	}
 	return sendDirectCommands(ctx, worker, protocol.DirectCommands{
--- a/internal/coordination/leader/status.go
+++ b/internal/coordination/leader/status.go
@@ -10,7 +10,7 @@
 	reply := &peerpb.StatusReply{
 		Leader:      t.dispatcher.settings.NodeName,
 		Term:        snapshot.Term,
-		Entitled:    t.leadership.Entitled(),
+		Entitled:    t.leadership.IsEntitled(),
 		Recovered:   snapshot.Recovered,
 		Explanation: snapshot.Explanation,
 	}
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -97,7 +97,7 @@
 			t.writes.pop()
 		case <-tick.C:
 			t.workerClients.evict(t.dispatcher.sockets.ExcessOutbound())
-			t.step(ctx, scheduler.Tick{Entitled: t.leadership.Entitled()})
+			t.step(ctx, scheduler.Tick{Entitled: t.leadership.IsEntitled()})
 		case msg := <-t.mailbox:
 			t.handleMessage(ctx, msg)
 		}
@@ -117,8 +117,8 @@
 		t.step(ctx, scheduler.TaskCountsRequested{JobID: msg.job, ReplyTo: msg.reply})
 	case cancellationMessage:
 		t.step(ctx, msg.change)
-		msg.reply <- t.leadership.Entitled()
-	case inspectMessage:
+		msg.reply <- t.leadership.IsEntitled()
+	case statusMessage:
 		t.step(ctx, scheduler.SnapshotRequested{JobID: msg.job, ReplyTo: msg.reply})
 	}
 }
@@ -141,7 +141,7 @@
 	t.step(ctx, scheduler.HeartbeatReceived{
 		Heartbeat:      &heartbeat,
 		ReplyTo:        msg.respond,
-		Entitled:       wait < limits.HeartbeatReplyTimeout && t.leadership.Entitled(),
+		Entitled:       wait < limits.HeartbeatReplyTimeout && t.leadership.IsEntitled(),
 		Relayed:        msg.relayed,
 		SameConnection: msg.sameConnection,
 	})
--- a/internal/coordination/peer/server.go
+++ b/internal/coordination/peer/server.go
@@ -14,28 +14,28 @@
 )
 
 // LeaderHandler handles the requests that only the leader can answer. If this process does not lead,
-// RelayedHeartbeat returns status 503 and the other methods return false. The methods are called
+// HandleRelayedHeartbeat returns status 503 and the other methods return false. The methods are called
 // concurrently.
 type LeaderHandler interface {
 	// TaskCounts returns a job's task counts. It returns false if this process does not lead or does not
 	// know the job.
 	TaskCounts(ctx context.Context, job string) (TaskCounts, bool)
-	// RelayedHeartbeat processes a worker's heartbeat that another controller has relayed, and returns
+	// HandleRelayedHeartbeat processes a worker's heartbeat that another controller has relayed, and returns
 	// the HTTP status and body of the reply to the worker. sameConnection means that the worker's
 	// previous heartbeat on its connection was answered with 200.
-	RelayedHeartbeat(ctx context.Context, heartbeat []byte, sameConnection bool) (status int, body []byte)
+	HandleRelayedHeartbeat(ctx context.Context, heartbeat []byte, sameConnection bool) (status int, body []byte)
 	// ConfirmCancellation processes the open record of a cancelled job; keyVersion is the version of its
 	// key. It reports whether this process was the entitled leader after it had processed the record.
 	ConfirmCancellation(ctx context.Context, job string, keyVersion uint64, record []byte) bool
-	// Inspect returns the status of the deployment as the leader sees it, or false if this process does
+	// Status returns the status of the deployment as the leader sees it, or false if this process does
 	// not lead. If a job is given, the status explains why the job waits.
-	Inspect(ctx context.Context, job string) (*peerpb.StatusReply, bool)
+	Status(ctx context.Context, job string) (*peerpb.StatusReply, bool)
 }
 
 // Elector handles the requests that concern leader election. Its methods are called concurrently.
 type Elector interface {
-	// StateReachable reports whether this process can reach the state service now.
-	StateReachable(ctx context.Context) bool
+	// CanReachStateService reports whether this process can reach the state service now.
+	CanReachStateService(ctx context.Context) bool
 	// AcceptOffer handles the offer of a leader that has resigned; keyVersion is the version of its leader
 	// key. This process may campaign at once.
 	AcceptOffer(term, keyVersion uint64)
@@ -98,14 +98,14 @@
 
 // Relay processes a worker's heartbeat that another controller has received and relayed.
 func (s *Server) Relay(ctx context.Context, r *peerpb.RelayHeartbeatRequest) (*peerpb.RelayHeartbeatReply, error) {
-	status, body := s.leaderHandler.RelayedHeartbeat(ctx, r.GetHeartbeat(), r.GetSameConnection())
+	status, body := s.leaderHandler.HandleRelayedHeartbeat(ctx, r.GetHeartbeat(), r.GetSameConnection())
 	return &peerpb.RelayHeartbeatReply{Status: int32(status), Body: body}, nil
 }
 
 // Able returns whether this process can reach the state service. Other controllers ask when they cannot
 // reach it themselves: a leader to find a successor, any controller for its health check.
 func (s *Server) Able(ctx context.Context, _ *peerpb.ConnectivityRequest) (*peerpb.ConnectivityReply, error) {
-	return &peerpb.ConnectivityReply{Connected: s.elector.StateReachable(ctx)}, nil
+	return &peerpb.ConnectivityReply{Connected: s.elector.CanReachStateService(ctx)}, nil
 }
 
 // Take passes the leadership offer of a leader that has resigned to the elector.
@@ -140,7 +140,7 @@
 // empty if none is known or if the controller to which the request was forwarded does not lead. The term
 // is 0 if the leader does not reply.
 func (s *Server) Status(ctx context.Context, r *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	if reply, ok := s.leaderHandler.Inspect(ctx, r.GetJob()); ok {
+	if reply, ok := s.leaderHandler.Status(ctx, r.GetJob()); ok {
 		return reply, nil
 	}
 	leader := s.elector.Leader()
