--- a/internal/coordination/scheduler/job.go
+++ b/internal/coordination/scheduler/job.go
@@ -28,7 +28,7 @@
 	closing          bool          // the write of its final record is in flight
 	closed           bool          // its final record is durable, or its open record was removed
 
-	// Updated whenever the queue is sorted; see jobQueue.order.
+	// Updated whenever the queue is sorted; see jobQueue.jobsInOrder.
 	guaranteed            bool // the team's guarantee covers it and the team's earlier unfinished jobs
 	underserved           bool // too few tasks of its group have started for the group's aging credit
 	mayUseGangReservation bool // may use machines that are reserved for gangs
--- a/internal/coordination/scheduler/parts_test.go
+++ b/internal/coordination/scheduler/parts_test.go
@@ -14,7 +14,7 @@
 type partFields map[string]map[string]bool
 
 // TestPartsOwnTheirFields checks that only the methods of a part access its fields. Other code that
-// reaches a part through a field, as in s.queue.order(), may only call methods of the part.
+// reaches a part through a field, as in s.queue.jobsInOrder(), may only call methods of the part.
 func TestPartsOwnTheirFields(t *testing.T) {
 	files := token.NewFileSet()
 	sources := parseSources(t, files)
