--- a/internal/coordination/gateway/heartbeats.go
+++ b/internal/coordination/gateway/heartbeats.go
@@ -13,7 +13,7 @@
 // the heartbeat to the leader, or redirects the worker if the heartbeat cannot be relayed now.
 func (g *Gateway) handleHeartbeat(req *transport.Message, rsp *transport.Responder) {
 	if g.dispatcher.IsLeader() {
-		g.dispatcher.HandleHeartbeat(req.Body, sameConnection(rsp), func(status int, body []byte) {
+		g.dispatcher.HandleHeartbeat(req.Body, isSameConnection(rsp), func(status int, body []byte) {
 			rsp.Respond(status, body, 0)
 		})
 		return
@@ -39,7 +39,7 @@
 // a network partition between their zones, the leader accepts the relayed heartbeats.
 func (g *Gateway) relayHeartbeat(leader string, body []byte, rsp *transport.Responder) {
 	defer func() { <-g.relaySlots }()
-	status, reply, err := g.peers.RelayHeartbeat(g.ctx, leader, body, sameConnection(rsp))
+	status, reply, err := g.peers.RelayHeartbeat(g.ctx, leader, body, isSameConnection(rsp))
 	if err != nil {
 		g.leaderUnreachableUntil.Store(time.Now().Add(limits.LeaderUnreachableBackoff).UnixNano())
 		g.log.Debug("failed to relay heartbeat; worker redirected", "leader", leader, "err", err)
@@ -49,9 +49,9 @@
 	rsp.Respond(status, reply, 0)
 }
 
-// sameConnection reports whether the previous heartbeat on the same connection was answered with 200. As
+// isSameConnection reports whether the previous heartbeat on the same connection was answered with 200. As
 // the worker has sent another heartbeat on this connection, it has received the reply to the previous one.
-func sameConnection(rsp *transport.Responder) bool { return rsp.PreviousStatus() == http.StatusOK }
+func isSameConnection(rsp *transport.Responder) bool { return rsp.PreviousStatus() == http.StatusOK }
 
 // redirectWorker instructs a worker to send its heartbeats to the leader, or to any other controller if no
 // leader is given.
