--- a/internal/coordination/placement/doc.go
+++ b/internal/coordination/placement/doc.go
@@ -10,7 +10,7 @@
 //     which counts all its tasks, or its normal view, which leaves out preemptible tasks. It scores the
 //     machine on the full view.
 //   - Algorithms 3 and 4, the rank functions: Weigher.
-//   - Section 4.1, the weighted sum of rescaled scores, and Best Host of Algorithm 2: Best.
+//   - Section 4.1, the weighted sum of rescaled scores, and Best Host of Algorithm 2: BestCandidate.
 //   - Algorithm 5, Select and Terminate: CheapestVictims.
 //
 // ScoreGroups is not part of the paper. It makes ranking faster in large fleets: machines with equal scores
--- a/internal/coordination/placement/groups.go
+++ b/internal/coordination/placement/groups.go
@@ -47,16 +47,16 @@
 	g.members = append(g.members, []T{c.Target})
 }
 
-// Best returns the number of the group whose first member is the best candidate, or -1 if there are no
+// BestGroup returns the number of the group whose first member is the best candidate, or -1 if there are no
 // candidates.
-func (g *ScoreGroups[T]) Best() int { return Best(g.firsts, g.compare) }
+func (g *ScoreGroups[T]) BestGroup() int { return BestCandidate(g.firsts, g.compare) }
 
-// First returns the first member of the group with the given number.
-func (g *ScoreGroups[T]) First(group int) Candidate[T] { return g.firsts[group] }
+// FirstInGroup returns the first member of the group with the given number.
+func (g *ScoreGroups[T]) FirstInGroup(group int) Candidate[T] { return g.firsts[group] }
 
-// RemoveFirst removes the first member of the group with the given number, and the group if no members are
+// RemoveFirstInGroup removes the first member of the group with the given number, and the group if no members are
 // left. Group numbers that were obtained before the call are no longer valid.
-func (g *ScoreGroups[T]) RemoveFirst(group int) {
+func (g *ScoreGroups[T]) RemoveFirstInGroup(group int) {
 	if g.members[group] = slices.Delete(g.members[group], 0, 1); len(g.members[group]) > 0 {
 		g.firsts[group].Target = g.members[group][0]
 		return
--- a/internal/coordination/placement/groups_test.go
+++ b/internal/coordination/placement/groups_test.go
@@ -33,7 +33,7 @@
 		for len(all) > 0 {
 			removeBest(t, &groups, &all)
 		}
-		if group := groups.Best(); group != -1 {
+		if group := groups.BestGroup(); group != -1 {
 			t.Fatalf("best group is %d after all candidates were removed, want -1", group)
 		}
 	})
@@ -43,16 +43,16 @@
 // it from both.
 func removeBest(t *rapid.T, groups *ScoreGroups[int], all *[]Candidate[int]) {
 	t.Helper()
-	best, group := Best(*all, cmp.Compare[int]), groups.Best()
+	best, group := BestCandidate(*all, cmp.Compare[int]), groups.BestGroup()
 	if (best < 0) != (group < 0) {
 		t.Fatalf("best group is %d, best candidate is %d: only one of them exists", group, best)
 	}
 	if best < 0 {
 		return
 	}
-	if got := groups.First(group); got != (*all)[best] {
+	if got := groups.FirstInGroup(group); got != (*all)[best] {
 		t.Fatalf("best candidate of the groups is %+v, of all candidates %+v", got, (*all)[best])
 	}
-	groups.RemoveFirst(group)
+	groups.RemoveFirstInGroup(group)
 	*all = slices.Delete(*all, best, best+1)
 }
--- a/internal/coordination/placement/rank.go
+++ b/internal/coordination/placement/rank.go
@@ -6,9 +6,9 @@
 	Scores Scores
 }
 
-// Best returns the index of the candidate with the highest weighted sum of rescaled scores, or -1 if there
+// BestCandidate returns the index of the candidate with the highest weighted sum of rescaled scores, or -1 if there
 // are no candidates. Among candidates with equal sums it returns the first in the order of compare.
-func Best[T any](candidates []Candidate[T], compare func(a, b T) int) int {
+func BestCandidate[T any](candidates []Candidate[T], compare func(a, b T) int) int {
 	if len(candidates) == 0 {
 		return -1
 	}
--- a/internal/coordination/placement/rank_test.go
+++ b/internal/coordination/placement/rank_test.go
@@ -23,7 +23,7 @@
 		{"no candidates", nil, -1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := Best(test.candidates, strings.Compare); got != test.want {
+			if got := BestCandidate(test.candidates, strings.Compare); got != test.want {
 				t.Errorf("best candidate is %d, want %d", got, test.want)
 			}
 		})
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -263,17 +263,17 @@
 // placeNext plans the next task on the best candidate. It returns false if there is no candidate, or if
 // no set of victims there frees enough resources.
 func (g *gangPlacement) placeNext() bool {
-	group := g.candidates.Best()
+	group := g.candidates.BestGroup()
 	if group < 0 {
 		return false
 	}
-	best := g.candidates.First(group)
+	best := g.candidates.FirstInGroup(group)
 	m := best.Target
 	victims, ok := g.placer.chooseVictims(g.job, &best, g.views[m])
 	if !ok {
 		return false
 	}
-	g.candidates.RemoveFirst(group)
+	g.candidates.RemoveFirstInGroup(group)
 	g.viewOf(m).addTask(g.job.demand)
 	g.tasksInZone[m.zone]++
 	g.tasks = append(g.tasks, taskPlacement{m, victims})
--- a/internal/coordination/scheduler/pass_test.go
+++ b/internal/coordination/scheduler/pass_test.go
@@ -76,7 +76,7 @@
 				candidates = append(candidates, c)
 			}
 		}
-		best := placement.Best(candidates, compareNames)
+		best := placement.BestCandidate(candidates, compareNames)
 		if best < 0 {
 			return
 		}
--- a/internal/coordination/scheduler/place.go
+++ b/internal/coordination/scheduler/place.go
@@ -53,12 +53,12 @@
 	preempting := search.request.preempting
 	candidates := s.placement.collectCandidates(j, preempting)
 	for ; count > 0 && j.team.isWithinLimit(j.demand); count-- {
-		group := candidates.Best()
+		group := candidates.BestGroup()
 		if group < 0 {
 			s.placement.handleSearchFailed(&search)
 			return
 		}
-		best := candidates.First(group)
+		best := candidates.FirstInGroup(group)
 		victims, ok := s.placement.chooseVictims(j, &best, nil)
 		if !ok {
 			return
@@ -68,7 +68,7 @@
 			s.placement.collectCandidates(j, preempting)
 			continue
 		}
-		candidates.RemoveFirst(group)
+		candidates.RemoveFirstInGroup(group)
 		if c, ok := s.placement.filterAndScore(j, best.Target, preempting, nil); ok {
 			candidates.Add(c)
 		}
