--- a/internal/coordination/election/handover.go
+++ b/internal/coordination/election/handover.go
@@ -37,7 +37,7 @@
 // sleep.
 func measureSchedulingDelay(ctx context.Context) time.Duration {
 	start := time.Now()
-	storage.Sleep(ctx, limits.SchedulingDelaySample)
+	storage.SleepContext(ctx, limits.SchedulingDelaySample)
 	return time.Since(start) - limits.SchedulingDelaySample
 }
 
--- a/internal/coordination/gateway/machine_types.go
+++ b/internal/coordination/gateway/machine_types.go
@@ -21,7 +21,7 @@
 		}
 		g.machineTypes.Store(&stored.Types)
 		backoff.Reset()
-		if !storage.Sleep(ctx, limits.MachineTypesInterval) {
+		if !storage.SleepContext(ctx, limits.MachineTypesInterval) {
 			return
 		}
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -52,7 +52,7 @@
 
 // run boots the machine and sends heartbeats until the context is cancelled.
 func (w *worker) run(ctx context.Context) {
-	if !storage.Sleep(ctx, limits.Seconds(w.machineType.BootS)) {
+	if !storage.SleepContext(ctx, limits.Seconds(w.machineType.BootS)) {
 		return
 	}
 	addr, err := w.listen(ctx)
@@ -67,7 +67,7 @@
 	defer controllers.close()
 	for w.waitWhileHung(ctx) {
 		pause, alive := w.exchangeHeartbeat(ctx, controllers)
-		if !alive || !storage.Sleep(ctx, pause) {
+		if !alive || !storage.SleepContext(ctx, pause) {
 			return
 		}
 	}
@@ -182,7 +182,7 @@
 			return ctx.Err() == nil
 		}
 		w.mu.Unlock()
-		if !storage.Sleep(ctx, hung) {
+		if !storage.SleepContext(ctx, hung) {
 			return false
 		}
 	}
--- a/internal/storage/backoff.go
+++ b/internal/storage/backoff.go
@@ -20,14 +20,14 @@
 	}
 	pause := b.delay/2 + rand.N(b.delay)
 	b.delay = min(b.delay*2, limits.RetryBackoffMax)
-	return Sleep(ctx, pause)
+	return SleepContext(ctx, pause)
 }
 
 // Reset makes the next delay the shortest one again.
 func (b *Backoff) Reset() { b.delay = 0 }
 
-// Sleep waits for a duration. It returns false as soon as the context is done.
-func Sleep(ctx context.Context, d time.Duration) bool {
+// SleepContext waits for a duration. It returns false as soon as the context is done.
+func SleepContext(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/storage/health.go
+++ b/internal/storage/health.go
@@ -52,10 +52,10 @@
 	return s.health.writeOperations.Load(), s.health.rejectedCalls.Load()
 }
 
-// Unavailable reports whether calls have failed for so long that another one would only make its caller
+// IsUnavailable reports whether calls have failed for so long that another one would only make its caller
 // wait. During an outage it returns false at intervals of limits.UnavailableProbeInterval, so that one
 // call can show whether the outage is over.
-func (s *Store) Unavailable() bool {
+func (s *Store) IsUnavailable() bool {
 	sinceLastCall := time.Since(time.Unix(0, s.health.lastCallAt.Load()))
 	return s.FailingFor() > limits.UnavailableAfter && sinceLastCall < limits.UnavailableProbeInterval
 }
--- a/internal/storage/health_test.go
+++ b/internal/storage/health_test.go
@@ -21,12 +21,12 @@
 			users.health.failingSince.CompareAndSwap(0, time.Now().UnixNano())
 		}
 		recordFailure()
-		if users.Unavailable() {
-			t.Error("Unavailable() is true after a single failure")
+		if users.IsUnavailable() {
+			t.Error("IsUnavailable() is true after a single failure")
 		}
 		time.Sleep(2 * limits.UnavailableAfter)
 		recordFailure()
-		if !users.Unavailable() || users.waitForRateLimit(t.Context(), 0) == nil {
+		if !users.IsUnavailable() || users.waitForRateLimit(t.Context(), 0) == nil {
 			t.Error("calls for users are still allowed after calls have failed for longer than UnavailableAfter")
 		}
 		if controllers.waitForRateLimit(t.Context(), 0) != nil {
@@ -44,8 +44,8 @@
 			t.Errorf("%d of 75 calls for users were allowed during the outage, want at least 37", allowed)
 		}
 		users.health.failingSince.Store(0)
-		if users.Unavailable() {
-			t.Error("Unavailable() is still true after a success")
+		if users.IsUnavailable() {
+			t.Error("IsUnavailable() is still true after a success")
 		}
 	})
 }
--- a/internal/storage/rate.go
+++ b/internal/storage/rate.go
@@ -17,7 +17,7 @@
 // errors wrap ErrNotExecuted.
 func (s *Store) waitForRateLimit(ctx context.Context, operations int) error {
 	if s.maxRateWait > 0 {
-		if s.Unavailable() {
+		if s.IsUnavailable() {
 			return fmt.Errorf("%w: calls have been failing for some time", ErrNotExecuted)
 		}
 		var cancel context.CancelFunc
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -56,7 +56,7 @@
 
 // ForUserRequests returns a Store that uses the same connections, but the users' share of the rate
 // limits. A call fails with ErrNotExecuted if it would have to wait for longer than
-// limits.UserRateLimitWait, or if Unavailable returns true.
+// limits.UserRateLimitWait, or if IsUnavailable returns true.
 func (s *Store) ForUserRequests() *Store {
 	users := *s
 	users.requestLimiter = newLimiter(s.serviceLimits.RPS, limits.UserReadShare, 1)
