--- a/cmd/quillshunt/jobs.go
+++ b/cmd/quillshunt/jobs.go
@@ -51,7 +51,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id := args[0]
-			if !protocol.ValidJobID(id) {
+			if !protocol.IsValidJobID(id) {
 				return fmt.Errorf("%q is not a run ID; run IDs have the form job-000412", id)
 			}
 			return c.sendRequest(cmd.Context(), cmd.OutOrStdout(), method, jobsPath+"/"+id+suffix, nil)
--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -17,7 +17,7 @@
 // cancelJob marks a job as cancelled. It reports the job as aborted to the user only once the cancellation
 // is confirmed, see confirmCancellation.
 func (g *Gateway) cancelJob(ctx context.Context, id string) response {
-	if !protocol.ValidJobID(id) {
+	if !protocol.IsValidJobID(id) {
 		return jobNotFoundResponse()
 	}
 	if status, ok := g.cachedFinalStatus(id); ok {
--- a/internal/coordination/gateway/job_status.go
+++ b/internal/coordination/gateway/job_status.go
@@ -13,7 +13,7 @@
 // getJob handles a poll of a job's status. For an open job the response includes the numbers of done and
 // running tasks, if the leader replies in time.
 func (g *Gateway) getJob(ctx context.Context, id string) response {
-	if !protocol.ValidJobID(id) {
+	if !protocol.IsValidJobID(id) {
 		return jobNotFoundResponse()
 	}
 	status, found, err := g.readJobStatus(ctx, id)
--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -39,7 +39,7 @@
 // unless the request can never succeed.
 func (g *Gateway) rejectUserRequest(route userRoute, body []byte, rsp *transport.Responder) {
 	switch {
-	case route.action != actionSubmit && !protocol.ValidJobID(route.jobID):
+	case route.action != actionSubmit && !protocol.IsValidJobID(route.jobID):
 		rsp.Respond(http.StatusNotFound, nil, 0)
 	case route.action == actionSubmit && g.isMalformed(body):
 		rsp.Respond(http.StatusBadRequest, nil, 0)
--- a/internal/coordination/leader/term_actor.go
+++ b/internal/coordination/leader/term_actor.go
@@ -131,7 +131,7 @@
 		t.lastSlowHeartbeatAt.Store(int64(t.now()))
 	}
 	var heartbeat protocol.Heartbeat
-	if err := protocol.Decode(msg.body, &heartbeat); err != nil || !heartbeat.Valid() {
+	if err := protocol.Decode(msg.body, &heartbeat); err != nil || !heartbeat.IsValid() {
 		msg.respond(http.StatusBadRequest, nil)
 		return
 	}
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -164,7 +164,7 @@
 		// repeat the starts, which has no effect on a started task.
 		m.directBackoffUntil = s.now + limits.DirectCommandBackoff
 		m.markStartsUnconfirmed(e.ID)
-	case heartbeat.Machine != e.Machine || !heartbeat.Valid():
+	case heartbeat.Machine != e.Machine || !heartbeat.IsValid():
 		// An invalid reply shows nothing about the tasks.
 	case m.isOutdated(heartbeat, m.taskListSequence):
 		// A newer message was processed first. Its task list shows whether the starts have arrived,
--- a/internal/coordination/scheduler/heartbeat.go
+++ b/internal/coordination/scheduler/heartbeat.go
@@ -10,7 +10,7 @@
 func (s *Scheduler) handleHeartbeat(e HeartbeatReceived) {
 	heartbeat := e.Heartbeat
 	switch {
-	case !e.Entitled || !heartbeat.Valid() || heartbeat.FencingToken > s.cfg.Term ||
+	case !e.Entitled || !heartbeat.IsValid() || heartbeat.FencingToken > s.cfg.Term ||
 		s.inventory.isDeleted(heartbeat.Machine):
 		s.rejectHeartbeat(e)
 		return
--- a/internal/coordination/scheduler/prober.go
+++ b/internal/coordination/scheduler/prober.go
@@ -138,7 +138,7 @@
 		}
 		return
 	}
-	if heartbeat.Machine != e.Machine || !heartbeat.Valid() || heartbeat.FencingToken != s.cfg.Term ||
+	if heartbeat.Machine != e.Machine || !heartbeat.IsValid() || heartbeat.FencingToken != s.cfg.Term ||
 		m.isOutdated(heartbeat, m.taskListSequence) {
 		return
 	}
--- a/internal/protocol/names.go
+++ b/internal/protocol/names.go
@@ -13,10 +13,10 @@
 	maxTaskDigits = 6
 )
 
-// ValidJobID reports whether an ID has the form of a job ID, such as job-000412.
-func ValidJobID(id string) bool {
+// IsValidJobID reports whether an ID has the form of a job ID, such as job-000412.
+func IsValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
-	return ok && digits != "" && len(id) <= limits.MaxNameBytes && allDigits(digits)
+	return ok && digits != "" && len(id) <= limits.MaxNameBytes && isAllDigits(digits)
 }
 
 // TaskName returns the name of the task of a job with the given index, such as job-000412/7.
@@ -26,12 +26,12 @@
 // other string.
 func ParseTaskName(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
-	if i < 0 || !ValidJobID(name[:i]) {
+	if i < 0 || !IsValidJobID(name[:i]) {
 		return "", 0, false
 	}
 	digits := name[i+1:]
 	leadingZero := len(digits) > 1 && digits[0] == '0'
-	if digits == "" || len(digits) > maxTaskDigits || leadingZero || !allDigits(digits) {
+	if digits == "" || len(digits) > maxTaskDigits || leadingZero || !isAllDigits(digits) {
 		return "", 0, false
 	}
 	for _, d := range []byte(digits) {
@@ -40,7 +40,7 @@
 	return name[:i], index, true
 }
 
-func allDigits(s string) bool {
+func isAllDigits(s string) bool {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
 			return false
--- a/internal/protocol/parse.go
+++ b/internal/protocol/parse.go
@@ -26,7 +26,7 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	if !ValidJobID(spec.ID) {
+	if !IsValidJobID(spec.ID) {
 		return nil, fmt.Errorf("%w: NameId: not a job id", ErrInvalid)
 	}
 	if spec.Shape != ShapeArray && spec.Shape != ShapeGang {
@@ -105,7 +105,7 @@
 		r.recordError(name, "must be text")
 		return ""
 	}
-	if !validName(s) {
+	if !isValidName(s) {
 		r.recordError(name, "empty or too long")
 		return ""
 	}
@@ -190,7 +190,7 @@
 	names := make([]string, 0, len(list))
 	for _, e := range list {
 		s, ok := e.(string)
-		if !ok || !validName(s) {
+		if !ok || !isValidName(s) {
 			r.recordError(name, "must be a list of names")
 			return nil
 		}
@@ -199,4 +199,4 @@
 	return names
 }
 
-func validName(s string) bool { return s != "" && len(s) <= limits.MaxNameBytes }
+func isValidName(s string) bool { return s != "" && len(s) <= limits.MaxNameBytes }
--- a/internal/protocol/parse_test.go
+++ b/internal/protocol/parse_test.go
@@ -101,7 +101,7 @@
 		if err != nil {
 			return
 		}
-		if s.Tasks < 1 || s.Tasks > limits.MaxTasksPerJob || !ValidJobID(s.ID) || !(s.CPUs >= 0) ||
+		if s.Tasks < 1 || s.Tasks > limits.MaxTasksPerJob || !IsValidJobID(s.ID) || !(s.CPUs >= 0) ||
 			(s.Shape != ShapeArray && s.Shape != ShapeGang) {
 			t.Fatalf("accepted a spec outside the limits: %+v", s)
 		}
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -52,8 +52,8 @@
 	Tasks        []TaskStatus `cbor:"Pieces"`   // all tasks; ended ones until a CommandForget
 }
 
-// Valid reports whether a heartbeat has all fields that the scheduler relies on.
-func (h *Heartbeat) Valid() bool {
+// IsValid reports whether a heartbeat has all fields that the scheduler relies on.
+func (h *Heartbeat) IsValid() bool {
 	return h.Machine != "" && h.MachineType != "" && h.Zone != "" && h.Incarnation > 0
 }
 
