--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -32,7 +32,7 @@
 	if err := s.check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s.Deployment.State = s.Deployment.State.Lowest()
+	s.Deployment.State = s.Deployment.State.LowerOfCurrentAndNext()
 	return &s, nil
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -94,22 +94,22 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Lowest returns the lower of the current and the announced value of each limit. As all requests keep
+// LowerOfCurrentAndNext returns the lower of the current and the announced value of each limit. As all requests keep
 // to these from the start, it does not matter when the change takes effect.
-func (s StateLimits) Lowest() StateLimits {
+func (s StateLimits) LowerOfCurrentAndNext() StateLimits {
 	if s.Next == nil {
 		return s
 	}
-	lowerTo(&s.RPS, s.Next.RPS)
-	lowerTo(&s.WriteRPS, s.Next.WriteRPS)
-	lowerTo(&s.ValueKB, s.Next.ValueKB)
-	lowerTo(&s.TxnOps, s.Next.TxnOps)
+	lowerToAnnounced(&s.RPS, s.Next.RPS)
+	lowerToAnnounced(&s.WriteRPS, s.Next.WriteRPS)
+	lowerToAnnounced(&s.ValueKB, s.Next.ValueKB)
+	lowerToAnnounced(&s.TxnOps, s.Next.TxnOps)
 	s.Next = nil
 	return s
 }
 
-// lowerTo lowers a limit to the announced value, if one is announced and it is lower.
-func lowerTo[T int | float64](limit, announced *T) {
+// lowerToAnnounced lowers a limit to the announced value, if one is announced and it is lower.
+func lowerToAnnounced[T int | float64](limit, announced *T) {
 	if announced != nil {
 		*limit = min(*limit, *announced)
 	}
--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -174,7 +174,7 @@
 			Zones:          c.zones,
 			Teams:          teams,
 			Workers:        workerTimes,
-			State:          stateLimits.Lowest(),
+			State:          stateLimits.LowerOfCurrentAndNext(),
 			Cloud:          config.CloudLimits{RPS: 5, ListLagS: 2},
 			MachineLimits:  config.MachineLimits{CoreShare: 0.2, MemoryMB: 100, MaxSockets: 500},
 			MaxClockSkewMs: 100,
