--- a/internal/coordination/controller/rules_test.go
+++ b/internal/coordination/controller/rules_test.go
@@ -94,7 +94,7 @@
 		}
 		c.mu.Unlock()
 		for task, machine := range overdue {
-			if c.cloud.LeaseExpired(machine) {
+			if c.cloud.IsLeaseExpired(machine) {
 				continue
 			}
 			c.mu.Lock()
@@ -168,7 +168,7 @@
 // The caller holds mu.
 func (c *cluster) checkTasksDone(j *job) {
 	for i := range j.spec.Tasks {
-		if !c.cloud.TaskDone(fmt.Sprintf("%s/%d", j.spec.ID, i)) {
+		if !c.cloud.IsTaskDone(fmt.Sprintf("%s/%d", j.spec.ID, i)) {
 			c.recordViolation("not_done: job %s is done, but its task %d has not completed", j.spec.ID, i)
 		}
 	}
--- a/internal/coordination/controller/scenarios_test.go
+++ b/internal/coordination/controller/scenarios_test.go
@@ -81,7 +81,7 @@
 	// In an outage of the state service a controller cannot know whether the job was accepted before, so
 	// it may answer 503 instead.
 	unknownInOutage := func(status int) bool {
-		return c.state.Unavailable() && status == http.StatusServiceUnavailable
+		return c.state.IsUnavailable() && status == http.StatusServiceUnavailable
 	}
 	for field := range submissionBody(c.t, valid) {
 		body := submissionBody(c.t, valid)
--- a/internal/coordination/election/store_test.go
+++ b/internal/coordination/election/store_test.go
@@ -49,7 +49,7 @@
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", storage.ErrOutcomeUnknown, ctx.Err())
 	}
-	if rejected || u.service.Unavailable() {
+	if rejected || u.service.IsUnavailable() {
 		return storage.ErrNotExecuted
 	}
 	return nil
@@ -196,7 +196,7 @@
 	end := time.After(limits.WatchDuration)
 	for {
 		reply, _ := u.service.Changes(prefix, since)
-		if len(reply.Changes) > 0 && !u.service.Unavailable() {
+		if len(reply.Changes) > 0 && !u.service.IsUnavailable() {
 			return reply, nil
 		}
 		select {
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -91,16 +91,16 @@
 	return ""
 }
 
-// LeaseExpired reports whether the lease of a machine has expired or the machine does not exist. The lease of
+// IsLeaseExpired reports whether the lease of a machine has expired or the machine does not exist. The lease of
 // a machine that hangs counts as expired even though the worker has not ended its tasks yet.
-func (c *Cloud) LeaseExpired(name string) bool {
+func (c *Cloud) IsLeaseExpired(name string) bool {
 	w := c.worker(name)
 	if w == nil {
 		return true
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.leaseExpired()
+	return w.isLeaseExpired()
 }
 
 // Hang makes a machine unresponsive for a duration: it sends no heartbeats and answers no requests.
@@ -197,8 +197,8 @@
 	return list
 }
 
-// TaskDone reports whether a task has completed on any machine.
-func (c *Cloud) TaskDone(task string) bool {
+// IsTaskDone reports whether a task has completed on any machine.
+func (c *Cloud) IsTaskDone(task string) bool {
 	c.resultsMu.Lock()
 	defer c.resultsMu.Unlock()
 	return c.doneTasks[task]
--- a/internal/standin/connection.go
+++ b/internal/standin/connection.go
@@ -41,7 +41,7 @@
 	return client, server
 }
 
-// notify wakes a waiting Read, or makes the next wait return at once.
+// notify wakes a waiting Read, or makes the next waitForChange return at once.
 func (c *conn) notify() {
 	select {
 	case c.wakeUp <- struct{}{}:
@@ -65,7 +65,7 @@
 		if n > 0 || err != nil {
 			return n, err
 		}
-		c.wait(retryAt, changed)
+		c.waitForChange(retryAt, changed)
 	}
 }
 
@@ -108,7 +108,7 @@
 		return net.ErrClosed
 	case c.wasReset:
 		return fmt.Errorf("%w: connection reset", io.ErrUnexpectedEOF)
-	case c.pastDeadline(now):
+	case c.isPastDeadline(now):
 		return os.ErrDeadlineExceeded
 	case c.peerClosed:
 		return io.EOF
@@ -116,14 +116,14 @@
 	return nil
 }
 
-// pastDeadline reports whether the deadline has passed. The caller holds mu.
-func (c *conn) pastDeadline(now time.Time) bool {
+// isPastDeadline reports whether the deadline has passed. The caller holds mu.
+func (c *conn) isPastDeadline(now time.Time) bool {
 	return !c.deadline.IsZero() && !now.Before(c.deadline)
 }
 
-// wait blocks until this end is notified, a link changes, or the given time has come. The zero time sets no
+// waitForChange blocks until this end is notified, a link changes, or the given time has come. The zero time sets no
 // time limit.
-func (c *conn) wait(until time.Time, linkChanged <-chan struct{}) {
+func (c *conn) waitForChange(until time.Time, linkChanged <-chan struct{}) {
 	var timeout <-chan time.Time
 	if !until.IsZero() {
 		timer := time.NewTimer(time.Until(until))
@@ -159,7 +159,7 @@
 // Write sends data. It never blocks.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	closed, wasReset, late := c.closed, c.wasReset, c.pastDeadline(time.Now())
+	closed, wasReset, late := c.closed, c.wasReset, c.isPastDeadline(time.Now())
 	c.mu.Unlock()
 	switch {
 	case closed:
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -140,7 +140,7 @@
 		return protocol.TaskStatus{State: protocol.TaskGathering}
 	case !g.memberLostAt.IsZero() && now.After(g.memberLostAt.Add(g.times.peerDetection)):
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonPeerLost}
-	case !g.firstStopAt.IsZero() && g.allStopping() && now.After(g.firstStopAt.Add(save)):
+	case !g.firstStopAt.IsZero() && g.areAllStopping() && now.After(g.firstStopAt.Add(save)):
 		g.registry.saveProgress(g.spec.ID, g.progress(g.firstStopAt))
 		return protocol.TaskStatus{State: protocol.TaskEnded, Reason: protocol.ReasonStopped, Saved: true}
 	case !g.firstStopAt.IsZero() && now.After(g.firstStopAt.Add(g.times.peerDetection+save)):
@@ -149,8 +149,8 @@
 	return protocol.TaskStatus{State: protocol.TaskRunning}
 }
 
-// allStopping reports whether all remaining tasks have received a stop command. The caller holds mu.
-func (g *gangAttempt) allStopping() bool {
+// areAllStopping reports whether all remaining tasks have received a stop command. The caller holds mu.
+func (g *gangAttempt) areAllStopping() bool {
 	for _, m := range g.members {
 		if !m.stopping {
 			return false
--- a/internal/standin/state_faults.go
+++ b/internal/standin/state_faults.go
@@ -41,8 +41,8 @@
 	s.notifyWatchers()
 }
 
-// Unavailable reports whether an outage is in progress.
-func (s *StateService) Unavailable() bool {
+// IsUnavailable reports whether an outage is in progress.
+func (s *StateService) IsUnavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unavailable
@@ -57,9 +57,9 @@
 	s.notifyWatchers()
 }
 
-// serves reports whether requests of a caller are executed at present: there is no outage and the caller is
+// isServing reports whether requests of a caller are executed at present: there is no outage and the caller is
 // not rejected.
-func (s *StateService) serves(caller string) bool {
+func (s *StateService) isServing(caller string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.unavailable && !s.rejectedCallers[caller]
@@ -84,9 +84,9 @@
 	return delay()
 }
 
-// withinLimits reports whether a transaction is within the limits. A value that cannot be decoded is not
+// isWithinLimits reports whether a transaction is within the limits. A value that cannot be decoded is not
 // measured. The caller holds mu.
-func (s *StateService) withinLimits(t *protocol.Transaction) bool {
+func (s *StateService) isWithinLimits(t *protocol.Transaction) bool {
 	if s.limits.TxnOps > 0 && len(t.Operations) > s.limits.TxnOps {
 		return false
 	}
--- a/internal/standin/state_http.go
+++ b/internal/standin/state_http.go
@@ -41,7 +41,7 @@
 // handle responds to one request of a caller. If the caller is rejected it responds with 503, except to a
 // watch, for which handleWatch checks the rejection.
 func (s *StateService) handle(caller string, req *transport.Message, rsp *transport.Responder) {
-	if !s.serves(caller) && !strings.HasPrefix(req.Path, pathWatch) {
+	if !s.isServing(caller) && !strings.HasPrefix(req.Path, pathWatch) {
 		rsp.Respond(http.StatusServiceUnavailable, nil, 0)
 		return
 	}
@@ -139,14 +139,14 @@
 	defer timeout.Stop()
 	for {
 		reply, changed := s.Changes(prefix, since)
-		if len(reply.Changes) > 0 && s.serves(caller) {
+		if len(reply.Changes) > 0 && s.isServing(caller) {
 			rsp.Respond(http.StatusOK, protocol.Encode(reply), 0)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			if !s.serves(caller) {
+			if !s.isServing(caller) {
 				reply = protocol.WatchReply{Revision: since, Changes: []protocol.Change{}}
 			}
 			rsp.Respond(http.StatusOK, protocol.Encode(reply), 0)
--- a/internal/standin/state_service.go
+++ b/internal/standin/state_service.go
@@ -62,7 +62,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if !s.withinLimits(&t) {
+	if !s.isWithinLimits(&t) {
 		s.oversizedTransactions++
 		return http.StatusBadRequest, protocol.TransactionReply{}
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -191,15 +191,15 @@
 // remainingHang returns for how much longer the machine hangs; it does not hang if the result is 0 or less.
 func (w *worker) remainingHang() time.Duration { return time.Until(time.Unix(0, w.hungUntil.Load())) }
 
-// leaseExpired reports whether the worker's lease has expired. The caller holds mu.
-func (w *worker) leaseExpired() bool {
+// isLeaseExpired reports whether the worker's lease has expired. The caller holds mu.
+func (w *worker) isLeaseExpired() bool {
 	return time.Since(w.leaseStart) > limits.Seconds(w.cloud.options.WorkerTimes.LeaseS)
 }
 
 // restartIfLeaseExpired kills all tasks and starts the next incarnation if the lease has expired. The caller
 // holds mu.
 func (w *worker) restartIfLeaseExpired() {
-	if w.incarnation > 0 && w.leaseExpired() {
+	if w.incarnation > 0 && w.isLeaseExpired() {
 		w.killAll()
 		w.incarnation++
 		w.leaseStart = time.Now()
--- a/internal/standin/worker_tasks.go
+++ b/internal/standin/worker_tasks.go
@@ -82,7 +82,7 @@
 	if !ok {
 		return t
 	}
-	if w.cloud.TaskDone(command.Task) {
+	if w.cloud.IsTaskDone(command.Task) {
 		t.Reason = protocol.ReasonDone
 		return t
 	}
