--- a/internal/coordination/controller/faults_test.go
+++ b/internal/coordination/controller/faults_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// stateServiceOutage makes the state service unavailable to all callers, and returns when the outage is
+// causeStateServiceOutage makes the state service unavailable to all callers, and returns when the outage is
 // over.
-func (c *cluster) stateServiceOutage(duration time.Duration) {
+func (c *cluster) causeStateServiceOutage(duration time.Duration) {
 	c.state.SetUnavailable(true)
 	time.Sleep(duration)
 	c.state.SetUnavailable(false)
--- a/internal/coordination/controller/scenarios_cancellation_test.go
+++ b/internal/coordination/controller/scenarios_cancellation_test.go
@@ -30,7 +30,7 @@
 			for range 10 {
 				time.Sleep(5 * time.Second)
 				for _, j := range jobs {
-					c.poll(j)
+					c.pollStatus(j)
 				}
 			}
 			c.expect(c.currentTerm() == 1, "the first leader leads throughout the outage: term %d", c.currentTerm())
@@ -100,7 +100,7 @@
 			c.state.SetRejectedCaller(leader, true)
 			c.cancelConcurrently(jobs[1:4])
 			c.waitForLeaderAfterTerm(oldTerm)
-			c.stateServiceOutage(45 * time.Second)
+			c.causeStateServiceOutage(45 * time.Second)
 			for _, node := range c.nodeNames {
 				c.setPeerLinks(node, standin.Open)
 			}
@@ -195,13 +195,13 @@
 					time.Sleep(3*time.Second + time.Duration(i)*100*time.Millisecond)
 					c.userRequests.Go(func() { c.cancel(j) })
 					for range 5 {
-						c.poll(j)
+						c.pollStatus(j)
 						time.Sleep(20 * time.Millisecond)
 					}
 					body := protocol.Encode(submissionBody(c.t, j.spec))
 					for _, node := range c.nodeNames {
 						sentAt := time.Now()
-						status, state := c.requestStatus(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
+						status, state := c.sendAndReadJobState(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
 						c.checkResponse(j, status, state, sentAt)
 					}
 				})
--- a/internal/coordination/controller/scenarios_test.go
+++ b/internal/coordination/controller/scenarios_test.go
@@ -53,7 +53,7 @@
 			time.Sleep(25 * time.Second)
 			c.checkInvalidRequests()
 			for _, j := range c.acceptedJobs() {
-				c.poll(j)
+				c.pollStatus(j)
 			}
 			time.Sleep(time.Second)
 			for _, j := range c.acceptedJobs() {
@@ -75,7 +75,7 @@
 		Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 1,
 	}
 	submit := func(node string, body map[string]any) int {
-		status, _ := c.requestStatus(node, http.MethodPost, "/v2/runs", protocol.Encode(body), 5*time.Second)
+		status, _ := c.sendAndReadJobState(node, http.MethodPost, "/v2/runs", protocol.Encode(body), 5*time.Second)
 		return status
 	}
 	// In an outage of the state service a controller cannot know whether the job was accepted before, so
@@ -99,7 +99,7 @@
 				field, value, status, http.StatusUnprocessableEntity)
 		}
 	}
-	status, _ := c.requestStatus(c.nodeNames[2], http.MethodGet, "/v2/runs/job-900000", nil, 2*time.Second)
+	status, _ := c.sendAndReadJobState(c.nodeNames[2], http.MethodGet, "/v2/runs/job-900000", nil, 2*time.Second)
 	if status != http.StatusNotFound && !unknownInOutage(status) {
 		c.t.Errorf("status request for an unknown job: status %d, want %d", status, http.StatusNotFound)
 	}
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -40,8 +40,8 @@
 	return j.spec, true
 }
 
-// request sends one user request to a controller over a new connection, and returns the response.
-func (c *cluster) request(
+// sendUserRequest sends one user request to a controller over a new connection, and returns the response.
+func (c *cluster) sendUserRequest(
 	node, method, target string, body []byte, timeout time.Duration,
 ) (*transport.Message, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, timeout)
@@ -50,12 +50,12 @@
 	return client.Do(ctx, method, target, body)
 }
 
-// requestStatus sends one user request to a controller. It returns the HTTP status of the response and
+// sendAndReadJobState sends one user request to a controller. It returns the HTTP status of the response and
 // the job state in its body, which is empty if there is none. Status 0 means that no response arrived.
-func (c *cluster) requestStatus(
+func (c *cluster) sendAndReadJobState(
 	node, method, target string, body []byte, timeout time.Duration,
 ) (status int, state protocol.JobState) {
-	m, err := c.request(node, method, target, body, timeout)
+	m, err := c.sendUserRequest(node, method, target, body, timeout)
 	if err != nil {
 		return 0, ""
 	}
@@ -73,7 +73,7 @@
 // rejectsUserRequest reports whether a controller answers a status request with 503 and a Retry-After
 // header and closes the connection, so that a load balancer can send the next try to another controller.
 func (c *cluster) rejectsUserRequest(node string, j *job) bool {
-	m, err := c.request(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
+	m, err := c.sendUserRequest(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
 	return err == nil && m.Status == http.StatusServiceUnavailable && m.RetryAfter > 0 && m.Close
 }
 
@@ -103,7 +103,7 @@
 	body := protocol.Encode(submissionBody(c.t, j.spec))
 	c.retryUntil(60*time.Second, c.nodeNames, func(node string) bool {
 		sentAt := time.Now()
-		status, state := c.requestStatus(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
+		status, state := c.sendAndReadJobState(node, http.MethodPost, "/v2/runs", body, 5*time.Second)
 		c.checkResponse(j, status, state, sentAt)
 		return status == http.StatusOK || status == http.StatusCreated
 	})
@@ -139,7 +139,7 @@
 		c.mu.Lock()
 		node := nodes[c.random.IntN(len(nodes))]
 		c.mu.Unlock()
-		status, _ := c.requestStatus(node, http.MethodGet, "/healthz", nil, time.Second)
+		status, _ := c.sendAndReadJobState(node, http.MethodGet, "/healthz", nil, time.Second)
 		if status == http.StatusOK && try(node) {
 			return true
 		}
@@ -166,18 +166,18 @@
 	}
 	c.mu.Unlock()
 	sentAt := time.Now()
-	status, state := c.requestStatus(node, http.MethodPost, "/v2/runs/"+j.spec.ID+"/cancel", nil, 5*time.Second)
+	status, state := c.sendAndReadJobState(node, http.MethodPost, "/v2/runs/"+j.spec.ID+"/cancel", nil, 5*time.Second)
 	c.checkResponse(j, status, state, sentAt)
 	return status == http.StatusOK
 }
 
-// poll sends a status request for a job to all controllers at the same time. It does not wait for the
+// pollStatus sends a status request for a job to all controllers at the same time. It does not wait for the
 // responses, which are checked as they arrive.
-func (c *cluster) poll(j *job) {
+func (c *cluster) pollStatus(j *job) {
 	for _, node := range c.nodeNames {
 		c.userRequests.Go(func() {
 			sentAt := time.Now()
-			status, state := c.requestStatus(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
+			status, state := c.sendAndReadJobState(node, http.MethodGet, "/v2/runs/"+j.spec.ID, nil, 2*time.Second)
 			c.checkResponse(j, status, state, sentAt)
 		})
 	}
@@ -190,7 +190,7 @@
 		for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(interval) {
 			c.userRequests.Go(func() { c.submit(modifySpec) })
 			for _, j := range c.acceptedJobs() {
-				c.poll(j)
+				c.pollStatus(j)
 			}
 		}
 	})
@@ -287,7 +287,7 @@
 		time.Sleep(3 * time.Second)
 	}
 	for _, j := range c.acceptedJobs() {
-		c.poll(j)
+		c.pollStatus(j)
 	}
 	c.userRequests.Wait()
 	c.mu.Lock()
@@ -325,7 +325,7 @@
 		c.mu.Unlock()
 		if !over {
 			open++
-			c.poll(j)
+			c.pollStatus(j)
 		}
 	}
 	return open
