--- a/internal/coordination/election/election.go
+++ b/internal/coordination/election/election.go
@@ -217,5 +217,5 @@
 	return e.options.Peers != nil && e.options.Peers.Size() > 0 && e.voter.voteLease > 0
 }
 
-// quorum returns how many controllers, this one included, are a majority.
-func (e *Elector) quorum() int { return (e.options.Peers.Size()+1)/2 + 1 }
+// quorumSize returns how many controllers, this one included, are a majority.
+func (e *Elector) quorumSize() int { return (e.options.Peers.Size()+1)/2 + 1 }
--- a/internal/coordination/election/follow.go
+++ b/internal/coordination/election/follow.go
@@ -109,5 +109,5 @@
 		}
 		return nil
 	})
-	return err == nil && withdrawals >= e.quorum()
+	return err == nil && withdrawals >= e.quorumSize()
 }
--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -74,7 +74,7 @@
 			newProcess = true
 		}
 	}
-	if granted >= e.quorum() {
+	if granted >= e.quorumSize() {
 		r.extendFrom(sentAt)
 	}
 	return newProcess
--- a/internal/coordination/leader/dispatcher.go
+++ b/internal/coordination/leader/dispatcher.go
@@ -35,15 +35,15 @@
 // Dispatcher runs the actor of each term and passes messages to the actor of the current term, if this
 // process leads. One Dispatcher serves all terms of the process. It is safe for concurrent use.
 type Dispatcher struct {
-	settings   *config.Settings
-	options    config.Options
-	store      *storage.Store
-	cloud      *CloudClient
-	sockets    *transport.SocketBudget // or nil
-	dialer     transport.Dialer        // for connections to workers
-	log        *slog.Logger
-	onTermLost func(term uint64)
-	current    atomic.Pointer[termActor] // nil while this process does not lead
+	settings     *config.Settings
+	options      config.Options
+	store        *storage.Store
+	cloud        *CloudClient
+	sockets      *transport.SocketBudget // or nil
+	dialer       transport.Dialer        // for connections to workers
+	log          *slog.Logger
+	onTermLost   func(term uint64)
+	currentActor atomic.Pointer[termActor] // nil while this process does not lead
 }
 
 // NewDispatcher returns a Dispatcher that does not lead yet.
@@ -66,12 +66,12 @@
 
 // IsLeader reports whether this process runs a term. Another controller may have become the leader
 // since, without this process having detected it; see IsEntitled.
-func (d *Dispatcher) IsLeader() bool { return d.current.Load() != nil }
+func (d *Dispatcher) IsLeader() bool { return d.currentActor.Load() != nil }
 
 // IsEntitled reports whether this process is entitled to act as the leader at this moment. No other
 // controller is entitled then.
 func (d *Dispatcher) IsEntitled() bool {
-	t := d.current.Load()
+	t := d.currentActor.Load()
 	return t != nil && t.leadership.IsEntitled()
 }
 
@@ -106,7 +106,7 @@
 }
 
 func (d *Dispatcher) enqueueHeartbeat(msg heartbeatMessage) {
-	t := d.current.Load()
+	t := d.currentActor.Load()
 	if t == nil {
 		msg.respond(http.StatusServiceUnavailable, nil)
 		return
@@ -122,7 +122,7 @@
 // TaskCounts returns the numbers of done and running tasks of a job. It returns false if this process
 // does not lead, if its scheduler does not know the job, or if the actor does not reply in time.
 func (d *Dispatcher) TaskCounts(ctx context.Context, job string) (peer.TaskCounts, bool) {
-	t := d.current.Load()
+	t := d.currentActor.Load()
 	if t == nil {
 		return peer.TaskCounts{}, false
 	}
@@ -140,7 +140,7 @@
 // record could take long, as the state service may refuse the requests of this controller or of all
 // controllers.
 func (d *Dispatcher) ConfirmCancellation(ctx context.Context, job string, version uint64, record []byte) bool {
-	t := d.current.Load()
+	t := d.currentActor.Load()
 	if t == nil {
 		return false
 	}
@@ -158,7 +158,7 @@
 // Status returns the status of the current term, or false if this process does not lead. If a job is
 // named, the status explains why it waits.
 func (d *Dispatcher) Status(ctx context.Context, job string) (*peerpb.StatusReply, bool) {
-	t := d.current.Load()
+	t := d.currentActor.Load()
 	if t == nil {
 		return nil, false
 	}
@@ -179,8 +179,8 @@
 // by names that are never used again.
 func (d *Dispatcher) RunTerm(ctx context.Context, leadership *election.Leadership) {
 	t := newTermActor(d, leadership)
-	d.current.Store(t)
-	defer d.current.Store(nil)
+	d.currentActor.Store(t)
+	defer d.currentActor.Store(nil)
 	defer t.rejectQueuedHeartbeats()
 	defer t.workerClients.closeAll()
 
--- a/internal/coordination/leader/usage.go
+++ b/internal/coordination/leader/usage.go
@@ -9,9 +9,9 @@
 
 // resourceCounters are the process's cumulative counters at the time of a summary entry in the log.
 type resourceCounters struct {
-	at              time.Time
-	cpu             time.Duration // processor time used
-	writes, refused int64         // see storage.Store.Counters
+	at                             time.Time
+	cpu                            time.Duration // processor time used
+	writeOperations, rejectedCalls int64         // see storage.Store.Counters
 }
 
 // resourceUsage returns the resource usage of the process as arguments of the log's summary entry: the
@@ -21,15 +21,15 @@
 func (t *termActor) resourceUsage() []any {
 	last := t.lastCounters
 	t.lastCounters = resourceCounters{at: time.Now()}
-	t.lastCounters.writes, t.lastCounters.refused = t.dispatcher.store.Counters()
+	t.lastCounters.writeOperations, t.lastCounters.rejectedCalls = t.dispatcher.store.Counters()
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(heap)
 	args := []any{
 		"mailbox", len(t.mailbox),
 		"longest_wait", t.longestMailboxWait.Round(time.Millisecond),
 		"heap_mb", heap[0].Value.Uint64() >> 20,
-		"writes", t.lastCounters.writes - last.writes,
-		"refused", t.lastCounters.refused - last.refused,
+		"writes", t.lastCounters.writeOperations - last.writeOperations,
+		"refused", t.lastCounters.rejectedCalls - last.rejectedCalls,
 	}
 	t.longestMailboxWait = 0
 	var usage syscall.Rusage
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -75,7 +75,7 @@
 		switch {
 		case err == nil:
 			for _, write := range batch {
-				w.actor.sendEvent(ctx, scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision})
+				w.actor.sendEvent(ctx, scheduler.WriteCompleted{ID: write.ID, Committed: true, Version: revision})
 			}
 			return true
 		case errors.As(err, &conflict):
@@ -172,7 +172,7 @@
 		}
 		revision = max(revision, stored.Version)
 	}
-	return scheduler.WriteCompleted{ID: write.ID, OK: true, Version: revision}, nil
+	return scheduler.WriteCompleted{ID: write.ID, Committed: true, Version: revision}, nil
 }
 
 // isApplied reports whether a stored record is the result of an operation.
--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -129,7 +129,7 @@
 	}
 	outcomes := f.drainOutcomes()
 	for _, write := range batch {
-		if outcome, ok := outcomes[write.ID]; !ok || outcome.OK != (write.ID != 2) {
+		if outcome, ok := outcomes[write.ID]; !ok || outcome.Committed != (write.ID != 2) {
 			t.Errorf("write %d: outcome %+v, want OK %v", write.ID, outcome, write.ID != 2)
 		}
 	}
@@ -147,7 +147,7 @@
 	if !f.commit(context.Background(), []scheduler.WriteRecords{createKey(1, "a")}) {
 		t.Fatal("writer stopped, want it to continue")
 	}
-	if got := f.drainOutcomes()[1]; !got.OK || got.Version != version {
+	if got := f.drainOutcomes()[1]; !got.Committed || got.Version != version {
 		t.Errorf("outcome %+v, want OK and version %d", got, version)
 	}
 }
--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -166,7 +166,7 @@
 			f.step(DirectCommandsDone{ID: effect.ID, Machine: effect.Machine, Heartbeat: f.heartbeat(m)})
 		case WriteRecords:
 			f.version++
-			f.step(WriteCompleted{ID: effect.ID, OK: true, Version: f.version})
+			f.step(WriteCompleted{ID: effect.ID, Committed: true, Version: f.version})
 		}
 	}
 }
--- a/internal/coordination/scheduler/capacity_plan.go
+++ b/internal/coordination/scheduler/capacity_plan.go
@@ -92,7 +92,7 @@
 // isLongUnreachable reports whether a machine has been unreachable or unverified for so long that no
 // tasks should be planned on it.
 func (p *capacityPlan) isLongUnreachable(m *machine) bool {
-	grace := 2 * p.staleAfter()
+	grace := 2 * p.staleThreshold()
 	return p.now > m.lastHeartbeatAt+grace || (!m.verified && p.now > m.unverifiedSince+grace)
 }
 
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -98,9 +98,9 @@
 
 // WriteCompleted reports the outcome of a WriteRecords.
 type WriteCompleted struct {
-	ID      uint64 // of the WriteRecords
-	OK      bool   // the transaction was committed; otherwise a condition failed and nothing changed
-	Version uint64 // new version of the records that were put, if OK
+	ID        uint64 // of the WriteRecords
+	Committed bool   // the transaction was committed; otherwise a condition failed and nothing changed
+	Version   uint64 // new version of the records that were put, if Committed
 }
 
 // RentalDone reports the outcome of a RentMachines. If neither OK nor NoCapacity is set, the rental
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -40,7 +40,7 @@
 	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 0 {
 		t.Fatalf("instructed to forget the result while its write is in flight: %+v", commands)
 	}
-	f.step(WriteCompleted{ID: result.ID, OK: true, Version: 500})
+	f.step(WriteCompleted{ID: result.ID, Committed: true, Version: 500})
 	if commands := f.sendHeartbeat(0, done, other); countVerb(commands, protocol.CommandForget) != 1 {
 		t.Fatalf("not instructed to forget the durable result: %+v", commands)
 	}
--- a/internal/coordination/scheduler/finished_tasks.go
+++ b/internal/coordination/scheduler/finished_tasks.go
@@ -219,7 +219,7 @@
 func (w *finishedTaskWriter) handleChunkWritten(write chunkWrite, e WriteCompleted) {
 	chunk := &write.job.chunks[write.chunk]
 	chunk.writeInFlight = false
-	if e.OK {
+	if e.Committed {
 		chunk.version = e.Version
 		chunk.durableSequence = max(chunk.durableSequence, write.writtenSequence)
 	}
--- a/internal/coordination/scheduler/finished_tasks_test.go
+++ b/internal/coordination/scheduler/finished_tasks_test.go
@@ -46,7 +46,7 @@
 		}
 		requireAllKnown("after loading")
 		for range 30 { // long enough to rewrite all records, one at a time
-			s.finished.recordCompletion(j, rapid.IntRange(0, tasks-1).Draw(t, "finished"))
+			s.finishedTasks.recordCompletion(j, rapid.IntRange(0, tasks-1).Draw(t, "finished"))
 			now += 3 * time.Second
 			for _, effect := range s.Step(Tick{Entitled: true}, now) {
 				store.execute(s, []Effect{effect}, now)
@@ -54,7 +54,7 @@
 			}
 		}
 		for i := range tasks {
-			s.finished.recordCompletion(j, i)
+			s.finishedTasks.recordCompletion(j, i)
 		}
 		largest := 0
 		for range 30 {
@@ -118,7 +118,7 @@
 	}
 	for i := range limits.MaxTasksPerJob {
 		if j.assignments[i] == nil {
-			f.scheduler.finished.recordCompletion(j, i)
+			f.scheduler.finishedTasks.recordCompletion(j, i)
 		}
 	}
 	f.now += 4 * time.Second
@@ -169,7 +169,7 @@
 		}
 		return found
 	}
-	f.scheduler.finished.recordCompletion(j, 0)
+	f.scheduler.finishedTasks.recordCompletion(j, 0)
 	f.now += limits.ChunkWriteInterval
 	f.step(Tick{Entitled: true})
 	chunk := writes()
@@ -177,13 +177,13 @@
 		t.Fatalf("writes after the first task is done: %+v, want one of the chunk", chunk)
 	}
 	for index := range 10 {
-		f.scheduler.finished.recordCompletion(j, index)
+		f.scheduler.finishedTasks.recordCompletion(j, index)
 	}
 	f.step(Tick{Entitled: true})
 	if got := writes(); len(got) != 0 {
 		t.Fatalf("writes while the chunk write is in flight: %+v, want none", got)
 	}
-	f.step(WriteCompleted{ID: chunk[0].ID, OK: true, Version: 7})
+	f.step(WriteCompleted{ID: chunk[0].ID, Committed: true, Version: 7})
 	final := writes()
 	if len(final) != 1 || final[0].Operations[0].Put != finalKey || final[0].Operations[2].Delete != chunkKey {
 		t.Fatalf("writes after the chunk write is completed: %+v, want one with the final record", final)
--- a/internal/coordination/scheduler/fleet.go
+++ b/internal/coordination/scheduler/fleet.go
@@ -6,7 +6,7 @@
 // probes and returns machines, and plans capacity. It is called at every tick.
 func (s *Scheduler) manageFleet() {
 	s.catalog.fetchIfDue()
-	s.cloudList.readIfDue()
+	s.machineList.readIfDue()
 	s.logSummaryIfDue()
 	s.registry.writePages()
 	s.returnUnusableMachines()
@@ -20,7 +20,7 @@
 // canPlanCapacity reports whether capacity may be planned: recovery has ended, or the machines have had
 // enough time in this term to report.
 func (s *Scheduler) canPlanCapacity() bool {
-	return s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleAfter()
+	return s.recovery.hasEnded() || s.now > s.termStartedAt+s.staleThreshold()
 }
 
 // requestDeletions requests the deletion of machines that are to be returned, as many as one request to the
--- a/internal/coordination/scheduler/gang_lifecycle.go
+++ b/internal/coordination/scheduler/gang_lifecycle.go
@@ -125,7 +125,7 @@
 		s.assignments.assign(g.job, g.job.nextWaitingTask(), task.machine, g.attempt, stateUnsent)
 	}
 	s.placement.handleGangPlaced(found)
-	s.gangs.awaitCommit(g)
+	s.gangs.queueForCommit(g)
 }
 
 // replaceLostGangTasks places tasks that gangs lost while they gathered. A gang whose lost tasks
--- a/internal/coordination/scheduler/gang_lifecycle_test.go
+++ b/internal/coordination/scheduler/gang_lifecycle_test.go
@@ -159,7 +159,7 @@
 	for _, effect := range f.effects {
 		if write, ok := effect.(WriteRecords); ok && write.Operations[0].Put == storage.FinalJobKey("job-1") {
 			final = true
-			f.step(WriteCompleted{ID: write.ID, OK: true, Version: 900})
+			f.step(WriteCompleted{ID: write.ID, Committed: true, Version: 900})
 		}
 	}
 	if !final {
--- a/internal/coordination/scheduler/gang_placement.go
+++ b/internal/coordination/scheduler/gang_placement.go
@@ -39,7 +39,7 @@
 		tasks:            missing,
 		sameZone:         j.spec.SameZone, spreadZones: j.spec.SpreadZones,
 	}
-	request.gangReservation = true
+	request.mayUseGangReservation = true
 	if p.now < j.nextPreemptionSearchAt {
 		request.preempting = false
 	}
--- a/internal/coordination/scheduler/gang_table.go
+++ b/internal/coordination/scheduler/gang_table.go
@@ -58,10 +58,10 @@
 }
 
 // setCompletionDeadline sets the gang's completion deadline when its first task is reported gathering. The
-// task may have been waiting since the previous heartbeat, so staleAfter is subtracted.
+// task may have been waiting since the previous heartbeat, so staleThreshold is subtracted.
 func (t *gangTable) setCompletionDeadline(g *gang) {
 	if g != nil && g.completionDeadline == 0 {
-		g.completionDeadline = t.now + optionalSeconds(t.cfg.Workers.GangWaitTimeoutS) - t.staleAfter()
+		g.completionDeadline = t.now + optionalSeconds(t.cfg.Workers.GangWaitTimeoutS) - t.staleThreshold()
 	}
 }
 
@@ -91,8 +91,8 @@
 // requestCommit makes the next commit check the gangs that wait for free resources.
 func (t *gangTable) requestCommit() { t.commitNeeded = true }
 
-// awaitCommit adds a gang to those whose start commands wait for free resources.
-func (t *gangTable) awaitCommit(g *gang) {
+// queueForCommit adds a gang to those whose start commands wait for free resources.
+func (t *gangTable) queueForCommit(g *gang) {
 	if !g.awaitsCommit {
 		g.awaitsCommit = true
 		t.uncommitted = append(t.uncommitted, g)
--- a/internal/coordination/scheduler/job_lifecycle.go
+++ b/internal/coordination/scheduler/job_lifecycle.go
@@ -11,7 +11,7 @@
 func (s *Scheduler) handleJobChanged(e JobChanged) {
 	j := s.jobs.find(e.JobID)
 	if j == nil {
-		j = s.jobs.open(e, s.finished.chunkCount(e.Record.Spec.Tasks))
+		j = s.jobs.open(e, s.finishedTasks.chunkCount(e.Record.Spec.Tasks))
 		if j == nil {
 			return
 		}
@@ -54,7 +54,7 @@
 		{Delete: storage.OpenJobKey(j.id)},
 	}
 	// Records beyond the limit are deleted after the final record is written; see handleFinalJobWritten.
-	keys := s.finished.recordKeys(j)
+	keys := s.finishedTasks.recordKeys(j)
 	fitting := min(len(keys), s.cfg.State.TxnOps-len(operations))
 	for _, key := range keys[:fitting] {
 		operations = append(operations, protocol.Operation{Delete: key})
@@ -83,12 +83,12 @@
 func (s *Scheduler) handleFinalJobWritten(write finalJobWrite, e WriteCompleted) {
 	j := write.job
 	j.closing = false
-	if !e.OK {
+	if !e.Committed {
 		return // cancelled concurrently: the watch delivers the new open record, and handleJobChanged retries the write
 	}
 	s.logInfo("job closed", keyJob, j.id, "cancelled", j.cancelled, keyTasks, j.spec.Tasks)
 	s.closeJob(j)
-	s.finished.removeRecords(j.id, j.remainingRecordKeys)
+	s.finishedTasks.removeRecords(j.id, j.remainingRecordKeys)
 }
 
 // closeJob removes a job from the scheduler and withdraws its remaining tasks. Its final record is
--- a/internal/coordination/scheduler/job_lifecycle_test.go
+++ b/internal/coordination/scheduler/job_lifecycle_test.go
@@ -66,7 +66,7 @@
 	if j.closed {
 		t.Error("job closed before the final write was completed")
 	}
-	f.step(WriteCompleted{ID: final.ID, OK: true, Version: j.version + 1})
+	f.step(WriteCompleted{ID: final.ID, Committed: true, Version: j.version + 1})
 	if !j.closed || f.scheduler.jobs.find("job-1") != nil {
 		t.Error("job not closed after the final write was completed")
 	}
--- a/internal/coordination/scheduler/machine_list.go
+++ b/internal/coordination/scheduler/machine_list.go
@@ -42,7 +42,7 @@
 
 // handleMachinesListed handles the outcome of ListMachines and reconciles the inventory with the cloud's list.
 func (s *Scheduler) handleMachinesListed(e MachinesListed) {
-	s.cloudList.handleReadDone(e.OK)
+	s.machineList.handleReadDone(e.OK)
 	if !e.OK {
 		return
 	}
--- a/internal/coordination/scheduler/machine_removal.go
+++ b/internal/coordination/scheduler/machine_removal.go
@@ -9,7 +9,7 @@
 // reachabilityCounts counts the machines that are not being deleted, by their reachability.
 type reachabilityCounts struct {
 	reported    int // have reported in this term
-	unreachable int // of reported: silent or unverified for longer than staleAfter
+	unreachable int // of reported: silent or unverified for longer than staleThreshold
 	unverified  int // of reported: not known to receive replies
 	unreported  int // sent heartbeats to an earlier leader only
 }
@@ -22,7 +22,7 @@
 		case m.deleting:
 		case m.hasReported:
 			counts.reported++
-			if s.now > s.lastReachableAt(m)+s.staleAfter() {
+			if s.now > s.lastReachableAt(m)+s.staleThreshold() {
 				counts.unreachable++
 			}
 			if !m.verified {
@@ -66,7 +66,7 @@
 			continue
 		}
 		if m.spotNotice {
-			s.finished.expediteResults(m)
+			s.finishedTasks.expediteResults(m)
 		}
 		if reason := s.returnReason(m, counts); reason != "" {
 			s.returnMachine(m, reason)
--- a/internal/coordination/scheduler/memory_store_test.go
+++ b/internal/coordination/scheduler/memory_store_test.go
@@ -44,7 +44,7 @@
 		}
 		m.records[operation.Put] = storedRecord{m.version, operation.Value}
 	}
-	return WriteCompleted{ID: write.ID, OK: true, Version: m.version}
+	return WriteCompleted{ID: write.ID, Committed: true, Version: m.version}
 }
 
 // put stores a record and returns its version.
--- a/internal/coordination/scheduler/overload_test.go
+++ b/internal/coordination/scheduler/overload_test.go
@@ -157,7 +157,7 @@
 			f.step(DirectCommandsDone{ID: effect.ID, Machine: effect.Machine, Heartbeat: f.heartbeat(m)})
 		case WriteRecords:
 			f.version++
-			f.step(WriteCompleted{ID: effect.ID, OK: true, Version: 1_000_000 + f.version})
+			f.step(WriteCompleted{ID: effect.ID, Committed: true, Version: 1_000_000 + f.version})
 		}
 	}
 }
--- a/internal/coordination/scheduler/pending_write.go
+++ b/internal/coordination/scheduler/pending_write.go
@@ -48,15 +48,15 @@
 func (s *Scheduler) handleWriteCompleted(e WriteCompleted) {
 	switch write := s.takePendingWrite(e.ID).(type) {
 	case chunkWrite:
-		s.finished.handleChunkWritten(write, e)
+		s.finishedTasks.handleChunkWritten(write, e)
 		s.tryCloseJob(write.job)
 	case finalJobWrite:
 		s.handleFinalJobWritten(write, e)
 	case rentalWrite:
-		s.handleRentalWritten(write, e.OK, e.Version)
+		s.handleRentalWritten(write, e.Committed, e.Version)
 	case rentalRemoval:
-		s.rentals.handleRemovalWritten(write, e.OK)
+		s.rentals.handleRemovalWritten(write, e.Committed)
 	case registryPageWrite:
-		s.handleRegistryPageWritten(write, e.OK, e.Version)
+		s.handleRegistryPageWritten(write, e.Committed, e.Version)
 	}
 }
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -50,13 +50,13 @@
 // job has no rules of its own for zones, machine types or machines (see placementSearch.cacheable). Jobs
 // with equal requests share the result of a search.
 type placementRequest struct {
-	demand          resource.Vector
-	team            *team
-	priority        protocol.Priority
-	guaranteed      bool
-	spot            bool
-	preempting      bool
-	gangReservation bool // may use machines that are reserved for gangs
+	demand                resource.Vector
+	team                  *team
+	priority              protocol.Priority
+	guaranteed            bool
+	spot                  bool
+	preempting            bool
+	mayUseGangReservation bool // may use machines that are reserved for gangs
 }
 
 // newPlacer returns a placer for the jobs of a queue and the machines of an inventory.
@@ -151,7 +151,7 @@
 func newPlacementRequest(j *job, preempting bool) placementRequest {
 	return placementRequest{
 		demand: j.demand, team: j.team, priority: j.priority, guaranteed: j.guaranteed, spot: j.spec.Spot,
-		preempting: preempting, gangReservation: j.mayUseGangReservation,
+		preempting: preempting, mayUseGangReservation: j.mayUseGangReservation,
 	}
 }
 
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -28,13 +28,13 @@
 	}
 }
 
-// staleAfter returns the age of a machine's last heartbeat above which the machine gets no new tasks.
-func (e *environment) staleAfter() time.Duration {
+// staleThreshold returns the age of a machine's last heartbeat above which the machine gets no new tasks.
+func (e *environment) staleThreshold() time.Duration {
 	return time.Duration(float64(e.heartbeatInterval) * limits.FreshHeartbeatIntervals)
 }
 
 // isStale reports whether a machine's last heartbeat is too old for the machine to get new tasks.
-func (e *environment) isStale(m *machine) bool { return e.now > m.lastHeartbeatAt+e.staleAfter() }
+func (e *environment) isStale(m *machine) bool { return e.now > m.lastHeartbeatAt+e.staleThreshold() }
 
 // hasLiveIncarnation reports whether the worker's last known incarnation may still run tasks.
 func (m *machine) hasLiveIncarnation() bool { return m.incarnation > m.endedIncarnation }
--- a/internal/coordination/scheduler/reconcile.go
+++ b/internal/coordination/scheduler/reconcile.go
@@ -79,7 +79,7 @@
 // there. The parameter a is the task's assignment to the machine that has the result, or nil.
 func (s *Scheduler) recordUnassignedResult(a *assignment, j *job, index int) endedTask {
 	ended := endedTask{job: j}
-	ended.chunk, ended.sequence = s.finished.recordCompletion(j, index)
+	ended.chunk, ended.sequence = s.finishedTasks.recordCompletion(j, index)
 	if other := j.assignments[index]; other != nil && other != a {
 		if other.state == stateUnsent {
 			s.assignments.release(other)
--- a/internal/coordination/scheduler/registry_test.go
+++ b/internal/coordination/scheduler/registry_test.go
@@ -27,7 +27,7 @@
 	if registration == nil || countVerb(commands, protocol.CommandStart) != 0 || len(f.directCommands()) != 0 {
 		t.Fatalf("registration not written, or start sent before it: commands %+v, effects %+v", commands, f.effects)
 	}
-	f.step(WriteCompleted{ID: registration.ID, OK: true, Version: 9})
+	f.step(WriteCompleted{ID: registration.ID, Committed: true, Version: 9})
 	if direct := f.directCommands(); len(direct) != 1 || countVerb(direct[0].Commands, protocol.CommandStart) != 1 {
 		t.Fatalf("want one direct start after the registration, got effects %+v", f.effects)
 	}
@@ -55,7 +55,7 @@
 	}
 	for n := 0; n < len(writes); n++ {
 		f.now += limits.RegistryWriteInterval
-		f.step(WriteCompleted{ID: writes[n].ID, OK: true, Version: uint64(101 + n)})
+		f.step(WriteCompleted{ID: writes[n].ID, Committed: true, Version: uint64(101 + n)})
 		writes = append(writes, f.registryWrites()...)
 	}
 	return writes
@@ -118,7 +118,7 @@
 	unwritten.writeInFlight = true
 	f.scheduler.pendingWrites[9999] = rentalWrite{rental: unwritten.name, answered: true}
 	f.now += limits.RegistryWriteInterval
-	f.step(WriteCompleted{ID: 9999, OK: true, Version: uint64(101 + len(writes))})
+	f.step(WriteCompleted{ID: 9999, Committed: true, Version: uint64(101 + len(writes))})
 	if len(f.registryWrites()) == 0 {
 		t.Error("machines not registered after their rental's record was written")
 	}
--- a/internal/coordination/scheduler/rentals_test.go
+++ b/internal/coordination/scheduler/rentals_test.go
@@ -44,7 +44,7 @@
 	if len(writes) != 1 || len(effectsOf[RentMachines](f.scheduler.effects)) != 0 {
 		t.Fatalf("want one write and no request before the record is durable, got %+v", f.scheduler.effects)
 	}
-	requests := effectsOf[RentMachines](f.step(WriteCompleted{ID: writes[0].ID, OK: true, Version: 1}))
+	requests := effectsOf[RentMachines](f.step(WriteCompleted{ID: writes[0].ID, Committed: true, Version: 1}))
 	if len(requests) != 1 {
 		t.Fatalf("want one request once the record is durable, got %+v", f.effects)
 	}
@@ -58,12 +58,12 @@
 	if again := effectsOf[WriteRecords](f.effects); len(again) != 0 {
 		t.Fatalf("second write of the record while one is in flight: %+v", again)
 	}
-	f.step(WriteCompleted{ID: writes[0].ID, OK: true, Version: 2})
+	f.step(WriteCompleted{ID: writes[0].ID, Committed: true, Version: 2})
 	removals := effectsOf[WriteRecords](f.effects)
 	if len(removals) != 1 || removals[0].Operations[0].Delete == "" {
 		t.Fatalf("record of a rental without machines is not removed: %+v", f.effects)
 	}
-	f.step(WriteCompleted{ID: removals[0].ID, OK: true, Version: 3})
+	f.step(WriteCompleted{ID: removals[0].ID, Committed: true, Version: 3})
 	if rentals.find(name) != nil || rentals.count() != 1 { // the rental of the fixture remains
 		t.Errorf("%d rentals left after the removal, want only that of the fixture", rentals.count())
 	}
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		if !m.hasOnlyDurableResults() {
-			s.finished.expediteResults(m)
+			s.finishedTasks.expediteResults(m)
 			continue
 		}
 		if s.isStale(m) {
--- a/internal/coordination/scheduler/scheduler.go
+++ b/internal/coordination/scheduler/scheduler.go
@@ -44,9 +44,9 @@
 	gangReservations *gangReservations
 	recovery         *recoveryState
 	prober           *machineProber
-	finished         *finishedTaskWriter
+	finishedTasks    *finishedTaskWriter
 	planner          *capacityPlanner
-	cloudList        *machineListReader
+	machineList      *machineListReader
 
 	nextSummaryAt time.Duration // when the next summary is logged
 }
@@ -68,9 +68,9 @@
 	gangReservations := newGangReservations(env, jobs, inventory, catalog)
 	recovery := newRecoveryState(env, inventory)
 	prober := newMachineProber(env, inventory, recovery)
-	finished := newFinishedTaskWriter(env, jobs)
+	finishedTasks := newFinishedTaskWriter(env, jobs)
 	planner := newCapacityPlanner(env, jobs, queue, inventory, catalog, rentals)
-	cloudList := newMachineListReader(env)
+	machineList := newMachineListReader(env)
 	return &Scheduler{
 		environment:      env,
 		jobs:             jobs,
@@ -87,8 +87,8 @@
 		gangReservations: gangReservations,
 		recovery:         recovery,
 		prober:           prober,
-		finished:         finished,
+		finishedTasks:    finishedTasks,
 		planner:          planner,
-		cloudList:        cloudList,
+		machineList:      machineList,
 	}
 }
--- a/internal/coordination/scheduler/simulation_store_test.go
+++ b/internal/coordination/scheduler/simulation_store_test.go
@@ -73,6 +73,6 @@
 	}
 	version := s.revision
 	s.afterFunc(5*time.Millisecond, func() {
-		s.step(controller, WriteCompleted{ID: write.ID, OK: true, Version: version})
+		s.step(controller, WriteCompleted{ID: write.ID, Committed: true, Version: version})
 	})
 }
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -23,7 +23,7 @@
 	case JobRemoved:
 		s.handleJobRemoved(e)
 	case FinishedTasksLoaded:
-		s.finished.load(e)
+		s.finishedTasks.load(e)
 	case RentalLoaded:
 		s.rentals.load(e)
 	case RegistryPageLoaded:
@@ -62,8 +62,8 @@
 		"jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
 	s.recovery.markRecordsLoaded()
 	s.catalog.requestFetch()
-	s.cloudList.requestRead()
-	s.finished.removeOrphanedRecords()
+	s.machineList.requestRead()
+	s.finishedTasks.removeOrphanedRecords()
 	s.tick(true)
 }
 
@@ -88,6 +88,6 @@
 	for _, j := range s.jobs.oldestFirst() {
 		s.tryCloseJob(j)
 	}
-	s.finished.writeChunks()
+	s.finishedTasks.writeChunks()
 	s.manageFleet()
 }
--- a/internal/coordination/scheduler/task_progress.go
+++ b/internal/coordination/scheduler/task_progress.go
@@ -131,7 +131,7 @@
 	}
 	doneWithGang := j.gang != nil && j.done.has(a.index)
 	ended.job = j
-	ended.chunk, ended.sequence = s.finished.recordCompletion(j, a.index)
+	ended.chunk, ended.sequence = s.finishedTasks.recordCompletion(j, a.index)
 	if runTime > 0 && !doneWithGang {
 		j.recordRunTime(m, runTime)
 	}
