--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -15,10 +15,10 @@
 	conn   *serverConn
 	wake   func() // notifies the event loop that the response is ready
 	server *Server
-	// inline is set while the handler runs on the event loop. The loop takes the response when the
+	// onEventLoop is set while the handler runs on the event loop. The loop takes the response when the
 	// handler returns, so that wake is not needed. Guarded by conn.mu.
-	inline    bool
-	responded bool // guarded by conn.mu
+	onEventLoop bool
+	responded   bool // guarded by conn.mu
 }
 
 // serverConn is the state of an inbound connection. It is guarded by the server's mutex, except
@@ -120,7 +120,7 @@
 	c.lastStatus = status
 	c.response = AppendResponse(nil, status, body, retryAfter, c.closeAfterResponse)
 	c.responseReady = true
-	inline := r.inline
+	inline := r.onEventLoop
 	c.mu.Unlock()
 	if !inline {
 		r.wake()
--- a/internal/transport/decoder.go
+++ b/internal/transport/decoder.go
@@ -22,11 +22,11 @@
 // Decoder decodes HTTP messages from a byte stream that arrives in pieces of any size. It is not safe
 // for concurrent use.
 type Decoder struct {
-	response           bool   // decodes responses; otherwise requests
+	decodesResponses   bool   // otherwise it decodes requests
 	maxBody            int    // size limit of a body, in bytes
 	buffer             []byte // bytes that are not decoded yet
 	leadingLineChecked bool   // the check for an empty line before the request is done
-	scanned            int    // bytes of buffer already searched for the end of the head
+	scannedBytes       int    // bytes of buffer already searched for the end of the head
 	phase              phase
 	message            *Message
 	remaining          int   // bytes of the body or chunk that are not decoded yet
@@ -38,7 +38,9 @@
 func NewRequestDecoder(maxBody int) *Decoder { return &Decoder{maxBody: maxBody} }
 
 // NewResponseDecoder returns a decoder of responses with bodies of up to maxBody bytes.
-func NewResponseDecoder(maxBody int) *Decoder { return &Decoder{response: true, maxBody: maxBody} }
+func NewResponseDecoder(maxBody int) *Decoder {
+	return &Decoder{decodesResponses: true, maxBody: maxBody}
+}
 
 // Feed adds bytes from the stream.
 func (d *Decoder) Feed(p []byte) { d.buffer = append(d.buffer, p...) }
@@ -88,7 +90,8 @@
 
 // reset prepares the decoder for the next message. Buffered bytes are kept.
 func (d *Decoder) reset() {
-	d.phase, d.message, d.remaining, d.scanned, d.trailerBytes, d.leadingLineChecked = phaseHead, nil, 0, 0, 0, false
+	d.phase, d.message, d.leadingLineChecked = phaseHead, nil, false
+	d.remaining, d.scannedBytes, d.trailerBytes = 0, 0, 0
 }
 
 // finish returns the complete message and prepares the decoder for the next one.
@@ -133,17 +136,17 @@
 	// RFC 9112, section 2.2, asks servers to ignore an empty line before a request. Whether there is one
 	// is decided before anything else is parsed, so that the result does not depend on how the stream
 	// is split into reads.
-	if !d.response && !d.leadingLineChecked {
+	if !d.decodesResponses && !d.leadingLineChecked {
 		if len(d.buffer) == 0 || (len(d.buffer) == 1 && d.buffer[0] == '\r') {
 			return nil, false, nil
 		}
 		d.buffer = bytes.TrimPrefix(d.buffer, []byte("\r\n"))
 		d.leadingLineChecked = true
 	}
-	from := max(0, d.scanned-3)
+	from := max(0, d.scannedBytes-3)
 	i := bytes.Index(d.buffer[from:], []byte("\r\n\r\n"))
 	if i < 0 {
-		d.scanned = len(d.buffer)
+		d.scannedBytes = len(d.buffer)
 		if len(d.buffer) > limits.MaxHeadBytes {
 			return nil, false, ErrTooLarge
 		}
@@ -157,7 +160,7 @@
 		return nil, false, err
 	}
 	d.buffer = d.buffer[end+4:]
-	d.scanned = 0
+	d.scannedBytes = 0
 	if d.phase == phaseHead { // no body
 		return d.finish(), false, nil
 	}
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -23,7 +23,7 @@
 	line, rest, _ := bytes.Cut(b, []byte("\r\n"))
 	h := head{message: &Message{}, contentLength: -1}
 	var err error
-	if d.response {
+	if d.decodesResponses {
 		h.minorVersion, err = parseStatusLine(line, h.message)
 	} else {
 		h.minorVersion, err = parseRequestLine(line, h.message)
@@ -51,14 +51,14 @@
 func (d *Decoder) beginBody(h *head) error {
 	status := h.message.Status
 	switch {
-	case d.response && status/100 == 1:
+	case d.decodesResponses && status/100 == 1:
 		return fmt.Errorf("%w: interim response with a 1xx status", ErrMalformed)
-	case d.response && (status == http.StatusNoContent || status == http.StatusNotModified):
+	case d.decodesResponses && (status == http.StatusNoContent || status == http.StatusNotModified):
 	case h.chunked:
 		d.phase = phaseChunkSize
 	case h.contentLength > 0:
 		d.phase, d.remaining = phaseFixedBody, h.contentLength
-	case h.contentLength < 0 && d.response:
+	case h.contentLength < 0 && d.decodesResponses:
 		d.phase = phaseUntilClose
 	}
 	return nil
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -215,12 +215,12 @@
 // handle passes a request to the handler. The response may be ready when it returns.
 func (s *Server) handle(conn gnet.Conn, c *serverConn, req *Message) {
 	c.requestInProgress = true
-	r := &Responder{conn: c, wake: func() { _ = conn.Wake(nil) }, server: s, inline: true}
+	r := &Responder{conn: c, wake: func() { _ = conn.Wake(nil) }, server: s, onEventLoop: true}
 	c.mu.Lock()
 	c.closeAfterResponse = req.Close
 	c.mu.Unlock()
 	s.options.Handle(req, r)
 	c.mu.Lock()
-	r.inline = false
+	r.onEventLoop = false
 	c.mu.Unlock()
 }
