--- a/internal/coordination/controller/cluster_test.go
+++ b/internal/coordination/controller/cluster_test.go
@@ -143,8 +143,8 @@
 	for _, name := range c.nodeNames {
 		c.killController(name)
 	}
-	for _, name := range c.cloud.Machines() {
-		c.cloud.Kill(name)
+	for _, name := range c.cloud.MachineNames() {
+		c.cloud.KillMachine(name)
 	}
 	for _, host := range append([]string{"cloud", "users", "copies"}, c.nodeNames...) {
 		c.network.RemoveHost(host)
--- a/internal/coordination/controller/scenarios_cancellation_test.go
+++ b/internal/coordination/controller/scenarios_cancellation_test.go
@@ -111,7 +111,7 @@
 		name: "start commands are delayed for longer than a heartbeat interval, and their job is cancelled meanwhile",
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
-			all := c.cloud.Machines()
+			all := c.cloud.MachineNames()
 			// This delays everything that the leader sends to machines: direct commands and heartbeat replies.
 			for _, machine := range all {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Delay)
@@ -138,7 +138,7 @@
 			jobs := c.waitForRunningJobs(3)
 			for i, j := range jobs {
 				for _, machine := range c.machinesOf(j) {
-					c.cloud.Hang(machine, time.Duration(8+3*i)*time.Second)
+					c.cloud.HangMachine(machine, time.Duration(8+3*i)*time.Second)
 				}
 			}
 			c.cancelConcurrently(jobs)
--- a/internal/coordination/controller/scenarios_failover_test.go
+++ b/internal/coordination/controller/scenarios_failover_test.go
@@ -83,7 +83,7 @@
 		run: func(c *cluster) {
 			c.startJobs(6, func(spec *protocol.Spec) { spec.EstimateS = 60 })
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
-			all := c.cloud.Machines()
+			all := c.cloud.MachineNames()
 			for _, machine := range all {
 				c.network.StopListening(machine + ":9000") // so that controllers cannot probe them
 			}
@@ -165,7 +165,7 @@
 			for i := range 5 {
 				time.Sleep(5 * time.Second)
 				if machines := c.machinesOf(nil); len(machines) > 0 {
-					c.cloud.Kill(machines[0])
+					c.cloud.KillMachine(machines[0])
 				}
 				if i%2 == 1 {
 					c.restartController(c.waitForLeader(), time.Second)
@@ -181,7 +181,7 @@
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
 			zone := c.zones[slices.Index(c.nodeNames, leader)]
 			var inside, outside []string
-			for _, machine := range c.cloud.Machines() {
+			for _, machine := range c.cloud.MachineNames() {
 				if c.cloud.Zone(machine) == zone {
 					inside = append(inside, machine)
 				} else {
--- a/internal/coordination/controller/scenarios_gang_test.go
+++ b/internal/coordination/controller/scenarios_gang_test.go
@@ -66,7 +66,7 @@
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
 			leader, oldTerm := c.waitForLeader(), c.currentTerm()
-			unreachable := c.cloud.Machines()[0]
+			unreachable := c.cloud.MachineNames()[0]
 			c.network.SetLink(leader, unreachable, standin.Delay)
 			c.network.SetLink(unreachable, leader, standin.Delay)
 			gangs := []*job{c.submit(gangOfFour), c.submit(gangOfFour), c.submit(gangOfFour)}
@@ -130,9 +130,9 @@
 				c.expect(c.waitForTasks(g, 4), "the gang runs")
 				machines := c.machinesOf(g)
 				if i%2 == 0 {
-					c.cloud.Kill(machines[0])
+					c.cloud.KillMachine(machines[0])
 				} else {
-					c.cloud.Hang(machines[0], time.Duration(4+4*i)*time.Second)
+					c.cloud.HangMachine(machines[0], time.Duration(4+4*i)*time.Second)
 				}
 				time.Sleep(5 * time.Second)
 			}
@@ -142,7 +142,7 @@
 		name: "start commands of a gang are delayed, and arrive after the gang was cancelled",
 		run: func(c *cluster) {
 			c.startJobs(4, longTasks)
-			all := c.cloud.Machines()
+			all := c.cloud.MachineNames()
 			for _, machine := range all[:len(all)/2] {
 				c.network.SetLink(c.waitForLeader(), machine, standin.Delay)
 			}
@@ -169,7 +169,7 @@
 			for range 4 {
 				g := c.submit(gangOfFour)
 				c.expect(c.waitForTasks(g, 4), "the gang runs")
-				c.cloud.Kill(c.machinesOf(g)[0])
+				c.cloud.KillMachine(c.machinesOf(g)[0])
 				time.Sleep(4 * time.Second)
 				c.restartController(c.waitForLeader(), 500*time.Millisecond)
 			}
@@ -219,7 +219,7 @@
 			g := c.submit(gangOfFour)
 			c.expect(c.waitForTasks(g, 4), "the gang runs")
 			c.state.SetUnavailable(true)
-			c.cloud.Kill(c.machinesOf(g)[0])
+			c.cloud.KillMachine(c.machinesOf(g)[0])
 			time.Sleep(25 * time.Second)
 			c.state.SetUnavailable(false)
 		},
--- a/internal/coordination/controller/scenarios_worker_test.go
+++ b/internal/coordination/controller/scenarios_worker_test.go
@@ -60,19 +60,19 @@
 				// A heartbeat and its reply take 1.6 to 4.8 s together. A worker ignores a reply that arrives
 				// later than 4 s after the heartbeat was sent, and a heartbeat waits at most 3 s for the leader's
 				// reply (limits.HeartbeatReplyTimeout).
-				for _, machine := range c.cloud.Machines() {
+				for _, machine := range c.cloud.MachineNames() {
 					c.network.SetExtraLatency(machine, time.Duration(800+c.random.IntN(1600))*time.Millisecond)
 				}
 				if i%2 == 1 {
 					c.restartController(c.waitForLeader(), 300*time.Millisecond)
 				}
 				time.Sleep(time.Duration(6+c.random.IntN(8)) * time.Second)
-				for _, machine := range c.cloud.Machines() {
+				for _, machine := range c.cloud.MachineNames() {
 					c.network.SetExtraLatency(machine, time.Duration(c.random.IntN(300))*time.Millisecond)
 				}
 				time.Sleep(time.Duration(1+c.random.IntN(6)) * time.Second)
 			}
-			for _, machine := range c.cloud.Machines() {
+			for _, machine := range c.cloud.MachineNames() {
 				c.network.SetExtraLatency(machine, 0)
 			}
 			c.expect(c.currentTerm() > firstTerm, "the leader changes: still term %d", firstTerm)
@@ -113,9 +113,9 @@
 			for i := range 4 {
 				for _, machine := range c.busyMachines(2) {
 					if i%2 == 0 {
-						c.cloud.Kill(machine)
+						c.cloud.KillMachine(machine)
 					} else {
-						c.cloud.Hang(machine, 25*time.Second)
+						c.cloud.HangMachine(machine, 25*time.Second)
 					}
 				}
 				time.Sleep(12 * time.Second)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -76,8 +76,8 @@
 	return c
 }
 
-// Machines returns the names of all machines, in order of creation.
-func (c *Cloud) Machines() []string {
+// MachineNames returns the names of all machines, in order of creation.
+func (c *Cloud) MachineNames() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.workers))
@@ -103,16 +103,16 @@
 	return w.isLeaseExpired()
 }
 
-// Hang makes a machine unresponsive for a duration: it sends no heartbeats and answers no requests.
+// HangMachine makes a machine unresponsive for a duration: it sends no heartbeats and answers no requests.
 // Afterwards it continues with its tasks, unless its lease has expired meanwhile.
-func (c *Cloud) Hang(name string, duration time.Duration) {
+func (c *Cloud) HangMachine(name string, duration time.Duration) {
 	if w := c.worker(name); w != nil {
 		w.hungUntil.Store(time.Now().Add(duration).UnixNano())
 	}
 }
 
-// Kill removes a machine and kills its tasks. On a Network it also removes the machine's host.
-func (c *Cloud) Kill(name string) {
+// KillMachine removes a machine and kills its tasks. On a Network it also removes the machine's host.
+func (c *Cloud) KillMachine(name string) {
 	c.mu.Lock()
 	w := c.workers[name]
 	delete(c.workers, name)
--- a/internal/standin/cloud_http.go
+++ b/internal/standin/cloud_http.go
@@ -59,7 +59,7 @@
 		return
 	}
 	for _, name := range request.Machines {
-		c.Kill(name)
+		c.KillMachine(name)
 	}
 	rsp.Respond(http.StatusOK, nil, 0)
 }
