--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -106,16 +106,16 @@
 func (g *Gateway) confirmCancellation(ctx context.Context, id string, open protocol.KeyValue) bool {
 	confirmed := g.dispatcher.ConfirmCancellation(ctx, id, open.Version, open.Value) ||
 		g.peers.ConfirmCancellation(ctx, g.leaderName(), id, open.Version, open.Value) ||
-		g.leaderObservedRevision(ctx, open.Version)
+		g.hasLeaderObservedRevision(ctx, open.Version)
 	if confirmed {
 		g.finalStates.put(id, protocol.JobCancelled) // later leaders cannot change it
 	}
 	return confirmed
 }
 
-// leaderObservedRevision reports whether the leader has observed a revision according to its heartbeat
+// hasLeaderObservedRevision reports whether the leader has observed a revision according to its heartbeat
 // record, or there is no leader key. It returns false if a record cannot be read.
-func (g *Gateway) leaderObservedRevision(ctx context.Context, revision uint64) bool {
+func (g *Gateway) hasLeaderObservedRevision(ctx context.Context, revision uint64) bool {
 	stored, err := g.store.Get(ctx, storage.KeyLeaderHeartbeat)
 	if err != nil {
 		return false
--- a/internal/coordination/peer/client.go
+++ b/internal/coordination/peer/client.go
@@ -54,7 +54,7 @@
 	if p.requestConfirmation(ctx, leader, direct) {
 		return true
 	}
-	replies := callAll(ctx, p, limits.CancelConfirmTimeout,
+	replies := callAllPeers(ctx, p, limits.CancelConfirmTimeout,
 		func(ctx context.Context, _ string, c peerpb.PeerClient) (bool, error) {
 			request := &peerpb.ConfirmCancellationRequest{Job: job, KeyVersion: keyVersion, Record: record}
 			reply, err := c.Confirm(ctx, request)
@@ -91,7 +91,7 @@
 		node string
 		vote election.Vote
 	}
-	replies := callAll(ctx, p, limits.VoteTimeout,
+	replies := callAllPeers(ctx, p, limits.VoteTimeout,
 		func(ctx context.Context, node string, c peerpb.PeerClient) (nodeVote, error) {
 			request := &peerpb.VoteRequest{HeartbeatVersion: heartbeatVersion, ProcessNonce: nonces[node]}
 			reply, err := c.Pledge(ctx, request)
@@ -109,7 +109,7 @@
 // can reach the state service. It returns the name of the first one whose reply says that it can, or ""
 // if there is none.
 func (p *Peers) FindConnected(ctx context.Context) string {
-	connected := callAll(ctx, p, limits.ConnectivityTimeout,
+	connected := callAllPeers(ctx, p, limits.ConnectivityTimeout,
 		func(ctx context.Context, node string, c peerpb.PeerClient) (string, error) {
 			reply, err := c.Able(ctx, &peerpb.ConnectivityRequest{})
 			if err != nil || !reply.GetConnected() {
--- a/internal/coordination/peer/dial.go
+++ b/internal/coordination/peer/dial.go
@@ -79,10 +79,10 @@
 	return call(ctx, peerpb.NewPeerClient(conn))
 }
 
-// callAll calls all other controllers in parallel, within a time limit. The channel that it returns
+// callAllPeers calls all other controllers in parallel, within a time limit. The channel that it returns
 // delivers the results of the successful calls as they arrive, and is closed when all calls have ended.
 // The channel is buffered, so that the caller may stop receiving before that.
-func callAll[T any](
+func callAllPeers[T any](
 	ctx context.Context, p *Peers, limit time.Duration,
 	call func(ctx context.Context, node string, c peerpb.PeerClient) (T, error),
 ) <-chan T {
