--- a/internal/coordination/gateway/users.go
+++ b/internal/coordination/gateway/users.go
@@ -44,7 +44,7 @@
 	case route.action == actionSubmit && g.isMalformed(body):
 		rsp.Respond(http.StatusBadRequest, nil, 0)
 	default:
-		rsp.Respond(http.StatusServiceUnavailable, nil, limits.RetryAfterMin)
+		rsp.Respond(http.StatusServiceUnavailable, nil, limits.MinRetryAfterSeconds)
 	}
 }
 
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -73,7 +73,7 @@
 func (r *machineRegistry) add(m *machine) {
 	m.registration = registering
 	entry := storage.RegisteredMachine{Machine: m.name, Address: m.address}
-	size := storage.EncodedSize(entry) + limits.RegistryEntryOverhead
+	size := storage.EncodedSize(entry) + limits.RegistryEntryOverheadBytes
 	page := r.pageWithRoom(size)
 	page.encodedSize += size
 	page.record.Machines = append(page.record.Machines, entry)
@@ -92,7 +92,7 @@
 	r.pageSequence++
 	r.current = &registryPage{
 		name:        fmt.Sprintf("%d-%d", r.cfg.Term, r.pageSequence),
-		encodedSize: limits.RegistryEntryOverhead,
+		encodedSize: limits.RegistryEntryOverheadBytes,
 	}
 	r.pages = append(r.pages, r.current)
 	if previous != nil {
--- a/internal/limits/gateway.go
+++ b/internal/limits/gateway.go
@@ -20,13 +20,13 @@
 	// finished jobs do not cause reads from the state service.
 	FinalStateCacheSize = 4096
 
-	// RetryAfterMin is the least value of the Retry-After header in responses to users, in seconds.
-	RetryAfterMin = 1
+	// MinRetryAfterSeconds is the least value of the Retry-After header in responses to users, in seconds.
+	MinRetryAfterSeconds = 1
 	// RetryAfterStep is the length of a state service outage for each second that is added to Retry-After,
-	// up to RetryAfterMax seconds. An outage that has lasted long is likely to last as long again, but
+	// up to MaxRetryAfterSeconds. An outage that has lasted long is likely to last as long again, but
 	// users should also notice its end soon.
-	RetryAfterStep = 8 * time.Second
-	RetryAfterMax  = 4
+	RetryAfterStep       = 8 * time.Second
+	MaxRetryAfterSeconds = 4
 )
 
 // Forwarding of heartbeats to the leader.
@@ -49,5 +49,5 @@
 // RetryAfterSeconds returns the Retry-After value, in whole seconds, for a user request that cannot be
 // served, when calls to the state service have been failing for the given time.
 func RetryAfterSeconds(failingFor time.Duration) int {
-	return min(RetryAfterMin+int(failingFor/RetryAfterStep), RetryAfterMax)
+	return min(MinRetryAfterSeconds+int(failingFor/RetryAfterStep), MaxRetryAfterSeconds)
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -48,7 +48,7 @@
 // service, between its minimum and maximum.
 func TestRetryAfterSeconds(t *testing.T) {
 	for failingFor, want := range map[time.Duration]int{
-		0: 1, RetryAfterStep - 1: 1, RetryAfterStep: 2, 3 * RetryAfterStep: 4, time.Hour: RetryAfterMax,
+		0: 1, RetryAfterStep - 1: 1, RetryAfterStep: 2, 3 * RetryAfterStep: 4, time.Hour: MaxRetryAfterSeconds,
 	} {
 		if got := RetryAfterSeconds(failingFor); got != want {
 			t.Errorf("RetryAfterSeconds(%v) = %d, want %d", failingFor, got, want)
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -64,16 +64,16 @@
 	// MinTransactionOps is the smallest supported limit on the number of operations in a transaction. An
 	// election needs three.
 	MinTransactionOps = 4
-	// FinishedTasksOverhead is the size of a record of finished tasks without its bitmap, in bytes, rounded
+	// FinishedTasksOverheadBytes is the size of a record of finished tasks without its bitmap, rounded
 	// up.
-	FinishedTasksOverhead = 128
-	// RentalOverhead is the size of a rental record without the names of its machines, in bytes, rounded
-	// up. MachineNameBytes is the size of each name, in bytes. It is larger than the names seen so far.
-	RentalOverhead   = 256
-	MachineNameBytes = 32
-	// RegistryEntryOverhead is the size of a registry page without its entries, and also what each entry
-	// needs in addition to its own JSON, in bytes, rounded up.
-	RegistryEntryOverhead = 16
+	FinishedTasksOverheadBytes = 128
+	// RentalOverheadBytes is the size of a rental record without the names of its machines, rounded
+	// up. MachineNameBytes is the size of each name. It is larger than the names seen so far.
+	RentalOverheadBytes = 256
+	MachineNameBytes    = 32
+	// RegistryEntryOverheadBytes is the size of a registry page without its entries, and also what each entry
+	// needs in addition to its own JSON, rounded up.
+	RegistryEntryOverheadBytes = 16
 )
 
 // Times between writes of records.
