--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -112,7 +112,7 @@
 	case err == nil:
 		r.heartbeatVersion, r.coveredNonces = version, nonces
 		r.extendFrom(sentAt)
-	case errors.As(err, &conflict) && conflict.Has(storage.KeyLeader):
+	case errors.As(err, &conflict) && conflict.HasFailedKey(storage.KeyLeader):
 		return true
 	case errors.As(err, &conflict):
 		// An earlier heartbeat record of this leader was applied but not confirmed. It was sent after
--- a/internal/coordination/leader/machine_types.go
+++ b/internal/coordination/leader/machine_types.go
@@ -49,7 +49,7 @@
 	for _, txn := range store.MachineTypesTransactions(stored, types, t.leadership.FencingCondition()) {
 		_, err := store.CompareAndSwap(ctx, txn)
 		var conflict *storage.ConflictError
-		if errors.As(err, &conflict) && conflict.Has(storage.KeyLeader) {
+		if errors.As(err, &conflict) && conflict.HasFailedKey(storage.KeyLeader) {
 			t.reportTermLost()
 			return nil
 		}
--- a/internal/coordination/leader/writer.go
+++ b/internal/coordination/leader/writer.go
@@ -79,7 +79,7 @@
 			}
 			return true
 		case errors.As(err, &conflict):
-			if conflict.Has(storage.KeyLeader) {
+			if conflict.HasFailedKey(storage.KeyLeader) {
 				w.actor.reportTermLost()
 				return false
 			}
--- a/internal/storage/calls_test.go
+++ b/internal/storage/calls_test.go
@@ -121,7 +121,7 @@
 	})
 	_, err := s.CompareAndSwap(t.Context(), withoutLease)
 	var conflict *ConflictError
-	if !errors.As(err, &conflict) || !conflict.Has("a") || conflict.Has("b") {
+	if !errors.As(err, &conflict) || !conflict.HasFailedKey("a") || conflict.HasFailedKey("b") {
 		t.Errorf("error %v, want a conflict on key a only", err)
 	}
 }
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -46,8 +46,8 @@
 	return fmt.Sprintf("conditions on keys %v do not hold", c.FailedKeys)
 }
 
-// Has reports whether the condition on a key did not hold.
-func (c *ConflictError) Has(key string) bool { return slices.Contains(c.FailedKeys, key) }
+// HasFailedKey reports whether the condition on a key did not hold.
+func (c *ConflictError) HasFailedKey(key string) bool { return slices.Contains(c.FailedKeys, key) }
 
 // IsTimeout reports whether a call failed because its timeout passed without a reply. The cause may
 // be an unreachable service, or too little CPU time for this process.
