--- a/internal/coordination/gateway/load_fixture_test.go
+++ b/internal/coordination/gateway/load_fixture_test.go
@@ -285,9 +285,9 @@
 	}
 }
 
-// enoughServed reports whether enough heartbeats were answered with 200. A few may be missing: the leader
+// hasServedEnough reports whether enough heartbeats were answered with 200. A few may be missing: the leader
 // may return some of their machines, because nothing listens at their address.
-func enoughServed(served int) bool { return served > loadWorkers*95/100 }
+func hasServedEnough(served int) bool { return served > loadWorkers*95/100 }
 
 // startedTaskCount returns how many tasks the workers were instructed to start.
 func (f *loadFixture) startedTaskCount() (n int) {
--- a/internal/coordination/gateway/thousands_test.go
+++ b/internal/coordination/gateway/thousands_test.go
@@ -34,7 +34,7 @@
 
 	end := f.startTerm(1)
 	f.repeatHeartbeatsUntil(1, func(served int) bool {
-		return enoughServed(served) && f.startedTaskCount() > loadWorkers*cpusPerWorker/2
+		return hasServedEnough(served) && f.startedTaskCount() > loadWorkers*cpusPerWorker/2
 	})
 	end()
 
@@ -42,7 +42,7 @@
 	f.reconnectAll()
 	burst := f.startBurst()
 	end = f.startTerm(2)
-	f.repeatHeartbeatsUntil(2, enoughServed)
+	f.repeatHeartbeatsUntil(2, hasServedEnough)
 	burst.stop()
 	burst.check(t)
 	f.checkResources()
--- a/internal/coordination/leader/cloud_effects.go
+++ b/internal/coordination/leader/cloud_effects.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			t.log.Info("deletion of machines not confirmed by the cloud", "machines", len(machines), "err", err)
 		}
-		done.OK = err == nil
+		done.Confirmed = err == nil
 	}
 	t.sendEvent(ctx, done)
 }
--- a/internal/coordination/leader/writer_test.go
+++ b/internal/coordination/leader/writer_test.go
@@ -130,7 +130,7 @@
 	outcomes := f.drainOutcomes()
 	for _, write := range batch {
 		if outcome, ok := outcomes[write.ID]; !ok || outcome.Committed != (write.ID != 2) {
-			t.Errorf("write %d: outcome %+v, want OK %v", write.ID, outcome, write.ID != 2)
+			t.Errorf("write %d: outcome %+v, want committed %v", write.ID, outcome, write.ID != 2)
 		}
 	}
 	stored, _ := f.state.Get("c")
@@ -148,7 +148,7 @@
 		t.Fatal("writer stopped, want it to continue")
 	}
 	if got := f.drainOutcomes()[1]; !got.Committed || got.Version != version {
-		t.Errorf("outcome %+v, want OK and version %d", got, version)
+		t.Errorf("outcome %+v, want committed and version %d", got, version)
 	}
 }
 
--- a/internal/coordination/scheduler/deletion.go
+++ b/internal/coordination/scheduler/deletion.go
@@ -30,7 +30,7 @@
 		m := s.inventory.find(name)
 		switch {
 		case m == nil:
-		case e.OK:
+		case e.Confirmed:
 			s.removeMachine(m)
 		default:
 			m.deletionInFlight, m.nextDeletionAt = false, s.now+limits.CloudRetryInterval
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -114,8 +114,8 @@
 
 // DeletionDone reports the outcome of a DeleteMachines.
 type DeletionDone struct {
-	Machines []string
-	OK       bool
+	Machines  []string
+	Confirmed bool
 }
 
 // MachinesListed reports the outcome of a ListMachines.
--- a/internal/coordination/scheduler/evidence_test.go
+++ b/internal/coordination/scheduler/evidence_test.go
@@ -277,7 +277,7 @@
 	if len(m.assignments) != 1 || f.scheduler.inventory.find(m.name) == nil {
 		t.Fatal("task released or machine removed by a deletion that was not confirmed")
 	}
-	f.step(DeletionDone{Machines: []string{m.name}, OK: true})
+	f.step(DeletionDone{Machines: []string{m.name}, Confirmed: true})
 	if len(m.assignments) != 0 || f.scheduler.inventory.find(m.name) != nil {
 		t.Fatal("task not released or machine not removed after its deletion was confirmed")
 	}
--- a/internal/coordination/scheduler/recovery_test.go
+++ b/internal/coordination/scheduler/recovery_test.go
@@ -35,7 +35,7 @@
 						for _, name := range e.Machines {
 							deleted[name] = true
 						}
-						f.step(DeletionDone{Machines: e.Machines, OK: true})
+						f.step(DeletionDone{Machines: e.Machines, Confirmed: true})
 					}
 				}
 			}
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -124,10 +124,10 @@
 }
 
 // handlePageWritten records the outcome of a page write and returns the machines that it has registered.
-func (r *machineRegistry) handlePageWritten(write registryPageWrite, ok bool, version uint64) []*machine {
+func (r *machineRegistry) handlePageWritten(write registryPageWrite, committed bool, version uint64) []*machine {
 	page := write.page
 	page.writeInFlight = false
-	if !ok {
+	if !committed {
 		// Only this leader writes the pages of its term, so a conflict is not expected. If one occurs,
 		// the machines are not registered and get no tasks.
 		r.logWarn("write of registry page rejected", "page", page.name)
@@ -183,8 +183,8 @@
 }
 
 // handleRegistryPageWritten handles the outcome of a page write: the machines that it registered may now get starts.
-func (s *Scheduler) handleRegistryPageWritten(write registryPageWrite, ok bool, version uint64) {
-	for _, m := range s.registry.handlePageWritten(write, ok, version) {
+func (s *Scheduler) handleRegistryPageWritten(write registryPageWrite, committed bool, version uint64) {
+	for _, m := range s.registry.handlePageWritten(write, committed, version) {
 		s.gangs.requestCommit()
 		s.dispatcher.enqueue(m)
 	}
--- a/internal/coordination/scheduler/rentals.go
+++ b/internal/coordination/scheduler/rentals.go
@@ -248,10 +248,10 @@
 // handleRecordWritten handles the outcome of writeRecord. If the written record is the first one with the cloud's
 // reply, it returns the names of the rental's machines.
 func (t *rentalTable) handleRecordWritten(
-	r *rental, write rentalWrite, ok bool, version uint64,
+	r *rental, write rentalWrite, committed bool, version uint64,
 ) (newlyDurable []string) {
 	r.writeInFlight = false
-	if !ok {
+	if !committed {
 		// Only the leader writes rentals, so a conflict is not expected. If one occurs, the machines get
 		// no tasks, because no written record contains them.
 		t.logWarn("write of rental record rejected", keyRental, r.name)
@@ -288,8 +288,8 @@
 
 // handleRemovalWritten handles the outcome of removeRecord: it removes the rental, or makes reconcile retry the
 // removal if it has failed.
-func (t *rentalTable) handleRemovalWritten(write rentalRemoval, ok bool) {
-	if ok {
+func (t *rentalTable) handleRemovalWritten(write rentalRemoval, committed bool) {
+	if committed {
 		delete(t.byName, write.rental)
 	} else if r := t.byName[write.rental]; r != nil {
 		r.state = rentalAnswered
@@ -297,17 +297,17 @@
 }
 
 // handleRentalWritten handles the outcome of a write of a rental's record.
-func (s *Scheduler) handleRentalWritten(write rentalWrite, ok bool, version uint64) {
+func (s *Scheduler) handleRentalWritten(write rentalWrite, committed bool, version uint64) {
 	r := s.rentals.find(write.rental)
 	if r == nil {
 		return
 	}
-	for _, name := range s.rentals.handleRecordWritten(r, write, ok, version) {
+	for _, name := range s.rentals.handleRecordWritten(r, write, committed, version) {
 		if m := s.inventory.find(name); m != nil && m.hasReported {
 			s.registerMachine(m) // reported before the record was written, so it could not be registered then
 		}
 	}
-	if ok {
+	if committed {
 		s.rentals.continueAfterWrite(r)
 	}
 }
--- a/internal/coordination/scheduler/rentals_test.go
+++ b/internal/coordination/scheduler/rentals_test.go
@@ -54,7 +54,7 @@
 	if len(writes) != 1 || rentals.find(name).isPending() {
 		t.Fatalf("want one write of the cloud's reply and no pending rental, got %+v", f.effects)
 	}
-	f.step(DeletionDone{Machines: []string{f.machine(1)}, OK: true})
+	f.step(DeletionDone{Machines: []string{f.machine(1)}, Confirmed: true})
 	if again := effectsOf[WriteRecords](f.effects); len(again) != 0 {
 		t.Fatalf("second write of the record while one is in flight: %+v", again)
 	}
--- a/internal/coordination/scheduler/simulation_cloud_test.go
+++ b/internal/coordination/scheduler/simulation_cloud_test.go
@@ -68,7 +68,7 @@
 				machine.remove()
 			}
 		}
-		s.step(controller, DeletionDone{Machines: names, OK: confirmed})
+		s.step(controller, DeletionDone{Machines: names, Confirmed: confirmed})
 	})
 }
 
