--- a/internal/coordination/gateway/cancellations.go
+++ b/internal/coordination/gateway/cancellations.go
@@ -17,7 +17,7 @@
 // cancelJob marks a job as cancelled. It reports the job as aborted to the user only once the cancellation
 // is confirmed, see confirmCancellation.
 func (g *Gateway) cancelJob(ctx context.Context, id string) response {
-	if !protocol.ValidJobID(id) {
+	if !protocol.IsValidJobID(id) {
 		return jobNotFoundResponse()
 	}
 	if status, ok := g.cachedFinalStatus(id); ok {
@@ -106,16 +106,16 @@
 func (g *Gateway) confirmCancellation(ctx context.Context, id string, open protocol.KeyValue) bool {
 	confirmed := g.dispatcher.ConfirmCancellation(ctx, id, open.Version, open.Value) ||
 		g.peers.ConfirmCancellation(ctx, g.leaderName(), id, open.Version, open.Value) ||
-		g.leaderObservedRevision(ctx, open.Version)
+		g.hasLeaderObservedRevision(ctx, open.Version)
 	if confirmed {
 		g.finalStates.put(id, protocol.JobCancelled) // later leaders cannot change it
 	}
 	return confirmed
 }
 
-// leaderObservedRevision reports whether the leader has observed a revision according to its heartbeat
+// hasLeaderObservedRevision reports whether the leader has observed a revision according to its heartbeat
 // record, or there is no leader key. It returns false if a record cannot be read.
-func (g *Gateway) leaderObservedRevision(ctx context.Context, revision uint64) bool {
+func (g *Gateway) hasLeaderObservedRevision(ctx context.Context, revision uint64) bool {
 	stored, err := g.store.Get(ctx, storage.KeyLeaderHeartbeat)
 	if err != nil {
 		return false
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -127,14 +127,14 @@
 	}
 }
 
-// dispatch sends the unsent starts and stops directly, as far as possible.
-func (s *Scheduler) dispatch() {
+// dispatchCommands sends the unsent starts and stops directly, as far as possible.
+func (s *Scheduler) dispatchCommands() {
 	s.dispatcher.sendUrgent(s.assignments.buildDirectCommands)
 	s.dispatcher.sendWaiting(s.assignments.buildDirectCommands)
 }
 
-// directCommandsDone handles the outcome of a direct command: its reply, or that there was none.
-func (s *Scheduler) directCommandsDone(e DirectCommandsDone) {
+// handleDirectCommandsDone handles the outcome of a direct command: its reply, or that there was none.
+func (s *Scheduler) handleDirectCommandsDone(e DirectCommandsDone) {
 	m := s.inventory.find(e.Machine)
 	if !s.dispatcher.recordOutcome(m, e.ID) {
 		return
@@ -164,7 +164,7 @@
 		// repeat the starts, which has no effect on a started task.
 		m.directBackoffUntil = s.now + limits.DirectCommandBackoff
 		m.markStartsUnconfirmed(e.ID)
-	case heartbeat.Machine != e.Machine || !heartbeat.Valid():
+	case heartbeat.Machine != e.Machine || !heartbeat.IsValid():
 		// An invalid reply shows nothing about the tasks.
 	case m.isOutdated(heartbeat, m.taskListSequence):
 		// A newer message was processed first. Its task list shows whether the starts have arrived,
--- a/internal/coordination/scheduler/registry.go
+++ b/internal/coordination/scheduler/registry.go
@@ -73,7 +73,7 @@
 func (r *machineRegistry) add(m *machine) {
 	m.registration = registering
 	entry := storage.RegisteredMachine{Machine: m.name, Address: m.address}
-	size := storage.EncodedSize(entry) + limits.RegistryEntryOverhead
+	size := storage.EncodedSize(entry) + limits.RegistryEntryOverheadBytes
 	page := r.pageWithRoom(size)
 	page.encodedSize += size
 	page.record.Machines = append(page.record.Machines, entry)
@@ -92,7 +92,7 @@
 	r.pageSequence++
 	r.current = &registryPage{
 		name:        fmt.Sprintf("%d-%d", r.cfg.Term, r.pageSequence),
-		encodedSize: limits.RegistryEntryOverhead,
+		encodedSize: limits.RegistryEntryOverheadBytes,
 	}
 	r.pages = append(r.pages, r.current)
 	if previous != nil {
@@ -123,11 +123,11 @@
 	}
 }
 
-// pageWritten records the outcome of a page write and returns the machines that it has registered.
-func (r *machineRegistry) pageWritten(write registryPageWrite, ok bool, version uint64) []*machine {
+// handlePageWritten records the outcome of a page write and returns the machines that it has registered.
+func (r *machineRegistry) handlePageWritten(write registryPageWrite, committed bool, version uint64) []*machine {
 	page := write.page
 	page.writeInFlight = false
-	if !ok {
+	if !committed {
 		// Only this leader writes the pages of its term, so a conflict is not expected. If one occurs,
 		// the machines are not registered and get no tasks.
 		r.logWarn("write of registry page rejected", "page", page.name)
@@ -182,9 +182,9 @@
 	}
 }
 
-// registryPageWritten handles the outcome of a page write: the machines that it registered may now get starts.
-func (s *Scheduler) registryPageWritten(write registryPageWrite, ok bool, version uint64) {
-	for _, m := range s.registry.pageWritten(write, ok, version) {
+// handleRegistryPageWritten handles the outcome of a page write: the machines that it registered may now get starts.
+func (s *Scheduler) handleRegistryPageWritten(write registryPageWrite, committed bool, version uint64) {
+	for _, m := range s.registry.handlePageWritten(write, committed, version) {
 		s.gangs.requestCommit()
 		s.dispatcher.enqueue(m)
 	}
--- a/internal/coordination/scheduler/scale_in.go
+++ b/internal/coordination/scheduler/scale_in.go
@@ -74,8 +74,8 @@
 		if m.deleting || !m.hasReported || m.neededByPlan || len(m.assignments) > 0 || m.rental == "" {
 			continue
 		}
-		if !m.resultsDurable() {
-			s.finished.expediteResults(m)
+		if !m.hasOnlyDurableResults() {
+			s.finishedTasks.expediteResults(m)
 			continue
 		}
 		if s.isStale(m) {
--- a/internal/coordination/scheduler/step.go
+++ b/internal/coordination/scheduler/step.go
@@ -8,44 +8,44 @@
 // effects.
 func (s *Scheduler) Step(e Event, now time.Duration) []Effect {
 	s.beginStep(now)
-	s.process(e)
+	s.handleEvent(e)
 	s.tryEndRecovery()
-	s.decide()
-	s.dispatch()
+	s.updatePlacement()
+	s.dispatchCommands()
 	return s.effects
 }
 
-// process passes an event to its handler.
-func (s *Scheduler) process(e Event) {
+// handleEvent passes an event to its handler.
+func (s *Scheduler) handleEvent(e Event) {
 	switch e := e.(type) {
 	case JobChanged:
-		s.jobChanged(e)
+		s.handleJobChanged(e)
 	case JobRemoved:
-		s.jobRemoved(e)
+		s.handleJobRemoved(e)
 	case FinishedTasksLoaded:
-		s.finished.load(e)
+		s.finishedTasks.load(e)
 	case RentalLoaded:
 		s.rentals.load(e)
 	case RegistryPageLoaded:
 		s.registry.load(e)
 	case StateLoaded:
-		s.stateLoaded()
+		s.handleStateLoaded()
 	case HeartbeatReceived:
-		s.heartbeatReceived(e)
+		s.handleHeartbeat(e)
 	case ProbeDone:
-		s.probeDone(e)
+		s.handleProbeDone(e)
 	case DirectCommandsDone:
-		s.directCommandsDone(e)
+		s.handleDirectCommandsDone(e)
 	case WriteCompleted:
-		s.writeCompleted(e)
+		s.handleWriteCompleted(e)
 	case RentalDone:
-		s.rentalDone(e)
+		s.handleRentalDone(e)
 	case DeletionDone:
-		s.deletionDone(e)
+		s.handleDeletionDone(e)
 	case MachinesListed:
-		s.machinesListed(e)
+		s.handleMachinesListed(e)
 	case MachineTypesFetched:
-		s.machineTypesFetched(e)
+		s.handleMachineTypesFetched(e)
 	case TaskCountsRequested:
 		s.jobs.answerTaskCounts(e)
 	case SnapshotRequested:
@@ -55,21 +55,21 @@
 	}
 }
 
-// stateLoaded starts the recovery of a new term and requests the machine types and the list of
+// handleStateLoaded starts the recovery of a new term and requests the machine types and the list of
 // machines from the cloud.
-func (s *Scheduler) stateLoaded() {
+func (s *Scheduler) handleStateLoaded() {
 	s.logInfo("recovery started",
 		"jobs", s.jobs.count(), keyMachines, len(s.inventory.all()), "rentals", s.rentals.count())
 	s.recovery.markRecordsLoaded()
 	s.catalog.requestFetch()
-	s.cloudList.requestRead()
-	s.finished.removeOrphanedRecords()
+	s.machineList.requestRead()
+	s.finishedTasks.removeOrphanedRecords()
 	s.tick(true)
 }
 
-// decide updates the gangs, places waiting tasks, and commits the gangs whose tasks all have machines,
+// updatePlacement updates the gangs, places waiting tasks, and commits the gangs whose tasks all have machines,
 // so that they can start.
-func (s *Scheduler) decide() {
+func (s *Scheduler) updatePlacement() {
 	s.reconcileGangs()
 	s.placeTasks()
 	s.reconcileGangs()
@@ -88,6 +88,6 @@
 	for _, j := range s.jobs.oldestFirst() {
 		s.tryCloseJob(j)
 	}
-	s.finished.writeChunks()
+	s.finishedTasks.writeChunks()
 	s.manageFleet()
 }
