--- a/internal/coordination/scheduler/bitmap.go
+++ b/internal/coordination/scheduler/bitmap.go
@@ -15,9 +15,9 @@
 func (b bitmap) add(index int)      { b[index/wordBits] |= 1 << (index % wordBits) }
 func (b bitmap) remove(index int)   { b[index/wordBits] &^= 1 << (index % wordBits) }
 
-// firstInNeither returns the lowest index that is in neither of two sets of the same size. The search
-// begins at the first index of the word that contains start. As sets consist of whole words, the result
-// may be equal to or greater than their size, which means that no index is left from there on.
+// firstInNeither returns the lowest index that is in neither of two sets of the same size. It searches by
+// whole words, from the word that contains start, so the result may be less than start. A result equal to
+// or greater than the size of the sets means that there is no such index.
 func firstInNeither(one, other bitmap, start int) int {
 	for word := start / wordBits; word < len(one); word++ {
 		if free := ^(one[word] | other[word]); free != 0 {
--- a/internal/coordination/scheduler/capacity_offer.go
+++ b/internal/coordination/scheduler/capacity_offer.go
@@ -70,8 +70,8 @@
 }
 
 // startableTasks estimates how many tasks of a job can start within startWithinS seconds, at most
-// tasksPerMachine. It assumes that earlier tasks free their CPUs at a constant rate over twice their mean
-// remaining time, so the result may have a fraction.
+// tasksPerMachine. It assumes that the tasks that use the machine now end at a constant rate, the last one
+// after twice their mean remaining time. The result may be a fraction.
 func (c *capacityOffer) startableTasks(j *job, tasksPerMachine int, startWithinS float64) float64 {
 	free := typeResources(c.machineType).CPUs - c.usedCPUs
 	if wait := startWithinS - c.readyInS; wait > 0 && c.remainingCPUSeconds > 0 {
--- a/internal/coordination/scheduler/dispatcher.go
+++ b/internal/coordination/scheduler/dispatcher.go
@@ -9,14 +9,14 @@
 
 // commandDispatcher sends commands to workers directly, without waiting for their heartbeats. Only urgent
 // stops and corrections are sent while limits.MaxDirectCommands are in flight. Workers reply within
-// milliseconds, so that many commands without a reply mean that the controller is overloaded. All other
+// milliseconds, so many commands without a reply mean that the controller is overloaded. All other
 // commands are then sent in the replies to the next heartbeats.
 type commandDispatcher struct {
 	*environment
 	lastID        uint64     // last allocated ID of a direct command
 	inFlight      int        // direct commands without an outcome yet
 	waiting       []*machine // machines that may have unsent commands
-	deferredCount int        // length of the prefix of waiting that earlier calls of sendWaiting did not reach
+	deferredCount int        // number of machines, at the head of waiting, that earlier sendWaiting calls did not reach
 	urgent        []*machine // machines that may have an unsent stop of a gang's task
 }
 
--- a/internal/coordination/scheduler/events.go
+++ b/internal/coordination/scheduler/events.go
@@ -20,8 +20,8 @@
 	Version         uint64 // of the record
 	Record          storage.OpenJob
 	SinceSubmission time.Duration
-	// SinceCancellation is at least the time since the earliest moment at which the cancellation can
-	// have been confirmed to the user; 0 if the job is not cancelled.
+	// SinceCancellation is an upper bound on the time since the cancellation was confirmed to the user;
+	// 0 if the job is not cancelled.
 	SinceCancellation time.Duration
 }
 
--- a/internal/coordination/scheduler/gang.go
+++ b/internal/coordination/scheduler/gang.go
@@ -222,7 +222,7 @@
 }
 
 // mayKnowAttempt reports whether the worker of a machine may have received a start command of the gang's
-// current attempt before. It would treat another one as a duplicate.
+// current attempt. It would ignore another start command of the attempt as a duplicate.
 func (g *gang) mayKnowAttempt(m *machine) bool {
 	return g.machinesWithLostTasks[m.name] || g.hasEndedTaskOn(m)
 }
--- a/internal/coordination/scheduler/gang_reservation.go
+++ b/internal/coordination/scheduler/gang_reservation.go
@@ -11,10 +11,10 @@
 	"quillshunt/internal/limits"
 )
 
-// gangReservations reserves machines for gangs that should start sooner than a machine boots. Without
-// reservations independent tasks would use all free resources, and a gang cannot preempt work of
-// its own priority. The reserved capacity is the peak that gangs recently used or waited for at the same
-// time, plus the size of the largest gang. Jobs that have waited for GangReservationYieldAge may use
+// gangReservations reserves machines for gangs that should start in less time than a rented machine takes
+// to boot. Without reservations independent tasks would use all free resources, and a gang cannot preempt
+// work of its own priority. The reserved capacity is the peak that gangs recently used or waited for at the
+// same time, plus the size of the largest gang. Jobs that have waited for GangReservationYieldAge may use
 // reserved machines too.
 type gangReservations struct {
 	*environment
@@ -100,10 +100,11 @@
 	missingCPUs float64 // CPUs that could not be reserved
 }
 
-// hasDemand reports whether there is recent demand of gangs for which machines may be reserved.
+// hasDemand reports whether any gang has needed a reservation recently, which may still be in effect.
 func (r *gangReservations) hasDemand() bool { return len(r.demand) > 0 }
 
-// update replaces all reservations according to the current demand, and returns the shortages.
+// update discards all reservations and reserves machines again for the recent demand of each kind of gang.
+// It returns the capacity that it could not reserve.
 func (r *gangReservations) update() []gangShortage {
 	for _, m := range r.inventory.all() {
 		m.wasReservedForGangs, m.reservedForGangs = m.reservedForGangs, false
@@ -159,8 +160,9 @@
 	}
 }
 
-// needsReservation reports whether a gang's tasks should start sooner than a newly rented machine
-// would be up.
+// needsReservation reports whether a job has a deadline for the start of its tasks that a newly rented
+// machine cannot meet: counted from the submission, it is shorter than the shortest boot time of the
+// machine types that the job may use.
 func (r *gangReservations) needsReservation(j *job) bool {
 	for _, d := range j.deadlines {
 		if d.forStart && (d.at-j.submittedAt).Seconds() < r.catalog.minBootS(j) {
@@ -171,9 +173,9 @@
 }
 
 // reserve reserves machines for gangs of a kind, and returns how many CPUs are still missing; the result is
-// 0 or negative if none are. The reserved CPUs are at most GangReservationShare of all CPUs. Further
-// machines that the gangs need are marked as needed, so that they are not returned to the cloud, but every
-// job may use them.
+// 0 or negative if none are. It reserves at most GangReservationShare of all CPUs for each kind. Machines
+// beyond that share that the gangs need are only marked as needed: every job may use them, but they are not
+// returned to the cloud.
 func (r *gangReservations) reserve(d *gangDemand) (missingCPUs float64) {
 	missingCPUs = d.cpusToReserve()
 	if d.newestJob.spec.SameZone {
--- a/internal/coordination/scheduler/placer.go
+++ b/internal/coordination/scheduler/placer.go
@@ -47,8 +47,8 @@
 }
 
 // placementRequest holds the properties of a job that determine which machines its tasks may use, if the
-// job has no rules of its own for zones, machine types or machines (see placementSearch.cacheable). Jobs
-// with equal requests share the result of a search.
+// job has no rules of its own for zones, machine types or machines (see placementSearch.cacheable). Once the
+// search for one such job has failed, jobs with equal requests skip theirs; see handleSearchFailed.
 type placementRequest struct {
 	demand                resource.Vector
 	team                  *team
--- a/internal/coordination/scheduler/reachability.go
+++ b/internal/coordination/scheduler/reachability.go
@@ -141,7 +141,9 @@
 		m.endedTasks = map[attemptKey]endedTask{}
 		m.endedIncarnation = max(m.incarnation, 1)
 		if !m.hasReported {
-			m.endedIncarnation = 0 // the expired incarnation is unknown; see recoveryState.tryEnd
+			// The worker has reported no incarnation in this term, so none is marked as ended.
+			// recoveryState.tryEnd checks the lease of such a machine itself.
+			m.endedIncarnation = 0
 		}
 	}
 }
--- a/internal/limits/jobs.go
+++ b/internal/limits/jobs.go
@@ -9,9 +9,10 @@
 	// MinRemainingShare is the least estimated remaining run time of a running task, as a share of its
 	// estimated run time. It applies also to a task that has run for longer than estimated.
 	MinRemainingShare = 0.1
-	// EstimatePriorTasks is the weight, as a number of tasks, of the prior in a job's run time estimate. The
-	// number of the job's tasks that are on machines is added to it. The prior is the user's estimate,
-	// multiplied by the average ratio of run times to users' estimates in the job's class.
+	// EstimatePriorTasks is the least weight of the prior in a job's run time estimate, in tasks: each
+	// completed task has weight 1, and the prior has this weight plus 1 for each task that is assigned to a
+	// machine. The prior is the user's estimate multiplied by the average ratio of run times to users'
+	// estimates in the job's class.
 	EstimatePriorTasks = 2
 	// MinAverageWeight is the least weight of a new sample in the moving averages of a job class: the ratio
 	// of run times to the users' estimates, and the image fetch times.
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -26,8 +26,9 @@
 	// FirstTaskCreditAge is the age above which a job has credit for its first task. Every job is expected
 	// to start within four minutes, and a machine may have to be reserved for it for some of that time.
 	FirstTaskCreditAge = 150 * time.Second
-	// AllTasksCreditAge is the age from which a job gets credit for its other tasks, one by one over
-	// AllTasksCreditSpan. Credit at an earlier age would delay jobs that can still meet their deadlines.
+	// AllTasksCreditAge is the age above which a job's credit grows beyond its first task. The credit then
+	// rises at a constant rate and covers all tasks of the job AllTasksCreditSpan later. If it rose at an
+	// earlier age, it would delay jobs that can still meet their deadlines.
 	AllTasksCreditAge  = 240 * time.Second
 	AllTasksCreditSpan = 120 * time.Second
 	// UnderservedShare is the share of a job group's credit below which the group counts as underserved. A
--- a/internal/limits/wire.go
+++ b/internal/limits/wire.go
@@ -6,15 +6,16 @@
 	// in bytes.
 	MaxBodyBytes = 64 << 10
 	// MaxHeadBytes is the maximum size of the request line and headers, in bytes. Requests of the protocol
-	// need a few hundred, so that this only stops senders of endless headers.
+	// need a few hundred bytes; the limit protects against senders of endless headers.
 	MaxHeadBytes = 8 << 10
-	// MaxHeaders is the maximum number of header lines. It has the same purpose.
+	// MaxHeaders is the maximum number of header lines. Like MaxHeadBytes, it protects against senders of
+	// endless headers.
 	MaxHeaders = 64
 	// MaxChunkLineBytes is the maximum length of the size line of a chunk, including extensions, in bytes.
 	MaxChunkLineBytes = 256
 	// MaxUpstreamBytes is the maximum size of a reply from the state service or the cloud, in bytes. A page
-	// of keys has at most 512 KiB. The protocol does not limit the reply to a watch. If it is larger than
-	// this, the keys are listed again instead.
+	// of keys has at most 512 KiB. The protocol does not limit the reply to a watch; if that reply exceeds
+	// MaxUpstreamBytes, the keys are listed again instead.
 	MaxUpstreamBytes = 4 << 20
 	// MaxCBORNesting is the maximum nesting depth of a body. The deepest message of the protocol has four
 	// levels.
