--- a/internal/coordination/election/quorum.go
+++ b/internal/coordination/election/quorum.go
@@ -20,8 +20,9 @@
 	renewedAt        time.Time
 
 	// The nonces of the processes that replied to vote requests, by node name. A process grants its
-	// vote only for a heartbeat record that was sent after the leader had received its nonce. A nonce
-	// is therefore known first, and is covered by the next heartbeat record.
+	// vote only for a heartbeat record that was sent after the leader had received its nonce.
+	// knownNonces holds all nonces received so far, coveredNonces those that were received before the
+	// last known heartbeat record was sent.
 	knownNonces   map[string]uint64
 	coveredNonces map[string]uint64
 }
--- a/internal/coordination/scheduler/cancel_deadlines.go
+++ b/internal/coordination/scheduler/cancel_deadlines.go
@@ -18,9 +18,9 @@
 }
 
 // cancelDeletionAt returns the time at which a machine that still has a task of a cancelled job is
-// deleted. It leaves the cloud time to confirm the deletion by cancelReplyUntil. A leader that observed
-// the cancellation late first waits limits.CancelStopGrace for its stop commands to take effect, but not
-// beyond limits.CancelDeleteLatestShare of cancel_s.
+// deleted. It usually leaves the cloud time to confirm the deletion before cancelReplyUntil. A leader that
+// observed the cancellation late first waits limits.CancelStopGrace for its stop commands to take effect,
+// but not beyond limits.CancelDeleteLatestShare of cancel_s.
 func (e *environment) cancelDeletionAt(j *job) time.Duration {
 	cancelLimit := limits.Seconds(e.cfg.Workers.CancelWithinS)
 	window := limits.CancelHeartbeatWindow(cancelLimit, e.workerLease)
--- a/internal/coordination/scheduler/capacity_planner_test.go
+++ b/internal/coordination/scheduler/capacity_planner_test.go
@@ -80,7 +80,8 @@
 }
 
 // TestMachinesForTasksThatStartTooLate checks that machines are rented only for the tasks that cannot start on the
-// existing fleet before a new machine would be up, and that they are rented even if the fleet could run these later.
+// existing fleet before a new machine would be up, and that they are rented even if the fleet could run these tasks
+// later.
 func TestMachinesForTasksThatStartTooLate(t *testing.T) {
 	f := newSchedulerFixture(t, 10)
 	f.scheduler.cfg.CloudRPS = 100
--- a/internal/coordination/scheduler/gang_reservation_test.go
+++ b/internal/coordination/scheduler/gang_reservation_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestGangReservations checks that independent tasks leave as many CPUs free as gangs recently used, if
-// these gangs should start sooner than a machine boots, and that a job that has waited for
+// these gangs should start in less time than a rented machine takes to boot. A job that has waited for
 // GangReservationYieldAge may use the reserved machines.
 func TestGangReservations(t *testing.T) {
 	f := newGangFixture(t, 2)
--- a/internal/coordination/scheduler/health.go
+++ b/internal/coordination/scheduler/health.go
@@ -8,7 +8,8 @@
 	return m.consecutiveFailures >= limits.FaultyMachineFailures && len(m.failedJobs) > 0
 }
 
-// isSlow reports whether tasks run far longer on this machine than tasks of the same jobs on others.
+// isSlow reports whether tasks run far longer on this machine than the earlier tasks of their jobs did on
+// average, on any machine.
 func (m *machine) isSlow() bool {
 	return m.runTimeRatioCount >= limits.SlowMachineTasks &&
 		m.runTimeRatioSum > limits.SlowMachineFactor*float64(m.runTimeRatioCount)
--- a/internal/coordination/scheduler/machine.go
+++ b/internal/coordination/scheduler/machine.go
@@ -94,7 +94,7 @@
 type machineHealth struct {
 	consecutiveFailures int
 	failedJobs          map[string]bool // jobs of the consecutive failures
-	runTimeRatioSum     float64         // of run times relative to those of the same job's tasks on other machines
+	runTimeRatioSum     float64         // of run times divided by the mean run time of the job's earlier tasks
 	runTimeRatioCount   int
 	usefulCPUSeconds    float64 // used by tasks that completed
 	wastedCPUSeconds    float64 // used by tasks that did not complete
--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -230,7 +230,7 @@
 	}
 }
 
-// ids returns the IDs of jobs, formatted as a list.
+// joinIDs returns the IDs of jobs, formatted as a list.
 func joinIDs(jobs []*job) string {
 	var out []string
 	for _, j := range jobs {
--- a/internal/limits/capacity.go
+++ b/internal/limits/capacity.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Scaling out. A pool is all machines of one machine type in one zone, either spot or ordinary ones.
+// Scaling out. A pool is all machines of one machine type in one zone, either spot or on-demand ones.
 const (
 	// PlanInterval is the time between two runs of the capacity planner, which decides which machines to
 	// rent and to return.
 	PlanInterval = time.Second
 	// MaxPlannedWait is the default limit on how long a job is planned to wait for free resources.
 	MaxPlannedWait = 15 * time.Second
-	// PlannedWaitSlackRatio is the default share of a job's slack that the job is planned to wait. The
-	// rest is kept for unforeseen delays.
+	// PlannedWaitSlackRatio is the default limit on how long a job is planned to wait for free resources, as
+	// a share of its slack. The rest of the slack is kept for unforeseen delays.
 	PlannedWaitSlackRatio = 0.25
 	// ExpensivePoolRatio and ExpensivePoolSlack are defaults. A pool that costs more than ExpensivePoolRatio
-	// times the price of the cheapest pool is used only for jobs that are not late and have at most
-	// ExpensivePoolSlack.
+	// times the price of the cheapest pool is used only for jobs that can still meet a deadline and whose
+	// slack is at most ExpensivePoolSlack.
 	ExpensivePoolRatio = 2.5
 	ExpensivePoolSlack = 60 * time.Second
 	// SimilarPriceRatio is the multiple of the cheapest pool's price up to which another pool is used
--- a/internal/limits/gateway.go
+++ b/internal/limits/gateway.go
@@ -22,7 +22,7 @@
 
 	// MinRetryAfterSeconds is the least value of the Retry-After header in responses to users, in seconds.
 	MinRetryAfterSeconds = 1
-	// RetryAfterStep is the length of a state service outage for each second that is added to Retry-After,
+	// RetryAfterStep is the time of a state service outage after which Retry-After grows by another second,
 	// up to MaxRetryAfterSeconds. An outage that has lasted long is likely to last as long again, but
 	// users should also notice its end soon.
 	RetryAfterStep       = 8 * time.Second
--- a/internal/limits/leadership.go
+++ b/internal/limits/leadership.go
@@ -61,7 +61,7 @@
 	// SuspicionShare is the share of a vote's duration after which a follower that has received no vote
 	// request suspects the leader. A suspicion only starts the wait until the votes have expired.
 	SuspicionShare = 0.4
-	// SuspicionCheckInterval is the time between two checks by which a follower detects this.
+	// SuspicionCheckInterval is the time between two checks of whether a follower should suspect the leader.
 	SuspicionCheckInterval = 250 * time.Millisecond
 )
 
--- a/internal/limits/machines.go
+++ b/internal/limits/machines.go
@@ -80,8 +80,9 @@
 	// faulty.
 	FaultyMachineFailures = 2
 	// SlowMachineTasks and SlowMachineFactor define a slow machine: at least SlowMachineTasks of its tasks
-	// have taken, on average, more than SlowMachineFactor times as long as tasks of the same jobs elsewhere.
-	// Healthy machines differ by a tenth, but the tasks of one job differ more, so several tasks are needed.
+	// were measured, and they took on average more than SlowMachineFactor times the mean run time of the
+	// earlier tasks of their jobs, on any machine. Healthy machines differ by a tenth, but the tasks of one
+	// job differ more, so several tasks are needed.
 	SlowMachineTasks  = 4
 	SlowMachineFactor = 2.5
 	// MaxTasksPerMachine is the maximum number of tasks on a machine, including ended tasks that the worker
--- a/internal/limits/state.go
+++ b/internal/limits/state.go
@@ -68,7 +68,7 @@
 	// up.
 	FinishedTasksOverheadBytes = 128
 	// RentalOverheadBytes is the size of a rental record without the names of its machines, rounded
-	// up. MachineNameBytes is the size of each name. It is larger than the names seen so far.
+	// up. MachineNameBytes is the size that is assumed for each name, more than any name seen so far has.
 	RentalOverheadBytes = 256
 	MachineNameBytes    = 32
 	// RegistryEntryOverheadBytes is the size of a registry page without its entries, and also what each entry
@@ -83,7 +83,8 @@
 	// a machine.
 	RegistryWriteInterval = 200 * time.Millisecond
 	// ChunkWriteInterval is the minimum time between two writes of the same chunk of finished tasks. Workers
-	// keep reporting results until they have been written, so this only limits how long they do so.
+	// keep reporting results until these have been written, so a longer interval only makes them report the
+	// same results for longer.
 	ChunkWriteInterval = 3 * time.Second
 	// MaxChunkWriteDelay is the maximum delay of writing the finished tasks of a job that is nearly
 	// complete.
